--- a/components/front/src/access.rs
+++ b/components/front/src/access.rs
@@ -80,7 +80,7 @@
         Ok(holder) => return Ok(holder.cloned()),
         Err(refusal) => refusal,
     };
-    let open = results::find(front, |index| {
+    let open = results::find_in_index(front, |index| {
         index.ledger.by_name(None, step).map(|step| step.id)
     });
     match open.await {
--- a/components/front/src/meter.rs
+++ b/components/front/src/meter.rs
@@ -14,7 +14,7 @@
 
 use crate::clock::now_ms;
 use crate::state::{Front, locked};
-use crate::writer::{append_usage, until_done};
+use crate::writer::{append_usage, append_with_retry};
 
 /// How long counts are gathered before they are written, in milliseconds: what a front that is
 /// killed loses, against appends of each front.
@@ -152,7 +152,7 @@
         }
         while let Some((batch, unwritten)) = front.meter.next_batch() {
             let record = batch.record(writer);
-            until_done(&front, "usage", || append_usage(&front, &record)).await;
+            append_with_retry(&front, "usage", || append_usage(&front, &record)).await;
             log::debug!(event = "usage-counted", writer, number = batch.number; "");
             drop(unwritten);
         }
--- a/components/front/src/results.rs
+++ b/components/front/src/results.rs
@@ -35,22 +35,22 @@
 const READ_EXTRA_KB: u32 = 2;
 
 /// Answer to a read.
-pub enum Read {
+pub enum ReadOutcome {
     /// This document.
     Found(Bytes),
     /// There is no such thing.
-    Missing,
+    NotFound,
     /// This front can't be sure now.
-    Unsure(&'static str),
+    Unavailable(&'static str),
 }
 
-impl Read {
+impl ReadOutcome {
     /// Status of the answer.
     pub fn status(&self) -> StatusCode {
         match self {
-            Read::Found(_) => StatusCode::OK,
-            Read::Missing => StatusCode::NOT_FOUND,
-            Read::Unsure(_) => StatusCode::SERVICE_UNAVAILABLE,
+            ReadOutcome::Found(_) => StatusCode::OK,
+            ReadOutcome::NotFound => StatusCode::NOT_FOUND,
+            ReadOutcome::Unavailable(_) => StatusCode::SERVICE_UNAVAILABLE,
         }
     }
 }
@@ -61,15 +61,15 @@
     age_ms.is_some_and(|age_ms| age_ms + 100 < front.settings.bounds.settle_ms)
 }
 
-fn missing(front: &Front) -> Read {
+fn missing(front: &Front) -> ReadOutcome {
     match is_sure(front) {
-        true => Read::Missing,
-        false => Read::Unsure("the log was not read lately"),
+        true => ReadOutcome::NotFound,
+        false => ReadOutcome::Unavailable("the log was not read lately"),
     }
 }
 
 /// What `look` finds in the index, which is read to its end first if it finds nothing.
-pub async fn find<T>(front: &Front, look: impl Fn(&Index) -> Option<T>) -> Option<T> {
+pub async fn find_in_index<T>(front: &Front, look: impl Fn(&Index) -> Option<T>) -> Option<T> {
     let known = look(&front.index());
     if known.is_some() {
         return known;
@@ -96,15 +96,15 @@
 
 /// Results of a customer's step from a position on; waits up to `wait` for the first, and a
 /// little for more.
-pub async fn results(
+pub async fn read_results(
     front: &Front,
     customer: Option<&str>,
     id: &str,
     after: usize,
     wait: Duration,
-) -> Read {
+) -> ReadOutcome {
     if front.storage.silent_ms(now_ms()) >= SILENT_MS {
-        return Read::Unsure("the store is silent");
+        return ReadOutcome::Unavailable("the store is silent");
     }
     let _waiting = front.demand.wait();
     let mut news = front.index_news.subscribe();
@@ -112,7 +112,7 @@
     let mut gathers = false;
     let found = loop {
         news.mark_unchanged();
-        let found = find(front, |index| window(index, customer, id, after)).await;
+        let found = find_in_index(front, |index| window(index, customer, id, after)).await;
         let Some(found) = found else {
             return missing(front);
         };
@@ -133,13 +133,13 @@
         }
     };
     if found.results.is_empty() && !is_sure(front) {
-        return Read::Unsure("the log was not read lately");
+        return ReadOutcome::Unavailable("the log was not read lately");
     }
     match page(front, &found, after).await {
-        Ok(page) => Read::Found(page.into()),
+        Ok(page) => ReadOutcome::Found(page.into()),
         Err(error) => {
             log::warn!(event = "texts-not-read", id, after, error:% = error; "");
-            Read::Unsure("the texts cannot be read now")
+            ReadOutcome::Unavailable("the texts cannot be read now")
         }
     }
 }
@@ -221,8 +221,13 @@
 }
 
 /// The body of an item of a customer's step.
-pub async fn item_body(front: &Front, customer: Option<&str>, id: &str, item: &str) -> Read {
-    let place = find(front, |index| {
+pub async fn read_item_body(
+    front: &Front,
+    customer: Option<&str>,
+    id: &str,
+    item: &str,
+) -> ReadOutcome {
+    let place = find_in_index(front, |index| {
         let step = index.ledger.visible(customer, id)?;
         step.head.data_of(step.item(item)?)
     });
@@ -233,14 +238,14 @@
     let record = front.storage.record(partition, offset, 1, within).await;
     let body = record.map(|record| decode_item(&record).map(|data| data.body));
     match body {
-        Ok(Ok(body)) => Read::Found(body.into()),
+        Ok(Ok(body)) => ReadOutcome::Found(body.into()),
         Ok(Err(error)) => {
             log::error!(event = "item-data-malformed", id, item, error:% = error; "");
-            Read::Unsure("the item cannot be read")
+            ReadOutcome::Unavailable("the item cannot be read")
         }
         Err(error) => {
             log::warn!(event = "item-not-read", id, item, error:% = error; "");
-            Read::Unsure("the item cannot be read now")
+            ReadOutcome::Unavailable("the item cannot be read now")
         }
     }
 }
--- a/components/front/src/reward.rs
+++ b/components/front/src/reward.rs
@@ -9,7 +9,7 @@
 use crate::calls::{self, CallOutcome, CallSpec};
 use crate::clock::now_ms;
 use crate::state::Front;
-use crate::writer::note_failed;
+use crate::writer::record_failure;
 
 /// Time for one reward call where its route does not say, in milliseconds.
 const CALL_MS: u64 = 3_000;
@@ -58,7 +58,7 @@
             }
             if answer.status.as_u16() == 500 {
                 failed += 1;
-                note_failed(front, key, FailedPart::Reward).await;
+                record_failure(front, key, FailedPart::Reward).await;
                 if failed >= route.attempts_max {
                     return None;
                 }
--- a/components/front/src/runner/mod.rs
+++ b/components/front/src/runner/mod.rs
@@ -37,7 +37,7 @@
 use crate::reward;
 use crate::run_item::{self, RunEnd, RunSpec};
 use crate::state::{Front, locked};
-use crate::writer::{Ended, Outcome, note_failed};
+use crate::writer::{EndedItem, ItemOutcome, record_failure};
 
 use data::read_data;
 use engines::{EngineState, Place};
@@ -61,7 +61,7 @@
 /// Kibibytes of items' data in one read.
 const DATA_KB: u32 = 64;
 /// Ended items that wait for the writer, at most.
-pub const ENDED_MAX: usize = 256;
+pub const ENDED_QUEUE_MAX: usize = 256;
 
 type Key = (StepId, u32);
 
@@ -110,7 +110,7 @@
 struct Runner {
     front: Arc<Front>,
     news: mpsc::UnboundedSender<News>,
-    ended: mpsc::Sender<Ended>,
+    ended: mpsc::Sender<EndedItem>,
     data: HashMap<StepId, Vec<Arc<ItemData>>>,
     asked: HashSet<StepId>,
     running: HashMap<Key, Running>,
@@ -131,7 +131,7 @@
 }
 
 /// Runs items until the process ends.
-pub async fn run(front: Arc<Front>, ended: mpsc::Sender<Ended>) {
+pub async fn run(front: Arc<Front>, ended: mpsc::Sender<EndedItem>) {
     let (news, mut heard) = mpsc::unbounded_channel();
     let mut runner = Runner {
         front: Arc::clone(&front),
@@ -293,6 +293,6 @@
 
     fn note_failed_run(&self, key: Key) {
         let front = Arc::clone(&self.front);
-        tokio::spawn(async move { note_failed(&front, key, FailedPart::Run).await });
+        tokio::spawn(async move { record_failure(&front, key, FailedPart::Run).await });
     }
 }
--- a/components/front/src/runner/settle.rs
+++ b/components/front/src/runner/settle.rs
@@ -37,13 +37,13 @@
             let reward = data.scorer.as_ref().map_or("none", |scorer| &scorer.id);
             let Some(score) = score else {
                 log::info!(event = "item-without-score", id = item_id, step = step.0, item, reward; "");
-                return Outcome::Error(ErrorCause::Reward);
+                return ItemOutcome::Error(ErrorCause::Reward);
             };
             log::info!(
                 event = "item-scored", id = item_id, step = step.0, item, reward,
                 versions:? = partial.versions; ""
             );
-            Outcome::Text {
+            ItemOutcome::Text {
                 text: Bytes::from(partial.text),
                 versions: partial.versions,
                 score,
@@ -55,7 +55,7 @@
     pub(super) fn give_up(&mut self, key: Key, cause: ErrorCause) {
         let (step, item) = key;
         log::info!(event = "item-given-up", step = step.0, item, cause:? = cause; "");
-        self.hand_to_writer(key, std::future::ready(Outcome::Error(cause)));
+        self.hand_to_writer(key, std::future::ready(ItemOutcome::Error(cause)));
     }
 
     /// Hands an item to the writer once its outcome is there; until it is listed it counts as
@@ -63,7 +63,7 @@
     fn hand_to_writer(
         &mut self,
         key: Key,
-        outcome: impl Future<Output = Outcome> + Send + 'static,
+        outcome: impl Future<Output = ItemOutcome> + Send + 'static,
     ) {
         let ended = self.ended.clone();
         let task = tokio::spawn(async move {
@@ -71,7 +71,7 @@
             let outcome = outcome.await;
             // The writer ends with the process only.
             let _ = ended
-                .send(Ended {
+                .send(EndedItem {
                     step,
                     item,
                     outcome,
--- a/components/front/src/serve.rs
+++ b/components/front/src/serve.rs
@@ -13,7 +13,7 @@
 use crate::access::Refused;
 use crate::calls::{self, CallOutcome, CallSpec};
 use crate::clock::now_ms;
-use crate::results::{self, Read};
+use crate::results::{self, ReadOutcome};
 use crate::state::Front;
 use crate::{access, figures, jobs, stream};
 
@@ -97,11 +97,11 @@
 ) -> Response<ReplyBody> {
     match asked {
         Asked::Results { step, after, wait } => {
-            let read = results::results(front, customer, step, *after, *wait).await;
+            let read = results::read_results(front, customer, step, *after, *wait).await;
             read_answer(id, read, "application/json")
         }
         Asked::ItemBody { step, item } => {
-            let read = results::item_body(front, customer, step, item).await;
+            let read = results::read_item_body(front, customer, step, item).await;
             read_answer(id, read, "application/octet-stream")
         }
         Asked::EndStep { step } => end_step(front, customer, id, step).await,
@@ -113,12 +113,14 @@
     customer.as_ref().map(|customer| &*customer.name)
 }
 
-fn read_answer(id: Option<&str>, read: Read, content_type: &str) -> Response<ReplyBody> {
+fn read_answer(id: Option<&str>, read: ReadOutcome, content_type: &str) -> Response<ReplyBody> {
     let status = read.status();
     match read {
-        Read::Found(body) => ingress::success(status, id, content_type, body),
-        Read::Missing => ingress::own_answer(status, id, None, "there is no such step or item"),
-        Read::Unsure(why) => ingress::own_answer(status, id, Some(BUSY_AGAIN_MS), why),
+        ReadOutcome::Found(body) => ingress::success(status, id, content_type, body),
+        ReadOutcome::NotFound => {
+            ingress::own_answer(status, id, None, "there is no such step or item")
+        }
+        ReadOutcome::Unavailable(why) => ingress::own_answer(status, id, Some(BUSY_AGAIN_MS), why),
     }
 }
 
@@ -128,9 +130,10 @@
     id: Option<&str>,
     name: &str,
 ) -> Response<ReplyBody> {
-    let known = results::find(front, |index| index.ledger.visible(customer, name).cloned());
+    let known =
+        results::find_in_index(front, |index| index.ledger.visible(customer, name).cloned());
     let Some(step) = known.await else {
-        let read = results::results(front, customer, name, 0, std::time::Duration::ZERO).await;
+        let read = results::read_results(front, customer, name, 0, std::time::Duration::ZERO).await;
         return read_answer(id, read, "application/json");
     };
     if step.ended {
@@ -229,10 +232,10 @@
     id: &str,
 ) -> Response<ReplyBody> {
     if route.kind == RouteKind::Stream {
-        return match stream::pass_on(front, spec).await {
+        return match stream::relay(front, spec).await {
             Ok(answer) => answer,
             Err(failed) => {
-                log::warn!(event = "stream-failed", id, not_run = failed.not_run, why = failed.why; "");
+                log::warn!(event = "stream-failed", id, not_run = failed.not_run, why = failed.reason; "");
                 let end = if failed.not_run {
                     CallEnd::NotRun
                 } else {
--- a/components/front/src/start.rs
+++ b/components/front/src/start.rs
@@ -90,7 +90,7 @@
             clients:% = front.settings.clients, store:% = front.settings.store.address,
             retention_ms = front.settings.store.retention_ms; ""
         );
-        let (ended, results) = mpsc::channel(runner::ENDED_MAX);
+        let (ended, results) = mpsc::channel(runner::ENDED_QUEUE_MAX);
         let mut tasks = JoinSet::new();
         tasks.spawn(connections::accept(Arc::clone(&front), ready, serve::ready));
         tasks.spawn(connections::accept(
--- a/components/front/src/stream.rs
+++ b/components/front/src/stream.rs
@@ -28,11 +28,11 @@
     /// Whether it is certain that no replica runs it.
     pub not_run: bool,
     /// What happened.
-    pub why: String,
+    pub reason: String,
 }
 
 /// Passes a stream on.
-pub async fn pass_on(
+pub async fn relay(
     front: &Arc<Front>,
     spec: &CallSpec<'_>,
 ) -> Result<Response<ReplyBody>, NotStarted> {
@@ -40,7 +40,7 @@
     let mut started = Started::new(front, spec.customer);
     let mut last = NotStarted {
         not_run: true,
-        why: "no replica".to_owned(),
+        reason: "no replica".to_owned(),
     };
     while (tried.len() as u32) < spec.route.attempts_max && last.not_run {
         let Some(member) = pick(front, spec, &tried) else {
@@ -67,7 +67,10 @@
 }
 
 async fn begin(member: &Member, spec: &CallSpec<'_>) -> Result<Response<ReplyBody>, NotStarted> {
-    let not_run = |why: String| NotStarted { not_run: true, why };
+    let not_run = |reason: String| NotStarted {
+        not_run: true,
+        reason,
+    };
     let mut connection = member
         .peer
         .connection(&member.replica)
@@ -79,7 +82,7 @@
         .await
         .map_err(|error| NotStarted {
             not_run: error.is_not_run(),
-            why: error.to_string(),
+            reason: error.to_string(),
         })?;
     let (parts, body) = mpsc::channel(PARTS_MAX);
     let mut answer = Response::new(ReplyBody::Flow(body));
--- a/components/front/src/writer.rs
+++ b/components/front/src/writer.rs
@@ -59,17 +59,17 @@
 }
 
 /// An item that ended.
-pub struct Ended {
+pub struct EndedItem {
     /// Its step.
     pub step: StepId,
     /// Its number in the step.
     pub item: u32,
     /// How it ended.
-    pub outcome: Outcome,
+    pub outcome: ItemOutcome,
 }
 
 /// How an item ended.
-pub enum Outcome {
+pub enum ItemOutcome {
     /// With a text.
     Text {
         /// The text.
@@ -116,7 +116,7 @@
 }
 
 /// Notes in the index that a part of an item failed.
-pub async fn note_failed(front: &Front, (step, item): (StepId, u32), part: FailedPart) {
+pub async fn record_failure(front: &Front, (step, item): (StepId, u32), part: FailedPart) {
     let record = [LogRecord::Index(IndexRecord::Failed { step, item, part })];
     if let Err(error) = write_index(front, &record).await {
         // This process counts on; another one that takes over allows one attempt more.
@@ -130,7 +130,7 @@
 }
 
 /// Writes the results of items until the sender's side is closed.
-pub async fn write_results(front: Arc<Front>, mut ended: mpsc::Receiver<Ended>) {
+pub async fn write_results(front: Arc<Front>, mut ended: mpsc::Receiver<EndedItem>) {
     let mut batch = Vec::new();
     while let Some(first) = ended.recv().await {
         batch.push(first);
@@ -147,26 +147,26 @@
     }
 }
 
-fn text_bytes(ended: &Ended) -> usize {
+fn text_bytes(ended: &EndedItem) -> usize {
     match &ended.outcome {
-        Outcome::Text { text, .. } => text.len(),
-        Outcome::Error(_) => 0,
+        ItemOutcome::Text { text, .. } => text.len(),
+        ItemOutcome::Error(_) => 0,
     }
 }
 
-async fn write_batch(front: &Front, batch: &[Ended]) {
+async fn write_batch(front: &Front, batch: &[EndedItem]) {
     let texts: Vec<Bytes> = batch
         .iter()
         .filter_map(|ended| match &ended.outcome {
-            Outcome::Text { text, .. } => Some(text.clone()),
-            Outcome::Error(_) => None,
+            ItemOutcome::Text { text, .. } => Some(text.clone()),
+            ItemOutcome::Error(_) => None,
         })
         .collect();
     let partition = data_partition(front);
     let within = Duration::from_millis(APPEND_MS);
     let mut offset = 0;
     if !texts.is_empty() {
-        offset = until_done(front, "results", || async {
+        offset = append_with_retry(front, "results", || async {
             let append = front.storage.append(DATA_TOPIC, partition, &texts, within);
             noted(front, append.await.map_err(WriteError::from))
         })
@@ -175,8 +175,8 @@
     let mut records = Vec::with_capacity(batch.len());
     for ended in batch {
         let state = match &ended.outcome {
-            Outcome::Error(cause) => ResultState::Errored(*cause),
-            Outcome::Text {
+            ItemOutcome::Error(cause) => ResultState::Errored(*cause),
+            ItemOutcome::Text {
                 text,
                 versions,
                 score,
@@ -201,7 +201,7 @@
             state,
         }));
     }
-    until_done(front, "results", || async {
+    append_with_retry(front, "results", || async {
         noted(front, write_index(front, &records).await)
     })
     .await;
@@ -222,7 +222,11 @@
 }
 
 /// Repeats an append until the store takes it; `what` it is stands in the log.
-pub async fn until_done<F>(front: &Front, what: &'static str, mut append: impl FnMut() -> F) -> u64
+pub async fn append_with_retry<F>(
+    front: &Front,
+    what: &'static str,
+    mut append: impl FnMut() -> F,
+) -> u64
 where
     F: Future<Output = Result<u64, WriteError>>,
 {
--- a/components/front/tests/front/calls.rs
+++ b/components/front/tests/front/calls.rs
@@ -1,6 +1,6 @@
 //! Ordinary calls through a front.
 
-use crate::common::{Site, until};
+use crate::common::{Site, wait_until};
 use hyper::Method;
 use standins::fleet::records;
 use standins::{Fault, FaultKind};
@@ -65,7 +65,7 @@
     for case in cases {
         let headers = [("hornbeamrock-request-id", "q-1")];
         let (status, _, _) = front
-            .ask(Method::POST, case.path, &headers, &case.body)
+            .request(Method::POST, case.path, &headers, &case.body)
             .await;
         assert_eq!(status, case.status, "{}", case.name);
     }
@@ -82,7 +82,7 @@
         ("hornbeamrock-request-id", "q-1"),
         ("x-long", long.as_str()),
     ];
-    let (status, _, _) = front.ask(Method::POST, "/calls/x", &headers, "").await;
+    let (status, _, _) = front.request(Method::POST, "/calls/x", &headers, "").await;
     assert_eq!(status, 431);
     assert!(site.runs("q-1").is_empty());
 }
@@ -99,10 +99,10 @@
         .expect("a port");
     drop(door);
     let front = site.unready_front("a").await;
-    front.door.fault(Fault::new(FaultKind::Outage));
-    front.door.crash(0);
+    front.store_listener.fault(Fault::new(FaultKind::Outage));
+    front.store_listener.crash(0);
     let headers = [("hornbeamrock-request-id", "q-1")];
-    let (status, again, _) = front.ask(Method::POST, "/calls/x", &headers, "").await;
+    let (status, again, _) = front.request(Method::POST, "/calls/x", &headers, "").await;
     if status == 200 {
         // The front had read the configuration before the outage began.
         return;
@@ -147,10 +147,10 @@
 async fn can_turn_away_from_a_replica_that_drains() {
     let site = Site::start(3, 1).await;
     let front = site.front("a").await;
-    site.beat(site.replica("plain-1"), "draining", 1);
+    site.write_heartbeat(site.replica("plain-1"), "draining", 1);
     let number = std::sync::atomic::AtomicU32::new(0);
     // Work in the moment before the record is read may still go there; none does later.
-    until("calls go to the other replica only", || async {
+    wait_until("calls go to the other replica only", || async {
         let first = number.fetch_add(10, std::sync::atomic::Ordering::Relaxed);
         for call in first..first + 10 {
             front.call(&format!("d-{call}"), "/calls/x").await;
@@ -170,7 +170,7 @@
     site.store.forget("keyed.op", 0);
     let next = records::config(9).replace("/calls/", "/moved/");
     site.store.put("keyed.op", "config", Some(&next));
-    until("the new route serves", || async {
+    wait_until("the new route serves", || async {
         front.call("q-2", "/moved/x").await.0 == 200
     })
     .await;
@@ -186,7 +186,7 @@
     let site = Site::start(3, 1).await;
     let front = site.front("a").await;
     front.call("q-1", "/calls/x").await;
-    until("the call is counted", || async {
+    wait_until("the call is counted", || async {
         let text = front.metrics().await;
         let wanted = "front_calls_answered_total{class=\"interactive\"} count=1\n";
         text.contains(wanted) && text.contains("front_call_ms{class=\"interactive\"} count=1")
@@ -209,9 +209,9 @@
     };
     tokio::select! {
         answer = call => panic!("answered: {answer:?}"),
-        () = until("a replica works on it", || async { working() > 0 }) => {}
+        () = wait_until("a replica works on it", || async { working() > 0 }) => {}
     }
-    until("no replica works on it", || async { working() == 0 }).await;
+    wait_until("no replica works on it", || async { working() == 0 }).await;
 }
 
 #[tokio::test]
@@ -221,11 +221,11 @@
     // is not ready, and it is again when the store is back. Calls that reach it are answered.
     let site = Site::start(4, 1).await;
     let front = site.front("a").await;
-    front.door.fault(Fault::new(FaultKind::Silent));
-    until("it is not ready", || async { !front.is_ready().await }).await;
+    front.store_listener.fault(Fault::new(FaultKind::Silent));
+    wait_until("it is not ready", || async { !front.is_ready().await }).await;
     assert_eq!(front.call("c-1", "/calls/1").await.0, 200);
-    front.door.clear_faults();
-    until("it is ready", || front.is_ready()).await;
+    front.store_listener.clear_faults();
+    wait_until("it is ready", || front.is_ready()).await;
 }
 
 #[tokio::test]
@@ -234,7 +234,7 @@
     // also those that leave or are gone, and calls that need no store would be lost there.
     let site = Site::start(4, 1).await;
     let front = site.front("a").await;
-    front.door.fault(Fault::new(FaultKind::Outage));
+    front.store_listener.fault(Fault::new(FaultKind::Outage));
     for _ in 0..25 {
         tokio::time::sleep(std::time::Duration::from_millis(100)).await;
         assert!(front.is_ready().await);
--- a/components/front/tests/front/common.rs
+++ b/components/front/tests/front/common.rs
@@ -18,7 +18,7 @@
 use tokio::task::JoinHandle;
 
 /// Longest time for anything that a test waits for.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 /// Pause between looks at what a test waits for.
 const LOOK: Duration = Duration::from_millis(10);
 
@@ -32,10 +32,10 @@
 
 /// A front of the site. Dropped, it dies without leaving.
 pub struct FrontHandle {
-    pub clients: SocketAddr,
-    pub ready: SocketAddr,
+    pub client_address: SocketAddr,
+    pub readiness_address: SocketAddr,
     /// Its door to the store, for faults.
-    pub door: Handle,
+    pub store_listener: Handle,
     stop: Option<oneshot::Sender<()>>,
     pub task: JoinHandle<()>,
 }
@@ -55,14 +55,16 @@
     }
 
     /// Sends a request on a connection of its own; gives status, Retry-After and body.
-    pub async fn ask(
+    pub async fn request(
         &self,
         method: Method,
         path: &str,
         headers: &[(&str, &str)],
         body: &str,
     ) -> (u16, Option<String>, String) {
-        let mut connection = connect(self.clients, PATIENCE).await.expect("a connection");
+        let mut connection = connect(self.client_address, TEST_TIMEOUT)
+            .await
+            .expect("a connection");
         let mut request = Request::builder()
             .method(method)
             .uri(path)
@@ -72,7 +74,10 @@
         }
         let body = Bytes::copy_from_slice(body.as_bytes());
         let request = request.body(Full::new(body)).expect("a request");
-        let answer = connection.send(request, PATIENCE).await.expect("an answer");
+        let answer = connection
+            .send(request, TEST_TIMEOUT)
+            .await
+            .expect("an answer");
         let status = answer.status().as_u16();
         let retry_after = answer.headers().get("retry-after");
         let retry_after = retry_after.map(|value| value.to_str().unwrap_or("?").to_owned());
@@ -92,7 +97,7 @@
             ("hornbeamrock-request-id", id),
             ("hornbeamrock-deadline-ms", "2000"),
         ];
-        let (status, _, body) = self.ask(Method::POST, path, &headers, "body").await;
+        let (status, _, body) = self.request(Method::POST, path, &headers, "body").await;
         (status, body)
     }
 
@@ -103,7 +108,7 @@
             ("hornbeamrock-deadline-ms", "12000"),
         ];
         let path = format!("{}{id}", records::STEPS);
-        let (status, again, _) = self.ask(Method::POST, &path, &headers, step).await;
+        let (status, again, _) = self.request(Method::POST, &path, &headers, step).await;
         (status, again)
     }
 
@@ -111,7 +116,7 @@
     pub async fn results(&self, id: &str, after: usize) -> (u16, Value) {
         let path = format!("/v1/lots/{id}?After={after}");
         let headers = [("hornbeamrock-wait-ms", "1000")];
-        let (status, _, body) = self.ask(Method::GET, &path, &headers, "").await;
+        let (status, _, body) = self.request(Method::GET, &path, &headers, "").await;
         (status, serde_json::from_str(&body).unwrap_or(Value::Null))
     }
 
@@ -125,7 +130,7 @@
                 all.extend(results);
             }
         };
-        tokio::time::timeout(PATIENCE, reads)
+        tokio::time::timeout(TEST_TIMEOUT, reads)
             .await
             .expect("results in time");
         all
@@ -133,10 +138,15 @@
 
     /// The text of the metrics.
     pub async fn metrics(&self) -> String {
-        let mut connection = connect(self.ready, PATIENCE).await.expect("a connection");
+        let mut connection = connect(self.readiness_address, TEST_TIMEOUT)
+            .await
+            .expect("a connection");
         let request = Request::builder().uri("/metrics").header("host", "h");
         let request = request.body(Full::new(Bytes::new())).expect("a request");
-        let answer = connection.send(request, PATIENCE).await.expect("an answer");
+        let answer = connection
+            .send(request, TEST_TIMEOUT)
+            .await
+            .expect("an answer");
         let body = collect(answer.into_body(), 1 << 20)
             .await
             .expect("a whole body");
@@ -144,12 +154,12 @@
     }
 
     pub async fn is_ready(&self) -> bool {
-        let Ok(mut connection) = connect(self.ready, PATIENCE).await else {
+        let Ok(mut connection) = connect(self.readiness_address, TEST_TIMEOUT).await else {
             return false;
         };
         let request = Request::builder().uri("/v1/ready").header("host", "h");
         let request = request.body(Full::new(Bytes::new())).expect("a request");
-        let answer = connection.send(request, PATIENCE).await;
+        let answer = connection.send(request, TEST_TIMEOUT).await;
         answer.is_ok_and(|answer| answer.status() == 200)
     }
 }
@@ -204,12 +214,12 @@
             handle,
             seen,
         };
-        self.beat(&replica, "ready", 1);
+        self.write_heartbeat(&replica, "ready", 1);
         self.replicas.push(replica);
     }
 
     /// Writes a replica's record.
-    pub fn beat(&self, replica: &Replica, state: &str, version: u64) {
+    pub fn write_heartbeat(&self, replica: &Replica, state: &str, version: u64) {
         let address = replica.handle.address;
         let record = records::replica_with(replica.service, address, state, version, self.slots);
         self.store.put("keyed.servers", &replica.id, Some(&record));
@@ -239,14 +249,14 @@
     /// Starts a front and waits until it is ready.
     pub async fn front(&self, node: &str) -> FrontHandle {
         let front = self.unready_front(node).await;
-        until("the front is ready", || front.is_ready()).await;
+        wait_until("the front is ready", || front.is_ready()).await;
         front
     }
 
     /// Starts a front with little processor time and waits until it is ready.
     pub async fn small_front(&self, node: &str) -> FrontHandle {
         let front = self.start_front(node, 90).await;
-        until("the front is ready", || front.is_ready()).await;
+        wait_until("the front is ready", || front.is_ready()).await;
         front
     }
 
@@ -256,7 +266,7 @@
     }
 
     async fn start_front(&self, node: &str, processor_thousandths: u32) -> FrontHandle {
-        let door = self
+        let store_listener = self
             .store
             .open(([127, 0, 0, 1], 0).into())
             .await
@@ -264,10 +274,10 @@
         let settings = FrontSettings {
             processor_thousandths,
             duties: self.duties,
-            ..settings(node, door.address)
+            ..settings(node, store_listener.address)
         };
         let bound = Bound::new(settings).await.expect("ports");
-        let (clients, ready) = (
+        let (client_address, readiness_address) = (
             bound.clients().expect("bound"),
             bound.ready().expect("bound"),
         );
@@ -279,9 +289,9 @@
             }
         }));
         FrontHandle {
-            clients,
-            ready,
-            door,
+            client_address,
+            readiness_address,
+            store_listener,
             stop: Some(stop),
             task,
         }
@@ -317,7 +327,7 @@
 }
 
 /// Waits until something holds.
-pub async fn until<F>(what: &str, mut holds: impl FnMut() -> F)
+pub async fn wait_until<F>(what: &str, mut holds: impl FnMut() -> F)
 where
     F: Future<Output = bool>,
 {
@@ -326,12 +336,12 @@
             tokio::time::sleep(LOOK).await;
         }
     };
-    let in_time = tokio::time::timeout(PATIENCE, looks).await;
+    let in_time = tokio::time::timeout(TEST_TIMEOUT, looks).await;
     assert!(in_time.is_ok(), "not in time: {what}");
 }
 
 /// Replicas write the version that they hold, as the real ones do.
-pub fn beat_loaded(site: &Site) {
+pub fn write_loaded_heartbeats(site: &Site) {
     for replica in site
         .replicas
         .iter()
@@ -339,6 +349,6 @@
     {
         let orders = replica.seen.orders();
         let version = orders.last().map_or(1, |order| order.version);
-        site.beat(replica, "ready", version);
+        site.write_heartbeat(replica, "ready", version);
     }
 }
--- a/components/front/tests/front/customers.rs
+++ b/components/front/tests/front/customers.rs
@@ -7,7 +7,7 @@
 use standins::fleet::records::{self, HOST};
 use standins::{Fault, FaultKind};
 
-use crate::common::{FrontHandle, PATIENCE, Site, until};
+use crate::common::{FrontHandle, Site, TEST_TIMEOUT, wait_until};
 
 const CUSTOMERS: &[(&str, &[&str])] = &[
     ("anna", &["key-anna", "key-spare"]),
@@ -39,7 +39,7 @@
         ("hornbeamrock-deadline-ms", "5000"),
         ("hornbeamrock-key", key),
     ];
-    let (status, _, body) = front.ask(method, path, &headers, body).await;
+    let (status, _, body) = front.request(method, path, &headers, body).await;
     (status, body)
 }
 
@@ -69,7 +69,7 @@
         ("Hornbeamrock-Tenant", "bert"),
         ("hornbeamrock_tenant", "bert"),
     ];
-    let (status, _, _) = front.ask(Method::POST, "/calls/x", &headers, "").await;
+    let (status, _, _) = front.request(Method::POST, "/calls/x", &headers, "").await;
     assert_eq!(status, 200);
     assert_eq!(named(&site, "q-1"), ["anna"]);
     assert_eq!(keys_passed_on(&site), 0);
@@ -139,7 +139,7 @@
             true => Method::GET,
             false => Method::POST,
         };
-        let (status, _, _) = front.ask(method, case.path, &headers, "body").await;
+        let (status, _, _) = front.request(method, case.path, &headers, "body").await;
         assert_eq!(status, case.status, "{}", case.name);
     }
     assert_eq!(
@@ -155,7 +155,7 @@
     // connection, and the client would lose the answer and the next request with it.
     let site = site(3).await;
     let front = site.front("a").await;
-    let mut connection = connect(front.clients, PATIENCE)
+    let mut connection = connect(front.client_address, TEST_TIMEOUT)
         .await
         .expect("a connection");
     for (key, status) in [
@@ -174,7 +174,10 @@
             .header("hornbeamrock-key", key)
             .body(Full::new(Bytes::from(vec![7; 300_000])))
             .expect("a request");
-        let answer = connection.send(request, PATIENCE).await.expect("an answer");
+        let answer = connection
+            .send(request, TEST_TIMEOUT)
+            .await
+            .expect("an answer");
         assert_eq!(answer.status(), status, "{key}");
         collect(answer.into_body(), 1 << 20).await.expect("whole");
     }
@@ -194,17 +197,17 @@
     let submitted = ask(&front, "key-old", Method::POST, "/steps/s-1", &step).await;
     assert_eq!(submitted.0, 202);
     site.store.put("keyed.op", "config", Some(&config(5, &[])));
-    until("the key is refused", async || {
+    wait_until("the key is refused", async || {
         ask(&front, "key-old", Method::POST, "/calls/x", "").await.0 == 401
     })
     .await;
-    until("the step has ended", async || {
+    wait_until("the step has ended", async || {
         !named(&site, "score-1-3").is_empty()
     })
     .await;
     site.store
         .put("keyed.op", "config", Some(&config(6, &["key-new"])));
-    until("the new key reads it", async || {
+    wait_until("the new key reads it", async || {
         let path = "/v1/lots/s-1?After=3";
         let (status, body) = ask(&front, "key-new", Method::GET, path, "").await;
         status == 200 && body.contains("\"NextToken\":4")
@@ -223,7 +226,7 @@
     let step = records::step(1, 1, 2);
     let submitted = ask(&fronts[0], "key-anna", Method::POST, "/steps/s-1", &step).await;
     assert_eq!(submitted.0, 202);
-    until("the owner reads its step", async || {
+    wait_until("the owner reads its step", async || {
         ask(&fronts[1], "key-spare", Method::GET, "/v1/lots/s-1", "")
             .await
             .0
@@ -250,7 +253,7 @@
     ];
     for case in cases {
         // 503 while a front has not read the log for a moment; never the step.
-        until("the step is missing", async || {
+        wait_until("the step is missing", async || {
             let (status, body) =
                 ask(&fronts[1], "key-bert", case.method.clone(), case.path, "").await;
             assert!(
@@ -273,7 +276,7 @@
     )
     .await;
     assert_eq!(own.0, 202, "another customer's id is free");
-    until("it runs for its own customer", async || {
+    wait_until("it runs for its own customer", async || {
         named(&site, "item-7-0") == ["bert"]
     })
     .await;
@@ -285,9 +288,9 @@
     // would give up for good after 401; it is told that nothing ran and when to come again.
     let site = site(3).await;
     let front = site.front("a").await;
-    front.door.fault(Fault::new(FaultKind::Outage));
-    front.door.crash(0);
-    until("it knows that it is behind", async || {
+    front.store_listener.fault(Fault::new(FaultKind::Outage));
+    front.store_listener.crash(0);
+    wait_until("it knows that it is behind", async || {
         ask(&front, "key-new", Method::POST, "/calls/x", "").await.0 == 503
     })
     .await;
@@ -307,18 +310,18 @@
     let step = records::step(1, 1, 2);
     let submitted = ask(&runner, "key", Method::POST, "/steps/s-1", &step).await;
     assert_eq!(submitted.0, 202);
-    until("the items run", async || {
+    wait_until("the items run", async || {
         !site.runs("item-1-0").is_empty() && !site.runs("item-1-1").is_empty()
     })
     .await;
     site.store.put("keyed.op", "config", Some(&config(5, &[])));
     let _other = site.front("b").await;
     drop(runner);
-    until("the other front runs them", async || {
+    wait_until("the other front runs them", async || {
         site.runs("item-1-0").len() > 1
     })
     .await;
-    until("they are scored", async || {
+    wait_until("they are scored", async || {
         !named(&site, "score-1-0").is_empty() && !named(&site, "score-1-1").is_empty()
     })
     .await;
@@ -336,8 +339,8 @@
     // the store is back, the newest version holds, and none before it.
     let site = site(3).await;
     let front = site.front("a").await;
-    front.door.fault(Fault::new(FaultKind::Outage));
-    front.door.crash(0);
+    front.store_listener.fault(Fault::new(FaultKind::Outage));
+    front.store_listener.crash(0);
     let versions: [&[(&str, &[&str])]; 4] = [
         &[("anna", &["key-spare"]), ("bert", &["key-bert"])],
         &[("anna", &[]), ("bert", &["key-bert", "key-new"])],
@@ -348,8 +351,8 @@
         let config = records::config_for(number, customers);
         site.store.put("keyed.op", "config", Some(&config));
     }
-    front.door.clear_faults();
-    until("the newest version is in force", async || {
+    front.store_listener.clear_faults();
+    wait_until("the newest version is in force", async || {
         let old = ask(&front, "key-anna", Method::POST, "/calls/x", "").await;
         old.0 == 401
     })
@@ -393,9 +396,9 @@
     let front = site.front("a").await;
     let (status, _) = ask(&front, "key-anna", Method::POST, "/new/x", "").await;
     assert_eq!(status, 404, "as long as it hears of the configuration");
-    front.door.fault(Fault::new(FaultKind::Outage));
-    front.door.crash(0);
-    until("it knows that it is behind", async || {
+    front.store_listener.fault(Fault::new(FaultKind::Outage));
+    front.store_listener.crash(0);
+    wait_until("it knows that it is behind", async || {
         ask(&front, "key-anna", Method::POST, "/new/x", "").await.0 == 503
     })
     .await;
--- a/components/front/tests/front/orders.rs
+++ b/components/front/tests/front/orders.rs
@@ -1,6 +1,6 @@
 //! Orders to model replicas.
 
-use crate::common::{Site, beat_loaded, until};
+use crate::common::{Site, wait_until, write_loaded_heartbeats};
 use standins::fleet::records;
 use standins::fleet::replica::Ordered;
 use standins::{Fault, FaultKind};
@@ -18,14 +18,14 @@
     let site = Site::start(2, 1).await;
     let _fronts = [site.front("a").await, site.front("b").await];
     site.name_version(2);
-    until("half of the replicas load", || async {
+    wait_until("half of the replicas load", || async {
         orders(&site).len() == 1
     })
     .await;
-    beat_loaded(&site);
+    write_loaded_heartbeats(&site);
     site.name_version(3);
-    until("the other half loads", || async {
-        beat_loaded(&site);
+    wait_until("the other half loads", || async {
+        write_loaded_heartbeats(&site);
         orders(&site).iter().any(|order| order.version == 3)
     })
     .await;
@@ -51,7 +51,7 @@
         site.store.put("keyed.op", "config", Some(&config));
         let _front = site.front("a").await;
         site.name_version(2);
-        until("a replica loads", || async { !orders(&site).is_empty() }).await;
+        wait_until("a replica loads", || async { !orders(&site).is_empty() }).await;
         assert_eq!(orders(&site)[0].mode, mode, "{single_version}");
     }
 }
@@ -63,15 +63,17 @@
     let site = Site::start(2, 1).await;
     let fronts = [site.front("a").await, site.front("b").await];
     site.name_version(2);
-    until("a first order", || async { !orders(&site).is_empty() }).await;
+    wait_until("a first order", || async { !orders(&site).is_empty() }).await;
     let first = orders(&site)[0].clone();
     let holder = if first.holder == "a" { 0 } else { 1 };
-    fronts[holder].door.fault(Fault::new(FaultKind::Outage));
-    beat_loaded(&site);
+    fronts[holder]
+        .store_listener
+        .fault(Fault::new(FaultKind::Outage));
+    write_loaded_heartbeats(&site);
     // What it announced before may still allow it the next order.
     tokio::time::sleep(std::time::Duration::from_millis(1_200)).await;
     site.name_version(3);
-    until("an order of the other one", || async {
+    wait_until("an order of the other one", || async {
         orders(&site)
             .iter()
             .any(|order| order.holder != first.holder)
@@ -94,7 +96,7 @@
     }
     let _front = site.front("a").await;
     site.name_version(2);
-    until("an order", || async { !orders(&site).is_empty() }).await;
+    wait_until("an order", || async { !orders(&site).is_empty() }).await;
     tokio::time::sleep(std::time::Duration::from_millis(900)).await;
     assert_eq!(orders(&site).len(), 1);
 }
--- a/components/front/tests/front/shards.rs
+++ b/components/front/tests/front/shards.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::common::{FrontHandle, Site, until};
+use crate::common::{FrontHandle, Site, wait_until};
 use standins::fleet::records;
 
 /// Places of each replica, so that two of them are more than one shard.
@@ -17,7 +17,7 @@
 
 async fn until_owned_by(site: &Site, names: &[&str]) {
     let names: BTreeSet<String> = names.iter().map(|name| (*name).to_owned()).collect();
-    until("the partitions are dealt", || async {
+    wait_until("the partitions are dealt", || async {
         owners(site) == names
     })
     .await;
@@ -52,7 +52,7 @@
     let mut site = Site::start(4, 1).await;
     site.slots = MANY_SLOTS;
     for replica in &site.replicas {
-        site.beat(replica, "ready", 1);
+        site.write_heartbeat(replica, "ready", 1);
     }
     let fronts = [site.front("a").await, site.front("b").await];
     until_owned_by(&site, &["a", "b"]).await;
--- a/components/front/tests/front/steps.rs
+++ b/components/front/tests/front/steps.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::common::{Site, until};
+use crate::common::{Site, wait_until};
 use hyper::Method;
 use standins::fleet::records;
 use standins::fleet::trainer::whole_text as text;
@@ -32,7 +32,7 @@
     let (_, page) = fronts[0].results("s-1", 4).await;
     assert_eq!((&page["Total"], &page["NextToken"]), (&6.into(), &6.into()));
     let (status, _, body) = fronts[1]
-        .ask(Method::GET, "/v1/items/s-1?Id=item-1-0", &[], "")
+        .request(Method::GET, "/v1/items/s-1?Id=item-1-0", &[], "")
         .await;
     assert_eq!((status, body.len()), (200, "\u{ab}\u{fffd}".len() + 1));
 }
@@ -51,7 +51,7 @@
         assert_eq!(submitted.0, 202);
         assert_eq!(fronts[1].results(&id, 0).await.0, 200, "{id}");
         let path = format!("/v1/lots/{id}");
-        let (status, _, body) = fronts[1].ask(Method::DELETE, &path, &[], "").await;
+        let (status, _, body) = fronts[1].request(Method::DELETE, &path, &[], "").await;
         assert_eq!((status, body.contains("Results")), (200, false), "{id}");
     }
 }
@@ -91,7 +91,7 @@
     let site = Site::start(2, 1).await;
     let fronts = [site.front("a").await, site.front("b").await];
     fronts[0]
-        .door
+        .store_listener
         .fault(Fault::new(FaultKind::Outage).on("/v1/log-append"));
     let (status, again) = fronts[0].submit("s-1", &records::step(1, 1, 2)).await;
     assert_eq!(status, 503);
@@ -110,7 +110,7 @@
     // the step is not accepted, as its items run; it appends again and the step is one.
     let site = Site::start(2, 1).await;
     let front = site.front("a").await;
-    front.door.fault(
+    front.store_listener.fault(
         Fault::new(FaultKind::AnswerLost)
             .on("/v1/log-append")
             .times(2),
@@ -214,7 +214,7 @@
         fronts[0].submit("s-1", &records::step(1, 1, 2)).await.0,
         202
     );
-    until("pieces are saved", || async {
+    wait_until("pieces are saved", || async {
         site.store.end("index", 0) >= 8
     })
     .await;
@@ -240,13 +240,13 @@
     let mut front = site.front("a").await;
     assert_eq!(front.submit("s-1", &records::step(1, 1, 2)).await.0, 202);
     let next = site.front("b").await;
-    until("the items run", || async {
+    wait_until("the items run", || async {
         !site.runs("item-1-0").is_empty() && !site.runs("item-1-1").is_empty()
     })
     .await;
     tokio::time::sleep(Duration::from_millis(400)).await;
     front.stop();
-    until("it is not ready", || async { !front.is_ready().await }).await;
+    wait_until("it is not ready", || async { !front.is_ready().await }).await;
     for result in next.all_results("s-1", 2).await {
         assert_eq!(result["Text"], text(60));
     }
@@ -263,13 +263,13 @@
     let site = Site::start(60, 130).await;
     let mut front = site.front("a").await;
     assert_eq!(front.submit("s-1", &records::step(1, 1, 2)).await.0, 202);
-    until("the items run", || async {
+    wait_until("the items run", || async {
         !site.runs("item-1-0").is_empty()
     })
     .await;
     tokio::time::sleep(Duration::from_millis(400)).await;
     front.stop();
-    until("it is not ready", || async { !front.is_ready().await }).await;
+    wait_until("it is not ready", || async { !front.is_ready().await }).await;
     let next = site.front("b").await;
     for result in next.all_results("s-1", 2).await {
         assert_eq!(result["Text"], text(60));
@@ -289,7 +289,7 @@
     let mut front = site.front("a").await;
     assert_eq!(front.submit("s-1", &records::step(1, 1, 2)).await.0, 202);
     let next = site.front("b").await;
-    until("the items run", || async {
+    wait_until("the items run", || async {
         !site.runs("item-1-0").is_empty()
     })
     .await;
@@ -315,13 +315,13 @@
     let site = Site::start(60, 40).await;
     let front = site.front("a").await;
     assert_eq!(front.submit("s-1", &records::step(1, 1, 2)).await.0, 202);
-    until("the items run", || async {
+    wait_until("the items run", || async {
         !site.runs("item-1-0").is_empty() && !site.runs("item-1-1").is_empty()
     })
     .await;
-    front.door.fault(Fault::new(FaultKind::Outage));
+    front.store_listener.fault(Fault::new(FaultKind::Outage));
     tokio::time::sleep(Duration::from_millis(3_000)).await;
-    front.door.clear_faults();
+    front.store_listener.clear_faults();
     for result in front.all_results("s-1", 2).await {
         assert_eq!(result["Text"], text(60));
     }
@@ -340,22 +340,23 @@
     let front = site.front("a").await;
     let next = site.small_front("s").await;
     assert_eq!(next.submit("s-1", &records::step(1, 1, 2)).await.0, 202);
-    until("the items run", || async {
+    wait_until("the items run", || async {
         !site.runs("item-1-0").is_empty() && !site.runs("item-1-1").is_empty()
     })
     .await;
     tokio::time::sleep(Duration::from_millis(1_200)).await;
     let pieces = ownership::partition_of("a", 24);
     let read = format!("/v1/log-read?Topic=data&part={pieces}&");
-    next.door.fault(Fault::new(FaultKind::Outage).on(read));
+    next.store_listener
+        .fault(Fault::new(FaultKind::Outage).on(read));
     drop(front);
-    until("the next front has the shard", || async {
+    wait_until("the next front has the shard", || async {
         let owners = site.store.owners_of("fronts");
         owners.iter().any(|(_, owner)| owner == "standby:s")
     })
     .await;
     tokio::time::sleep(Duration::from_millis(800)).await;
-    next.door.clear_faults();
+    next.store_listener.clear_faults();
     for result in next.all_results("s-1", 2).await {
         assert_eq!(result["Text"], text(100));
     }
@@ -375,7 +376,7 @@
     let front = site.front("a").await;
     assert_eq!(front.submit("s-1", &records::step(1, 1, 2)).await.0, 202);
     front.all_results("s-1", 2).await;
-    front.door.fault(Fault::new(FaultKind::Silent));
+    front.store_listener.fault(Fault::new(FaultKind::Silent));
     // A read that was under way ends once more.
     tokio::time::sleep(Duration::from_millis(1_600)).await;
     let began = std::time::Instant::now();
@@ -391,16 +392,16 @@
     let site = Site::start(60, 40).await;
     let mut front = site.front("a").await;
     assert_eq!(front.submit("s-1", &records::step(1, 1, 2)).await.0, 202);
-    until("the items run", || async {
+    wait_until("the items run", || async {
         !site.runs("item-1-0").is_empty() && !site.runs("item-1-1").is_empty()
     })
     .await;
-    front.door.fault(Fault::new(FaultKind::Outage));
+    front.store_listener.fault(Fault::new(FaultKind::Outage));
     tokio::time::sleep(Duration::from_millis(1_200)).await;
     front.stop();
     tokio::time::sleep(Duration::from_millis(2_000)).await;
-    front.door.clear_faults();
-    until("it has left", || async { front.task.is_finished() }).await;
+    front.store_listener.clear_faults();
+    wait_until("it has left", || async { front.task.is_finished() }).await;
     let next = site.front("b").await;
     for result in next.all_results("s-1", 2).await {
         assert_eq!(result["Text"], text(60));
@@ -416,13 +417,13 @@
     let site = Site::start(400, 20).await;
     let front = site.front("a").await;
     assert_eq!(front.submit("s-1", &records::step(1, 1, 2)).await.0, 202);
-    until("the items run", || async {
+    wait_until("the items run", || async {
         !site.runs("item-1-0").is_empty()
     })
     .await;
-    let (status, _, _) = front.ask(Method::DELETE, "/v1/lots/s-1", &[], "").await;
+    let (status, _, _) = front.request(Method::DELETE, "/v1/lots/s-1", &[], "").await;
     assert_eq!(status, 200);
-    let (status, _, _) = front.ask(Method::DELETE, "/v1/lots/s-1", &[], "").await;
+    let (status, _, _) = front.request(Method::DELETE, "/v1/lots/s-1", &[], "").await;
     assert_eq!(status, 200, "again");
     let (_, page) = front.results("s-1", 0).await;
     assert_eq!(page["Results"], serde_json::json!([]));
@@ -435,18 +436,20 @@
     let site = Site::start(2, 1).await;
     let fronts = [site.front("a").await, site.front("b").await];
     assert_eq!(fronts[0].results("s-1", 0).await.0, 404);
-    fronts[0].door.fault(Fault::new(FaultKind::Outage));
+    fronts[0]
+        .store_listener
+        .fault(Fault::new(FaultKind::Outage));
     assert_eq!(
         fronts[1].submit("s-1", &records::step(1, 1, 2)).await.0,
         202
     );
     fronts[1].all_results("s-1", 2).await;
-    until("the front is not sure", || async {
+    wait_until("the front is not sure", || async {
         fronts[0].results("s-1", 0).await.0 == 503
     })
     .await;
-    fronts[0].door.clear_faults();
-    until("it knows the step", || async {
+    fronts[0].store_listener.clear_faults();
+    wait_until("it knows the step", || async {
         fronts[0].results("s-1", 0).await.0 == 200
     })
     .await;
@@ -491,13 +494,13 @@
             engine.handle.fault(cut);
         }
         assert_eq!(front.submit("s-1", &records::step(1, 1, 2)).await.0, 202);
-        until("the items run", || async {
+        wait_until("the items run", || async {
             !site.runs("item-1-0").is_empty() && !site.runs("item-1-1").is_empty()
         })
         .await;
         for engine in engines {
             engine.seen.set_version(2);
-            site.beat(engine, "ready", 2);
+            site.write_heartbeat(engine, "ready", 2);
         }
         for result in front.all_results("s-1", 2).await {
             assert_eq!(result["Text"], text(12), "{}", case.name);
--- a/components/front/tests/front/trainer.rs
+++ b/components/front/tests/front/trainer.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::common::{FrontHandle, Site, beat_loaded};
+use crate::common::{FrontHandle, Site, write_loaded_heartbeats};
 use standins::fleet::trainer::{Expected, Trainer};
 use standins::{Fault, FaultKind};
 
@@ -42,7 +42,7 @@
 
     async fn make(&mut self, site: &Site, trouble: &Trouble) {
         let appends = |kind| Fault::new(kind).on("/v1/log-append");
-        let door = &self.running[0].door;
+        let door = &self.running[0].store_listener;
         match trouble {
             Trouble::None => {}
             Trouble::Replaced => {
@@ -95,12 +95,12 @@
         Trouble::None,
     ];
     for (number, trouble) in (1..).zip(&troubles) {
-        trainer.use_fronts(fronts.running.iter().map(|front| front.clients));
+        trainer.use_fronts(fronts.running.iter().map(|front| front.client_address));
         // Known to the trainer before it is made, so that some of its calls meet it.
         fronts.make(&site, trouble).await;
         let heartbeats = async {
             loop {
-                beat_loaded(&site);
+                write_loaded_heartbeats(&site);
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
--- a/components/front/tests/front/usage.rs
+++ b/components/front/tests/front/usage.rs
@@ -8,7 +8,7 @@
 use standins::fleet::records;
 use standins::{Fault, FaultKind, Handle};
 
-use crate::common::{FrontHandle, Site, until};
+use crate::common::{FrontHandle, Site, wait_until};
 
 /// Windows of a second, sealed a second and a half behind their end.
 const WINDOW_MS: u64 = 1_000;
@@ -38,7 +38,7 @@
         ("hornbeamrock-deadline-ms", "5000"),
         ("hornbeamrock-key", key),
     ];
-    front.ask(Method::POST, path, &headers, body).await.0
+    front.request(Method::POST, path, &headers, body).await.0
 }
 
 /// Requests of each customer over all windows, each window once; two reports of one window must
@@ -64,7 +64,7 @@
 }
 
 async fn reported(told: &Told, wanted: &BTreeMap<String, u64>) {
-    until("all requests are reported", async || {
+    wait_until("all requests are reported", async || {
         totals(&told.reports()) == *wanted
     })
     .await;
@@ -94,7 +94,7 @@
         call(&fronts[1], "key-bert", "s-1", "/steps/s-1", &step).await,
         202
     );
-    until("the step has ended", async || {
+    wait_until("the step has ended", async || {
         !site.runs("score-1-3").is_empty()
     })
     .await;
@@ -172,7 +172,7 @@
     let _other = site.front("b").await;
     let mut away = Fault::new(FaultKind::Outage).on("/v1/log-append");
     away.for_ms = Some(700);
-    cut.door.fault(away);
+    cut.store_listener.fault(away);
     assert_eq!(call(&cut, "key-anna", "a-1", "/calls/x", "").await, 200);
     assert_eq!(call(&cut, "key-bert", "b-1", "/calls/x", "").await, 200);
     reported(&told, &expected(1, 1)).await;
@@ -187,12 +187,12 @@
     let front = site.front("a").await;
     assert_eq!(call(&front, "key-anna", "a-1", "/calls/x", "").await, 200);
     assert_eq!(call(&front, "key-bert", "b-1", "/calls/x", "").await, 200);
-    until("the counts are written", async || {
+    wait_until("the counts are written", async || {
         site.store.end("usage", 0) > 0
     })
     .await;
     let mut refused = Fault::new(FaultKind::Outage).on("/v1/log-append?Topic=usage");
     refused.for_ms = Some(3_000);
-    front.door.fault(refused);
+    front.store_listener.fault(refused);
     reported(&told, &expected(1, 1)).await;
 }
