--- a/components/front/tests/front/common.rs
+++ b/components/front/tests/front/common.rs
@@ -1,4 +1,4 @@
-//! A small site: the store, replicas of both sorts and fronts in this process.
+//! A test deployment in one process: the store, plain and model replicas, and fronts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,12 +17,10 @@
 use tokio::sync::oneshot;
 use tokio::task::JoinHandle;
 
-/// Longest time for anything that a test waits for.
+/// Timeout of every request and condition that a test waits for.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// Pause between looks at what a test waits for.
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A replica of the site.
 pub struct Replica {
     pub id: String,
     pub service: &'static str,
@@ -30,11 +28,11 @@
     pub seen: Seen,
 }
 
-/// A front of the site. Dropped, it dies without leaving.
+/// A running front. Dropping the handle aborts the front without a shutdown.
 pub struct FrontHandle {
     pub client_address: SocketAddr,
     pub readiness_address: SocketAddr,
-    /// Its door to the store, for faults.
+    /// The store's listener that only this front uses, for injecting faults.
     pub store_listener: Handle,
     stop: Option<oneshot::Sender<()>>,
     pub task: JoinHandle<()>,
@@ -47,14 +45,14 @@
 }
 
 impl FrontHandle {
-    /// Gives the stop signal.
+    /// Sends the stop signal.
     pub fn stop(&mut self) {
         if let Some(stop) = self.stop.take() {
             let _ = stop.send(());
         }
     }
 
-    /// Sends a request on a connection of its own; gives status, Retry-After and body.
+    /// Sends a request on a new connection; returns the status, `Retry-After` and the body.
     pub async fn request(
         &self,
         method: Method,
@@ -83,7 +81,7 @@
         let retry_after = retry_after.map(|value| value.to_str().unwrap_or("?").to_owned());
         let body = collect(answer.into_body(), 1 << 20)
             .await
-            .expect("a whole body");
+            .expect("a complete body");
         (
             status,
             retry_after,
@@ -91,7 +89,7 @@
         )
     }
 
-    /// An ordinary call.
+    /// Sends a call with a deadline of 2 s; returns the status and the body.
     pub async fn call(&self, id: &str, path: &str) -> (u16, String) {
         let headers = [
             ("hornbeamrock-request-id", id),
@@ -101,18 +99,18 @@
         (status, body)
     }
 
-    /// Submits a step.
+    /// Submits a step; returns the status and `Retry-After`.
     pub async fn submit(&self, id: &str, step: &str) -> (u16, Option<String>) {
         let headers = [
             ("hornbeamrock-request-id", id),
             ("hornbeamrock-deadline-ms", "12000"),
         ];
         let path = format!("{}{id}", records::STEPS);
-        let (status, again, _) = self.request(Method::POST, &path, &headers, step).await;
-        (status, again)
+        let (status, retry_after, _) = self.request(Method::POST, &path, &headers, step).await;
+        (status, retry_after)
     }
 
-    /// Results of a step from a position on, waiting up to a second for one.
+    /// Results of a step after the first `after` ones; waits up to a second for the first.
     pub async fn results(&self, id: &str, after: usize) -> (u16, Value) {
         let path = format!("/v1/lots/{id}?After={after}");
         let headers = [("hornbeamrock-wait-ms", "1000")];
@@ -120,23 +118,23 @@
         (status, serde_json::from_str(&body).unwrap_or(Value::Null))
     }
 
-    /// Reads until a step has this many results.
+    /// Reads results of a step until there are `count` of them.
     pub async fn all_results(&self, id: &str, count: usize) -> Vec<Value> {
         let mut all = Vec::new();
-        let reads = async {
+        let read_all = async {
             while all.len() < count {
                 let (_, page) = self.results(id, all.len()).await;
                 let results = page["Results"].as_array().cloned().unwrap_or_default();
                 all.extend(results);
             }
         };
-        tokio::time::timeout(TEST_TIMEOUT, reads)
+        tokio::time::timeout(TEST_TIMEOUT, read_all)
             .await
-            .expect("results in time");
+            .expect("all results before the timeout");
         all
     }
 
-    /// The text of the metrics.
+    /// Body of the metrics endpoint.
     pub async fn metrics(&self) -> String {
         let mut connection = connect(self.readiness_address, TEST_TIMEOUT)
             .await
@@ -149,7 +147,7 @@
             .expect("an answer");
         let body = collect(answer.into_body(), 1 << 20)
             .await
-            .expect("a whole body");
+            .expect("a complete body");
         String::from_utf8_lossy(&body).into_owned()
     }
 
@@ -164,24 +162,24 @@
     }
 }
 
-/// The site.
+/// The store and the replicas, which all fronts of a test share.
 pub struct Site {
     pub store: Store,
     pub replicas: Vec<Replica>,
-    /// Places that each replica says it has.
+    /// Slots that each replica reports in its record.
     pub slots: u32,
-    /// Duties that fronts are given.
+    /// Duties in the settings of fronts that are started from now on.
     pub duties: Option<DutySettings>,
 }
 
 impl Site {
-    /// A store with a configuration, two plain replicas and two model replicas that make
-    /// `events` events, one each `pause_ms`.
+    /// Starts a store with a configuration, two plain replicas and two model replicas that produce
+    /// `events` events per text, one every `pause_ms`.
     pub async fn start(events: u64, pause_ms: u64) -> Self {
         Self::start_with(events, pause_ms, 5).await
     }
 
-    /// The same, whose plain replicas take `call_ms` for a call.
+    /// Like [`Site::start`], with plain replicas that take `call_ms` for a call.
     pub async fn start_with(events: u64, pause_ms: u64, call_ms: u64) -> Self {
         let mut site = Self {
             store: Store::default(),
@@ -218,7 +216,7 @@
         self.replicas.push(replica);
     }
 
-    /// Writes a replica's record.
+    /// Writes a replica's record to the store.
     pub fn write_heartbeat(&self, replica: &Replica, state: &str, version: u64) {
         let address = replica.handle.address;
         let record = records::replica_with(replica.service, address, state, version, self.slots);
@@ -229,17 +227,17 @@
         self.replicas
             .iter()
             .find(|replica| replica.id == id)
-            .expect("known")
+            .expect("a replica with this id")
     }
 
-    /// Names a version as the trainer does.
+    /// Writes the record with which a trainer names the current version of the weights.
     pub fn name_version(&self, version: u64) {
         let key = format!("version/{MODEL}");
         self.store
             .put("keyed.op", &key, Some(&records::version(version)));
     }
 
-    /// Runs of a request at all replicas: the events behind which they began.
+    /// Runs of a request at all replicas, each as the number of the event after which it began.
     pub fn runs(&self, request_id: &str) -> Vec<u64> {
         let runs = self.replicas.iter().map(|replica| replica.seen.runs());
         runs.flat_map(|mut runs| runs.remove(request_id).unwrap_or_default())
@@ -253,14 +251,14 @@
         front
     }
 
-    /// Starts a front with little processor time and waits until it is ready.
+    /// Starts a front with nine hundredths of a core and waits until it is ready.
     pub async fn small_front(&self, node: &str) -> FrontHandle {
         let front = self.start_front(node, 90).await;
         wait_until("the front is ready", || front.is_ready()).await;
         front
     }
 
-    /// Starts a front.
+    /// Starts a front without waiting until it is ready.
     pub async fn unready_front(&self, node: &str) -> FrontHandle {
         self.start_front(node, 500).await
     }
@@ -283,7 +281,7 @@
         );
         let (stop, stopped) = oneshot::channel();
         let task = tokio::spawn(bound.run(async {
-            // A dropped sender is no signal.
+            // A dropped sender is not a stop signal: the task is aborted instead.
             if stopped.await.is_err() {
                 std::future::pending().await
             }
@@ -299,13 +297,13 @@
 }
 
 fn settings(node: &str, store: SocketAddr) -> FrontSettings {
-    let any = ([127, 0, 0, 1], 0).into();
+    let any_port = ([127, 0, 0, 1], 0).into();
     FrontSettings {
         node: node.to_owned(),
         domain: "zone-a".to_owned(),
         ip: [127, 0, 0, 1].into(),
-        clients: any,
-        ready: any,
+        clients: any_port,
+        ready: any_port,
         cores: 1,
         processor_thousandths: 500,
         store: StoreSettings {
@@ -326,21 +324,25 @@
     }
 }
 
-/// Waits until something holds.
-pub async fn wait_until<F>(what: &str, mut holds: impl FnMut() -> F)
+/// Polls a condition until it holds; `description` says what was waited for in the panic message.
+pub async fn wait_until<F>(description: &str, mut holds: impl FnMut() -> F)
 where
     F: Future<Output = bool>,
 {
-    let looks = async {
+    let polling = async {
         while !holds().await {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    let in_time = tokio::time::timeout(TEST_TIMEOUT, looks).await;
-    assert!(in_time.is_ok(), "not in time: {what}");
+    let polled = tokio::time::timeout(TEST_TIMEOUT, polling).await;
+    assert!(
+        polled.is_ok(),
+        "timed out waiting for a condition: {description}"
+    );
 }
 
-/// Replicas write the version that they hold, as the real ones do.
+/// Writes the records of all model replicas with the version that each was last ordered to load,
+/// as real replicas do after a load.
 pub fn write_loaded_heartbeats(site: &Site) {
     for replica in site
         .replicas
--- a/components/front/tests/front/main.rs
+++ b/components/front/tests/front/main.rs
@@ -1,4 +1,4 @@
-//! Fronts with a store and replicas of ours, in one process.
+//! Fronts with an in-process stand-in of the store and of the replicas.
 
 mod calls;
 mod common;
--- a/components/front/tests/front/shards.rs
+++ b/components/front/tests/front/shards.rs
@@ -5,9 +5,9 @@
 use crate::common::{FrontHandle, Site, wait_until};
 use standins::fleet::records;
 
-/// Places of each replica, so that two of them are more than one shard.
+/// Slots of each replica; two replicas then have too many slots for a single shard.
 const MANY_SLOTS: u32 = 200;
-/// Group of the fronts that run steps.
+/// Membership group of the fronts that run steps.
 const GROUP: &str = "fronts";
 
 fn owners(site: &Site) -> BTreeSet<String> {
@@ -17,9 +17,10 @@
 
 async fn until_owned_by(site: &Site, names: &[&str]) {
     let names: BTreeSet<String> = names.iter().map(|name| (*name).to_owned()).collect();
-    wait_until("the partitions are dealt", || async {
-        owners(site) == names
-    })
+    wait_until(
+        "the partitions are assigned to the expected fronts",
+        || async { owners(site) == names },
+    )
     .await;
 }
 
@@ -30,7 +31,7 @@
     let results = front.all_results(&id, items).await;
     let ids: BTreeSet<&str> = results
         .iter()
-        .filter_map(|one| one["Id"].as_str())
+        .filter_map(|result| result["Id"].as_str())
         .collect();
     assert_eq!(ids.len(), items);
     for result in &results {
@@ -46,9 +47,9 @@
 }
 
 #[tokio::test]
-async fn can_run_a_step_on_two_fronts_that_each_have_a_part_of_the_replicas() {
-    // Two fronts have a shard each. Every item runs once: none at both, none at neither. Then
-    // one front dies, and the other one runs both shards of the next step.
+async fn can_run_a_step_on_two_fronts_that_own_a_shard_each() {
+    // Guards against items that run at both fronts or at neither. Two fronts own a shard each and
+    // run every item once; then one front dies, and the other runs both shards of the next step.
     let mut site = Site::start(4, 1).await;
     site.slots = MANY_SLOTS;
     for replica in &site.replicas {
@@ -57,8 +58,8 @@
     let fronts = [site.front("a").await, site.front("b").await];
     until_owned_by(&site, &["a", "b"]).await;
     run_step(&site, &fronts[0], 1, 16).await;
-    let busy = |id: &str| !site.replica(id).seen.runs().is_empty();
-    assert!(busy("engine-1") && busy("engine-2"));
+    let has_run = |id: &str| !site.replica(id).seen.runs().is_empty();
+    assert!(has_run("engine-1") && has_run("engine-2"));
     let [first, second] = fronts;
     drop(first);
     until_owned_by(&site, &["b"]).await;
@@ -66,9 +67,9 @@
 }
 
 #[tokio::test]
-async fn can_leave_shards_to_fronts_with_more_processor_time_and_stand_in_for_them() {
-    // A front with a tenth of a core is dealt no shard while a larger one is there. That one
-    // dies, and nobody would run the steps: the small one does. Then a larger one is back.
+async fn can_run_shards_on_a_small_front_only_while_no_larger_front_is_a_member() {
+    // Guards against steps that no front runs. A front with a tenth of a core owns shards only as
+    // a standby: before a larger front joins, and after that front has died.
     let site = Site::start(4, 1).await;
     let small = site.small_front("s").await;
     until_owned_by(&site, &["standby:s"]).await;
--- a/components/front/tests/front/steps.rs
+++ b/components/front/tests/front/steps.rs
@@ -1,4 +1,4 @@
-//! Steps of a trainer through fronts that die, leave, or lose the store.
+//! Steps of a trainer through fronts that die, shut down or lose their connection to the store.
 
 use std::time::Duration;
 
@@ -27,8 +27,11 @@
             .replace("item", "stamp-score");
         assert_eq!(result["Score"], score);
     }
-    let again = fronts[0].all_results("s-1", 6).await;
-    assert_eq!(again, results, "positions are the same everywhere");
+    let reread = fronts[0].all_results("s-1", 6).await;
+    assert_eq!(
+        reread, results,
+        "results have the same order at every front"
+    );
     let (_, page) = fronts[0].results("s-1", 4).await;
     assert_eq!((&page["Total"], &page["NextToken"]), (&6.into(), &6.into()));
     let (status, _, body) = fronts[1]
@@ -37,13 +40,13 @@
     assert_eq!((status, body.len()), (200, "\u{ab}\u{fffd}".len() + 1));
 }
 
-/// Guards against 404 for a step that was accepted elsewhere a moment ago: a front at which nobody
-/// waits reads the store each half second.
+/// Guards against a 404 for a step that another front has just accepted: a front without waiting
+/// clients reads the store only every half second.
 #[tokio::test]
 async fn can_find_a_step_at_an_idle_front_at_once() {
     let site = Site::start(4, 1).await;
     let fronts = [site.front("a").await, site.front("b").await];
-    // The second one has read what there is, and pauses.
+    // The second front has read all records and waits for its next read.
     tokio::time::sleep(Duration::from_millis(400)).await;
     for step in 0..4 {
         let id = format!("s-{step}");
@@ -57,10 +60,10 @@
 }
 
 #[tokio::test]
-async fn can_read_results_that_come_shortly_after_one_another_at_once() {
-    // Items end in rows, as replicas run eight at a time, some 60 ms apart. A
-    // trainer pauses between its reads; answered with the first row alone, it would hear of
-    // the last one a pause later and begin to train as much later.
+async fn can_read_results_that_arrive_in_quick_succession_in_one_read() {
+    // Replicas run eight items at a time, so results arrive in batches some 60 ms apart. A trainer
+    // pauses between its reads: an answer with the first batch alone would delay the last batch,
+    // and the start of training, by one pause.
     let site = Site::start(3, 20).await;
     let front = site.front("a").await;
     assert_eq!(front.submit("s-1", &records::step(1, 1, 16)).await.0, 202);
@@ -70,7 +73,7 @@
 }
 
 #[tokio::test]
-async fn can_accept_a_repeated_step_once_and_refuse_another_one_under_its_id() {
+async fn can_accept_a_resubmitted_step_once_and_reject_another_step_with_its_id() {
     let site = Site::start(2, 1).await;
     let fronts = [site.front("a").await, site.front("b").await];
     let step = records::step(1, 1, 2);
@@ -85,17 +88,18 @@
 }
 
 #[tokio::test]
-async fn errors_as_not_accepted_only_when_nothing_will_run() {
-    // The store turns this front away. The trainer is told to come again, and whatever
-    // happens later, nothing of that step runs. Another front takes it.
+async fn errors_with_503_on_submission_only_when_no_item_will_run() {
+    // Guards against items that run although the submission was rejected. The store refuses all
+    // appends of this front, so it answers 503 with Retry-After and runs nothing; another front
+    // accepts the step.
     let site = Site::start(2, 1).await;
     let fronts = [site.front("a").await, site.front("b").await];
     fronts[0]
         .store_listener
         .fault(Fault::new(FaultKind::Outage).on("/v1/log-append"));
-    let (status, again) = fronts[0].submit("s-1", &records::step(1, 1, 2)).await;
+    let (status, retry_after) = fronts[0].submit("s-1", &records::step(1, 1, 2)).await;
     assert_eq!(status, 503);
-    assert!(again.is_some());
+    assert!(retry_after.is_some());
     assert!(site.runs("item-1-0").is_empty());
     assert_eq!(
         fronts[1].submit("s-1", &records::step(1, 1, 2)).await.0,
@@ -105,9 +109,9 @@
 }
 
 #[tokio::test]
-async fn can_accept_a_step_whose_record_landed_without_an_answer() {
-    // The store carries the appends out and loses the answers. The front must not say that
-    // the step is not accepted, as its items run; it appends again and the step is one.
+async fn can_accept_a_step_whose_append_response_was_lost() {
+    // Guards against a rejection of a step whose items run. The store performs the appends and
+    // loses the responses; the front appends again, and the duplicate record is ignored.
     let site = Site::start(2, 1).await;
     let front = site.front("a").await;
     front.store_listener.fault(
@@ -121,10 +125,10 @@
 }
 
 #[tokio::test]
-async fn can_count_a_reward_call_that_always_fails_once_each() {
-    // A scorer answers 500 to one item for ever. The item is errored after as many calls as
-    // the route allows; repeated inside the call and counted outside, they were four times
-    // as many, and the step ended seconds late.
+async fn can_count_each_failed_reward_call_once() {
+    // A scorer always answers 500 for one item, which must be listed as errored after the route's
+    // attempt limit. Retries inside a call that the caller counts as one attempt would make four
+    // times as many calls and end the step seconds late.
     let site = Site::start(2, 1).await;
     for replica in &site.replicas {
         replica.seen.answer_with("score-1-0", 500);
@@ -141,7 +145,7 @@
 }
 
 #[tokio::test]
-async fn can_end_items_that_fail_or_can_never_be_done() {
+async fn can_list_items_as_errored_that_fail_or_are_rejected() {
     let site = Site::start(2, 1).await;
     for replica in &site.replicas {
         replica.seen.answer_with("item-1-0", 500);
@@ -155,15 +159,15 @@
     assert_eq!(
         site.runs("item-1-0").len(),
         3,
-        "as many as the route allows"
+        "as many runs as the route allows"
     );
     assert_eq!(site.runs("item-1-1").len(), 1);
 }
 
 #[tokio::test]
-async fn can_go_on_behind_the_last_event_when_a_stream_breaks() {
-    // A replica closes its connection in the middle of its streams. Another run goes on
-    // behind the last event; nothing is missing and nothing stands twice.
+async fn can_resume_after_the_last_event_when_a_stream_breaks() {
+    // Guards against missing and duplicate events. A replica closes its connection in the middle
+    // of its streams, and another run resumes after the last event.
     let site = Site::start(12, 1).await;
     let front = site.front("a").await;
     let cut = |after| Fault {
@@ -179,10 +183,10 @@
 }
 
 #[tokio::test]
-async fn can_finish_a_text_whose_stream_broke_behind_its_last_event() {
-    // A replica closes its connection between the last event and the end of the stream. The
-    // next run is asked behind that event, brings none, and ends: the text is whole. Taken
-    // for a broken run, the item ran again and again, and its step came too late.
+async fn can_finish_a_text_whose_stream_broke_after_its_last_event() {
+    // Guards against an item that is retried until its time is up. A replica closes its connection
+    // between the last event and the end of the stream. The next run resumes after that event and
+    // ends without events; it must count as a complete text, not as a broken run.
     let site = Site::start(5, 1).await;
     let front = site.front("a").await;
     for id in ["engine-1", "engine-2"] {
@@ -204,10 +208,9 @@
 }
 
 #[tokio::test]
-async fn can_take_over_from_a_runner_that_dies_behind_what_it_saved() {
-    // Two fronts; the one that runs the step dies in the middle of two long items. The other
-    // one takes its models over and goes on behind the saved events, so that an item of
-    // seconds is not begun anew.
+async fn can_resume_after_the_last_saved_event_when_a_front_dies() {
+    // Guards against restarting items that take seconds. The front that runs the step dies in the
+    // middle of two long items; the other front takes over and resumes after the saved events.
     let site = Site::start(60, 40).await;
     let mut fronts = vec![site.front("a").await, site.front("b").await];
     assert_eq!(
@@ -219,23 +222,23 @@
     })
     .await;
     tokio::time::sleep(Duration::from_millis(700)).await;
-    // Only one of them runs the items; if it is the other one, that one dies instead.
+    // Only one of the fronts runs the items. If it is `b`, no front that runs items dies, which
+    // the assertion on the number of runs allows for.
     fronts.remove(0);
     let rest = fronts.remove(0);
     for result in rest.all_results("s-1", 2).await {
         assert_eq!(result["Text"], text(60));
     }
     let runs = site.runs("item-1-0");
-    let taken_up = runs.len() == 1 || runs.iter().any(|after| *after > 0);
-    assert!(taken_up, "the second run began behind an event: {runs:?}");
+    let resumed = runs.len() == 1 || runs.iter().any(|after| *after > 0);
+    assert!(resumed, "no second run resumed after an event: {runs:?}");
 }
 
 #[tokio::test]
-async fn can_finish_what_it_runs_while_it_leaves() {
-    // The front gets the stop signal in the middle of items of seconds. It is not ready at once,
-    // and another front has its shards; but it makes the items whole itself, and the other one,
-    // which was told, begins none of them. Begun again, all items of a step would stand still
-    // together while they change hands.
+async fn can_finish_running_items_while_shutting_down() {
+    // Guards against restarting all items of a step at once when its front shuts down. The front
+    // gets the stop signal in the middle of long items, reports not ready and hands over its
+    // shards; it finishes the items itself, and the new owner, which was notified, starts none.
     let site = Site::start(60, 40).await;
     let mut front = site.front("a").await;
     assert_eq!(front.submit("s-1", &records::step(1, 1, 2)).await.0, 202);
@@ -246,7 +249,10 @@
     .await;
     tokio::time::sleep(Duration::from_millis(400)).await;
     front.stop();
-    wait_until("it is not ready", || async { !front.is_ready().await }).await;
+    wait_until("the front is not ready", || async {
+        !front.is_ready().await
+    })
+    .await;
     for result in next.all_results("s-1", 2).await {
         assert_eq!(result["Text"], text(60));
     }
@@ -257,9 +263,10 @@
 }
 
 #[tokio::test]
-async fn can_hand_a_step_over_when_its_front_leaves() {
-    // The front gets the stop signal in the middle of items that take longer than it has. It
-    // makes them for as long as it may, saves what there is, and another front goes on.
+async fn can_hand_over_a_step_when_its_front_shuts_down() {
+    // Guards against losing the work of items that outlast the grace period. The front gets the
+    // stop signal, runs the items until shortly before the end of that period and saves their
+    // texts; another front resumes them.
     let site = Site::start(60, 130).await;
     let mut front = site.front("a").await;
     assert_eq!(front.submit("s-1", &records::step(1, 1, 2)).await.0, 202);
@@ -269,7 +276,10 @@
     .await;
     tokio::time::sleep(Duration::from_millis(400)).await;
     front.stop();
-    wait_until("it is not ready", || async { !front.is_ready().await }).await;
+    wait_until("the front is not ready", || async {
+        !front.is_ready().await
+    })
+    .await;
     let next = site.front("b").await;
     for result in next.all_results("s-1", 2).await {
         assert_eq!(result["Text"], text(60));
@@ -282,9 +292,9 @@
 }
 
 #[tokio::test]
-async fn can_take_over_from_a_front_that_dies_while_it_leaves() {
-    // A leaving front says that it goes on with its items, and is killed. What it had must not
-    // stand still until its time is up: another front begins where the last piece ends.
+async fn can_take_over_from_a_front_that_dies_while_shutting_down() {
+    // A front that shuts down announces that it continues its items, and is killed. The items must
+    // not wait until their time is up: another front resumes after the last saved piece.
     let site = Site::start(60, 60).await;
     let mut front = site.front("a").await;
     assert_eq!(front.submit("s-1", &records::step(1, 1, 2)).await.0, 202);
@@ -308,10 +318,10 @@
 }
 
 #[tokio::test]
-async fn can_finish_items_while_the_store_is_away() {
-    // The store is away for longer than a membership lasts while items of seconds run. Nobody
-    // else can take them over, so they are finished and listed when it returns; stopped, they
-    // would end a step late that was nearly whole.
+async fn can_finish_items_while_the_store_is_unreachable() {
+    // Guards against stopping nearly complete items when the store is unreachable for longer than
+    // a membership lasts. No other front can take the items over, so their front finishes them and
+    // lists them when the store returns.
     let site = Site::start(60, 40).await;
     let front = site.front("a").await;
     assert_eq!(front.submit("s-1", &records::step(1, 1, 2)).await.0, 202);
@@ -332,10 +342,10 @@
 }
 
 #[tokio::test]
-async fn can_wait_for_what_was_saved_of_a_text() {
-    // A front dies in the middle of long items, and the next one has their data but is refused
-    // what was saved of them, as the store comes and goes. It could list nothing now anyway;
-    // begun from the first event, the items would end as late as if nothing had been saved.
+async fn can_wait_for_saved_pieces_that_are_temporarily_unreadable() {
+    // Guards against restarting items from their first event. A front dies in the middle of long
+    // items; the next front has their data, but the store refuses reads of the saved pieces for a
+    // while. It must wait for them: a store that refuses reads accepts no results either.
     let site = Site::start(100, 40).await;
     let front = site.front("a").await;
     let next = site.small_front("s").await;
@@ -362,22 +372,22 @@
     }
     for item in ["item-1-0", "item-1-1"] {
         let runs = site.runs(item);
-        let anew = runs.iter().filter(|after| **after == 0);
-        assert_eq!(anew.count(), 1, "{item}: {runs:?}");
+        let from_start = runs.iter().filter(|after| **after == 0);
+        assert_eq!(from_start.count(), 1, "{item}: {runs:?}");
     }
 }
 
 #[tokio::test]
-async fn can_send_a_trainer_on_at_once_while_the_store_is_silent() {
-    // A front was cut off from the store a second ago, and a trainer reads there before the
-    // balancer has turned away. The texts can't be read; told so after the time that it would
-    // wait for news and that of a call to the store, the trainer loses more than two seconds.
+async fn can_answer_503_immediately_while_the_store_is_silent() {
+    // A front lost the store a second ago, and a trainer reads there before the load balancer has
+    // removed the front. Waiting for results first, and then for a read of their texts to time
+    // out, would cost the trainer more than two seconds.
     let site = Site::start(2, 1).await;
     let front = site.front("a").await;
     assert_eq!(front.submit("s-1", &records::step(1, 1, 2)).await.0, 202);
     front.all_results("s-1", 2).await;
     front.store_listener.fault(Fault::new(FaultKind::Silent));
-    // A read that was under way ends once more.
+    // Longer than a read of the index that was in progress when the fault began.
     tokio::time::sleep(Duration::from_millis(1_600)).await;
     let began = std::time::Instant::now();
     assert_eq!(front.results("s-1", 0).await.0, 503);
@@ -385,10 +395,10 @@
 }
 
 #[tokio::test]
-async fn can_leave_without_losing_what_it_makes_while_the_store_is_away() {
-    // The stop signal comes while the store is away: nothing can be saved, and nobody takes
-    // over. The front stays within its time, finishes its items and lists them when the store
-    // is back; another front has nothing left to run.
+async fn can_shut_down_without_losing_texts_while_the_store_is_unreachable() {
+    // Guards against stopping items that no front can take over. The stop signal arrives while the
+    // store is unreachable. Within its grace period the front finishes its items and lists them
+    // when the store returns, so that another front has nothing left to run.
     let site = Site::start(60, 40).await;
     let mut front = site.front("a").await;
     assert_eq!(front.submit("s-1", &records::step(1, 1, 2)).await.0, 202);
@@ -401,7 +411,10 @@
     front.stop();
     tokio::time::sleep(Duration::from_millis(2_000)).await;
     front.store_listener.clear_faults();
-    wait_until("it has left", || async { front.task.is_finished() }).await;
+    wait_until("the front has shut down", || async {
+        front.task.is_finished()
+    })
+    .await;
     let next = site.front("b").await;
     for result in next.all_results("s-1", 2).await {
         assert_eq!(result["Text"], text(60));
@@ -424,15 +437,15 @@
     let (status, _, _) = front.request(Method::DELETE, "/v1/lots/s-1", &[], "").await;
     assert_eq!(status, 200);
     let (status, _, _) = front.request(Method::DELETE, "/v1/lots/s-1", &[], "").await;
-    assert_eq!(status, 200, "again");
+    assert_eq!(status, 200, "a repeated end");
     let (_, page) = front.results("s-1", 0).await;
     assert_eq!(page["Results"], serde_json::json!([]));
 }
 
 #[tokio::test]
-async fn errors_without_saying_that_a_step_is_missing_while_the_log_is_not_read() {
-    // The store turns this front away, and a step is accepted elsewhere. A trainer that asks
-    // here must not hear that there is no such step.
+async fn errors_with_503_instead_of_404_while_the_log_cannot_be_read() {
+    // The store refuses all calls of this front while another front accepts a step. A trainer
+    // that reads the step here must not get a 404.
     let site = Site::start(2, 1).await;
     let fronts = [site.front("a").await, site.front("b").await];
     assert_eq!(fronts[0].results("s-1", 0).await.0, 404);
@@ -444,21 +457,21 @@
         202
     );
     fronts[1].all_results("s-1", 2).await;
-    wait_until("the front is not sure", || async {
+    wait_until("the front answers 503", || async {
         fronts[0].results("s-1", 0).await.0 == 503
     })
     .await;
     fronts[0].store_listener.clear_faults();
-    wait_until("it knows the step", || async {
+    wait_until("the front knows the step", || async {
         fronts[0].results("s-1", 0).await.0 == 200
     })
     .await;
 }
 
 #[tokio::test]
-async fn can_make_a_text_by_one_version_where_the_route_asks_for_it() {
-    // Both replicas break off a text, and hold another version when it goes on. Where a route
-    // asks for one version, the text is begun anew; elsewhere it goes on and names both.
+async fn can_restrict_a_text_to_one_version_where_the_route_requires_it() {
+    // Both replicas break off a text and load another version before the text is resumed. A route
+    // that requires one version restarts the text; other routes resume it and list both versions.
     struct Case {
         name: &'static str,
         single_version: bool,
