--- a/components/front/src/results.rs
+++ b/components/front/src/results.rs
@@ -1,7 +1,8 @@
-//! Reading a step's results and its items' bodies.
+//! Reads of a step's results and of the bodies of its items.
 //!
-//! A front answers for every step. It says that something does not exist only while its
-//! knowledge of the index is younger than the time in which every front must know of it.
+//! Every front answers reads of every step, including steps that other fronts accepted. It answers
+//! that a step or an item does not exist only if it has read the index to its end more recently
+//! than the settle time, within which every front must know of an accepted step.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -19,33 +20,33 @@
 use crate::state::Front;
 use crate::storage::data_from;
 
-/// Bytes of a page after which no further result is added: peak memory against reads. A page
-/// always has one result if there is one.
+/// Size of a page from which on no further result is added. A larger page needs more memory, a
+/// smaller one more reads. A page has at least one result, whatever its size.
 const PAGE_BYTES: usize = 192 * 1024;
-/// Longest time for reading texts, in milliseconds.
-const READ_MS: u64 = 1_200;
-/// How long a read waits for more once it has a result, in milliseconds. A trainer reads again
-/// after a pause, some 0.5 to 1 s. The long items that end a step start together and end within
-/// a few tenths of a second, and each but the last would be answered alone and cost that pause.
+/// Timeout of one read of texts.
+const READ_TIMEOUT_MS: u64 = 1_200;
+/// How long a read with a first result waits for more. A trainer pauses for 0.5 to 1 s between
+/// reads. The long items at the end of a step start together and end within a few tenths of a
+/// second; answered one by one, each of them would cost such a pause.
 const GATHER_MS: u64 = 400;
-/// Time without a word of the store from which on texts are not asked for, in milliseconds: a read
-/// of the index that waits for news comes back twice within it.
+/// Silence of the store after which reads are refused instead of waiting for a timeout. A long poll
+/// of the index returns twice within this time.
 const SILENT_MS: u64 = 900;
-/// Kibibytes asked for beyond the texts: their lengths, rounding.
+/// Kibibytes added to a read of texts for the length prefixes of the records and for rounding.
 const READ_EXTRA_KB: u32 = 2;
 
-/// Answer to a read.
+/// Outcome of a read of results or of an item's body.
 pub enum ReadOutcome {
-    /// This document.
+    /// Body of the answer.
     Found(Bytes),
-    /// There is no such thing.
+    /// The step or the item does not exist.
     NotFound,
-    /// This front can't be sure now.
+    /// This front cannot read the store, or its copy of the index is too old to rule out that the
+    /// step exists. The text goes to the client.
     Unavailable(&'static str),
 }
 
 impl ReadOutcome {
-    /// Status of the answer.
     pub fn status(&self) -> StatusCode {
         match self {
             ReadOutcome::Found(_) => StatusCode::OK,
@@ -55,47 +56,56 @@
     }
 }
 
-/// Whether this front knows all that everybody must know by now.
-fn is_sure(front: &Front) -> bool {
+/// Whether this front has read the index recently enough to know every step that is older than the
+/// settle time, with a margin of 100 ms.
+fn is_index_fresh(front: &Front) -> bool {
     let age_ms = front.index_age_ms(now_ms());
     age_ms.is_some_and(|age_ms| age_ms + 100 < front.settings.bounds.settle_ms)
 }
 
-fn missing(front: &Front) -> ReadOutcome {
-    match is_sure(front) {
+fn not_found(front: &Front) -> ReadOutcome {
+    match is_index_fresh(front) {
         true => ReadOutcome::NotFound,
         false => ReadOutcome::Unavailable("the log was not read lately"),
     }
 }
 
-/// What `look` finds in the index, which is read to its end first if it finds nothing.
-pub async fn find_in_index<T>(front: &Front, look: impl Fn(&Index) -> Option<T>) -> Option<T> {
-    let known = look(&front.index());
+/// Looks something up in the local copy of the index. If `lookup` finds nothing, brings the copy
+/// up to date (a read barrier) and tries once more.
+pub async fn find_in_index<T>(front: &Front, lookup: impl Fn(&Index) -> Option<T>) -> Option<T> {
+    let known = lookup(&front.index());
     if known.is_some() {
         return known;
     }
     follow::wait_for_newest(front).await;
-    look(&front.index())
+    lookup(&front.index())
 }
 
-struct Window {
+/// Results of a step that are listed after the position that a trainer has read up to.
+struct UnreadResults {
     head: Arc<StepHead>,
     results: Vec<Arc<ListedResult>>,
-    /// Whether nothing more is worth waiting for: all that the trainer waits for is listed.
+    /// Whether the read need not wait for further results: the step is complete, ended, or has as
+    /// many complete groups as the trainer asked for.
     enough: bool,
 }
 
-fn window(index: &Index, customer: Option<&str>, id: &str, after: usize) -> Option<Window> {
+fn unread_results(
+    index: &Index,
+    customer: Option<&str>,
+    id: &str,
+    after: usize,
+) -> Option<UnreadResults> {
     let step = index.ledger.visible(customer, id)?;
-    Some(Window {
+    Some(UnreadResults {
         head: Arc::clone(&step.head),
         results: step.results.iter().skip(after).cloned().collect(),
         enough: step.is_complete() || step.ended || step.has_enough_groups(),
     })
 }
 
-/// Results of a customer's step from a position on; waits up to `wait` for the first, and a
-/// little for more.
+/// Reads the results of a customer's step after the first `after` ones. Waits up to `wait` for the
+/// first result, and then at most [`GATHER_MS`] for more.
 pub async fn read_results(
     front: &Front,
     customer: Option<&str>,
@@ -108,34 +118,36 @@
     }
     let _waiting = front.demand.wait();
     let mut news = front.index_news.subscribe();
-    let mut until = tokio::time::Instant::now() + wait;
-    let mut gathers = false;
+    let mut wait_until = tokio::time::Instant::now() + wait;
+    let mut is_gathering = false;
     let found = loop {
         news.mark_unchanged();
-        let found = find_in_index(front, |index| window(index, customer, id, after)).await;
+        let found = find_in_index(front, |index| unread_results(index, customer, id, after)).await;
         let Some(found) = found else {
-            return missing(front);
+            return not_found(front);
         };
         if found.enough {
             break found;
         }
-        if front.index_failing.load(Ordering::Relaxed) && !is_sure(front) {
-            // Another front may be served; the trainer loses no second here.
+        if front.index_failing.load(Ordering::Relaxed) && !is_index_fresh(front) {
+            // Answer at once: another front may still reach the store, and the trainer can retry
+            // there without waiting here first.
             break found;
         }
-        if !found.results.is_empty() && !gathers {
-            gathers = true;
-            until = until.min(tokio::time::Instant::now() + Duration::from_millis(GATHER_MS));
+        if !found.results.is_empty() && !is_gathering {
+            is_gathering = true;
+            wait_until =
+                wait_until.min(tokio::time::Instant::now() + Duration::from_millis(GATHER_MS));
         }
-        let changed = tokio::time::timeout_at(until, news.changed()).await;
+        let changed = tokio::time::timeout_at(wait_until, news.changed()).await;
         if !matches!(changed, Ok(Ok(()))) {
             break found;
         }
     };
-    if found.results.is_empty() && !is_sure(front) {
+    if found.results.is_empty() && !is_index_fresh(front) {
         return ReadOutcome::Unavailable("the log was not read lately");
     }
-    match page(front, &found, after).await {
+    match build_page(front, &found, after).await {
         Ok(page) => ReadOutcome::Found(page.into()),
         Err(error) => {
             log::warn!(event = "texts-not-read", id, after, error:% = error; "");
@@ -144,56 +156,72 @@
     }
 }
 
-async fn page(front: &Front, found: &Window, after: usize) -> Result<Vec<u8>, StoreError> {
+/// Builds the page with as many of the found results as fit.
+async fn build_page(
+    front: &Front,
+    found: &UnreadResults,
+    after: usize,
+) -> Result<Vec<u8>, StoreError> {
     let mut page = ResultsPage::new(found.head.items.len());
     let mut rest = &found.results[..];
     while !rest.is_empty() && page.len_bytes() < PAGE_BYTES {
-        let run = run_of_texts(rest, PAGE_BYTES.saturating_sub(page.len_bytes()));
-        let (now, later) = rest.split_at(run);
-        let texts = read_run(front, now).await?;
-        for (result, text) in now.iter().zip(texts) {
-            add(&mut page, &found.head, result, &text);
+        let count = contiguous_count(rest, PAGE_BYTES.saturating_sub(page.len_bytes()));
+        let (batch, later) = rest.split_at(count);
+        let texts = read_texts(front, batch).await?;
+        for (result, text) in batch.iter().zip(texts) {
+            add_result(&mut page, &found.head, result, &text);
         }
         rest = later;
     }
     Ok(page.finish(after))
 }
 
-fn place(result: &ListedResult) -> Option<Place> {
+/// Location of a result's text in the data topic; `None` for an item that ended without a text.
+fn text_location(result: &ListedResult) -> Option<Place> {
     match &result.state {
         ResultState::Succeeded { text, .. } => Some(*text),
         ResultState::Errored(_) => None,
     }
 }
 
-/// How many of the first results have texts that lie one behind the other.
-fn run_of_texts(results: &[Arc<ListedResult>], bytes_max: usize) -> usize {
-    let Some(first) = place(&results[0]) else {
+/// How many of the first results can be read at once because their texts are contiguous records of
+/// one partition and take at most `bytes_max` together. At least 1.
+fn contiguous_count(results: &[Arc<ListedResult>], bytes_max: usize) -> usize {
+    let Some(first) = text_location(&results[0]) else {
         return 1;
     };
     let mut bytes = first.bytes as usize;
-    let mut run = 1;
-    while let Some(next) = results.get(run).and_then(|result| place(result)) {
-        let follows = next.partition == first.partition && next.offset == first.offset + run as u64;
+    let mut count = 1;
+    while let Some(next) = results.get(count).and_then(|result| text_location(result)) {
+        let follows =
+            next.partition == first.partition && next.offset == first.offset + count as u64;
         bytes += next.bytes as usize;
         if !follows || bytes > bytes_max {
             break;
         }
-        run += 1;
+        count += 1;
     }
-    run
+    count
 }
 
-async fn read_run(front: &Front, run: &[Arc<ListedResult>]) -> Result<Vec<Bytes>, StoreError> {
-    let places: Vec<Place> = run.iter().filter_map(|result| place(result)).collect();
-    let Some(first) = places.first() else {
-        return Ok(vec![Bytes::new(); run.len()]);
+/// Reads the texts of results that [`contiguous_count`] put together. A result without a text gets
+/// an empty one.
+async fn read_texts(
+    front: &Front,
+    results: &[Arc<ListedResult>],
+) -> Result<Vec<Bytes>, StoreError> {
+    let locations: Vec<Place> = results
+        .iter()
+        .filter_map(|result| text_location(result))
+        .collect();
+    let Some(first) = locations.first() else {
+        return Ok(vec![Bytes::new(); results.len()]);
     };
-    let mut texts = Vec::with_capacity(places.len());
-    while texts.len() < places.len() {
-        let left = &places[texts.len()..];
-        let bytes: u32 = left.iter().map(|place| place.bytes + 4).sum();
-        let within = Duration::from_millis(READ_MS);
+    let mut texts = Vec::with_capacity(locations.len());
+    while texts.len() < locations.len() {
+        let left = &locations[texts.len()..];
+        let bytes: u32 = left.iter().map(|location| location.bytes + 4).sum();
+        let within = Duration::from_millis(READ_TIMEOUT_MS);
         let from = first.offset + texts.len() as u64;
         let kb = bytes / 1_024 + READ_EXTRA_KB;
         let page = front
@@ -201,14 +229,16 @@
             .read(data_from(first.partition, from, kb), within)
             .await?;
         if page.records.is_empty() {
-            return Err(StoreError::Malformed(format!("no record at {from}")));
+            return Err(StoreError::Malformed(format!(
+                "reading texts of results: no record at offset {from}"
+            )));
         }
         texts.extend(page.records.into_iter().take(left.len()));
     }
     Ok(texts)
 }
 
-fn add(page: &mut ResultsPage, head: &StepHead, result: &ListedResult, text: &[u8]) {
+fn add_result(page: &mut ResultsPage, head: &StepHead, result: &ListedResult, text: &[u8]) {
     let id = &head.items[result.item as usize].id;
     match &result.state {
         ResultState::Succeeded {
@@ -220,21 +250,21 @@
     }
 }
 
-/// The body of an item of a customer's step.
+/// Reads the request body that the trainer submitted for an item of a customer's step.
 pub async fn read_item_body(
     front: &Front,
     customer: Option<&str>,
     id: &str,
     item: &str,
 ) -> ReadOutcome {
-    let place = find_in_index(front, |index| {
+    let location = find_in_index(front, |index| {
         let step = index.ledger.visible(customer, id)?;
         step.head.data_of(step.item(item)?)
     });
-    let Some((partition, offset)) = place.await else {
-        return missing(front);
+    let Some((partition, offset)) = location.await else {
+        return not_found(front);
     };
-    let within = Duration::from_millis(READ_MS);
+    let within = Duration::from_millis(READ_TIMEOUT_MS);
     let record = front.storage.record(partition, offset, 1, within).await;
     let body = record.map(|record| decode_item(&record).map(|data| data.body));
     match body {
--- a/components/front/src/stream.rs
+++ b/components/front/src/stream.rs
@@ -1,7 +1,8 @@
-//! Streams that a client reads: passed on as they come.
+//! Relays event streams from a replica to a client, event by event.
 //!
-//! A stream is handed to one replica. Another one is asked only where the first provably did
-//! not run it; whatever breaks later breaks the client's stream, which so can't look whole.
+//! A request is sent to another replica only if the previous one provably did not run it. An error
+//! after the stream has begun breaks the client's stream, so that the client cannot mistake a
+//! truncated stream for a complete one.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -20,53 +21,54 @@
 use crate::peers::Member;
 use crate::state::Front;
 
-/// Parts of a stream that wait for a slow client, at most.
-const PARTS_MAX: usize = 8;
+/// Frames of a stream that are buffered for a slow client, at most.
+const BUFFERED_FRAMES_MAX: usize = 8;
 
 /// Why a stream did not begin.
 pub struct NotStarted {
-    /// Whether it is certain that no replica runs it.
+    /// Whether it is certain that no replica ran the request.
     pub not_run: bool,
-    /// What happened.
+    /// Error of the last attempt.
     pub reason: String,
 }
 
-/// Passes a stream on.
+/// Sends a request to a replica and relays its stream. Tries other replicas, up to the route's
+/// attempt limit, while none of them ran the request.
 pub async fn relay(
     front: &Arc<Front>,
     spec: &CallSpec<'_>,
 ) -> Result<Response<ReplyBody>, NotStarted> {
     let mut tried: Vec<ReplicaId> = Vec::new();
     let mut started = Started::new(front, spec.customer);
-    let mut last = NotStarted {
+    let mut last_error = NotStarted {
         not_run: true,
-        reason: "no replica".to_owned(),
+        reason: "no replica is available".to_owned(),
     };
-    while (tried.len() as u32) < spec.route.attempts_max && last.not_run {
-        let Some(member) = pick(front, spec, &tried) else {
+    while (tried.len() as u32) < spec.route.attempts_max && last_error.not_run {
+        let Some(member) = choose_untried(front, spec, &tried) else {
             break;
         };
         tried.push(Arc::clone(&member.replica.id));
         let sent = started.attempt();
-        match begin(&member, spec).await {
+        match open(&member, spec).await {
             Ok(response) => {
                 sent.store(now_ms(), Ordering::Relaxed);
                 return Ok(response);
             }
-            Err(failed) => last = failed,
+            Err(not_started) => last_error = not_started,
         }
     }
-    Err(last)
+    Err(last_error)
 }
 
-fn pick(front: &Front, spec: &CallSpec<'_>, tried: &[ReplicaId]) -> Option<Member> {
+fn choose_untried(front: &Front, spec: &CallSpec<'_>, tried: &[ReplicaId]) -> Option<Member> {
     let table = front.replicas.load();
     let service = spec.route.draw(rand::random())?;
     let typical = front.typical(&spec.route.name);
     choose_of(front, &table, service, &typical, tried, false)
 }
 
-async fn begin(member: &Member, spec: &CallSpec<'_>) -> Result<Response<ReplyBody>, NotStarted> {
+async fn open(member: &Member, spec: &CallSpec<'_>) -> Result<Response<ReplyBody>, NotStarted> {
     let not_run = |reason: String| NotStarted {
         not_run: true,
         reason,
@@ -84,31 +86,33 @@
             not_run: error.is_not_run(),
             reason: error.to_string(),
         })?;
-    let (parts, body) = mpsc::channel(PARTS_MAX);
+    let (frames, body) = mpsc::channel(BUFFERED_FRAMES_MAX);
     let mut answer = Response::new(ReplyBody::Flow(body));
     *answer.status_mut() = stream.status;
     *answer.headers_mut() = stream.headers;
     let mut from_replica = stream.body;
     let in_flight = member.peer.load.begin(0, false);
     tokio::spawn(async move {
-        // The connection lives as long as the stream: dropping both cancels the run.
+        // Dropping the connection when this task ends cancels the run at the replica.
         let _held = (connection, in_flight);
         loop {
             let frame = tokio::select! {
-                () = parts.closed() => return,
+                () = frames.closed() => return,
                 frame = tokio::time::timeout(within, from_replica.frame()) => frame,
             };
-            let part = match frame {
+            let relayed = match frame {
                 Ok(None) => return,
                 Ok(Some(Ok(frame))) => match frame.into_data() {
                     Ok(data) => Ok(data),
                     Err(_) => continue,
                 },
                 Ok(Some(Err(reason))) => Err(BodyError::Broken(reason.to_string())),
-                Err(_) => Err(BodyError::Broken("no event in time".to_owned())),
+                Err(_) => Err(BodyError::Broken(
+                    "the replica sent no event before the deadline".to_owned(),
+                )),
             };
-            let broken = part.is_err();
-            if parts.send(part).await.is_err() || broken {
+            let broken = relayed.is_err();
+            if frames.send(relayed).await.is_err() || broken {
                 return;
             }
         }
