--- a/components/front/src/partial.rs
+++ b/components/front/src/partial.rs
@@ -1,8 +1,8 @@
-//! Texts that are not whole yet, and their pieces in the store.
+//! Partial texts of running items, and the pieces of them that are saved in the store.
 //!
-//! A long item takes seconds, and the machine that runs it may die, leave or lose the store
-//! in the middle. So what was made is written every half second, and whoever runs the item
-//! next goes on behind it.
+//! A long item takes seconds, and the front that runs it may die, shut down or lose the store
+//! meanwhile. The front therefore saves the new part of each text every half second as a piece,
+//! so that the next front resumes after the last saved event instead of starting again.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -13,45 +13,48 @@
 use steps::{IndexRecord, Place, SavedPiece, StepId};
 
 use crate::state::{Front, locked};
-use crate::writer::{APPEND_MS, WriteError, data_partition, write_index};
+use crate::writer::{APPEND_TIMEOUT_MS, WriteError, data_partition, write_index};
 
-/// Longest time for reading a piece, in milliseconds.
-const READ_MS: u64 = 800;
-/// Kibibytes asked for beyond a piece: its length, rounding.
+/// Timeout of reading one piece.
+const READ_TIMEOUT_MS: u64 = 800;
+/// Kibibytes added to a read of a piece for the length prefix of its record and for rounding.
 const READ_EXTRA_KB: u32 = 1;
-/// New events that are worth a piece of their own.
-const EVENTS_MIN: u64 = 4;
+/// Fewer new events than this are not saved as a piece yet.
+const PIECE_EVENTS_MIN: u64 = 4;
 
-/// What is there of an item's text.
+/// The text of an item as far as it has been generated.
 #[derive(Default)]
-pub struct Partial {
+pub struct PartialText {
     /// Data of the events so far, joined by line feeds.
     pub text: Vec<u8>,
     /// Id of the last event; 0 before the first.
     pub last_event: u64,
-    /// Versions that made it, ascending.
+    /// Versions of the weights that generated the text, ascending.
     pub versions: Vec<u64>,
-    /// Whether an earlier text was of no use, so that what is saved is of none either.
+    /// Whether an earlier text of the item was discarded, so that its saved pieces are unusable.
     pub discarded: bool,
-    /// How often it was moved away from a slow replica.
-    pub moves: u32,
-    saved: Saved,
-    unsure: Option<Saved>,
+    /// How often the item was moved away from a slow replica.
+    pub slow_moves: u32,
+    /// The part whose pieces are known to stand in the index.
+    saved: SavedPart,
+    /// The part including the piece that was written last, until the index shows that piece.
+    unconfirmed: Option<SavedPart>,
 }
 
 /// How much of a text is saved.
 #[derive(Clone, Copy, Default)]
-struct Saved {
-    piece: u64,
+struct SavedPart {
+    /// Id of the last piece; 0 before the first.
+    last_piece: u64,
     last_event: u64,
     bytes: usize,
 }
 
-/// A text that the run and the runner share.
-pub type SharedPartial = Arc<Mutex<Partial>>;
+/// A partial text that the task of a run and the runner share.
+pub type SharedPartialText = Arc<Mutex<PartialText>>;
 
-impl Partial {
-    /// Adds an event.
+impl PartialText {
+    /// Appends an event's data.
     pub fn push(&mut self, data: &[u8], id: u64, version: u64) {
         if self.last_event > 0 {
             self.text.push(b'\n');
@@ -63,7 +66,7 @@
         }
     }
 
-    /// Begins anew.
+    /// Drops the text, so that the item restarts from its first event.
     pub fn discard(&mut self) {
         *self = Self {
             discarded: true,
@@ -71,26 +74,34 @@
         };
     }
 
-    /// Whether the newest piece in the index is of another run: another front makes this text too.
-    pub fn is_overtaken(&self, newest: u64) -> bool {
-        let unsure = self.unsure.is_some_and(|unsure| unsure.piece == newest);
-        newest != 0 && newest != self.saved.piece && !unsure
+    /// Whether the newest piece in the index (0 if there is none) comes from another run, which
+    /// means that another front generates this text too.
+    pub fn is_superseded(&self, newest_piece: u64) -> bool {
+        let is_own = self
+            .unconfirmed
+            .is_some_and(|part| part.last_piece == newest_piece);
+        newest_piece != 0 && newest_piece != self.saved.last_piece && !is_own
     }
 
-    /// The piece that is not saved yet, if it is worth saving. `newest` is the newest piece
-    /// that stands in the index.
-    fn unsaved(&mut self, newest: u64) -> Option<(SavedPiece, Bytes)> {
-        if let Some(unsure) = self.unsure.take_if(|unsure| unsure.piece == newest) {
-            self.saved = unsure;
+    /// The next piece to save and its text, if there are enough new events. `newest_piece` is the
+    /// newest piece of the item in the index, 0 if there is none.
+    fn next_piece(&mut self, newest_piece: u64) -> Option<(SavedPiece, Bytes)> {
+        if let Some(confirmed) = self
+            .unconfirmed
+            .take_if(|part| part.last_piece == newest_piece)
+        {
+            self.saved = confirmed;
         }
-        // Another run's pieces stand there: nothing of this one can follow them.
-        if self.saved.piece != newest || self.last_event < self.saved.last_event + EVENTS_MIN {
+        // A piece of this run cannot follow the pieces of another run.
+        if self.saved.last_piece != newest_piece
+            || self.last_event < self.saved.last_event + PIECE_EVENTS_MIN
+        {
             return None;
         }
         let text = Bytes::copy_from_slice(&self.text[self.saved.bytes..]);
         let piece = SavedPiece {
             id: rand::random::<u64>().max(1),
-            after: self.saved.piece,
+            after: self.saved.last_piece,
             last_event: self.last_event,
             versions: self.versions.clone(),
             text: Place {
@@ -99,20 +110,20 @@
                 bytes: text.len() as u32,
             },
         };
-        self.unsure = Some(Saved {
-            piece: piece.id,
+        self.unconfirmed = Some(SavedPart {
+            last_piece: piece.id,
             last_event: self.last_event,
             bytes: self.text.len(),
         });
         Some((piece, text))
     }
 
-    /// The text in these pieces.
+    /// Joins the pieces of a text; `None` without pieces.
     fn from_pieces(pieces: &[SavedPiece], texts: &[Bytes]) -> Option<Self> {
         let last = pieces.last()?;
         let text = texts.concat();
-        let saved = Saved {
-            piece: last.id,
+        let saved = SavedPart {
+            last_piece: last.id,
             last_event: last.last_event,
             bytes: text.len(),
         };
@@ -121,40 +132,42 @@
             last_event: last.last_event,
             versions: last.versions.clone(),
             discarded: false,
-            moves: 0,
+            slow_moves: 0,
             saved,
-            unsure: None,
+            unconfirmed: None,
         })
     }
 }
 
-/// Writes what is new of these texts.
-pub async fn save(front: &Front, texts: Vec<((StepId, u32), SharedPartial)>) {
+/// Saves the new events of these texts as pieces: all texts in one append to the data topic, then
+/// the records of the pieces in one append to the index.
+pub async fn save(front: &Front, partials: Vec<((StepId, u32), SharedPartialText)>) {
     let mut pieces = Vec::new();
-    let mut bytes = Vec::new();
-    for ((step, item), partial) in texts {
-        let newest = {
+    let mut texts = Vec::new();
+    for ((step, item), partial) in partials {
+        let newest_piece = {
             let index = front.index();
             let known = index.ledger.get(step).filter(|step| !step.is_listed(item));
             known.map(|step| step.pieces(item).last().map_or(0, |piece| piece.id))
         };
-        let unsaved = newest.and_then(|newest| locked(&partial).unsaved(newest));
-        if let Some((piece, text)) = unsaved {
+        let next = newest_piece.and_then(|newest| locked(&partial).next_piece(newest));
+        if let Some((piece, text)) = next {
             pieces.push((step, item, piece));
-            bytes.push(text);
+            texts.push(text);
         }
     }
     if pieces.is_empty() {
         return;
     }
-    if let Err(error) = write(front, pieces, &bytes).await {
-        // What was made stays with its run; only another process would miss it.
+    if let Err(error) = write_pieces(front, pieces, &texts).await {
+        // This front still has the texts; only a front that takes over would lack the pieces.
         log::info!(event = "pieces-not-written", error:% = error; "");
     }
 }
 
-/// Tells how long this front goes on with items, in milliseconds.
-pub async fn keep(front: &Front, items: Vec<(StepId, u32)>, for_ms: u32) {
+/// Reserves items that this front runs although other fronts own their shards: the owners do not
+/// start them for `for_ms`. 0 ends the reservation.
+pub async fn reserve(front: &Front, items: Vec<(StepId, u32)>, for_ms: u32) {
     if items.is_empty() {
         return;
     }
@@ -162,21 +175,21 @@
     let record = [LogRecord::Index(IndexRecord::Kept { items, for_ms })];
     match write_index(front, &record).await {
         Ok(_) => log::info!(event = "items-kept", items = count, for_ms; ""),
-        // Others begin with them too, which costs runs and no result.
+        // The owners start the items too, which costs duplicate runs but no result.
         Err(error) => log::warn!(event = "kept-not-written", error:% = error; ""),
     }
 }
 
-async fn write(
+async fn write_pieces(
     front: &Front,
     pieces: Vec<(StepId, u32, SavedPiece)>,
     texts: &[Bytes],
 ) -> Result<(), WriteError> {
     let partition = data_partition(front);
-    let within = Duration::from_millis(APPEND_MS);
+    let timeout = Duration::from_millis(APPEND_TIMEOUT_MS);
     let mut offset = front
         .storage
-        .append(DATA_TOPIC, partition, texts, within)
+        .append(DATA_TOPIC, partition, texts, timeout)
         .await?;
     let mut records = Vec::with_capacity(pieces.len());
     for (step, item, mut piece) in pieces {
@@ -192,8 +205,8 @@
     Ok(())
 }
 
-/// Reads a text back from its pieces.
-pub async fn restore(front: &Front, pieces: &[SavedPiece]) -> Result<Partial, StoreError> {
+/// Reads a partial text from its saved pieces.
+pub async fn restore(front: &Front, pieces: &[SavedPiece]) -> Result<PartialText, StoreError> {
     let mut texts = Vec::with_capacity(pieces.len());
     for piece in pieces {
         let Place {
@@ -201,15 +214,15 @@
             offset,
             bytes,
         } = piece.text;
-        let within = Duration::from_millis(READ_MS);
+        let timeout = Duration::from_millis(READ_TIMEOUT_MS);
         let kb = bytes / 1_024 + READ_EXTRA_KB;
-        let text = front.storage.record(partition, offset, kb, within).await?;
+        let text = front.storage.record(partition, offset, kb, timeout).await?;
         if text.len() != bytes as usize {
-            let why = format!("no piece of {bytes} bytes at {offset}");
-            return Err(StoreError::Malformed(why));
+            let reason = format!("record at offset {offset} is not a saved piece of {bytes} bytes");
+            return Err(StoreError::Malformed(reason));
         }
         texts.push(text);
     }
-    Partial::from_pieces(pieces, &texts)
-        .ok_or_else(|| StoreError::Malformed("no pieces".to_owned()))
+    PartialText::from_pieces(pieces, &texts)
+        .ok_or_else(|| StoreError::Malformed("restoring a text: it has no pieces".to_owned()))
 }
--- a/components/front/src/results.rs
+++ b/components/front/src/results.rs
@@ -221,12 +221,12 @@
     while texts.len() < locations.len() {
         let left = &locations[texts.len()..];
         let bytes: u32 = left.iter().map(|location| location.bytes + 4).sum();
-        let within = Duration::from_millis(READ_TIMEOUT_MS);
+        let timeout = Duration::from_millis(READ_TIMEOUT_MS);
         let from = first.offset + texts.len() as u64;
         let kb = bytes / 1_024 + READ_EXTRA_KB;
         let page = front
             .storage
-            .read(data_from(first.partition, from, kb), within)
+            .read(data_from(first.partition, from, kb), timeout)
             .await?;
         if page.records.is_empty() {
             return Err(StoreError::Malformed(format!(
@@ -264,8 +264,8 @@
     let Some((partition, offset)) = location.await else {
         return not_found(front);
     };
-    let within = Duration::from_millis(READ_TIMEOUT_MS);
-    let record = front.storage.record(partition, offset, 1, within).await;
+    let timeout = Duration::from_millis(READ_TIMEOUT_MS);
+    let record = front.storage.record(partition, offset, 1, timeout).await;
     let body = record.map(|record| decode_item(&record).map(|data| data.body));
     match body {
         Ok(Ok(body)) => ReadOutcome::Found(body.into()),
--- a/components/front/src/reward.rs
+++ b/components/front/src/reward.rs
@@ -1,4 +1,5 @@
-//! The reward call of an item.
+//! Reward calls: each sends the reward request of an item to a scorer, whose signature on the
+//! answer is the item's score.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,12 +12,14 @@
 use crate::state::Front;
 use crate::writer::record_failure;
 
-/// Time for one reward call where its route does not say, in milliseconds.
-const CALL_MS: u64 = 3_000;
-/// Pause after a call that failed, in milliseconds.
-const PAUSE_MS: u64 = 50;
+/// Timeout of one reward call if its route has none.
+const DEFAULT_TIMEOUT_MS: u64 = 3_000;
+/// Pause before the next attempt.
+const RETRY_PAUSE_MS: u64 = 50;
 
-/// The scorer's signature; none when its calls failed as often as is allowed.
+/// Calls the scorer until it answers with a signature, and returns the signature. Returns `None`
+/// once as many calls as the route allows were answered with status 500, including the `failed`
+/// calls of earlier attempts, here or at other fronts. Other failures are retried without limit.
 pub async fn score(
     front: &Arc<Front>,
     key: (StepId, u32),
@@ -30,13 +33,13 @@
             .as_ref()
             .and_then(|routes| routes.find(&scorer.host, &scorer.path));
         let Some(route) = route else {
-            // The route may come with the next version of the configuration.
-            tokio::time::sleep(Duration::from_millis(PAUSE_MS)).await;
+            // The next version of the configuration may have the route.
+            tokio::time::sleep(Duration::from_millis(RETRY_PAUSE_MS)).await;
             continue;
         };
-        let within_ms = match route.timeout_ms {
-            0 => CALL_MS,
-            stated => stated,
+        let timeout_ms = match route.timeout_ms {
+            0 => DEFAULT_TIMEOUT_MS,
+            route_timeout_ms => route_timeout_ms,
         };
         let spec = CallSpec {
             route,
@@ -48,7 +51,7 @@
             customer,
             rank: None,
             background: true,
-            deadline_at_ms: now_ms() + within_ms,
+            deadline_at_ms: now_ms() + timeout_ms,
         };
         if let CallOutcome::Answer(answer) = calls::perform(front, &spec).await {
             if answer.is_success()
@@ -64,6 +67,6 @@
                 }
             }
         }
-        tokio::time::sleep(Duration::from_millis(PAUSE_MS)).await;
+        tokio::time::sleep(Duration::from_millis(RETRY_PAUSE_MS)).await;
     }
 }
--- a/components/front/src/run_item.rs
+++ b/components/front/src/run_item.rs
@@ -13,7 +13,7 @@
 use tokio::sync::Notify;
 
 use crate::clock::now_us;
-use crate::partial::{Partial, SharedPartial};
+use crate::partial::{PartialText, SharedPartialText};
 use crate::peers::Member;
 use crate::state::locked;
 
@@ -71,7 +71,7 @@
 }
 
 /// Runs an item until the run ends; what it makes is added to `shared`.
-pub async fn run(spec: &RunSpec, shared: &SharedPartial) -> RunEnd {
+pub async fn run(spec: &RunSpec, shared: &SharedPartialText) -> RunEnd {
     let behind = locked(shared).last_event;
     let started = tokio::select! {
         started = start(spec, behind) => started,
@@ -128,7 +128,7 @@
 
 fn take_event(
     spec: &RunSpec,
-    partial: &mut Partial,
+    partial: &mut PartialText,
     run: &ItemRun,
     event: &Event,
 ) -> Result<(), RunEnd> {
@@ -166,7 +166,7 @@
 }
 
 /// An event under a version that must not stand in the text ends the run before it is taken.
-fn check_version(spec: &RunSpec, partial: &mut Partial, run: &ItemRun) -> Result<u64, RunEnd> {
+fn check_version(spec: &RunSpec, partial: &mut PartialText, run: &ItemRun) -> Result<u64, RunEnd> {
     let Some(version) = run.version() else {
         return Err(RunEnd::Broken(
             "the replica does not say which version it has".to_owned(),
--- a/components/front/src/runner/data.rs
+++ b/components/front/src/runner/data.rs
@@ -7,10 +7,10 @@
     let mut data = Vec::with_capacity(head.items.len());
     while data.len() < head.items.len() {
         let (partition, offset) = head.data_of(data.len())?;
-        let within = Duration::from_millis(DATA_MS);
+        let timeout = Duration::from_millis(DATA_MS);
         let page = front
             .storage
-            .read(data_from(partition, offset, DATA_KB), within)
+            .read(data_from(partition, offset, DATA_KB), timeout)
             .await;
         let page = match page {
             Ok(page) => page,
--- a/components/front/src/runner/engines.rs
+++ b/components/front/src/runner/engines.rs
@@ -210,7 +210,7 @@
             silent_ms: at.silent_ms(now_ms),
             min_version: at.min_version,
             only_version: started_under.filter(|_| at.single_version),
-            slow_moves: partial.moves,
+            slow_moves: partial.slow_moves,
         })
     }
 
@@ -223,7 +223,7 @@
             return;
         };
         if cause == MoveCause::Slow {
-            locked(partial).moves += 1;
+            locked(partial).slow_moves += 1;
         }
         at.stopping = Some(cause);
         at.stop.notify_one();
--- a/components/front/src/runner/handover.rs
+++ b/components/front/src/runner/handover.rs
@@ -13,7 +13,7 @@
             let newest = step.pieces(key.1).last().map_or(0, |piece| piece.id);
             let partial = self.partials.get(*key);
             self.front.is_handed_on(&step.head, step.shard(key.1))
-                && partial.is_some_and(|(partial, _)| locked(partial).is_overtaken(newest))
+                && partial.is_some_and(|(partial, _)| locked(partial).is_superseded(newest))
         };
         self.running.keys().filter(is_overtaken).copied().collect()
     }
@@ -53,9 +53,9 @@
         let (kept, given_up) = self.kept_and_given_up();
         let (front, news) = (Arc::clone(&self.front), self.news.clone());
         tokio::spawn(async move {
-            partial::keep(&front, kept, KEPT_MS).await;
+            partial::reserve(&front, kept, KEPT_MS).await;
             partial::save(&front, texts).await;
-            partial::keep(&front, given_up, 0).await;
+            partial::reserve(&front, given_up, 0).await;
             // The runner ends with the process only.
             let _ = news.send(News::Saved);
         });
--- a/components/front/src/runner/look.rs
+++ b/components/front/src/runner/look.rs
@@ -186,7 +186,7 @@
 /// Goes on from what another process saved, where this one has nothing of the text; false if it
 /// can't be read now. A store that refuses it takes no result either, so that an item that was
 /// begun from its first event would end late for nothing.
-async fn take_up(front: &Front, partial: &SharedPartial, saved: &[SavedPiece]) -> bool {
+async fn take_up(front: &Front, partial: &SharedPartialText, saved: &[SavedPiece]) -> bool {
     let begun = {
         let partial = locked(partial);
         partial.discarded || partial.last_event > 0
--- a/components/front/src/runner/mod.rs
+++ b/components/front/src/runner/mod.rs
@@ -32,7 +32,7 @@
 use crate::clock::now_ms;
 use crate::figures;
 use crate::leave;
-use crate::partial::{self, Partial, SharedPartial};
+use crate::partial::{self, PartialText, SharedPartialText};
 use crate::peers::{Member, ReplicaTable};
 use crate::reward;
 use crate::run_item::{self, RunEnd, RunSpec};
@@ -115,7 +115,7 @@
     asked: HashSet<StepId>,
     running: HashMap<Key, Running>,
     /// Texts that are not whole, and where their last run broke.
-    partials: HashMap<Key, (SharedPartial, Option<ReplicaId>)>,
+    partials: HashMap<Key, (SharedPartialText, Option<ReplicaId>)>,
     /// When texts were saved last, in milliseconds.
     saved_ms: u64,
     saving: bool,
--- a/components/front/src/runner/settle.rs
+++ b/components/front/src/runner/settle.rs
@@ -8,7 +8,7 @@
         &mut self,
         key: Key,
         head: &StepHead,
-        partial: Partial,
+        partial: PartialText,
         failed_rewards: u32,
     ) {
         let Some(data) = self
--- a/components/front/src/stream.rs
+++ b/components/front/src/stream.rs
@@ -79,8 +79,8 @@
         .await
         .map_err(|error| not_run(error.to_string()))?;
     let call = spec.at(&member.replica);
-    let within = Duration::from_millis(call.left_ms);
-    let stream = replica::open_stream(&mut connection, call, within)
+    let timeout = Duration::from_millis(call.left_ms);
+    let stream = replica::open_stream(&mut connection, call, timeout)
         .await
         .map_err(|error| NotStarted {
             not_run: error.is_not_run(),
@@ -98,7 +98,7 @@
         loop {
             let frame = tokio::select! {
                 () = frames.closed() => return,
-                frame = tokio::time::timeout(within, from_replica.frame()) => frame,
+                frame = tokio::time::timeout(timeout, from_replica.frame()) => frame,
             };
             let relayed = match frame {
                 Ok(None) => return,
--- a/components/front/src/writer.rs
+++ b/components/front/src/writer.rs
@@ -1,7 +1,7 @@
-//! Writing to the index and the data topic. Records of many items go in one append.
+//! Appends records to the index, the data topic and the usage topic.
 //!
-//! Writing a record twice changes nothing, as the first one in the log's order holds. So an
-//! append without an answer is simply made again.
+//! Results of many items are written in one append. Readers ignore repeated records and use the
+//! first one in the order of the log, so an append whose response was lost is simply repeated.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -18,38 +18,39 @@
 use crate::clock::now_ms;
 use crate::state::Front;
 
-/// Longest time for an append, in milliseconds; the store refuses when two seconds wait.
-pub const APPEND_MS: u64 = 1_500;
-/// How long results are gathered before they are written, in milliseconds: a part of what a
-/// trainer's pause between reads costs, against an append for each item.
+/// Timeout of an append; the store refuses appends once two seconds of them are queued.
+pub const APPEND_TIMEOUT_MS: u64 = 1_500;
+/// How long results are gathered before they are written. Gathering saves appends; the delay is
+/// small against a trainer's pause between reads.
 const GATHER_MS: u64 = 8;
-/// Texts written in one append, at most, in bytes; bounds the copy that is made of them.
+/// Size of the texts in one append from which on no further text is added. Bounds the memory for
+/// the copy of the texts that an append makes.
 const BATCH_BYTES: usize = 256 * 1024;
-/// Pause after an append that failed, in milliseconds; doubles up to the greatest.
-const PAUSE_MS: u64 = 50;
-const PAUSE_MS_MAX: u64 = 800;
+/// Backoff after the first failed append; doubles with each failure, up to [`BACKOFF_MS_MAX`].
+const BACKOFF_MS: u64 = 50;
+const BACKOFF_MS_MAX: u64 = 800;
 
 quick_error! {
-    /// Why a record can't be written.
+    /// Why a record was not written.
     #[derive(Debug)]
     pub enum WriteError {
-        /// It can't be encoded.
+        /// The record could not be encoded.
         Encode(reason: IndexError) {
             source(reason)
             from()
             display("{}", reason)
         }
-        /// The store did not take it.
+        /// The append failed at the store.
         Store(reason: StoreError) {
             source(reason)
             from()
-            display("cannot append: {}", reason)
+            display("append to the store failed: {}", reason)
         }
     }
 }
 
 impl WriteError {
-    /// Whether it is certain that nothing was written and nothing will be.
+    /// Whether the record certainly was not written and will not be written later.
     pub fn is_not_done(&self) -> bool {
         match self {
             WriteError::Encode(_) => true,
@@ -58,32 +59,28 @@
     }
 }
 
-/// An item that ended.
+/// An item with its outcome, to be listed in the index.
 pub struct EndedItem {
-    /// Its step.
     pub step: StepId,
-    /// Its number in the step.
+    /// Number of the item in the step.
     pub item: u32,
-    /// How it ended.
     pub outcome: ItemOutcome,
 }
 
 /// How an item ended.
 pub enum ItemOutcome {
-    /// With a text.
+    /// The text is complete and scored.
     Text {
-        /// The text.
         text: Bytes,
-        /// Versions that made it, ascending.
+        /// Versions of the weights that generated the text, ascending.
         versions: Vec<u64>,
-        /// The scorer's signature.
+        /// The scorer's signature; empty for an item without a reward call.
         score: String,
     },
-    /// Without.
+    /// The item has no result but this error.
     Error(ErrorCause),
 }
 
-/// The bytes of records.
 pub fn encode(records: &[LogRecord]) -> Result<Vec<Bytes>, WriteError> {
     records
         .iter()
@@ -96,40 +93,41 @@
     append_index(front, &encode(records)?).await
 }
 
-/// Appends encoded records to the index; gives the offset of the first.
+/// Appends encoded records to the index; returns the offset of the first.
 pub async fn append_index(front: &Front, encoded: &[Bytes]) -> Result<u64, WriteError> {
-    let within = Duration::from_millis(APPEND_MS);
+    let timeout = Duration::from_millis(APPEND_TIMEOUT_MS);
     Ok(front
         .storage
-        .append(INDEX_TOPIC, INDEX_PARTITION, encoded, within)
+        .append(INDEX_TOPIC, INDEX_PARTITION, encoded, timeout)
         .await?)
 }
 
-/// Appends a record of usage.
+/// Encodes a record of usage and appends it to the usage topic; returns its offset.
 pub async fn append_usage(front: &Front, record: &UsageRecord) -> Result<u64, WriteError> {
     let encoded = [index::encode_usage(record)?];
-    let within = Duration::from_millis(APPEND_MS);
+    let timeout = Duration::from_millis(APPEND_TIMEOUT_MS);
     Ok(front
         .storage
-        .append(USAGE_TOPIC, INDEX_PARTITION, &encoded, within)
+        .append(USAGE_TOPIC, INDEX_PARTITION, &encoded, timeout)
         .await?)
 }
 
-/// Notes in the index that a part of an item failed.
+/// Records a failed run or reward call of an item in the index, so that a front that takes over
+/// counts it too.
 pub async fn record_failure(front: &Front, (step, item): (StepId, u32), part: FailedPart) {
     let record = [LogRecord::Index(IndexRecord::Failed { step, item, part })];
     if let Err(error) = write_index(front, &record).await {
-        // This process counts on; another one that takes over allows one attempt more.
+        // This front still counts the failure; a front that takes over allows one more attempt.
         log::warn!(event = "failure-not-written", step = step.0, item, error:% = error; "");
     }
 }
 
-/// Partition of the data topic that this front writes to.
+/// Partition of the data topic that this front writes to, chosen by the name of its node.
 pub fn data_partition(front: &Front) -> u32 {
     ownership::partition_of(&front.settings.node, front.settings.store.partitions)
 }
 
-/// Writes the results of items until the sender's side is closed.
+/// Writes the results of ended items in batches until the channel is closed.
 pub async fn write_results(front: Arc<Front>, mut ended: mpsc::Receiver<EndedItem>) {
     let mut batch = Vec::new();
     while let Some(first) = ended.recv().await {
@@ -163,12 +161,12 @@
         })
         .collect();
     let partition = data_partition(front);
-    let within = Duration::from_millis(APPEND_MS);
+    let timeout = Duration::from_millis(APPEND_TIMEOUT_MS);
     let mut offset = 0;
     if !texts.is_empty() {
         offset = append_with_retry(front, "results", || async {
-            let append = front.storage.append(DATA_TOPIC, partition, &texts, within);
-            noted(front, append.await.map_err(WriteError::from))
+            let append = front.storage.append(DATA_TOPIC, partition, &texts, timeout);
+            track_unwritable(front, append.await.map_err(WriteError::from))
         })
         .await;
     }
@@ -202,26 +200,27 @@
         }));
     }
     append_with_retry(front, "results", || async {
-        noted(front, write_index(front, &records).await)
+        track_unwritable(front, write_index(front, &records).await)
     })
     .await;
 }
 
-/// Notes since when no result could be written.
-fn noted(front: &Front, appended: Result<u64, WriteError>) -> Result<u64, WriteError> {
-    let since = &front.unwritable_since_ms;
+/// Records the time since which results could not be written; passes the outcome on.
+fn track_unwritable(front: &Front, appended: Result<u64, WriteError>) -> Result<u64, WriteError> {
+    let since_ms = &front.unwritable_since_ms;
     match &appended {
-        Ok(_) => since.store(0, Ordering::Relaxed),
+        Ok(_) => since_ms.store(0, Ordering::Relaxed),
         Err(_) => {
-            // Later failures of the same row change nothing.
+            // Only the first of several failures in a row sets the time.
             let now_ms = now_ms().max(1);
-            let _ = since.compare_exchange(0, now_ms, Ordering::Relaxed, Ordering::Relaxed);
+            let _ = since_ms.compare_exchange(0, now_ms, Ordering::Relaxed, Ordering::Relaxed);
         }
     }
     appended
 }
 
-/// Repeats an append until the store takes it; `what` it is stands in the log.
+/// Repeats an append, with exponential backoff, until it succeeds; returns the offset of the first
+/// record. `what` names the records in log lines.
 pub async fn append_with_retry<F>(
     front: &Front,
     what: &'static str,
@@ -230,18 +229,18 @@
 where
     F: Future<Output = Result<u64, WriteError>>,
 {
-    let mut pause_ms = PAUSE_MS;
+    let mut pause_ms = BACKOFF_MS;
     loop {
         let returns = front.storage.returns();
         match append().await {
             Ok(offset) => return offset,
             Err(error) => {
                 if front.storage.returns() != returns {
-                    pause_ms = PAUSE_MS;
+                    pause_ms = BACKOFF_MS;
                 }
                 log::warn!(event = "records-not-written", what, pause_ms, error:% = error; "");
                 front.storage.pause(pause_ms).await;
-                pause_ms = (pause_ms * 2).min(PAUSE_MS_MAX);
+                pause_ms = (pause_ms * 2).min(BACKOFF_MS_MAX);
             }
         }
     }
