--- a/components/front/src/run_item.rs
+++ b/components/front/src/run_item.rs
@@ -1,4 +1,5 @@
-//! One run of an item at one replica.
+//! One run of an item: sends the item to a replica and appends the events of its stream to the
+//! item's partial text. A run that follows an interrupted one resumes after the last event.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,64 +18,64 @@
 use crate::peers::Member;
 use crate::state::locked;
 
-/// Longest wait for the head of a run's answer, in milliseconds: an engine takes up to 24
-/// requests more than it runs at once, which wait for a place.
-const HEAD_MS: u64 = 4_000;
-/// Longest pause between events, in milliseconds. A replica makes one each 35 ms, a slow
-/// one each 150 ms; a silent one is lost.
-const PAUSE_MS: u64 = 1_500;
+/// Timeout of the head of a replica's response. An engine queues up to 24 requests beyond those
+/// that it runs, and answers a queued request only once it has a free slot.
+const HEAD_TIMEOUT_MS: u64 = 4_000;
+/// Longest pause between events. A replica produces one every 35 ms, a slow replica one every
+/// 150 ms; after a longer silence the replica counts as lost.
+const EVENT_TIMEOUT_MS: u64 = 1_500;
 
-/// What a run is asked with.
+/// Parameters of a run.
 pub struct RunSpec {
-    /// The item's id, which is the request's.
+    /// The trainer's id of the item, which is also the request id.
     pub id: String,
-    /// The customer for whom it runs; none where no key was asked for.
+    /// Customer that submitted the step; `None` if the front requires no key.
     pub customer: Option<String>,
-    /// Host of its route.
+    /// Host of the route.
     pub host: String,
-    /// What is sent.
+    /// Path, headers and body of the request.
     pub data: Arc<ItemData>,
-    /// The replica.
+    /// The replica and this front's connections to it.
     pub member: Member,
-    /// Oldest version that may make an event.
+    /// Oldest version of the weights that may generate events.
     pub min_version: u64,
-    /// Whether one version must make the whole text.
+    /// Whether a single version must generate the whole text.
     pub single_version: bool,
-    /// Time until the item is given up, in milliseconds.
+    /// Time until the item is abandoned.
     pub left_ms: u64,
-    /// How fast the replica makes events.
+    /// The replica's mean pause between events; each event of this run updates it.
     pub pace: Arc<Pace>,
-    /// Learns that the replica takes items.
+    /// The replica's admission state for the model; each event marks it as accepting items.
     pub admission: Arc<Admission>,
-    /// Stops the run, so that another replica goes on.
+    /// Stops the run when notified, so that the item can resume at another replica.
     pub stop: Arc<Notify>,
-    /// When the run was sent or made its newest event, in milliseconds.
-    pub heard_ms: Arc<AtomicU64>,
+    /// When the run was sent or received its last event, on the process's clock.
+    pub last_progress_ms: Arc<AtomicU64>,
 }
 
 /// How a run ended.
 pub enum RunEnd {
-    /// The text is whole.
-    Whole,
-    /// The replica did not run it.
+    /// The text is complete.
+    Complete,
+    /// The replica certainly did not run the request, for this reason.
     NotRun(String),
-    /// The run broke off; another one may go on from what is there.
-    Broken(String),
-    /// It was stopped.
+    /// The stream broke off, for this reason; another run may resume after the last event.
+    Interrupted(String),
+    /// [`RunSpec::stop`] was notified.
     Stopped,
-    /// It was not sent: what is saved of its text can't be read now.
-    Unready,
-    /// The replica failed; counts as an attempt.
+    /// Nothing was sent, because the saved pieces of the text could not be read.
+    PiecesUnreadable,
+    /// The replica answered that the run failed; counts towards the route's attempt limit.
     Failed,
-    /// It can never be done.
+    /// The replica rejected the item for good.
     Impossible,
 }
 
-/// Runs an item until the run ends; what it makes is added to `shared`.
+/// Runs an item at one replica until the run ends; appends its events to `shared`.
 pub async fn run(spec: &RunSpec, shared: &SharedPartialText) -> RunEnd {
-    let behind = locked(shared).last_event;
+    let last_event = locked(shared).last_event;
     let started = tokio::select! {
-        started = start(spec, behind) => started,
+        started = start(spec, last_event) => started,
         () = spec.stop.notified() => return RunEnd::Stopped,
     };
     let mut item_run = match started {
@@ -89,44 +90,46 @@
                 ItemEnd::Impossible => RunEnd::Impossible,
             };
         }
-        Err(error) => return ended_by(error),
+        Err(error) => return end_for_error(error),
     };
-    let mut last_us = None;
+    let mut last_event_us = None;
     loop {
         let next = tokio::select! {
-            next = item_run.next(Duration::from_millis(PAUSE_MS)) => next,
+            next = item_run.next(Duration::from_millis(EVENT_TIMEOUT_MS)) => next,
             () = spec.stop.notified() => return RunEnd::Stopped,
         };
         match next {
             Ok(Some(event)) => {
-                if let Err(end) = take_event(spec, &mut locked(shared), &item_run, &event) {
+                if let Err(end) = append_event(spec, &mut locked(shared), &item_run, &event) {
                     return end;
                 }
                 let now_us = now_us();
-                spec.heard_ms.store(now_us / 1_000, Ordering::Relaxed);
+                spec.last_progress_ms
+                    .store(now_us / 1_000, Ordering::Relaxed);
                 spec.admission.taken(now_us / 1_000);
-                if let Some(last_us) = last_us.replace(now_us) {
+                if let Some(last_us) = last_event_us.replace(now_us) {
                     spec.pace.record(now_us - last_us, now_us / 1_000);
                 }
             }
-            // A run that goes on behind the last event of a text has no event to bring: the run
-            // before it broke between that event and its end. Taken for broken, the item
-            // would run again and again until its time is up.
             Ok(None) if locked(shared).last_event == 0 => {
-                return RunEnd::Broken("a stream without events".to_owned());
+                return RunEnd::Interrupted("the stream ended without events".to_owned());
             }
+            // Also complete if this run had no events: the previous run may have broken between
+            // the last event of the text and the end of its stream. If such a run counted as
+            // interrupted, the item would run again and again until its time is up.
             Ok(None) => {
                 if let Some((connection, keep_ms)) = item_run.finish().await {
                     spec.member.peer.keep(connection, keep_ms);
                 }
-                return RunEnd::Whole;
+                return RunEnd::Complete;
             }
-            Err(error) => return ended_by(error),
+            Err(error) => return end_for_error(error),
         }
     }
 }
 
-fn take_event(
+/// Appends an event to the text, if it is the next one and of a version that the item may use.
+fn append_event(
     spec: &RunSpec,
     partial: &mut PartialText,
     run: &ItemRun,
@@ -134,8 +137,8 @@
 ) -> Result<(), RunEnd> {
     let expected = partial.last_event + 1;
     if event.id != expected {
-        return Err(RunEnd::Broken(format!(
-            "event {} instead of {expected}",
+        return Err(RunEnd::Interrupted(format!(
+            "the stream has event {} where event {expected} was expected",
             event.id
         )));
     }
@@ -162,32 +165,35 @@
         customer: spec.customer.as_deref(),
         rank: None,
     };
-    replica::start_item(connection, call, Duration::from_millis(HEAD_MS)).await
+    replica::start_item(connection, call, Duration::from_millis(HEAD_TIMEOUT_MS)).await
 }
 
-/// An event under a version that must not stand in the text ends the run before it is taken.
+/// The version of the weights that generated the current event. A version that the item must not
+/// use ends the run before the event is appended.
 fn check_version(spec: &RunSpec, partial: &mut PartialText, run: &ItemRun) -> Result<u64, RunEnd> {
     let Some(version) = run.version() else {
-        return Err(RunEnd::Broken(
-            "the replica does not say which version it has".to_owned(),
+        return Err(RunEnd::Interrupted(
+            "the replica's response names no version of the weights".to_owned(),
         ));
     };
     if version < spec.min_version {
-        return Err(RunEnd::NotRun(format!("version {version} is too old")));
+        return Err(RunEnd::NotRun(format!(
+            "the replica has version {version}, which is older than the step allows"
+        )));
     }
-    if spec.single_version && partial.versions.iter().any(|held| *held != version) {
-        // The text began under another version and is no use any more.
+    if spec.single_version && partial.versions.iter().any(|known| *known != version) {
+        // The existing text is of another version, so the item has to restart.
         partial.discard();
-        return Err(RunEnd::Broken(format!(
-            "version {version} came in the middle"
+        return Err(RunEnd::Interrupted(format!(
+            "an event of version {version} follows events of another version"
         )));
     }
     Ok(version)
 }
 
-fn ended_by(error: ReplicaError) -> RunEnd {
+fn end_for_error(error: ReplicaError) -> RunEnd {
     match error.is_not_run() {
         true => RunEnd::NotRun(error.to_string()),
-        false => RunEnd::Broken(error.to_string()),
+        false => RunEnd::Interrupted(error.to_string()),
     }
 }
--- a/components/front/src/runner/engines.rs
+++ b/components/front/src/runner/engines.rs
@@ -232,6 +232,6 @@
 
 impl RunningAt {
     fn silent_ms(&self, now_ms: u64) -> u64 {
-        now_ms.saturating_sub(self.heard_ms.load(Ordering::Relaxed))
+        now_ms.saturating_sub(self.last_progress_ms.load(Ordering::Relaxed))
     }
 }
--- a/components/front/src/runner/look.rs
+++ b/components/front/src/runner/look.rs
@@ -145,7 +145,7 @@
             pace: Arc::clone(&state.pace),
             admission,
             stop: Arc::new(Notify::new()),
-            heard_ms: Arc::new(AtomicU64::new(now_ms())),
+            last_progress_ms: Arc::new(AtomicU64::new(now_ms())),
         };
         let at = RunningAt {
             replica: Arc::clone(&replica),
@@ -155,7 +155,7 @@
             single_version: item.head.single_version,
             model: item.head.model.as_str().into(),
             expected_tokens: item.head.items[number as usize].expected_tokens(),
-            heard_ms: Arc::clone(&spec.heard_ms),
+            last_progress_ms: Arc::clone(&spec.last_progress_ms),
         };
         log::debug!(
             event = "item-started", id = spec.id, step = step.0, item = number,
@@ -166,7 +166,7 @@
         let task = tokio::spawn(async move {
             let end = match take_up(&front, &partial, &saved).await {
                 true => run_item::run(&spec, &partial).await,
-                false => RunEnd::Unready,
+                false => RunEnd::PiecesUnreadable,
             };
             drop(place);
             // The runner ends with the process only.
--- a/components/front/src/runner/mod.rs
+++ b/components/front/src/runner/mod.rs
@@ -98,7 +98,7 @@
     /// Output tokens of its text, by the trainer's hint.
     expected_tokens: u32,
     /// When it was sent or made its newest event, in milliseconds.
-    heard_ms: Arc<AtomicU64>,
+    last_progress_ms: Arc<AtomicU64>,
 }
 
 impl Drop for Running {
@@ -197,7 +197,7 @@
         let (step, item) = key;
         self.count_run(&end);
         match end {
-            RunEnd::Whole => {
+            RunEnd::Complete => {
                 self.stages.whole(&self.front, key, now_ms);
                 let partial = self.partials.remove(&key).map(|held| held.0);
                 let text = partial.map(|partial| std::mem::take(&mut *locked(&partial)));
@@ -213,7 +213,7 @@
                 self.admission(&replica, &head.model).refused(now_ms);
                 self.note_broken(key, replica);
             }
-            RunEnd::Broken(why) => {
+            RunEnd::Interrupted(why) => {
                 log::info!(
                     event = "item-broken", step = step.0, item, replica = &*replica,
                     events, why; ""
@@ -221,7 +221,7 @@
                 self.admission(&replica, &head.model).refused(now_ms);
                 self.note_broken(key, replica);
             }
-            RunEnd::Unready => {
+            RunEnd::PiecesUnreadable => {
                 log::debug!(event = "item-unready", step = step.0, item; "");
             }
             RunEnd::Stopped => {
@@ -252,10 +252,10 @@
 
     fn count_run(&self, end: &RunEnd) {
         let name = match end {
-            RunEnd::Whole => "front_runs_whole_total",
+            RunEnd::Complete => "front_runs_whole_total",
             RunEnd::NotRun(_) => "front_runs_refused_total",
-            RunEnd::Broken(_) => "front_runs_broken_total",
-            RunEnd::Unready => "front_runs_unready_total",
+            RunEnd::Interrupted(_) => "front_runs_broken_total",
+            RunEnd::PiecesUnreadable => "front_runs_unready_total",
             RunEnd::Stopped => "front_runs_moved_total",
             RunEnd::Failed | RunEnd::Impossible => "front_runs_failed_total",
         };
