--- a/components/front/src/run_item.rs
+++ b/components/front/src/run_item.rs
@@ -57,9 +57,9 @@
 pub enum RunEnd {
     /// The text is complete.
     Complete,
-    /// The replica certainly did not run the request, for this reason.
+    /// The replica did not run the request, or its version is too old for the step; with the reason.
     NotRun(String),
-    /// The stream broke off, for this reason; another run may resume after the last event.
+    /// The stream broke off, with the reason; another run may resume after the last event.
     Interrupted(String),
     /// [`RunSpec::stop`] was notified.
     Stopped,
