--- a/components/front/src/runner/contests.rs
+++ b/components/front/src/runner/contests.rs
@@ -1,41 +1,46 @@
-//! What waits, put together by the replicas that it waits for.
+//! Queues of waiting items, one for each pool of replicas.
+//!
+//! A pool is the set of replicas of a route's services. Steps of several models and customers share
+//! a pool, so their waiting items are placed together.
 
 use super::*;
 
-/// A waiting item with what is needed to start it.
-pub(super) struct Candidate {
-    pub(super) key: Key,
+/// A waiting item, as the placement sees it, with the data for starting a run.
+pub(super) struct QueuedItem {
+    pub(super) key: ItemKey,
     pub(super) head: Arc<StepHead>,
     pub(super) waiting: Waiting,
+    /// Time until the item is abandoned.
     pub(super) left_ms: u64,
 }
 
-/// What of a step goes before its age when its items are placed.
+/// Criteria that order the items of a step before the age of the step does.
 #[derive(Clone, Copy)]
 struct Precedence {
-    /// Steps of the customer's model before it that have waiting items too.
+    /// Number of older steps of the same customer and model that have waiting items too.
     turn: u32,
-    /// Rank of its customer and route.
+    /// Rank of the customer at the route.
     rank: WaitingRank,
 }
 
-/// Items that compete for the same replicas, of all models that share them.
-pub(super) struct Contest {
-    /// Services of the replicas.
+/// Waiting items of all models that compete for the replicas of one pool.
+pub(super) struct PoolQueue {
+    /// Services of the replicas, sorted.
     pub(super) services: Vec<Arc<str>>,
-    /// Names of the models; items and engines name them by their numbers here.
+    /// Names of the models. A model's index is its number in items and engines.
     pub(super) models: Vec<Arc<str>>,
-    /// Oldest version that may make an item, by model.
+    /// Oldest version that any item of the model may use, by number of the model.
     min_versions: Vec<u64>,
-    /// Shards that the pool is cut into, and those of them that this front runs.
+    /// Number of shards of the pool.
     shards: u16,
+    /// Shards that this front owns.
     owned: BTreeSet<u16>,
-    /// Steps with waiting items that were seen, by customer and model.
+    /// Number of steps with waiting items that were added so far, by customer and model.
     turns: HashMap<(String, usize), u32>,
-    pub(super) waiting: Vec<Candidate>,
+    pub(super) waiting: Vec<QueuedItem>,
 }
 
-impl Contest {
+impl PoolQueue {
     fn new(services: Vec<Arc<str>>, shards: u16) -> Self {
         Self {
             services,
@@ -48,24 +53,26 @@
         }
     }
 
-    /// Number of a model, if items of it were seen.
-    pub(super) fn model(&self, name: &str) -> Option<usize> {
+    /// Number of a model; `None` if no step of it was added.
+    pub(super) fn model_number(&self, name: &str) -> Option<usize> {
         self.models.iter().position(|known| **known == *name)
     }
 
-    /// Steps of a customer's model before this one that have waiting items; steps come oldest
-    /// first. Where nobody shows a key, all steps are nobody's and go by their age.
-    fn turn(&mut self, customer: Option<&str>, model: usize) -> u32 {
+    /// Counts a step with waiting items and returns its turn. Called with the oldest step first.
+    /// Steps without a customer, of fronts that require no key, all get turn 0 and are ordered by
+    /// their age.
+    fn next_turn(&mut self, customer: Option<&str>, model: usize) -> u32 {
         let Some(customer) = customer else { return 0 };
         let key = (customer.to_owned(), model);
-        let seen = self.turns.entry(key).or_insert(0);
-        let turn = *seen;
-        *seen += 1;
+        let added = self.turns.entry(key).or_insert(0);
+        let turn = *added;
+        *added += 1;
         turn
     }
 
-    fn number_model(&mut self, name: &str, min_version: u64) -> usize {
-        match self.model(name) {
+    /// Adds a model if it is new; returns its number.
+    fn add_model(&mut self, name: &str, min_version: u64) -> usize {
+        match self.model_number(name) {
             Some(model) => {
                 let known = &mut self.min_versions[model];
                 *known = min_version.min(*known);
@@ -79,8 +86,8 @@
         }
     }
 
-    /// Whether a replica has weights that may make some item.
-    fn can_use(&self, replica: &Replica) -> bool {
+    /// Whether a replica has weights that some step in the queue may use.
+    fn has_usable_version(&self, replica: &Replica) -> bool {
         let mut models = self.models.iter().zip(&self.min_versions);
         models.any(|(model, min_version)| {
             let version = replica.version_of(model);
@@ -88,12 +95,13 @@
         })
     }
 
-    /// Replicas that may take work, and whether each belongs to another front's part first. Of
-    /// thousands few have weights of use; `runs_at` names those to keep that have runs.
+    /// Replicas of the pool that are not draining, each with a flag: true for a replica of a shard
+    /// that another front owns. Most of a pool's thousands of replicas have no usable weights and
+    /// are left out, unless this front has runs there.
     pub(super) fn members(
         &self,
         table: &ReplicaTable,
-        runs_at: impl Fn(&ReplicaId) -> bool,
+        has_runs_at: impl Fn(&ReplicaId) -> bool,
     ) -> Vec<(Member, bool)> {
         let of_service = |service: &Arc<str>| table.of(service).iter();
         let members = self.services.iter().flat_map(of_service);
@@ -105,45 +113,49 @@
         members
             .into_iter()
             .zip(shards)
-            .filter(|(member, _)| self.can_use(&member.replica) || runs_at(&member.replica.id))
+            .filter(|(member, _)| {
+                self.has_usable_version(&member.replica) || has_runs_at(&member.replica.id)
+            })
             .map(|(member, shard)| (member.clone(), !self.owned.contains(&shard)))
             .collect()
     }
 }
 
-/// What the steps that this front has a part of ask for.
+/// Result of a pass over the open steps of which this front owns a shard.
 #[derive(Default)]
-pub(super) struct Found {
-    pub(super) contests: Vec<Contest>,
-    /// Whether a shard of an open step belongs to this front.
+pub(super) struct StepScan {
+    pub(super) queues: Vec<PoolQueue>,
+    /// Whether this front owns a shard of any open step.
     owns_steps: bool,
-    /// Steps whose data is missing.
-    missing: Vec<(StepId, Arc<StepHead>)>,
-    /// Items whose time is up, or whose route is gone.
-    hopeless: Vec<Key>,
+    /// Steps whose items' data this front has not read yet.
+    missing_data: Vec<(StepId, Arc<StepHead>)>,
+    /// Items whose time is up, or whose route is no longer configured.
+    abandoned: Vec<ItemKey>,
 }
 
-impl Found {
-    fn contest(&mut self, route: &Route, shards: u16) -> &mut Contest {
+impl StepScan {
+    /// The queue of a route's pool; items only share a queue with items of as many shards.
+    fn queue_for(&mut self, route: &Route, shards: u16) -> &mut PoolQueue {
         let mut services: Vec<Arc<str>> = route.services().cloned().collect();
         services.sort_unstable();
         let known = self
-            .contests
+            .queues
             .iter()
-            .position(|contest| contest.services == services && contest.shards == shards);
-        let at = known.unwrap_or_else(|| {
-            self.contests.push(Contest::new(services, shards));
-            self.contests.len() - 1
+            .position(|queue| queue.services == services && queue.shards == shards);
+        let index = known.unwrap_or_else(|| {
+            self.queues.push(PoolQueue::new(services, shards));
+            self.queues.len() - 1
         });
-        &mut self.contests[at]
+        &mut self.queues[index]
     }
 }
 
 impl Runner {
-    /// Waiting items of the shards that this front runs; asks for the data of those it lacks.
-    pub(super) fn contests(&mut self, routes: &Routes, now_ms: u64) -> Vec<Contest> {
+    /// Collects the waiting items of the shards that this front owns. Requests the data of steps
+    /// that has not been read yet, and fails items whose time is up or whose route is gone.
+    pub(super) fn pool_queues(&mut self, routes: &Routes, now_ms: u64) -> Vec<PoolQueue> {
         let front = Arc::clone(&self.front);
-        let mut found = Found::default();
+        let mut scan = StepScan::default();
         {
             let index = front.index();
             for step in index.ledger.steps().filter(|step| step.is_open()) {
@@ -152,85 +164,92 @@
                     .filter(|shard| front.runs(&step.head, *shard, now_ms))
                     .collect();
                 if !owned.is_empty() {
-                    found.owns_steps = true;
-                    self.look_at(step, owned, routes, &mut found, now_ms);
+                    scan.owns_steps = true;
+                    self.scan_step(step, owned, routes, &mut scan, now_ms);
                 }
             }
         }
         let active =
-            found.owns_steps || !self.running.is_empty() || owns_pool(&front, routes, now_ms);
+            scan.owns_steps || !self.running.is_empty() || owns_first_shard(&front, routes, now_ms);
         front.demand.set_active(Activity::Items, active);
-        for (step, head) in found.missing {
-            self.ask_for_data(step, head);
+        for (step, head) in scan.missing_data {
+            self.request_data(step, head);
         }
-        for key in found.hopeless {
-            self.give_up(key, ErrorCause::GivenUp);
+        for key in scan.abandoned {
+            self.fail_item(key, ErrorCause::GivenUp);
         }
-        found.contests
+        scan.queues
     }
 
-    fn look_at(
+    /// Adds the waiting items of a step to the queue of its pool.
+    fn scan_step(
         &self,
         step: &Step,
         owned: BTreeSet<u16>,
         routes: &Routes,
-        found: &mut Found,
+        scan: &mut StepScan,
         now_ms: u64,
     ) {
         if !self.data.contains_key(&step.id) {
-            found.missing.push((step.id, Arc::clone(&step.head)));
+            scan.missing_data.push((step.id, Arc::clone(&step.head)));
             return;
         }
-        let waiting = self.waiting_of(step, &owned, now_ms);
+        let waiting = self.waiting_keys(step, &owned, now_ms);
         let Some(route) = routes.exact(&step.head.host, &step.head.prefix) else {
-            found.hopeless.extend(waiting);
+            scan.abandoned.extend(waiting);
             return;
         };
         let left_ms = left_ms(step, now_ms);
         let Some(left_ms) = left_ms else {
-            found.hopeless.extend(waiting);
+            scan.abandoned.extend(waiting);
             return;
         };
-        let contest = found.contest(route, step.head.shards);
-        contest.owned.extend(owned);
-        let model = contest.number_model(&step.head.model, step.head.min_version);
+        let queue = scan.queue_for(route, step.head.shards);
+        queue.owned.extend(owned);
+        let model = queue.add_model(&step.head.model, step.head.min_version);
         let turn = match waiting.is_empty() {
             true => 0,
-            false => contest.turn(step.head.customer.as_deref(), model),
+            false => queue.next_turn(step.head.customer.as_deref(), model),
         };
         let customer = step.head.customer.as_deref();
         let customer = customer.and_then(|name| routes.customers.named(name));
         let rank = customer.map_or_else(WaitingRank::default, |known| route.waiting_rank(known));
         let precedence = Precedence { turn, rank };
-        let candidates = waiting
+        let items = waiting
             .into_iter()
-            .map(|key| self.candidate(step, key, (model, precedence), left_ms));
-        contest.waiting.extend(candidates);
+            .map(|key| self.queued_item(step, key, (model, precedence), left_ms));
+        queue.waiting.extend(items);
     }
 
-    fn waiting_of(&self, step: &Step, owned: &BTreeSet<u16>, now_ms: u64) -> Vec<Key> {
-        let waits = |(item, progress): (usize, &steps::ItemProgress)| {
+    /// Items of the owned shards that are neither listed nor running, here or, by a reservation, at
+    /// another front.
+    fn waiting_keys(&self, step: &Step, owned: &BTreeSet<u16>, now_ms: u64) -> Vec<ItemKey> {
+        let key_if_waiting = |(item, progress): (usize, &steps::ItemProgress)| {
             let key = (step.id, item as u32);
-            let mine = owned.contains(&step.shard(key.1)) && !step.is_kept(key.1, now_ms);
-            let waits = !progress.listed && !self.running.contains_key(&key);
-            (mine && waits).then_some(key)
+            let may_run = owned.contains(&step.shard(key.1)) && !step.is_kept(key.1, now_ms);
+            let is_waiting = !progress.listed && !self.running.contains_key(&key);
+            (may_run && is_waiting).then_some(key)
         };
-        step.progress.iter().enumerate().filter_map(waits).collect()
+        step.progress
+            .iter()
+            .enumerate()
+            .filter_map(key_if_waiting)
+            .collect()
     }
 
-    fn candidate(
+    fn queued_item(
         &self,
         step: &Step,
-        key: Key,
+        key: ItemKey,
         (model, precedence): (usize, Precedence),
         left_ms: u64,
-    ) -> Candidate {
+    ) -> QueuedItem {
         let head: &ItemHead = &step.head.items[key.1 as usize];
         let only_version = match step.head.single_version {
-            true => self.started_under(step, key),
+            true => self.initial_version(step, key),
             false => None,
         };
-        Candidate {
+        QueuedItem {
             key,
             head: Arc::clone(&step.head),
             left_ms,
@@ -241,8 +260,8 @@
                 step_rank: step.id.0,
                 left_ms: text_left_ms(
                     head.expected_tokens(),
-                    self.made_events(&key),
-                    self.pause_us,
+                    self.generated_events(&key),
+                    self.typical_pause_us,
                 ),
                 min_version: step.head.min_version,
                 only_version,
@@ -251,15 +270,15 @@
         }
     }
 
-    /// Events that this front has of an item's text.
-    fn made_events(&self, key: &Key) -> u64 {
+    /// Number of events of an item's text that this front has.
+    fn generated_events(&self, key: &ItemKey) -> u64 {
         let partial = self.partials.get(key);
         partial.map_or(0, |(partial, _)| locked(partial).last_event)
     }
 
-    /// Version under which the text of an item began, here or as it is saved; none if what is
-    /// saved is of no use.
-    fn started_under(&self, step: &Step, key: Key) -> Option<u64> {
+    /// Version of the weights that generated the beginning of an item's text, whether this front
+    /// has the text or only its saved pieces do. `None` if there is no text or it was discarded.
+    fn initial_version(&self, step: &Step, key: ItemKey) -> Option<u64> {
         if let Some((partial, _)) = self.partials.get(&key) {
             let partial = locked(partial);
             if partial.discarded || !partial.versions.is_empty() {
@@ -269,39 +288,41 @@
         step.pieces(key.1).last()?.versions.first().copied()
     }
 
-    fn ask_for_data(&mut self, step: StepId, head: Arc<StepHead>) {
-        if !self.asked.insert(step) {
+    /// Reads the data of a step's items in a new task, unless that is in progress already.
+    fn request_data(&mut self, step: StepId, head: Arc<StepHead>) {
+        if !self.requested_data.insert(step) {
             return;
         }
-        let (front, news) = (Arc::clone(&self.front), self.news.clone());
+        let (front, messages) = (Arc::clone(&self.front), self.messages.clone());
         tokio::spawn(async move {
-            let answer = match read_data(&front, &head).await {
-                Some(data) => News::Data(step, data),
+            let message = match read_data(&front, &head).await {
+                Some(data) => RunnerMessage::DataRead(step, data),
                 None => {
-                    tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
-                    News::NoData(step)
+                    tokio::time::sleep(Duration::from_millis(RECONCILE_INTERVAL_MS)).await;
+                    RunnerMessage::DataUnavailable(step)
                 }
             };
-            // The runner ends with the process only.
-            let _ = news.send(answer);
+            // Fails only if the process ends, as the runner runs until then.
+            let _ = messages.send(message);
         });
     }
 }
 
-/// Whether this front runs the first shard of a pool, and so the items of the next step.
-fn owns_pool(front: &Front, routes: &Routes, now_ms: u64) -> bool {
+/// Whether this front owns the first shard of any pool, which every new step of the pool has.
+fn owns_first_shard(front: &Front, routes: &Routes, now_ms: u64) -> bool {
     let owned = front.owned.load();
     let partitions = front.settings.store.partitions;
-    let mut firsts = routes
+    let mut first_shards = routes
         .step_pools()
         .map(|pool| shard_partition(pool, 0, partitions));
-    firsts.any(|partition| owned.owns(partition, now_ms))
+    first_shards.any(|partition| owned.owns(partition, now_ms))
 }
 
-/// Time until the items of a step are given up, in milliseconds; none once it is up.
+/// Time until the items of a step are abandoned; `None` once that time has passed. A retention time
+/// of 0 never passes.
 fn left_ms(step: &Step, now_ms: u64) -> Option<u64> {
     let age_ms = now_ms - step.read_ms;
-    let given_up_ms = step.head.retention_ms + GIVE_UP_SLACK_MS;
-    let too_late = step.head.retention_ms > 0 && age_ms > given_up_ms;
-    (!too_late).then(|| given_up_ms.saturating_sub(age_ms))
+    let abandon_after_ms = step.head.retention_ms + ABANDON_SLACK_MS;
+    let is_abandoned = step.head.retention_ms > 0 && age_ms > abandon_after_ms;
+    (!is_abandoned).then(|| abandon_after_ms.saturating_sub(age_ms))
 }
--- a/components/front/src/runner/data.rs
+++ b/components/front/src/runner/data.rs
@@ -1,16 +1,18 @@
-//! Reading the data of a step's items.
+//! Reads the requests of a step's items from the data topic.
 
 use super::*;
 use crate::storage::data_from;
 
+/// Reads the data of all items of a step, in their order. Returns `None`, after logging the reason,
+/// if a read fails or brings no record of the step, or if a record is malformed.
 pub(super) async fn read_data(front: &Front, head: &StepHead) -> Option<Vec<Arc<ItemData>>> {
     let mut data = Vec::with_capacity(head.items.len());
     while data.len() < head.items.len() {
         let (partition, offset) = head.data_of(data.len())?;
-        let timeout = Duration::from_millis(DATA_MS);
+        let timeout = Duration::from_millis(DATA_TIMEOUT_MS);
         let page = front
             .storage
-            .read(data_from(partition, offset, DATA_KB), timeout)
+            .read(data_from(partition, offset, DATA_READ_KB), timeout)
             .await;
         let page = match page {
             Ok(page) => page,
@@ -19,10 +21,10 @@
                 return None;
             }
         };
-        let before = data.len();
-        for (at, record) in page.records.iter().enumerate() {
-            // Records behind the end of a range are not of this step.
-            if head.data_of(before + at) != Some((partition, offset + at as u64)) {
+        let read_before = data.len();
+        for (index, record) in page.records.iter().enumerate() {
+            // Records after the end of a range do not belong to this step.
+            if head.data_of(read_before + index) != Some((partition, offset + index as u64)) {
                 break;
             }
             match decode_item(record) {
@@ -33,7 +35,7 @@
                 }
             }
         }
-        if data.len() == before {
+        if data.len() == read_before {
             log::warn!(event = "items-not-read", id = head.id, offset; "");
             return None;
         }
--- a/components/front/src/runner/engines.rs
+++ b/components/front/src/runner/engines.rs
@@ -1,15 +1,18 @@
-//! Model replicas as the runner sees them.
+//! State of the model replicas that the runner places items on.
 
-use super::contests::Contest;
+use super::contests::PoolQueue;
 use super::*;
 
+/// What this front knows of a model replica.
 pub(super) struct EngineState {
-    /// When the replica started, where it says so.
+    /// When the replica started, if its record says so; tells restarts under the same id apart.
     pub(super) born_ms: Option<u64>,
+    /// Number of items that this front runs at the replica.
     pub(super) running: Arc<AtomicU32>,
     pub(super) pace: Arc<Pace>,
+    /// Whether the replica accepts items, by model.
     pub(super) admissions: HashMap<Arc<str>, Arc<Admission>>,
-    /// Versions that it had at the last look, by model.
+    /// Versions of the weights in the replica's last record, by model; 0 for none.
     pub(super) versions: HashMap<Arc<str>, u64>,
 }
 
@@ -24,20 +27,21 @@
         }
     }
 
-    /// Takes in which versions it has: a load that ended is no reason to hold items back.
-    fn note_versions(&mut self, member: &Member, models: &[Arc<str>]) {
+    /// Updates the versions. A new version ends the load that the replica refused items for, so
+    /// items of the model are admitted again.
+    fn update_versions(&mut self, member: &Member, models: &[Arc<str>]) {
         for model in models {
             let version = member.replica.version_of(model).unwrap_or(0);
-            let before = self.versions.insert(Arc::clone(model), version);
-            let renewed = before.is_some_and(|before| before != version);
-            if let Some(admission) = self.admissions.get(model).filter(|_| renewed) {
+            let previous = self.versions.insert(Arc::clone(model), version);
+            let has_changed = previous.is_some_and(|previous| previous != version);
+            if let Some(admission) = self.admissions.get(model).filter(|_| has_changed) {
                 admission.renewed();
             }
         }
     }
 
-    /// Items of a model that it takes, where `free` places are free.
-    fn open(&self, model: &str, free: u32, now_ms: u64) -> u32 {
+    /// How many of `free` slots items of a model may use.
+    fn usable_slots(&self, model: &str, free: u32, now_ms: u64) -> u32 {
         let admission = self.admissions.get(model);
         admission.map_or(free, |known| known.places(free, now_ms))
     }
@@ -48,17 +52,18 @@
     models.iter().map(version).collect()
 }
 
-/// A place at a replica, given back when dropped.
-pub(super) struct Place(pub(super) Arc<AtomicU32>);
+/// A slot at a replica, counted in [`EngineState::running`] until the guard is dropped.
+pub(super) struct SlotGuard(pub(super) Arc<AtomicU32>);
 
-impl Drop for Place {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl Runner {
-    /// The replicas of a contest; a flag says which belong to another front's part first.
+    /// The placement's view of the replicas of a pool. The flag of a member says whether another
+    /// front owns the replica's shard.
     pub(super) fn engines_for(
         &mut self,
         members: &[(Member, bool)],
@@ -71,18 +76,18 @@
         }
         for (member, _) in members {
             if let Some(state) = self.engines.get_mut(&member.replica.id) {
-                state.note_versions(member, models);
+                state.update_versions(member, models);
             }
         }
-        let typical_us = self.typical_us(members);
-        self.pause_us = typical_us;
-        let full = self.with_stalled_runs(stalled_ms(typical_us), now_ms);
+        let typical_pause_us = self.typical_pause_us(members);
+        self.typical_pause_us = typical_pause_us;
+        let stalled = self.replicas_with_stalled_runs(stalled_ms(typical_pause_us), now_ms);
         members
             .iter()
             .map(|(member, foreign)| {
                 let state = &self.engines[&member.replica.id];
                 let running = state.running.load(Ordering::Relaxed);
-                let free = match full.contains(&member.replica.id) {
+                let free = match stalled.contains(&member.replica.id) {
                     true => 0,
                     false => member.replica.slots.saturating_sub(running),
                 };
@@ -91,18 +96,19 @@
                     versions: versions(member, models),
                     open: models
                         .iter()
-                        .map(|model| state.open(model, free, now_ms))
+                        .map(|model| state.usable_slots(model, free, now_ms))
                         .collect(),
                     free,
                     running,
-                    slowness: slowness(&state.pace, typical_us, now_ms),
+                    slowness: slowness(&state.pace, typical_pause_us, now_ms),
                 }
             })
             .collect()
     }
 
-    /// Forgets replicas that are gone. What is known of one that has no weights of use now is kept.
-    pub(super) fn forget_gone(&mut self, table: &Arc<ReplicaTable>) {
+    /// Removes the state of replicas that are no longer listed, and resets that of restarted ones.
+    /// Keeps the state of listed replicas without usable weights.
+    pub(super) fn remove_gone(&mut self, table: &Arc<ReplicaTable>) {
         if Arc::ptr_eq(table, &self.table) {
             return;
         }
@@ -110,13 +116,14 @@
         let listed: HashSet<&ReplicaId> = table.iter().map(|member| &member.replica.id).collect();
         self.engines
             .retain(|id, state| listed.contains(id) || state.running.load(Ordering::Relaxed) > 0);
-        // Pace and refusals of a replica that started again under its id are another one's.
+        // A replica that restarted under its id shares neither pace nor refusals with its former
+        // process.
         for member in table.iter() {
             let born_ms = member.replica.born_ms;
-            let started_again =
+            let has_restarted =
                 |state: &EngineState| state.born_ms.is_some() && state.born_ms != born_ms;
             match self.engines.get_mut(&member.replica.id) {
-                Some(state) if started_again(state) => *state = EngineState::new(),
+                Some(state) if has_restarted(state) => *state = EngineState::new(),
                 _ => {}
             }
             if let Some(state) = self.engines.get_mut(&member.replica.id) {
@@ -125,13 +132,12 @@
         }
     }
 
-    /// Whether this front has runs at a replica.
-    pub(super) fn runs_at(&self, replica: &ReplicaId) -> bool {
+    pub(super) fn has_runs_at(&self, replica: &ReplicaId) -> bool {
         let state = self.engines.get(replica);
         state.is_some_and(|state| state.running.load(Ordering::Relaxed) > 0)
     }
 
-    /// What is known of a replica's willingness to take items of a model.
+    /// Admission state of a replica for a model; created if the replica is new.
     pub(super) fn admission(&mut self, replica: &ReplicaId, model: &str) -> Arc<Admission> {
         let state = self
             .engines
@@ -140,8 +146,8 @@
         Arc::clone(state.admissions.entry(model.into()).or_default())
     }
 
-    /// The middle one of the replicas' mean pauses between events.
-    fn typical_us(&self, members: &[(Member, bool)]) -> u64 {
+    /// Median of the replicas' mean pauses between events; 0 if none is known yet.
+    fn typical_pause_us(&self, members: &[(Member, bool)]) -> u64 {
         let mut paces: Vec<u64> = members
             .iter()
             .filter_map(|(member, _)| self.engines.get(&member.replica.id))
@@ -152,39 +158,43 @@
         paces.get(paces.len() / 2).copied().unwrap_or(0)
     }
 
-    /// Replicas at which a run of this front makes nothing.
-    fn with_stalled_runs(&self, stalled_ms: u64, now_ms: u64) -> HashSet<&ReplicaId> {
+    /// Replicas with a run of this front that has produced no event for `stalled_ms`.
+    fn replicas_with_stalled_runs(&self, stalled_ms: u64, now_ms: u64) -> HashSet<&ReplicaId> {
         let runs = self
             .running
             .values()
-            .filter_map(|running| running.at.as_ref());
-        runs.filter(|at| at.silent_ms(now_ms) >= stalled_ms)
-            .map(|at| &at.replica)
+            .filter_map(|running| running.replica_run.as_ref());
+        runs.filter(|run| run.silent_ms(now_ms) >= stalled_ms)
+            .map(|run| &run.replica)
             .collect()
     }
 
-    /// Stops the runs that go on better elsewhere.
+    /// Stops stalled runs, and runs at slow replicas, that can continue faster at another replica
+    /// with a free slot.
     pub(super) fn move_runs(
         &mut self,
-        contest: &Contest,
+        queue: &PoolQueue,
         members: &[(Member, bool)],
         engines: &mut [Engine],
         now_ms: u64,
     ) {
-        let stalled_ms = stalled_ms(self.pause_us);
+        let stalled_ms = stalled_ms(self.typical_pause_us);
         let numbers: HashMap<&ReplicaId, usize> = members
             .iter()
             .enumerate()
             .map(|(number, (member, _))| (&member.replica.id, number))
             .collect();
-        let (keys, runs): (Vec<Key>, Vec<Run>) = self
+        let (keys, runs): (Vec<ItemKey>, Vec<Run>) = self
             .running
             .iter()
             .filter_map(|(key, running)| {
-                let at = running.at.as_ref().filter(|at| at.stopping.is_none())?;
-                let engine = *numbers.get(&at.replica)?;
-                let model = contest.model(&at.model)?;
-                Some((*key, self.run_at(key, at, engine, model, now_ms)?))
+                let run = running
+                    .replica_run
+                    .as_ref()
+                    .filter(|run| run.stop_cause.is_none())?;
+                let engine = *numbers.get(&run.replica)?;
+                let model = queue.model_number(&run.model)?;
+                Some((*key, self.movable_run(key, run, engine, model, now_ms)?))
             })
             .unzip();
         for (run, cause) in runs_to_move(&runs, engines, stalled_ms) {
@@ -192,45 +202,52 @@
         }
     }
 
-    fn run_at(
+    /// The placement's view of a run; `None` if the item has no text any more.
+    fn movable_run(
         &self,
-        key: &Key,
-        at: &RunningAt,
+        key: &ItemKey,
+        run: &ReplicaRun,
         engine: usize,
         model: usize,
         now_ms: u64,
     ) -> Option<Run> {
         let partial = locked(&self.partials.get(key)?.0);
-        let left_ms = text_left_ms(at.expected_tokens, partial.last_event, self.pause_us);
-        let started_under = partial.versions.first().copied();
+        let left_ms = text_left_ms(
+            run.expected_tokens,
+            partial.last_event,
+            self.typical_pause_us,
+        );
+        let initial_version = partial.versions.first().copied();
         Some(Run {
             engine,
             model,
             left_ms,
-            silent_ms: at.silent_ms(now_ms),
-            min_version: at.min_version,
-            only_version: started_under.filter(|_| at.single_version),
+            silent_ms: run.silent_ms(now_ms),
+            min_version: run.min_version,
+            only_version: initial_version.filter(|_| run.single_version),
             slow_moves: partial.slow_moves,
         })
     }
 
-    fn stop_run(&mut self, key: Key, cause: MoveCause) {
-        let at = self
+    /// Stops a run, so that the item resumes at another replica.
+    fn stop_run(&mut self, key: ItemKey, cause: MoveCause) {
+        let run = self
             .running
             .get_mut(&key)
-            .and_then(|running| running.at.as_mut());
-        let (Some(at), Some((partial, _))) = (at, self.partials.get(&key)) else {
+            .and_then(|running| running.replica_run.as_mut());
+        let (Some(run), Some((partial, _))) = (run, self.partials.get(&key)) else {
             return;
         };
         if cause == MoveCause::Slow {
             locked(partial).slow_moves += 1;
         }
-        at.stopping = Some(cause);
-        at.stop.notify_one();
+        run.stop_cause = Some(cause);
+        run.stop.notify_one();
     }
 }
 
-impl RunningAt {
+impl ReplicaRun {
+    /// Time since the run was sent or received its last event.
     fn silent_ms(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.last_progress_ms.load(Ordering::Relaxed))
     }
--- a/components/front/src/runner/handover.rs
+++ b/components/front/src/runner/handover.rs
@@ -1,79 +1,85 @@
-//! What a front goes on with when it leaves or its shards go to others, and what it tells them.
+//! Hand-over of items when a front shuts down or its shards are reassigned to other fronts.
+//!
+//! The front continues the items that it already runs and reserves them in the index, so that the
+//! new owners do not start them as well. It saves the texts of all its items, so that the new owners
+//! can resume the items that it has to stop.
 
 use super::*;
 
 impl Runner {
-    /// Items of shards that were handed on, of which another front has saved more.
-    pub(super) fn overtaken(&self) -> HashSet<Key> {
+    /// Running items of reassigned shards whose newest saved piece is from another front: that
+    /// front runs them too.
+    pub(super) fn superseded_items(&self) -> HashSet<ItemKey> {
         let index = self.front.index();
-        let is_overtaken = |key: &&Key| {
+        let is_superseded = |key: &&ItemKey| {
             let Some(step) = index.ledger.get(key.0) else {
                 return false;
             };
-            let newest = step.pieces(key.1).last().map_or(0, |piece| piece.id);
+            let newest_piece = step.pieces(key.1).last().map_or(0, |piece| piece.id);
             let partial = self.partials.get(*key);
             self.front.is_handed_on(&step.head, step.shard(key.1))
-                && partial.is_some_and(|(partial, _)| locked(partial).is_superseded(newest))
+                && partial.is_some_and(|(partial, _)| locked(partial).is_superseded(newest_piece))
         };
-        self.running.keys().filter(is_overtaken).copied().collect()
+        self.running.keys().filter(is_superseded).copied().collect()
     }
 
-    /// Whether this front leaves and has no more time for what it runs. While the store is out of
-    /// reach nothing can be saved and nobody would take over: the runs go on then, as long as
-    /// the process may.
-    pub(super) fn is_handing_over(&mut self, now_ms: u64) -> bool {
+    /// Whether this front shuts down and the time for continuing its runs is over. While the store
+    /// is unreachable no text can be saved and no front can take over, so the runs continue until
+    /// the process ends.
+    pub(super) fn must_stop_runs(&mut self, now_ms: u64) -> bool {
         if !self.front.drain.is_leaving() {
             return false;
         }
-        let since_ms = *self.leaves_since_ms.get_or_insert(now_ms);
-        let keep_ms = leave::keep_runs_ms(self.front.settings.bounds.grace_ms);
-        now_ms >= since_ms + keep_ms && !self.front.storage.is_lost()
+        let since_ms = *self.leaving_since_ms.get_or_insert(now_ms);
+        let continue_ms = leave::keep_runs_ms(self.front.settings.bounds.grace_ms);
+        now_ms >= since_ms + continue_ms && !self.front.storage.is_lost()
     }
 
-    /// Saves texts that are not whole, at intervals. With each round others are told what this
-    /// front goes on with beside its own shards; at once when it begins to leave, or was dealt
-    /// other partitions.
-    pub(super) fn save(&mut self, now_ms: u64) {
-        if self.saving {
+    /// Starts a round of saving partial texts if one is due: at intervals, and at once when the
+    /// front begins to shut down or its partitions change. Each round also renews the reservations
+    /// of running items that other fronts own.
+    pub(super) fn save_texts(&mut self, now_ms: u64) {
+        if self.is_saving {
             return;
         }
-        let first = self.front.drain.is_leaving() && !*self.front.handed_over.borrow();
-        let dealt = self.front.handed_on.swap(false, Ordering::Relaxed);
-        let due = now_ms >= self.saved_ms + SAVE_MS;
-        if !due && !first && !dealt {
+        let is_first_of_drain = self.front.drain.is_leaving() && !*self.front.handed_over.borrow();
+        let partitions_moved = self.front.handed_on.swap(false, Ordering::Relaxed);
+        let is_due = now_ms >= self.last_save_ms + SAVE_INTERVAL_MS;
+        if !is_due && !is_first_of_drain && !partitions_moved {
             return;
         }
-        self.saved_ms = now_ms;
-        self.saving = true;
-        let texts = self
+        self.last_save_ms = now_ms;
+        self.is_saving = true;
+        let partials = self
             .partials
             .iter()
             .map(|(key, held)| (*key, Arc::clone(&held.0)))
             .collect();
-        let (kept, given_up) = self.kept_and_given_up();
-        let (front, news) = (Arc::clone(&self.front), self.news.clone());
+        let (reserved, released) = self.reserved_and_released();
+        let (front, messages) = (Arc::clone(&self.front), self.messages.clone());
         tokio::spawn(async move {
-            partial::reserve(&front, kept, KEPT_MS).await;
-            partial::save(&front, texts).await;
-            partial::reserve(&front, given_up, 0).await;
-            // The runner ends with the process only.
-            let _ = news.send(News::Saved);
+            partial::reserve(&front, reserved, RESERVATION_MS).await;
+            partial::save(&front, partials).await;
+            partial::reserve(&front, released, 0).await;
+            // Fails only if the process ends, as the runner runs until then.
+            let _ = messages.send(RunnerMessage::TextsSaved);
         });
     }
 
-    /// Items of others' shards that this front runs, and those of which it has a text that it
-    /// does not run.
-    fn kept_and_given_up(&self) -> (Vec<Key>, Vec<Key>) {
+    /// Items of other fronts' shards: those that this front runs, to be reserved, and those of
+    /// which it only has a partial text, whose reservation ends. All shards count as other fronts'
+    /// once this front shuts down.
+    fn reserved_and_released(&self) -> (Vec<ItemKey>, Vec<ItemKey>) {
         let leaving = self.front.drain.is_leaving();
         let index = self.front.index();
-        let of_others = |key: &&Key| {
+        let of_others = |key: &&ItemKey| {
             let step = index.ledger.get(key.0);
             leaving
                 || step.is_some_and(|step| self.front.is_handed_on(&step.head, step.shard(key.1)))
         };
-        let kept = self.running.keys().filter(of_others).copied().collect();
-        let given_up = self.partials.keys().filter(of_others);
-        let given_up = given_up.filter(|key| !self.running.contains_key(key));
-        (kept, given_up.copied().collect())
+        let reserved = self.running.keys().filter(of_others).copied().collect();
+        let released = self.partials.keys().filter(of_others);
+        let released = released.filter(|key| !self.running.contains_key(key));
+        (reserved, released.copied().collect())
     }
 }
--- a/components/front/src/runner/look.rs
+++ b/components/front/src/runner/look.rs
@@ -1,16 +1,19 @@
-//! What the runner does when it looks at the steps: stops, starts and moves runs.
+//! A pass of the runner over the steps: stops unwanted items, saves partial texts, and starts and
+//! moves runs.
 
 use platform::store::StoreError;
 use steps::SavedPiece;
 
-use super::contests::{Candidate, Contest};
+use super::contests::{PoolQueue, QueuedItem};
 use super::*;
 
 impl Runner {
-    pub(super) fn look(&mut self) {
+    /// Brings the running items in line with the steps in the index. Starts no runs while the front
+    /// shuts down, before the first configuration, or while its copy of the index is too old.
+    pub(super) fn reconcile(&mut self) {
         let now_ms = now_ms();
-        self.stop_what_ended(now_ms);
-        self.save(now_ms);
+        self.stop_unwanted(now_ms);
+        self.save_texts(now_ms);
         if self.front.drain.is_leaving() {
             return;
         }
@@ -21,58 +24,63 @@
         let Some(routes) = self.front.routes.load_full() else {
             return;
         };
-        for contest in self.contests(&routes, now_ms) {
-            self.start(contest, now_ms);
+        for queue in self.pool_queues(&routes, now_ms) {
+            self.place_items(queue, now_ms);
         }
     }
 
-    /// Stops items that are listed, whose step was ended, or that belong to another front.
-    fn stop_what_ended(&mut self, now_ms: u64) {
+    /// Stops and forgets items that are listed, whose step was ended, or that another front runs.
+    fn stop_unwanted(&mut self, now_ms: u64) {
         let front = Arc::clone(&self.front);
-        let leaving = self.is_handing_over(now_ms);
-        let overtaken = self.overtaken();
+        let must_stop_runs = self.must_stop_runs(now_ms);
+        let superseded_items = self.superseded_items();
         let index = front.index();
-        let wanted = |key: &Key, whole: bool| {
+        let is_wanted = |key: &ItemKey, regardless_of_owner: bool| {
             index.ledger.get(key.0).is_some_and(|step| {
-                // A whole text is scored and written whoever has the shard now.
                 let shard = step.shard(key.1);
-                let may_finish = front.may_finish(&step.head, shard) && !overtaken.contains(key);
-                let mine = whole || !leaving && may_finish;
+                let may_finish =
+                    front.may_finish(&step.head, shard) && !superseded_items.contains(key);
+                let may_continue = regardless_of_owner || !must_stop_runs && may_finish;
                 let progress = step.progress.get(key.1 as usize);
-                !step.ended && mine && progress.is_some_and(|item| !item.listed)
+                !step.ended && may_continue && progress.is_some_and(|item| !item.listed)
             })
         };
+        // A complete text is scored and written even if another front owns its shard now.
         self.running
-            .retain(|key, running| wanted(key, running.at.is_none()));
-        // A leaving front still saves what its runs made.
-        self.partials.retain(|key, _| wanted(key, leaving));
-        self.failed_runs.retain(|key, _| wanted(key, false));
-        self.stages
-            .keep_only(&front, |key| wanted(key, true), now_ms);
+            .retain(|key, running| is_wanted(key, running.replica_run.is_none()));
+        // Texts of runs that were stopped by the shutdown still have to be saved.
+        self.partials
+            .retain(|key, _| is_wanted(key, must_stop_runs));
+        self.failed_runs.retain(|key, _| is_wanted(key, false));
+        self.timings
+            .retain(&front, |key| is_wanted(key, true), now_ms);
         self.data
             .retain(|step, _| index.ledger.get(*step).is_some_and(Step::is_open));
     }
 
-    /// Places waiting items and moves running ones away from slow replicas.
-    fn start(&mut self, contest: Contest, now_ms: u64) {
+    /// Starts runs of the queue's items on replicas with free slots, then moves runs away from
+    /// stalled and slow replicas.
+    fn place_items(&mut self, queue: PoolQueue, now_ms: u64) {
         let table = self.front.replicas.load_full();
-        self.forget_gone(&table);
-        let members = contest.members(&table, |replica| self.runs_at(replica));
-        let mut engines = self.engines_for(&members, &contest.models, now_ms);
-        let waiting: Vec<Waiting> = contest
+        self.remove_gone(&table);
+        let members = queue.members(&table, |replica| self.has_runs_at(replica));
+        let mut engines = self.engines_for(&members, &queue.models, now_ms);
+        let waiting: Vec<Waiting> = queue
             .waiting
             .iter()
-            .map(|item| self.as_it_waits(item, &members, &engines))
+            .map(|item| self.prepare_waiting(item, &members, &engines))
             .collect();
         for Placed { item, engine } in place(&waiting, &mut engines) {
-            self.start_one(&contest.waiting[item], &members[engine].0);
+            self.start_run(&queue.waiting[item], &members[engine].0);
         }
-        self.move_runs(&contest, &members, &mut engines, now_ms);
+        self.move_runs(&queue, &members, &mut engines, now_ms);
     }
 
-    fn as_it_waits(
+    /// The placement's view of a queued item. Adds the replica to avoid, at which the previous run
+    /// broke off, and restarts a text whose version no replica has any more.
+    fn prepare_waiting(
         &mut self,
-        item: &Candidate,
+        item: &QueuedItem,
         members: &[(Member, bool)],
         engines: &[Engine],
     ) -> Waiting {
@@ -93,16 +101,17 @@
         waiting
     }
 
-    /// Throws away what there is of a text: it has to be made by one version, and no replica
-    /// has the one that began it.
-    fn restart_text(&mut self, key: Key) {
+    /// Discards a text that a single version must generate, because no replica has the version of
+    /// its beginning any more.
+    fn restart_text(&mut self, key: ItemKey) {
         let (step, item) = (key.0.0, key.1);
         log::info!(event = "text-restarted", step, item; "");
         let held = self.partials.entry(key).or_default();
         locked(&held.0).discard();
     }
 
-    fn start_one(&mut self, item: &Candidate, member: &Member) {
+    /// Starts a run of an item at a replica in a new task.
+    fn start_run(&mut self, item: &QueuedItem, member: &Member) {
         let (step, number) = item.key;
         let Some(data) = self
             .data
@@ -120,7 +129,7 @@
             .entry(Arc::clone(&replica))
             .or_insert_with(EngineState::new);
         state.running.fetch_add(1, Ordering::Relaxed);
-        let place = Place(Arc::clone(&state.running));
+        let slot = SlotGuard(Arc::clone(&state.running));
         let held = self.partials.entry(item.key).or_default();
         held.1 = None;
         let partial = Arc::clone(&held.0);
@@ -131,8 +140,8 @@
         let Some((saved, accepted_ms)) = known else {
             return;
         };
-        self.stages
-            .sent(&self.front, item.key, accepted_ms, now_ms());
+        self.timings
+            .record_sent(&self.front, item.key, accepted_ms, now_ms());
         let spec = RunSpec {
             id: item.head.items[number as usize].id.clone(),
             customer: item.head.customer.clone(),
@@ -147,10 +156,10 @@
             stop: Arc::new(Notify::new()),
             last_progress_ms: Arc::new(AtomicU64::new(now_ms())),
         };
-        let at = RunningAt {
+        let at = ReplicaRun {
             replica: Arc::clone(&replica),
             stop: Arc::clone(&spec.stop),
-            stopping: None,
+            stop_cause: None,
             min_version: item.head.min_version,
             single_version: item.head.single_version,
             model: item.head.model.as_str().into(),
@@ -161,37 +170,42 @@
             event = "item-started", id = spec.id, step = step.0, item = number,
             replica = &*replica, from_event = locked(&partial).last_event; ""
         );
-        let (key, news) = (item.key, self.news.clone());
+        let (key, messages) = (item.key, self.messages.clone());
         let front = Arc::clone(&self.front);
         let task = tokio::spawn(async move {
-            let end = match take_up(&front, &partial, &saved).await {
+            let end = match restore_saved_text(&front, &partial, &saved).await {
                 true => run_item::run(&spec, &partial).await,
                 false => RunEnd::PiecesUnreadable,
             };
-            drop(place);
-            // The runner ends with the process only.
-            let _ = news.send(News::Ran(key, replica, end));
+            drop(slot);
+            // Fails only if the process ends, as the runner runs until then.
+            let _ = messages.send(RunnerMessage::RunEnded(key, replica, end));
         });
         self.running.insert(
             key,
-            Running {
+            RunningItem {
                 abort: task.abort_handle(),
-                at: Some(at),
+                replica_run: Some(at),
                 _working: self.front.drain.progress().enter(),
             },
         );
     }
 }
 
-/// Goes on from what another process saved, where this one has nothing of the text; false if it
-/// can't be read now. A store that refuses it takes no result either, so that an item that was
-/// begun from its first event would end late for nothing.
-async fn take_up(front: &Front, partial: &SharedPartialText, saved: &[SavedPiece]) -> bool {
-    let begun = {
+/// Restores the saved pieces of a text if this front has none of its events. Returns whether the
+/// run can start; false while the store refuses to return the pieces. Starting from the first event
+/// would gain nothing then, as such a store accepts no results either, and the item would end late.
+/// Pieces that no longer exist or are malformed are lost, and the item starts from its first event.
+async fn restore_saved_text(
+    front: &Front,
+    partial: &SharedPartialText,
+    saved: &[SavedPiece],
+) -> bool {
+    let needs_no_pieces = {
         let partial = locked(partial);
         partial.discarded || partial.last_event > 0
     };
-    if saved.is_empty() || begun {
+    if saved.is_empty() || needs_no_pieces {
         return true;
     }
     match partial::restore(front, saved).await {
@@ -203,7 +217,7 @@
             let lost = matches!(error, StoreError::Gone(_) | StoreError::Malformed(_));
             log::info!(event = "pieces-not-read", lost, error:% = error; "");
             if !lost {
-                tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
+                tokio::time::sleep(Duration::from_millis(RECONCILE_INTERVAL_MS)).await;
             }
             lost
         }
--- a/components/front/src/runner/mod.rs
+++ b/components/front/src/runner/mod.rs
@@ -1,8 +1,11 @@
-//! The task that runs the items of the models that belong to this front.
+//! The runner: the task that runs the items of the shards that this front owns.
 //!
-//! It looks at the steps whenever something changed, places waiting items on replicas, and
-//! hands texts to the reward call and the writer. It keeps nothing that must last: another
-//! front that takes over reads the steps and begins with what is not listed.
+//! Whenever something changed, and at least every [`RECONCILE_INTERVAL_MS`], the runner compares
+//! the steps in the index with the items that it runs: it stops items that need no run any more,
+//! places waiting items on replicas and moves runs away from slow replicas. A complete text goes to
+//! the reward call and then to the writer. The runner keeps no durable state. A front that takes
+//! over reads the steps from the index, restores the saved texts and runs all items that are not
+//! listed.
 
 mod contests;
 mod data;
@@ -40,68 +43,73 @@
 use crate::writer::{EndedItem, ItemOutcome, record_failure};
 
 use data::read_data;
-use engines::{EngineState, Place};
-use stages::Stages;
+use engines::{EngineState, SlotGuard};
+use stages::ItemTimings;
 
-/// How often steps are looked at when nothing is heard, in milliseconds.
-const LOOK_MS: u64 = 100;
-/// How old the knowledge of the index may be when a run starts, in milliseconds; an item of
-/// a step that was ended must not reach a replica three seconds later.
+/// Longest time between two passes over the steps.
+const RECONCILE_INTERVAL_MS: u64 = 100;
+/// Maximum age of this front's copy of the index for starting runs. An item must not reach a replica
+/// three seconds after its step was ended.
 const INDEX_AGE_MS_MAX: u64 = 1_500;
-/// How long nobody else need run what a leaving front goes on with, in milliseconds; it says so
-/// anew with each round of saving. What it had stands still for so long if it dies.
-const KEPT_MS: u32 = 1_200;
-/// Beyond the time in which an item may be given up, in milliseconds, against early clocks.
-const GIVE_UP_SLACK_MS: u64 = 1_000;
-/// Pause between rounds of saving texts, in milliseconds: what a run loses with its machine,
-/// against a copy of each text in the store.
-const SAVE_MS: u64 = 500;
-/// Longest time for reading items' data, in milliseconds.
-const DATA_MS: u64 = 1_200;
+/// How long other fronts leave alone the items that a front still runs after its shards went to
+/// others. The front renews this reservation with every round of saving texts. If it dies, its
+/// items wait this long before they resume elsewhere.
+const RESERVATION_MS: u32 = 1_200;
+/// Added to the time after which an item is abandoned, so that a clock that runs ahead abandons no
+/// item too early.
+const ABANDON_SLACK_MS: u64 = 1_000;
+/// Interval of saving partial texts. It bounds the work that is lost with a VM; every round writes
+/// the new part of each text to the store.
+const SAVE_INTERVAL_MS: u64 = 500;
+/// Timeout of one read of items' data.
+const DATA_TIMEOUT_MS: u64 = 1_200;
 /// Kibibytes of items' data in one read.
-const DATA_KB: u32 = 64;
-/// Ended items that wait for the writer, at most.
+const DATA_READ_KB: u32 = 64;
+/// Capacity of the queue of ended items to the writer.
 pub const ENDED_QUEUE_MAX: usize = 256;
 
-type Key = (StepId, u32);
+/// A step and the number of an item in it.
+type ItemKey = (StepId, u32);
 
-/// News for the runner.
-enum News {
-    /// A step's data was read.
-    Data(StepId, Vec<Arc<ItemData>>),
-    /// It can't be read now.
-    NoData(StepId),
-    /// A run ended.
-    Ran(Key, ReplicaId, RunEnd),
-    /// A round of saving ended.
-    Saved,
+/// Messages to the runner from the tasks that it spawns.
+enum RunnerMessage {
+    /// The data of a step's items was read.
+    DataRead(StepId, Vec<Arc<ItemData>>),
+    /// The data of a step's items could not be read; the runner requests it again.
+    DataUnavailable(StepId),
+    /// A run at a replica ended.
+    RunEnded(ItemKey, ReplicaId, RunEnd),
+    /// A round of saving texts ended.
+    TextsSaved,
 }
 
-struct Running {
+/// An item in progress: it runs at a replica, or its complete text is scored and written. Dropping
+/// it aborts its task.
+struct RunningItem {
     abort: AbortHandle,
-    /// Where it runs; none once its text is whole.
-    at: Option<RunningAt>,
-    /// A leaving process stays until the text is listed, or its run is given up.
+    /// The run at a replica; `None` once the item needs no replica any more.
+    replica_run: Option<ReplicaRun>,
+    /// Keeps a process that shuts down alive until the item is listed or stopped.
     _working: Working,
 }
 
-struct RunningAt {
+struct ReplicaRun {
     replica: ReplicaId,
     stop: Arc<Notify>,
-    /// Why it was told to stop.
-    stopping: Option<MoveCause>,
-    /// Oldest version that may make its events.
+    /// Why the run is being moved to another replica; `None` while it need not stop.
+    stop_cause: Option<MoveCause>,
+    /// Oldest version of the weights that may generate events.
     min_version: u64,
-    /// Whether one version must make the whole text.
+    /// Whether a single version must generate the whole text.
     single_version: bool,
     model: Arc<str>,
-    /// Output tokens of its text, by the trainer's hint.
+    /// Output tokens of the text, by the trainer's hint.
     expected_tokens: u32,
-    /// When it was sent or made its newest event, in milliseconds.
+    /// When the run was sent or received its last event, on the process's clock.
     last_progress_ms: Arc<AtomicU64>,
 }
 
-impl Drop for Running {
+impl Drop for RunningItem {
     fn drop(&mut self) {
         self.abort.abort();
     }
@@ -109,74 +117,76 @@
 
 struct Runner {
     front: Arc<Front>,
-    news: mpsc::UnboundedSender<News>,
+    messages: mpsc::UnboundedSender<RunnerMessage>,
     ended: mpsc::Sender<EndedItem>,
     data: HashMap<StepId, Vec<Arc<ItemData>>>,
-    asked: HashSet<StepId>,
-    running: HashMap<Key, Running>,
-    /// Texts that are not whole, and where their last run broke.
-    partials: HashMap<Key, (SharedPartialText, Option<ReplicaId>)>,
-    /// When texts were saved last, in milliseconds.
-    saved_ms: u64,
-    saving: bool,
-    failed_runs: HashMap<Key, u32>,
-    stages: Stages,
+    requested_data: HashSet<StepId>,
+    running: HashMap<ItemKey, RunningItem>,
+    /// Incomplete texts, each with the replica at which its last run broke off, to be avoided by
+    /// the next run.
+    partials: HashMap<ItemKey, (SharedPartialText, Option<ReplicaId>)>,
+    /// When the last round of saving texts began.
+    last_save_ms: u64,
+    is_saving: bool,
+    /// Failed runs at this front.
+    failed_runs: HashMap<ItemKey, u32>,
+    timings: ItemTimings,
     engines: HashMap<ReplicaId, EngineState>,
-    /// Replicas at the last look.
+    /// The table that `engines` was last brought in line with.
     table: Arc<ReplicaTable>,
-    /// Usual pause between the events of a text, in microseconds; 0 before it is known.
-    pause_us: u64,
-    /// When this front was told to leave, in milliseconds; none before.
-    leaves_since_ms: Option<u64>,
+    /// Median of the replicas' mean pauses between events; 0 until it is known.
+    typical_pause_us: u64,
+    /// When the runner first saw that this front shuts down; `None` before.
+    leaving_since_ms: Option<u64>,
 }
 
 /// Runs items until the process ends.
 pub async fn run(front: Arc<Front>, ended: mpsc::Sender<EndedItem>) {
-    let (news, mut heard) = mpsc::unbounded_channel();
+    let (messages, mut inbox) = mpsc::unbounded_channel();
     let mut runner = Runner {
         front: Arc::clone(&front),
-        news,
+        messages,
         ended,
         data: HashMap::new(),
-        asked: HashSet::new(),
+        requested_data: HashSet::new(),
         running: HashMap::new(),
         partials: HashMap::new(),
-        saved_ms: 0,
-        saving: false,
+        last_save_ms: 0,
+        is_saving: false,
         failed_runs: HashMap::new(),
-        stages: Stages::default(),
+        timings: ItemTimings::default(),
         engines: HashMap::new(),
         table: Arc::default(),
-        pause_us: 0,
-        leaves_since_ms: None,
+        typical_pause_us: 0,
+        leaving_since_ms: None,
     };
     loop {
         tokio::select! {
-            Some(news) = heard.recv() => runner.take(news),
+            Some(message) = inbox.recv() => runner.handle(message),
             () = front.runner_news.notified() => {}
-            () = tokio::time::sleep(Duration::from_millis(LOOK_MS)) => {}
+            () = tokio::time::sleep(Duration::from_millis(RECONCILE_INTERVAL_MS)) => {}
         }
-        while let Ok(news) = heard.try_recv() {
-            runner.take(news);
+        while let Ok(message) = inbox.try_recv() {
+            runner.handle(message);
         }
-        runner.look();
+        runner.reconcile();
     }
 }
 
 impl Runner {
-    fn take(&mut self, news: News) {
-        match news {
-            News::Data(step, data) => {
-                self.asked.remove(&step);
-                self.note_taken(step);
+    fn handle(&mut self, message: RunnerMessage) {
+        match message {
+            RunnerMessage::DataRead(step, data) => {
+                self.requested_data.remove(&step);
+                self.log_step_taken(step);
                 self.data.insert(step, data);
             }
-            News::NoData(step) => {
-                self.asked.remove(&step);
+            RunnerMessage::DataUnavailable(step) => {
+                self.requested_data.remove(&step);
             }
-            News::Ran(key, replica, end) => self.take_run(key, replica, end),
-            News::Saved => {
-                self.saving = false;
+            RunnerMessage::RunEnded(key, replica, end) => self.handle_run_end(key, replica, end),
+            RunnerMessage::TextsSaved => {
+                self.is_saving = false;
                 if self.front.drain.is_leaving() {
                     self.front.handed_over.send_replace(true);
                 }
@@ -184,10 +194,10 @@
         }
     }
 
-    fn take_run(&mut self, key: Key, replica: ReplicaId, end: RunEnd) {
+    fn handle_run_end(&mut self, key: ItemKey, replica: ReplicaId, end: RunEnd) {
         let running = self.running.remove(&key);
         let now_ms = now_ms();
-        let Some((head, progress)) = self.step_of(key) else {
+        let Some((head, progress)) = self.head_and_progress(key) else {
             return;
         };
         let events = self
@@ -198,10 +208,10 @@
         self.count_run(&end);
         match end {
             RunEnd::Complete => {
-                self.stages.whole(&self.front, key, now_ms);
+                self.timings.record_complete(&self.front, key, now_ms);
                 let partial = self.partials.remove(&key).map(|held| held.0);
                 let text = partial.map(|partial| std::mem::take(&mut *locked(&partial)));
-                self.settle(
+                self.finish(
                     key,
                     &head,
                     text.unwrap_or_default(),
@@ -211,7 +221,7 @@
             RunEnd::NotRun(why) => {
                 log::debug!(event = "item-not-run", step = step.0, item, replica = &*replica, why; "");
                 self.admission(&replica, &head.model).refused(now_ms);
-                self.note_broken(key, replica);
+                self.note_interrupted(key, replica);
             }
             RunEnd::Interrupted(why) => {
                 log::info!(
@@ -219,34 +229,34 @@
                     events, why; ""
                 );
                 self.admission(&replica, &head.model).refused(now_ms);
-                self.note_broken(key, replica);
+                self.note_interrupted(key, replica);
             }
             RunEnd::PiecesUnreadable => {
                 log::debug!(event = "item-unready", step = step.0, item; "");
             }
             RunEnd::Stopped => {
-                let stopping = running
+                let stop_cause = running
                     .as_ref()
-                    .and_then(|running| running.at.as_ref()?.stopping);
-                let why = stopping.map_or("told", MoveCause::word);
+                    .and_then(|running| running.replica_run.as_ref()?.stop_cause);
+                let why = stop_cause.map_or("told", MoveCause::word);
                 log::info!(
                     event = "item-moved", step = step.0, item, replica = &*replica, events, why; ""
                 );
-                self.note_broken(key, replica);
+                self.note_interrupted(key, replica);
             }
             RunEnd::Failed => {
-                let here = self.failed_runs.entry(key).or_insert(0);
-                *here += 1;
-                let failed = progress.failed_runs.max(*here);
+                let failed_here = self.failed_runs.entry(key).or_insert(0);
+                *failed_here += 1;
+                let failed = progress.failed_runs.max(*failed_here);
                 log::info!(event = "item-failed", step = step.0, item, replica = &*replica, failed; "");
                 if failed >= head.attempts_max {
-                    self.give_up(key, ErrorCause::Runs);
+                    self.fail_item(key, ErrorCause::Runs);
                 } else {
-                    self.note_failed_run(key);
-                    self.note_broken(key, replica);
+                    self.record_failed_run(key);
+                    self.note_interrupted(key, replica);
                 }
             }
-            RunEnd::Impossible => self.give_up(key, ErrorCause::Impossible),
+            RunEnd::Impossible => self.fail_item(key, ErrorCause::Impossible),
         }
     }
 
@@ -262,8 +272,8 @@
         self.front.metrics.count(name, figures::item_label(), 1);
     }
 
-    /// Says which of the trainers' steps the later lines name by their number.
-    fn note_taken(&self, id: StepId) {
+    /// Logs the ids of a step: the trainer's id and the number that later log lines use.
+    fn log_step_taken(&self, id: StepId) {
         let head = self
             .front
             .index()
@@ -278,20 +288,23 @@
         }
     }
 
-    /// The next run goes elsewhere if it can.
-    fn note_broken(&mut self, key: Key, replica: ReplicaId) {
+    /// Remembers where a run broke off: the next run of the item avoids this replica if it can.
+    fn note_interrupted(&mut self, key: ItemKey, replica: ReplicaId) {
         if let Some(held) = self.partials.get_mut(&key) {
             held.1 = Some(replica);
         }
     }
 
-    fn step_of(&self, (step, item): Key) -> Option<(Arc<StepHead>, steps::ItemProgress)> {
+    fn head_and_progress(
+        &self,
+        (step, item): ItemKey,
+    ) -> Option<(Arc<StepHead>, steps::ItemProgress)> {
         let index = self.front.index();
         let step = index.ledger.get(step)?;
         Some((Arc::clone(&step.head), *step.progress.get(item as usize)?))
     }
 
-    fn note_failed_run(&self, key: Key) {
+    fn record_failed_run(&self, key: ItemKey) {
         let front = Arc::clone(&self.front);
         tokio::spawn(async move { record_failure(&front, key, FailedPart::Run).await });
     }
--- a/components/front/src/runner/settle.rs
+++ b/components/front/src/runner/settle.rs
@@ -1,12 +1,13 @@
-//! The end of an item: scoring its text, or giving it up.
+//! The end of an item: its text is scored and written, or it is listed as errored.
 
 use super::*;
 
 impl Runner {
-    /// Has a whole text scored and written.
-    pub(super) fn settle(
+    /// Scores a complete text with the item's reward call, if it has one, and sends it to the
+    /// writer. An item whose reward call failed as often as allowed is listed as errored.
+    pub(super) fn finish(
         &mut self,
-        key: Key,
+        key: ItemKey,
         head: &StepHead,
         partial: PartialText,
         failed_rewards: u32,
@@ -25,9 +26,9 @@
             let score = match &data.scorer {
                 None => Some(String::new()),
                 Some(scorer) => {
-                    let (customer, began_ms) = (customer.as_deref(), now_ms());
+                    let (customer, started_ms) = (customer.as_deref(), now_ms());
                     let score = reward::score(&front, key, scorer, customer, failed_rewards).await;
-                    let took_ms = now_ms() - began_ms;
+                    let took_ms = now_ms() - started_ms;
                     let label = figures::item_label();
                     front.metrics.record("front_item_score_ms", label, took_ms);
                     score
@@ -51,25 +52,25 @@
         });
     }
 
-    /// Lists an item without a text.
-    pub(super) fn give_up(&mut self, key: Key, cause: ErrorCause) {
+    /// Lists an item as errored, without a text.
+    pub(super) fn fail_item(&mut self, key: ItemKey, cause: ErrorCause) {
         let (step, item) = key;
         log::info!(event = "item-given-up", step = step.0, item, cause:? = cause; "");
         self.hand_to_writer(key, std::future::ready(ItemOutcome::Error(cause)));
     }
 
-    /// Hands an item to the writer once its outcome is there; until it is listed it counts as
-    /// running, with its text whole.
+    /// Waits for an item's outcome in a new task and sends it to the writer. The item stays in
+    /// `running`, without a run at a replica, until the index shows that it is listed.
     fn hand_to_writer(
         &mut self,
-        key: Key,
+        key: ItemKey,
         outcome: impl Future<Output = ItemOutcome> + Send + 'static,
     ) {
         let ended = self.ended.clone();
         let task = tokio::spawn(async move {
             let (step, item) = key;
             let outcome = outcome.await;
-            // The writer ends with the process only.
+            // Fails only if the process ends, as the writer runs until then.
             let _ = ended
                 .send(EndedItem {
                     step,
@@ -80,9 +81,9 @@
         });
         self.running.insert(
             key,
-            Running {
+            RunningItem {
                 abort: task.abort_handle(),
-                at: None,
+                replica_run: None,
                 _working: self.front.drain.progress().enter(),
             },
         );
--- a/components/front/src/runner/stages.rs
+++ b/components/front/src/runner/stages.rs
@@ -1,4 +1,5 @@
-//! Where the time of an item goes: from the acceptance of its step to its listing.
+//! Measures the stages of an item: until it is sent to a replica, until its text is complete, and
+//! until it is listed.
 
 use super::*;
 
@@ -6,45 +7,56 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ItemTimes {
     sent_ms: u64,
-    whole_ms: Option<u64>,
+    complete_ms: Option<u64>,
 }
 
-/// Times of the items that this front has begun.
+/// Times of the items that this front has sent to a replica.
 #[derive(Debug, Default)]
-pub(super) struct Stages(HashMap<Key, ItemTimes>);
+pub(super) struct ItemTimings(HashMap<ItemKey, ItemTimes>);
 
-impl Stages {
-    /// Notes that an item was sent; of several runs the first counts. `accepted_ms` is when its
-    /// step was read.
-    pub(super) fn sent(&mut self, front: &Front, key: Key, accepted_ms: u64, now_ms: u64) {
+impl ItemTimings {
+    /// Records that an item was sent to a replica; only its first run counts. `accepted_ms` is the
+    /// time at which this front read the record that accepted the step.
+    pub(super) fn record_sent(
+        &mut self,
+        front: &Front,
+        key: ItemKey,
+        accepted_ms: u64,
+        now_ms: u64,
+    ) {
         self.0.entry(key).or_insert_with(|| {
             let (label, took_ms) = (figures::item_label(), now_ms - accepted_ms);
             front.metrics.record("front_item_placed_ms", label, took_ms);
             ItemTimes {
                 sent_ms: now_ms,
-                whole_ms: None,
+                complete_ms: None,
             }
         });
     }
 
-    /// Notes that the text of an item is whole.
-    pub(super) fn whole(&mut self, front: &Front, key: Key, now_ms: u64) {
+    /// Records that the text of an item is complete.
+    pub(super) fn record_complete(&mut self, front: &Front, key: ItemKey, now_ms: u64) {
         if let Some(times) = self.0.get_mut(&key) {
             let (label, took_ms) = (figures::item_label(), now_ms - times.sent_ms);
             front.metrics.record("front_item_text_ms", label, took_ms);
-            times.whole_ms = Some(now_ms);
+            times.complete_ms = Some(now_ms);
         }
     }
 
-    /// Forgets the items that are not wanted any more; those with a whole text were listed.
-    pub(super) fn keep_only(&mut self, front: &Front, wanted: impl Fn(&Key) -> bool, now_ms: u64) {
+    /// Removes the items that are not wanted any more. Those with a complete text count as listed.
+    pub(super) fn retain(
+        &mut self,
+        front: &Front,
+        is_wanted: impl Fn(&ItemKey) -> bool,
+        now_ms: u64,
+    ) {
         self.0.retain(|key, times| {
-            let keep = wanted(key);
-            if let (false, Some(whole_ms)) = (keep, times.whole_ms) {
-                let (label, took_ms) = (figures::item_label(), now_ms - whole_ms);
+            let is_kept = is_wanted(key);
+            if let (false, Some(complete_ms)) = (is_kept, times.complete_ms) {
+                let (label, took_ms) = (figures::item_label(), now_ms - complete_ms);
                 front.metrics.record("front_item_listed_ms", label, took_ms);
             }
-            keep
+            is_kept
         });
     }
 }
