--- a/components/front/src/results.rs
+++ b/components/front/src/results.rs
@@ -117,11 +117,11 @@
         return ReadOutcome::Unavailable("the store is silent");
     }
     let _waiting = front.demand.wait();
-    let mut news = front.index_news.subscribe();
+    let mut index_changes = front.index_news.subscribe();
     let mut wait_until = tokio::time::Instant::now() + wait;
     let mut is_gathering = false;
     let found = loop {
-        news.mark_unchanged();
+        index_changes.mark_unchanged();
         let found = find_in_index(front, |index| unread_results(index, customer, id, after)).await;
         let Some(found) = found else {
             return not_found(front);
@@ -139,7 +139,7 @@
             wait_until =
                 wait_until.min(tokio::time::Instant::now() + Duration::from_millis(GATHER_MS));
         }
-        let changed = tokio::time::timeout_at(wait_until, news.changed()).await;
+        let changed = tokio::time::timeout_at(wait_until, index_changes.changed()).await;
         if !matches!(changed, Ok(Ok(()))) {
             break found;
         }
--- a/components/front/src/runner/contests.rs
+++ b/components/front/src/runner/contests.rs
@@ -96,8 +96,8 @@
     }
 
     /// Replicas of the pool that are not draining, each with a flag: true for a replica of a shard
-    /// that another front owns. Most of a pool's thousands of replicas have no usable weights and
-    /// are left out, unless this front has runs there.
+    /// that another front owns. Of thousands of replicas few have usable weights; the others are
+    /// left out, unless this front has runs there.
     pub(super) fn members(
         &self,
         table: &ReplicaTable,
@@ -134,7 +134,8 @@
 }
 
 impl StepScan {
-    /// The queue of a route's pool; items only share a queue with items of as many shards.
+    /// The queue of a route's pool. Steps with different numbers of shards get separate queues,
+    /// because they split the replicas differently.
     fn queue_for(&mut self, route: &Route, shards: u16) -> &mut PoolQueue {
         let mut services: Vec<Arc<str>> = route.services().cloned().collect();
         services.sort_unstable();
@@ -181,7 +182,8 @@
         scan.queues
     }
 
-    /// Adds the waiting items of a step to the queue of its pool.
+    /// Adds the waiting items of a step to the queue of its pool, or notes that the step's data is
+    /// missing or that its items are abandoned.
     fn scan_step(
         &self,
         step: &Step,
@@ -221,7 +223,7 @@
         queue.waiting.extend(items);
     }
 
-    /// Items of the owned shards that are neither listed nor running, here or, by a reservation, at
+    /// Items of the owned shards that are not listed, do not run here and are not reserved by
     /// another front.
     fn waiting_keys(&self, step: &Step, owned: &BTreeSet<u16>, now_ms: u64) -> Vec<ItemKey> {
         let key_if_waiting = |(item, progress): (usize, &steps::ItemProgress)| {
@@ -308,7 +310,8 @@
     }
 }
 
-/// Whether this front owns the first shard of any pool, which every new step of the pool has.
+/// Whether this front owns the first shard of any pool. Every step has a first shard, so its owner
+/// will run items of the pool's next step.
 fn owns_first_shard(front: &Front, routes: &Routes, now_ms: u64) -> bool {
     let owned = front.owned.load();
     let partitions = front.settings.store.partitions;
@@ -318,8 +321,8 @@
     first_shards.any(|partition| owned.owns(partition, now_ms))
 }
 
-/// Time until the items of a step are abandoned; `None` once that time has passed. A retention time
-/// of 0 never passes.
+/// Time until the items of a step are abandoned; `None` once they are. Items of a step without a
+/// retention time (0) are never abandoned.
 fn left_ms(step: &Step, now_ms: u64) -> Option<u64> {
     let age_ms = now_ms - step.read_ms;
     let abandon_after_ms = step.head.retention_ms + ABANDON_SLACK_MS;
--- a/components/front/src/runner/handover.rs
+++ b/components/front/src/runner/handover.rs
@@ -53,7 +53,7 @@
         let partials = self
             .partials
             .iter()
-            .map(|(key, held)| (*key, Arc::clone(&held.0)))
+            .map(|(key, entry)| (*key, Arc::clone(&entry.0)))
             .collect();
         let (reserved, released) = self.reserved_and_released();
         let (front, messages) = (Arc::clone(&self.front), self.messages.clone());
--- a/components/front/src/runner/look.rs
+++ b/components/front/src/runner/look.rs
@@ -106,8 +106,8 @@
     fn restart_text(&mut self, key: ItemKey) {
         let (step, item) = (key.0.0, key.1);
         log::info!(event = "text-restarted", step, item; "");
-        let held = self.partials.entry(key).or_default();
-        locked(&held.0).discard();
+        let entry = self.partials.entry(key).or_default();
+        locked(&entry.0).discard();
     }
 
     /// Starts a run of an item at a replica in a new task.
@@ -130,9 +130,9 @@
             .or_insert_with(EngineState::new);
         state.running.fetch_add(1, Ordering::Relaxed);
         let slot = SlotGuard(Arc::clone(&state.running));
-        let held = self.partials.entry(item.key).or_default();
-        held.1 = None;
-        let partial = Arc::clone(&held.0);
+        let entry = self.partials.entry(item.key).or_default();
+        entry.1 = None;
+        let partial = Arc::clone(&entry.0);
         let known = self.front.index().ledger.get(step).map(|step| {
             let saved = step.pieces(number).to_vec();
             (saved, step.read_ms)
--- a/components/front/src/runner/mod.rs
+++ b/components/front/src/runner/mod.rs
@@ -203,13 +203,13 @@
         let events = self
             .partials
             .get(&key)
-            .map_or(0, |held| locked(&held.0).last_event);
+            .map_or(0, |entry| locked(&entry.0).last_event);
         let (step, item) = key;
         self.count_run(&end);
         match end {
             RunEnd::Complete => {
                 self.timings.record_complete(&self.front, key, now_ms);
-                let partial = self.partials.remove(&key).map(|held| held.0);
+                let partial = self.partials.remove(&key).map(|entry| entry.0);
                 let text = partial.map(|partial| std::mem::take(&mut *locked(&partial)));
                 self.finish(
                     key,
@@ -290,8 +290,8 @@
 
     /// Remembers where a run broke off: the next run of the item avoids this replica if it can.
     fn note_interrupted(&mut self, key: ItemKey, replica: ReplicaId) {
-        if let Some(held) = self.partials.get_mut(&key) {
-            held.1 = Some(replica);
+        if let Some(entry) = self.partials.get_mut(&key) {
+            entry.1 = Some(replica);
         }
     }
 
