--- a/components/front/src/partial.rs
+++ b/components/front/src/partial.rs
@@ -35,7 +35,7 @@
     pub discarded: bool,
     /// How often the item was moved away from a slow replica.
     pub slow_moves: u32,
-    /// The part whose pieces are known to stand in the index.
+    /// The part whose pieces the index is known to contain.
     saved: SavedPart,
     /// The part including the piece that was written last, until the index shows that piece.
     unconfirmed: Option<SavedPart>,
