--- a/components/front/src/access.rs
+++ b/components/front/src/access.rs
@@ -11,7 +11,7 @@
 use dispatch::{Route, Routes};
 use hyper::body::Incoming;
 use hyper::{HeaderMap, Response, StatusCode};
-use platform::{ReplyBody, discard, ingress};
+use platform::{ResponseBody, discard, ingress};
 
 use crate::clock::now_ms;
 use crate::figures;
@@ -64,7 +64,7 @@
     route: &Route,
     headers: &HeaderMap,
 ) -> Result<Option<Arc<Customer>>, Refused> {
-    let shown = ingress::shown_key(headers);
+    let shown = ingress::api_key(headers);
     routes.customer(route, shown).map_err(Refused::Key)
 }
 
@@ -76,7 +76,7 @@
     headers: &HeaderMap,
     step: &str,
 ) -> Result<Option<Arc<Customer>>, Refused> {
-    let refusal = match routes.customers.holder(ingress::shown_key(headers)) {
+    let refusal = match routes.customers.holder(ingress::api_key(headers)) {
         Ok(holder) => return Ok(holder.cloned()),
         Err(refusal) => refusal,
     };
@@ -99,10 +99,10 @@
     body: Incoming,
     id: Option<&str>,
     refused: Refused,
-) -> Response<ReplyBody> {
+) -> Response<ResponseBody> {
     let behind_ms = front.operator_age_ms(now_ms());
     let behind = behind_ms >= BEHIND_MS;
-    let key = match ingress::shown_key(headers) {
+    let key = match ingress::api_key(headers) {
         ShownKey::One(key) => front.key_marks.of(key),
         ShownKey::Nothing | ShownKey::Odd => String::new(),
     };
@@ -118,15 +118,15 @@
     let rest = discard(body, routes.limits.body_bytes);
     let read = tokio::time::timeout(Duration::from_millis(REST_MS), rest).await;
     let mut answer = match behind {
-        false => ingress::own_answer(refused.status(), id, None, refused.why()),
+        false => ingress::status_response(refused.status(), id, None, refused.why()),
         true => {
             let status = StatusCode::SERVICE_UNAVAILABLE;
             let why = "the configuration was not read lately";
-            ingress::own_answer(status, id, Some(BEHIND_AGAIN_MS), why)
+            ingress::status_response(status, id, Some(BEHIND_AGAIN_MS), why)
         }
     };
     if !matches!(read, Ok(Ok(_))) {
-        ingress::close_after(&mut answer);
+        ingress::set_connection_close(&mut answer);
     }
     answer
 }
--- a/components/front/src/calls.rs
+++ b/components/front/src/calls.rs
@@ -16,7 +16,7 @@
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 use hyper::{HeaderMap, Method};
-use platform::replica::{self, Answer, ReplicaError};
+use platform::replica::{self, ReplicaError, ReplicaResponse};
 
 use crate::clock::{now_ms, now_us};
 use crate::figures;
@@ -61,14 +61,14 @@
 /// How a call ended.
 pub enum CallOutcome {
     /// With a replica's whole answer.
-    Answer(Box<Answer>),
+    Answer(Box<ReplicaResponse>),
     /// Without.
     End(CallEnd, String),
 }
 
 struct Attempt {
     end: AttemptEnd,
-    answer: Option<Box<Answer>>,
+    answer: Option<Box<ReplicaResponse>>,
     why: String,
 }
 
@@ -87,8 +87,8 @@
             headers: self.headers.clone(),
             body: self.body.clone(),
             request_id: self.request_id,
-            instance: Arc::clone(&replica.id),
-            left_ms: self.left_ms(),
+            replica_id: Arc::clone(&replica.id),
+            timeout_ms: self.left_ms(),
             customer: self.customer,
             rank: self.rank,
         }
@@ -108,7 +108,7 @@
     let counted = spec.customer.filter(|_| !spec.background);
     let mut started = Started::new(front, counted);
     let mut may_have_run = false;
-    let mut failure: Option<Box<Answer>> = None;
+    let mut failure: Option<Box<ReplicaResponse>> = None;
     let outcome = loop {
         if flights.is_empty() {
             match pick(front, spec, &typical, &tried).await {
@@ -347,12 +347,12 @@
         }
     };
     let call = spec.at(&member.replica);
-    let left_ms = call.left_ms;
+    let left_ms = call.timeout_ms;
     sent.store(now_ms(), Ordering::Relaxed);
     match replica::call(&mut connection, call, Duration::from_millis(left_ms)).await {
         Ok((answer, reusable)) => {
             if reusable {
-                member.peer.keep(connection, answer.keep_ms);
+                member.peer.keep(connection, answer.keep_alive_ms);
             }
             if answer.status.is_server_error() {
                 let why = format!("status {}", answer.status.as_u16());
--- a/components/front/src/connections.rs
+++ b/components/front/src/connections.rs
@@ -8,7 +8,7 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use platform::ReplyBody;
+use platform::ResponseBody;
 use tokio::net::{TcpListener, TcpStream};
 
 use crate::state::Front;
@@ -28,7 +28,7 @@
 pub async fn accept<F, A>(front: Arc<Front>, listener: TcpListener, answer: A)
 where
     A: Fn(Arc<Front>, Request<Incoming>) -> F + Copy + Send + 'static,
-    F: Future<Output = Response<ReplyBody>> + Send + 'static,
+    F: Future<Output = Response<ResponseBody>> + Send + 'static,
 {
     loop {
         match listener.accept().await {
@@ -52,7 +52,7 @@
 async fn serve<F, A>(front: Arc<Front>, stream: TcpStream, answer: A)
 where
     A: Fn(Arc<Front>, Request<Incoming>) -> F + Copy + Send + 'static,
-    F: Future<Output = Response<ReplyBody>> + Send + 'static,
+    F: Future<Output = Response<ResponseBody>> + Send + 'static,
 {
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!(event = "nodelay-refused", error:% = error; "");
--- a/components/front/src/follow/index.rs
+++ b/components/front/src/follow/index.rs
@@ -54,7 +54,7 @@
     index.apply(from, records, now_ms, |offset, error| {
         log::warn!(event = "record-malformed", topic = INDEX_TOPIC, offset, error:% = error; "");
     });
-    let kept_ms = front.settings.bounds.readable_ms + KEPT_SLACK_MS;
+    let kept_ms = front.settings.bounds.job_readable_ms + KEPT_SLACK_MS;
     index.ledger.forget_before(kept_ms, now_ms);
 }
 
--- a/components/front/src/follow/keyed.rs
+++ b/components/front/src/follow/keyed.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use dispatch::ReplicaId;
 use pacing::TopicPace;
-use platform::store::keyed;
+use platform::store::decode_keyed;
 
 use super::{Batch, Follower};
 use crate::state::Front;
@@ -77,7 +77,7 @@
     offsets: &mut HashMap<String, u64>,
     take: &mut impl FnMut(KeyedNews),
 ) {
-    let (key, value) = match keyed(record) {
+    let (key, value) = match decode_keyed(record) {
         Ok(read) => read,
         Err(error) => {
             log::warn!(event = "record-malformed", topic, offset, error:% = error; "");
--- a/components/front/src/follow/operator.rs
+++ b/components/front/src/follow/operator.rs
@@ -21,7 +21,7 @@
 }
 
 fn take_record(front: &Front, key: &str, value: &Bytes) {
-    match records::operator_record(key, value) {
+    match records::parse_operator_record(key, value) {
         Ok(OperatorRecord::Routes(routes)) => {
             let in_force = front.routes.load();
             let in_force = in_force.as_ref().map_or(0, |known| known.version);
@@ -36,7 +36,7 @@
                 front.routes.store(Some(routes));
             }
         }
-        Ok(OperatorRecord::Named { model, version }) => name_version(front, model, version),
+        Ok(OperatorRecord::VersionNamed { model, version }) => name_version(front, model, version),
         Ok(OperatorRecord::Other) => {}
         Err(error) => {
             log::warn!(event = "record-malformed", topic = OPERATOR_TOPIC, error:% = error; "");
--- a/components/front/src/follow/replicas.rs
+++ b/components/front/src/follow/replicas.rs
@@ -64,7 +64,7 @@
             malformed.remove(id);
             registry.remove(id, now_ms)
         }
-        Some(value) => match records::replica_record(id, value) {
+        Some(value) => match records::parse_replica_record(id, value) {
             Ok(replica) => {
                 malformed.remove(id);
                 if replica.draining {
--- a/components/front/src/jobs/data.rs
+++ b/components/front/src/jobs/data.rs
@@ -61,13 +61,13 @@
     items: Vec<ItemData>,
 ) -> Result<Vec<Vec<Bytes>>, DataRefusal> {
     let store = &front.settings.store;
-    let batch_bytes_max = store.call_bytes / 2;
+    let batch_bytes_max = store.append_bytes_max / 2;
     let mut batches = vec![Vec::new()];
     let mut bytes = 0;
     for (head, item) in heads.iter().zip(items) {
         let encoded = encode_item(&item)?;
-        if encoded.len() > store.record_bytes {
-            let (id, most) = (head.id.clone(), store.record_bytes);
+        if encoded.len() > store.record_bytes_max {
+            let (id, most) = (head.id.clone(), store.record_bytes_max);
             return Err(DataRefusal::TooLong(id, encoded.len(), most));
         }
         let framed_bytes = encoded.len() + FRAME_BYTES;
--- a/components/front/src/jobs/mod.rs
+++ b/components/front/src/jobs/mod.rs
@@ -81,7 +81,7 @@
         id,
     } = submitted;
     let began_ms = now_ms();
-    let submission = match jobs::submission(&body) {
+    let submission = match jobs::parse_submission(&body) {
         Ok(submission) => submission,
         Err(error) => {
             log::info!(event = "step-refused", id, error:% = error; "");
@@ -158,7 +158,7 @@
             );
         }
     };
-    let (bytes, bytes_max) = (record[0].len(), front.settings.store.record_bytes);
+    let (bytes, bytes_max) = (record[0].len(), front.settings.store.record_bytes_max);
     if bytes > bytes_max {
         log::info!(event = "step-refused", id, bytes, bytes_max; "");
         return StepReply::new(StatusCode::PAYLOAD_TOO_LARGE, "the step has too many items");
--- a/components/front/src/leader.rs
+++ b/components/front/src/leader.rs
@@ -9,7 +9,7 @@
 use lease::is_candidate;
 use orders::{Fleet, Model, Node, OrderSettings, plan};
 use pacing::Activity;
-use platform::replica::{self, LoadMode, Order, OrderAnswer, ReplicaError};
+use platform::replica::{self, LoadMode, Order, OrderResponse, ReplicaError};
 use steps::StepHead;
 
 use crate::clock::now_ms;
@@ -252,7 +252,10 @@
                 event = "order-failed", replica = id, model = &*model, version, error:% = error; ""
             ),
         }
-        let done = matches!(answer, Ok(Some(OrderAnswer::Accepted | OrderAnswer::Holds)));
+        let done = matches!(
+            answer,
+            Ok(Some(OrderResponse::Accepted | OrderResponse::Holds))
+        );
         if !done && let Some(order) = locked(&ordered).get_mut(&member.replica.id) {
             order.accepted = false;
             order.until_ms = now_ms() + PAUSE_MS;
@@ -268,15 +271,15 @@
     model: &str,
     version: u64,
     mode: LoadMode,
-) -> Result<Option<OrderAnswer>, ReplicaError> {
+) -> Result<Option<OrderResponse>, ReplicaError> {
     let instance = &*member.replica.id;
     let mut connection = member.peer.connection(&member.replica).await?;
     // An earlier order without an answer may still be carried out. The count of accepted
     // orders tells: the later of the two finds another count than it names and is refused.
-    let report = replica::report(&mut connection, instance).await?;
+    let report = replica::fetch_report(&mut connection, instance).await?;
     let held = report.models.iter().find(|held| held.0 == model);
     if held.is_some_and(|held| held.1 >= version) {
-        return Ok(Some(OrderAnswer::Holds));
+        return Ok(Some(OrderResponse::Holds));
     }
     if report.busy {
         return Ok(None);
@@ -293,7 +296,7 @@
         fence,
         expected_orders: report.orders,
     };
-    let answer = replica::order(&mut connection, instance, &order).await?;
+    let answer = replica::send_order(&mut connection, instance, &order).await?;
     if connection.ready().await.is_ok() {
         member.peer.keep(connection, None);
     }
--- a/components/front/src/member.rs
+++ b/components/front/src/member.rs
@@ -79,7 +79,7 @@
 }
 
 fn is_small(front: &Front) -> bool {
-    front.settings.processor_thousandths < LARGE_THOUSANDTHS
+    front.settings.cpu_share_thousandths < LARGE_THOUSANDTHS
 }
 
 /// Whether a front that stands by takes part now.
--- a/components/front/src/reports.rs
+++ b/components/front/src/reports.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use index::{INDEX_PARTITION, USAGE_TOPIC, decode_usage};
 use pacing::LOG_PACE;
-use platform::duty::{self, DutyAnswer, Holder};
+use platform::duty::{self, DutyResponse, LeaseHolder};
 use platform::settings::DutySettings;
 use usage::{Change, Outcome, Report, Sender, UsageRecord, Window};
 
@@ -177,7 +177,7 @@
 }
 
 async fn send(front: &Front, duty: &DutySettings, report: &Report, fence: u64) -> Outcome {
-    let holder = Holder {
+    let holder = LeaseHolder {
         node: &front.settings.node,
         fence,
     };
@@ -186,7 +186,7 @@
     let window = report.window.0;
     let lateness_ms = lateness_ms(front, report.window);
     match sent {
-        Ok(DutyAnswer::Taken) => {
+        Ok(DutyResponse::Accepted) => {
             let requests: u64 = report.counts.values().sum();
             log::info!(
                 event = "usage-reported", window, fence, requests,
@@ -200,7 +200,7 @@
         Ok(answer) => {
             log::warn!(event = "usage-not-taken", window, fence, answer:? = answer; "");
             match answer {
-                DutyAnswer::Fenced => Outcome::Fenced,
+                DutyResponse::Fenced => Outcome::Fenced,
                 _ => Outcome::NotTaken,
             }
         }
--- a/components/front/src/results.rs
+++ b/components/front/src/results.rs
@@ -214,9 +214,9 @@
         ResultState::Succeeded {
             versions, score, ..
         } => {
-            page.succeeded(id, &String::from_utf8_lossy(text), versions, score);
+            page.add_succeeded(id, &String::from_utf8_lossy(text), versions, score);
         }
-        ResultState::Errored(_) => page.errored(id),
+        ResultState::Errored(_) => page.add_errored(id),
     }
 }
 
--- a/components/front/src/run_item.rs
+++ b/components/front/src/run_item.rs
@@ -157,8 +157,8 @@
         headers,
         body: Bytes::copy_from_slice(&spec.data.body),
         request_id: &spec.id,
-        instance: Arc::clone(&spec.member.replica.id),
-        left_ms: spec.left_ms,
+        replica_id: Arc::clone(&spec.member.replica.id),
+        timeout_ms: spec.left_ms,
         customer: spec.customer.as_deref(),
         rank: None,
     };
--- a/components/front/src/serve.rs
+++ b/components/front/src/serve.rs
@@ -7,8 +7,8 @@
 use dispatch::{CallEnd, Route, RouteKind, Routes};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
-use platform::ingress::{self, Asked};
-use platform::{BodyError, ReplyBody, collect};
+use platform::ingress::{self, Operation};
+use platform::{BodyError, ResponseBody, collect};
 
 use crate::access::Refused;
 use crate::calls::{self, CallOutcome, CallSpec};
@@ -28,24 +28,24 @@
 const DEADLINE_MS: u64 = 30_000;
 
 /// Answers the balancer, and whoever fetches the metrics.
-pub async fn ready(front: Arc<Front>, request: Request<Incoming>) -> Response<ReplyBody> {
+pub async fn ready(front: Arc<Front>, request: Request<Incoming>) -> Response<ResponseBody> {
     if request.uri().path() == METRICS_PATH {
         let mut text = figures::text(&front.metrics.rows().await);
         text.push_str(&front.storage.calls.text());
         text.push_str(&figures::customers_text(&front.meter.series()));
-        return ingress::success(StatusCode::OK, None, "text/plain", text.into());
+        return ingress::success_response(StatusCode::OK, None, "text/plain", text.into());
     }
     let status = match front.is_ready() {
         true => StatusCode::OK,
         false => StatusCode::SERVICE_UNAVAILABLE,
     };
-    let mut answer = Response::new(ReplyBody::empty());
+    let mut answer = Response::new(ResponseBody::empty());
     *answer.status_mut() = status;
     answer
 }
 
 /// Answers a client.
-pub async fn client(front: Arc<Front>, request: Request<Incoming>) -> Response<ReplyBody> {
+pub async fn client(front: Arc<Front>, request: Request<Incoming>) -> Response<ResponseBody> {
     let id = ingress::request_id(request.headers()).map(str::to_owned);
     let mut answer = match front.drain.admit(now_ms()) {
         Ok(working) => {
@@ -56,11 +56,11 @@
         Err(refusal) => {
             let again_ms = refusal.retry_after_ms.map(u64::from);
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            ingress::own_answer(status, id.as_deref(), again_ms, "leaving")
+            ingress::status_response(status, id.as_deref(), again_ms, "leaving")
         }
     };
     if front.drain.is_leaving() {
-        ingress::close_after(&mut answer);
+        ingress::set_connection_close(&mut answer);
     }
     answer
 }
@@ -69,12 +69,17 @@
     front: &Arc<Front>,
     request: Request<Incoming>,
     id: Option<&str>,
-) -> Response<ReplyBody> {
+) -> Response<ResponseBody> {
     let Some(routes) = front.routes.load_full() else {
         let status = StatusCode::SERVICE_UNAVAILABLE;
-        return ingress::own_answer(status, id, Some(UNKNOWING_AGAIN_MS), "no configuration yet");
+        return ingress::status_response(
+            status,
+            id,
+            Some(UNKNOWING_AGAIN_MS),
+            "no configuration yet",
+        );
     };
-    let asked = ingress::asked(request.method(), request.uri(), request.headers());
+    let asked = ingress::parse_operation(request.method(), request.uri(), request.headers());
     let Some(step) = asked.step() else {
         return call(front, &routes, request, id).await;
     };
@@ -92,20 +97,20 @@
 async fn step_call(
     front: &Front,
     customer: Option<&str>,
-    asked: &Asked,
+    asked: &Operation,
     id: Option<&str>,
-) -> Response<ReplyBody> {
+) -> Response<ResponseBody> {
     match asked {
-        Asked::Results { step, after, wait } => {
+        Operation::Results { step, after, wait } => {
             let read = results::results(front, customer, step, *after, *wait).await;
             read_answer(id, read, "application/json")
         }
-        Asked::ItemBody { step, item } => {
+        Operation::ItemBody { step, item } => {
             let read = results::item_body(front, customer, step, item).await;
             read_answer(id, read, "application/octet-stream")
         }
-        Asked::EndStep { step } => end_step(front, customer, id, step).await,
-        Asked::Call => ingress::own_answer(StatusCode::NOT_FOUND, id, None, "no route"),
+        Operation::EndStep { step } => end_step(front, customer, id, step).await,
+        Operation::Call => ingress::status_response(StatusCode::NOT_FOUND, id, None, "no route"),
     }
 }
 
@@ -113,12 +118,14 @@
     customer.as_ref().map(|customer| &*customer.name)
 }
 
-fn read_answer(id: Option<&str>, read: Read, content_type: &str) -> Response<ReplyBody> {
+fn read_answer(id: Option<&str>, read: Read, content_type: &str) -> Response<ResponseBody> {
     let status = read.status();
     match read {
-        Read::Found(body) => ingress::success(status, id, content_type, body),
-        Read::Missing => ingress::own_answer(status, id, None, "there is no such step or item"),
-        Read::Unsure(why) => ingress::own_answer(status, id, Some(BUSY_AGAIN_MS), why),
+        Read::Found(body) => ingress::success_response(status, id, content_type, body),
+        Read::Missing => {
+            ingress::status_response(status, id, None, "there is no such step or item")
+        }
+        Read::Unsure(why) => ingress::status_response(status, id, Some(BUSY_AGAIN_MS), why),
     }
 }
 
@@ -127,21 +134,21 @@
     customer: Option<&str>,
     id: Option<&str>,
     name: &str,
-) -> Response<ReplyBody> {
+) -> Response<ResponseBody> {
     let known = results::find(front, |index| index.ledger.visible(customer, name).cloned());
     let Some(step) = known.await else {
         let read = results::results(front, customer, name, 0, std::time::Duration::ZERO).await;
         return read_answer(id, read, "application/json");
     };
     if step.ended {
-        return ingress::own_answer(StatusCode::OK, id, None, "ended before");
+        return ingress::status_response(StatusCode::OK, id, None, "ended before");
     }
     let reply = jobs::end(front, name, step.id).await;
     log::info!(
         event = "step-ended", id = name, status = reply.status.as_u16(),
         listed = step.results.len(), items = step.head.items.len(); ""
     );
-    ingress::own_answer(reply.status, id, reply.again_ms, reply.why)
+    ingress::status_response(reply.status, id, reply.again_ms, reply.why)
 }
 
 async fn call(
@@ -149,7 +156,7 @@
     routes: &Routes,
     request: Request<Incoming>,
     id: Option<&str>,
-) -> Response<ReplyBody> {
+) -> Response<ResponseBody> {
     let began_ms = now_ms();
     let (parts, body) = request.into_parts();
     let host = ingress::host(&parts.uri, &parts.headers).unwrap_or_default();
@@ -164,10 +171,10 @@
         }
     };
     let Some(id) = id else {
-        return ingress::own_answer(StatusCode::BAD_REQUEST, None, None, "no request id");
+        return ingress::status_response(StatusCode::BAD_REQUEST, None, None, "no request id");
     };
     let limit_bytes = routes.limits.body_bytes;
-    let stated = ingress::stated_length(&parts.headers).unwrap_or(0);
+    let stated = ingress::content_length(&parts.headers).unwrap_or(0);
     if stated > limit_bytes as u64 {
         return too_large(id);
     }
@@ -176,7 +183,12 @@
         Err(BodyError::TooLarge(_)) => return too_large(id),
         Err(error) => {
             log::info!(event = "body-broken", id, error:% = error; "");
-            return ingress::own_answer(StatusCode::BAD_REQUEST, Some(id), None, "broken body");
+            return ingress::status_response(
+                StatusCode::BAD_REQUEST,
+                Some(id),
+                None,
+                "broken body",
+            );
         }
     };
     if route.kind == RouteKind::Rollout {
@@ -186,7 +198,7 @@
             id,
         };
         let reply = jobs::submit(front, routes, &submitted, body).await;
-        return ingress::own_answer(reply.status, Some(id), reply.again_ms, reply.why);
+        return ingress::status_response(reply.status, Some(id), reply.again_ms, reply.why);
     }
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
     let allowed_ms = ingress::deadline_ms(&parts.headers).unwrap_or(DEADLINE_MS);
@@ -198,7 +210,7 @@
         route,
         method: parts.method,
         path,
-        headers: ingress::to_replica(&parts.headers),
+        headers: ingress::replica_headers(&parts.headers),
         body,
         request_id: id,
         customer: name_of(&customer),
@@ -215,10 +227,10 @@
     known.then(|| route.rank_for(customer)).flatten()
 }
 
-fn too_large(id: &str) -> Response<ReplyBody> {
+fn too_large(id: &str) -> Response<ResponseBody> {
     let status = StatusCode::PAYLOAD_TOO_LARGE;
-    let mut answer = ingress::own_answer(status, Some(id), None, "the body is too long");
-    ingress::close_after(&mut answer);
+    let mut answer = ingress::status_response(status, Some(id), None, "the body is too long");
+    ingress::set_connection_close(&mut answer);
     answer
 }
 
@@ -227,7 +239,7 @@
     route: &Route,
     spec: &CallSpec<'_>,
     id: &str,
-) -> Response<ReplyBody> {
+) -> Response<ResponseBody> {
     if route.kind == RouteKind::Stream {
         return match stream::pass_on(front, spec).await {
             Ok(answer) => answer,
@@ -244,7 +256,7 @@
     }
     match calls::perform(front, spec).await {
         CallOutcome::Answer(answer) => {
-            let mut response = Response::new(ReplyBody::Whole(Bytes::clone(&answer.body)));
+            let mut response = Response::new(ResponseBody::Full(Bytes::clone(&answer.body)));
             *response.status_mut() = answer.status;
             *response.headers_mut() = answer.headers;
             response
@@ -253,20 +265,20 @@
     }
 }
 
-fn ended(end: CallEnd, id: &str) -> Response<ReplyBody> {
+fn ended(end: CallEnd, id: &str) -> Response<ResponseBody> {
     match end {
         CallEnd::NotRun => {
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            ingress::own_answer(status, Some(id), Some(BUSY_AGAIN_MS), "not run")
+            ingress::status_response(status, Some(id), Some(BUSY_AGAIN_MS), "not run")
         }
-        CallEnd::TimedOut => ingress::own_answer(
+        CallEnd::TimedOut => ingress::status_response(
             StatusCode::GATEWAY_TIMEOUT,
             Some(id),
             None,
             "no answer in time",
         ),
         CallEnd::Unknown => {
-            ingress::own_answer(StatusCode::BAD_GATEWAY, Some(id), None, "it may have run")
+            ingress::status_response(StatusCode::BAD_GATEWAY, Some(id), None, "it may have run")
         }
     }
 }
--- a/components/front/src/start.rs
+++ b/components/front/src/start.rs
@@ -57,8 +57,8 @@
         // No two lives of a VM may number their records alike; time does not go back on it.
         let lease = Lease::new(&settings.node, now_us(), lease_settings);
         let drain = Drain::new(leave::drain_settings(settings.bounds.grace_ms));
-        let clients = listen(settings.clients).await?;
-        let ready = listen(settings.ready).await?;
+        let clients = listen(settings.client_address).await?;
+        let ready = listen(settings.readiness_address).await?;
         let front = Arc::new(Front::new(settings, lease, drain, figures::start()?));
         Ok(Self {
             front,
@@ -69,12 +69,12 @@
 
     /// Where clients connect.
     pub fn clients(&self) -> Result<SocketAddr, FrontError> {
-        local(&self.clients, self.front.settings.clients)
+        local(&self.clients, self.front.settings.client_address)
     }
 
     /// Where the balancer asks.
     pub fn ready(&self) -> Result<SocketAddr, FrontError> {
-        local(&self.ready, self.front.settings.ready)
+        local(&self.ready, self.front.settings.readiness_address)
     }
 
     /// Runs until `stop` and the end of the work in progress.
@@ -87,7 +87,7 @@
         log::info!(
             event = "started", node = front.settings.node, domain = front.settings.domain,
             ip:% = front.settings.ip,
-            clients:% = front.settings.clients, store:% = front.settings.store.address,
+            clients:% = front.settings.client_address, store:% = front.settings.store.address,
             retention_ms = front.settings.store.retention_ms; ""
         );
         let (ended, results) = mpsc::channel(runner::ENDED_MAX);
--- a/components/front/src/storage.rs
+++ b/components/front/src/storage.rs
@@ -61,7 +61,7 @@
 
     /// Goes to another address from the next call on; true if it is another one.
     pub fn move_to(&self, address: SocketAddr) -> bool {
-        self.store.move_to(address)
+        self.store.set_address(address)
     }
 
     /// How often the store was lost and came back.
@@ -187,10 +187,10 @@
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
         let sign_of = |error: &StoreError| match error {
-            StoreError::Unsure(_)
+            StoreError::OutcomeUnknown(_)
             | StoreError::NotDone(_)
-            | StoreError::Unreachable(_)
-            | StoreError::Silent(_) => Sign::Unavailable,
+            | StoreError::ConnectTimeout(_)
+            | StoreError::Timeout(_) => Sign::Unavailable,
             StoreError::Gone(_) | StoreError::Conflict(_) | StoreError::Malformed(_) => {
                 Sign::Available
             }
@@ -215,7 +215,7 @@
         if let Err(error) = &outcome {
             calls.count_error(error);
         }
-        if !outcome.as_ref().is_err_and(StoreError::is_silence) {
+        if !outcome.as_ref().is_err_and(StoreError::is_timeout) {
             self.heard_ms.store(now_ms(), Ordering::Relaxed);
         }
         outcome
@@ -224,5 +224,5 @@
 
 fn left_behind<T>() -> Result<T, StoreError> {
     let why = "the store is back and has not answered";
-    Err(StoreError::Unsure(why.to_owned()))
+    Err(StoreError::OutcomeUnknown(why.to_owned()))
 }
--- a/components/front/src/stream.rs
+++ b/components/front/src/stream.rs
@@ -11,7 +11,7 @@
 use http_body_util::BodyExt;
 use hyper::Response;
 use platform::replica;
-use platform::{BodyError, ReplyBody};
+use platform::{BodyError, ResponseBody};
 use tokio::sync::mpsc;
 
 use crate::calls::{CallSpec, choose_of};
@@ -35,7 +35,7 @@
 pub async fn pass_on(
     front: &Arc<Front>,
     spec: &CallSpec<'_>,
-) -> Result<Response<ReplyBody>, NotStarted> {
+) -> Result<Response<ResponseBody>, NotStarted> {
     let mut tried: Vec<ReplicaId> = Vec::new();
     let mut started = Started::new(front, spec.customer);
     let mut last = NotStarted {
@@ -66,7 +66,7 @@
     choose_of(front, &table, service, &typical, tried, false)
 }
 
-async fn begin(member: &Member, spec: &CallSpec<'_>) -> Result<Response<ReplyBody>, NotStarted> {
+async fn begin(member: &Member, spec: &CallSpec<'_>) -> Result<Response<ResponseBody>, NotStarted> {
     let not_run = |why: String| NotStarted { not_run: true, why };
     let mut connection = member
         .peer
@@ -74,7 +74,7 @@
         .await
         .map_err(|error| not_run(error.to_string()))?;
     let call = spec.at(&member.replica);
-    let within = Duration::from_millis(call.left_ms);
+    let within = Duration::from_millis(call.timeout_ms);
     let stream = replica::open_stream(&mut connection, call, within)
         .await
         .map_err(|error| NotStarted {
@@ -82,7 +82,7 @@
             why: error.to_string(),
         })?;
     let (parts, body) = mpsc::channel(PARTS_MAX);
-    let mut answer = Response::new(ReplyBody::Flow(body));
+    let mut answer = Response::new(ResponseBody::Stream(body));
     *answer.status_mut() = stream.status;
     *answer.headers_mut() = stream.headers;
     let mut from_replica = stream.body;
@@ -101,8 +101,8 @@
                     Ok(data) => Ok(data),
                     Err(_) => continue,
                 },
-                Ok(Some(Err(reason))) => Err(BodyError::Broken(reason.to_string())),
-                Err(_) => Err(BodyError::Broken("no event in time".to_owned())),
+                Ok(Some(Err(reason))) => Err(BodyError::Interrupted(reason.to_string())),
+                Err(_) => Err(BodyError::Interrupted("no event in time".to_owned())),
             };
             let broken = part.is_err();
             if parts.send(part).await.is_err() || broken {
--- a/components/front/tests/front/common.rs
+++ b/components/front/tests/front/common.rs
@@ -255,14 +255,14 @@
         self.start_front(node, 500).await
     }
 
-    async fn start_front(&self, node: &str, processor_thousandths: u32) -> FrontHandle {
+    async fn start_front(&self, node: &str, cpu_share_thousandths: u32) -> FrontHandle {
         let door = self
             .store
             .open(([127, 0, 0, 1], 0).into())
             .await
             .expect("a port");
         let settings = FrontSettings {
-            processor_thousandths,
+            cpu_share_thousandths,
             duties: self.duties,
             ..settings(node, door.address)
         };
@@ -294,22 +294,22 @@
         node: node.to_owned(),
         domain: "zone-a".to_owned(),
         ip: [127, 0, 0, 1].into(),
-        clients: any,
-        ready: any,
+        client_address: any,
+        readiness_address: any,
         cores: 1,
-        processor_thousandths: 500,
+        cpu_share_thousandths: 500,
         store: StoreSettings {
             address: store,
             retention_ms: 300_000,
-            record_bytes: 262_144,
-            call_bytes: 2_097_152,
+            record_bytes_max: 262_144,
+            append_bytes_max: 2_097_152,
             partitions: 24,
             member_ttl_min_ms: 1_000,
         },
         bounds: Bounds {
             grace_ms: 8_000,
             holder_pause_ms: 300,
-            readable_ms: 120_000,
+            job_readable_ms: 120_000,
             settle_ms: 1_000,
         },
         duties: None,
--- a/components/inspect/src/read.rs
+++ b/components/inspect/src/read.rs
@@ -10,7 +10,7 @@
 use lease::{Lease, LeaseSettings};
 use ownership::shard_partition;
 use platform::records::{
-    self, OPERATOR_TOPIC, OperatorRecord, REPLICA_TOPIC, RecordError, operator_record,
+    self, OPERATOR_TOPIC, OperatorRecord, REPLICA_TOPIC, RecordError, parse_operator_record,
 };
 use platform::store::{Store, StoreError};
 use quick_error::quick_error;
@@ -63,7 +63,9 @@
         let (newest, _) = self.store.newest(OPERATOR_TOPIC, within()).await?;
         let mut found = (0, Vec::new());
         for record in newest {
-            if let OperatorRecord::Routes(routes) = operator_record(&record.key, &record.value)? {
+            if let OperatorRecord::Routes(routes) =
+                parse_operator_record(&record.key, &record.value)?
+            {
                 let rows = routes.all().into_iter().map(RouteRow::from);
                 found = (routes.version, rows.collect());
             }
@@ -76,7 +78,9 @@
         let (newest, _) = self.store.newest(OPERATOR_TOPIC, within()).await?;
         let mut rows = Vec::new();
         for record in newest {
-            if let OperatorRecord::Routes(routes) = operator_record(&record.key, &record.value)? {
+            if let OperatorRecord::Routes(routes) =
+                parse_operator_record(&record.key, &record.value)?
+            {
                 rows = customer_rows(&routes.customers);
             }
         }
@@ -131,8 +135,8 @@
         let (newest, _) = self.store.newest(OPERATOR_TOPIC, within()).await?;
         let mut named: BTreeMap<String, u64> = BTreeMap::new();
         for record in newest {
-            if let OperatorRecord::Named { model, version } =
-                operator_record(&record.key, &record.value)?
+            if let OperatorRecord::VersionNamed { model, version } =
+                parse_operator_record(&record.key, &record.value)?
             {
                 named.insert(model.to_string(), version);
             }
@@ -225,7 +229,7 @@
         let (newest, _) = self.store.newest(REPLICA_TOPIC, within()).await?;
         let mut replicas = Vec::with_capacity(newest.len());
         for record in newest {
-            match records::replica_record(&record.key, &record.value) {
+            match records::parse_replica_record(&record.key, &record.value) {
                 Ok(replica) => replicas.push(replica),
                 Err(error) => {
                     log::warn!(event = "record-malformed", topic = REPLICA_TOPIC, error:% = error; "")
