--- a/components/customers/src/lib.rs
+++ b/components/customers/src/lib.rs
@@ -15,4 +15,4 @@
 
 pub use digest::TokenDigest;
 pub use mark::KeyMarks;
-pub use table::{Customer, Customers, Entry, Refusal, ShownKey};
+pub use table::{Customer, Customers, Entry, PresentedKey, Refusal};
--- a/components/customers/src/table.rs
+++ b/components/customers/src/table.rs
@@ -32,21 +32,21 @@
 
 /// What a request shows of a key.
 #[derive(Clone, Copy)]
-pub enum ShownKey<'a> {
+pub enum PresentedKey<'a> {
     /// Nothing.
     Nothing,
     /// One key.
     One(&'a str),
     /// Several, or one that is no text. Which of them counts is nobody's guess.
-    Odd,
+    Malformed,
 }
 
-impl fmt::Debug for ShownKey<'_> {
+impl fmt::Debug for PresentedKey<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            ShownKey::Nothing => "Nothing",
-            ShownKey::One(_) => "One",
-            ShownKey::Odd => "Odd",
+            PresentedKey::Nothing => "Nothing",
+            PresentedKey::One(_) => "One",
+            PresentedKey::Malformed => "Odd",
         })
     }
 }
@@ -57,17 +57,17 @@
     /// It shows no key.
     Missing,
     /// It shows several keys, or one that is no text.
-    Odd,
+    Malformed,
     /// The key is nobody's.
     Unknown,
 }
 
 impl Refusal {
     /// The refusal as one word, for a log line.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Refusal::Missing => "missing",
-            Refusal::Odd => "odd",
+            Refusal::Malformed => "odd",
             Refusal::Unknown => "unknown",
         }
     }
@@ -84,12 +84,12 @@
 
 impl Customers {
     /// The table of a configuration that knows no customers: everybody may call.
-    pub fn open() -> Self {
+    pub fn unrestricted() -> Self {
         Self::default()
     }
 
     /// The table of a configuration that lists its customers.
-    pub fn listed<'a>(entries: impl IntoIterator<Item = Entry<'a>>) -> Self {
+    pub fn from_entries<'a>(entries: impl IntoIterator<Item = Entry<'a>>) -> Self {
         let mut table = Self {
             closed: true,
             ..Self::default()
@@ -120,14 +120,14 @@
     }
 
     /// Whose request this is; none where nobody need show a key.
-    pub fn holder(&self, shown: ShownKey<'_>) -> Result<Option<&Arc<Customer>>, Refusal> {
+    pub fn authenticate(&self, shown: PresentedKey<'_>) -> Result<Option<&Arc<Customer>>, Refusal> {
         if !self.closed {
             return Ok(None);
         }
         let key = match shown {
-            ShownKey::Nothing => return Err(Refusal::Missing),
-            ShownKey::Odd => return Err(Refusal::Odd),
-            ShownKey::One(key) => key,
+            PresentedKey::Nothing => return Err(Refusal::Missing),
+            PresentedKey::Malformed => return Err(Refusal::Malformed),
+            PresentedKey::One(key) => key,
         };
         if key.len() > KEY_BYTES_MAX {
             return Err(Refusal::Unknown);
@@ -147,13 +147,13 @@
     }
 
     /// Number of keys that open something for a customer.
-    pub fn keys_of(&self, name: &str) -> usize {
+    pub fn key_count_of(&self, name: &str) -> usize {
         let holders = self.by_key.values();
         holders.filter(|holder| *holder.name == *name).count()
     }
 
     /// Number of keys that open something.
-    pub fn keys(&self) -> usize {
+    pub fn key_count(&self) -> usize {
         self.by_key.len()
     }
 }
--- a/components/customers/tests/customers.rs
+++ b/components/customers/tests/customers.rs
@@ -1,6 +1,6 @@
 //! Whose a key is, and what a table says of its keys.
 
-use customers::{Customers, Entry, KeyMarks, Refusal, ShownKey};
+use customers::{Customers, Entry, KeyMarks, PresentedKey, Refusal};
 use quickcheck::quickcheck;
 
 fn table(listed: &[(&str, &[&str])]) -> Customers {
@@ -11,15 +11,15 @@
             ((*name).to_owned(), keys.collect())
         })
         .collect();
-    Customers::listed(owned.iter().map(|(name, keys)| Entry {
+    Customers::from_entries(owned.iter().map(|(name, keys)| Entry {
         name,
         keys,
         rank: Some(1),
     }))
 }
 
-fn holder(customers: &Customers, shown: ShownKey<'_>) -> Result<Option<String>, Refusal> {
-    let held = customers.holder(shown)?;
+fn holder(customers: &Customers, shown: PresentedKey<'_>) -> Result<Option<String>, Refusal> {
+    let held = customers.authenticate(shown)?;
     Ok(held.map(|customer| customer.name.to_string()))
 }
 
@@ -28,7 +28,7 @@
     struct Case {
         name: &'static str,
         listed: &'static [(&'static str, &'static [&'static str])],
-        shown: ShownKey<'static>,
+        shown: PresentedKey<'static>,
         holder: Result<Option<&'static str>, Refusal>,
     }
     const TWO: &[(&str, &[&str])] = &[("a", &["key-a1", "key-a2"]), ("b", &["key-b"])];
@@ -36,79 +36,79 @@
         Case {
             name: "a key",
             listed: TWO,
-            shown: ShownKey::One("key-b"),
+            shown: PresentedKey::One("key-b"),
             holder: Ok(Some("b")),
         },
         Case {
             name: "another key of the customer",
             listed: TWO,
-            shown: ShownKey::One("key-a2"),
+            shown: PresentedKey::One("key-a2"),
             holder: Ok(Some("a")),
         },
         Case {
             name: "nothing",
             listed: TWO,
-            shown: ShownKey::Nothing,
+            shown: PresentedKey::Nothing,
             holder: Err(Refusal::Missing),
         },
         Case {
             name: "several",
             listed: TWO,
-            shown: ShownKey::Odd,
-            holder: Err(Refusal::Odd),
+            shown: PresentedKey::Malformed,
+            holder: Err(Refusal::Malformed),
         },
         Case {
             name: "a key that nobody has",
             listed: TWO,
-            shown: ShownKey::One("key-c"),
+            shown: PresentedKey::One("key-c"),
             holder: Err(Refusal::Unknown),
         },
         Case {
             name: "a key of another case",
             listed: TWO,
-            shown: ShownKey::One("KEY-B"),
+            shown: PresentedKey::One("KEY-B"),
             holder: Err(Refusal::Unknown),
         },
         Case {
             name: "an empty key, though somebody lists one",
             listed: &[("a", &[""])],
-            shown: ShownKey::One(""),
+            shown: PresentedKey::One(""),
             holder: Err(Refusal::Unknown),
         },
         Case {
             name: "a key that two customers list",
             listed: &[("a", &["key"]), ("b", &["key"])],
-            shown: ShownKey::One("key"),
+            shown: PresentedKey::One("key"),
             holder: Err(Refusal::Unknown),
         },
         Case {
             name: "a key that one customer lists twice",
             listed: &[("a", &["key", "key"])],
-            shown: ShownKey::One("key"),
+            shown: PresentedKey::One("key"),
             holder: Ok(Some("a")),
         },
         Case {
             name: "a key that three customers list",
             listed: &[("a", &["key"]), ("b", &["key"]), ("c", &["key"])],
-            shown: ShownKey::One("key"),
+            shown: PresentedKey::One("key"),
             holder: Err(Refusal::Unknown),
         },
         Case {
             name: "a customer without a name",
             listed: &[("", &["key"])],
-            shown: ShownKey::One("key"),
+            shown: PresentedKey::One("key"),
             holder: Err(Refusal::Unknown),
         },
         Case {
             name: "a name that no header can carry",
             listed: &[("a\r\nb", &["key"])],
-            shown: ShownKey::One("key"),
+            shown: PresentedKey::One("key"),
             holder: Err(Refusal::Unknown),
         },
         Case {
             name: "an empty list",
             listed: &[],
-            shown: ShownKey::Nothing,
+            shown: PresentedKey::Nothing,
             holder: Err(Refusal::Missing),
         },
     ];
@@ -121,15 +121,15 @@
 
 #[test]
 fn can_do_without_customers() {
-    let open = Customers::open();
-    assert_eq!(holder(&open, ShownKey::Nothing), Ok(None));
-    assert_eq!(holder(&open, ShownKey::One("key")), Ok(None));
+    let open = Customers::unrestricted();
+    assert_eq!(holder(&open, PresentedKey::Nothing), Ok(None));
+    assert_eq!(holder(&open, PresentedKey::One("key")), Ok(None));
 }
 
 #[test]
 fn can_know_a_customer_that_has_no_keys() {
     let customers = table(&[("a", &[])]);
-    assert_eq!(customers.keys(), 0);
+    assert_eq!(customers.key_count(), 0);
     assert!(customers.named("a").is_some());
 }
 
@@ -138,7 +138,7 @@
     let key = "k".repeat(600);
     let customers = table(&[("a", &[&key])]);
     assert_eq!(
-        holder(&customers, ShownKey::One(&key)),
+        holder(&customers, PresentedKey::One(&key)),
         Err(Refusal::Unknown)
     );
 }
@@ -150,7 +150,7 @@
             return true;
         }
         let customers = table(&[("customer", &[&key])]);
-        let printed = format!("{customers:?} {:?}", ShownKey::One(&key));
+        let printed = format!("{customers:?} {:?}", PresentedKey::One(&key));
         let marked = KeyMarks::new([7; 16]).of(&key);
         !printed.contains(&key) && !marked.contains(&key)
     }
--- a/components/dispatch/src/routes.rs
+++ b/components/dispatch/src/routes.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
-use customers::{Customer, Customers, Refusal, ShownKey};
+use customers::{Customer, Customers, PresentedKey, Refusal};
 use derive::{key, value};
 
 /// What may be repeated on a route.
@@ -160,9 +160,9 @@
     pub fn customer(
         &self,
         route: &Route,
-        shown: ShownKey<'_>,
+        shown: PresentedKey<'_>,
     ) -> Result<Option<Arc<Customer>>, Refusal> {
-        match self.customers.holder(shown) {
+        match self.customers.authenticate(shown) {
             Ok(holder) => Ok(holder.cloned()),
             Err(_) if route.public => Ok(None),
             Err(refusal) => Err(refusal),
--- a/components/dispatch/tests/routes.rs
+++ b/components/dispatch/tests/routes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use customers::{Customer, Customers, Entry, Refusal, ShownKey};
+use customers::{Customer, Customers, Entry, PresentedKey, Refusal};
 use dispatch::{Limits, Route, RouteKind, Routes, ServiceShare};
 
 fn route(name: &str, prefix: &str, shares: &[(&str, u32)]) -> Route {
@@ -38,7 +38,7 @@
         route("short", "/a/", &[("x", 1)]),
         route("long", "/a/b/", &[("x", 90), ("y", 10)]),
     ];
-    Routes::new(1, routes, HashMap::new(), limits, Customers::open())
+    Routes::new(1, routes, HashMap::new(), limits, Customers::unrestricted())
 }
 
 #[test]
@@ -113,7 +113,7 @@
         vec![single, mixed],
         HashMap::new(),
         limits,
-        Customers::open(),
+        Customers::unrestricted(),
     );
     for (service, needs) in [("x", true), ("y", true), ("z", false), ("none", false)] {
         assert_eq!(routes.needs_one_version(service), needs, "{service}");
@@ -125,38 +125,38 @@
     struct Case {
         name: &'static str,
         public: bool,
-        shown: ShownKey<'static>,
+        shown: PresentedKey<'static>,
         customer: Result<Option<&'static str>, Refusal>,
     }
     let cases = [
         Case {
             name: "a key",
             public: false,
-            shown: ShownKey::One("key"),
+            shown: PresentedKey::One("key"),
             customer: Ok(Some("a")),
         },
         Case {
             name: "no key",
             public: false,
-            shown: ShownKey::Nothing,
+            shown: PresentedKey::Nothing,
             customer: Err(Refusal::Missing),
         },
         Case {
             name: "no key on a public route",
             public: true,
-            shown: ShownKey::Nothing,
+            shown: PresentedKey::Nothing,
             customer: Ok(None),
         },
         Case {
             name: "an unknown key on a public route",
             public: true,
-            shown: ShownKey::One("other"),
+            shown: PresentedKey::One("other"),
             customer: Ok(None),
         },
         Case {
             name: "a key on a public route",
             public: true,
-            shown: ShownKey::One("key"),
+            shown: PresentedKey::One("key"),
             customer: Ok(Some("a")),
         },
     ];
@@ -172,7 +172,7 @@
         vec![],
         HashMap::new(),
         limits,
-        Customers::listed([entry]),
+        Customers::from_entries([entry]),
     );
     for case in cases {
         let mut route = route("r", "/a/", &[("x", 1)]);
--- a/components/front/src/access.rs
+++ b/components/front/src/access.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use customers::{Customer, Refusal, ShownKey};
+use customers::{Customer, PresentedKey, Refusal};
 use dispatch::{Route, Routes};
 use hyper::body::Incoming;
 use hyper::{HeaderMap, Response, StatusCode};
@@ -53,7 +53,7 @@
     fn word(self) -> &'static str {
         match self {
             Refused::NoRoute => "no-route",
-            Refused::Key(refusal) => refusal.word(),
+            Refused::Key(refusal) => refusal.as_str(),
         }
     }
 }
@@ -76,12 +76,12 @@
     headers: &HeaderMap,
     step: &str,
 ) -> Result<Option<Arc<Customer>>, Refused> {
-    let refusal = match routes.customers.holder(ingress::shown_key(headers)) {
+    let refusal = match routes.customers.authenticate(ingress::shown_key(headers)) {
         Ok(holder) => return Ok(holder.cloned()),
         Err(refusal) => refusal,
     };
     let open = results::find(front, |index| {
-        index.ledger.by_name(None, step).map(|step| step.id)
+        index.ledger.find(None, step).map(|step| step.id)
     });
     match open.await {
         Some(_) => Ok(None),
@@ -103,8 +103,8 @@
     let behind_ms = front.operator_age_ms(now_ms());
     let behind = behind_ms >= BEHIND_MS;
     let key = match ingress::shown_key(headers) {
-        ShownKey::One(key) => front.key_marks.of(key),
-        ShownKey::Nothing | ShownKey::Odd => String::new(),
+        PresentedKey::One(key) => front.key_marks.of(key),
+        PresentedKey::Nothing | PresentedKey::Malformed => String::new(),
     };
     log::info!(
         event = "refused", id = id.unwrap_or_default(), why = refused.word(), key, behind,
--- a/components/front/src/follow/index.rs
+++ b/components/front/src/follow/index.rs
@@ -43,7 +43,7 @@
                     front.leader_news.notify_one();
                 }
             }
-            Batch::Trimmed => front.index().skipped(now_ms()),
+            Batch::Trimmed => front.index().mark_gap(now_ms()),
             Batch::Failed => {}
         }
     }
@@ -55,7 +55,7 @@
         log::warn!(event = "record-malformed", topic = INDEX_TOPIC, offset, error:% = error; "");
     });
     let kept_ms = front.settings.bounds.readable_ms + KEPT_SLACK_MS;
-    index.ledger.forget_before(kept_ms, now_ms);
+    index.ledger.remove_older_than(kept_ms, now_ms);
 }
 
 /// Read barrier: waits until the index was read to its end after this call. A front for which
--- a/components/front/src/follow/operator.rs
+++ b/components/front/src/follow/operator.rs
@@ -31,7 +31,7 @@
                 log::info!(
                     event = "routes-in-force", version = routes.version,
                     customers = routes.customers.iter().count(),
-                    keys = routes.customers.keys(); ""
+                    keys = routes.customers.key_count(); ""
                 );
                 front.routes.store(Some(routes));
             }
--- a/components/front/src/jobs/mod.rs
+++ b/components/front/src/jobs/mod.rs
@@ -18,7 +18,7 @@
 use index::LogRecord;
 use orders::PLACES_AN_ITEM;
 use platform::jobs::{self, Submission};
-use steps::{DataRange, IndexRecord, StepHead, StepId};
+use steps::{DataRange, StepHead, StepId, StepRecord};
 
 use self::append::{Appended, PendingAppend};
 use self::data::DataRefusal;
@@ -121,7 +121,7 @@
 /// Reply to a repeated submission.
 fn known(front: &Front, submitted: &Submitted<'_>, digest: &[u8; 16]) -> Option<StepReply> {
     let index = front.index();
-    let step = index.ledger.by_name(submitted.customer, submitted.id)?;
+    let step = index.ledger.find(submitted.customer, submitted.id)?;
     Some(match step.head.digest == *digest {
         true => StepReply::new(StatusCode::ACCEPTED, "accepted before"),
         false => StepReply::new(StatusCode::CONFLICT, "another step has this id"),
@@ -148,7 +148,7 @@
     };
     let digest = submission.digest;
     let head = step_head(front, submitted, submission, data);
-    let record = match encode(&[LogRecord::Index(IndexRecord::Accepted(Box::new(head)))]) {
+    let record = match encode(&[LogRecord::Step(StepRecord::Accepted(Box::new(head)))]) {
         Ok(record) => record,
         Err(error) => {
             log::error!(event = "step-refused", id, error:% = error; "");
@@ -260,7 +260,7 @@
         began_ms: now_ms(),
         binds: true,
     };
-    let record = match encode(&[LogRecord::Index(IndexRecord::Ended { step })]) {
+    let record = match encode(&[LogRecord::Step(StepRecord::Ended { step })]) {
         Ok(record) => record,
         Err(error) => {
             log::error!(event = "end-not-written", id, error:% = error; "");
--- a/components/front/src/member.rs
+++ b/components/front/src/member.rs
@@ -11,8 +11,8 @@
 
 use index::{RUNNER_GROUP, RUNNER_TOPIC};
 use ownership::{
-    LARGE_SHARD_PLACES, MEMBER_TTL_MS, Next, Ownership, OwnershipSettings, SETTLING_MS,
-    SMALL_SHARD_PLACES, Standby, join_interval_ms,
+    LARGE_SHARD_SLOTS, MEMBER_TTL_MS, MembershipAction, Ownership, OwnershipSettings, REBALANCE_MS,
+    SMALL_SHARD_SLOTS, Standby, join_interval_ms,
 };
 use pacing::Activity;
 use platform::settings::FrontSettings;
@@ -59,18 +59,18 @@
             continue;
         }
         let unwritable_ms = front.unwritable_ms(now_ms());
-        match ownership.next(unwritable_ms) {
-            Next::Join { generation } => {
+        match ownership.next_action(unwritable_ms) {
+            MembershipAction::Join { generation } => {
                 let changed = join(&front, &mut ownership, generation).await;
                 // Of hundreds of fronts few have a partition to hand on or to wait for.
                 if changed && !ownership.partitions().is_empty() {
-                    settling_until_ms = now_ms() + SETTLING_MS;
+                    settling_until_ms = now_ms() + REBALANCE_MS;
                 }
             }
-            Next::StepDown => {
+            MembershipAction::StepDown => {
                 step_down(&front, &mut ownership, "results cannot be written").await;
             }
-            Next::Wait => {}
+            MembershipAction::Wait => {}
         }
         let settling = now_ms() < settling_until_ms;
         let pause_ms = join_interval_ms(settling);
@@ -88,14 +88,14 @@
     match front.storage.owners(RUNNER_GROUP, within).await {
         Ok(owners) => {
             let larger = |(_, owner): &(u32, String)| !owner.starts_with(STANDBY_PREFIX);
-            standby.owners_read(owners.iter().any(larger), now_ms());
+            standby.observe_owners(owners.iter().any(larger), now_ms());
         }
         Err(error) => log::warn!(event = "owners-not-read", error:% = error; ""),
     }
-    let takes_part = standby.takes_part(now_ms());
+    let takes_part = standby.should_join(now_ms());
     let shard_places = match takes_part {
-        true => SMALL_SHARD_PLACES,
-        false => LARGE_SHARD_PLACES,
+        true => SMALL_SHARD_SLOTS,
+        false => LARGE_SHARD_SLOTS,
     };
     front.shard_places.store(shard_places, Ordering::Relaxed);
     takes_part
@@ -107,7 +107,7 @@
     ownership.step_down();
     front.owned.store(Arc::new(ownership.clone()));
     if leave_group(front).await {
-        ownership.left();
+        ownership.record_leave();
         front.owned.store(Arc::new(ownership.clone()));
     }
 }
@@ -128,7 +128,7 @@
         .await;
     match joined {
         Ok(joined) => {
-            let changed = ownership.joined(sent_ms, joined.generation, joined.partitions);
+            let changed = ownership.record_join(sent_ms, joined.generation, joined.partitions);
             if changed {
                 log::info!(
                     event = "partitions-dealt", generation = joined.generation,
--- a/components/front/src/meter.rs
+++ b/components/front/src/meter.rs
@@ -10,7 +10,7 @@
 
 use leaving::{Progress, Working};
 use tokio::sync::Notify;
-use usage::{Batch, CustomerSeries, Tally, TrueTime, WindowSettings};
+use usage::{Batch, CustomerSeries, Tally, UtcClock, WindowSettings};
 
 use crate::clock::now_ms;
 use crate::state::{Front, locked};
@@ -32,7 +32,7 @@
 /// What this front counts.
 pub struct Meter {
     windows: Option<WindowSettings>,
-    time: Mutex<TrueTime>,
+    time: Mutex<UtcClock>,
     noted: Mutex<Noted>,
     series: Mutex<CustomerSeries>,
     news: Notify,
--- a/components/front/src/partial.rs
+++ b/components/front/src/partial.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use index::{DATA_TOPIC, LogRecord};
 use platform::store::StoreError;
-use steps::{IndexRecord, Place, SavedPiece, StepId};
+use steps::{DataLocation, SavedPiece, StepId, StepRecord};
 
 use crate::state::{Front, locked};
 use crate::writer::{APPEND_MS, WriteError, data_partition, write_index};
@@ -93,7 +93,7 @@
             after: self.saved.piece,
             last_event: self.last_event,
             versions: self.versions.clone(),
-            text: Place {
+            text: DataLocation {
                 partition: 0,
                 offset: 0,
                 bytes: text.len() as u32,
@@ -159,7 +159,7 @@
         return;
     }
     let count = items.len();
-    let record = [LogRecord::Index(IndexRecord::Kept { items, for_ms })];
+    let record = [LogRecord::Step(StepRecord::Reserved { items, for_ms })];
     match write_index(front, &record).await {
         Ok(_) => log::info!(event = "items-kept", items = count, for_ms; ""),
         // Others begin with them too, which costs runs and no result.
@@ -180,13 +180,13 @@
         .await?;
     let mut records = Vec::with_capacity(pieces.len());
     for (step, item, mut piece) in pieces {
-        piece.text = Place {
+        piece.text = DataLocation {
             partition,
             offset,
             bytes: piece.text.bytes,
         };
         offset += 1;
-        records.push(LogRecord::Index(IndexRecord::Saved { step, item, piece }));
+        records.push(LogRecord::Step(StepRecord::Saved { step, item, piece }));
     }
     write_index(front, &records).await?;
     Ok(())
@@ -196,7 +196,7 @@
 pub async fn restore(front: &Front, pieces: &[SavedPiece]) -> Result<Partial, StoreError> {
     let mut texts = Vec::with_capacity(pieces.len());
     for piece in pieces {
-        let Place {
+        let DataLocation {
             partition,
             offset,
             bytes,
--- a/components/front/src/reports.rs
+++ b/components/front/src/reports.rs
@@ -78,8 +78,8 @@
     }
     if let Some(windows) = front.meter.windows() {
         let true_ms = front.meter.true_ms(now_ms());
-        usage.saw(windows.window_at(true_ms));
-        usage.forget(windows, true_ms);
+        usage.note_window(windows.window_at(true_ms));
+        usage.remove_expired(windows, true_ms);
     }
 }
 
@@ -87,7 +87,7 @@
 fn skipped(front: &Front) {
     if let Some(windows) = front.meter.windows() {
         let window = windows.window_at(front.meter.true_ms(now_ms()));
-        front.usage().skipped(window.next());
+        front.usage().mark_gap(window.next());
     }
 }
 
@@ -131,14 +131,14 @@
             let sender = locked(&self.sender);
             let sent = |window| sender.has_sent(window);
             let usage = front.usage();
-            let to_seal = usage.to_seal(&windows, true_ms);
-            (to_seal, usage.to_send(&windows, true_ms, sent))
+            let to_seal = usage.windows_to_seal(&windows, true_ms);
+            (to_seal, usage.report_to_send(&windows, true_ms, sent))
         };
         let settled = !front.storage.is_lost() && now_ms >= self.returned_ms + RETURN_MS;
         if settled {
             self.seal(front, &to_seal, now_ms);
         }
-        report.filter(|_| locked(&self.sender).is_free(now_ms))
+        report.filter(|_| locked(&self.sender).is_ready(now_ms))
     }
 
     fn seal(&mut self, front: &Arc<Front>, windows: &[Window], now_ms: u64) {
@@ -167,9 +167,9 @@
         let (front, sender) = (Arc::clone(front), Arc::clone(&self.sender));
         tokio::spawn(async move {
             let outcome = send(&front, &duty, &report, fence).await;
-            locked(&sender).ended(outcome, now_ms(), rand::random());
+            locked(&sender).finish(outcome, now_ms(), rand::random());
             front.leader_news.notify_one();
-            if outcome == Outcome::Taken {
+            if outcome == Outcome::Accepted {
                 note_reported(&front, report.window).await;
             }
         });
@@ -195,18 +195,18 @@
             front
                 .metrics
                 .count("front_usage_reports_total", figures::call_label(true), 1);
-            Outcome::Taken
+            Outcome::Accepted
         }
         Ok(answer) => {
             log::warn!(event = "usage-not-taken", window, fence, answer:? = answer; "");
             match answer {
                 DutyAnswer::Fenced => Outcome::Fenced,
-                _ => Outcome::NotTaken,
+                _ => Outcome::NotAccepted,
             }
         }
         Err(error) => {
             log::warn!(event = "usage-not-sent", window, fence, error:% = error; "");
-            Outcome::NotTaken
+            Outcome::NotAccepted
         }
     }
 }
--- a/components/front/src/results.rs
+++ b/components/front/src/results.rs
@@ -12,7 +12,7 @@
 use index::Index;
 use platform::jobs::ResultsPage;
 use platform::store::StoreError;
-use steps::{ListedResult, Place, ResultState, StepHead, decode_item};
+use steps::{DataLocation, ListedResult, ResultState, StepHead, decode_item};
 
 use crate::clock::now_ms;
 use crate::follow;
@@ -86,7 +86,7 @@
 }
 
 fn window(index: &Index, customer: Option<&str>, id: &str, after: usize) -> Option<Window> {
-    let step = index.ledger.visible(customer, id)?;
+    let step = index.ledger.find_visible(customer, id)?;
     Some(Window {
         head: Arc::clone(&step.head),
         results: step.results.iter().skip(after).cloned().collect(),
@@ -159,7 +159,7 @@
     Ok(page.finish(after))
 }
 
-fn place(result: &ListedResult) -> Option<Place> {
+fn place(result: &ListedResult) -> Option<DataLocation> {
     match &result.state {
         ResultState::Succeeded { text, .. } => Some(*text),
         ResultState::Errored(_) => None,
@@ -185,7 +185,7 @@
 }
 
 async fn read_run(front: &Front, run: &[Arc<ListedResult>]) -> Result<Vec<Bytes>, StoreError> {
-    let places: Vec<Place> = run.iter().filter_map(|result| place(result)).collect();
+    let places: Vec<DataLocation> = run.iter().filter_map(|result| place(result)).collect();
     let Some(first) = places.first() else {
         return Ok(vec![Bytes::new(); run.len()]);
     };
@@ -223,8 +223,8 @@
 /// The body of an item of a customer's step.
 pub async fn item_body(front: &Front, customer: Option<&str>, id: &str, item: &str) -> Read {
     let place = find(front, |index| {
-        let step = index.ledger.visible(customer, id)?;
-        step.head.data_of(step.item(item)?)
+        let step = index.ledger.find_visible(customer, id)?;
+        step.head.data_location(step.item_number(item)?)
     });
     let Some((partition, offset)) = place.await else {
         return missing(front);
--- a/components/front/src/reward.rs
+++ b/components/front/src/reward.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hyper::{HeaderMap, Method};
-use steps::{FailedPart, Scorer, StepId};
+use steps::{FailedPart, RewardCall, StepId};
 
 use crate::calls::{self, CallOutcome, CallSpec};
 use crate::clock::now_ms;
@@ -20,7 +20,7 @@
 pub async fn score(
     front: &Arc<Front>,
     key: (StepId, u32),
-    scorer: &Scorer,
+    scorer: &RewardCall,
     customer: Option<&str>,
     mut failed: u32,
 ) -> Option<String> {
--- a/components/front/src/runner/contests.rs
+++ b/components/front/src/runner/contests.rs
@@ -211,7 +211,7 @@
     fn waiting_of(&self, step: &Step, owned: &BTreeSet<u16>, now_ms: u64) -> Vec<Key> {
         let waits = |(item, progress): (usize, &steps::ItemProgress)| {
             let key = (step.id, item as u32);
-            let mine = owned.contains(&step.shard(key.1)) && !step.is_kept(key.1, now_ms);
+            let mine = owned.contains(&step.shard(key.1)) && !step.is_reserved(key.1, now_ms);
             let waits = !progress.listed && !self.running.contains_key(&key);
             (mine && waits).then_some(key)
         };
--- a/components/front/src/runner/data.rs
+++ b/components/front/src/runner/data.rs
@@ -6,7 +6,7 @@
 pub(super) async fn read_data(front: &Front, head: &StepHead) -> Option<Vec<Arc<ItemData>>> {
     let mut data = Vec::with_capacity(head.items.len());
     while data.len() < head.items.len() {
-        let (partition, offset) = head.data_of(data.len())?;
+        let (partition, offset) = head.data_location(data.len())?;
         let within = Duration::from_millis(DATA_MS);
         let page = front
             .storage
@@ -22,7 +22,7 @@
         let before = data.len();
         for (at, record) in page.records.iter().enumerate() {
             // Records behind the end of a range are not of this step.
-            if head.data_of(before + at) != Some((partition, offset + at as u64)) {
+            if head.data_location(before + at) != Some((partition, offset + at as u64)) {
                 break;
             }
             match decode_item(record) {
--- a/components/front/src/serve.rs
+++ b/components/front/src/serve.rs
@@ -128,7 +128,9 @@
     id: Option<&str>,
     name: &str,
 ) -> Response<ReplyBody> {
-    let known = results::find(front, |index| index.ledger.visible(customer, name).cloned());
+    let known = results::find(front, |index| {
+        index.ledger.find_visible(customer, name).cloned()
+    });
     let Some(step) = known.await else {
         let read = results::results(front, customer, name, 0, std::time::Duration::ZERO).await;
         return read_answer(id, read, "application/json");
--- a/components/front/src/state.rs
+++ b/components/front/src/state.rs
@@ -14,7 +14,7 @@
 use index::Index;
 use lease::Lease;
 use leaving::Drain;
-use ownership::{LARGE_SHARD_PLACES, Ownership};
+use ownership::{LARGE_SHARD_SLOTS, Ownership};
 use pacing::Demand;
 use platform::settings::FrontSettings;
 use steps::StepHead;
@@ -118,7 +118,7 @@
             unwritable_since_ms: AtomicU64::new(0),
             owned: ArcSwap::from_pointee(Ownership::new(member::settings(&settings))),
             handed_on: AtomicBool::new(false),
-            shard_places: AtomicU32::new(LARGE_SHARD_PLACES),
+            shard_places: AtomicU32::new(LARGE_SHARD_SLOTS),
             runner_news: Notify::new(),
             handed_over: watch::Sender::new(false),
             leader_news: Notify::new(),
@@ -225,7 +225,7 @@
 
     /// Whether another front has a shard and must be told of its items that this one runs.
     pub fn is_handed_on(&self, head: &StepHead, shard: u16) -> bool {
-        self.owned.load().is_handed_on(self.partition(head, shard))
+        self.owned.load().is_reassigned(self.partition(head, shard))
     }
 
     fn partition(&self, head: &StepHead, shard: u16) -> u32 {
--- a/components/front/src/writer.rs
+++ b/components/front/src/writer.rs
@@ -11,7 +11,7 @@
 use index::{DATA_TOPIC, INDEX_PARTITION, INDEX_TOPIC, IndexError, LogRecord, USAGE_TOPIC};
 use platform::store::StoreError;
 use quick_error::quick_error;
-use steps::{ErrorCause, FailedPart, IndexRecord, Place, ResultState, StepId};
+use steps::{DataLocation, ErrorCause, FailedPart, ResultState, StepId, StepRecord};
 use tokio::sync::mpsc;
 use usage::UsageRecord;
 
@@ -117,7 +117,7 @@
 
 /// Notes in the index that a part of an item failed.
 pub async fn note_failed(front: &Front, (step, item): (StepId, u32), part: FailedPart) {
-    let record = [LogRecord::Index(IndexRecord::Failed { step, item, part })];
+    let record = [LogRecord::Step(StepRecord::Failed { step, item, part })];
     if let Err(error) = write_index(front, &record).await {
         // This process counts on; another one that takes over allows one attempt more.
         log::warn!(event = "failure-not-written", step = step.0, item, error:% = error; "");
@@ -181,7 +181,7 @@
                 versions,
                 score,
             } => {
-                let place = Place {
+                let place = DataLocation {
                     partition,
                     offset,
                     bytes: text.len() as u32,
@@ -195,7 +195,7 @@
             }
         };
         log::debug!(event = "item-ended", step = ended.step.0, item = ended.item; "");
-        records.push(LogRecord::Index(IndexRecord::Listed {
+        records.push(LogRecord::Step(StepRecord::Listed {
             step: ended.step,
             item: ended.item,
             state,
--- a/components/index/src/record.rs
+++ b/components/index/src/record.rs
@@ -4,7 +4,7 @@
 use derive::wire;
 use lease::LeaseRecord;
 use quick_error::quick_error;
-use steps::IndexRecord;
+use steps::StepRecord;
 use usage::UsageRecord;
 
 /// Topic that every front follows: one partition, small records.
@@ -42,7 +42,8 @@
 #[wire]
 pub enum LogRecord {
     /// About steps.
-    Index(IndexRecord),
+    #[serde(rename = "Index")]
+    Step(StepRecord),
     /// About the lease on orders.
     Lease(LeaseRecord),
 }
--- a/components/index/src/view.rs
+++ b/components/index/src/view.rs
@@ -38,7 +38,7 @@
     ) -> u64 {
         for (offset, record) in (from..).zip(records) {
             match decode(record) {
-                Ok(LogRecord::Index(record)) => {
+                Ok(LogRecord::Step(record)) => {
                     self.ledger.apply(offset, record, now_ms);
                 }
                 Ok(LogRecord::Lease(record)) => self.lease.apply(offset, &record, now_ms),
@@ -50,8 +50,8 @@
 
     /// Records before those that will be read next are gone: who holds the lease is unknown,
     /// and steps may be missing.
-    pub fn skipped(&mut self, now_ms: u64) {
-        self.lease.forget();
+    pub fn mark_gap(&mut self, now_ms: u64) {
+        self.lease.reset();
         self.read_since_ms = now_ms;
     }
 }
--- a/components/index/tests/index.rs
+++ b/components/index/tests/index.rs
@@ -3,14 +3,14 @@
 use bytes::Bytes;
 use index::{Index, LogRecord, decode, encode};
 use lease::{Lease, LeaseSettings};
-use steps::{FailedPart, IndexRecord, StepId, decode_item};
+use steps::{FailedPart, StepId, StepRecord, decode_item};
 
 fn index() -> Index {
     Index::new(Lease::new("a", 1, LeaseSettings::with_pause(300)))
 }
 
 fn record(step: u64) -> LogRecord {
-    LogRecord::Index(IndexRecord::Failed {
+    LogRecord::Step(StepRecord::Failed {
         step: StepId(step),
         item: 1,
         part: FailedPart::Run,
--- a/components/inspect/src/read.rs
+++ b/components/inspect/src/read.rs
@@ -245,7 +245,7 @@
                     log::warn!(event = "record-malformed", topic = INDEX_TOPIC, offset, error:% = error; "");
                 });
             }
-            Read::Gone => index.skipped(0),
+            Read::Gone => index.mark_gap(0),
         })
         .await?;
         Ok(index)
--- a/components/inspect/src/rows.rs
+++ b/components/inspect/src/rows.rs
@@ -151,7 +151,7 @@
         .map(|customer| CustomerRow {
             customer: customer.name.to_string(),
             rank: customer.rank,
-            keys: customers.keys_of(&customer.name),
+            keys: customers.key_count_of(&customer.name),
             steps: 0,
         })
         .collect();
--- a/components/inspect/tests/inspect.rs
+++ b/components/inspect/tests/inspect.rs
@@ -5,7 +5,7 @@
 use lease::LeaseRecord;
 use standins::fleet::records;
 use standins::fleet::store::Store;
-use steps::{ErrorCause, IndexRecord, ItemHead, Place, ResultState, StepHead, StepId};
+use steps::{DataLocation, ErrorCause, ItemHead, ResultState, StepHead, StepId, StepRecord};
 use usage::{CustomerCount, UsageRecord, Window, WindowCounts};
 
 fn head(id: &str) -> StepHead {
@@ -37,7 +37,7 @@
 }
 
 fn listed(item: u32, state: ResultState) -> LogRecord {
-    LogRecord::Index(IndexRecord::Listed {
+    LogRecord::Step(StepRecord::Listed {
         step: StepId(0),
         item,
         state,
@@ -48,7 +48,7 @@
     ResultState::Succeeded {
         versions: vec![2],
         score: "s".to_owned(),
-        text: Place {
+        text: DataLocation {
             partition: 0,
             offset: 0,
             bytes: 1,
@@ -123,12 +123,12 @@
 #[tokio::test]
 async fn can_show_the_progress_of_steps_and_who_gives_orders() {
     let store = Store::default();
-    let accepted = IndexRecord::Accepted(Box::new(head("step-3")));
-    write(&store, &LogRecord::Index(accepted));
+    let accepted = StepRecord::Accepted(Box::new(head("step-3")));
+    write(&store, &LogRecord::Step(accepted));
     write(&store, &listed(0, text()));
     write(&store, &listed(1, text()));
     write(&store, &listed(2, ResultState::Errored(ErrorCause::Runs)));
-    let take = LeaseRecord::Take {
+    let take = LeaseRecord::Acquire {
         holder: "front-1".to_owned(),
         attempt: 1,
         after: None,
@@ -163,12 +163,12 @@
     let store = Store::default();
     write(
         &store,
-        &LogRecord::Index(IndexRecord::Accepted(Box::new(head("gone")))),
+        &LogRecord::Step(StepRecord::Accepted(Box::new(head("gone")))),
     );
     store.forget(INDEX_TOPIC, 0);
     write(
         &store,
-        &LogRecord::Index(IndexRecord::Accepted(Box::new(head("kept")))),
+        &LogRecord::Step(StepRecord::Accepted(Box::new(head("kept")))),
     );
     let (_door, inspector) = inspector(&store).await;
     let steps = inspector.steps().await.expect("steps");
@@ -196,8 +196,8 @@
         customer: Some("anna".to_owned()),
         ..head("step-3")
     };
-    let accepted = IndexRecord::Accepted(Box::new(step));
-    write(&store, &LogRecord::Index(accepted));
+    let accepted = StepRecord::Accepted(Box::new(step));
+    write(&store, &LogRecord::Step(accepted));
     let counted = UsageRecord::Counted {
         writer: 1,
         number: 1,
--- a/components/lease/src/lib.rs
+++ b/components/lease/src/lib.rs
@@ -1,7 +1,7 @@
 //! The lease on giving orders, as records in the platform's log.
 //!
 //! Two holders' orders to one replica must lie a stated pause apart. The log's order decides
-//! who holds: a [`LeaseRecord::Take`] holds only if no other record of the lease came between
+//! who holds: a [`LeaseRecord::Acquire`] holds only if no other record of the lease came between
 //! what its writer had read and its own place, so that a take that lands seconds late takes
 //! nothing from anybody.
 //!
--- a/components/lease/src/record.rs
+++ b/components/lease/src/record.rs
@@ -4,7 +4,8 @@
 #[wire]
 pub enum LeaseRecord {
     /// `holder` takes the lease, having read it up to `after`. Allows no order yet.
-    Take {
+    #[serde(rename = "Take")]
+    Acquire {
         /// VM of the taker.
         holder: String,
         /// Number of the taker's attempt, for reading it back.
--- a/components/lease/src/settings.rs
+++ b/components/lease/src/settings.rs
@@ -7,7 +7,7 @@
     /// How long an announcement allows orders, from its sending.
     pub order_ms: u64,
     /// From reading the newest announcement until another one may give orders.
-    pub order_free_ms: u64,
+    pub exclusive_ms: u64,
     /// How long nothing of a holder is read before it counts as gone.
     pub silent_ms: u64,
     /// Pause between renewals.
@@ -31,7 +31,7 @@
     pub fn with_pause(pause_ms: u64) -> Self {
         Self {
             order_ms: ORDER_MS,
-            order_free_ms: ORDER_MS + pause_ms + SLACK_MS,
+            exclusive_ms: ORDER_MS + pause_ms + SLACK_MS,
             silent_ms: SILENT_MS,
             renew_ms: RENEW_MS,
             resend_ms: RENEW_MS,
--- a/components/lease/src/state.rs
+++ b/components/lease/src/state.rs
@@ -88,8 +88,8 @@
     /// Takes a record that stands at `offset` of the log, in the log's order.
     pub fn apply(&mut self, offset: u64, record: &LeaseRecord, now_ms: u64) {
         match record {
-            LeaseRecord::Take { holder, after, .. } => {
-                self.apply_take(offset, holder, *after, now_ms);
+            LeaseRecord::Acquire { holder, after, .. } => {
+                self.apply_acquire(offset, holder, *after, now_ms);
             }
             LeaseRecord::Renew {
                 fence,
@@ -102,7 +102,7 @@
         }
     }
 
-    fn apply_take(&mut self, offset: u64, holder: &str, after: Option<u64>, now_ms: u64) {
+    fn apply_acquire(&mut self, offset: u64, holder: &str, after: Option<u64>, now_ms: u64) {
         // A process that began to read in the middle can't judge its first take, and takes
         // it for good: to believe in a holder too many only makes it wait.
         if let Some(held) = &self.held
@@ -197,7 +197,7 @@
         // whoever has the lease, so two holders that don't know of each other never order
         // in turns.
         let others_ms = self.others_orders_ms.unwrap_or(0);
-        let in_pause = others_ms > 0 && sent.sent_ms < others_ms + self.settings.order_free_ms;
+        let in_pause = others_ms > 0 && sent.sent_ms < others_ms + self.settings.exclusive_ms;
         if sent.orders && !in_pause {
             let until_ms = sent.sent_ms + self.settings.order_ms;
             self.orders_until_ms = self.orders_until_ms.max(until_ms);
@@ -205,7 +205,7 @@
     }
 
     /// Forgets what was read, as the log lost records that this process had not read.
-    pub fn forget(&mut self) {
+    pub fn reset(&mut self) {
         self.held = None;
         self.other_ms = None;
         // What stood between an announcement and the gap is not known any more.
@@ -228,7 +228,7 @@
 
     /// How long nothing of a holder was read, in milliseconds; since `started_ms` where nothing
     /// ever was.
-    pub fn unheard_ms(&self, started_ms: u64, now_ms: u64) -> u64 {
+    pub fn silent_for_ms(&self, started_ms: u64, now_ms: u64) -> u64 {
         let heard_ms = self.held.as_ref().map_or(started_ms, |held| held.read_ms);
         now_ms.saturating_sub(heard_ms)
     }
@@ -256,7 +256,7 @@
             Some(held) if self.is_mine(held) => {
                 self.renewal(held, read_since_ms, wants_orders, now_ms)
             }
-            _ => self.take(held.as_ref(), now_ms),
+            _ => self.acquire(held.as_ref(), now_ms),
         }
     }
 
@@ -297,10 +297,10 @@
     /// Whether the pause behind another VM's orders is over.
     fn may_announce(&self, read_since_ms: u64, now_ms: u64) -> bool {
         let last_ms = self.others_orders_ms.unwrap_or(read_since_ms);
-        now_ms >= last_ms + self.settings.order_free_ms
+        now_ms >= last_ms + self.settings.exclusive_ms
     }
 
-    fn take(&mut self, held: Option<&Held>, now_ms: u64) -> Option<LeaseRecord> {
+    fn acquire(&mut self, held: Option<&Held>, now_ms: u64) -> Option<LeaseRecord> {
         let resend_ms = self.settings.resend_ms;
         if self
             .sent_last_ms
@@ -321,7 +321,7 @@
         }
         let after = held.map(|held| held.newest_offset);
         let attempt = self.note_sent(false, now_ms);
-        Some(LeaseRecord::Take {
+        Some(LeaseRecord::Acquire {
             holder: self.me.clone(),
             attempt,
             after,
@@ -343,7 +343,7 @@
     }
 
     /// Gives the lease up for good; the record says so to the others.
-    pub fn give_up(&mut self) -> Option<LeaseRecord> {
+    pub fn release(&mut self) -> Option<LeaseRecord> {
         let fence = self.held.as_ref().map(|held| held.fence);
         let mine = self.is_held_here();
         self.given_up = true;
--- a/components/lease/src/succession.rs
+++ b/components/lease/src/succession.rs
@@ -17,5 +17,5 @@
 /// there are as many of them as partitions at most, so that not all processes of a large fleet
 /// write at the moment at which a holder falls silent. Without owners anybody goes.
 pub fn is_candidate(lease: &Lease, owns: bool, started_ms: u64, now_ms: u64) -> bool {
-    owns || lease.is_held_here() || lease.unheard_ms(started_ms, now_ms) >= ANYBODY_MS
+    owns || lease.is_held_here() || lease.silent_for_ms(started_ms, now_ms) >= ANYBODY_MS
 }
--- a/components/lease/tests/lease.rs
+++ b/components/lease/tests/lease.rs
@@ -87,7 +87,7 @@
             return;
         }
         if vm.read < self.first {
-            vm.lease.forget();
+            vm.lease.reset();
             vm.read = self.first;
             vm.read_since_ms = now_ms;
         }
@@ -150,7 +150,7 @@
             Event::Restart { vm: at } => self.vms[*at] = vm(*at, self.vms[*at].lives + 1),
             Event::Drop => self.first = self.log.len(),
             Event::GiveUp { vm } => {
-                if let Some(record) = self.vms[*vm].lease.give_up() {
+                if let Some(record) = self.vms[*vm].lease.release() {
                     self.flying.push((self.now_ms + 50, record));
                 }
             }
@@ -189,7 +189,7 @@
     // nobody gave orders for the whole pause from now on, the next step but one would stand
     // still. The pause is already over, so silence alone is waited for.
     let mut lease = Lease::new("b", 0, settings());
-    let take = LeaseRecord::Take {
+    let take = LeaseRecord::Acquire {
         holder: "a".into(),
         attempt: 1,
         after: None,
@@ -215,7 +215,7 @@
     let silent_ms = settings().silent_ms;
     assert_eq!(lease.next_record(0, true, 5_400 + silent_ms - 1), None);
     let taken = lease.next_record(0, true, 5_400 + silent_ms);
-    let Some(taken @ LeaseRecord::Take { after: Some(3), .. }) = taken else {
+    let Some(taken @ LeaseRecord::Acquire { after: Some(3), .. }) = taken else {
         panic!("{taken:?}");
     };
     lease.apply(4, &taken, 6_950);
@@ -239,7 +239,7 @@
     lease.apply(0, &take, 10);
     let renewal = lease.next_record(0, true, 5_000).expect("due");
     lease.apply(1, &renewal, 5_010);
-    let late = LeaseRecord::Take {
+    let late = LeaseRecord::Acquire {
         holder: "b".into(),
         attempt: 9,
         after: Some(0),
@@ -267,7 +267,7 @@
     // from its beginning: an older holder's orders, then its own. No other VM ordered since,
     // so it need not wait out the pause; the trainers' steps stood still for it.
     let log = [
-        LeaseRecord::Take {
+        LeaseRecord::Acquire {
             holder: "b".into(),
             attempt: 1,
             after: None,
@@ -277,7 +277,7 @@
             attempt: 2,
             orders: true,
         },
-        LeaseRecord::Take {
+        LeaseRecord::Acquire {
             holder: "a".into(),
             attempt: 1,
             after: Some(1),
@@ -375,12 +375,12 @@
     // holder's announcement perhaps among them. What it announced allows nothing any more.
     let mut lease = holder("a");
     let mine = lease.next_record(0, true, 5_000).expect("due");
-    let take = LeaseRecord::Take {
+    let take = LeaseRecord::Acquire {
         holder: "a".into(),
         attempt: 9,
         after: None,
     };
-    lease.forget();
+    lease.reset();
     lease.apply(10, &take, 5_010);
     lease.apply(11, &mine, 5_010);
     assert_eq!(lease.fence(5_020), None);
--- a/components/ownership/src/lib.rs
+++ b/components/ownership/src/lib.rs
@@ -20,10 +20,11 @@
 
 pub use partition::partition_of;
 pub use shard::{
-    LARGE_SHARD_PLACES, SMALL_SHARD_PLACES, deal, replica_shards, shard_count, shard_partition,
+    LARGE_SHARD_SLOTS, SMALL_SHARD_SLOTS, assign_groups, replica_shards, shard_count,
+    shard_partition,
 };
 pub use standby::Standby;
-pub use times::{MEMBER_TTL_MS, SETTLING_MS, join_interval_ms};
+pub use times::{MEMBER_TTL_MS, REBALANCE_MS, join_interval_ms};
 
 /// Times of a membership.
 #[derive(Clone, Copy, Debug)]
@@ -36,7 +37,7 @@
 
 /// What the member does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum MembershipAction {
     /// Join, or stay.
     Join {
         /// Generation of the group that was last heard of; 0 for none. It tells the store
@@ -59,7 +60,7 @@
     last_owned: BTreeSet<u32>,
     /// Partitions that were given to others while the membership held: nobody acted for them
     /// before.
-    handed_on: BTreeSet<u32>,
+    reassigned: BTreeSet<u32>,
     until_ms: u64,
     stepped_down: bool,
 }
@@ -72,25 +73,25 @@
             generation: 0,
             partitions: BTreeSet::new(),
             last_owned: BTreeSet::new(),
-            handed_on: BTreeSet::new(),
+            reassigned: BTreeSet::new(),
             until_ms: 0,
             stepped_down: false,
         }
     }
 
     /// What to do, when nothing could be written for so long; 0 while writes are done.
-    pub fn next(&self, unwritable_ms: u64) -> Next {
+    pub fn next_action(&self, unwritable_ms: u64) -> MembershipAction {
         match self.stepped_down {
-            true if unwritable_ms > 0 => Next::Wait,
-            false if unwritable_ms > self.settings.unwritable_ms_max => Next::StepDown,
-            _ => Next::Join {
+            true if unwritable_ms > 0 => MembershipAction::Wait,
+            false if unwritable_ms > self.settings.unwritable_ms_max => MembershipAction::StepDown,
+            _ => MembershipAction::Join {
                 generation: self.generation,
             },
         }
     }
 
     /// A join that was sent at this moment was answered; true if the group changed.
-    pub fn joined(
+    pub fn record_join(
         &mut self,
         sent_ms: u64,
         generation: u64,
@@ -101,11 +102,11 @@
         self.generation = generation;
         self.partitions = partitions.into_iter().collect();
         if self.until_ms > 0 && sent_ms >= self.until_ms {
-            self.handed_on.clear();
+            self.reassigned.clear();
         } else {
-            self.handed_on.append(&mut self.last_owned);
+            self.reassigned.append(&mut self.last_owned);
         }
-        self.handed_on = &self.handed_on - &self.partitions;
+        self.reassigned = &self.reassigned - &self.partitions;
         self.last_owned.clone_from(&self.partitions);
         self.until_ms = sent_ms + self.settings.ttl_ms;
         changed
@@ -116,14 +117,14 @@
         *self = Self {
             stepped_down: true,
             last_owned: std::mem::take(&mut self.last_owned),
-            handed_on: std::mem::take(&mut self.handed_on),
+            reassigned: std::mem::take(&mut self.reassigned),
             ..Self::new(self.settings)
         };
     }
 
     /// The store knows that the partitions are given up, and deals them to others.
-    pub fn left(&mut self) {
-        self.handed_on.append(&mut self.last_owned);
+    pub fn record_leave(&mut self) {
+        self.reassigned.append(&mut self.last_owned);
     }
 
     /// Time to live that a join asks for, in milliseconds.
@@ -144,12 +145,12 @@
     /// groups, and the next owner can't write either. Else, where another member was dealt the
     /// partition, the work is done twice for as long as one item takes.
     pub fn may_finish(&self, partition: u32) -> bool {
-        self.last_owned.contains(&partition) || self.is_handed_on(partition)
+        self.last_owned.contains(&partition) || self.is_reassigned(partition)
     }
 
     /// Whether another member has the partition, and must be told of work that goes on here.
-    pub fn is_handed_on(&self, partition: u32) -> bool {
-        self.handed_on.contains(&partition)
+    pub fn is_reassigned(&self, partition: u32) -> bool {
+        self.reassigned.contains(&partition)
     }
 
     /// Whether the member may act for a partition now.
--- a/components/ownership/src/shard.rs
+++ b/components/ownership/src/shard.rs
@@ -12,9 +12,9 @@
 /// has half a core; 228 places keep it at work for 0.085 of a core on average, as measured,
 /// and for several times that while steps begin. More shards would not be better: a step is
 /// late whenever one of its shards changes its owner.
-pub const LARGE_SHARD_PLACES: u32 = 288;
+pub const LARGE_SHARD_SLOTS: u32 = 288;
 /// The same where only fronts with a tenth of a core are there.
-pub const SMALL_SHARD_PLACES: u32 = 48;
+pub const SMALL_SHARD_SLOTS: u32 = 48;
 /// A shard may have so many times that before its pool is cut into more shards, and so many
 /// times less before it is cut into fewer, in halves: steps that are dealt by two counts get
 /// in each other's way.
@@ -23,26 +23,26 @@
 /// Share of the partitions among which pools begin: the last sixth.
 const POOL_SHARE: u32 = 6;
 
-/// Number of shards for a pool with this many places, `places_each` a shard, where the step before
+/// Number of shards for a pool with this many places, `slots_per_shard` a shard, where the step before
 /// had `before`.
-pub fn shard_count(places: u32, places_each: u32, before: Option<u16>, partitions: u32) -> u16 {
-    let places_each = places_each.max(1);
+pub fn shard_count(places: u32, slots_per_shard: u32, before: Option<u16>, partitions: u32) -> u16 {
+    let slots_per_shard = slots_per_shard.max(1);
     let most = u16::try_from(partitions.max(1)).unwrap_or(u16::MAX);
     if let Some(before) = before.filter(|before| (1..=most).contains(before)) {
-        let halves = places.saturating_mul(2) / u32::from(before) / places_each;
+        let halves = places.saturating_mul(2) / u32::from(before) / slots_per_shard;
         let too_few = halves >= MOST_HALVES && before < most;
         let too_many = halves < LEAST_HALVES && before > 1;
         if !too_few && !too_many {
             return before;
         }
     }
-    let wanted = places.div_ceil(places_each);
+    let wanted = places.div_ceil(slots_per_shard);
     u16::try_from(wanted).unwrap_or(most).clamp(1, most)
 }
 
 /// Shard of each group, by the work in it: the next largest group goes to the shard with the
 /// least. `salt` turns the shards, so that the largest groups of all steps don't meet.
-pub fn deal(work: &[u64], shards: u16, salt: u64) -> Vec<u16> {
+pub fn assign_groups(work: &[u64], shards: u16, salt: u64) -> Vec<u16> {
     let shards = usize::from(shards.max(1));
     let first = (salt % shards as u64) as usize;
     let mut order: Vec<usize> = (0..work.len()).collect();
--- a/components/ownership/src/standby.rs
+++ b/components/ownership/src/standby.rs
@@ -18,7 +18,7 @@
 impl Standby {
     /// Takes the word whether a larger process has a partition. While the store can't be asked,
     /// nothing is known, and what was known stands.
-    pub fn owners_read(&mut self, larger_owns: bool, now_ms: u64) {
+    pub fn observe_owners(&mut self, larger_owns: bool, now_ms: u64) {
         self.alone_since_ms = match larger_owns {
             true => None,
             false => self.alone_since_ms.or(Some(now_ms)),
@@ -26,7 +26,7 @@
     }
 
     /// Whether it takes part.
-    pub fn takes_part(&self, now_ms: u64) -> bool {
+    pub fn should_join(&self, now_ms: u64) -> bool {
         let since_ms = self.alone_since_ms;
         since_ms.is_some_and(|since_ms| now_ms >= since_ms + ALONE_MS)
     }
--- a/components/ownership/src/times.rs
+++ b/components/ownership/src/times.rs
@@ -3,7 +3,7 @@
 /// Time to live of a member, in milliseconds: how long items stand still after a process died.
 pub const MEMBER_TTL_MS: u64 = 1_300;
 /// How long partitions may take to change hands, in milliseconds.
-pub const SETTLING_MS: u64 = 700;
+pub const REBALANCE_MS: u64 = 700;
 /// Interval between joins, in milliseconds; two may be lost before the membership is.
 const JOIN_MS: u64 = 350;
 /// Interval between joins while partitions change hands, in milliseconds. A partition stands
--- a/components/ownership/tests/ownership.rs
+++ b/components/ownership/tests/ownership.rs
@@ -1,7 +1,7 @@
 //! Members of a group under lost and late joins, frozen and killed members, members that can't
 //! write, and partitions that are dealt anew.
 
-use ownership::{Next, Ownership, OwnershipSettings, partition_of, shard_partition};
+use ownership::{MembershipAction, Ownership, OwnershipSettings, partition_of, shard_partition};
 
 const SETTINGS: OwnershipSettings = OwnershipSettings {
     ttl_ms: 1_300,
@@ -186,7 +186,7 @@
             if let Some((generation, partitions)) = last.answer.take() {
                 member
                     .ownership
-                    .joined(last.sent_ms, generation, partitions);
+                    .record_join(last.sent_ms, generation, partitions);
                 member.next_ms = now_ms + JOIN_MS;
             }
         }
@@ -199,17 +199,17 @@
         }
         member.next_ms = now_ms + JOIN_MS;
         let unwritable = member.unwritable_since_ms.map_or(0, |since| now_ms - since);
-        match member.ownership.next(unwritable) {
-            Next::Join { generation } => {
+        match member.ownership.next_action(unwritable) {
+            MembershipAction::Join { generation } => {
                 let pending = sent(&mut member.fault, generation, now_ms);
                 member.pending.push(pending);
                 member.next_ms = now_ms;
             }
-            Next::StepDown => {
+            MembershipAction::StepDown => {
                 member.ownership.step_down();
                 self.group.leave(at);
             }
-            Next::Wait => {}
+            MembershipAction::Wait => {}
         }
     }
 
@@ -278,13 +278,13 @@
     /// A member that can't write gives everything up, and takes nothing until it can.
     fn a_member_that_cannot_write_stands_back(unwritable_ms: u64) -> bool {
         let mut ownership = Ownership::new(SETTINGS);
-        ownership.joined(1_000, 7, [1, 2]);
-        if ownership.next(unwritable_ms) != Next::StepDown {
+        ownership.record_join(1_000, 7, [1, 2]);
+        if ownership.next_action(unwritable_ms) != MembershipAction::StepDown {
             return unwritable_ms <= SETTINGS.unwritable_ms_max;
         }
         ownership.step_down();
-        let waits = ownership.next(unwritable_ms) == Next::Wait;
-        waits && !ownership.owns(1, 1_001) && ownership.next(0) == Next::Join { generation: 0 }
+        let waits = ownership.next_action(unwritable_ms) == MembershipAction::Wait;
+        waits && !ownership.owns(1, 1_001) && ownership.next_action(0) == MembershipAction::Join { generation: 0 }
     }
 }
 
@@ -293,10 +293,10 @@
     // A join is answered late, and the member is frozen behind it. The store counts from the
     // arrival, the member from the moment before, so that it stops first.
     let mut ownership = Ownership::new(SETTINGS);
-    assert!(ownership.joined(1_000, 1, [3]));
+    assert!(ownership.record_join(1_000, 1, [3]));
     assert!(ownership.owns(3, 2_299) && !ownership.owns(2, 2_299));
     assert!(!ownership.owns(3, 2_300));
-    assert!(!ownership.joined(2_000, 1, [3]), "the same generation");
+    assert!(!ownership.record_join(2_000, 1, [3]), "the same generation");
     assert!(ownership.owns(3, 3_299));
 }
 
@@ -341,7 +341,7 @@
             name: "it can't write and the store knows that it left",
             happens: |ownership| {
                 ownership.step_down();
-                ownership.left();
+                ownership.record_leave();
             },
             goes_on: true,
         },
@@ -349,38 +349,38 @@
             name: "the same, and it is a member again",
             happens: |ownership| {
                 ownership.step_down();
-                ownership.left();
-                ownership.joined(3_000, 3, [4]);
+                ownership.record_leave();
+                ownership.record_join(3_000, 3, [4]);
             },
             goes_on: true,
         },
         Case {
             name: "another member was dealt it",
             happens: |ownership| {
-                ownership.joined(3_000, 2, [4]);
+                ownership.record_join(3_000, 2, [4]);
             },
             goes_on: false,
         },
         Case {
             name: "another member was dealt it while the membership held",
             happens: |ownership| {
-                ownership.joined(1_300, 2, [4]);
-                ownership.joined(1_600, 2, [4]);
+                ownership.record_join(1_300, 2, [4]);
+                ownership.record_join(1_600, 2, [4]);
             },
             goes_on: true,
         },
         Case {
             name: "the same, and it lapsed since",
             happens: |ownership| {
-                ownership.joined(1_300, 2, [4]);
-                ownership.joined(9_000, 2, [4]);
+                ownership.record_join(1_300, 2, [4]);
+                ownership.record_join(9_000, 2, [4]);
             },
             goes_on: false,
         },
     ];
     for case in cases {
         let mut ownership = Ownership::new(SETTINGS);
-        ownership.joined(1_000, 1, [3]);
+        ownership.record_join(1_000, 1, [3]);
         (case.happens)(&mut ownership);
         assert_eq!(ownership.may_finish(3), case.goes_on, "{}", case.name);
         assert!(!ownership.owns(3, 4_000), "{}", case.name);
--- a/components/ownership/tests/shards.rs
+++ b/components/ownership/tests/shards.rs
@@ -1,6 +1,6 @@
 //! Shards of a pool's work, under the load of steps that arrive at once before many replicas.
 
-use ownership::{LARGE_SHARD_PLACES, SMALL_SHARD_PLACES, deal, replica_shards, shard_count};
+use ownership::{LARGE_SHARD_SLOTS, SMALL_SHARD_SLOTS, assign_groups, replica_shards, shard_count};
 
 /// Partitions of the store's topics, as on small deployments.
 const PARTITIONS: u32 = 24;
@@ -19,7 +19,7 @@
     fn deals_every_group_evenly(work: Vec<u16>, shards: u8, salt: u64) -> bool {
         let shards = u16::from(shards % 12) + 1;
         let work: Vec<u64> = work.iter().map(|work| u64::from(*work) + 1).collect();
-        let dealt = deal(&work, shards, salt);
+        let dealt = assign_groups(&work, shards, salt);
         let loads = loads(&work, &dealt, shards);
         let total: u64 = work.iter().sum();
         let largest = work.iter().copied().max().unwrap_or(0);
@@ -56,7 +56,7 @@
 #[test]
 fn can_turn_the_shard_of_the_largest_group_from_step_to_step() {
     let work = [900, 100, 100];
-    let first = |salt| deal(&work, 3, salt)[0];
+    let first = |salt| assign_groups(&work, 3, salt)[0];
     assert_eq!([first(0), first(1), first(2)], [0, 1, 2]);
 }
 
@@ -88,13 +88,13 @@
         case("a count that can't be", 72, Some(99), 1),
     ];
     for case in cases {
-        let found = shard_count(case.places, LARGE_SHARD_PLACES, case.before, PARTITIONS);
+        let found = shard_count(case.places, LARGE_SHARD_SLOTS, case.before, PARTITIONS);
         assert_eq!(found, case.shards, "{}", case.name);
     }
 }
 
 #[test]
 fn can_cut_a_pool_smaller_where_only_small_fronts_are_there() {
-    assert_eq!(shard_count(228, SMALL_SHARD_PLACES, None, PARTITIONS), 5);
-    assert_eq!(shard_count(4_800, SMALL_SHARD_PLACES, None, PARTITIONS), 24);
+    assert_eq!(shard_count(228, SMALL_SHARD_SLOTS, None, PARTITIONS), 5);
+    assert_eq!(shard_count(4_800, SMALL_SHARD_SLOTS, None, PARTITIONS), 24);
 }
--- a/components/ownership/tests/standby.rs
+++ b/components/ownership/tests/standby.rs
@@ -54,9 +54,9 @@
     for case in cases {
         let mut standby = Standby::default();
         for (at_ms, larger_owns) in case.read {
-            standby.owners_read(*larger_owns, *at_ms);
+            standby.observe_owners(*larger_owns, *at_ms);
         }
-        let takes_part = standby.takes_part(case.at_ms);
+        let takes_part = standby.should_join(case.at_ms);
         assert_eq!(takes_part, case.takes_part, "{}", case.name);
     }
 }
--- a/components/steps/src/data.rs
+++ b/components/steps/src/data.rs
@@ -18,7 +18,7 @@
 
 /// The reward call of an item.
 #[wire]
-pub struct Scorer {
+pub struct RewardCall {
     /// Id of the call.
     pub id: String,
     /// Host of its route.
@@ -39,7 +39,7 @@
     /// Its body.
     pub body: Vec<u8>,
     /// The reward call.
-    pub scorer: Option<Scorer>,
+    pub scorer: Option<RewardCall>,
 }
 
 /// The bytes of an item's data.
--- a/components/steps/src/ledger.rs
+++ b/components/steps/src/ledger.rs
@@ -6,7 +6,7 @@
 use derive::value;
 
 use crate::step::ItemProgress;
-use crate::{FailedPart, IndexRecord, ListedResult, SavedPiece, Step, StepHead, StepId};
+use crate::{FailedPart, ListedResult, SavedPiece, Step, StepHead, StepId, StepRecord};
 
 /// What a record changed.
 #[value]
@@ -28,29 +28,34 @@
 pub struct Ledger {
     steps: BTreeMap<StepId, Step>,
     /// Steps by the trainer's id; those of several customers may have the same.
-    by_name: HashMap<String, Vec<StepId>>,
+    by_trainer_id: HashMap<String, Vec<StepId>>,
 }
 
 impl Ledger {
     /// Takes the record that stands at `offset`, in the log's order.
-    pub fn apply(&mut self, offset: u64, record: IndexRecord, now_ms: u64) -> Change {
+    pub fn apply(&mut self, offset: u64, record: StepRecord, now_ms: u64) -> Change {
         match record {
-            IndexRecord::Accepted(head) => self.accept(StepId(offset), *head, now_ms),
-            IndexRecord::Listed { step, item, state } => {
+            StepRecord::Accepted(head) => self.accept(StepId(offset), *head, now_ms),
+            StepRecord::Listed { step, item, state } => {
                 self.list(step, ListedResult { item, state })
             }
-            IndexRecord::Failed { step, item, part } => self.fail(step, item, part),
-            IndexRecord::Ended { step } => self.end(step),
-            IndexRecord::Saved { step, item, piece } => self.save(step, item, piece),
-            IndexRecord::Kept { items, for_ms } => self.keep(&items, now_ms + u64::from(for_ms)),
+            StepRecord::Failed { step, item, part } => self.fail(step, item, part),
+            StepRecord::Ended { step } => self.end(step),
+            StepRecord::Saved { step, item, piece } => self.save(step, item, piece),
+            StepRecord::Reserved { items, for_ms } => {
+                self.reserve(&items, now_ms + u64::from(for_ms))
+            }
         }
     }
 
     fn accept(&mut self, id: StepId, head: StepHead, now_ms: u64) -> Change {
-        if self.by_name(head.customer.as_deref(), &head.id).is_some() {
+        if self.find(head.customer.as_deref(), &head.id).is_some() {
             return Change::Nothing;
         }
-        self.by_name.entry(head.id.clone()).or_default().push(id);
+        self.by_trainer_id
+            .entry(head.id.clone())
+            .or_default()
+            .push(id);
         self.steps.insert(id, Step::new(id, head, now_ms));
         Change::Accepted(id)
     }
@@ -107,11 +112,11 @@
         Change::Progress(id)
     }
 
-    fn keep(&mut self, items: &[(StepId, u32)], until_ms: u64) -> Change {
+    fn reserve(&mut self, items: &[(StepId, u32)], until_ms: u64) -> Change {
         let mut change = Change::Nothing;
         for (id, item) in items {
             if let Some(step) = self.steps.get_mut(id).filter(|step| step.is_open()) {
-                step.kept_until_ms.insert(*item, until_ms);
+                step.reserved_until_ms.insert(*item, until_ms);
                 change = Change::Progress(*id);
             }
         }
@@ -124,17 +129,17 @@
 
     /// The customer's step with the trainer's id. Another customer's step with that id is
     /// another step: nobody learns from an answer which ids others use.
-    pub fn by_name(&self, customer: Option<&str>, name: &str) -> Option<&Step> {
-        let steps = self.by_name.get(name)?.iter();
+    pub fn find(&self, customer: Option<&str>, name: &str) -> Option<&Step> {
+        let steps = self.by_trainer_id.get(name)?.iter();
         let mut steps = steps.filter_map(|id| self.steps.get(id));
         steps.find(|step| step.head.customer.as_deref() == customer)
     }
 
     /// The step that a customer may read and end under this id: its own, else one that nobody
     /// showed a key for.
-    pub fn visible(&self, customer: Option<&str>, name: &str) -> Option<&Step> {
-        let own = self.by_name(customer, name);
-        own.or_else(|| self.by_name(None, name))
+    pub fn find_visible(&self, customer: Option<&str>, name: &str) -> Option<&Step> {
+        let own = self.find(customer, name);
+        own.or_else(|| self.find(None, name))
     }
 
     /// The step that this offset names.
@@ -148,10 +153,13 @@
     }
 
     /// Forgets steps that this process read of more than `kept_ms` ago.
-    pub fn forget_before(&mut self, kept_ms: u64, now_ms: u64) {
-        let Self { steps, by_name } = self;
+    pub fn remove_older_than(&mut self, kept_ms: u64, now_ms: u64) {
+        let Self {
+            steps,
+            by_trainer_id,
+        } = self;
         steps.retain(|_, step| now_ms < step.read_ms + kept_ms);
-        by_name.retain(|_, ids| {
+        by_trainer_id.retain(|_, ids| {
             ids.retain(|id| steps.contains_key(id));
             !ids.is_empty()
         });
--- a/components/steps/src/lib.rs
+++ b/components/steps/src/lib.rs
@@ -1,7 +1,7 @@
 //! Accepted steps and their results, as the log tells them.
 //!
-//! The log's order is the only judge. The first [`IndexRecord::Accepted`] of an id is the
-//! step; the first [`IndexRecord::Listed`] of an item is its result, and its place among the
+//! The log's order is the only judge. The first [`StepRecord::Accepted`] of an id is the
+//! step; the first [`StepRecord::Listed`] of an item is its result, and its place among the
 //! listed ones of its step is its position, for ever and at every process. So any process
 //! may run an item, a record may be written twice or land late, and nobody has to agree
 //! with anybody first. Bodies and texts lie in records of their own and are read when
@@ -12,10 +12,10 @@
 mod record;
 mod step;
 
-pub use data::{DataError, ItemData, Scorer, decode_item, encode_item};
+pub use data::{DataError, ItemData, RewardCall, decode_item, encode_item};
 pub use ledger::{Change, Ledger};
 pub use record::{
-    DataRange, ErrorCause, FailedPart, IndexRecord, ItemHead, Place, ResultState, SavedPiece,
-    StepHead, StepId,
+    DataLocation, DataRange, ErrorCause, FailedPart, ItemHead, ResultState, SavedPiece, StepHead,
+    StepId, StepRecord,
 };
 pub use step::{ItemProgress, ListedResult, Step};
--- a/components/steps/src/record.rs
+++ b/components/steps/src/record.rs
@@ -19,7 +19,7 @@
 
 /// Place of one record in the topic for data.
 #[wire_key]
-pub struct Place {
+pub struct DataLocation {
     /// Partition of the topic for data.
     pub partition: u32,
     /// Offset of the record.
@@ -101,7 +101,7 @@
     }
 
     /// Place of an item's data: partition and offset.
-    pub fn data_of(&self, item: usize) -> Option<(u32, u64)> {
+    pub fn data_location(&self, item: usize) -> Option<(u32, u64)> {
         let mut left = item as u64;
         for range in &self.data {
             if left < u64::from(range.count) {
@@ -136,7 +136,7 @@
         /// The scorer's signature.
         score: String,
         /// Where the text lies.
-        text: Place,
+        text: DataLocation,
     },
     /// Without.
     Errored(ErrorCause),
@@ -155,7 +155,7 @@
     /// Versions of the weights that made the text up to here, ascending.
     pub versions: Vec<u64>,
     /// Where its text lies.
-    pub text: Place,
+    pub text: DataLocation,
 }
 
 /// What of an item failed.
@@ -170,7 +170,7 @@
 
 /// A record of the index.
 #[wire]
-pub enum IndexRecord {
+pub enum StepRecord {
     /// A step is accepted.
     Accepted(Box<StepHead>),
     /// An item has a result.
@@ -206,7 +206,8 @@
         piece: SavedPiece,
     },
     /// A process that leaves goes on with items that it runs.
-    Kept {
+    #[serde(rename = "Kept")]
+    Reserved {
         /// The items: their step, their number in it.
         items: Vec<(StepId, u32)>,
         /// How long nobody else need run them, in milliseconds; 0 from now on.
--- a/components/steps/src/step.rs
+++ b/components/steps/src/step.rs
@@ -43,7 +43,7 @@
     pub saved: HashMap<u32, Vec<SavedPiece>>,
     /// Until when another process goes on with an item, by number of the item, in milliseconds of
     /// this process's clock.
-    pub kept_until_ms: HashMap<u32, u64>,
+    pub reserved_until_ms: HashMap<u32, u64>,
     /// Whether the trainer ended it.
     pub ended: bool,
     /// Shard by group.
@@ -60,7 +60,7 @@
             results: Vec::new(),
             progress: vec![ItemProgress::default(); head.items.len()],
             saved: HashMap::new(),
-            kept_until_ms: HashMap::new(),
+            reserved_until_ms: HashMap::new(),
             ended: false,
             shard_by_group: shard_by_group(id, &head),
             read_ms,
@@ -102,8 +102,8 @@
     }
 
     /// Whether another process goes on with an item.
-    pub fn is_kept(&self, item: u32, now_ms: u64) -> bool {
-        let until_ms = self.kept_until_ms.get(&item);
+    pub fn is_reserved(&self, item: u32, now_ms: u64) -> bool {
+        let until_ms = self.reserved_until_ms.get(&item);
         until_ms.is_some_and(|until_ms| now_ms < *until_ms)
     }
 
@@ -113,7 +113,7 @@
     }
 
     /// Number of the item with this id.
-    pub fn item(&self, id: &str) -> Option<usize> {
+    pub fn item_number(&self, id: &str) -> Option<usize> {
         self.head.items.iter().position(|item| item.id == id)
     }
 }
@@ -124,5 +124,5 @@
     for item in &head.items {
         work[usize::from(item.group)] += u64::from(item.expected_tokens());
     }
-    ownership::deal(&work, head.shards, id.0)
+    ownership::assign_groups(&work, head.shards, id.0)
 }
--- a/components/steps/tests/ledger.rs
+++ b/components/steps/tests/ledger.rs
@@ -4,8 +4,9 @@
 
 use quickcheck::{Arbitrary, Gen};
 use steps::{
-    Change, DataRange, ErrorCause, FailedPart, IndexRecord, ItemData, ItemHead, Ledger, Place,
-    ResultState, SavedPiece, Scorer, Step, StepHead, StepId, decode_item, encode_item,
+    Change, DataLocation, DataRange, ErrorCause, FailedPart, ItemData, ItemHead, Ledger,
+    ResultState, RewardCall, SavedPiece, Step, StepHead, StepId, StepRecord, decode_item,
+    encode_item,
 };
 
 const ITEMS: u32 = 4;
@@ -49,25 +50,25 @@
     }
 }
 
-fn accepted(id: &str) -> IndexRecord {
-    IndexRecord::Accepted(Box::new(head(id)))
+fn accepted(id: &str) -> StepRecord {
+    StepRecord::Accepted(Box::new(head(id)))
 }
 
-fn place(offset: u64) -> Place {
-    Place {
+fn place(offset: u64) -> DataLocation {
+    DataLocation {
         partition: 0,
         offset,
         bytes: 5,
     }
 }
 
-fn listed(step: u64, item: u32, offset: u64) -> IndexRecord {
+fn listed(step: u64, item: u32, offset: u64) -> StepRecord {
     let state = ResultState::Succeeded {
         versions: vec![2],
         score: "s".to_owned(),
         text: place(offset),
     };
-    IndexRecord::Listed {
+    StepRecord::Listed {
         step: StepId(step),
         item,
         state,
@@ -135,16 +136,16 @@
     }
 }
 
-fn record(written: &Written) -> IndexRecord {
+fn record(written: &Written) -> StepRecord {
     match *written {
         Written::Accepted(name) => accepted(&format!("step-{name}")),
         Written::Listed { step, item, offset } => listed(step.into(), item.into(), offset.into()),
-        Written::Errored { step, item } => IndexRecord::Listed {
+        Written::Errored { step, item } => StepRecord::Listed {
             step: StepId(step.into()),
             item: item.into(),
             state: ResultState::Errored(ErrorCause::Runs),
         },
-        Written::Failed { step, item } => IndexRecord::Failed {
+        Written::Failed { step, item } => StepRecord::Failed {
             step: StepId(step.into()),
             item: item.into(),
             part: FailedPart::Run,
@@ -154,12 +155,12 @@
             item,
             id,
             after,
-        } => IndexRecord::Saved {
+        } => StepRecord::Saved {
             step: StepId(step.into()),
             item: item.into(),
             piece: piece(id.into(), after.into(), id.into()),
         },
-        Written::Ended(step) => IndexRecord::Ended {
+        Written::Ended(step) => StepRecord::Ended {
             step: StepId(step.into()),
         },
     }
@@ -213,16 +214,16 @@
         let mut ended: BTreeSet<StepId> = BTreeSet::new();
         for (offset, written) in (0_u64..).zip(&written) {
             let record = record(written);
-            if let IndexRecord::Accepted(head) = &record {
+            if let StepRecord::Accepted(head) = &record {
                 first.entry(head.id.clone()).or_insert(StepId(offset));
             }
-            if let IndexRecord::Ended { step } = &record {
+            if let StepRecord::Ended { step } = &record {
                 ended.extend(ledger.get(*step).map(|step| step.id));
             }
             ledger.apply(offset, record, 0);
         }
         let is_first = |(name, id): (&String, &StepId)| {
-            ledger.by_name(None, name).is_some_and(|step| step.id == *id)
+            ledger.find(None, name).is_some_and(|step| step.id == *id)
         };
         let is_closed = |step: &Step| {
             step.ended == ended.contains(&step.id)
@@ -240,7 +241,7 @@
     ledger.apply(5, accepted("one"), 0);
     ledger.apply(6, listed(5, 0, 1), 0);
     ledger.apply(7, accepted("one"), 0);
-    let step = ledger.by_name(None, "one").expect("known");
+    let step = ledger.find(None, "one").expect("known");
     assert_eq!(step.id, StepId(5));
     assert_eq!(step.results.len(), 1);
     assert_eq!(ledger.steps().count(), 1);
@@ -251,7 +252,7 @@
     // Two customers choose the same id. Each reads and ends its own step, and neither learns
     // that the other's exists. A step that was submitted without a key is open to both.
     let of = |customer: Option<&str>, id: &str| {
-        IndexRecord::Accepted(Box::new(StepHead {
+        StepRecord::Accepted(Box::new(StepHead {
             customer: customer.map(str::to_owned),
             ..head(id)
         }))
@@ -277,12 +278,12 @@
         case(None, "open", Some(4)),
     ];
     for Case { customer, id, step } in cases {
-        let seen = ledger.visible(customer, id).map(|step| step.id.0);
+        let seen = ledger.find_visible(customer, id).map(|step| step.id.0);
         assert_eq!(seen, step, "{customer:?} {id}");
     }
     assert_eq!(ledger.steps().count(), 4);
-    ledger.forget_before(10, 100);
-    assert!(ledger.by_name(Some("a"), "one").is_none());
+    ledger.remove_older_than(10, 100);
+    assert!(ledger.find(Some("a"), "one").is_none());
 }
 
 #[test]
@@ -326,14 +327,14 @@
         let mut ledger = Ledger::default();
         ledger.apply(0, accepted("one"), 0);
         for (offset, piece) in case.written.into_iter().enumerate() {
-            let record = IndexRecord::Saved {
+            let record = StepRecord::Saved {
                 step: StepId(0),
                 item: 1,
                 piece,
             };
             ledger.apply(offset as u64 + 1, record, 0);
         }
-        let pieces = ledger.by_name(None, "one").expect("known").pieces(1);
+        let pieces = ledger.find(None, "one").expect("known").pieces(1);
         let kept: Vec<u64> = pieces.iter().map(|piece| piece.id).collect();
         assert_eq!(kept, case.kept, "{}", case.name);
     }
@@ -342,7 +343,7 @@
 #[test]
 fn can_find_the_data_of_each_item() {
     let head = head("one");
-    let places: Vec<_> = (0..5).map(|item| head.data_of(item)).collect();
+    let places: Vec<_> = (0..5).map(|item| head.data_location(item)).collect();
     let wanted = [
         Some((1, 10)),
         Some((1, 11)),
@@ -358,9 +359,9 @@
     let mut ledger = Ledger::default();
     ledger.apply(0, accepted("old"), 1_000);
     ledger.apply(1, accepted("new"), 100_000);
-    ledger.forget_before(120_000, 121_000);
-    assert!(ledger.by_name(None, "old").is_none());
-    assert!(ledger.by_name(None, "new").is_some());
+    ledger.remove_older_than(120_000, 121_000);
+    assert!(ledger.find(None, "old").is_none());
+    assert!(ledger.find(None, "new").is_some());
 }
 
 #[test]
@@ -369,7 +370,7 @@
         path: "/p/1".to_owned(),
         headers: vec![("a".to_owned(), "b".to_owned())],
         body: vec![0, 255],
-        scorer: Some(Scorer {
+        scorer: Some(RewardCall {
             id: "id".to_owned(),
             host: "host".to_owned(),
             path: "/s/".to_owned(),
@@ -408,7 +409,7 @@
             groups_wanted: 1,
             ..head("s")
         };
-        ledger.apply(7, IndexRecord::Accepted(Box::new(head)), 0);
+        ledger.apply(7, StepRecord::Accepted(Box::new(head)), 0);
         for (at, item) in case.listed.iter().enumerate() {
             let offset = 8 + at as u64;
             ledger.apply(offset, listed(7, *item, offset), 0);
@@ -424,21 +425,21 @@
     // neither run these items beside it, nor wait for one that it gave up or that died.
     let mut ledger = Ledger::default();
     ledger.apply(7, accepted("s"), 0);
-    let kept = |items: &[u32], for_ms| IndexRecord::Kept {
+    let kept = |items: &[u32], for_ms| StepRecord::Reserved {
         items: items.iter().map(|item| (StepId(7), *item)).collect(),
         for_ms,
     };
-    let is_kept = |ledger: &Ledger, now_ms| {
+    let is_reserved = |ledger: &Ledger, now_ms| {
         let step = ledger.get(StepId(7)).expect("a step");
-        [0, 1, 2].map(|item| step.is_kept(item, now_ms))
+        [0, 1, 2].map(|item| step.is_reserved(item, now_ms))
     };
     ledger.apply(8, kept(&[0, 1], 1_200), 100);
-    assert_eq!(is_kept(&ledger, 1_299), [true, true, false]);
-    assert_eq!(is_kept(&ledger, 1_300), [false, false, false]);
+    assert_eq!(is_reserved(&ledger, 1_299), [true, true, false]);
+    assert_eq!(is_reserved(&ledger, 1_300), [false, false, false]);
     ledger.apply(9, kept(&[0, 1], 1_200), 600);
     ledger.apply(10, kept(&[1], 0), 700);
-    assert_eq!(is_kept(&ledger, 1_300), [true, false, false]);
-    let unknown = IndexRecord::Kept {
+    assert_eq!(is_reserved(&ledger, 1_300), [true, false, false]);
+    let unknown = StepRecord::Reserved {
         items: vec![(StepId(99), 0)],
         for_ms: 5,
     };
--- a/components/usage/src/ledger.rs
+++ b/components/usage/src/ledger.rs
@@ -30,7 +30,7 @@
 
 /// What is known of a window.
 #[derive(Clone, Copy, Debug)]
-pub struct KnownWindow<'a> {
+pub struct WindowSummary<'a> {
     /// The window.
     pub window: Window,
     /// Requests by customer that its report has, or would have now.
@@ -76,7 +76,7 @@
             } => self.count(writer, number, windows),
             UsageRecord::Sealed { window } => self.seal(window),
             UsageRecord::Reported { window } => {
-                self.saw(window);
+                self.note_window(window);
                 self.windows.entry(window).or_default().reported = true;
                 Change::Reported(window)
             }
@@ -109,7 +109,7 @@
 
     /// Adds counts; gives how many requests came too late.
     fn add(&mut self, counts: WindowCounts) -> u64 {
-        self.saw(counts.window);
+        self.note_window(counts.window);
         let state = self.windows.entry(counts.window).or_default();
         let requests = counts.customers.iter().map(|count| count.requests);
         if state.sealed {
@@ -122,7 +122,7 @@
     }
 
     fn seal(&mut self, window: Window) -> Change {
-        self.saw(window);
+        self.note_window(window);
         let state = self.windows.entry(window).or_default();
         if std::mem::replace(&mut state.sealed, true) {
             return Change::Nothing;
@@ -131,14 +131,14 @@
     }
 
     /// A window in which the system ran; windows before the first one are nobody's to report.
-    pub fn saw(&mut self, window: Window) {
+    pub fn note_window(&mut self, window: Window) {
         let first = self.first.get_or_insert(window);
         *first = (*first).min(window);
     }
 
     /// Records before those that come next are gone: only windows from `from` on are known
     /// whole.
-    pub fn skipped(&mut self, from: Window) {
+    pub fn mark_gap(&mut self, from: Window) {
         self.whole_from = Some(from);
     }
 
@@ -150,12 +150,12 @@
     ) -> impl Iterator<Item = Window> + 'a {
         let first = self.first.unwrap_or(Window(u64::MAX));
         let from = first.max(self.whole_from.unwrap_or(first));
-        let oldest_ms = true_ms.saturating_sub(settings.give_up_ms);
+        let oldest_ms = true_ms.saturating_sub(settings.abandon_after_ms);
         let from = from.max(settings.window_at(oldest_ms));
         let until = settings.window_at(true_ms);
         (from.0..until.0).map(Window).filter(move |window| {
             let state = self.windows.get(window);
-            state.is_none_or(|state| !state.reported) && !settings.is_given_up(*window, true_ms)
+            state.is_none_or(|state| !state.reported) && !settings.is_abandoned(*window, true_ms)
         })
     }
 
@@ -165,14 +165,14 @@
     }
 
     /// Windows to seal now, oldest first.
-    pub fn to_seal(&self, settings: &WindowSettings, true_ms: u64) -> Vec<Window> {
+    pub fn windows_to_seal(&self, settings: &WindowSettings, true_ms: u64) -> Vec<Window> {
         self.open(settings, true_ms)
-            .filter(|window| !self.is_sealed(*window) && settings.is_to_seal(*window, true_ms))
+            .filter(|window| !self.is_sealed(*window) && settings.is_seal_due(*window, true_ms))
             .collect()
     }
 
     /// The oldest report to send now, of those that were not sent from here.
-    pub fn to_send(
+    pub fn report_to_send(
         &self,
         settings: &WindowSettings,
         true_ms: u64,
@@ -188,9 +188,9 @@
     }
 
     /// Windows that are known, oldest first.
-    pub fn windows(&self) -> impl Iterator<Item = KnownWindow<'_>> {
+    pub fn windows(&self) -> impl Iterator<Item = WindowSummary<'_>> {
         let known = self.windows.iter();
-        known.map(|(window, state)| KnownWindow {
+        known.map(|(window, state)| WindowSummary {
             window: *window,
             counts: &state.counts,
             sealed: state.sealed,
@@ -199,10 +199,10 @@
     }
 
     /// Forgets windows whose reports are given up, and fronts that counted nothing since.
-    pub fn forget(&mut self, settings: &WindowSettings, true_ms: u64) {
+    pub fn remove_expired(&mut self, settings: &WindowSettings, true_ms: u64) {
         self.windows
-            .retain(|window, _| !settings.is_given_up(*window, true_ms));
+            .retain(|window, _| !settings.is_abandoned(*window, true_ms));
         self.writers
-            .retain(|_, writer| !settings.is_given_up(writer.newest_window, true_ms));
+            .retain(|_, writer| !settings.is_abandoned(writer.newest_window, true_ms));
     }
 }
--- a/components/usage/src/lib.rs
+++ b/components/usage/src/lib.rs
@@ -23,10 +23,10 @@
 mod time;
 mod window;
 
-pub use ledger::{Change, KnownWindow, Report, UsageLedger};
+pub use ledger::{Change, Report, UsageLedger, WindowSummary};
 pub use record::{CustomerCount, UsageRecord, WindowCounts};
 pub use sender::{Outcome, Sender};
 pub use series::CustomerSeries;
 pub use tally::{Batch, Tally};
-pub use time::TrueTime;
+pub use time::UtcClock;
 pub use window::{Window, WindowSettings};
--- a/components/usage/src/sender.rs
+++ b/components/usage/src/sender.rs
@@ -15,9 +15,9 @@
 #[key]
 pub enum Outcome {
     /// The receiver took it, now or before.
-    Taken,
+    Accepted,
     /// It did not, or no answer came; the same report is sent again.
-    NotTaken,
+    NotAccepted,
     /// It never will: the sender's fencing number is too low.
     Fenced,
 }
@@ -48,15 +48,15 @@
     }
 
     /// Whether some report may go out now.
-    pub fn is_free(&self, now_ms: u64) -> bool {
+    pub fn is_ready(&self, now_ms: u64) -> bool {
         self.in_progress.is_none() && now_ms >= self.not_before_ms
     }
 
     /// The report that was in progress ended.
-    pub fn ended(&mut self, outcome: Outcome, now_ms: u64, random: u64) {
+    pub fn finish(&mut self, outcome: Outcome, now_ms: u64, random: u64) {
         let window = self.in_progress.take();
         match outcome {
-            Outcome::Taken => {
+            Outcome::Accepted => {
                 self.taken.extend(window);
                 while self.taken.len() > TAKEN_MAX {
                     self.taken.pop_first();
@@ -64,7 +64,7 @@
                 self.failures = 0;
                 self.not_before_ms = now_ms;
             }
-            Outcome::NotTaken | Outcome::Fenced => {
+            Outcome::NotAccepted | Outcome::Fenced => {
                 let doubled = PAUSE_MS << self.failures.min(8);
                 let pause_ms = doubled.min(PAUSE_MS_MAX);
                 self.failures = self.failures.saturating_add(1);
--- a/components/usage/src/time.rs
+++ b/components/usage/src/time.rs
@@ -10,12 +10,12 @@
 /// middle one of their differences over the last minute follows neither a short step nor a
 /// single odd reading.
 #[derive(Debug, Default)]
-pub struct TrueTime {
+pub struct UtcClock {
     differences_ms: VecDeque<i64>,
     middle_ms: Option<i64>,
 }
 
-impl TrueTime {
+impl UtcClock {
     /// Takes the time of day and the steady clock, read together.
     pub fn sample(&mut self, day_ms: u64, steady_ms: u64) {
         if self.differences_ms.len() >= SAMPLES_MAX {
--- a/components/usage/src/window.rs
+++ b/components/usage/src/window.rs
@@ -22,7 +22,7 @@
     /// From the end of a window until it is sealed.
     pub seal_after_ms: u64,
     /// From the end of a window until its report is given up.
-    pub give_up_ms: u64,
+    pub abandon_after_ms: u64,
 }
 
 /// How long a late report is still sent, in milliseconds: it is worth nothing in time, and
@@ -38,7 +38,7 @@
             length_ms: length_ms.max(1),
             due_ms,
             seal_after_ms: due_ms / 2,
-            give_up_ms: due_ms + LATE_MS,
+            abandon_after_ms: due_ms + LATE_MS,
         }
     }
 
@@ -53,12 +53,12 @@
     }
 
     /// Whether a window is to be sealed.
-    pub fn is_to_seal(&self, window: Window, true_ms: u64) -> bool {
+    pub fn is_seal_due(&self, window: Window, true_ms: u64) -> bool {
         true_ms >= self.end_ms(window) + self.seal_after_ms
     }
 
     /// Whether the report of a window is given up.
-    pub fn is_given_up(&self, window: Window, true_ms: u64) -> bool {
-        true_ms >= self.end_ms(window) + self.give_up_ms
+    pub fn is_abandoned(&self, window: Window, true_ms: u64) -> bool {
+        true_ms >= self.end_ms(window) + self.abandon_after_ms
     }
 }
--- a/components/usage/tests/reports.rs
+++ b/components/usage/tests/reports.rs
@@ -5,15 +5,15 @@
 
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
 use usage::{
-    Change, CustomerCount, CustomerSeries, Outcome, Report, Sender, Tally, TrueTime, UsageLedger,
-    UsageRecord, Window, WindowCounts, WindowSettings,
+    Change, CustomerCount, CustomerSeries, Outcome, Report, Sender, Tally, UsageLedger,
+    UsageRecord, UtcClock, Window, WindowCounts, WindowSettings,
 };
 
 const SETTINGS: WindowSettings = WindowSettings {
     length_ms: 5_000,
     due_ms: 10_000,
     seal_after_ms: 5_000,
-    give_up_ms: 70_000,
+    abandon_after_ms: 70_000,
 };
 
 fn counted(writer: u64, number: u32, window: u64, requests: u32) -> UsageRecord {
@@ -106,34 +106,39 @@
 #[test]
 fn can_tell_when_a_window_is_sealed_and_sent() {
     let mut ledger = UsageLedger::default();
-    ledger.saw(Window(6));
+    ledger.note_window(Window(6));
     ledger.apply(counted(1, 1, 7, 3));
     let none = |_| false;
     let end_ms = SETTINGS.end_ms(Window(7));
     assert_eq!(end_ms, 40_000);
-    assert_eq!(ledger.to_seal(&SETTINGS, 39_999), []);
+    assert_eq!(ledger.windows_to_seal(&SETTINGS, 39_999), []);
     assert_eq!(
-        ledger.to_seal(&SETTINGS, 40_000),
+        ledger.windows_to_seal(&SETTINGS, 40_000),
         [Window(6)],
         "one without a request too"
     );
-    assert_eq!(ledger.to_seal(&SETTINGS, 45_000), [Window(6), Window(7)]);
     assert_eq!(
-        ledger.to_send(&SETTINGS, 45_000, none),
+        ledger.windows_to_seal(&SETTINGS, 45_000),
+        [Window(6), Window(7)]
+    );
+    assert_eq!(
+        ledger.report_to_send(&SETTINGS, 45_000, none),
         None,
         "nothing is sealed"
     );
     ledger.apply(sealed(7));
-    let report = ledger.to_send(&SETTINGS, 45_000, none).expect("sealed");
+    let report = ledger
+        .report_to_send(&SETTINGS, 45_000, none)
+        .expect("sealed");
     assert_eq!((report.window, report.counts["customer-1"]), (Window(7), 3));
     assert_eq!(
-        ledger.to_send(&SETTINGS, 45_000, |window| window == Window(7)),
+        ledger.report_to_send(&SETTINGS, 45_000, |window| window == Window(7)),
         None
     );
     ledger.apply(UsageRecord::Reported { window: Window(7) });
-    assert_eq!(ledger.to_send(&SETTINGS, 45_000, none), None);
-    assert_eq!(ledger.to_seal(&SETTINGS, 45_000), [Window(6)]);
-    ledger.forget(&SETTINGS, 200_000);
+    assert_eq!(ledger.report_to_send(&SETTINGS, 45_000, none), None);
+    assert_eq!(ledger.windows_to_seal(&SETTINGS, 45_000), [Window(6)]);
+    ledger.remove_expired(&SETTINGS, 200_000);
     assert_eq!(ledger.windows().count(), 0);
 }
 
@@ -142,10 +147,13 @@
     // The log drops its history before a front has read it. The front knows a part of the
     // counts, and a report of a part would be a second one.
     let mut ledger = ledger(&[counted(1, 1, 7, 3), sealed(7), counted(1, 2, 8, 1)]);
-    ledger.skipped(Window(9));
+    ledger.mark_gap(Window(9));
     ledger.apply(sealed(8));
-    assert_eq!(ledger.to_send(&SETTINGS, 48_000, |_| false), None);
-    assert_eq!(ledger.to_seal(&SETTINGS, 60_000), [Window(9), Window(10)]);
+    assert_eq!(ledger.report_to_send(&SETTINGS, 48_000, |_| false), None);
+    assert_eq!(
+        ledger.windows_to_seal(&SETTINGS, 60_000),
+        [Window(9), Window(10)]
+    );
 }
 
 #[test]
@@ -172,14 +180,14 @@
     let mut sender = Sender::default();
     assert!(sender.begin(&report, 1_000));
     assert!(!sender.begin(&report, 1_000), "one at a time");
-    sender.ended(Outcome::NotTaken, 1_000, 0);
-    assert!(!sender.is_free(1_050));
+    sender.finish(Outcome::NotAccepted, 1_000, 0);
+    assert!(!sender.is_ready(1_050));
     assert!(sender.begin(&report, 1_200));
-    sender.ended(Outcome::NotTaken, 1_200, u64::MAX);
-    assert!(sender.is_free(1_700), "at most the doubled pause");
+    sender.finish(Outcome::NotAccepted, 1_200, u64::MAX);
+    assert!(sender.is_ready(1_700), "at most the doubled pause");
     assert!(sender.begin(&report, 1_700));
-    sender.ended(Outcome::Taken, 1_700, 0);
-    assert!(sender.has_sent(Window(7)) && sender.is_free(1_700));
+    sender.finish(Outcome::Accepted, 1_700, 0);
+    assert!(sender.has_sent(Window(7)) && sender.is_ready(1_700));
 }
 
 #[test]
@@ -207,7 +215,7 @@
 fn can_tell_true_time_while_the_time_of_day_steps() {
     // The time of day of one VM jumps by two seconds for five and back. A window that it
     // then closes by the stepped time would be sealed before its end.
-    let mut time = TrueTime::default();
+    let mut time = UtcClock::default();
     assert_eq!(time.at_ms(5), None);
     let steady_ms = |second: u64| second * 1_000;
     for second in 0..90 {
@@ -277,7 +285,7 @@
 type Machine = fn(&[UsageRecord]) -> Option<Report>;
 
 fn right(read: &[UsageRecord]) -> Option<Report> {
-    ledger(read).to_send(&SETTINGS, NOW_MS, |_| false)
+    ledger(read).report_to_send(&SETTINGS, NOW_MS, |_| false)
 }
 
 /// Sends what it has counted so far, sealed or not.
--- a/dev/sim/src/fleet/membership.rs
+++ b/dev/sim/src/fleet/membership.rs
@@ -26,9 +26,9 @@
             return true;
         };
         if heard {
-            standby.owners_read(larger_owns, now_ms);
+            standby.observe_owners(larger_owns, now_ms);
         }
-        let takes_part = standby.takes_part(now_ms);
+        let takes_part = standby.should_join(now_ms);
         if !takes_part && self.fronts[front].owns_any() {
             self.fronts[front].ownership.step_down();
             self.store.group.leave(front);
@@ -63,9 +63,9 @@
         partitions: Vec<u32>,
     ) {
         let ownership = &mut self.fronts[front].ownership;
-        let changed = ownership.joined(sent_ms, generation, partitions);
+        let changed = ownership.record_join(sent_ms, generation, partitions);
         if changed && !ownership.partitions().is_empty() {
-            self.settling_until_ms[front] = self.now_ms + SETTLING_MS;
+            self.settling_until_ms[front] = self.now_ms + REBALANCE_MS;
         }
         self.note_demand(front);
         if changed {
@@ -92,7 +92,7 @@
         let turned_away = state.turned_away;
         if let Some(record) = record {
             self.count(|counts| {
-                counts.takes += u64::from(matches!(record, LeaseRecord::Take { .. }));
+                counts.takes += u64::from(matches!(record, LeaseRecord::Acquire { .. }));
             });
             if !turned_away {
                 self.append(INDEX, SMALL_BYTES, Body::Lease(record));
--- a/dev/sim/src/fleet/mod.rs
+++ b/dev/sim/src/fleet/mod.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeSet, BinaryHeap};
 
 use lease::{LeaseRecord, is_candidate};
-use ownership::{SETTLING_MS, join_interval_ms};
+use ownership::{REBALANCE_MS, join_interval_ms};
 use pacing::ReadEnd;
 
 use crate::SimError;
