--- a/components/steps/src/data.rs
+++ b/components/steps/src/data.rs
@@ -1,53 +1,53 @@
-//! Data of an item: what a replica and a scorer are sent.
+//! Data of an item: the requests that are sent to a replica and to the scorer.
 
 use derive::wire;
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why bytes are no data of an item.
+    /// Failure to encode or decode the data of an item.
     #[derive(Debug)]
     pub enum DataError {
-        /// They can't be decoded, or the value can't be encoded.
+        /// The bytes can't be decoded, or the value can't be encoded.
         Codec(reason: postcard::Error) {
             source(reason)
             from()
-            display("data of an item: {}", reason)
+            display("cannot encode or decode the data of an item: {}", reason)
         }
     }
 }
 
-/// The reward call of an item.
+/// The call to the scorer that yields the reward of an item.
 #[wire]
 pub struct RewardCall {
-    /// Id of the call.
+    /// Request id that the scorer receives.
     pub id: String,
-    /// Host of its route.
+    /// Host of the route to the scorer.
     pub host: String,
-    /// Its path.
+    /// Request path.
     pub path: String,
-    /// Its body.
+    /// Request body.
     pub body: Vec<u8>,
 }
 
-/// What is sent for an item.
+/// The requests for one item.
 #[wire]
 pub struct ItemData {
-    /// Path of the request for tokens.
+    /// Path of the request that generates the text.
     pub path: String,
-    /// Its headers.
+    /// Headers of that request.
     pub headers: Vec<(String, String)>,
-    /// Its body.
+    /// Body of that request.
     pub body: Vec<u8>,
-    /// The reward call.
+    /// Call that scores the text; `None` if the item needs no reward.
     pub scorer: Option<RewardCall>,
 }
 
-/// The bytes of an item's data.
+/// Encodes the data of an item for the data topic.
 pub fn encode_item(item: &ItemData) -> Result<Vec<u8>, DataError> {
     Ok(postcard::to_stdvec(item)?)
 }
 
-/// The item's data in these bytes.
+/// Decodes the data of an item from a record of the data topic.
 pub fn decode_item(bytes: &[u8]) -> Result<ItemData, DataError> {
     Ok(postcard::from_bytes(bytes)?)
 }
--- a/components/steps/src/ledger.rs
+++ b/components/steps/src/ledger.rs
@@ -1,4 +1,4 @@
-//! All steps that are not forgotten yet.
+//! State of all steps, derived from the records of the index topic.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -8,31 +8,31 @@
 use crate::step::ItemProgress;
 use crate::{FailedPart, ListedResult, SavedPiece, Step, StepHead, StepId, StepRecord};
 
-/// What a record changed.
+/// Effect of a record on the ledger.
 #[value]
 pub enum Change {
-    /// Nothing: a repetition, or a step that is not known.
+    /// No effect: the record repeats an earlier one or refers to an unknown step.
     Nothing,
     /// A step was accepted.
     Accepted(StepId),
-    /// An item was listed.
+    /// An item got its result.
     Listed(StepId, u32),
-    /// Counts of failures or saved pieces changed.
+    /// Failure counts, saved pieces or reservations changed.
     Progress(StepId),
     /// A step was ended.
     Ended(StepId),
 }
 
-/// All steps that are not forgotten yet.
+/// All steps within their retention, keyed by the offset of their accepting record.
 #[derive(Debug, Default)]
 pub struct Ledger {
     steps: BTreeMap<StepId, Step>,
-    /// Steps by the trainer's id; those of several customers may have the same.
+    /// Steps by the id that the trainer gave; several customers may use the same id.
     by_trainer_id: HashMap<String, Vec<StepId>>,
 }
 
 impl Ledger {
-    /// Takes the record that stands at `offset`, in the log's order.
+    /// Applies the record at `offset`. Records must be applied in the order of the log.
     pub fn apply(&mut self, offset: u64, record: StepRecord, now_ms: u64) -> Change {
         match record {
             StepRecord::Accepted(head) => self.accept(StepId(offset), *head, now_ms),
@@ -100,8 +100,8 @@
     }
 
     fn save(&mut self, id: StepId, item: u32, piece: SavedPiece) -> Change {
-        let open = |step: &&mut Step| !step.ended && !step.is_listed(item);
-        let Some(step) = self.steps.get_mut(&id).filter(open) else {
+        let is_pending = |step: &&mut Step| !step.ended && !step.is_listed(item);
+        let Some(step) = self.steps.get_mut(&id).filter(is_pending) else {
             return Change::Nothing;
         };
         let newest = step.pieces(item).last().map_or(0, |newest| newest.id);
@@ -127,22 +127,22 @@
         self.steps.get_mut(&id)?.progress.get_mut(item as usize)
     }
 
-    /// The customer's step with the trainer's id. Another customer's step with that id is
-    /// another step: nobody learns from an answer which ids others use.
-    pub fn find(&self, customer: Option<&str>, name: &str) -> Option<&Step> {
-        let steps = self.by_trainer_id.get(name)?.iter();
+    /// Finds a step by its customer and the id that the trainer gave. The same id of another
+    /// customer names a different step, so an answer never reveals which ids others use.
+    pub fn find(&self, customer: Option<&str>, id: &str) -> Option<&Step> {
+        let steps = self.by_trainer_id.get(id)?.iter();
         let mut steps = steps.filter_map(|id| self.steps.get(id));
         steps.find(|step| step.head.customer.as_deref() == customer)
     }
 
-    /// The step that a customer may read and end under this id: its own, else one that nobody
-    /// showed a key for.
-    pub fn find_visible(&self, customer: Option<&str>, name: &str) -> Option<&Step> {
-        let own = self.find(customer, name);
-        own.or_else(|| self.find(None, name))
+    /// Finds the step that a customer may read and end under this id: the customer's own step, or
+    /// else a step that was submitted without a key.
+    pub fn find_visible(&self, customer: Option<&str>, id: &str) -> Option<&Step> {
+        let own = self.find(customer, id);
+        own.or_else(|| self.find(None, id))
     }
 
-    /// The step that this offset names.
+    /// The step whose accepting record has this offset.
     pub fn get(&self, id: StepId) -> Option<&Step> {
         self.steps.get(&id)
     }
@@ -152,13 +152,13 @@
         self.steps.values()
     }
 
-    /// Forgets steps that this process read of more than `kept_ms` ago.
-    pub fn remove_older_than(&mut self, kept_ms: u64, now_ms: u64) {
+    /// Removes steps whose accepting record this process read more than `retention_ms` ago.
+    pub fn remove_older_than(&mut self, retention_ms: u64, now_ms: u64) {
         let Self {
             steps,
             by_trainer_id,
         } = self;
-        steps.retain(|_, step| now_ms < step.read_ms + kept_ms);
+        steps.retain(|_, step| now_ms < step.read_ms + retention_ms);
         by_trainer_id.retain(|_, ids| {
             ids.retain(|id| steps.contains_key(id));
             !ids.is_empty()
--- a/components/steps/src/lib.rs
+++ b/components/steps/src/lib.rs
@@ -1,11 +1,13 @@
-//! Accepted steps and their results, as the log tells them.
+//! Training steps and their results, as the index topic records them.
 //!
-//! The log's order is the only judge. The first [`StepRecord::Accepted`] of an id is the
-//! step; the first [`StepRecord::Listed`] of an item is its result, and its place among the
-//! listed ones of its step is its position, for ever and at every process. So any process
-//! may run an item, a record may be written twice or land late, and nobody has to agree
-//! with anybody first. Bodies and texts lie in records of their own and are read when
-//! somebody asks; here stand only their places.
+//! The order of the log alone decides. The first [`StepRecord::Accepted`] with an id defines the
+//! step. The first [`StepRecord::Listed`] of an item is its result, and the item's position in
+//! the list of results follows from the place of that record in the log. Every process that reads
+//! the log derives the same positions, and they never change. Therefore any process may run an
+//! item, and records may be written twice or arrive late, without further coordination.
+//!
+//! Request bodies and texts are stored in the data topic and are read on demand. The structures
+//! here hold only their locations.
 
 mod data;
 mod ledger;
--- a/components/steps/src/record.rs
+++ b/components/steps/src/record.rs
@@ -1,106 +1,108 @@
-//! Records of the index: small, one for each thing that must outlive every process.
+//! Records about steps in the index topic. They hold all state that must survive the processes,
+//! and stay small because every front reads them.
 
 use derive::{key, wire, wire_key};
 
-/// Offset of the record that accepted a step; names the step in all later records.
+/// Offset of the [`StepRecord::Accepted`] record; later records refer to the step by it.
 #[wire_key]
 pub struct StepId(pub u64);
 
-/// Consecutive records that hold the items of a step.
+/// Consecutive records of the data topic that hold the data of a step's items.
 #[wire]
 pub struct DataRange {
-    /// Partition of the topic for data.
+    /// Partition of the data topic.
     pub partition: u32,
     /// Offset of the first record.
     pub offset: u64,
-    /// Number of records, one an item.
+    /// Number of records; each holds one item.
     pub count: u32,
 }
 
-/// Place of one record in the topic for data.
+/// Location of one record in the data topic.
 #[wire_key]
 pub struct DataLocation {
-    /// Partition of the topic for data.
+    /// Partition of the data topic.
     pub partition: u32,
     /// Offset of the record.
     pub offset: u64,
-    /// Its length.
+    /// Length of the record in bytes; sizes the read request.
     pub bytes: u32,
 }
 
-/// What is kept in memory of an item.
+/// Metadata of an item, which every front keeps in memory.
 #[wire]
 pub struct ItemHead {
-    /// The trainer's id of the item.
+    /// Id that the trainer gave the item; unique within the step.
     pub id: String,
-    /// Number of its group, counted in the order of first appearance.
+    /// Number of the item's group; groups are numbered by first appearance in the submission.
     pub group: u16,
-    /// Tokens of its prompt and its longest output.
+    /// Prompt tokens plus the maximum number of output tokens.
     pub tokens: u32,
-    /// The trainer's guess at its output tokens; 0 without one.
+    /// Output tokens that the trainer expects; 0 if the trainer gave no hint.
     pub hint_tokens: u32,
 }
 
-/// An accepted step.
+/// Metadata of an accepted step.
 #[wire]
 pub struct StepHead {
-    /// The trainer's id of the step.
+    /// Id that the trainer gave the step; unique per customer.
     pub id: String,
-    /// The customer that submitted it; none where no key was asked for.
+    /// Customer that submitted the step; `None` if the configuration requires no key.
     pub customer: Option<String>,
-    /// Digest of what was submitted, so that a repetition is told from another step.
+    /// Digest of the submission. It distinguishes a repeated submission from a different step with
+    /// the same id.
     pub digest: [u8; 16],
     /// Host of the route.
     pub host: String,
-    /// Prefix of the route's paths; with the host it names the route.
+    /// Path prefix of the route; host and prefix together identify the route.
     pub prefix: String,
     /// Model that is trained.
     pub model: String,
-    /// Number of the step, counted by the trainer.
+    /// Step number in the trainer's own count.
     pub number: u64,
-    /// Oldest version of the weights that may make a token.
+    /// Oldest version of the weights that may generate tokens for this step.
     pub min_version: u64,
-    /// Whether one version must make a whole text.
+    /// Whether a single version of the weights must generate each text.
     pub single_version: bool,
-    /// Whole groups that the trainer waits for.
+    /// Number of complete groups that the trainer waits for.
     pub groups_wanted: u32,
-    /// Attempts of an item, and of its reward call, that may fail.
+    /// Failed runs after which an item ends without a text.
     pub attempts_max: u32,
-    /// When all results are due, in milliseconds after the submission.
+    /// Time from submission until all results are due, in milliseconds.
     pub due_ms: u64,
-    /// When an item may be given up, in milliseconds after the submission.
+    /// Time from submission after which an item may be abandoned, in milliseconds.
     pub retention_ms: u64,
-    /// Heads of the items, in the order of their data.
+    /// Metadata of the items, in the order of their data.
     pub items: Vec<ItemHead>,
-    /// Where the items' data lies.
+    /// Ranges of the data topic that hold the items' data, in the order of the items.
     pub data: Vec<DataRange>,
-    /// Names the replicas that may run the items.
+    /// Pool of replicas that may run the items.
     pub pool: String,
-    /// Shards among which its groups are dealt.
+    /// Number of shards among which the step's groups are divided.
     pub shards: u16,
 }
 
-/// Output tokens of an item whose trainer gives no hint.
-const TOKENS_GUESS: u32 = 600;
+/// Expected output tokens of an item without a hint from the trainer.
+const DEFAULT_OUTPUT_TOKENS: u32 = 600;
 
 impl ItemHead {
-    /// Output tokens to expect.
+    /// Expected output tokens: the trainer's hint, or a default without one.
     pub fn expected_tokens(&self) -> u32 {
         match self.hint_tokens {
-            0 => TOKENS_GUESS,
+            0 => DEFAULT_OUTPUT_TOKENS,
             hint => hint,
         }
     }
 }
 
 impl StepHead {
-    /// Output tokens to expect of all its items.
+    /// Expected output tokens of all items together.
     pub fn expected_tokens(&self) -> u64 {
         let tokens = self.items.iter().map(ItemHead::expected_tokens);
         tokens.map(u64::from).sum()
     }
 
-    /// Place of an item's data: partition and offset.
+    /// Partition and offset of an item's data; `None` if the step has no such item.
     pub fn data_location(&self, item: usize) -> Option<(u32, u64)> {
         let mut left = item as u64;
         for range in &self.data {
@@ -113,52 +115,52 @@
     }
 }
 
-/// Why an item has no text.
+/// Why an item ended without a text.
 #[wire_key]
 pub enum ErrorCause {
-    /// The replica says that it can never be done.
+    /// The replica answered that the item can never succeed.
     Impossible,
-    /// Its runs failed as often as is allowed.
+    /// Runs at replicas failed as often as the route allows.
     Runs,
-    /// Its reward call failed as often as is allowed.
+    /// The reward call failed as often as the route allows.
     Reward,
-    /// Its time is up.
+    /// The retention time of the step passed.
     GivenUp,
 }
 
-/// How an item ended.
+/// Result of an item.
 #[wire]
 pub enum ResultState {
-    /// With a text and its score.
+    /// The item has a text and a score.
     Succeeded {
-        /// Versions of the weights that made the text, ascending.
+        /// Versions of the weights that generated the text, ascending.
         versions: Vec<u64>,
-        /// The scorer's signature.
+        /// Signature that the scorer returned; empty if the item needs no reward.
         score: String,
-        /// Where the text lies.
+        /// Location of the text.
         text: DataLocation,
     },
-    /// Without.
+    /// The item ended without a text.
     Errored(ErrorCause),
 }
 
-/// A piece of a text that is not whole yet, so that another process can go on behind it.
+/// A saved piece of an incomplete text, from which another front can resume the run.
 #[wire]
 pub struct SavedPiece {
-    /// Random id of the piece.
+    /// Random id of the piece; never 0.
     pub id: u64,
-    /// Id of the piece that it goes on from; 0 for the first. A piece of another run names
-    /// another one, so pieces of two runs are never joined.
+    /// Id of the preceding piece; 0 for the first piece. Ids are random per run, so pieces of two
+    /// runs are never joined.
     pub after: u64,
-    /// Last event in it.
+    /// Id of the last stream event that the piece contains.
     pub last_event: u64,
-    /// Versions of the weights that made the text up to here, ascending.
+    /// Versions of the weights that generated the text up to the end of this piece, ascending.
     pub versions: Vec<u64>,
-    /// Where its text lies.
+    /// Location of the piece's text.
     pub text: DataLocation,
 }
 
-/// What of an item failed.
+/// The part of an item's work that failed.
 #[key]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub enum FailedPart {
@@ -168,49 +170,50 @@
     Reward,
 }
 
-/// A record of the index.
+/// A record about steps in the index topic.
 #[wire]
 pub enum StepRecord {
-    /// A step is accepted.
+    /// A front accepted a step.
     Accepted(Box<StepHead>),
-    /// An item has a result.
+    /// A front wrote the result of an item. The first record of an item counts.
     Listed {
-        /// Its step.
+        /// Step of the item.
         step: StepId,
-        /// Its number in the step.
+        /// Number of the item in the step, from 0.
         item: u32,
-        /// How it ended.
+        /// Result of the item.
         state: ResultState,
     },
-    /// A part of an item failed at a replica; counted over all processes.
+    /// A run or a reward call failed. All fronts share the count of failures.
     Failed {
-        /// Its step.
+        /// Step of the item.
         step: StepId,
-        /// Its number in the step.
+        /// Number of the item in the step, from 0.
         item: u32,
-        /// What failed.
+        /// The part that failed.
         part: FailedPart,
     },
-    /// The trainer ended a step.
+    /// The trainer ended a step; its remaining items are not run.
     Ended {
-        /// The step.
+        /// Step that ended.
         step: StepId,
     },
-    /// The next piece of an item's text, while it is made.
+    /// A front saved the next piece of a text that is being generated.
     Saved {
-        /// Its step.
+        /// Step of the item.
         step: StepId,
-        /// Its number in the step.
+        /// Number of the item in the step, from 0.
         item: u32,
-        /// The piece.
+        /// Location of the piece and its predecessor.
         piece: SavedPiece,
     },
-    /// A process that leaves goes on with items that it runs.
+    /// A front that leaves, or whose shards were reassigned, still runs these items.
     #[serde(rename = "Kept")]
     Reserved {
-        /// The items: their step, their number in it.
+        /// Step and number of each item.
         items: Vec<(StepId, u32)>,
-        /// How long nobody else need run them, in milliseconds; 0 from now on.
+        /// How long other fronts leave the items alone, in milliseconds from reading the record;
+        /// 0 releases them.
         for_ms: u32,
     },
 }
--- a/components/steps/src/step.rs
+++ b/components/steps/src/step.rs
@@ -1,4 +1,4 @@
-//! One accepted step.
+//! State of one accepted step.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,53 +7,53 @@
 
 use crate::{ResultState, SavedPiece, StepHead, StepId};
 
-/// A result at its position.
+/// Result of an item; its position is its index in [`Step::results`].
 #[value]
 pub struct ListedResult {
     /// Number of the item in the step.
     pub item: u32,
-    /// How it ended.
+    /// Result of the item.
     pub state: ResultState,
 }
 
-/// What is known of an item besides its head.
+/// Progress of an item, as recorded by all fronts.
 #[value]
 #[derive(Copy, Default)]
 pub struct ItemProgress {
-    /// Whether it has a position.
+    /// Whether the item has a result, and so a position.
     pub listed: bool,
-    /// Runs that failed, over all processes.
+    /// Failed runs at replicas, counted over all fronts.
     pub failed_runs: u32,
-    /// Reward calls that failed, over all processes.
+    /// Failed reward calls, counted over all fronts.
     pub failed_rewards: u32,
 }
 
-/// One accepted step.
+/// State of one accepted step.
 #[value]
 pub struct Step {
-    /// Names it in records.
+    /// Id by which records refer to the step.
     pub id: StepId,
-    /// What was accepted.
+    /// Metadata from the accepting record.
     pub head: Arc<StepHead>,
-    /// Results in the order of their positions.
+    /// Results in the order of their positions, which is the order of the log.
     pub results: Vec<Arc<ListedResult>>,
-    /// By number of the item.
+    /// Progress by item number.
     pub progress: Vec<ItemProgress>,
-    /// Pieces of texts that are not whole, by number of the item.
+    /// Saved pieces of incomplete texts, by item number.
     pub saved: HashMap<u32, Vec<SavedPiece>>,
-    /// Until when another process goes on with an item, by number of the item, in milliseconds of
-    /// this process's clock.
+    /// Time until which another front reserves an item, by item number, in milliseconds of this
+    /// process's clock.
     pub reserved_until_ms: HashMap<u32, u64>,
-    /// Whether the trainer ended it.
+    /// Whether the trainer ended the step.
     pub ended: bool,
-    /// Shard by group.
+    /// Shard of each group, by group number.
     pub shard_by_group: Vec<u16>,
-    /// When this process read of it, in milliseconds of its clock.
+    /// When this process read the accepting record, in milliseconds of its own clock.
     pub read_ms: u64,
 }
 
 impl Step {
-    /// A step that was just accepted.
+    /// Creates the state of a step that was just accepted.
     pub fn new(id: StepId, head: StepHead, read_ms: u64) -> Self {
         Self {
             id,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Shard that runs an item.
+    /// Shard that runs an item; 0 if the step has no such item.
     pub fn shard(&self, item: u32) -> u16 {
         let group = self.head.items.get(item as usize).map(|head| head.group);
         let shard = group.and_then(|group| self.shard_by_group.get(usize::from(group)));
@@ -80,39 +80,39 @@
         self.results.len() == self.head.items.len()
     }
 
-    /// Whether as many whole groups have results as the trainer waits for.
+    /// Whether the number of complete groups has reached the number that the trainer waits for.
     pub fn has_enough_groups(&self) -> bool {
-        let mut missing: HashMap<u16, bool> = HashMap::new();
+        let mut incomplete: HashMap<u16, bool> = HashMap::new();
         for (item, progress) in self.head.items.iter().zip(&self.progress) {
-            *missing.entry(item.group).or_default() |= !progress.listed;
+            *incomplete.entry(item.group).or_default() |= !progress.listed;
         }
-        let whole = missing.values().filter(|missing| !**missing).count();
-        whole >= self.head.groups_wanted as usize
+        let complete = incomplete.values().filter(|incomplete| !**incomplete).count();
+        complete >= self.head.groups_wanted as usize
     }
 
-    /// Whether items may still be run.
+    /// Whether items of the step may still run.
     pub fn is_open(&self) -> bool {
         !self.ended && !self.is_complete()
     }
 
-    /// Whether an item has a result; true for one that does not exist.
+    /// Whether an item has a result; also true if the step has no such item.
     pub fn is_listed(&self, item: u32) -> bool {
         let progress = self.progress.get(item as usize);
         progress.is_none_or(|progress| progress.listed)
     }
 
-    /// Whether another process goes on with an item.
+    /// Whether a front that leaves or lost the shard still runs the item and has reserved it.
     pub fn is_reserved(&self, item: u32, now_ms: u64) -> bool {
         let until_ms = self.reserved_until_ms.get(&item);
         until_ms.is_some_and(|until_ms| now_ms < *until_ms)
     }
 
-    /// Pieces of an item's text, the first one first.
+    /// Saved pieces of an item's incomplete text, in the order of the text.
     pub fn pieces(&self, item: u32) -> &[SavedPiece] {
         self.saved.get(&item).map_or(&[], Vec::as_slice)
     }
 
-    /// Number of the item with this id.
+    /// Number of the item to which the trainer gave this id.
     pub fn item_number(&self, id: &str) -> Option<usize> {
         self.head.items.iter().position(|item| item.id == id)
     }
--- a/components/steps/tests/ledger.rs
+++ b/components/steps/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger of steps under repeated, late and foreign records.
+//! Tests of the ledger of steps with records that are repeated, late or refer to other steps.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -85,7 +85,7 @@
     }
 }
 
-/// What a process may write, often more than once.
+/// A generated record, as a front may write it; the generator repeats records.
 #[derive(Clone, Debug)]
 enum Written {
     Accepted(u8),
@@ -167,15 +167,15 @@
 }
 
 checks::seeded! {
-    // Two fronts run the same item, records land twice and late, a trainer repeats its step.
-    // A position that was read once always holds the same item and result.
+    // Guards against results that move: fronts run an item twice, records arrive twice or late, and
+    // a trainer repeats its step. A position that was read once keeps its item and result.
     fn positions_never_change(written: Vec<Written>) -> bool {
         let mut ledger = Ledger::default();
         let mut known: Vec<(StepId, Vec<_>)> = Vec::new();
         for (offset, written) in written.iter().enumerate() {
             ledger.apply(offset as u64, record(written), 0);
             for (id, results) in &known {
-                let step = ledger.get(*id).expect("kept");
+                let step = ledger.get(*id).expect("the step is still in the ledger");
                 assert_eq!(step.results[..results.len()], results[..]);
             }
             known = ledger.steps().map(|step| (step.id, step.results.clone())).collect();
@@ -183,20 +183,20 @@
                 let mut items: Vec<u32> = step.results.iter().map(|result| result.item).collect();
                 items.sort_unstable();
                 items.dedup();
-                assert_eq!(items.len(), step.results.len(), "an item stands twice");
+                assert_eq!(items.len(), step.results.len(), "an item has two results");
             }
         }
         true
     }
 
-    // One process reads the log from its beginning, another one in pieces and with pauses;
-    // both give the same answers.
-    fn every_reader_comes_to_the_same_ledger(written: Vec<Written>) -> bool {
+    // Guards against state that a record doesn't carry: two processes that decode the same log
+    // must derive equal ledgers.
+    fn every_reader_derives_the_same_ledger(written: Vec<Written>) -> bool {
         let mut ledgers = [Ledger::default(), Ledger::default()];
         for (offset, written) in written.iter().enumerate() {
-            let bytes = postcard::to_stdvec(&record(written)).expect("encodes");
+            let bytes = postcard::to_stdvec(&record(written)).expect("the value encodes");
             for ledger in &mut ledgers {
-                ledger.apply(offset as u64, postcard::from_bytes(&bytes).expect("decodes"), 0);
+                ledger.apply(offset as u64, postcard::from_bytes(&bytes).expect("the bytes decode"), 0);
             }
         }
         let [first, second] = &ledgers;
@@ -205,9 +205,8 @@
 }
 
 checks::seeded! {
-    // A trainer sends a step again and again, through several fronts, and records land late.
-    // Its id names the step of the first record for ever; an ended step takes no pieces and is
-    // never open again.
+    // A trainer repeats a submission through several fronts, and records arrive late. The id must
+    // always name the step of its first record. An ended step must never reopen or store pieces.
     fn an_id_names_one_step(written: Vec<Written>) -> bool {
         let mut ledger = Ledger::default();
         let mut first: BTreeMap<String, StepId> = BTreeMap::new();
@@ -225,13 +224,13 @@
         let is_first = |(name, id): (&String, &StepId)| {
             ledger.find(None, name).is_some_and(|step| step.id == *id)
         };
-        let is_closed = |step: &Step| {
+        let ended_as_recorded = |step: &Step| {
             step.ended == ended.contains(&step.id)
                 && (!step.ended || (0..ITEMS).all(|item| step.pieces(item).is_empty()))
         };
         first.iter().all(is_first)
             && ledger.steps().count() == first.len()
-            && ledger.steps().all(is_closed)
+            && ledger.steps().all(ended_as_recorded)
     }
 }
 
@@ -241,7 +240,7 @@
     ledger.apply(5, accepted("one"), 0);
     ledger.apply(6, listed(5, 0, 1), 0);
     ledger.apply(7, accepted("one"), 0);
-    let step = ledger.find(None, "one").expect("known");
+    let step = ledger.find(None, "one").expect("the step is known");
     assert_eq!(step.id, StepId(5));
     assert_eq!(step.results.len(), 1);
     assert_eq!(ledger.steps().count(), 1);
@@ -249,20 +248,20 @@
 
 #[test]
 fn can_keep_steps_of_two_customers_apart() {
-    // Two customers choose the same id. Each reads and ends its own step, and neither learns
-    // that the other's exists. A step that was submitted without a key is open to both.
-    let of = |customer: Option<&str>, id: &str| {
+    // Two customers choose the same step id. Each must reach its own step only, and must not learn
+    // that the other step exists. A step that was submitted without a key is visible to both.
+    let accepted_of = |customer: Option<&str>, id: &str| {
         StepRecord::Accepted(Box::new(StepHead {
             customer: customer.map(str::to_owned),
             ..head(id)
         }))
     };
     let mut ledger = Ledger::default();
-    ledger.apply(0, of(Some("a"), "one"), 0);
-    ledger.apply(1, of(Some("b"), "one"), 0);
-    ledger.apply(2, of(Some("a"), "one"), 0);
-    ledger.apply(3, of(Some("a"), "two"), 0);
-    ledger.apply(4, of(None, "open"), 0);
+    ledger.apply(0, accepted_of(Some("a"), "one"), 0);
+    ledger.apply(1, accepted_of(Some("b"), "one"), 0);
+    ledger.apply(2, accepted_of(Some("a"), "one"), 0);
+    ledger.apply(3, accepted_of(Some("a"), "two"), 0);
+    ledger.apply(4, accepted_of(None, "open"), 0);
     struct Case {
         customer: Option<&'static str>,
         id: &'static str,
@@ -278,8 +277,8 @@
         case(None, "open", Some(4)),
     ];
     for Case { customer, id, step } in cases {
-        let seen = ledger.find_visible(customer, id).map(|step| step.id.0);
-        assert_eq!(seen, step, "{customer:?} {id}");
+        let found = ledger.find_visible(customer, id).map(|step| step.id.0);
+        assert_eq!(found, step, "customer {customer:?}, step id {id}");
     }
     assert_eq!(ledger.steps().count(), 4);
     ledger.remove_older_than(10, 100);
@@ -288,39 +287,38 @@
 
 #[test]
 fn can_join_pieces_of_one_run_only() {
-    // A run saves its text in pieces. Another front begins the item anew, saves too, and the
-    // first one's record lands twice. Pieces that go on from another run would make a text
-    // that no run made.
+    // A second front restarts an item and saves pieces too, and records arrive twice. Pieces of
+    // two runs joined together would form a text that no run generated.
     struct Case {
         name: &'static str,
         written: Vec<SavedPiece>,
-        kept: Vec<u64>,
+        joined: Vec<u64>,
     }
     let cases = [
         Case {
-            name: "a chain",
+            name: "two consecutive pieces of one run",
             written: vec![piece(1, 0, 4), piece(2, 1, 9)],
-            kept: vec![1, 2],
+            joined: vec![1, 2],
         },
         Case {
-            name: "twice",
+            name: "the same piece twice",
             written: vec![piece(1, 0, 4), piece(1, 0, 4)],
-            kept: vec![1],
+            joined: vec![1],
         },
         Case {
-            name: "a second run",
+            name: "pieces of a second run in between",
             written: vec![
                 piece(1, 0, 4),
                 piece(7, 0, 6),
                 piece(8, 7, 9),
                 piece(2, 1, 9),
             ],
-            kept: vec![1, 2],
+            joined: vec![1, 2],
         },
         Case {
-            name: "without its beginning",
+            name: "a piece whose predecessor is missing",
             written: vec![piece(2, 1, 9)],
-            kept: vec![],
+            joined: vec![],
         },
     ];
     for case in cases {
@@ -334,28 +332,31 @@
             };
             ledger.apply(offset as u64 + 1, record, 0);
         }
-        let pieces = ledger.find(None, "one").expect("known").pieces(1);
-        let kept: Vec<u64> = pieces.iter().map(|piece| piece.id).collect();
-        assert_eq!(kept, case.kept, "{}", case.name);
+        let pieces = ledger
+            .find(None, "one")
+            .expect("the step is known")
+            .pieces(1);
+        let joined: Vec<u64> = pieces.iter().map(|piece| piece.id).collect();
+        assert_eq!(joined, case.joined, "{}", case.name);
     }
 }
 
 #[test]
 fn can_find_the_data_of_each_item() {
     let head = head("one");
-    let places: Vec<_> = (0..5).map(|item| head.data_location(item)).collect();
-    let wanted = [
+    let locations: Vec<_> = (0..5).map(|item| head.data_location(item)).collect();
+    let expected = [
         Some((1, 10)),
         Some((1, 11)),
         Some((1, 12)),
         Some((2, 70)),
         None,
     ];
-    assert_eq!(places, wanted);
+    assert_eq!(locations, expected);
 }
 
 #[test]
-fn can_forget_steps_that_nobody_may_read_any_more() {
+fn can_remove_steps_past_their_retention() {
     let mut ledger = Ledger::default();
     ledger.apply(0, accepted("old"), 1_000);
     ledger.apply(1, accepted("new"), 100_000);
@@ -365,7 +366,7 @@
 }
 
 #[test]
-fn can_read_an_item_back() {
+fn can_decode_an_encoded_item() {
     let item = ItemData {
         path: "/p/1".to_owned(),
         headers: vec![("a".to_owned(), "b".to_owned())],
@@ -377,14 +378,14 @@
             body: vec![1],
         }),
     };
-    let bytes = encode_item(&item).expect("encodes");
-    assert_eq!(decode_item(&bytes).expect("decodes"), item);
+    let bytes = encode_item(&item).expect("the value encodes");
+    assert_eq!(decode_item(&bytes).expect("the bytes decode"), item);
 }
 
 #[test]
-fn can_tell_when_as_many_groups_are_whole_as_the_trainer_waits_for() {
-    // Two groups of two items, one of which is waited for. A read is held for a moment while
-    // more is to come, and must not be once the trainer could go on.
+fn can_tell_when_enough_groups_are_complete() {
+    // The step has two groups of two items, and the trainer waits for one complete group. A read
+    // of results is delayed while more may come, but must return once the trainer can continue.
     struct Case {
         listed: &'static [u32],
         enough: bool,
@@ -414,30 +415,30 @@
             let offset = 8 + at as u64;
             ledger.apply(offset, listed(7, *item, offset), 0);
         }
-        let step = ledger.get(StepId(7)).expect("accepted");
+        let step = ledger.get(StepId(7)).expect("the step is accepted");
         assert_eq!(step.has_enough_groups(), case.enough, "{:?}", case.listed);
     }
 }
 
 #[test]
-fn can_leave_items_to_a_process_that_goes_on_with_them() {
-    // A process that leaves finishes what it runs and says so; whoever has its shards now must
-    // neither run these items beside it, nor wait for one that it gave up or that died.
+fn can_reserve_items_for_a_front_that_still_runs_them() {
+    // A front that leaves finishes its running items. The new owner of the shards must not run
+    // these items at the same time, and must not wait once the front released them or died.
     let mut ledger = Ledger::default();
     ledger.apply(7, accepted("s"), 0);
-    let kept = |items: &[u32], for_ms| StepRecord::Reserved {
+    let reserved = |items: &[u32], for_ms| StepRecord::Reserved {
         items: items.iter().map(|item| (StepId(7), *item)).collect(),
         for_ms,
     };
     let is_reserved = |ledger: &Ledger, now_ms| {
-        let step = ledger.get(StepId(7)).expect("a step");
+        let step = ledger.get(StepId(7)).expect("the step is accepted");
         [0, 1, 2].map(|item| step.is_reserved(item, now_ms))
     };
-    ledger.apply(8, kept(&[0, 1], 1_200), 100);
+    ledger.apply(8, reserved(&[0, 1], 1_200), 100);
     assert_eq!(is_reserved(&ledger, 1_299), [true, true, false]);
     assert_eq!(is_reserved(&ledger, 1_300), [false, false, false]);
-    ledger.apply(9, kept(&[0, 1], 1_200), 600);
-    ledger.apply(10, kept(&[1], 0), 700);
+    ledger.apply(9, reserved(&[0, 1], 1_200), 600);
+    ledger.apply(10, reserved(&[1], 0), 700);
     assert_eq!(is_reserved(&ledger, 1_300), [true, false, false]);
     let unknown = StepRecord::Reserved {
         items: vec![(StepId(99), 0)],
