--- a/components/lease/src/lib.rs
+++ b/components/lease/src/lib.rs
@@ -1,23 +1,25 @@
-//! The lease on giving orders, as records in the platform's log.
+//! The lease on giving orders, kept as records in the platform's log.
 //!
-//! Two holders' orders to one replica must lie a stated pause apart. The log's order decides
-//! who holds: a [`LeaseRecord::Acquire`] holds only if no other record of the lease came between
-//! what its writer had read and its own place, so that a take that lands seconds late takes
-//! nothing from anybody.
+//! Orders of two different holders to one replica must be separated by a configured pause. The
+//! order of the log decides who holds the lease: a [`LeaseRecord::Acquire`] is valid only if no
+//! other lease record stands between the last one that its writer had read and its own position.
+//! An acquisition that arrives seconds late therefore has no effect.
 //!
-//! A holder says that it lives several times a second, and that alone allows it no order. To
-//! give orders it writes a renewal that announces them, and may give them for a short time,
-//! counted from the moment at which it *sent* the announcement that it later read back.
-//! Everybody else counts from the moment at which they *read* it, and takes the lease only
-//! when that time and the pause have passed. So a holder that is frozen or cut off has
-//! stopped before another one begins, and one that fell silent while it ordered nothing is
-//! replaced within moments. Both sides use a clock that counts suspension.
+//! A holder writes several renewals per second as heartbeats. A heartbeat alone permits no orders.
+//! To give orders, the holder writes a renewal that announces orders. Once it has read the
+//! announcement back from the log, it may give orders for a short time, counted from the moment at
+//! which it *sent* the announcement. All other processes count from the moment at which they *read*
+//! the announcement, and announce orders of their own only after that time and the pause. A holder
+//! that is frozen or cut off has therefore stopped before another holder starts. If the silent
+//! holder had announced no orders lately, its successor can give orders as soon as the heartbeats
+//! time out. All times come from a clock that continues during suspension.
 //!
-//! Who holds is not what keeps orders apart: the announcements do. Whoever announces has read
-//! no other holder's announcement for the pause, and an announcement that has one of another
-//! holder right before it in the log allows nothing. So where the log lost every record and
-//! two VMs believe that they hold the lease, they still don't order in turns; and as soon as
-//! one hears the other, the older holder keeps the lease.
+//! The announcements keep orders of two holders apart, not the lease itself. A process announces
+//! orders only if it has read no announcement of another holder for that whole time, and an
+//! announcement that follows another holder's announcement too closely in the log permits nothing.
+//! If the log lost all records, two VMs may both believe that they hold the lease. Even then their
+//! orders do not alternate. As soon as one VM reads a renewal of the other, the older holder (the
+//! lower fencing number) keeps the lease.
 
 mod record;
 mod settings;
--- a/components/lease/src/record.rs
+++ b/components/lease/src/record.rs
@@ -1,28 +1,29 @@
 use derive::wire;
 
-/// What a process writes into the log about the lease.
+/// A record about the lease in the index topic.
 #[wire]
 pub enum LeaseRecord {
-    /// `holder` takes the lease, having read it up to `after`. Allows no order yet.
+    /// A VM acquires the lease. Permits no orders yet. The fencing number of the new holder is the
+    /// offset of this record plus one.
     #[serde(rename = "Take")]
     Acquire {
-        /// VM of the taker.
+        /// VM that acquires the lease.
         holder: String,
-        /// Number of the taker's attempt, for reading it back.
+        /// Number of the writer's attempt, by which it recognizes its own record in the log.
         attempt: u64,
-        /// Offset of the newest record of the lease that the taker knew.
+        /// Offset of the newest lease record that the writer had read; `None` if it had read none.
         after: Option<u64>,
     },
-    /// The holder with this fencing number lives.
+    /// Heartbeat of the holder.
     Renew {
         /// Fencing number of the holder.
         fence: u64,
-        /// Number of the renewal, for reading it back.
+        /// Number of the writer's attempt, by which it recognizes its own record in the log.
         attempt: u64,
-        /// Whether it announces orders.
+        /// Whether the renewal announces orders.
         orders: bool,
     },
-    /// The holder with this fencing number gives no more orders.
+    /// The holder gives no more orders, so that the lease can be acquired without a time-out.
     Release {
         /// Fencing number of the holder.
         fence: u64,
--- a/components/lease/src/state.rs
+++ b/components/lease/src/state.rs
@@ -1,39 +1,41 @@
-//! The lease as one process sees it.
+//! The state of the lease as one process derives it from the log.
 
 use std::collections::VecDeque;
 
 use crate::{LeaseRecord, LeaseSettings};
 
-/// Sent records whose place in the log is not known yet, at most; older ones are forgotten,
-/// which only makes this process believe less.
+/// Upper bound on sent records that this process has not read back yet. Older ones are dropped; an
+/// announcement that is dropped permits no orders, which is safe.
 const SENT_MAX: usize = 16;
 
-/// Former holders whose late renewals are told from those of another holder: records land
-/// seconds late, and a change of holder takes more than one.
+/// Upper bound on remembered former holders. Their late renewals must not be taken for those of an
+/// unknown holder: records arrive seconds late, and a change of holder takes more than a second.
 const SUPERSEDED_MAX: usize = 8;
 
-/// Nothing was read yet that tells when orders were announced last.
-const SINCE_START: Option<u64> = None;
+/// No record was read yet that shows when orders were last announced.
+const NONE_READ: Option<u64> = None;
 
 #[derive(Clone, Debug)]
-struct Held {
+struct KnownHolder {
     fence: u64,
-    /// Not known where this process began to read behind the take.
-    holder: Option<String>,
+    /// `None` if this process began to read the log after the acquisition.
+    vm: Option<String>,
+    /// Offset of the newest record of this holder; an acquisition must refer to it.
     newest_offset: u64,
+    /// When the newest record of this holder was read.
     read_ms: u64,
     released: bool,
-    /// Announcements of other holders were read since the take.
+    /// Whether announcements of other holders were read since the acquisition.
     disputed: bool,
-    /// Holders that lost the lease to this one in the log's order, newest first.
+    /// Fencing numbers of holders that lost the lease to this one in the log's order, newest first.
     superseded: VecDeque<u64>,
 }
 
-impl Held {
+impl KnownHolder {
     fn unknown(fence: u64, offset: u64, now_ms: u64) -> Self {
         Self {
             fence,
-            holder: None,
+            vm: None,
             newest_offset: offset,
             read_ms: now_ms,
             released: false,
@@ -44,48 +46,51 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Sent {
+struct SentRecord {
     attempt: u64,
     sent_ms: u64,
     orders: bool,
 }
 
-/// The lease as one process sees it.
+/// The state of the lease as one process derives it from the log.
 #[derive(Debug)]
 pub struct Lease {
-    me: String,
+    own_vm: String,
     settings: LeaseSettings,
-    held: Option<Held>,
-    /// When the newest announcement of another VM was read; none before the first.
-    others_orders_ms: Option<u64>,
-    /// When a holder beside the known one was heard last.
-    other_ms: Option<u64>,
-    /// This process's number of attempts; starts at a value that no earlier life used.
-    attempts: u64,
-    sent: VecDeque<Sent>,
-    sent_last_ms: Option<u64>,
+    known: Option<KnownHolder>,
+    /// When the newest announcement of another holder was read; `None` if none was read, 0 if the
+    /// pause after it is known to be over.
+    others_announced_ms: Option<u64>,
+    /// When a renewal of a holder other than the known one was last read.
+    other_holder_read_ms: Option<u64>,
+    /// Number of the newest attempt; starts at a value that no earlier incarnation of this VM used.
+    last_attempt: u64,
+    sent: VecDeque<SentRecord>,
+    last_sent_ms: Option<u64>,
     orders_until_ms: u64,
-    given_up: bool,
+    /// Set by [`Lease::release`]; no record is written from then on.
+    resigned: bool,
 }
 
 impl Lease {
-    /// A view without knowledge. `first_attempt` must differ between lives of one VM.
-    pub fn new(me: &str, first_attempt: u64, settings: LeaseSettings) -> Self {
+    /// Creates the state before any record is read. The attempt numbers that start at
+    /// `first_attempt` must not overlap with those of an earlier incarnation of the VM.
+    pub fn new(own_vm: &str, first_attempt: u64, settings: LeaseSettings) -> Self {
         Self {
-            me: me.to_owned(),
+            own_vm: own_vm.to_owned(),
             settings,
-            held: None,
-            others_orders_ms: SINCE_START,
-            other_ms: None,
-            attempts: first_attempt,
+            known: None,
+            others_announced_ms: NONE_READ,
+            other_holder_read_ms: None,
+            last_attempt: first_attempt,
             sent: VecDeque::new(),
-            sent_last_ms: None,
+            last_sent_ms: None,
             orders_until_ms: 0,
-            given_up: false,
+            resigned: false,
         }
     }
 
-    /// Takes a record that stands at `offset` of the log, in the log's order.
+    /// Applies the record at `offset`. Records must be applied in the order of the log.
     pub fn apply(&mut self, offset: u64, record: &LeaseRecord, now_ms: u64) {
         match record {
             LeaseRecord::Acquire { holder, after, .. } => {
@@ -103,36 +108,36 @@
     }
 
     fn apply_acquire(&mut self, offset: u64, holder: &str, after: Option<u64>, now_ms: u64) {
-        // A process that began to read in the middle can't judge its first take, and takes
-        // it for good: to believe in a holder too many only makes it wait.
-        if let Some(held) = &self.held
-            && after != Some(held.newest_offset)
+        // A process that began to read in the middle of the log can't verify the first acquisition
+        // and accepts it. A wrongly accepted holder only makes this process wait.
+        if let Some(known) = &self.known
+            && after != Some(known.newest_offset)
         {
             return;
         }
-        let superseded = self.held.take().map_or_else(VecDeque::new, |held| {
-            let mut superseded = held.superseded;
-            superseded.push_front(held.fence);
+        let superseded = self.known.take().map_or_else(VecDeque::new, |known| {
+            let mut superseded = known.superseded;
+            superseded.push_front(known.fence);
             superseded.truncate(SUPERSEDED_MAX);
             superseded
         });
-        self.held = Some(Held {
-            holder: Some(holder.to_owned()),
+        self.known = Some(KnownHolder {
+            vm: Some(holder.to_owned()),
             superseded,
-            ..Held::unknown(offset + 1, offset, now_ms)
+            ..KnownHolder::unknown(offset + 1, offset, now_ms)
         });
         self.orders_until_ms = 0;
     }
 
     fn apply_renew(&mut self, offset: u64, fence: u64, attempt: u64, orders: bool, now_ms: u64) {
         let known = self
-            .held
-            .get_or_insert_with(|| Held::unknown(fence, offset, now_ms));
+            .known
+            .get_or_insert_with(|| KnownHolder::unknown(fence, offset, now_ms));
         if known.superseded.contains(&fence) {
             return;
         }
         if known.fence != fence {
-            self.apply_other(offset, fence, now_ms);
+            self.apply_other_holder(offset, fence, now_ms);
         } else if !known.released {
             known.newest_offset = offset;
             known.read_ms = now_ms;
@@ -140,215 +145,224 @@
         self.apply_announcement(fence, attempt, orders, now_ms);
     }
 
-    /// Another holder than the known one lives: each has taken the lease without knowing of
-    /// the other, as the log lost what would have told. The older one keeps it, or the one
-    /// that is heard.
-    fn apply_other(&mut self, offset: u64, fence: u64, now_ms: u64) {
-        let Some(held) = &self.held else { return };
-        self.other_ms = Some(now_ms);
-        let silent = held.released || now_ms >= held.read_ms + self.settings.silent_ms;
-        if fence < held.fence || silent {
-            self.held = Some(Held::unknown(fence, offset, now_ms));
+    /// Applies a renewal of a holder other than the known one. Both acquired the lease because the
+    /// log lost the records that would have shown one to the other. The older holder keeps the
+    /// lease, unless the known one released it or is silent.
+    fn apply_other_holder(&mut self, offset: u64, fence: u64, now_ms: u64) {
+        let Some(known) = &self.known else { return };
+        self.other_holder_read_ms = Some(now_ms);
+        let silent = known.released || now_ms >= known.read_ms + self.settings.silent_ms;
+        if fence < known.fence || silent {
+            self.known = Some(KnownHolder::unknown(fence, offset, now_ms));
             self.orders_until_ms = 0;
         }
     }
 
     fn apply_announcement(&mut self, fence: u64, attempt: u64, orders: bool, now_ms: u64) {
-        let Some(held) = &mut self.held else { return };
-        if held.released && held.fence == fence {
+        let Some(known) = &mut self.known else { return };
+        if known.released && known.fence == fence {
             return;
         }
-        let mine = held.fence == fence && held.holder.as_deref() == Some(self.me.as_str());
-        if !mine {
+        let is_own = known.fence == fence && known.vm.as_deref() == Some(self.own_vm.as_str());
+        if !is_own {
             if orders {
-                self.others_orders_ms = Some(now_ms);
-                held.disputed = true;
+                self.others_announced_ms = Some(now_ms);
+                known.disputed = true;
             }
             return;
         }
-        // An earlier life of this VM announced orders, so the pause behind every other VM's
-        // announcement before the take was over by then. It tells nothing of those behind it.
-        if orders && !held.disputed {
-            self.others_orders_ms = Some(0);
+        // This VM, perhaps in an earlier incarnation, announced orders under this fencing number.
+        // So the pause after each announcement before the acquisition was over by then. That does
+        // not follow for announcements of other holders that came after the acquisition.
+        if orders && !known.disputed {
+            self.others_announced_ms = Some(0);
         }
         self.confirm(attempt);
     }
 
     fn apply_release(&mut self, offset: u64, fence: u64, now_ms: u64) {
-        let Some(held) = &mut self.held else {
+        let Some(known) = &mut self.known else {
             return;
         };
-        if held.fence == fence && !held.released {
-            held.released = true;
-            held.newest_offset = offset;
-            held.read_ms = now_ms;
+        if known.fence == fence && !known.released {
+            known.released = true;
+            known.newest_offset = offset;
+            known.read_ms = now_ms;
             self.orders_until_ms = 0;
         }
     }
 
-    /// This process's renewal was read back: it counts from its sending on.
+    /// Handles an own renewal that was read back from the log. An announcement permits orders from
+    /// the moment at which it was sent.
     fn confirm(&mut self, attempt: u64) {
         let Some(at) = self.sent.iter().position(|sent| sent.attempt == attempt) else {
             return;
         };
         let sent = self.sent[at];
         self.sent.drain(..=at);
-        // Another holder's announcement stands before this one: the pause behind it holds
-        // whoever has the lease, so two holders that don't know of each other never order
-        // in turns.
-        let others_ms = self.others_orders_ms.unwrap_or(0);
-        let in_pause = others_ms > 0 && sent.sent_ms < others_ms + self.settings.exclusive_ms;
+        // The pause after another holder's announcement applies no matter who holds the lease.
+        // Two holders that don't know of each other can therefore not alternate.
+        let others_announced_ms = self.others_announced_ms.unwrap_or(0);
+        let in_pause = others_announced_ms > 0
+            && sent.sent_ms < others_announced_ms + self.settings.exclusive_ms;
         if sent.orders && !in_pause {
             let until_ms = sent.sent_ms + self.settings.order_ms;
             self.orders_until_ms = self.orders_until_ms.max(until_ms);
         }
     }
 
-    /// Forgets what was read, as the log lost records that this process had not read.
+    /// Discards the derived state, because the log lost records that this process had not read.
     pub fn reset(&mut self) {
-        self.held = None;
-        self.other_ms = None;
-        // What stood between an announcement and the gap is not known any more.
+        self.known = None;
+        self.other_holder_read_ms = None;
+        // Another holder's announcement may stand in the gap, before an announcement of this
+        // process that has not come back yet.
         self.sent.clear();
         self.orders_until_ms = 0;
-        self.others_orders_ms = SINCE_START;
+        self.others_announced_ms = NONE_READ;
     }
 
     /// Whether this VM holds the lease.
     pub fn is_held_here(&self) -> bool {
-        self.held.as_ref().is_some_and(|held| self.is_mine(held)) && !self.given_up
+        self.known.as_ref().is_some_and(|known| self.is_own(known)) && !self.resigned
     }
 
-    /// Who holds the lease, by the log alone: the VM, if its record is still there, and its
-    /// fencing number. None once it was given up.
+    /// The VM and the fencing number of the holder according to the log, without regard to
+    /// time-outs. The VM is `None` if its acquisition is no longer in the log. The result is `None`
+    /// once the lease was released.
     pub fn holder(&self) -> Option<(Option<&str>, u64)> {
-        let held = self.held.as_ref().filter(|held| !held.released)?;
-        Some((held.holder.as_deref(), held.fence))
+        let known = self.known.as_ref().filter(|known| !known.released)?;
+        Some((known.vm.as_deref(), known.fence))
     }
 
-    /// How long nothing of a holder was read, in milliseconds; since `started_ms` where nothing
-    /// ever was.
+    /// Time since a record of the holder was last read, in milliseconds; counted from `started_ms`
+    /// if none was read.
     pub fn silent_for_ms(&self, started_ms: u64, now_ms: u64) -> u64 {
-        let heard_ms = self.held.as_ref().map_or(started_ms, |held| held.read_ms);
-        now_ms.saturating_sub(heard_ms)
+        let last_read_ms = self
+            .known
+            .as_ref()
+            .map_or(started_ms, |known| known.read_ms);
+        now_ms.saturating_sub(last_read_ms)
     }
 
-    /// The fencing number, while this process may give orders.
+    /// The fencing number while this process may give orders, else `None`.
     pub fn fence(&self, now_ms: u64) -> Option<u64> {
-        let held = self.held.as_ref()?;
-        (self.is_held_here() && now_ms < self.orders_until_ms).then_some(held.fence)
+        let known = self.known.as_ref()?;
+        (self.is_held_here() && now_ms < self.orders_until_ms).then_some(known.fence)
     }
 
-    /// The record to write now, if any. `read_since_ms` is the time from which on this
-    /// process has read the log without a gap; it waits as if somebody had announced orders
-    /// then. `wants_orders` asks for an announcement.
+    /// The record to write now, if any. `read_since_ms` is the time since which this process has
+    /// read the log without a gap. If it has read no announcement, it waits as if another holder
+    /// had announced orders at that time. `wants_orders` requests an announcement.
     pub fn next_record(
         &mut self,
         read_since_ms: u64,
         wants_orders: bool,
         now_ms: u64,
     ) -> Option<LeaseRecord> {
-        if self.given_up {
+        if self.resigned {
             return None;
         }
-        let held = self.held.clone();
-        match &held {
-            Some(held) if self.is_mine(held) => {
-                self.renewal(held, read_since_ms, wants_orders, now_ms)
+        let known = self.known.clone();
+        match &known {
+            Some(known) if self.is_own(known) => {
+                self.renewal(known, read_since_ms, wants_orders, now_ms)
             }
-            _ => self.acquire(held.as_ref(), now_ms),
+            _ => self.acquire(known.as_ref(), now_ms),
         }
     }
 
-    fn is_mine(&self, held: &Held) -> bool {
-        held.holder.as_deref() == Some(self.me.as_str()) && !held.released
+    fn is_own(&self, known: &KnownHolder) -> bool {
+        known.vm.as_deref() == Some(self.own_vm.as_str()) && !known.released
     }
 
     fn renewal(
         &mut self,
-        held: &Held,
+        known: &KnownHolder,
         read_since_ms: u64,
         wants_orders: bool,
         now_ms: u64,
     ) -> Option<LeaseRecord> {
         let orders = wants_orders && self.may_announce(read_since_ms, now_ms);
-        let announced = self
+        let is_announcing = self
             .sent
             .iter()
             .any(|sent| sent.orders && now_ms < sent.sent_ms + self.settings.resend_ms);
-        // Half of the allowed time is left when the next announcement goes out, so that a
-        // round of orders that takes longer is not interrupted.
-        let fresh = now_ms + self.settings.order_ms / 2 < self.orders_until_ms;
-        let due = self
-            .sent_last_ms
+        // The next announcement is sent while half of the permitted time is left, so that a long
+        // round of orders is not interrupted.
+        let is_extended = now_ms + self.settings.order_ms / 2 < self.orders_until_ms;
+        let is_due = self
+            .last_sent_ms
             .is_none_or(|sent_ms| now_ms >= sent_ms + self.settings.renew_ms);
-        let news = orders && !announced && !fresh;
-        if !due && !news {
+        let must_announce = orders && !is_announcing && !is_extended;
+        if !is_due && !must_announce {
             return None;
         }
         let attempt = self.note_sent(orders, now_ms);
         Some(LeaseRecord::Renew {
-            fence: held.fence,
+            fence: known.fence,
             attempt,
             orders,
         })
     }
 
-    /// Whether the pause behind another VM's orders is over.
+    /// Whether the pause after the orders of another holder is over.
     fn may_announce(&self, read_since_ms: u64, now_ms: u64) -> bool {
-        let last_ms = self.others_orders_ms.unwrap_or(read_since_ms);
+        let last_ms = self.others_announced_ms.unwrap_or(read_since_ms);
         now_ms >= last_ms + self.settings.exclusive_ms
     }
 
-    fn acquire(&mut self, held: Option<&Held>, now_ms: u64) -> Option<LeaseRecord> {
+    fn acquire(&mut self, known: Option<&KnownHolder>, now_ms: u64) -> Option<LeaseRecord> {
         let resend_ms = self.settings.resend_ms;
         if self
-            .sent_last_ms
+            .last_sent_ms
             .is_some_and(|sent_ms| now_ms < sent_ms + resend_ms)
         {
             return None;
         }
-        let free_ms = match held {
-            Some(held) if !held.released => held.read_ms + self.settings.silent_ms,
+        let free_ms = match known {
+            Some(known) if !known.released => known.read_ms + self.settings.silent_ms,
             Some(_) | None => 0,
         };
-        // While another holder is heard, its next renewal makes it the known one.
+        // As long as a holder other than the known one renews, this process must not acquire the
+        // lease: the next renewal of that holder makes it the known one.
         let other_free_ms = self
-            .other_ms
-            .map_or(0, |other_ms| other_ms + self.settings.silent_ms);
+            .other_holder_read_ms
+            .map_or(0, |read_ms| read_ms + self.settings.silent_ms);
         if now_ms < free_ms.max(other_free_ms) {
             return None;
         }
-        let after = held.map(|held| held.newest_offset);
+        let after = known.map(|known| known.newest_offset);
         let attempt = self.note_sent(false, now_ms);
         Some(LeaseRecord::Acquire {
-            holder: self.me.clone(),
+            holder: self.own_vm.clone(),
             attempt,
             after,
         })
     }
 
     fn note_sent(&mut self, orders: bool, now_ms: u64) -> u64 {
-        self.attempts += 1;
-        self.sent_last_ms = Some(now_ms);
-        self.sent.push_back(Sent {
-            attempt: self.attempts,
+        self.last_attempt += 1;
+        self.last_sent_ms = Some(now_ms);
+        self.sent.push_back(SentRecord {
+            attempt: self.last_attempt,
             sent_ms: now_ms,
             orders,
         });
         if self.sent.len() > SENT_MAX {
             self.sent.pop_front();
         }
-        self.attempts
+        self.last_attempt
     }
 
-    /// Gives the lease up for good; the record says so to the others.
+    /// Stops this process from acquiring or renewing the lease for good. The returned record, if
+    /// any, releases the lease in the log.
     pub fn release(&mut self) -> Option<LeaseRecord> {
-        let fence = self.held.as_ref().map(|held| held.fence);
-        let mine = self.is_held_here();
-        self.given_up = true;
+        let fence = self.known.as_ref().map(|known| known.fence);
+        let is_own = self.is_held_here();
+        self.resigned = true;
         fence
-            .filter(|_| mine)
+            .filter(|_| is_own)
             .map(|fence| LeaseRecord::Release { fence })
     }
 }
--- a/components/lease/src/succession.rs
+++ b/components/lease/src/succession.rs
@@ -1,21 +1,23 @@
-//! Who takes a lease that is free.
+//! Which processes try to acquire a free lease.
 
 use crate::Lease;
 
-/// Partitions whose owners follow the lease closely, so that they take it first. As many as survive
-/// the loss of a third of all processes, as a rule.
-const SUCCESSORS: u32 = 8;
-/// How long nothing may be heard of a holder before any process takes the lease, in milliseconds.
-const ANYBODY_MS: u64 = 4_000;
+/// Partitions whose owners follow the index closely and acquire a free lease first. With eight of
+/// them, some owner usually survives the loss of a third of all processes.
+const SUCCESSOR_PARTITIONS: u32 = 8;
+/// Silence of a holder after which any process may acquire the lease, in milliseconds.
+const ANY_PROCESS_AFTER_MS: u64 = 4_000;
 
-/// Whether the owner of these partitions is among the first to take the lease.
+/// Whether the owner of these partitions is among the first to acquire a free lease.
 pub fn is_successor<'a>(mut owned: impl Iterator<Item = &'a u32>) -> bool {
-    owned.any(|partition| *partition < SUCCESSORS)
+    owned.any(|partition| *partition < SUCCESSOR_PARTITIONS)
 }
 
-/// Whether a process holds the lease or takes it when it is free. Owners of partitions go first:
-/// there are as many of them as partitions at most, so that not all processes of a large fleet
-/// write at the moment at which a holder falls silent. Without owners anybody goes.
+/// Whether a process renews the lease, or acquires it when it is free.
+///
+/// Owners of partitions go first. Their number is bounded by the number of partitions, so that in a
+/// large fleet not all processes write at the moment at which a holder falls silent. Without an
+/// owner, any process acquires the lease after a longer silence.
 pub fn is_candidate(lease: &Lease, owns: bool, started_ms: u64, now_ms: u64) -> bool {
-    owns || lease.is_held_here() || lease.silent_for_ms(started_ms, now_ms) >= ANYBODY_MS
+    owns || lease.is_held_here() || lease.silent_for_ms(started_ms, now_ms) >= ANY_PROCESS_AFTER_MS
 }
--- a/components/lease/tests/lease.rs
+++ b/components/lease/tests/lease.rs
@@ -1,25 +1,25 @@
-//! The lease under faults of the store, of clocks and of processes.
+//! Tests of the lease under faults of the store, of clocks and of processes.
 
 use lease::{Lease, LeaseRecord, LeaseSettings};
 use quickcheck::{Arbitrary, Gen};
 
-/// Pause that must lie between orders of two holders, in milliseconds.
+/// Minimum time between orders of two holders, in milliseconds.
 const PAUSE_MS: u64 = 3_000;
 
 fn settings() -> LeaseSettings {
     LeaseSettings::with_pause(PAUSE_MS)
 }
 
-/// One log, and VMs that read it at their own pace.
+/// A simulated log, and VMs that read it independently.
 struct World {
     log: Vec<LeaseRecord>,
-    /// Records before this offset are gone.
+    /// Offset of the first record that the log still has.
     first: usize,
     vms: Vec<Vm>,
-    /// Records on their way: when they land, and the record.
-    flying: Vec<(u64, LeaseRecord)>,
+    /// Records that were sent: time of arrival in the log, and the record.
+    in_transit: Vec<(u64, LeaseRecord)>,
     now_ms: u64,
-    /// Orders: when, and which VM.
+    /// Orders that were given: time, and index of the VM.
     orders: Vec<(u64, usize)>,
 }
 
@@ -29,19 +29,19 @@
     read_since_ms: u64,
     cut_until_ms: u64,
     frozen_until_ms: u64,
-    lives: u64,
+    restarts: u64,
 }
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
-fn vm(name: usize, lives: u64) -> Vm {
+fn vm(index: usize, restarts: u64) -> Vm {
     Vm {
-        lease: Lease::new(NAMES[name], lives * 1_000_000, settings()),
+        lease: Lease::new(NAMES[index], restarts * 1_000_000, settings()),
         read: 0,
         read_since_ms: 0,
         cut_until_ms: 0,
         frozen_until_ms: 0,
-        lives,
+        restarts,
     }
 }
 
@@ -50,36 +50,37 @@
         Self {
             log: Vec::new(),
             first: 0,
-            vms: (0..NAMES.len()).map(|name| vm(name, 0)).collect(),
-            flying: Vec::new(),
+            vms: (0..NAMES.len()).map(|index| vm(index, 0)).collect(),
+            in_transit: Vec::new(),
             now_ms: 0,
             orders: Vec::new(),
         }
     }
 
-    /// Lets 50 ms pass; `lose_ms` is how much later than usual records land now.
-    fn tick(&mut self, lose_ms: u64) {
+    /// Advances the time by 50 ms. Records that are sent in this tick arrive `delay_ms` later than
+    /// usual.
+    fn tick(&mut self, delay_ms: u64) {
         self.now_ms += 50;
         let now_ms = self.now_ms;
-        let (landed, flying) = self.flying.drain(..).partition(|(at, _)| *at <= now_ms);
-        self.flying = flying;
+        let (landed, in_transit) = self.in_transit.drain(..).partition(|(at, _)| *at <= now_ms);
+        self.in_transit = in_transit;
         self.log.extend(
             landed
                 .into_iter()
                 .map(|(_, record): (u64, LeaseRecord)| record),
         );
         for at in 0..self.vms.len() {
-            self.step(at, lose_ms);
+            self.step(at, delay_ms);
         }
     }
 
-    fn step(&mut self, at: usize, lose_ms: u64) {
+    fn step(&mut self, at: usize, delay_ms: u64) {
         let now_ms = self.now_ms;
         let vm = &mut self.vms[at];
         if now_ms < vm.frozen_until_ms {
             return;
         }
-        // A VM that wakes gives an order before it reads, if it believes that it may.
+        // A VM that resumes gives an order before it reads the log, if its lease permits one.
         if vm.lease.fence(now_ms).is_some() {
             self.orders.push((now_ms, at));
         }
@@ -96,11 +97,11 @@
         }
         vm.read = self.log.len();
         if let Some(record) = vm.lease.next_record(vm.read_since_ms, true, now_ms) {
-            self.flying.push((now_ms + 50 + lose_ms, record));
+            self.in_transit.push((now_ms + 50 + delay_ms, record));
         }
     }
 
-    fn too_close(&self) -> Option<(u64, u64)> {
+    fn orders_too_close(&self) -> Option<(u64, u64)> {
         self.orders
             .windows(2)
             .find(|pair| pair[0].1 != pair[1].1 && pair[1].0 < pair[0].0 + PAUSE_MS)
@@ -114,7 +115,7 @@
     Cut { vm: usize, for_ms: u64 },
     Freeze { vm: usize, for_ms: u64 },
     Restart { vm: usize },
-    GiveUp { vm: usize },
+    Release { vm: usize },
     Late { ticks: u8, ms: u64 },
     Drop,
 }
@@ -130,7 +131,7 @@
             3 => Event::Cut { vm, for_ms },
             4 => Event::Freeze { vm, for_ms },
             5 => Event::Restart { vm },
-            6 => Event::GiveUp { vm },
+            6 => Event::Release { vm },
             7 => Event::Drop,
             _ => Event::Late {
                 ticks: u8::arbitrary(g) % 40,
@@ -147,11 +148,11 @@
             Event::Late { ticks, ms } => (0..*ticks).for_each(|_| self.tick(*ms)),
             Event::Cut { vm, for_ms } => self.vms[*vm].cut_until_ms = self.now_ms + for_ms,
             Event::Freeze { vm, for_ms } => self.vms[*vm].frozen_until_ms = self.now_ms + for_ms,
-            Event::Restart { vm: at } => self.vms[*at] = vm(*at, self.vms[*at].lives + 1),
+            Event::Restart { vm: at } => self.vms[*at] = vm(*at, self.vms[*at].restarts + 1),
             Event::Drop => self.first = self.log.len(),
-            Event::GiveUp { vm } => {
+            Event::Release { vm } => {
                 if let Some(record) = self.vms[*vm].lease.release() {
-                    self.flying.push((self.now_ms + 50, record));
+                    self.in_transit.push((self.now_ms + 50, record));
                 }
             }
         }
@@ -159,21 +160,22 @@
 }
 
 checks::seeded! {
-    // Records land seconds late, VMs are cut off, frozen, restarted and leave, in any order.
-    // Whoever wakes acts before it reads. Orders of two VMs always lie the pause apart.
+    // Records arrive seconds late; VMs are cut off, frozen, restarted and leave, in any order. A VM
+    // that resumes gives orders before it reads. Orders of two VMs must always lie the pause apart.
     fn orders_of_two_holders_never_come_too_close(events: Vec<Event>) -> bool {
         let mut world = World::new();
         events.iter().for_each(|event| world.apply(event));
-        world.too_close().is_none()
+        world.orders_too_close().is_none()
     }
 
-    // Whatever came before, once all is well a VM that did not leave gives orders again.
+    // Guards against a lease that nobody can acquire any more: after any sequence of faults, a VM
+    // that did not leave must give orders again once the faults have ended.
     fn somebody_gives_orders_again_within_bounds(events: Vec<Event>) -> bool {
         let mut world = World::new();
         events.iter().for_each(|event| world.apply(event));
         let at = 0;
-        world.vms[at] = vm(at, world.vms[at].lives + 1);
-        // 8 s of records on their way and cuts, 1.5 s of silence, the pause, and slack.
+        world.vms[at] = vm(at, world.vms[at].restarts + 1);
+        // Up to 8 s of delayed records and cuts, 1.5 s heartbeat time-out, the pause, and a margin.
         let until_ms = world.now_ms + 20_000;
         let before = world.orders.len();
         while world.now_ms < until_ms {
@@ -185,16 +187,16 @@
 
 #[test]
 fn can_replace_a_silent_holder_that_ordered_nothing_lately() {
-    // The holder gave its last order long ago and is cut off. A trainer names a version; if
-    // nobody gave orders for the whole pause from now on, the next step but one would stand
-    // still. The pause is already over, so silence alone is waited for.
+    // The holder gave its last order long ago and is cut off, while a trainer names a new version.
+    // If the successor waited for the whole pause from then on, the next step but one would stall.
+    // The pause is already over, so the heartbeat time-out alone must suffice.
     let mut lease = Lease::new("b", 0, settings());
-    let take = LeaseRecord::Acquire {
+    let acquisition = LeaseRecord::Acquire {
         holder: "a".into(),
         attempt: 1,
         after: None,
     };
-    lease.apply(0, &take, 0);
+    lease.apply(0, &acquisition, 0);
     lease.apply(
         1,
         &LeaseRecord::Renew {
@@ -214,11 +216,11 @@
     }
     let silent_ms = settings().silent_ms;
     assert_eq!(lease.next_record(0, true, 5_400 + silent_ms - 1), None);
-    let taken = lease.next_record(0, true, 5_400 + silent_ms);
-    let Some(taken @ LeaseRecord::Acquire { after: Some(3), .. }) = taken else {
-        panic!("{taken:?}");
+    let takeover = lease.next_record(0, true, 5_400 + silent_ms);
+    let Some(takeover @ LeaseRecord::Acquire { after: Some(3), .. }) = takeover else {
+        panic!("expected an acquisition after offset 3, got {takeover:?}");
     };
-    lease.apply(4, &taken, 6_950);
+    lease.apply(4, &takeover, 6_950);
     let renewal = lease.next_record(0, true, 7_400);
     assert!(matches!(
         renewal,
@@ -231,13 +233,13 @@
 }
 
 #[test]
-fn errors_on_a_take_that_lands_after_a_renewal() {
-    // A take gets no answer and lands six seconds later, when its old rival has renewed
-    // again. If it held, two VMs would give orders in turns.
+fn errors_on_an_acquisition_that_arrives_after_a_renewal() {
+    // An acquisition gets no answer and arrives seconds later, after the holder has renewed. If it
+    // were valid, two VMs would give orders alternately.
     let mut lease = Lease::new("a", 0, settings());
-    let take = lease.next_record(0, true, 0).expect("free");
-    lease.apply(0, &take, 10);
-    let renewal = lease.next_record(0, true, 5_000).expect("due");
+    let acquisition = lease.next_record(0, true, 0).expect("the lease is free");
+    lease.apply(0, &acquisition, 10);
+    let renewal = lease.next_record(0, true, 5_000).expect("a renewal is due");
     lease.apply(1, &renewal, 5_010);
     let late = LeaseRecord::Acquire {
         holder: "b".into(),
@@ -249,13 +251,13 @@
 }
 
 #[test]
-fn errors_when_a_frozen_holder_wakes() {
-    // The holder announces orders, stands still for four seconds and wakes. Its clock counts
-    // the suspension, so the announcement is over before it gives an order.
+fn errors_when_a_frozen_holder_resumes() {
+    // The holder announces orders, is frozen for four seconds and resumes. Its clock includes the
+    // suspension, so the announcement must have expired before the holder gives an order.
     let mut lease = Lease::new("a", 0, settings());
-    let take = lease.next_record(0, true, 0).expect("free");
-    lease.apply(0, &take, 10);
-    let renewal = lease.next_record(0, true, 5_000).expect("due");
+    let acquisition = lease.next_record(0, true, 0).expect("the lease is free");
+    lease.apply(0, &acquisition, 10);
+    let renewal = lease.next_record(0, true, 5_000).expect("a renewal is due");
     lease.apply(1, &renewal, 5_010);
     assert_eq!(lease.fence(5_100), Some(1));
     assert_eq!(lease.fence(9_100), None);
@@ -263,9 +265,9 @@
 
 #[test]
 fn can_give_orders_at_once_after_a_restart_of_the_last_holder() {
-    // All VMs die at once. The one that gave the last orders starts again and reads the log
-    // from its beginning: an older holder's orders, then its own. No other VM ordered since,
-    // so it need not wait out the pause; the trainers' steps stood still for it.
+    // All VMs crash. The last holder restarts and reads the announcements of an older holder, then
+    // its own. No other VM gave orders since, so it must not wait for the pause, which would stall
+    // the trainers' steps.
     let log = [
         LeaseRecord::Acquire {
             holder: "b".into(),
@@ -301,7 +303,7 @@
             ..
         })
     ));
-    // Another VM that reads the same waits.
+    // Another VM that reads the same records must wait for the pause.
     let mut other = Lease::new("b", 1_000, settings());
     for (offset, record) in log.iter().enumerate() {
         other.apply(offset as u64, record, 50_000);
@@ -310,24 +312,26 @@
 }
 
 #[test]
-fn can_keep_one_holder_when_the_whole_log_is_gone() {
-    // Every record of the lease is gone at once, and a VM that was restarted reads none before
-    // it takes the lease for itself. The others know the holder and pass its take over, so that
-    // two give orders, each sure of itself.
+fn orders_keep_the_pause_when_the_whole_log_is_lost() {
+    // The log loses all lease records, and a restarted VM acquires the lease without reading any.
+    // The others know the holder and ignore the acquisition, so two VMs believe that they hold the
+    // lease. Their orders must still lie the pause apart.
     let mut world = World::new();
     world.apply(&Event::Run { ticks: 251 });
     world.first = world.log.len();
     world.apply(&Event::Restart { vm: 2 });
     world.apply(&Event::Run { ticks: 134 });
-    assert_eq!(world.too_close(), None);
+    assert_eq!(world.orders_too_close(), None);
 }
 
-/// The lease of a VM that took it as the first record that it read, and was heard at 4,500.
+/// Lease of a VM that acquired it in the first record that it read and renewed at 4,500 ms.
 fn holder(me: &str) -> Lease {
     let mut lease = Lease::new(me, 0, settings());
-    let take = lease.next_record(0, true, 0).expect("free");
-    lease.apply(10, &take, 10);
-    let alive = lease.next_record(0, false, 4_500).expect("due");
+    let acquisition = lease.next_record(0, true, 0).expect("the lease is free");
+    lease.apply(10, &acquisition, 10);
+    let alive = lease
+        .next_record(0, false, 4_500)
+        .expect("a renewal is due");
     lease.apply(11, &alive, 4_500);
     lease
 }
@@ -341,23 +345,23 @@
 }
 
 #[test]
-fn errors_on_an_announcement_behind_one_of_an_unknown_holder() {
-    // Two VMs hold the lease without knowing of each other, as the log was lost. Both announce
-    // orders at once. The announcement that stands second in the log allows none: its writer
-    // had not read the first, and would order beside the other.
+fn errors_on_an_announcement_after_one_of_an_unknown_holder() {
+    // The log was lost, and two VMs hold the lease without knowing of each other. Both announce
+    // orders at the same time. The second announcement in the log must permit none, because its
+    // writer had not read the first one.
     let mut lease = holder("a");
-    let mine = lease.next_record(0, true, 5_000).expect("due");
+    let own = lease.next_record(0, true, 5_000).expect("a renewal is due");
     lease.apply(12, &announcement(40), 5_010);
-    lease.apply(13, &mine, 5_010);
+    lease.apply(13, &own, 5_010);
     assert!(lease.is_held_here());
     assert_eq!(lease.fence(5_020), None);
 }
 
 #[test]
-fn errors_on_orders_of_an_earlier_life_behind_those_of_an_unknown_holder() {
-    // A VM restarts and reads its own take, another holder's orders, and orders that its
-    // earlier life announced without having read of the other. They do not tell that the
-    // pause behind the other one's orders is over.
+fn errors_on_orders_of_an_earlier_incarnation_after_those_of_an_unknown_holder() {
+    // A restarted VM reads its own acquisition, an announcement of another holder, and one that its
+    // earlier incarnation sent without having read the other. The own announcement must not end
+    // the pause after the other one.
     let mut lease = holder("a");
     lease.apply(12, &announcement(40), 5_000);
     lease.apply(13, &announcement(11), 5_000);
@@ -371,25 +375,25 @@
 
 #[test]
 fn errors_on_an_announcement_from_before_a_gap() {
-    // A holder announces orders, and the log loses records that it has not read, another
-    // holder's announcement perhaps among them. What it announced allows nothing any more.
+    // A holder announces orders, and the log loses records that it had not read. They may include
+    // another holder's announcement, so its own announcement must permit nothing any more.
     let mut lease = holder("a");
-    let mine = lease.next_record(0, true, 5_000).expect("due");
-    let take = LeaseRecord::Acquire {
+    let own = lease.next_record(0, true, 5_000).expect("a renewal is due");
+    let acquisition = LeaseRecord::Acquire {
         holder: "a".into(),
         attempt: 9,
         after: None,
     };
     lease.reset();
-    lease.apply(10, &take, 5_010);
-    lease.apply(11, &mine, 5_010);
+    lease.apply(10, &acquisition, 5_010);
+    lease.apply(11, &own, 5_010);
     assert_eq!(lease.fence(5_020), None);
 }
 
 #[test]
-fn can_end_with_one_holder_where_two_took_the_lease_unknown_to_each_other() {
-    // The log is gone and a restarted VM takes the lease beside its holder. Who read only the
-    // younger take leaves the lease to the older holder as soon as it is heard.
+fn can_end_with_one_holder_where_two_acquired_the_lease_independently() {
+    // The log was lost, and a restarted VM acquired the lease beside its holder. A VM that read
+    // only the younger acquisition must yield to the older holder once it reads a renewal.
     let mut younger = holder("c");
     assert!(younger.is_held_here());
     let alive = LeaseRecord::Renew {
--- a/components/steps/src/step.rs
+++ b/components/steps/src/step.rs
@@ -86,7 +86,10 @@
         for (item, progress) in self.head.items.iter().zip(&self.progress) {
             *incomplete.entry(item.group).or_default() |= !progress.listed;
         }
-        let complete = incomplete.values().filter(|incomplete| !**incomplete).count();
+        let complete = incomplete
+            .values()
+            .filter(|incomplete| !**incomplete)
+            .count();
         complete >= self.head.groups_wanted as usize
     }
 
