--- a/components/ownership/src/lib.rs
+++ b/components/ownership/src/lib.rs
@@ -1,15 +1,16 @@
-//! Which partitions of a group a process may act for, when it gives them up, and which part of
-//! the work stands behind each.
+//! Membership in the group of fronts that run steps: which partitions a process owns, when it
+//! gives them up, and which share of the work each partition stands for.
 //!
-//! A store deals the partitions of a group to its members for a time to live that it counts
-//! from the arrival of a join. The member counts from the moment at which it *sent* the join,
-//! by a clock that counts suspension, so it stops before the store hands the partition on,
-//! however late an answer comes and however long it was frozen. A member that can't write what
-//! it makes stands back: a store may take its joins and refuse its records, and it would hold
-//! on to its partitions and finish nothing.
+//! The store assigns the partitions of a group to its members for a time to live (TTL), which it
+//! counts from the arrival of a join. The member counts from the moment at which it *sent* the
+//! join, by a clock that continues during suspension. It therefore stops before the store reassigns
+//! a partition, no matter how late an answer arrives or how long the process was frozen. A member
+//! that cannot write its results leaves the group: a store may accept its joins and refuse its
+//! records, and the member would keep its partitions and complete nothing.
 //!
-//! A store that deals all partitions anew at once, without a request, is the one case in which
-//! two members act for a partition, for a time to live at most. What they do must bear that.
+//! Two members act for the same partition in one case only: when the store reassigns all
+//! partitions at once without waiting for their owners. This lasts for one TTL at most, and the
+//! work must tolerate it.
 
 mod partition;
 mod shard;
@@ -26,47 +27,48 @@
 pub use standby::Standby;
 pub use times::{MEMBER_TTL_MS, REBALANCE_MS, join_interval_ms};
 
-/// Times of a membership.
+/// Settings of a membership.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnershipSettings {
-    /// Time to live of a member, in milliseconds.
+    /// TTL that the member requests, in milliseconds.
     pub ttl_ms: u64,
-    /// How long nothing may be written before the member stands back, in milliseconds.
+    /// How long writes may fail before the member leaves the group, in milliseconds.
     pub unwritable_ms_max: u64,
 }
 
-/// What the member does next.
+/// Next action of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipAction {
-    /// Join, or stay.
+    /// Send a join, or renew the membership with one.
     Join {
-        /// Generation of the group that was last heard of; 0 for none. It tells the store
-        /// which partitions the member knows to have lost.
+        /// Newest generation of the group that the member has received; 0 for none. The store
+        /// derives from it which reassignments the member has learned of.
         generation: u64,
     },
-    /// Leave, as nothing can be written.
+    /// Leave the group because writes fail.
     StepDown,
-    /// Stay away until something can be written.
+    /// Stay out of the group until writes succeed.
     Wait,
 }
 
-/// A membership as its member knows it.
+/// The membership, as the member derives it from the answers to its joins.
 #[derive(Clone, Debug)]
 pub struct Ownership {
     settings: OwnershipSettings,
     generation: u64,
     partitions: BTreeSet<u32>,
-    /// Partitions that were owned last and that no answer has dealt to another member.
+    /// Last owned partitions that, as far as this member knows, were not reassigned.
     last_owned: BTreeSet<u32>,
-    /// Partitions that were given to others while the membership held: nobody acted for them
-    /// before.
+    /// Partitions that were reassigned without a lapse of the membership, so that no other member
+    /// acted for them in the meantime.
     reassigned: BTreeSet<u32>,
+    /// End of the TTL; 0 before the first join and after stepping down.
     until_ms: u64,
     stepped_down: bool,
 }
 
 impl Ownership {
-    /// Nothing is owned.
+    /// Creates a membership without partitions.
     pub fn new(settings: OwnershipSettings) -> Self {
         Self {
             settings,
@@ -79,7 +81,7 @@
         }
     }
 
-    /// What to do, when nothing could be written for so long; 0 while writes are done.
+    /// The next action, given how long writes have failed; 0 means that they succeed.
     pub fn next_action(&self, unwritable_ms: u64) -> MembershipAction {
         match self.stepped_down {
             true if unwritable_ms > 0 => MembershipAction::Wait,
@@ -90,7 +92,8 @@
         }
     }
 
-    /// A join that was sent at this moment was answered; true if the group changed.
+    /// Records the answer to a join that was sent at `sent_ms`; returns whether the group's
+    /// generation changed.
     pub fn record_join(
         &mut self,
         sent_ms: u64,
@@ -112,7 +115,7 @@
         changed
     }
 
-    /// Gives all partitions up at once, before the store is told.
+    /// Gives up all partitions immediately, before the store is notified.
     pub fn step_down(&mut self) {
         *self = Self {
             stepped_down: true,
@@ -122,38 +125,45 @@
         };
     }
 
-    /// The store knows that the partitions are given up, and deals them to others.
+    /// Records that the store has processed the leave and reassigns the partitions.
     pub fn record_leave(&mut self) {
         self.reassigned.append(&mut self.last_owned);
     }
 
-    /// Time to live that a join asks for, in milliseconds.
+    /// TTL that a join requests, in milliseconds.
     pub fn ttl_ms(&self) -> u64 {
         self.settings.ttl_ms
     }
 
-    /// The partitions, whether or not their time is over.
+    /// The partitions of the last answer, even if the TTL has passed.
     pub fn partitions(&self) -> &BTreeSet<u32> {
         &self.partitions
     }
 
-    /// Whether work that was begun for a partition may go on. It may while nothing is known of
-    /// another owner: a store that is away as a whole deals to nobody, and what is finished
-    /// meanwhile is there when it returns. It may as well where the partition was handed on
-    /// while the membership held, as its next owner is told what goes on; and where it was given
-    /// up as nothing can be written: a store that refuses all records may go on with its
-    /// groups, and the next owner can't write either. Else, where another member was dealt the
-    /// partition, the work is done twice for as long as one item takes.
+    /// Whether work that was started for a partition may continue.
+    ///
+    /// It may in three cases:
+    ///
+    /// - No other owner is known. A store that is unreachable as a whole assigns partitions to
+    ///   nobody, and work that completes meanwhile can be written when it returns.
+    /// - The partition was reassigned without a lapse of the membership. The next owner is notified
+    ///   of the work that continues here.
+    /// - The partition was given up because writes fail. A store that refuses all records may still
+    ///   manage its groups, but the next owner can't write either.
+    ///
+    /// In all other cases another member owns the partition, and continuing would duplicate work
+    /// for as long as one item takes.
     pub fn may_finish(&self, partition: u32) -> bool {
         self.last_owned.contains(&partition) || self.is_reassigned(partition)
     }
 
-    /// Whether another member has the partition, and must be told of work that goes on here.
+    /// Whether the partition was reassigned without a lapse of the membership. The new owner must
+    /// be notified of work that continues here.
     pub fn is_reassigned(&self, partition: u32) -> bool {
         self.reassigned.contains(&partition)
     }
 
-    /// Whether the member may act for a partition now.
+    /// Whether the member owns a partition and its TTL has not passed.
     pub fn owns(&self, partition: u32, now_ms: u64) -> bool {
         now_ms < self.until_ms && self.partitions.contains(&partition)
     }
--- a/components/ownership/src/standby.rs
+++ b/components/ownership/src/standby.rs
@@ -1,33 +1,33 @@
-//! When a small process takes part in a group whose work is meant for larger ones.
+//! When a small process joins a group whose work is meant for larger processes.
 //!
-//! Partitions are dealt evenly among the members, whatever their size. A front with a tenth of
-//! a core that is dealt a shard makes its steps late, while one with half a core stands idle.
-//! So a small one stays out of the group as long as a larger one has a partition, and joins
-//! when none has had one for a time: a wrong guess costs speed, never a result.
+//! The store assigns partitions evenly among the members, regardless of their size. A front with a
+//! tenth of a core that owns a shard finishes its steps late, while a front with half a core is
+//! idle. A small front therefore stays out of the group as long as a larger one owns a partition,
+//! and joins when none has owned one for some time. A wrong decision costs speed, but no results.
 
-/// Time without a larger owner after which a small process joins, in milliseconds: longer than
-/// the gap that larger ones leave when they restart or are dealt partitions anew.
-const ALONE_MS: u64 = 1_500;
+/// Time without a larger owner after which a small process joins, in milliseconds. Longer than the
+/// gap while larger processes restart or partitions are reassigned.
+const JOIN_AFTER_MS: u64 = 1_500;
 
-/// What a small process knows of the larger ones.
+/// State of a small process that stands by for larger ones.
 #[derive(Debug, Default)]
 pub struct Standby {
-    alone_since_ms: Option<u64>,
+    no_larger_owner_since_ms: Option<u64>,
 }
 
 impl Standby {
-    /// Takes the word whether a larger process has a partition. While the store can't be asked,
-    /// nothing is known, and what was known stands.
+    /// Records whether a larger process owns a partition. It is not called while the store cannot be
+    /// queried, so the last observation stays valid.
     pub fn observe_owners(&mut self, larger_owns: bool, now_ms: u64) {
-        self.alone_since_ms = match larger_owns {
+        self.no_larger_owner_since_ms = match larger_owns {
             true => None,
-            false => self.alone_since_ms.or(Some(now_ms)),
+            false => self.no_larger_owner_since_ms.or(Some(now_ms)),
         };
     }
 
-    /// Whether it takes part.
+    /// Whether the process should be a member of the group now.
     pub fn should_join(&self, now_ms: u64) -> bool {
-        let since_ms = self.alone_since_ms;
-        since_ms.is_some_and(|since_ms| now_ms >= since_ms + ALONE_MS)
+        let since_ms = self.no_larger_owner_since_ms;
+        since_ms.is_some_and(|since_ms| now_ms >= since_ms + JOIN_AFTER_MS)
     }
 }
--- a/components/ownership/src/times.rs
+++ b/components/ownership/src/times.rs
@@ -1,16 +1,21 @@
 //! Times of a membership in the group.
 
-/// Time to live of a member, in milliseconds: how long items stand still after a process died.
+/// TTL of a member, in milliseconds. After a process died, its items stall for this long.
 pub const MEMBER_TTL_MS: u64 = 1_300;
-/// How long partitions may take to change hands, in milliseconds.
+/// How long it may take until reassigned partitions have new owners, in milliseconds.
 pub const REBALANCE_MS: u64 = 700;
-/// Interval between joins, in milliseconds; two may be lost before the membership is.
+/// Interval between joins, in milliseconds. Two consecutive joins may be lost before the TTL
+/// passes.
 const JOIN_MS: u64 = 350;
-/// Interval between joins while partitions change hands, in milliseconds. A partition stands
-/// still until its old owner has joined again and the new one behind it.
-const SETTLING_JOIN_MS: u64 = 70;
+/// Interval between joins during a rebalance, in milliseconds. A partition stalls until its old
+/// owner has joined again and its new owner has joined after that.
+const REBALANCE_JOIN_MS: u64 = 70;
 
 /// Interval until the next join, in milliseconds.
-pub fn join_interval_ms(settling: bool) -> u64 {
-    if settling { SETTLING_JOIN_MS } else { JOIN_MS }
+pub fn join_interval_ms(rebalancing: bool) -> u64 {
+    if rebalancing {
+        REBALANCE_JOIN_MS
+    } else {
+        JOIN_MS
+    }
 }
--- a/components/ownership/tests/ownership.rs
+++ b/components/ownership/tests/ownership.rs
@@ -1,5 +1,5 @@
-//! Members of a group under lost and late joins, frozen and killed members, members that can't
-//! write, and partitions that are dealt anew.
+//! Tests of group membership with lost and late joins, frozen and killed members, members whose
+//! writes fail, and partitions that are all reassigned at once.
 
 use ownership::{MembershipAction, Ownership, OwnershipSettings, partition_of, shard_partition};
 
@@ -8,86 +8,87 @@
     unwritable_ms_max: 800,
 };
 const TICK_MS: u64 = 10;
-/// Pause between joins, in milliseconds.
+/// Interval between joins, in milliseconds.
 const JOIN_MS: u64 = 350;
-/// Longest time for a join, in milliseconds.
-const WITHIN_MS: u64 = 700;
+/// Time-out of a join, in milliseconds.
+const JOIN_TIMEOUT_MS: u64 = 700;
 const MEMBERS: usize = 3;
 const PARTITIONS: usize = 5;
 
-/// The store's side of a group, as its protocol has it.
+/// Simulation of the store's side of the group protocol.
 #[derive(Default)]
 struct Group {
     generation: u64,
-    /// When the last join of each member arrived.
-    arrived_ms: [Option<u64>; MEMBERS],
-    /// Who has a partition, and since which generation that one was told to give it up.
-    held: [Option<(usize, Option<u64>)>; PARTITIONS],
-    dealt_anew_ms: Option<u64>,
-    turn: usize,
+    /// Arrival of the last join, by member; `None` for those that are not in the group.
+    last_join_ms: [Option<u64>; MEMBERS],
+    /// Owner of each partition, and the generation in which the owner was asked to give it up.
+    owners: [Option<(usize, Option<u64>)>; PARTITIONS],
+    all_reassigned_ms: Option<u64>,
+    rotation: usize,
 }
 
 impl Group {
     fn expire(&mut self, now_ms: u64) {
         for member in 0..MEMBERS {
-            if self.arrived_ms[member].is_some_and(|at| now_ms >= at + SETTINGS.ttl_ms) {
+            if self.last_join_ms[member].is_some_and(|at| now_ms >= at + SETTINGS.ttl_ms) {
                 self.leave(member);
             }
         }
     }
 
     fn leave(&mut self, member: usize) {
-        if self.arrived_ms[member].take().is_some() {
+        if self.last_join_ms[member].take().is_some() {
             self.generation += 1;
-            let held = self.held.iter_mut();
-            held.filter(|held| held.is_some_and(|(by, _)| by == member))
-                .for_each(|held| *held = None);
+            let owners = self.owners.iter_mut();
+            owners
+                .filter(|owner| owner.is_some_and(|(by, _)| by == member))
+                .for_each(|owner| *owner = None);
         }
     }
 
-    fn deal_anew(&mut self, now_ms: u64) {
-        self.turn += 1;
+    fn reassign_all(&mut self, now_ms: u64) {
+        self.rotation += 1;
         self.generation += 1;
-        self.held = Default::default();
-        self.dealt_anew_ms = Some(now_ms);
+        self.owners = Default::default();
+        self.all_reassigned_ms = Some(now_ms);
     }
 
     fn join(&mut self, member: usize, known: u64, now_ms: u64) -> (u64, Vec<u32>) {
-        if self.arrived_ms[member].replace(now_ms).is_none() {
+        if self.last_join_ms[member].replace(now_ms).is_none() {
             self.generation += 1;
         }
         let present: Vec<usize> = (0..MEMBERS)
-            .filter(|&member| self.arrived_ms[member].is_some())
+            .filter(|&member| self.last_join_ms[member].is_some())
             .collect();
-        let mut mine = Vec::new();
+        let mut assigned = Vec::new();
         for partition in 0..PARTITIONS {
-            let dealt_to = present[(partition + self.turn) % present.len()];
-            let held = &mut self.held[partition];
-            match *held {
-                None if dealt_to == member => *held = Some((member, None)),
-                Some((by, told)) if by == member && dealt_to != member => {
-                    let gave_up = told.is_some_and(|told| known >= told);
-                    *held = (!gave_up).then_some((by, told.or(Some(self.generation))));
+            let assigned_to = present[(partition + self.rotation) % present.len()];
+            let owner = &mut self.owners[partition];
+            match *owner {
+                None if assigned_to == member => *owner = Some((member, None)),
+                Some((by, revoked_in)) if by == member && assigned_to != member => {
+                    let has_given_up = revoked_in.is_some_and(|revoked_in| known >= revoked_in);
+                    *owner = (!has_given_up).then_some((by, revoked_in.or(Some(self.generation))));
                 }
-                Some((by, Some(_))) if by == member => *held = Some((by, None)),
+                Some((by, Some(_))) if by == member => *owner = Some((by, None)),
                 _ => {}
             }
-            if *held == Some((member, None)) {
-                mine.push(partition as u32);
+            if *owner == Some((member, None)) {
+                assigned.push(partition as u32);
             }
         }
-        (self.generation, mine)
+        (self.generation, assigned)
     }
 }
 
-/// A join under way.
+/// A join in progress.
 struct Pending {
     sent_ms: u64,
     known: u64,
-    /// When it reaches the store; never if it is lost.
+    /// When the join reaches the store; `None` once it arrived or if it is lost.
     arrives_ms: Option<u64>,
     answer: Option<(u64, Vec<u32>)>,
-    /// When its answer comes; never if it is lost.
+    /// When the answer arrives; `None` if it is lost.
     answered_ms: Option<u64>,
 }
 
@@ -132,36 +133,38 @@
         }
     }
 
-    /// Something happens; false when two members act for one partition without reason.
-    fn apply(&mut self, (what, who, how): (u8, u8, u16)) -> bool {
-        let (who, how) = (usize::from(who) % MEMBERS, u64::from(how));
+    /// Applies a random event; returns false if two members acted for one partition without a
+    /// reassignment of all partitions shortly before.
+    fn apply(&mut self, (kind, member_at, amount): (u8, u8, u16)) -> bool {
+        let (member_at, amount) = (usize::from(member_at) % MEMBERS, u64::from(amount));
         let now_ms = self.now_ms;
-        let member = &mut self.members[who];
-        match what % 8 {
-            0 => member.frozen_until_ms = now_ms + how % 4_000,
+        let member = &mut self.members[member_at];
+        match kind % 8 {
+            0 => member.frozen_until_ms = now_ms + amount % 4_000,
             1 => member.unwritable_since_ms = Some(now_ms),
             2 => member.unwritable_since_ms = None,
             3 => *member = Member::new(now_ms),
-            4 => self.group.deal_anew(now_ms),
-            // The next joins are lost, or their answers, or both come late.
-            5 => member.fault = (5 + how % 3, 1 + how % 4),
-            6 => return self.run(how % 3_000),
-            _ => return self.run(how % 200),
+            4 => self.group.reassign_all(now_ms),
+            // The next joins are lost, or their answers are lost, or the joins are late.
+            5 => member.fault = (5 + amount % 3, 1 + amount % 4),
+            6 => return self.run(amount % 3_000),
+            _ => return self.run(amount % 200),
         }
         true
     }
 
-    /// Lets time pass; false when two members act for one partition without reason.
+    /// Lets time pass; returns false if two members acted for one partition without a reassignment
+    /// of all partitions shortly before.
     fn run(&mut self, for_ms: u64) -> bool {
         let until_ms = self.now_ms + for_ms;
-        let mut kept = true;
+        let mut is_exclusive = true;
         while self.now_ms < until_ms {
             self.now_ms += TICK_MS;
             self.group.expire(self.now_ms);
             (0..MEMBERS).for_each(|at| self.step(at));
-            kept &= self.is_exclusive();
+            is_exclusive &= self.is_exclusive();
         }
-        kept
+        is_exclusive
     }
 
     fn step(&mut self, at: usize) {
@@ -177,7 +180,7 @@
             return;
         }
         if let Some(last) = member.pending.last_mut()
-            && now_ms < last.sent_ms + WITHIN_MS
+            && now_ms < last.sent_ms + JOIN_TIMEOUT_MS
         {
             let answered = last.answered_ms.is_some_and(|answered| answered <= now_ms);
             if !answered {
@@ -190,7 +193,7 @@
                 member.next_ms = now_ms + JOIN_MS;
             }
         }
-        // A join that was given up may still arrive.
+        // A join that timed out may still arrive.
         member
             .pending
             .retain(|pending| pending.arrives_ms.is_some());
@@ -219,8 +222,8 @@
     }
 
     fn is_exclusive(&self) -> bool {
-        let dealt_anew = self.group.dealt_anew_ms;
-        let excused = dealt_anew.is_some_and(|at| self.now_ms <= at + SETTINGS.ttl_ms);
+        let all_reassigned = self.group.all_reassigned_ms;
+        let excused = all_reassigned.is_some_and(|at| self.now_ms <= at + SETTINGS.ttl_ms);
         excused || (0..PARTITIONS as u32).all(|partition| self.actors(partition) <= 1)
     }
 }
@@ -246,19 +249,20 @@
 }
 
 checks::seeded! {
-    /// Whatever happens to joins and members, nobody acts for a partition of another one,
-    /// unless the store has just dealt all of them anew.
+    /// Guards against two owners of a partition: whatever happens to joins and members, a member
+    /// acts for no partition of another one, unless the store has just reassigned all of them.
     fn two_members_never_act_for_one_partition(events: Vec<(u8, u8, u16)>) -> bool {
         let mut world = World::new();
-        let mut kept = world.run(2_000);
+        let mut is_exclusive = world.run(2_000);
         for event in events {
-            kept &= world.apply(event);
-            kept &= world.run(150);
+            is_exclusive &= world.apply(event);
+            is_exclusive &= world.run(150);
         }
-        kept
+        is_exclusive
     }
 
-    /// When the trouble is over, every partition is somebody's within a few times to live.
+    /// Guards against partitions without an owner: once the faults have ended, each partition has
+    /// an owner again within a few TTLs.
     fn somebody_acts_for_each_partition_again(events: Vec<(u8, u8, u16)>) -> bool {
         let mut world = World::new();
         world.run(500);
@@ -275,8 +279,9 @@
         (0..PARTITIONS as u32).all(|partition| world.actors(partition) == 1)
     }
 
-    /// A member that can't write gives everything up, and takes nothing until it can.
-    fn a_member_that_cannot_write_stands_back(unwritable_ms: u64) -> bool {
+    /// Guards against a member that keeps partitions while its writes fail and completes nothing:
+    /// it must give up all partitions and join again only when writes succeed.
+    fn a_member_whose_writes_fail_leaves_the_group(unwritable_ms: u64) -> bool {
         let mut ownership = Ownership::new(SETTINGS);
         ownership.record_join(1_000, 7, [1, 2]);
         if ownership.next_action(unwritable_ms) != MembershipAction::StepDown {
@@ -289,22 +294,25 @@
 }
 
 #[test]
-fn can_stop_before_the_store_hands_a_partition_on() {
-    // A join is answered late, and the member is frozen behind it. The store counts from the
-    // arrival, the member from the moment before, so that it stops first.
+fn can_stop_before_the_store_reassigns_a_partition() {
+    // A join is answered late, and the member freezes afterwards. The store counts the TTL from the
+    // arrival of the join and the member from its sending, so the member must stop first.
     let mut ownership = Ownership::new(SETTINGS);
     assert!(ownership.record_join(1_000, 1, [3]));
     assert!(ownership.owns(3, 2_299) && !ownership.owns(2, 2_299));
     assert!(!ownership.owns(3, 2_300));
-    assert!(!ownership.record_join(2_000, 1, [3]), "the same generation");
+    assert!(
+        !ownership.record_join(2_000, 1, [3]),
+        "the generation did not change"
+    );
     assert!(ownership.owns(3, 3_299));
 }
 
 #[test]
-fn can_keep_a_partition_whose_loss_was_told_in_a_lost_answer() {
-    // A third member comes back, and each of the other two is told to give partitions up in an
-    // answer that is lost. They go on with what they know; the store must not hear that they
-    // have given anything up before they have.
+fn can_keep_a_partition_when_the_answer_that_revokes_it_is_lost() {
+    // A third member returns, and the answers that ask the other two to give up partitions are
+    // lost. They continue with what they own. The store must not assume that they gave up a
+    // partition before they did.
     for (loser, back_ms) in [0, 1]
         .into_iter()
         .flat_map(|loser| (4_000..4_400).step_by(10).map(move |at| (loser, at)))
@@ -313,83 +321,87 @@
         world.members[2].frozen_until_ms = back_ms;
         world.run(back_ms - TICK_MS);
         world.members[loser].fault = (6, 3);
-        assert!(world.run(4_000), "member {loser}, {back_ms} ms");
+        assert!(
+            world.run(4_000),
+            "answers to member {loser} lost when member 2 returned at {back_ms} ms"
+        );
     }
 }
 
 #[test]
-fn can_go_on_with_what_was_begun_until_another_member_is_known() {
-    // A store that is away deals to nobody: what was begun goes on, and nothing new begins.
-    // Once it is known that another member has or gets the partition, it ends.
+fn can_continue_started_work_until_another_owner_is_known() {
+    // An unreachable store assigns partitions to nobody: started work must continue, and no new
+    // work may start. The work must end once another owner may have acted for the partition.
     struct Case {
         name: &'static str,
-        happens: fn(&mut Ownership),
-        goes_on: bool,
+        event: fn(&mut Ownership),
+        continues: bool,
     }
     let cases = [
         Case {
-            name: "the time to live is over",
-            happens: |_| {},
-            goes_on: true,
+            name: "the TTL has passed",
+            event: |_| {},
+            continues: true,
         },
         Case {
-            name: "it can't write",
-            happens: Ownership::step_down,
-            goes_on: true,
+            name: "the member stepped down because writes fail",
+            event: Ownership::step_down,
+            continues: true,
         },
         Case {
-            name: "it can't write and the store knows that it left",
-            happens: |ownership| {
+            name: "the member stepped down, and the store processed the leave",
+            event: |ownership| {
                 ownership.step_down();
                 ownership.record_leave();
             },
-            goes_on: true,
+            continues: true,
         },
         Case {
-            name: "the same, and it is a member again",
-            happens: |ownership| {
+            name: "the member stepped down, left and joined again without the partition",
+            event: |ownership| {
                 ownership.step_down();
                 ownership.record_leave();
                 ownership.record_join(3_000, 3, [4]);
             },
-            goes_on: true,
+            continues: true,
         },
         Case {
-            name: "another member was dealt it",
-            happens: |ownership| {
+            name: "the partition was reassigned after the membership lapsed",
+            event: |ownership| {
                 ownership.record_join(3_000, 2, [4]);
             },
-            goes_on: false,
+            continues: false,
         },
         Case {
-            name: "another member was dealt it while the membership held",
-            happens: |ownership| {
+            name: "the partition was reassigned without a lapse",
+            event: |ownership| {
                 ownership.record_join(1_300, 2, [4]);
                 ownership.record_join(1_600, 2, [4]);
             },
-            goes_on: true,
+            continues: true,
         },
         Case {
-            name: "the same, and it lapsed since",
-            happens: |ownership| {
+            name: "the partition was reassigned without a lapse, and the membership lapsed later",
+            event: |ownership| {
                 ownership.record_join(1_300, 2, [4]);
                 ownership.record_join(9_000, 2, [4]);
             },
-            goes_on: false,
+            continues: false,
         },
     ];
     for case in cases {
         let mut ownership = Ownership::new(SETTINGS);
         ownership.record_join(1_000, 1, [3]);
-        (case.happens)(&mut ownership);
-        assert_eq!(ownership.may_finish(3), case.goes_on, "{}", case.name);
+        (case.event)(&mut ownership);
+        assert_eq!(ownership.may_finish(3), case.continues, "{}", case.name);
         assert!(!ownership.owns(3, 4_000), "{}", case.name);
     }
 }
 
 #[test]
-fn can_come_back_after_a_time_without_writing() {
-    // Every member stands back in an outage, and all take their partitions again behind it.
+fn can_rejoin_after_writes_have_failed() {
+    // Every member leaves the group during an outage in which writes fail. Afterwards all must join
+    // again, so that each partition has an owner.
     let mut world = World::new();
     world.run(2_000);
     for member in &mut world.members {
@@ -406,7 +418,8 @@
 
 #[test]
 fn can_find_the_same_partition_in_every_release() {
-    // Two releases side by side that differ would have two owners run one model's steps.
+    // If two releases mapped a name to different partitions, a rolling update would have two owners
+    // run the steps of the same model.
     struct Case {
         name: &'static str,
         partitions: u32,
@@ -432,6 +445,10 @@
         let shards = [0, 1, 2].map(|shard| shard_partition(case.name, shard, case.partitions));
         let found = (partition, shards);
         let expected = (case.partition, case.shards);
-        assert_eq!(found, expected, "{} of {}", case.name, case.partitions);
+        assert_eq!(
+            found, expected,
+            "name {:?}, {} partitions",
+            case.name, case.partitions
+        );
     }
 }
--- a/components/ownership/tests/standby.rs
+++ b/components/ownership/tests/standby.rs
@@ -1,62 +1,62 @@
-//! Small processes that stand by for larger ones.
+//! Tests of small processes that stand by for larger ones.
 
 use ownership::Standby;
 
 #[test]
-fn can_take_part_only_after_a_time_without_a_larger_owner() {
-    // Larger fronts restart in turn, all at once, or lose the store for good. A small one must
-    // not jump in at each gap, nor stay away when nobody else runs the steps.
+fn can_join_only_after_some_time_without_a_larger_owner() {
+    // Larger fronts restart in turn or all at once, or lose the store for good. A small front must
+    // not join in each short gap, and must not stay out when nobody else runs the steps.
     struct Case {
         name: &'static str,
-        /// Whether a larger one owns a partition, as read at these times.
-        read: &'static [(u64, bool)],
+        /// Observations: time, and whether a larger front owns a partition.
+        observed: &'static [(u64, bool)],
         at_ms: u64,
-        takes_part: bool,
+        should_join: bool,
     }
     let cases = [
         Case {
-            name: "nothing read",
-            read: &[],
+            name: "no observation",
+            observed: &[],
             at_ms: 90_000,
-            takes_part: false,
+            should_join: false,
         },
         Case {
-            name: "a larger one owns",
-            read: &[(0, true), (500, true)],
+            name: "a larger front owns a partition",
+            observed: &[(0, true), (500, true)],
             at_ms: 9_000,
-            takes_part: false,
+            should_join: false,
         },
         Case {
-            name: "a gap while larger ones start",
-            read: &[(0, false), (500, false), (1_000, true)],
+            name: "a short gap while larger fronts restart",
+            observed: &[(0, false), (500, false), (1_000, true)],
             at_ms: 1_600,
-            takes_part: false,
+            should_join: false,
         },
         Case {
-            name: "no larger one for long",
-            read: &[(0, true), (500, false), (1_000, false), (1_500, false)],
+            name: "no larger owner for long enough",
+            observed: &[(0, true), (500, false), (1_000, false), (1_500, false)],
             at_ms: 2_000,
-            takes_part: true,
+            should_join: true,
         },
         Case {
-            name: "the store was away between",
-            read: &[(0, false), (30_000, false)],
+            name: "the store was unreachable in between",
+            observed: &[(0, false), (30_000, false)],
             at_ms: 30_000,
-            takes_part: true,
+            should_join: true,
         },
         Case {
-            name: "a larger one is back",
-            read: &[(0, false), (1_500, false), (2_000, true)],
+            name: "a larger front has returned",
+            observed: &[(0, false), (1_500, false), (2_000, true)],
             at_ms: 2_001,
-            takes_part: false,
+            should_join: false,
         },
     ];
     for case in cases {
         let mut standby = Standby::default();
-        for (at_ms, larger_owns) in case.read {
+        for (at_ms, larger_owns) in case.observed {
             standby.observe_owners(*larger_owns, *at_ms);
         }
-        let takes_part = standby.should_join(case.at_ms);
-        assert_eq!(takes_part, case.takes_part, "{}", case.name);
+        let should_join = standby.should_join(case.at_ms);
+        assert_eq!(should_join, case.should_join, "{}", case.name);
     }
 }
