--- a/components/index/src/lib.rs
+++ b/components/index/src/lib.rs
@@ -1,6 +1,6 @@
-//! The index: the one partition of small records that every front reads, and what it says.
-//! Its order decides on steps and on the lease. Decides nothing itself: steps are judged in
-//! `steps`, the lease in `lease`.
+//! The index: a topic with a single partition of small records that every front reads, and the
+//! state that its records define. The order of the records decides which steps are accepted and
+//! who holds the lease. This crate only decodes the records; `steps` and `lease` interpret them.
 
 mod record;
 mod view;
--- a/components/index/src/record.rs
+++ b/components/index/src/record.rs
@@ -1,4 +1,4 @@
-//! Records of the index, and the names under which the fronts' records lie in the store.
+//! Records of the index and usage topics, and the names of the fronts' topics in the store.
 
 use bytes::Bytes;
 use derive::wire;
@@ -7,33 +7,33 @@
 use steps::StepRecord;
 use usage::UsageRecord;
 
-/// Topic that every front follows: one partition, small records.
+/// Topic of small records that every front follows.
 pub const INDEX_TOPIC: &str = "index";
-/// Partition of the index: one, so that all records have one order.
+/// The only partition of the index topic; with one partition all records have a total order.
 pub const INDEX_PARTITION: u32 = 0;
-/// Topic of usage: one partition, so that counts and seals have one order. The holder of the lease
-/// alone reads it; in the index each count would wake every front.
+/// Topic of usage records, with one partition so that counts and seals have a total order. Only the
+/// holder of the lease reads it; in the index topic each count would wake every front.
 pub const USAGE_TOPIC: &str = "usage";
-/// Topic of items' data and texts, read when somebody asks.
+/// Topic of the items' data and texts, which are read on demand.
 pub const DATA_TOPIC: &str = "data";
-/// Topic whose partitions stand for models in the group of runners.
+/// Topic whose partitions stand for the shards of pools in the group of runners.
 pub const RUNNER_TOPIC: &str = "runners";
 /// Group of the fronts that run steps.
 pub const RUNNER_GROUP: &str = "fronts";
 
 quick_error! {
-    /// Why bytes are no record of the index.
+    /// Failure to encode or decode a record of the index or usage topic.
     #[derive(Debug)]
     pub enum IndexError {
-        /// They can't be decoded.
+        /// The bytes can't be decoded.
         Decode(reason: postcard::Error) {
             source(reason)
-            display("cannot decode a record of the index: {}", reason)
+            display("cannot decode a log record: {}", reason)
         }
         /// The value can't be encoded.
         Encode(reason: postcard::Error) {
             source(reason)
-            display("cannot encode a record of the index: {}", reason)
+            display("cannot encode a log record: {}", reason)
         }
     }
 }
@@ -41,31 +41,31 @@
 /// A record of the index topic.
 #[wire]
 pub enum LogRecord {
-    /// About steps.
+    /// A record about steps and their items.
     #[serde(rename = "Index")]
     Step(StepRecord),
-    /// About the lease on orders.
+    /// A record about the lease on giving orders.
     Lease(LeaseRecord),
 }
 
-/// A record's bytes.
+/// Encodes a record for the index topic.
 pub fn encode(record: &LogRecord) -> Result<Bytes, IndexError> {
     let bytes = postcard::to_stdvec(record).map_err(IndexError::Encode)?;
     Ok(bytes.into())
 }
 
-/// A record of usage as bytes.
+/// Encodes a record for the usage topic.
 pub fn encode_usage(record: &UsageRecord) -> Result<Bytes, IndexError> {
     let bytes = postcard::to_stdvec(record).map_err(IndexError::Encode)?;
     Ok(bytes.into())
 }
 
-/// The record of usage in these bytes.
+/// Decodes a record of the usage topic.
 pub fn decode_usage(bytes: &[u8]) -> Result<UsageRecord, IndexError> {
     postcard::from_bytes(bytes).map_err(IndexError::Decode)
 }
 
-/// The record in these bytes.
+/// Decodes a record of the index topic.
 pub fn decode(bytes: &[u8]) -> Result<LogRecord, IndexError> {
     postcard::from_bytes(bytes).map_err(IndexError::Decode)
 }
--- a/components/index/src/view.rs
+++ b/components/index/src/view.rs
@@ -1,4 +1,4 @@
-//! What the index says, as far as it was read.
+//! State that the records of the index topic define, up to the last record that was read.
 
 use bytes::Bytes;
 use lease::Lease;
@@ -6,19 +6,19 @@
 
 use crate::record::{IndexError, LogRecord, decode};
 
-/// Steps and the lease.
+/// Steps and the lease, as derived from the index topic.
 pub struct Index {
-    /// Steps and results.
+    /// Steps and their results.
     pub ledger: Ledger,
-    /// The lease on orders.
+    /// Lease on giving orders.
     pub lease: Lease,
-    /// Since when the log was read without a gap, in milliseconds; 0 while it was read from
-    /// its first record on.
+    /// Time since which the topic has been read without a gap, in milliseconds; 0 if it was read
+    /// from its first record.
     pub read_since_ms: u64,
 }
 
 impl Index {
-    /// Nothing was read.
+    /// Creates the state before any record is read.
     pub fn new(lease: Lease) -> Self {
         Self {
             ledger: Ledger::default(),
@@ -27,14 +27,14 @@
         }
     }
 
-    /// Takes records in from an offset on, and tells `odd` of those that are none; gives the
-    /// offset behind them.
+    /// Applies consecutive records, the first of which has the offset `from`. Calls `on_malformed`
+    /// for each record that can't be decoded, and returns the offset after the last record.
     pub fn apply(
         &mut self,
         from: u64,
         records: &[Bytes],
         now_ms: u64,
-        mut odd: impl FnMut(u64, IndexError),
+        mut on_malformed: impl FnMut(u64, IndexError),
     ) -> u64 {
         for (offset, record) in (from..).zip(records) {
             match decode(record) {
@@ -42,14 +42,14 @@
                     self.ledger.apply(offset, record, now_ms);
                 }
                 Ok(LogRecord::Lease(record)) => self.lease.apply(offset, &record, now_ms),
-                Err(error) => odd(offset, error),
+                Err(error) => on_malformed(offset, error),
             }
         }
         from + records.len() as u64
     }
 
-    /// Records before those that will be read next are gone: who holds the lease is unknown,
-    /// and steps may be missing.
+    /// Records that the store trimmed before they were read are lost: the holder of the lease is
+    /// unknown, and steps may be missing.
     pub fn mark_gap(&mut self, now_ms: u64) {
         self.lease.reset();
         self.read_since_ms = now_ms;
--- a/components/index/tests/index.rs
+++ b/components/index/tests/index.rs
@@ -1,4 +1,4 @@
-//! The index under odd records and lost history.
+//! Tests of the index with malformed records.
 
 use bytes::Bytes;
 use index::{Index, LogRecord, decode, encode};
@@ -18,26 +18,27 @@
 }
 
 #[test]
-fn can_pass_over_an_odd_record() {
-    // A record of a later release stands between two others: it is named, and they hold.
-    let whole = |step| encode(&record(step)).expect("a record");
-    let records = [whole(1), Bytes::from_static(&[250, 1, 2]), whole(2)];
-    let mut odd = Vec::new();
-    let next = index().apply(7, &records, 0, |offset, _| odd.push(offset));
-    assert_eq!((next, odd), (10, vec![8]));
+fn can_skip_a_malformed_record() {
+    // A record of a later release stands between two known ones. It must be reported, and the
+    // other two must be applied.
+    let encoded = |step| encode(&record(step)).expect("the record encodes");
+    let records = [encoded(1), Bytes::from_static(&[250, 1, 2]), encoded(2)];
+    let mut malformed = Vec::new();
+    let next = index().apply(7, &records, 0, |offset, _| malformed.push(offset));
+    assert_eq!((next, malformed), (10, vec![8]));
 }
 
 checks::seeded! {
-    /// Bytes that are no record end in a typed error; those of a record, cut or changed at any
-    /// place, too, or they are another record.
-    fn odd_bytes_are_an_error_or_a_record(bytes: Vec<u8>, step: u64, at: usize) -> bool {
+    /// Guards against panics in decoding: random bytes, and records that are truncated or have a
+    /// flipped bit, give a typed error or decode to some record.
+    fn random_bytes_give_an_error_or_a_record(bytes: Vec<u8>, step: u64, at: usize) -> bool {
         let _ = decode(&bytes);
         let _ = decode_item(&bytes);
-        let whole = encode(&record(step)).expect("a record");
-        let cut = at % whole.len();
-        let mut changed = whole.to_vec();
+        let encoded = encode(&record(step)).expect("the record encodes");
+        let cut = at % encoded.len();
+        let mut changed = encoded.to_vec();
         changed[cut] ^= 1 << (at % 8);
         let _ = decode(&changed);
-        decode(&whole[..cut]).is_err() && decode(&whole).is_ok()
+        decode(&encoded[..cut]).is_err() && decode(&encoded).is_ok()
     }
 }
--- a/components/lease/src/lib.rs
+++ b/components/lease/src/lib.rs
@@ -19,7 +19,7 @@
 //! announcement that follows another holder's announcement too closely in the log permits nothing.
 //! If the log lost all records, two VMs may both believe that they hold the lease. Even then their
 //! orders do not alternate. As soon as one VM reads a renewal of the other, the older holder (the
-//! lower fencing number) keeps the lease.
+//! lower fencing token) keeps the lease.
 
 mod record;
 mod settings;
--- a/components/lease/src/record.rs
+++ b/components/lease/src/record.rs
@@ -3,7 +3,7 @@
 /// A record about the lease in the index topic.
 #[wire]
 pub enum LeaseRecord {
-    /// A VM acquires the lease. Permits no orders yet. The fencing number of the new holder is the
+    /// A VM acquires the lease. Permits no orders yet. The fencing token of the new holder is the
     /// offset of this record plus one.
     #[serde(rename = "Take")]
     Acquire {
@@ -16,16 +16,16 @@
     },
     /// Heartbeat of the holder.
     Renew {
-        /// Fencing number of the holder.
+        /// Fencing token of the holder.
         fence: u64,
         /// Number of the writer's attempt, by which it recognizes its own record in the log.
         attempt: u64,
         /// Whether the renewal announces orders.
         orders: bool,
     },
-    /// The holder gives no more orders, so that the lease can be acquired without a time-out.
+    /// The holder gives no more orders, so that the lease can be acquired without a timeout.
     Release {
-        /// Fencing number of the holder.
+        /// Fencing token of the holder.
         fence: u64,
     },
 }
--- a/components/lease/src/settings.rs
+++ b/components/lease/src/settings.rs
@@ -8,7 +8,7 @@
     pub order_ms: u64,
     /// How long a process gives no orders after it read another holder's announcement.
     pub exclusive_ms: u64,
-    /// Heartbeat time-out: how long no record of a holder is read until another VM may acquire the
+    /// Heartbeat timeout: how long no record of a holder is read until another VM may acquire the
     /// lease.
     pub silent_ms: u64,
     /// Interval between renewals.
@@ -22,7 +22,7 @@
 const ORDER_MS: u64 = 900;
 /// Margin for the transit of an order that was sent at the last moment, and for clock drift.
 const ORDER_MARGIN_MS: u64 = 400;
-/// Heartbeat time-out: three consecutive renewals that are lost or late.
+/// Heartbeat timeout: three consecutive renewals that are lost or late.
 const SILENT_MS: u64 = 1_500;
 /// Interval between renewals, and until an unanswered renewal is sent again.
 const RENEW_MS: u64 = 400;
--- a/components/lease/src/state.rs
+++ b/components/lease/src/state.rs
@@ -27,7 +27,7 @@
     released: bool,
     /// Whether announcements of other holders were read since the acquisition.
     disputed: bool,
-    /// Fencing numbers of holders that lost the lease to this one in the log's order, newest first.
+    /// Fencing tokens of holders that lost the lease to this one in the log's order, newest first.
     superseded: VecDeque<u64>,
 }
 
@@ -171,7 +171,7 @@
             }
             return;
         }
-        // This VM, perhaps in an earlier incarnation, announced orders under this fencing number.
+        // This VM, perhaps in an earlier incarnation, announced orders under this fencing token.
         // So the pause after each announcement before the acquisition was over by then. That does
         // not follow for announcements of other holders that came after the acquisition.
         if orders && !known.disputed {
@@ -227,8 +227,8 @@
         self.known.as_ref().is_some_and(|known| self.is_own(known)) && !self.resigned
     }
 
-    /// The VM and the fencing number of the holder according to the log, without regard to
-    /// time-outs. The VM is `None` if its acquisition is no longer in the log. The result is `None`
+    /// The VM and the fencing token of the holder according to the log, without regard to
+    /// timeouts. The VM is `None` if its acquisition is no longer in the log. The result is `None`
     /// once the lease was released.
     pub fn holder(&self) -> Option<(Option<&str>, u64)> {
         let known = self.known.as_ref().filter(|known| !known.released)?;
@@ -245,7 +245,7 @@
         now_ms.saturating_sub(last_read_ms)
     }
 
-    /// The fencing number while this process may give orders, else `None`.
+    /// The fencing token while this process may give orders, else `None`.
     pub fn fence(&self, now_ms: u64) -> Option<u64> {
         let known = self.known.as_ref()?;
         (self.is_held_here() && now_ms < self.orders_until_ms).then_some(known.fence)
--- a/components/lease/tests/lease.rs
+++ b/components/lease/tests/lease.rs
@@ -175,7 +175,7 @@
         events.iter().for_each(|event| world.apply(event));
         let at = 0;
         world.vms[at] = vm(at, world.vms[at].restarts + 1);
-        // Up to 8 s of delayed records and cuts, 1.5 s heartbeat time-out, the pause, and a margin.
+        // Up to 8 s of delayed records and cuts, 1.5 s heartbeat timeout, the pause, and a margin.
         let until_ms = world.now_ms + 20_000;
         let before = world.orders.len();
         while world.now_ms < until_ms {
@@ -189,7 +189,7 @@
 fn can_replace_a_silent_holder_that_ordered_nothing_lately() {
     // The holder gave its last order long ago and is cut off, while a trainer names a new version.
     // If the successor waited for the whole pause from then on, the next step but one would stall.
-    // The pause is already over, so the heartbeat time-out alone must suffice.
+    // The pause is already over, so the heartbeat timeout alone must suffice.
     let mut lease = Lease::new("b", 0, settings());
     let acquisition = LeaseRecord::Acquire {
         holder: "a".into(),
--- a/components/ownership/tests/ownership.rs
+++ b/components/ownership/tests/ownership.rs
@@ -10,7 +10,7 @@
 const TICK_MS: u64 = 10;
 /// Interval between joins, in milliseconds.
 const JOIN_MS: u64 = 350;
-/// Time-out of a join, in milliseconds.
+/// Timeout of a join, in milliseconds.
 const JOIN_TIMEOUT_MS: u64 = 700;
 const MEMBERS: usize = 3;
 const PARTITIONS: usize = 5;
