--- a/components/usage/src/ledger.rs
+++ b/components/usage/src/ledger.rs
@@ -4,69 +4,70 @@
 
 use crate::{UsageRecord, Window, WindowCounts, WindowSettings};
 
-/// What a record changed.
+/// Effect of a record on the ledger.
 #[value]
 pub enum Change {
-    /// Nothing: a repetition.
+    /// No effect: the record repeats an earlier one.
     Nothing,
     /// Counts were added.
     Counted,
-    /// Counts came behind the seal of their window and are in no report: so many requests.
+    /// Counts arrived after the seal of their window and are missing from its report; holds the
+    /// number of these requests.
     Late(u64),
     /// A window was sealed.
     Sealed(Window),
-    /// A report was taken.
+    /// The receiver accepted the report of a window.
     Reported(Window),
 }
 
 /// The report of a sealed window.
 #[value]
 pub struct Report {
-    /// The window.
+    /// Window that the report covers.
     pub window: Window,
-    /// Requests by customer; customers without any don't stand here.
+    /// Requests by customer; customers without requests are omitted.
     pub counts: BTreeMap<String, u64>,
 }
 
-/// What is known of a window.
+/// State of a window, as derived from the log.
 #[derive(Clone, Copy, Debug)]
 pub struct WindowSummary<'a> {
-    /// The window.
+    /// Window to which the other fields refer.
     pub window: Window,
-    /// Requests by customer that its report has, or would have now.
+    /// Requests by customer in the report; before the seal, the counts so far.
     pub counts: &'a BTreeMap<String, u64>,
-    /// Whether it is sealed.
+    /// Whether the window is sealed.
     pub sealed: bool,
-    /// Whether its report was taken.
+    /// Whether the receiver accepted the report.
     pub reported: bool,
 }
 
 #[derive(Debug, Default)]
-struct State {
+struct WindowState {
     counts: BTreeMap<String, u64>,
     sealed: bool,
     reported: bool,
 }
 
 #[derive(Debug)]
-struct Writer {
+struct WriterState {
     newest_batch: u32,
     newest_window: Window,
 }
 
-/// Usage as the log tells it.
+/// Usage of all customers, as derived from the records of the usage topic.
 #[derive(Debug, Default)]
 pub struct UsageLedger {
-    windows: BTreeMap<Window, State>,
-    writers: HashMap<u64, Writer>,
-    /// The first window that this process knows to have been; none before it knows one.
-    first: Option<Window>,
-    /// Records of earlier windows may have been missed.
-    whole_from: Option<Window>,
+    windows: BTreeMap<Window, WindowState>,
+    writers: HashMap<u64, WriterState>,
+    /// First window in which the system is known to have run; `None` before any is known.
+    first_window: Option<Window>,
+    /// First window after a gap in the log; records of earlier windows may have been missed.
+    complete_from: Option<Window>,
 }
 
 impl UsageLedger {
-    /// Takes a record in the log's order.
+    /// Applies a record. Records must be applied in the order of the log.
     pub fn apply(&mut self, record: UsageRecord) -> Change {
         match record {
             UsageRecord::Counted {
@@ -88,15 +89,15 @@
         let Some(newest_window) = newest else {
             return Change::Nothing;
         };
-        let known = self.writers.entry(writer).or_insert(Writer {
+        let state = self.writers.entry(writer).or_insert(WriterState {
             newest_batch: 0,
             newest_window,
         });
-        if number <= known.newest_batch {
+        if number <= state.newest_batch {
             return Change::Nothing;
         }
-        known.newest_batch = number;
-        known.newest_window = known.newest_window.max(newest_window);
+        state.newest_batch = number;
+        state.newest_window = state.newest_window.max(newest_window);
         let mut late = 0;
         for counts in windows {
             late += self.add(counts);
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Adds counts; gives how many requests came too late.
+    /// Adds the counts of a window; returns the number of requests that arrived after its seal.
     fn add(&mut self, counts: WindowCounts) -> u64 {
         self.note_window(counts.window);
         let state = self.windows.entry(counts.window).or_default();
@@ -130,32 +131,33 @@
         Change::Sealed(window)
     }
 
-    /// A window in which the system ran; windows before the first one are nobody's to report.
+    /// Records that the system ran in a window. Windows before the first such window are not
+    /// reported.
     pub fn note_window(&mut self, window: Window) {
-        let first = self.first.get_or_insert(window);
+        let first = self.first_window.get_or_insert(window);
         *first = (*first).min(window);
     }
 
-    /// Records before those that come next are gone: only windows from `from` on are known
-    /// whole.
+    /// Records that the log lost records which this process had not read. Only windows from `from`
+    /// on are complete.
     pub fn mark_gap(&mut self, from: Window) {
-        self.whole_from = Some(from);
+        self.complete_from = Some(from);
     }
 
-    /// Windows of true time before `true_ms` whose reports were not taken, oldest first.
-    fn open<'a>(
+    /// Complete windows that ended by `utc_ms` and have no accepted report, oldest first.
+    fn unreported<'a>(
         &'a self,
         settings: &'a WindowSettings,
-        true_ms: u64,
+        utc_ms: u64,
     ) -> impl Iterator<Item = Window> + 'a {
-        let first = self.first.unwrap_or(Window(u64::MAX));
-        let from = first.max(self.whole_from.unwrap_or(first));
-        let oldest_ms = true_ms.saturating_sub(settings.abandon_after_ms);
+        let first = self.first_window.unwrap_or(Window(u64::MAX));
+        let from = first.max(self.complete_from.unwrap_or(first));
+        let oldest_ms = utc_ms.saturating_sub(settings.abandon_after_ms);
         let from = from.max(settings.window_at(oldest_ms));
-        let until = settings.window_at(true_ms);
+        let until = settings.window_at(utc_ms);
         (from.0..until.0).map(Window).filter(move |window| {
             let state = self.windows.get(window);
-            state.is_none_or(|state| !state.reported) && !settings.is_abandoned(*window, true_ms)
+            state.is_none_or(|state| !state.reported) && !settings.is_abandoned(*window, utc_ms)
         })
     }
 
@@ -164,30 +166,30 @@
         state.is_some_and(|state| state.sealed)
     }
 
-    /// Windows to seal now, oldest first.
-    pub fn windows_to_seal(&self, settings: &WindowSettings, true_ms: u64) -> Vec<Window> {
-        self.open(settings, true_ms)
-            .filter(|window| !self.is_sealed(*window) && settings.is_seal_due(*window, true_ms))
+    /// Windows that are due to be sealed, oldest first.
+    pub fn windows_to_seal(&self, settings: &WindowSettings, utc_ms: u64) -> Vec<Window> {
+        self.unreported(settings, utc_ms)
+            .filter(|window| !self.is_sealed(*window) && settings.is_seal_due(*window, utc_ms))
             .collect()
     }
 
-    /// The oldest report to send now, of those that were not sent from here.
+    /// The oldest report that is due, except for windows for which `is_sent` returns true.
     pub fn report_to_send(
         &self,
         settings: &WindowSettings,
-        true_ms: u64,
-        sent: impl Fn(Window) -> bool,
+        utc_ms: u64,
+        is_sent: impl Fn(Window) -> bool,
     ) -> Option<Report> {
         let window = self
-            .open(settings, true_ms)
-            .find(|window| self.is_sealed(*window) && !sent(*window))?;
+            .unreported(settings, utc_ms)
+            .find(|window| self.is_sealed(*window) && !is_sent(*window))?;
         Some(Report {
             window,
             counts: self.windows.get(&window)?.counts.clone(),
         })
     }
 
-    /// Windows that are known, oldest first.
+    /// All windows with records, oldest first.
     pub fn windows(&self) -> impl Iterator<Item = WindowSummary<'_>> {
         let known = self.windows.iter();
         known.map(|(window, state)| WindowSummary {
@@ -198,11 +200,11 @@
         })
     }
 
-    /// Forgets windows whose reports are given up, and fronts that counted nothing since.
-    pub fn remove_expired(&mut self, settings: &WindowSettings, true_ms: u64) {
+    /// Removes windows whose reports are abandoned, and fronts that have counted nothing since.
+    pub fn remove_expired(&mut self, settings: &WindowSettings, utc_ms: u64) {
         self.windows
-            .retain(|window, _| !settings.is_abandoned(*window, true_ms));
+            .retain(|window, _| !settings.is_abandoned(*window, utc_ms));
         self.writers
-            .retain(|_, writer| !settings.is_abandoned(writer.newest_window, true_ms));
+            .retain(|_, writer| !settings.is_abandoned(writer.newest_window, utc_ms));
     }
 }
--- a/components/usage/src/lib.rs
+++ b/components/usage/src/lib.rs
@@ -1,19 +1,21 @@
-//! How often each customer's requests began to run, by windows of true time, and one report a
-//! window that is the same whoever sends it.
+//! Usage reports: the number of each customer's requests that started to run, per time window. The
+//! report of a window is identical no matter which front sends it.
 //!
 //! A window goes through these states:
 //!
-//! - *open*: fronts note the requests that begin, in a [`Tally`], and append what they noted as
-//!   numbered batches, several times a window;
-//! - *closed*: its time is over; batches still come, as some requests end later than they began;
-//! - *sealed*: some front has appended [`UsageRecord::Sealed`]. The first seal in the log's order
-//!   holds, and what stands before it is the report. A batch behind it is lost for the report;
-//! - *sent*, as often as it takes, by whoever holds the duty;
-//! - *reported*: the receiver took it, and a record says so to the next holder.
+//! - *open*: fronts count the requests that start, in a [`Tally`], and append the counts as
+//!   numbered batches several times per window;
+//! - *closed*: the window has ended. Batches still arrive, because some requests end later than
+//!   they started;
+//! - *sealed*: a front has appended [`UsageRecord::Sealed`]. The first seal in the order of the log
+//!   is valid, and the counts before it form the report. A batch after it is missing from the
+//!   report;
+//! - *sent*: the holder of the lease sends the report, again if necessary;
+//! - *reported*: the receiver has accepted the report, and a record tells the next holder.
 //!
-//! Nobody sends what is not sealed, so two holders can't send different counts for a window,
-//! however late either of them is. A reader that missed records of a window knows only a part
-//! of its counts, and leaves the window to others.
+//! Only reports of sealed windows are sent. Two holders can therefore not send different counts for
+//! a window, no matter how late either of them is. A process that missed records of a window knows
+//! only some of its counts, and leaves the window to other processes.
 
 mod ledger;
 mod record;
--- a/components/usage/src/record.rs
+++ b/components/usage/src/record.rs
@@ -2,44 +2,45 @@
 
 use crate::Window;
 
-/// Requests of one customer that began in one window.
+/// Number of requests of one customer that started in one window.
 #[wire]
 pub struct CustomerCount {
-    /// The customer.
+    /// Name of the customer.
     pub customer: String,
-    /// Requests.
+    /// Number of requests.
     pub requests: u32,
 }
 
-/// Requests that began in one window.
+/// Numbers of requests that started in one window.
 #[wire]
 pub struct WindowCounts {
-    /// The window.
+    /// Window in which the requests started.
     pub window: Window,
-    /// Requests by customer, each once.
+    /// One count per customer.
     pub customers: Vec<CustomerCount>,
 }
 
-/// What a front writes into the log about usage.
+/// A record of the usage topic.
 #[wire]
 pub enum UsageRecord {
-    /// Requests that began at replicas; adds to what was counted before.
+    /// Requests that started at replicas; the counts add to those of earlier batches.
     Counted {
-        /// The life of the front that counted them.
+        /// Identifies the incarnation of the front that counted the requests.
         writer: u64,
-        /// Number of the batch in that life, from 1 on. One that lands twice counts once.
+        /// Number of the batch within the incarnation, from 1. A batch that arrives twice counts
+        /// once.
         number: u32,
-        /// The counts.
+        /// Counts by window.
         windows: Vec<WindowCounts>,
     },
-    /// What stands before this record is the report of the window; the first seal holds.
+    /// Seals a window: the counts before this record form its report. The first seal is valid.
     Sealed {
-        /// The window.
+        /// Window that is sealed.
         window: Window,
     },
-    /// The report of a window was taken.
+    /// The receiver accepted the report of a window.
     Reported {
-        /// The window.
+        /// Window of the report.
         window: Window,
     },
 }
--- a/components/usage/src/sender.rs
+++ b/components/usage/src/sender.rs
@@ -4,71 +4,73 @@
 
 use crate::{Report, Window};
 
-/// First pause after a report that was not taken, in milliseconds; doubles up to the greatest.
-const PAUSE_MS: u64 = 200;
-const PAUSE_MS_MAX: u64 = 1_600;
+/// First pause before a retry, in milliseconds; it doubles with each failure up to the maximum.
+const RETRY_PAUSE_MS: u64 = 200;
+const RETRY_PAUSE_MS_MAX: u64 = 1_600;
 
-/// Windows that are remembered as sent, at most.
-const TAKEN_MAX: usize = 64;
+/// Upper bound on remembered windows whose reports were accepted.
+const ACCEPTED_MAX: usize = 64;
 
-/// How sending a report ended.
+/// Outcome of sending a report.
 #[key]
 pub enum Outcome {
-    /// The receiver took it, now or before.
+    /// The receiver accepted the report, now or earlier.
     Accepted,
-    /// It did not, or no answer came; the same report is sent again.
+    /// The receiver refused the report or did not answer; the same report is sent again.
     NotAccepted,
-    /// It never will: the sender's fencing number is too low.
+    /// The receiver refused the report because the sender's fencing token is outdated.
     Fenced,
 }
 
-/// Which report goes out next, and when: one at a time, with pauses that grow and are spread.
+/// Sends reports one at a time, with exponential backoff and jitter between retries.
 #[derive(Debug, Default)]
 pub struct Sender {
     in_progress: Option<Window>,
-    /// Windows whose reports were taken from here, also before the log says so.
-    taken: BTreeSet<Window>,
-    failures: u32,
-    not_before_ms: u64,
+    /// Windows whose reports the receiver accepted from this process. Contains them before their
+    /// [`UsageRecord::Reported`](crate::UsageRecord::Reported) is read from the log.
+    accepted: BTreeSet<Window>,
+    consecutive_failures: u32,
+    retry_at_ms: u64,
 }
 
 impl Sender {
-    /// Whether this report may go out now; it counts as going out.
+    /// Starts sending a report. Returns false if another one is in progress or a retry pause has
+    /// not passed.
     pub fn begin(&mut self, report: &Report, now_ms: u64) -> bool {
-        if self.in_progress.is_some() || now_ms < self.not_before_ms {
+        if self.in_progress.is_some() || now_ms < self.retry_at_ms {
             return false;
         }
         self.in_progress = Some(report.window);
         true
     }
 
-    /// Whether the report of a window was taken from here.
+    /// Whether the receiver accepted the report of a window from this process.
     pub fn has_sent(&self, window: Window) -> bool {
-        self.taken.contains(&window)
+        self.accepted.contains(&window)
     }
 
-    /// Whether some report may go out now.
+    /// Whether a report may be sent now.
     pub fn is_ready(&self, now_ms: u64) -> bool {
-        self.in_progress.is_none() && now_ms >= self.not_before_ms
+        self.in_progress.is_none() && now_ms >= self.retry_at_ms
     }
 
-    /// The report that was in progress ended.
+    /// Records the outcome of the report in progress. `random` sets the jitter of the retry pause.
     pub fn finish(&mut self, outcome: Outcome, now_ms: u64, random: u64) {
         let window = self.in_progress.take();
         match outcome {
             Outcome::Accepted => {
-                self.taken.extend(window);
-                while self.taken.len() > TAKEN_MAX {
-                    self.taken.pop_first();
+                self.accepted.extend(window);
+                while self.accepted.len() > ACCEPTED_MAX {
+                    self.accepted.pop_first();
                 }
-                self.failures = 0;
-                self.not_before_ms = now_ms;
+                self.consecutive_failures = 0;
+                self.retry_at_ms = now_ms;
             }
             Outcome::NotAccepted | Outcome::Fenced => {
-                let doubled = PAUSE_MS << self.failures.min(8);
-                let pause_ms = doubled.min(PAUSE_MS_MAX);
-                self.failures = self.failures.saturating_add(1);
-                self.not_before_ms = now_ms + pause_ms / 2 + random % (pause_ms / 2 + 1);
+                let doubled = RETRY_PAUSE_MS << self.consecutive_failures.min(8);
+                let pause_ms = doubled.min(RETRY_PAUSE_MS_MAX);
+                self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+                self.retry_at_ms = now_ms + pause_ms / 2 + random % (pause_ms / 2 + 1);
             }
         }
     }
--- a/components/usage/src/tally.rs
+++ b/components/usage/src/tally.rs
@@ -5,17 +5,17 @@
 
 use crate::{CustomerCount, UsageRecord, Window, WindowCounts};
 
-/// A batch of counts, written until the log has it.
+/// A batch of counts. A front retries the append of a batch until the log contains it.
 #[value]
 pub struct Batch {
-    /// Its number in the life of this front, from 1 on.
+    /// Number of the batch within the incarnation of this front, from 1.
     pub number: u32,
-    /// The counts.
+    /// Counts by window.
     pub windows: Vec<WindowCounts>,
 }
 
 impl Batch {
-    /// The batch as a record of the front's life `writer`.
+    /// The record of this batch; `writer` identifies the incarnation of the front.
     pub fn record(&self, writer: u64) -> UsageRecord {
         UsageRecord::Counted {
             writer,
@@ -25,17 +25,17 @@
     }
 }
 
-/// Requests that began at this front and are not in a batch yet.
+/// Requests that started at this front and are not in a batch yet.
 #[derive(Debug, Default)]
 pub struct Tally {
-    open: BTreeMap<Window, BTreeMap<Arc<str>, u32>>,
+    pending: BTreeMap<Window, BTreeMap<Arc<str>, u32>>,
     batches: u32,
 }
 
 impl Tally {
-    /// Notes that a customer's request began in a window.
+    /// Counts one request of a customer that started in a window.
     pub fn note(&mut self, window: Window, customer: &str) {
-        let counts = self.open.entry(window).or_default();
+        let counts = self.pending.entry(window).or_default();
         match counts.get_mut(customer) {
             Some(requests) => *requests += 1,
             None => {
@@ -44,19 +44,20 @@
         }
     }
 
-    /// Whether nothing waits for a batch.
+    /// Whether all counted requests are in a batch.
     pub fn is_empty(&self) -> bool {
-        self.open.is_empty()
+        self.pending.is_empty()
     }
 
-    /// All that was noted since the last batch. The next one is taken when this one stands in
-    /// the log: a reader passes over numbers that are not above the last one of the front.
+    /// Moves all counts since the last batch into a new batch; `None` if there are none. Call it
+    /// only when the previous batch is in the log: readers skip batches whose number is not above
+    /// the last one of the front.
     pub fn next_batch(&mut self) -> Option<Batch> {
-        if self.open.is_empty() {
+        if self.pending.is_empty() {
             return None;
         }
         self.batches += 1;
-        let windows = std::mem::take(&mut self.open);
+        let windows = std::mem::take(&mut self.pending);
         Some(Batch {
             number: self.batches,
             windows: windows.into_iter().map(counts_of).collect(),
--- a/components/usage/tests/reports.rs
+++ b/components/usage/tests/reports.rs
@@ -1,5 +1,5 @@
-//! Reports of windows under records that come late, twice, in any order, and readers that are
-//! behind, restart or miss a part of the log.
+//! Tests of usage reports with records that arrive late, twice or out of order, and with readers
+//! that lag, restart or miss a part of the log.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -53,8 +53,8 @@
 
 #[test]
 fn can_count_each_request_once() {
-    // A front's append gets no answer, is made again, and both land; another one lands after
-    // the batch that follows it. The report has each request once.
+    // An append gets no answer and is retried, and both copies arrive; another copy arrives after
+    // the following batch. The report must count each request once.
     struct Case {
         name: &'static str,
         records: Vec<UsageRecord>,
@@ -62,17 +62,17 @@
     }
     let cases = [
         Case {
-            name: "two fronts",
+            name: "batches of two fronts",
             records: vec![counted(1, 1, 7, 3), counted(2, 1, 7, 4)],
             total: 7,
         },
         Case {
-            name: "a batch that lands twice",
+            name: "a batch that arrives twice",
             records: vec![counted(1, 1, 7, 3), counted(1, 1, 7, 3)],
             total: 3,
         },
         Case {
-            name: "a repetition behind the next batch",
+            name: "a repeated batch after the next one",
             records: vec![
                 counted(1, 1, 7, 3),
                 counted(1, 2, 7, 1),
@@ -81,7 +81,7 @@
             total: 4,
         },
         Case {
-            name: "counts behind the seal",
+            name: "counts after the seal",
             records: vec![counted(1, 1, 7, 3), sealed(7), counted(1, 2, 7, 1)],
             total: 3,
         },
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn can_tell_when_a_window_is_sealed_and_sent() {
+fn can_tell_when_to_seal_a_window_and_send_its_report() {
     let mut ledger = UsageLedger::default();
     ledger.note_window(Window(6));
     ledger.apply(counted(1, 1, 7, 3));
@@ -115,7 +115,7 @@
     assert_eq!(
         ledger.windows_to_seal(&SETTINGS, 40_000),
         [Window(6)],
-        "one without a request too"
+        "a window without requests is not sealed"
     );
     assert_eq!(
         ledger.windows_to_seal(&SETTINGS, 45_000),
@@ -124,12 +124,12 @@
     assert_eq!(
         ledger.report_to_send(&SETTINGS, 45_000, none),
         None,
-        "nothing is sealed"
+        "a report is sent before its window is sealed"
     );
     ledger.apply(sealed(7));
     let report = ledger
         .report_to_send(&SETTINGS, 45_000, none)
-        .expect("sealed");
+        .expect("the window is sealed");
     assert_eq!((report.window, report.counts["customer-1"]), (Window(7), 3));
     assert_eq!(
         ledger.report_to_send(&SETTINGS, 45_000, |window| window == Window(7)),
@@ -143,9 +143,9 @@
 }
 
 #[test]
-fn can_leave_windows_alone_of_which_records_were_missed() {
-    // The log drops its history before a front has read it. The front knows a part of the
-    // counts, and a report of a part would be a second one.
+fn can_ignore_windows_with_missed_records() {
+    // The log is trimmed before a front has read it, so the front knows only some of the counts. A
+    // report of these would differ from the report of another front.
     let mut ledger = ledger(&[counted(1, 1, 7, 3), sealed(7), counted(1, 2, 8, 1)]);
     ledger.mark_gap(Window(9));
     ledger.apply(sealed(8));
@@ -157,34 +157,37 @@
 }
 
 #[test]
-fn can_put_what_was_noted_into_numbered_batches() {
+fn can_put_counts_into_numbered_batches() {
     let mut tally = Tally::default();
     assert_eq!(tally.next_batch(), None);
     tally.note(Window(7), "a");
     tally.note(Window(8), "b");
     tally.note(Window(7), "a");
-    let first = tally.next_batch().expect("noted");
+    let first = tally.next_batch().expect("there are counts");
     assert_eq!(first.number, 1);
     assert_eq!(first.windows[0].customers[0].requests, 2);
     assert!(tally.is_empty());
     tally.note(Window(8), "b");
-    assert_eq!(tally.next_batch().expect("noted").number, 2);
+    assert_eq!(tally.next_batch().expect("there are counts").number, 2);
 }
 
 #[test]
-fn can_pause_after_reports_that_were_not_taken() {
+fn can_pause_after_reports_that_were_not_accepted() {
     let report = Report {
         window: Window(7),
         counts: BTreeMap::new(),
     };
     let mut sender = Sender::default();
     assert!(sender.begin(&report, 1_000));
-    assert!(!sender.begin(&report, 1_000), "one at a time");
+    assert!(!sender.begin(&report, 1_000), "two reports are in progress");
     sender.finish(Outcome::NotAccepted, 1_000, 0);
     assert!(!sender.is_ready(1_050));
     assert!(sender.begin(&report, 1_200));
     sender.finish(Outcome::NotAccepted, 1_200, u64::MAX);
-    assert!(sender.is_ready(1_700), "at most the doubled pause");
+    assert!(
+        sender.is_ready(1_700),
+        "the pause exceeds twice the first one"
+    );
     assert!(sender.begin(&report, 1_700));
     sender.finish(Outcome::Accepted, 1_700, 0);
     assert!(sender.has_sent(Window(7)) && sender.is_ready(1_700));
@@ -192,7 +195,7 @@
 
 #[test]
 fn can_count_hundreds_of_customers_in_a_bounded_number_of_series() {
-    // Pattern: one customer sends half of all requests, three hundred the rest.
+    // One customer sends half of all requests, three hundred customers send the other half.
     let mut series = CustomerSeries::default();
     let mut large_before = 0;
     for request in 0..6_000 {
@@ -202,7 +205,10 @@
         let rows = series.rows();
         let large = rows.iter().find(|row| row.0 == "large");
         let large = large.map_or(0, |row| row.1);
-        assert!(large >= large_before, "a counter never falls");
+        assert!(
+            large >= large_before,
+            "the counter of the large customer decreased"
+        );
         large_before = large;
     }
     let rows = series.rows();
@@ -212,45 +218,45 @@
 }
 
 #[test]
-fn can_tell_true_time_while_the_time_of_day_steps() {
-    // The time of day of one VM jumps by two seconds for five and back. A window that it
-    // then closes by the stepped time would be sealed before its end.
-    let mut time = UtcClock::default();
-    assert_eq!(time.at_ms(5), None);
+fn can_tell_utc_while_the_wall_clock_steps() {
+    // The wall clock of a VM is two seconds ahead for five seconds. A front that followed it would
+    // seal a window before its end.
+    let mut clock = UtcClock::default();
+    assert_eq!(clock.at_ms(5), None);
     let steady_ms = |second: u64| second * 1_000;
     for second in 0..90 {
         let step_ms = match second {
             40..45 => 2_000,
             _ => 0,
         };
-        time.sample(1_000_000 + steady_ms(second) + step_ms, steady_ms(second));
-        let true_ms = time.at_ms(steady_ms(second));
+        clock.sample(1_000_000 + steady_ms(second) + step_ms, steady_ms(second));
+        let utc_ms = clock.at_ms(steady_ms(second));
         assert_eq!(
-            true_ms,
+            utc_ms,
             Some(1_000_000 + steady_ms(second)),
             "second {second}"
         );
     }
 }
 
-/// An order of events at fronts that share one log.
+/// An event at one of the fronts that share a log.
 #[derive(Clone, Debug)]
 enum Event {
-    /// A front's counts land, once or twice.
+    /// A batch of a front arrives, once or twice.
     Count {
         writer: u8,
         requests: u8,
         twice: bool,
     },
-    /// A front's earlier append lands once more.
-    Again { at: u8 },
-    /// A front's seal lands.
+    /// An earlier batch arrives again.
+    Repeat { at: u8 },
+    /// A seal arrives.
     Seal,
-    /// A front reads on.
+    /// A front reads the next records.
     Read { reader: u8, records: u8 },
-    /// A front restarts and has read nothing.
+    /// A front restarts and reads the log from its beginning.
     Restart { reader: u8 },
-    /// A front that believes to hold the duty sends.
+    /// A front that believes that it holds the lease sends a report.
     Send { reader: u8 },
 }
 
@@ -263,7 +269,7 @@
                 requests: 1 + small(g),
                 twice: bool::arbitrary(g),
             },
-            3 => Event::Again {
+            3 => Event::Repeat {
                 at: u8::arbitrary(g),
             },
             4 => Event::Seal,
@@ -278,44 +284,44 @@
 }
 
 const WINDOW: u64 = 7;
-/// Long after the end of the window, and before its report is given up.
+/// Long after the end of the window, and before its report is abandoned.
 const NOW_MS: u64 = 50_000;
 
-/// What a front sends, by what it has read of the log.
-type Machine = fn(&[UsageRecord]) -> Option<Report>;
+/// Maps the records that a front has read to the report that it sends.
+type Implementation = fn(&[UsageRecord]) -> Option<Report>;
 
-fn right(read: &[UsageRecord]) -> Option<Report> {
+fn correct(read: &[UsageRecord]) -> Option<Report> {
     ledger(read).report_to_send(&SETTINGS, NOW_MS, |_| false)
 }
 
-/// Sends what it has counted so far, sealed or not.
-fn before_the_seal(read: &[UsageRecord]) -> Option<Report> {
+/// Faulty: sends the counts so far, whether or not the window is sealed.
+fn sends_before_the_seal(read: &[UsageRecord]) -> Option<Report> {
     let mut unsealed: Vec<UsageRecord> = read.to_vec();
     unsealed.push(sealed(WINDOW));
-    right(&unsealed)
+    correct(&unsealed)
 }
 
-/// Takes the newest seal for the one that holds.
-fn newest_seal(read: &[UsageRecord]) -> Option<Report> {
+/// Faulty: treats the newest seal as the valid one.
+fn follows_the_newest_seal(read: &[UsageRecord]) -> Option<Report> {
     let is_seal = |record: &UsageRecord| matches!(record, UsageRecord::Sealed { .. });
     let newest = read.iter().rposition(is_seal)?;
     let kept = read.iter().enumerate();
     let kept = kept.filter(|(at, record)| *at == newest || !is_seal(record));
     let kept: Vec<UsageRecord> = kept.map(|(_, record)| record.clone()).collect();
-    right(&kept)
+    correct(&kept)
 }
 
-/// Counts what lands behind the seal.
-fn behind_the_seal(read: &[UsageRecord]) -> Option<Report> {
+/// Faulty: counts batches after the seal.
+fn counts_after_the_seal(read: &[UsageRecord]) -> Option<Report> {
     let is_seal = |record: &UsageRecord| matches!(record, UsageRecord::Sealed { .. });
     read.iter().position(is_seal)?;
     let mut moved: Vec<UsageRecord> = read.iter().filter(|r| !is_seal(r)).cloned().collect();
     moved.push(sealed(WINDOW));
-    right(&moved)
+    correct(&moved)
 }
 
-/// Counts an append as often as it lands.
-fn every_landing(read: &[UsageRecord]) -> Option<Report> {
+/// Faulty: counts a batch as often as it arrives.
+fn counts_repeated_batches(read: &[UsageRecord]) -> Option<Report> {
     let mut number = 0;
     let renumbered = read.iter().cloned().map(|mut record| {
         if let UsageRecord::Counted { number: own, .. } = &mut record {
@@ -325,11 +331,12 @@
         record
     });
     let renumbered: Vec<UsageRecord> = renumbered.collect();
-    right(&renumbered)
+    correct(&renumbered)
 }
 
-/// Plays events; gives the reports that were sent, and the requests before the first seal.
-fn play(machine: Machine, events: &[Event]) -> (Vec<Report>, u64) {
+/// Runs the events; returns the reports that were sent and the number of requests before the first
+/// seal.
+fn run_events(implementation: Implementation, events: &[Event]) -> (Vec<Report>, u64) {
     let mut log: Vec<UsageRecord> = Vec::new();
     let mut numbers: HashMap<u8, u32> = HashMap::new();
     let mut read = [0_usize; 4];
@@ -349,7 +356,7 @@
                 log.extend(twice.then_some(record));
                 requests_before += u64::from(*requests) * u64::from(!is_sealed);
             }
-            Event::Again { at } => {
+            Event::Repeat { at } => {
                 let known: Vec<usize> = (0..log.len())
                     .filter(|at| matches!(log[*at], UsageRecord::Counted { .. }))
                     .collect();
@@ -366,20 +373,22 @@
                 *at = (*at + usize::from(*records)).min(log.len());
             }
             Event::Restart { reader } => read[usize::from(*reader)] = 0,
-            Event::Send { reader } => sent.extend(machine(&log[..read[usize::from(*reader)]])),
+            Event::Send { reader } => {
+                sent.extend(implementation(&log[..read[usize::from(*reader)]]))
+            }
         }
     }
     (sent, requests_before)
 }
 
-fn holds(machine: Machine, events: &[Event]) -> bool {
-    let (sent, requests) = play(machine, events);
+fn is_consistent(implementation: Implementation, events: &[Event]) -> bool {
+    let (sent, requests) = run_events(implementation, events);
     let whole = |report: &Report| report.counts.values().sum::<u64>() == requests;
     sent.windows(2).all(|pair| pair[0] == pair[1]) && sent.iter().all(whole)
 }
 
-fn check(machine: Machine) -> Result<(), TestResult> {
-    let property = move |events: Vec<Event>| -> bool { holds(machine, &events) };
+fn check(implementation: Implementation) -> Result<(), TestResult> {
+    let property = move |events: Vec<Event>| -> bool { is_consistent(implementation, &events) };
     struct Property<F>(F);
     impl<F: Fn(Vec<Event>) -> bool + 'static> quickcheck::Testable for Property<F> {
         fn result(&self, g: &mut Gen) -> TestResult {
@@ -394,36 +403,41 @@
 
 #[test]
 fn no_two_reports_of_a_window_differ() {
-    // Fronts lag, restart and believe to hold the duty at the same time; batches land twice
-    // and late. Whoever sends, the receiver sees one report: what stood before the first seal.
-    assert!(check(right).is_ok());
+    // Fronts lag, restart and send at the same time, and batches arrive twice or late. All reports
+    // of a window must be equal and contain exactly the counts before the first seal.
+    assert!(check(correct).is_ok());
 }
 
 #[test]
-fn the_check_catches_machines_that_are_wrong() {
+fn the_check_detects_faulty_implementations() {
+    // Guards against a check that passes for any implementation.
     struct Case {
         name: &'static str,
-        machine: Machine,
+        implementation: Implementation,
     }
     let cases = [
         Case {
             name: "sends before the seal",
-            machine: before_the_seal,
+            implementation: sends_before_the_seal,
         },
         Case {
             name: "follows the newest seal",
-            machine: newest_seal,
+            implementation: follows_the_newest_seal,
         },
         Case {
-            name: "counts behind the seal",
-            machine: behind_the_seal,
+            name: "counts after the seal",
+            implementation: counts_after_the_seal,
         },
         Case {
-            name: "counts what lands twice",
-            machine: every_landing,
+            name: "counts repeated batches",
+            implementation: counts_repeated_batches,
         },
     ];
     for case in cases {
-        assert!(check(case.machine).is_err(), "not caught: {}", case.name);
+        assert!(
+            check(case.implementation).is_err(),
+            "not detected: {}",
+            case.name
+        );
     }
 }
