--- a/components/customers/src/digest.rs
+++ b/components/customers/src/digest.rs
@@ -2,17 +2,17 @@
 
 use sha2::{Digest, Sha256};
 
-/// SHA-256 of a bearer token or key; the token itself is never stored.
+/// SHA-256 digest of a bearer token or key, which is stored in place of the token.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TokenDigest(pub [u8; 32]);
 
 impl TokenDigest {
-    /// The digest of a token.
+    /// Computes the digest of a token.
     pub fn of(token: &str) -> Self {
         Self(Sha256::digest(token.as_bytes()).into())
     }
 
-    /// Reads 64 hex digits.
+    /// Parses 64 hex digits; `None` if the text is anything else.
     pub fn parse(hex: &str) -> Option<Self> {
         let mut bytes = [0; 32];
         if hex.len() != 2 * bytes.len() || !hex.bytes().all(|b| b.is_ascii_hexdigit()) {
--- a/components/customers/src/lib.rs
+++ b/components/customers/src/lib.rs
@@ -1,13 +1,16 @@
-//! Customers of one version of the configuration, and whose a key is.
+//! Customers of one version of the configuration, and their authentication by key.
 //!
-//! The table is built with the routes of the same version and swapped with them, so that no
-//! request sees the routes of one version and the keys of another. Keys are looked up by their
-//! digest and are not kept: what is not there can't end in a log line, a metric or a record.
+//! The table is built together with the routes of the same version and replaced together with
+//! them, so that no request sees the routes of one version and the keys of another. The table
+//! stores digests of the keys instead of the keys, so that a key can't appear in a log line, a
+//! metric or a record.
 //!
-//! What a table accepts: a customer without keys exists, as its steps go on after its last key
-//! was taken away. A customer without a name, or with one that no header can carry, is passed
-//! over. A key that two customers name opens neither: taken for one of them, it would show that
-//! customer's work to the other.
+//! Rules for the entries of a table:
+//!
+//! - A customer without keys is valid, because its steps continue after its last key was revoked.
+//! - A customer without a name, or with a name that no header can carry, is skipped.
+//! - A key that two customers list authenticates neither. If it authenticated one of them, the
+//!   other could see that customer's work.
 
 mod digest;
 mod mark;
--- a/components/customers/src/mark.rs
+++ b/components/customers/src/mark.rs
@@ -2,31 +2,31 @@
 
 use sha2::{Digest, Sha256};
 
-/// Bytes of a mark: enough to tell the keys of one process's log lines apart.
+/// Length of a mark in bytes: enough to distinguish the keys in the log lines of one process.
 const MARK_BYTES: usize = 4;
 
-/// Marks that stand for refused keys in the log lines of one process.
+/// Marks (salted, truncated digests) that replace refused keys in the log lines of one process.
 ///
-/// An operator sees whether two refusals were of one key. The salt is of this process and is
-/// never written, so a mark can't be compared with a list of guessed keys.
+/// An operator can see whether two refusals concern the same key. Each process draws its own salt
+/// and never writes it, so a mark can't be compared with a list of guessed keys.
 #[derive(Clone)]
 pub struct KeyMarks {
     salt: [u8; 16],
 }
 
 impl KeyMarks {
-    /// Marks with this salt, drawn anew for each process.
+    /// Creates the marks of a process. The salt must be random and new for each process.
     pub fn new(salt: [u8; 16]) -> Self {
         Self { salt }
     }
 
-    /// The mark of a key, in hex digits.
+    /// The mark of a key, as hex digits.
     pub fn of(&self, key: &str) -> String {
         let mut hash = Sha256::new();
         hash.update(self.salt);
         hash.update(key.as_bytes());
-        let whole = hash.finalize();
-        let bytes = whole.iter().take(MARK_BYTES);
+        let digest = hash.finalize();
+        let bytes = digest.iter().take(MARK_BYTES);
         bytes.map(|byte| format!("{byte:02x}")).collect()
     }
 }
--- a/components/customers/src/table.rs
+++ b/components/customers/src/table.rs
@@ -6,38 +6,38 @@
 
 use crate::TokenDigest;
 
-/// Longest key that is hashed, in bytes; a longer one is nobody's.
+/// Maximum length of a key in bytes. Longer keys are refused without being hashed.
 const KEY_BYTES_MAX: usize = 512;
-/// Longest name of a customer, in bytes.
+/// Maximum length of a customer's name in bytes.
 const NAME_BYTES_MAX: usize = 255;
 
-/// A customer.
+/// A customer that the table knows.
 #[value]
 pub struct Customer {
-    /// Its name, which replicas and reports are told.
+    /// Name that is sent to replicas and written in usage reports.
     pub name: Arc<str>,
-    /// Its rank, 0 the highest; goes before the rank of a route.
+    /// Rank of the customer's requests, 0 is the highest; overrides the rank of a route.
     pub rank: Option<u8>,
 }
 
-/// A customer as the configuration names it.
+/// A customer as listed in the configuration.
 pub struct Entry<'a> {
-    /// Its name.
+    /// Name of the customer; an entry with an invalid name is skipped.
     pub name: &'a str,
-    /// Its keys.
+    /// Keys that authenticate the customer; empty keys are skipped.
     pub keys: &'a [String],
-    /// Its rank, 0 the highest.
+    /// Rank of the customer's requests, 0 is the highest; `None` leaves the rank to the route.
     pub rank: Option<u8>,
 }
 
-/// What a request shows of a key.
+/// The key that a request presents.
 #[derive(Clone, Copy)]
 pub enum PresentedKey<'a> {
-    /// Nothing.
+    /// The request presents no key.
     Nothing,
-    /// One key.
+    /// The request presents one key.
     One(&'a str),
-    /// Several, or one that is no text. Which of them counts is nobody's guess.
+    /// The request presents several keys, none of which is chosen, or a key that is not text.
     Malformed,
 }
 
@@ -51,19 +51,19 @@
     }
 }
 
-/// Why a request has no customer.
+/// Why a request could not be authenticated.
 #[key]
 pub enum Refusal {
-    /// It shows no key.
+    /// The request presents no key.
     Missing,
-    /// It shows several keys, or one that is no text.
+    /// The request presents several keys, or a key that is not text.
     Malformed,
-    /// The key is nobody's.
+    /// No customer has the key, or several customers list it.
     Unknown,
 }
 
 impl Refusal {
-    /// The refusal as one word, for a log line.
+    /// The refusal as the value of a log field.
     pub fn as_str(self) -> &'static str {
         match self {
             Refusal::Missing => "missing",
@@ -73,36 +73,40 @@
     }
 }
 
-/// Customers of one version of the configuration.
+/// Customers of one version of the configuration, by key digest and by name.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct Customers {
-    /// Whether requests must show a key.
-    closed: bool,
+    /// Whether requests must present a key.
+    requires_key: bool,
     by_key: HashMap<TokenDigest, Arc<Customer>>,
     by_name: HashMap<Arc<str>, Arc<Customer>>,
 }
 
 impl Customers {
-    /// The table of a configuration that knows no customers: everybody may call.
+    /// The table of a configuration that has no list of customers: requests need no key.
     pub fn unrestricted() -> Self {
         Self::default()
     }
 
-    /// The table of a configuration that lists its customers.
+    /// The table of a configuration that lists its customers. Requests need a key even if the list
+    /// is empty.
     pub fn from_entries<'a>(entries: impl IntoIterator<Item = Entry<'a>>) -> Self {
         let mut table = Self {
-            closed: true,
+            requires_key: true,
             ..Self::default()
         };
-        let mut shared = HashSet::new();
-        for entry in entries.into_iter().filter(|entry| is_name(entry.name)) {
-            table.add(&entry, &mut shared);
+        let mut ambiguous = HashSet::new();
+        for entry in entries
+            .into_iter()
+            .filter(|entry| is_valid_name(entry.name))
+        {
+            table.add(&entry, &mut ambiguous);
         }
-        table.by_key.retain(|digest, _| !shared.contains(digest));
+        table.by_key.retain(|digest, _| !ambiguous.contains(digest));
         table
     }
 
-    fn add(&mut self, entry: &Entry<'_>, shared: &mut HashSet<TokenDigest>) {
+    fn add(&mut self, entry: &Entry<'_>, ambiguous: &mut HashSet<TokenDigest>) {
         let name: Arc<str> = entry.name.into();
         let customer = self.by_name.entry(Arc::clone(&name)).or_insert_with(|| {
             Arc::new(Customer {
@@ -112,19 +116,22 @@
         });
         for key in entry.keys.iter().filter(|key| !key.is_empty()) {
             let digest = TokenDigest::of(key);
-            let before = self.by_key.insert(digest, Arc::clone(customer));
-            if before.is_some_and(|before| before.name != customer.name) {
-                shared.insert(digest);
+            let previous = self.by_key.insert(digest, Arc::clone(customer));
+            if previous.is_some_and(|previous| previous.name != customer.name) {
+                ambiguous.insert(digest);
             }
         }
     }
 
-    /// Whose request this is; none where nobody need show a key.
-    pub fn authenticate(&self, shown: PresentedKey<'_>) -> Result<Option<&Arc<Customer>>, Refusal> {
-        if !self.closed {
+    /// The customer that a presented key authenticates; `None` if requests need no key.
+    pub fn authenticate(
+        &self,
+        presented: PresentedKey<'_>,
+    ) -> Result<Option<&Arc<Customer>>, Refusal> {
+        if !self.requires_key {
             return Ok(None);
         }
-        let key = match shown {
+        let key = match presented {
             PresentedKey::Nothing => return Err(Refusal::Missing),
             PresentedKey::Malformed => return Err(Refusal::Malformed),
             PresentedKey::One(key) => key,
@@ -136,30 +143,30 @@
         holder.map(Some).ok_or(Refusal::Unknown)
     }
 
-    /// The customer with this name.
+    /// Finds a customer by name.
     pub fn named(&self, name: &str) -> Option<&Arc<Customer>> {
         self.by_name.get(name)
     }
 
-    /// Every customer.
+    /// All customers, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Customer>> {
         self.by_name.values()
     }
 
-    /// Number of keys that open something for a customer.
+    /// Number of keys that authenticate a customer.
     pub fn key_count_of(&self, name: &str) -> usize {
         let holders = self.by_key.values();
         holders.filter(|holder| *holder.name == *name).count()
     }
 
-    /// Number of keys that open something.
+    /// Number of keys that authenticate any customer.
     pub fn key_count(&self) -> usize {
         self.by_key.len()
     }
 }
 
-/// Whether a header can carry the name as it is.
-fn is_name(name: &str) -> bool {
+/// Whether a header can carry the name unchanged.
+fn is_valid_name(name: &str) -> bool {
     let fits = (1..=NAME_BYTES_MAX).contains(&name.len());
     fits && name.bytes().all(|byte| byte.is_ascii_graphic())
 }
@@ -169,7 +176,7 @@
         let mut names: Vec<&Arc<str>> = self.by_name.keys().collect();
         names.sort();
         f.debug_struct("Customers")
-            .field("closed", &self.closed)
+            .field("closed", &self.requires_key)
             .field("names", &names)
             .field("keys", &self.by_key.len())
             .finish()
