--- a/components/index/src/view.rs
+++ b/components/index/src/view.rs
@@ -48,8 +48,8 @@
         from + records.len() as u64
     }
 
-    /// Records that the store trimmed before they were read are lost: the holder of the lease is
-    /// unknown, and steps may be missing.
+    /// Notes a gap: the store trimmed records before this process read them. The holder of the
+    /// lease is unknown until its next record, and steps may be missing.
     pub fn mark_gap(&mut self, now_ms: u64) {
         self.lease.reset();
         self.read_since_ms = now_ms;
--- a/components/ownership/src/lib.rs
+++ b/components/ownership/src/lib.rs
@@ -125,7 +125,7 @@
         };
     }
 
-    /// Records that the store has processed the leave and reassigns the partitions.
+    /// Notes that the store has processed the leave and reassigns the partitions.
     pub fn record_leave(&mut self) {
         self.reassigned.append(&mut self.last_owned);
     }
--- a/components/ownership/src/shard.rs
+++ b/components/ownership/src/shard.rs
@@ -9,9 +9,10 @@
 
 use crate::partition::name_hash;
 
-/// Target number of replica slots per shard where larger fronts run the shards. Such a front has half a core; 228
-/// slots take 0.085 of a core on average and several times that while steps begin. Smaller shards
-/// would not be better: a step is late whenever one of its shards changes its owner.
+/// Target number of replica slots per shard where larger fronts run the shards. Such a front has
+/// half a core; 228 slots take 0.085 of a core on average and several times that while steps
+/// begin. Smaller shards would not be better: a step is late whenever one of its shards changes its
+/// owner.
 pub const LARGE_SHARD_SLOTS: u32 = 288;
 /// Target number of replica slots per shard where all fronts have only a tenth of a core.
 pub const SMALL_SHARD_SLOTS: u32 = 48;
@@ -47,8 +48,8 @@
 }
 
 /// Assigns each group of a step to a shard: in descending order of work, each group goes to the
-/// shard with the least work so far. `rotation` rotates the order of the shards, so that the largest
-/// groups of all steps do not fall on the same shard.
+/// shard with the least work so far. `rotation` rotates the order of the shards, so that the
+/// largest groups of all steps do not fall on the same shard.
 pub fn assign_groups(work: &[u64], shards: u16, rotation: u64) -> Vec<u16> {
     let shards = usize::from(shards.max(1));
     let first = (rotation % shards as u64) as usize;
@@ -88,8 +89,8 @@
 /// the most partitions. A shard on that partition changes its owner, and its texts resume from
 /// their last saved pieces. The highest partitions move least often, so shards map to them. Only
 /// the number of moves depends on this choice: on a day with two rolling restarts, it raises the
-/// steps' worth over ten seeds from 0.815 to 0.931 at worst and from 0.923 to 0.944 on average.
-/// Pools start at different partitions among the last sixth.
+/// share of the day's worth that is earned, over ten seeds, from 0.815 to 0.931 at worst and from
+/// 0.923 to 0.944 on average. Pools start at different partitions among the last sixth.
 pub fn shard_partition(pool: &str, shard: u16, partitions: u32) -> u32 {
     let partitions = partitions.max(1);
     let first_partitions = u64::from((partitions / FIRST_PARTITIONS_DIVISOR).max(1));
--- a/components/ownership/src/standby.rs
+++ b/components/ownership/src/standby.rs
@@ -16,7 +16,7 @@
 }
 
 impl Standby {
-    /// Records whether a larger process owns a partition. It is not called while the store cannot be
+    /// Notes whether a larger process owns a partition. It is not called while the store cannot be
     /// queried, so the last observation stays valid.
     pub fn observe_owners(&mut self, larger_owns: bool, now_ms: u64) {
         self.no_larger_owner_since_ms = match larger_owns {
--- a/components/ownership/tests/ownership.rs
+++ b/components/ownership/tests/ownership.rs
@@ -289,7 +289,9 @@
         }
         ownership.step_down();
         let waits = ownership.next_action(unwritable_ms) == MembershipAction::Wait;
-        waits && !ownership.owns(1, 1_001) && ownership.next_action(0) == MembershipAction::Join { generation: 0 }
+        waits
+            && !ownership.owns(1, 1_001)
+            && ownership.next_action(0) == MembershipAction::Join { generation: 0 }
     }
 }
 
--- a/components/steps/src/record.rs
+++ b/components/steps/src/record.rs
@@ -149,8 +149,8 @@
 pub struct SavedPiece {
     /// Random id of the piece; never 0.
     pub id: u64,
-    /// Id of the preceding piece; 0 for the first piece. Ids are random per run, so pieces of two
-    /// runs are never joined.
+    /// Id of the preceding piece; 0 for the first piece. Ids are random, so a piece can only follow
+    /// a piece of its own run.
     pub after: u64,
     /// Id of the last stream event that the piece contains.
     pub last_event: u64,
--- a/components/steps/src/step.rs
+++ b/components/steps/src/step.rs
@@ -41,8 +41,8 @@
     pub progress: Vec<ItemProgress>,
     /// Saved pieces of incomplete texts, by item number.
     pub saved: HashMap<u32, Vec<SavedPiece>>,
-    /// Time until which another front reserves an item, by item number, in milliseconds of this
-    /// process's clock.
+    /// End of the reservation of an item by the front that still runs it, by item number, in
+    /// milliseconds of this process's clock.
     pub reserved_until_ms: HashMap<u32, u64>,
     /// Whether the trainer ended the step.
     pub ended: bool,
--- a/components/steps/tests/ledger.rs
+++ b/components/steps/tests/ledger.rs
@@ -194,9 +194,13 @@
     fn every_reader_derives_the_same_ledger(written: Vec<Written>) -> bool {
         let mut ledgers = [Ledger::default(), Ledger::default()];
         for (offset, written) in written.iter().enumerate() {
-            let bytes = postcard::to_stdvec(&record(written)).expect("the value encodes");
+            let bytes = postcard::to_stdvec(&record(written)).expect("the record encodes");
             for ledger in &mut ledgers {
-                ledger.apply(offset as u64, postcard::from_bytes(&bytes).expect("the bytes decode"), 0);
+                ledger.apply(
+                    offset as u64,
+                    postcard::from_bytes(&bytes).expect("the record decodes"),
+                    0,
+                );
             }
         }
         let [first, second] = &ledgers;
--- a/components/usage/src/ledger.rs
+++ b/components/usage/src/ledger.rs
@@ -131,15 +131,15 @@
         Change::Sealed(window)
     }
 
-    /// Records that the system ran in a window. Windows before the first such window are not
+    /// Notes that the system ran in a window. Windows before the first such window are not
     /// reported.
     pub fn note_window(&mut self, window: Window) {
         let first = self.first_window.get_or_insert(window);
         *first = (*first).min(window);
     }
 
-    /// Records that the log lost records which this process had not read. Only windows from `from`
-    /// on are complete.
+    /// Notes a gap in the log: records that this process had not read are lost. Only windows from
+    /// `from` on are complete.
     pub fn mark_gap(&mut self, from: Window) {
         self.complete_from = Some(from);
     }
--- a/components/usage/src/time.rs
+++ b/components/usage/src/time.rs
@@ -1,7 +1,7 @@
 use std::collections::VecDeque;
 
-/// Number of samples in the window, which are taken once per second. Samples from a wall clock that
-/// is wrong for a few seconds stay the minority.
+/// Number of samples, taken once per second, from which the median is computed. If the wall clock
+/// is wrong for a few seconds, its samples stay the minority.
 const SAMPLES_MAX: usize = 61;
 
 /// Estimate of UTC on this VM, derived from the wall clock and the steady clock.
