--- a/components/dispatch/src/admission.rs
+++ b/components/dispatch/src/admission.rs
@@ -20,28 +20,28 @@
 
 impl Admission {
     /// The replica refused an item, or broke one off.
-    pub fn refused(&self, now_ms: u64) {
+    pub fn record_refusal(&self, now_ms: u64) {
         self.refused_ms.store(now_ms, Ordering::Relaxed);
         self.tried_ms.fetch_max(now_ms, Ordering::Relaxed);
     }
 
     /// The replica has another version than when it refused.
-    pub fn renewed(&self) {
+    pub fn reset(&self) {
         self.refused_ms.store(0, Ordering::Relaxed);
     }
 
     /// The replica makes an item.
-    pub fn taken(&self, now_ms: u64) {
+    pub fn record_start(&self, now_ms: u64) {
         self.taken_ms.fetch_max(now_ms, Ordering::Relaxed);
     }
 
     /// An item is sent there.
-    pub fn tried(&self, now_ms: u64) {
+    pub fn record_attempt(&self, now_ms: u64) {
         self.tried_ms.fetch_max(now_ms, Ordering::Relaxed);
     }
 
     /// How many of `free` places may be used now.
-    pub fn places(&self, free: u32, now_ms: u64) -> u32 {
+    pub fn usable_slots(&self, free: u32, now_ms: u64) -> u32 {
         let refused_ms = self.refused_ms.load(Ordering::Relaxed);
         if refused_ms == 0 || self.taken_ms.load(Ordering::Relaxed) > refused_ms {
             return free;
--- a/components/dispatch/src/choice.rs
+++ b/components/dispatch/src/choice.rs
@@ -14,7 +14,7 @@
     /// What this process has there.
     pub load: &'a ReplicaLoad,
     /// Whether it stands in this process's failure domain.
-    pub near: bool,
+    pub same_domain: bool,
     /// Whether an idle connection to it is pooled here.
     pub connected: bool,
 }
@@ -22,7 +22,7 @@
 /// Index of the replica to take: the one with the least expected time among those that are
 /// not left out; failing that, among all. Those that the call was sent to before are no
 /// candidates. `random` breaks ties, so that processes with the same view spread.
-pub fn choose(
+pub fn choose_replica(
     candidates: &[Candidate<'_>],
     typical_us: u64,
     random: u64,
@@ -36,7 +36,7 @@
             .filter(|at| allowed(&candidates[*at]))
             .min_by_key(|at| cost(&candidates[*at], typical_us, now_ms))
     };
-    best(&|candidate| !candidate.load.is_left_out(now_ms)).or_else(|| best(&|_| true))
+    best(&|candidate| !candidate.load.is_ejected(now_ms)).or_else(|| best(&|_| true))
 }
 
 fn cost(candidate: &Candidate<'_>, typical_us: u64, now_ms: u64) -> u64 {
@@ -45,7 +45,7 @@
         false => typical_us + CONNECT_US,
     };
     let cost = candidate.load.cost(work_us, now_ms);
-    match candidate.near {
+    match candidate.same_domain {
         true => cost,
         false => cost / 1_000 * FAR,
     }
--- a/components/dispatch/src/items.rs
+++ b/components/dispatch/src/items.rs
@@ -20,7 +20,7 @@
 
 /// An item that waits for a place.
 #[value]
-pub struct Waiting {
+pub struct WaitingItem {
     /// Number of its model among those that share the replicas.
     pub model: usize,
     /// Steps of its customer's model before its own that have waiting items too.
@@ -47,9 +47,9 @@
     /// Versions of the weights that it has, by model.
     pub versions: Vec<u64>,
     /// Items of each model that it may still take.
-    pub open: Vec<u32>,
+    pub model_slots: Vec<u32>,
     /// Items that it may still take in all.
-    pub free: u32,
+    pub free_slots: u32,
     /// Items of this process that it runs.
     pub running: u32,
     /// Time for a token against its like, in thousandths.
@@ -58,27 +58,27 @@
 
 impl Engine {
     /// Whether it has weights that may make this item.
-    pub fn can_make(&self, model: usize, min_version: u64, only_version: Option<u64>) -> bool {
+    pub fn can_run(&self, model: usize, min_version: u64, only_version: Option<u64>) -> bool {
         let version = self.versions[model];
         version >= min_version && only_version.is_none_or(|only| only == version)
     }
 
     /// Whether it has a place for an item of a model.
-    pub fn has_place(&self, model: usize) -> bool {
-        self.free > 0 && self.open[model] > 0
+    pub fn has_slot(&self, model: usize) -> bool {
+        self.free_slots > 0 && self.model_slots[model] > 0
     }
 
     /// Takes an item of a model in.
-    pub fn take(&mut self, model: usize) {
-        self.free -= 1;
-        self.open[model] -= 1;
+    pub fn take_slot(&mut self, model: usize) {
+        self.free_slots -= 1;
+        self.model_slots[model] -= 1;
         self.running += 1;
     }
 }
 
 /// An item and its engine, by their indices.
 #[value]
-pub struct Placed {
+pub struct Placement {
     /// Index among the waiting items.
     pub item: usize,
     /// Index among the engines.
@@ -107,7 +107,7 @@
 /// Whether a text that has to go on under one version can't: no replica has that version any
 /// more, and some could make the item from its beginning. Without replicas nothing is said,
 /// as they may come back as they were.
-pub fn lost_its_version(item: &Waiting, engines: &[Engine]) -> bool {
+pub fn has_lost_version(item: &WaitingItem, engines: &[Engine]) -> bool {
     let Some(only) = item.only_version else {
         return false;
     };
@@ -119,7 +119,7 @@
 }
 
 /// Places as many items as there are places, in the order in which they should start.
-pub fn place(waiting: &[Waiting], engines: &mut [Engine]) -> Vec<Placed> {
+pub fn place(waiting: &[WaitingItem], engines: &mut [Engine]) -> Vec<Placement> {
     let mut order: Vec<usize> = (0..waiting.len()).collect();
     order.sort_by_key(|at| {
         let item = &waiting[*at];
@@ -135,22 +135,22 @@
         let Some(engine) = best_engine(&waiting[item], engines) else {
             continue;
         };
-        engines[engine].take(waiting[item].model);
-        placed.push(Placed { item, engine });
+        engines[engine].take_slot(waiting[item].model);
+        placed.push(Placement { item, engine });
     }
     placed
 }
 
 /// The engine for an item: one of this front's part, as long as one of them has weights that may
 /// make it. An engine of another part is full of runs that this front can't see, as a rule.
-fn best_engine(item: &Waiting, engines: &[Engine]) -> Option<usize> {
+fn best_engine(item: &WaitingItem, engines: &[Engine]) -> Option<usize> {
     let can_make =
-        |engine: &Engine| engine.can_make(item.model, item.min_version, item.only_version);
+        |engine: &Engine| engine.can_run(item.model, item.min_version, item.only_version);
     let abroad = !engines
         .iter()
         .any(|engine| !engine.foreign && can_make(engine));
     let fits = |engine: &Engine| {
-        (abroad || !engine.foreign) && engine.has_place(item.model) && can_make(engine)
+        (abroad || !engine.foreign) && engine.has_slot(item.model) && can_make(engine)
     };
     let best = |avoid: Option<usize>| {
         (0..engines.len())
--- a/components/dispatch/src/lib.rs
+++ b/components/dispatch/src/lib.rs
@@ -15,11 +15,11 @@
 mod routes;
 
 pub use admission::Admission;
-pub use choice::{Candidate, choose};
-pub use items::{Engine, Placed, Waiting, lost_its_version, place, text_left_ms};
-pub use load::{InFlight, ReplicaLoad, Typical};
-pub use moves::{MoveCause, Run, runs_to_move, stalled_ms};
-pub use pace::{Pace, is_worth_moving, slowness};
-pub use registry::{Registry, Replica, ReplicaId, Revision};
-pub use retry::{AttemptEnd, CallEnd, NextStep, after_attempt};
+pub use choice::{Candidate, choose_replica};
+pub use items::{Engine, Placement, WaitingItem, has_lost_version, place, text_left_ms};
+pub use load::{InFlightCall, ReplicaLoad, TypicalDuration};
+pub use moves::{MoveCause, Run, runs_to_move, stall_threshold_ms};
+pub use pace::{EventInterval, is_worth_moving, slowness};
+pub use registry::{Registry, RegistryChange, Replica, ReplicaId};
+pub use retry::{AttemptOutcome, CallFailure, NextAction, next_action};
 pub use routes::{Limits, Route, RouteKind, Routes, Service, ServiceShare, WaitingRank};
--- a/components/dispatch/src/load.rs
+++ b/components/dispatch/src/load.rs
@@ -23,11 +23,11 @@
 
 /// How long a call of some kind takes as a rule.
 #[derive(Debug)]
-pub struct Typical {
+pub struct TypicalDuration {
     us: AtomicU64,
 }
 
-impl Typical {
+impl TypicalDuration {
     /// Starts from a guess, in milliseconds.
     pub fn new(guess_ms: u64) -> Self {
         Self {
@@ -62,13 +62,13 @@
 
 impl ReplicaLoad {
     /// Counts a call in until the guard is dropped.
-    pub fn begin(self: &Arc<Self>, typical_us: u64, background: bool) -> InFlight {
+    pub fn begin(self: &Arc<Self>, typical_us: u64, background: bool) -> InFlightCall {
         self.calls.fetch_add(1, Ordering::Relaxed);
         self.work_us.fetch_add(typical_us, Ordering::Relaxed);
         if background {
             self.background.fetch_add(1, Ordering::Relaxed);
         }
-        InFlight {
+        InFlightCall {
             load: Arc::clone(self),
             typical_us,
             background,
@@ -86,7 +86,7 @@
     }
 
     /// Takes a whole answer.
-    pub fn succeeded(&self, typical: &Typical, took_us: u64, now_ms: u64) {
+    pub fn record_success(&self, typical: &TypicalDuration, took_us: u64, now_ms: u64) {
         let ratio = (took_us * EVEN / typical.us().max(1)).min(SLOWEST);
         typical.record(took_us);
         let mean = (self.slowness(now_ms) * (EVEN - SHARE) + ratio * SHARE) / EVEN;
@@ -97,7 +97,7 @@
     }
 
     /// Takes a call that was given to another replica for lack of an answer after this time.
-    pub fn overtaken(&self, typical: &Typical, waited_us: u64, now_ms: u64) {
+    pub fn record_hedge(&self, typical: &TypicalDuration, waited_us: u64, now_ms: u64) {
         let ratio = (waited_us * EVEN / typical.us().max(1)).min(SLOWEST);
         let mean = self
             .slowness(now_ms)
@@ -107,7 +107,7 @@
     }
 
     /// Takes a failure that is the replica's: no connection, a broken or late answer.
-    pub fn failed(&self, now_ms: u64) {
+    pub fn record_failure(&self, now_ms: u64) {
         let row = self.failures.fetch_add(1, Ordering::Relaxed) + 1;
         if row >= FAILURES_MAX {
             self.left_out_until_ms
@@ -116,7 +116,7 @@
     }
 
     /// Whether it is left out now.
-    pub fn is_left_out(&self, now_ms: u64) -> bool {
+    pub fn is_ejected(&self, now_ms: u64) -> bool {
         now_ms < self.left_out_until_ms.load(Ordering::Relaxed)
     }
 
@@ -138,13 +138,13 @@
 
 /// A call in progress; counted out when dropped.
 #[derive(Debug)]
-pub struct InFlight {
+pub struct InFlightCall {
     load: Arc<ReplicaLoad>,
     typical_us: u64,
     background: bool,
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightCall {
     fn drop(&mut self) {
         self.load.calls.fetch_sub(1, Ordering::Relaxed);
         self.load
--- a/components/dispatch/src/moves.rs
+++ b/components/dispatch/src/moves.rs
@@ -51,7 +51,7 @@
 
 impl MoveCause {
     /// The cause in one word, for lines.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             MoveCause::Stalled => "stalled",
             MoveCause::Slow => "slow",
@@ -61,7 +61,7 @@
 
 /// Silence from which on a run counts as stalled, in milliseconds, where replicas make an event
 /// each `typical_us`; 0 if that is not known yet.
-pub fn stalled_ms(typical_us: u64) -> u64 {
+pub fn stall_threshold_ms(typical_us: u64) -> u64 {
     (typical_us * PAUSES / 1_000).max(SILENT_MS_MIN)
 }
 
@@ -80,7 +80,7 @@
         let Some(cause) = cause(run, engines, there, stalled_ms) else {
             continue;
         };
-        engines[there].take(run.model);
+        engines[there].take_slot(run.model);
         moved.push((at, cause));
     }
     moved
@@ -99,8 +99,8 @@
 fn fastest_for(run: &Run, engines: &[Engine]) -> Option<usize> {
     let fits = |engine: &Engine| {
         !engine.foreign
-            && engine.has_place(run.model)
-            && engine.can_make(run.model, run.min_version, run.only_version)
+            && engine.has_slot(run.model)
+            && engine.can_run(run.model, run.min_version, run.only_version)
     };
     (0..engines.len())
         .filter(|at| *at != run.engine && fits(&engines[*at]))
--- a/components/dispatch/src/pace.rs
+++ b/components/dispatch/src/pace.rs
@@ -30,12 +30,12 @@
 
 /// Mean pause between the events that a replica makes.
 #[derive(Debug, Default)]
-pub struct Pace {
+pub struct EventInterval {
     mean_us: AtomicU64,
     seen_ms: AtomicU64,
 }
 
-impl Pace {
+impl EventInterval {
     /// Takes the pause between two events of one run.
     pub fn record(&self, pause_us: u64, now_ms: u64) {
         let mean_us = match self.mean_us.load(Ordering::Relaxed) {
@@ -61,7 +61,7 @@
 }
 
 /// Slowness against `typical_us`, in thousandths; 1,000 for one like the others.
-pub fn slowness(pace: &Pace, typical_us: u64, now_ms: u64) -> u64 {
+pub fn slowness(pace: &EventInterval, typical_us: u64, now_ms: u64) -> u64 {
     let mean_us = pace.mean_us();
     if mean_us == 0 || typical_us == 0 {
         return EVEN;
--- a/components/dispatch/src/registry.rs
+++ b/components/dispatch/src/registry.rs
@@ -31,7 +31,7 @@
     pub id: ReplicaId,
     /// When it started, in milliseconds of true time, where it says so. A replica may start again
     /// under its id, and knows nothing then of what it was told before.
-    pub born_ms: Option<u64>,
+    pub started_ms: Option<u64>,
     /// Its service.
     pub service: Arc<str>,
     /// Where it listens.
@@ -56,7 +56,7 @@
 
 /// What a record changed.
 #[value]
-pub enum Revision {
+pub enum RegistryChange {
     /// Nothing that matters.
     Unchanged,
     /// A replica came, went or changed.
@@ -84,12 +84,12 @@
 
 impl Registry {
     /// Takes a replica's record.
-    pub fn put(&mut self, replica: Replica) -> Revision {
+    pub fn put(&mut self, replica: Replica) -> RegistryChange {
         if let Some(known) = self.entries.get_mut(&replica.id)
             && *known.replica == replica
         {
             known.vanished = false;
-            return Revision::Unchanged;
+            return RegistryChange::Unchanged;
         }
         let id = Arc::clone(&replica.id);
         let replica = Arc::new(replica);
@@ -100,25 +100,25 @@
                 vanished: false,
             },
         );
-        Revision::Changed
+        RegistryChange::Changed
     }
 
     /// Takes the word that a replica has no record any more.
-    pub fn remove(&mut self, id: &str, now_ms: u64) -> Revision {
+    pub fn remove(&mut self, id: &str, now_ms: u64) -> RegistryChange {
         if self.is_trusted(now_ms) {
             return match self.entries.remove(id) {
-                Some(_) => Revision::Changed,
-                None => Revision::Unchanged,
+                Some(_) => RegistryChange::Changed,
+                None => RegistryChange::Unchanged,
             };
         }
         if let Some(entry) = self.entries.get_mut(id) {
             entry.vanished = true;
         }
-        Revision::Unchanged
+        RegistryChange::Unchanged
     }
 
     /// Takes a whole list: every other replica has no record any more.
-    pub fn keep_only(&mut self, listed: &[ReplicaId], now_ms: u64) -> Revision {
+    pub fn retain_listed(&mut self, listed: &[ReplicaId], now_ms: u64) -> RegistryChange {
         let listed: HashSet<&ReplicaId> = listed.iter().collect();
         let missing: Vec<ReplicaId> = self
             .entries
@@ -126,22 +126,22 @@
             .filter(|id| !listed.contains(*id))
             .cloned()
             .collect();
-        let mut revision = Revision::Unchanged;
+        let mut revision = RegistryChange::Unchanged;
         for id in missing {
-            if self.remove(&id, now_ms) == Revision::Changed {
-                revision = Revision::Changed;
+            if self.remove(&id, now_ms) == RegistryChange::Changed {
+                revision = RegistryChange::Changed;
             }
         }
         revision
     }
 
     /// A call to the store failed.
-    pub fn store_lost(&mut self) {
+    pub fn record_store_failure(&mut self) {
         self.failing = true;
     }
 
     /// The store answers.
-    pub fn store_seen(&mut self, now_ms: u64) {
+    pub fn record_store_answer(&mut self, now_ms: u64) {
         if self.store_since_ms.is_none() || self.is_away(now_ms) {
             self.store_since_ms = Some(now_ms);
         }
@@ -159,15 +159,15 @@
     }
 
     /// Drops replicas whose record did not come back in time.
-    pub fn expire(&mut self, now_ms: u64) -> Revision {
+    pub fn expire(&mut self, now_ms: u64) -> RegistryChange {
         if !self.is_trusted(now_ms) {
-            return Revision::Unchanged;
+            return RegistryChange::Unchanged;
         }
         let before = self.entries.len();
         self.entries.retain(|_, entry| !entry.vanished);
         match before == self.entries.len() {
-            true => Revision::Unchanged,
-            false => Revision::Changed,
+            true => RegistryChange::Unchanged,
+            false => RegistryChange::Changed,
         }
     }
 
--- a/components/dispatch/src/retry.rs
+++ b/components/dispatch/src/retry.rs
@@ -4,7 +4,7 @@
 
 /// How an attempt ended.
 #[key]
-pub enum AttemptEnd {
+pub enum AttemptOutcome {
     /// A whole answer with the replica's signature.
     Answered,
     /// The replica says that it did not run it, or it provably never got it.
@@ -15,7 +15,7 @@
 
 /// How a call ends that gets no answer of a replica.
 #[key]
-pub enum CallEnd {
+pub enum CallFailure {
     /// It did not run and will not.
     NotRun,
     /// It may have run, and the time is up.
@@ -26,13 +26,13 @@
 
 /// What to do next.
 #[value]
-pub enum NextStep {
+pub enum NextAction {
     /// The answer goes to the client.
     Deliver,
     /// Send it to a replica that was not tried.
-    Again,
+    Retry,
     /// The client gets this end.
-    Finish(CallEnd),
+    Finish(CallFailure),
 }
 
 /// Time that must be left for an attempt to make sense, in milliseconds.
@@ -41,27 +41,27 @@
 /// Decides after an attempt. `sent` is the number of replicas that the request was sent to,
 /// `untried` whether another replica is there, `may_have_run` whether an earlier attempt may
 /// have run.
-pub fn after_attempt(
-    end: AttemptEnd,
+pub fn next_action(
+    end: AttemptOutcome,
     idempotent: bool,
     may_have_run: bool,
     sent: u32,
     attempts_max: u32,
     untried: bool,
     left_ms: u64,
-) -> NextStep {
-    let may_have_run = may_have_run || end == AttemptEnd::Unknown;
+) -> NextAction {
+    let may_have_run = may_have_run || end == AttemptOutcome::Unknown;
     let final_end = match (may_have_run, left_ms) {
-        (false, _) => CallEnd::NotRun,
-        (true, 0) => CallEnd::TimedOut,
-        (true, _) => CallEnd::Unknown,
+        (false, _) => CallFailure::NotRun,
+        (true, 0) => CallFailure::TimedOut,
+        (true, _) => CallFailure::Unknown,
     };
     let repeatable = idempotent || !may_have_run;
-    if end == AttemptEnd::Answered {
-        return NextStep::Deliver;
+    if end == AttemptOutcome::Answered {
+        return NextAction::Deliver;
     }
     if repeatable && sent < attempts_max && untried && left_ms >= USEFUL_MS {
-        return NextStep::Again;
+        return NextAction::Retry;
     }
-    NextStep::Finish(final_end)
+    NextAction::Finish(final_end)
 }
--- a/components/dispatch/src/routes.rs
+++ b/components/dispatch/src/routes.rs
@@ -12,7 +12,7 @@
     /// Requests may run more than once.
     Idempotent,
     /// A request may run once at most.
-    Once,
+    AtMostOnce,
     /// Answers are streams of events; they run once at most unless they may be resumed.
     Stream,
     /// Steps of a trainer; their items may run more than once.
@@ -89,14 +89,14 @@
     }
 
     /// Names the replicas that may serve it: the same for all routes of the same services.
-    pub fn pool(&self) -> String {
+    pub fn pool_name(&self) -> String {
         let mut services: Vec<&str> = self.services().map(|service| &**service).collect();
         services.sort_unstable();
         services.join(",")
     }
 
     /// The service that these random bits draw by the weights.
-    pub fn draw(&self, random: u64) -> Option<&Arc<str>> {
+    pub fn pick_service(&self, random: u64) -> Option<&Arc<str>> {
         let total: u64 = self
             .shares
             .iter()
@@ -130,11 +130,11 @@
 #[derive(Copy)]
 pub struct Limits {
     /// Most bytes of a request's headers.
-    pub header_bytes: usize,
+    pub header_bytes_max: usize,
     /// Most bytes of a request's body.
-    pub body_bytes: usize,
+    pub body_bytes_max: usize,
     /// Longest idle time of a kept connection, in milliseconds.
-    pub idle_ms: u64,
+    pub idle_timeout_ms: u64,
 }
 
 /// One version of the configuration.
@@ -170,7 +170,7 @@
     }
 
     /// Every route, by host and prefix.
-    pub fn all(&self) -> Vec<&Route> {
+    pub fn sorted(&self) -> Vec<&Route> {
         let mut routes: Vec<&Route> = self.by_host.values().flatten().map(Arc::as_ref).collect();
         routes.sort_by_key(|route| (&route.host, &route.prefix));
         routes
@@ -187,7 +187,7 @@
         let steps = routes
             .iter()
             .filter(|route| route.kind == RouteKind::Rollout);
-        let step_pools = steps.map(Route::pool).collect();
+        let step_pools = steps.map(Route::pool_name).collect();
         let mut by_host: HashMap<Arc<str>, Vec<Arc<Route>>> = HashMap::new();
         for route in routes {
             by_host
@@ -215,14 +215,14 @@
     }
 
     /// The route with exactly this host and prefix.
-    pub fn exact(&self, host: &str, prefix: &str) -> Option<&Arc<Route>> {
+    pub fn find_exact(&self, host: &str, prefix: &str) -> Option<&Arc<Route>> {
         let routes = self.by_host.get(host)?;
         routes.iter().find(|route| &*route.prefix == prefix)
     }
 
     /// Whether texts that a service makes for some route must not mix versions. Weights that
     /// change under such a text make it useless, so a load waits for it.
-    pub fn needs_one_version(&self, service: &str) -> bool {
+    pub fn requires_single_version(&self, service: &str) -> bool {
         let asks = |route: &&Arc<Route>| {
             let mut shares = route.shares.iter();
             route.single_version && shares.any(|share| &*share.service == service)
--- a/components/dispatch/tests/calls.rs
+++ b/components/dispatch/tests/calls.rs
@@ -3,7 +3,8 @@
 use std::sync::Arc;
 
 use dispatch::{
-    AttemptEnd, CallEnd, Candidate, NextStep, ReplicaLoad, Typical, after_attempt, choose,
+    AttemptOutcome, CallFailure, Candidate, NextAction, ReplicaLoad, TypicalDuration,
+    choose_replica, next_action,
 };
 
 const MS: u64 = 1_000;
@@ -24,11 +25,11 @@
     let left: Vec<usize> = (0..loads.len()).filter(|at| !tried.contains(at)).collect();
     let candidate = |at: &usize| Candidate {
         load: &loads[*at],
-        near: true,
+        same_domain: true,
         connected: connected.contains(at),
     };
     let candidates: Vec<Candidate<'_>> = left.iter().map(candidate).collect();
-    choose(&candidates, 25 * MS, random, now_ms).map(|at| left[at])
+    choose_replica(&candidates, 25 * MS, random, now_ms).map(|at| left[at])
 }
 
 fn loads(count: usize) -> Vec<Arc<ReplicaLoad>> {
@@ -53,11 +54,11 @@
     // One replica takes 3.5 times as long. A few answers show it; then calls go elsewhere,
     // though it has less in progress. Seconds later it is tried again.
     let loads = loads(3);
-    let typical = Typical::new(25);
+    let typical = TypicalDuration::new(25);
     for _ in 0..4 {
-        loads[0].succeeded(&typical, 90 * MS, 1_000);
-        loads[1].succeeded(&typical, 25 * MS, 1_000);
-        loads[2].succeeded(&typical, 25 * MS, 1_000);
+        loads[0].record_success(&typical, 90 * MS, 1_000);
+        loads[1].record_success(&typical, 25 * MS, 1_000);
+        loads[2].record_success(&typical, 25 * MS, 1_000);
     }
     let _busy = [
         loads[1].begin(25 * MS, false),
@@ -70,8 +71,8 @@
 #[test]
 fn can_leave_out_a_replica_that_fails_in_a_row() {
     let loads = loads(2);
-    loads[0].failed(1_000);
-    loads[0].failed(1_010);
+    loads[0].record_failure(1_000);
+    loads[0].record_failure(1_010);
     assert!((0..9).all(|random| chosen(&loads, &[], random, 1_500) == Some(1)));
     assert_eq!(chosen(&loads, &[1], 0, 1_500), Some(0), "better than none");
 }
@@ -106,81 +107,81 @@
 fn can_decide_what_follows_an_attempt() {
     struct Case {
         name: &'static str,
-        end: AttemptEnd,
+        end: AttemptOutcome,
         idempotent: bool,
         ran_before: bool,
         sent: u32,
         left_ms: u64,
-        next: NextStep,
+        next: NextAction,
     }
     let cases = [
         Case {
             name: "an answer",
-            end: AttemptEnd::Answered,
+            end: AttemptOutcome::Answered,
             idempotent: false,
             ran_before: false,
             sent: 1,
             left_ms: 500,
-            next: NextStep::Deliver,
+            next: NextAction::Deliver,
         },
         Case {
             name: "an idempotent call that broke off",
-            end: AttemptEnd::Unknown,
+            end: AttemptOutcome::Unknown,
             idempotent: true,
             ran_before: false,
             sent: 1,
             left_ms: 500,
-            next: NextStep::Again,
+            next: NextAction::Retry,
         },
         Case {
             name: "a call that may run once and broke off",
-            end: AttemptEnd::Unknown,
+            end: AttemptOutcome::Unknown,
             idempotent: false,
             ran_before: false,
             sent: 1,
             left_ms: 500,
-            next: NextStep::Finish(CallEnd::Unknown),
+            next: NextAction::Finish(CallFailure::Unknown),
         },
         Case {
             name: "a call that may run once and was refused",
-            end: AttemptEnd::NotRun,
+            end: AttemptOutcome::NotRun,
             idempotent: false,
             ran_before: false,
             sent: 1,
             left_ms: 500,
-            next: NextStep::Again,
+            next: NextAction::Retry,
         },
         Case {
             name: "all replicas refused",
-            end: AttemptEnd::NotRun,
+            end: AttemptOutcome::NotRun,
             idempotent: true,
             ran_before: false,
             sent: 2,
             left_ms: 500,
-            next: NextStep::Finish(CallEnd::NotRun),
+            next: NextAction::Finish(CallFailure::NotRun),
         },
         Case {
             name: "the last one refused, an earlier one may have run it",
-            end: AttemptEnd::NotRun,
+            end: AttemptOutcome::NotRun,
             idempotent: true,
             ran_before: true,
             sent: 2,
             left_ms: 500,
-            next: NextStep::Finish(CallEnd::Unknown),
+            next: NextAction::Finish(CallFailure::Unknown),
         },
         Case {
             name: "the time is up",
-            end: AttemptEnd::Unknown,
+            end: AttemptOutcome::Unknown,
             idempotent: true,
             ran_before: false,
             sent: 1,
             left_ms: 0,
-            next: NextStep::Finish(CallEnd::TimedOut),
+            next: NextAction::Finish(CallFailure::TimedOut),
         },
     ];
     for case in cases {
         let untried = true;
-        let next = after_attempt(
+        let next = next_action(
             case.end,
             case.idempotent,
             case.ran_before,
--- a/components/dispatch/tests/items.rs
+++ b/components/dispatch/tests/items.rs
@@ -1,8 +1,8 @@
 //! Placing items on model replicas, under the load of a step that arrives at once.
 
 use dispatch::{
-    Admission, Engine, Pace, Waiting, WaitingRank, is_worth_moving, lost_its_version, place,
-    slowness, text_left_ms,
+    Admission, Engine, EventInterval, WaitingItem, WaitingRank, has_lost_version, is_worth_moving,
+    place, slowness, text_left_ms,
 };
 use quickcheck::{Arbitrary, Gen};
 
@@ -10,15 +10,15 @@
     Engine {
         foreign: false,
         versions: vec![version, version],
-        open: vec![free, free],
-        free,
+        model_slots: vec![free, free],
+        free_slots: free,
         running: 8 - free,
         slowness: 1_000,
     }
 }
 
-fn waiting(step_rank: u64, left_ms: u64) -> Waiting {
-    Waiting {
+fn waiting(step_rank: u64, left_ms: u64) -> WaitingItem {
+    WaitingItem {
         model: 0,
         turn: 0,
         rank: WaitingRank::default(),
@@ -31,12 +31,12 @@
 }
 
 #[derive(Clone, Debug)]
-struct Item(Waiting);
+struct Item(WaitingItem);
 
 impl Arbitrary for Item {
     fn arbitrary(g: &mut Gen) -> Self {
         let version = u64::arbitrary(g) % 4;
-        Item(Waiting {
+        Item(WaitingItem {
             model: usize::arbitrary(g) % 2,
             turn: u32::arbitrary(g) % 3,
             rank: WaitingRank {
@@ -56,34 +56,34 @@
     // Whatever waits: no replica gets more than it has places for, an item never goes to
     // weights that may not make it, and nothing waits while a place fits it.
     fn places_fit_and_none_stays_empty(items: Vec<Item>, free: Vec<u8>) -> bool {
-        let waiting: Vec<Waiting> = items.into_iter().map(|item| item.0).collect();
+        let waiting: Vec<WaitingItem> = items.into_iter().map(|item| item.0).collect();
         let before: Vec<Engine> = free
             .iter()
             .take(6)
             .enumerate()
             .map(|(at, free)| Engine {
                 // One that refused items of the second model takes one of them.
-                open: vec![u32::from(free % 9), u32::from(free % 9).min(1)],
+                model_slots: vec![u32::from(free % 9), u32::from(free % 9).min(1)],
                 foreign: at % 2 == 1,
                 ..engine(at as u64 % 4, u32::from(free % 9))
             })
             .collect();
         let mut engines = before.clone();
         let placed = place(&waiting, &mut engines);
-        let fits = |item: &Waiting, engine: &Engine| {
+        let fits = |item: &WaitingItem, engine: &Engine| {
             let version = engine.versions[item.model];
             version >= item.min_version && item.only_version.is_none_or(|only| only == version)
         };
-        let has_home = |item: &Waiting| before.iter().any(|one| !one.foreign && fits(item, one));
-        let allowed = |item: &Waiting, engine: &Engine| {
+        let has_home = |item: &WaitingItem| before.iter().any(|one| !one.foreign && fits(item, one));
+        let allowed = |item: &WaitingItem, engine: &Engine| {
             fits(item, engine) && (!engine.foreign || !has_home(item))
         };
         for (at, engine) in before.iter().enumerate() {
             let taken = placed.iter().filter(|placed| placed.engine == at).count();
-            assert!(taken as u32 <= engine.free);
-            let of_second = |placed: &&dispatch::Placed| waiting[placed.item].model == 1;
+            assert!(taken as u32 <= engine.free_slots);
+            let of_second = |placed: &&dispatch::Placement| waiting[placed.item].model == 1;
             let here = placed.iter().filter(|placed| placed.engine == at);
-            assert!(here.filter(of_second).count() as u32 <= engine.open[1]);
+            assert!(here.filter(of_second).count() as u32 <= engine.model_slots[1]);
         }
         for placed in &placed {
             assert!(allowed(&waiting[placed.item], &before[placed.engine]));
@@ -91,7 +91,7 @@
         let left = (0..waiting.len()).filter(|at| placed.iter().all(|one| one.item != *at));
         left.into_iter().all(|at| {
             let item = &waiting[at];
-            engines.iter().all(|engine| !engine.has_place(item.model) || !allowed(item, engine))
+            engines.iter().all(|engine| !engine.has_slot(item.model) || !allowed(item, engine))
         })
     }
 }
@@ -120,13 +120,13 @@
         case("only too old ones", Some(3), &[1], false),
     ];
     for case in cases {
-        let item = Waiting {
+        let item = WaitingItem {
             only_version: case.only_version,
             ..waiting(1, 10)
         };
         let engines: Vec<Engine> = case.engines.iter().map(|v| engine(*v, 0)).collect();
         assert_eq!(
-            lost_its_version(&item, &engines),
+            has_lost_version(&item, &engines),
             case.lost,
             "{}",
             case.name
@@ -195,12 +195,12 @@
 fn can_share_places_among_models() {
     // Two models have items for the same replica, which refused those of the second a moment
     // ago. Together they take no more than it has, and of the second one is tried.
-    let second = |left_ms| Waiting {
+    let second = |left_ms| WaitingItem {
         model: 1,
         ..waiting(0, left_ms)
     };
     let refused = Engine {
-        open: vec![3, 1],
+        model_slots: vec![3, 1],
         ..engine(2, 3)
     };
     let items = [
@@ -225,7 +225,7 @@
 
 #[test]
 fn can_avoid_the_replica_where_a_run_broke_unless_there_is_no_other() {
-    let item = Waiting {
+    let item = WaitingItem {
         avoid: Some(0),
         ..waiting(1, 500)
     };
@@ -242,7 +242,7 @@
 fn can_tell_a_replica_that_turned_slow_within_a_few_events() {
     // A replica turns 3.5 times slower in the middle of long items. Four events later they
     // are worth moving; a fuller replica, a quarter slower than the others, is not left.
-    let pace = Pace::default();
+    let pace = EventInterval::default();
     (0..20).for_each(|event| pace.record(35_000, event * 35));
     assert_eq!(slowness(&pace, 35_000, 700), 1_000);
     (0..4).for_each(|event| pace.record(122_000, 700 + event * 122));
@@ -291,7 +291,7 @@
 fn can_pass_over_a_single_long_pause() {
     // A replica loads a version of another model and makes no event for a second. Taken for
     // slow, it would lose all its items to others, which load next: they went to and fro.
-    let pace = Pace::default();
+    let pace = EventInterval::default();
     (0..20).for_each(|event| pace.record(35_000, event * 35));
     pace.record(900_000, 1_600);
     assert!(!is_worth_moving(
@@ -303,7 +303,7 @@
 
 #[test]
 fn can_give_items_again_to_a_replica_that_was_slow() {
-    let pace = Pace::default();
+    let pace = EventInterval::default();
     pace.record(122_000, 1_000);
     assert!(slowness(&pace, 35_000, 1_500) > 3_000);
     assert!(slowness(&pace, 35_000, 17_500) < 1_200);
@@ -314,18 +314,22 @@
     // A replica loads a version for a second while forty items wait. Each would be refused
     // there ten times, on a connection of its own; so one is tried at a time until one runs.
     let admission = Admission::default();
-    assert_eq!(admission.places(8, 1_000), 8);
-    admission.refused(1_000);
-    assert_eq!(admission.places(8, 1_390), 0);
-    assert_eq!(admission.places(8, 1_400), 1);
-    admission.tried(1_400);
-    assert_eq!(admission.places(8, 1_450), 0);
-    admission.taken(1_460);
-    assert_eq!(admission.places(8, 1_470), 8);
-    admission.refused(2_000);
-    assert_eq!(admission.places(8, 2_010), 0);
-    admission.renewed();
-    assert_eq!(admission.places(8, 2_020), 8, "it has the version now");
+    assert_eq!(admission.usable_slots(8, 1_000), 8);
+    admission.record_refusal(1_000);
+    assert_eq!(admission.usable_slots(8, 1_390), 0);
+    assert_eq!(admission.usable_slots(8, 1_400), 1);
+    admission.record_attempt(1_400);
+    assert_eq!(admission.usable_slots(8, 1_450), 0);
+    admission.record_start(1_460);
+    assert_eq!(admission.usable_slots(8, 1_470), 8);
+    admission.record_refusal(2_000);
+    assert_eq!(admission.usable_slots(8, 2_010), 0);
+    admission.reset();
+    assert_eq!(
+        admission.usable_slots(8, 2_020),
+        8,
+        "it has the version now"
+    );
 }
 
 #[test]
@@ -333,7 +337,7 @@
     // Sixteen items of one prompt arrive while sixteen replicas are idle. Kept together for
     // the prompt's sake, five long ones on a replica fill its memory, preempt one another and
     // end the step late; a prompt is read again in a millisecond.
-    let group: Vec<Waiting> = (0..16).map(|item| waiting(1, 500 + item)).collect();
+    let group: Vec<WaitingItem> = (0..16).map(|item| waiting(1, 500 + item)).collect();
     let mut engines = vec![engine(2, 8); 16];
     place(&group, &mut engines);
     assert!(engines.iter().all(|engine| engine.running == 1));
@@ -341,8 +345,8 @@
 
 /// Rounds of placing until the last item of a customer's first step has a place, where places
 /// come free all at once.
-fn rounds_until_placed(waiting: &[Waiting], of: impl Fn(&Waiting) -> bool) -> usize {
-    let mut left: Vec<Waiting> = waiting.to_vec();
+fn rounds_until_placed(waiting: &[WaitingItem], of: impl Fn(&WaitingItem) -> bool) -> usize {
+    let mut left: Vec<WaitingItem> = waiting.to_vec();
     for round in 1.. {
         let mut engines: Vec<Engine> = (0..10).map(|_| engine(2, 8)).collect();
         let placed = place(&left, &mut engines);
@@ -367,21 +371,21 @@
     // round. By age alone the small ones wait for all eight hundred items of the flood: they
     // begin in the eleventh round. In turns they wait for one step.
     let of_flood = |step: u64| {
-        (0..40).map(move |_| Waiting {
+        (0..40).map(move |_| WaitingItem {
             turn: step as u32,
             ..waiting(step, 3_000)
         })
     };
     let of_small = |step: u64| (0..4).map(move |_| waiting(100 + step, 1_000));
-    let mut all: Vec<Waiting> = (0..20).flat_map(of_flood).collect();
+    let mut all: Vec<WaitingItem> = (0..20).flat_map(of_flood).collect();
     all.extend((0..76).flat_map(of_small));
     let small_items = 76 * 4;
     let aim = (40 + small_items as usize).div_ceil(80);
     let rounds = rounds_until_placed(&all, |item| item.step_rank >= 100);
     assert!(rounds <= aim, "{rounds} rounds, aim {aim}");
-    let by_age: Vec<Waiting> = all
+    let by_age: Vec<WaitingItem> = all
         .iter()
-        .map(|item| Waiting {
+        .map(|item| WaitingItem {
             turn: 0,
             ..item.clone()
         })
@@ -397,7 +401,7 @@
 fn a_higher_rank_goes_first_within_a_turn() {
     // Pattern: places for most of what waits come free. The customer's rank goes before the
     // route's, both before age, and none before a turn.
-    let ranked = |turn, customer, route, step_rank| Waiting {
+    let ranked = |turn, customer, route, step_rank| WaitingItem {
         turn,
         rank: WaitingRank { customer, route },
         ..waiting(step_rank, 1_000)
--- a/components/dispatch/tests/moves.rs
+++ b/components/dispatch/tests/moves.rs
@@ -1,13 +1,13 @@
 //! Runs that go on at another replica, under the load of several fronts on the same replicas.
 
-use dispatch::{Engine, MoveCause, Run, runs_to_move, stalled_ms};
+use dispatch::{Engine, MoveCause, Run, runs_to_move, stall_threshold_ms};
 
 fn engine(version: u64, free: u32, slowness: u64) -> Engine {
     Engine {
         foreign: false,
         versions: vec![version],
-        open: vec![free],
-        free,
+        model_slots: vec![free],
+        free_slots: free,
         running: 1,
         slowness,
     }
@@ -73,7 +73,7 @@
     ];
     for case in cases {
         let mut engines = [engine(2, 4, 1_000), case.elsewhere];
-        let moved = runs_to_move(&[case.run], &mut engines, stalled_ms(50_000));
+        let moved = runs_to_move(&[case.run], &mut engines, stall_threshold_ms(50_000));
         let cause = moved.first().map(|(_, cause)| *cause);
         assert_eq!(cause, case.moved, "{}", case.name);
     }
@@ -84,7 +84,7 @@
     let mut engines = [engine(2, 0, 1_000), engine(2, 2, 1_000)];
     let moved = runs_to_move(&[run(900), run(900), run(900)], &mut engines, 250);
     assert_eq!(moved.len(), 2);
-    assert_eq!(engines[1].free, 0);
+    assert_eq!(engines[1].free_slots, 0);
 }
 
 #[test]
@@ -130,6 +130,6 @@
             stalled_ms: 750,
         },
     ] {
-        assert_eq!(stalled_ms(typical_us), expected);
+        assert_eq!(stall_threshold_ms(typical_us), expected);
     }
 }
--- a/components/dispatch/tests/registry.rs
+++ b/components/dispatch/tests/registry.rs
@@ -1,11 +1,11 @@
 //! Which replicas take work, as records come, vanish and come back.
 
-use dispatch::{Registry, Replica, Revision};
+use dispatch::{Registry, RegistryChange, Replica};
 
 fn replica(id: &str, draining: bool) -> Replica {
     Replica {
         id: id.into(),
-        born_ms: None,
+        started_ms: None,
         service: "service".into(),
         address: ([127, 0, 0, 1], 80).into(),
         domain: "domain".into(),
@@ -24,7 +24,7 @@
 
 fn with(ids: &[&str]) -> Registry {
     let mut registry = Registry::default();
-    registry.store_seen(0);
+    registry.record_store_answer(0);
     for id in ids {
         registry.put(replica(id, false));
     }
@@ -34,19 +34,19 @@
 #[test]
 fn can_tell_a_changed_record_from_a_heartbeat() {
     let mut registry = with(&["a"]);
-    assert_eq!(registry.put(replica("a", false)), Revision::Unchanged);
-    assert_eq!(registry.put(replica("a", true)), Revision::Changed);
+    assert_eq!(registry.put(replica("a", false)), RegistryChange::Unchanged);
+    assert_eq!(registry.put(replica("a", true)), RegistryChange::Changed);
     let started_again = Replica {
-        born_ms: Some(1_767_225_600_000),
+        started_ms: Some(1_767_225_600_000),
         ..replica("a", true)
     };
-    assert_eq!(registry.put(started_again), Revision::Changed);
+    assert_eq!(registry.put(started_again), RegistryChange::Changed);
 }
 
 #[test]
 fn can_drop_a_replica_at_once_while_the_store_is_steady() {
     let mut registry = with(&["a", "b"]);
-    assert_eq!(registry.remove("a", 60_000), Revision::Changed);
+    assert_eq!(registry.remove("a", 60_000), RegistryChange::Changed);
     assert_eq!(ids(&registry), ["b"]);
 }
 
@@ -56,14 +56,14 @@
     // the replicas live. Dropping them all would refuse every request. They write again
     // within two seconds of its return; the one that does not is gone.
     let mut registry = with(&["a", "b"]);
-    registry.store_lost();
-    registry.store_seen(60_000);
+    registry.record_store_failure();
+    registry.record_store_answer(60_000);
     registry.remove("a", 60_100);
     registry.remove("b", 60_100);
     assert_eq!(ids(&registry), ["a", "b"]);
     registry.put(replica("a", false));
-    assert_eq!(registry.expire(61_000), Revision::Unchanged);
-    assert_eq!(registry.expire(62_500), Revision::Changed);
+    assert_eq!(registry.expire(61_000), RegistryChange::Unchanged);
+    assert_eq!(registry.expire(62_500), RegistryChange::Changed);
     assert_eq!(ids(&registry), ["a"]);
 }
 
@@ -91,9 +91,9 @@
     ];
     for case in cases {
         let mut registry = with(&["a", "b"]);
-        registry.store_seen(60_000);
-        registry.store_lost();
-        registry.store_seen(60_000 + case.away_ms);
+        registry.record_store_answer(60_000);
+        registry.record_store_failure();
+        registry.record_store_answer(60_000 + case.away_ms);
         registry.remove("b", 60_000 + case.away_ms);
         assert_eq!(ids(&registry), case.kept, "{}", case.name);
     }
@@ -103,6 +103,9 @@
 fn can_take_a_whole_list_after_the_history_was_lost() {
     let mut registry = with(&["a", "b", "c"]);
     let listed = ["a".into(), "c".into()];
-    assert_eq!(registry.keep_only(&listed, 60_000), Revision::Changed);
+    assert_eq!(
+        registry.retain_listed(&listed, 60_000),
+        RegistryChange::Changed
+    );
     assert_eq!(ids(&registry), ["a", "c"]);
 }
--- a/components/dispatch/tests/routes.rs
+++ b/components/dispatch/tests/routes.rs
@@ -30,9 +30,9 @@
 
 fn routes() -> Routes {
     let limits = Limits {
-        header_bytes: 1,
-        body_bytes: 1,
-        idle_ms: 1,
+        header_bytes_max: 1,
+        body_bytes_max: 1,
+        idle_timeout_ms: 1,
     };
     let routes = vec![
         route("short", "/a/", &[("x", 1)]),
@@ -88,10 +88,11 @@
 fn can_draw_services_by_their_weights() {
     let routes = routes();
     let route = routes.find("host", "/a/b/c").expect("there");
-    let drawn = (0..1_000).filter(|random| route.draw(*random).is_some_and(|s| &**s == "y"));
+    let drawn =
+        (0..1_000).filter(|random| route.pick_service(*random).is_some_and(|s| &**s == "y"));
     assert_eq!(drawn.count(), 100);
     let none = self::route("none", "/n/", &[("x", 0)]);
-    assert_eq!(none.draw(5), None);
+    assert_eq!(none.pick_service(5), None);
 }
 
 #[test]
@@ -99,9 +100,9 @@
     // Weights that change under a text which must not mix versions throw it away: on the quiet
     // days of three deployments up to a quarter of the worth was lost by that.
     let limits = Limits {
-        header_bytes: 1,
-        body_bytes: 1,
-        idle_ms: 1,
+        header_bytes_max: 1,
+        body_bytes_max: 1,
+        idle_timeout_ms: 1,
     };
     let single = Route {
         single_version: true,
@@ -116,7 +117,7 @@
         Customers::open(),
     );
     for (service, needs) in [("x", true), ("y", true), ("z", false), ("none", false)] {
-        assert_eq!(routes.needs_one_version(service), needs, "{service}");
+        assert_eq!(routes.requires_single_version(service), needs, "{service}");
     }
 }
 
--- a/components/front/src/access.rs
+++ b/components/front/src/access.rs
@@ -115,7 +115,7 @@
         figures::call_label(false),
         1,
     );
-    let rest = discard(body, routes.limits.body_bytes);
+    let rest = discard(body, routes.limits.body_bytes_max);
     let read = tokio::time::timeout(Duration::from_millis(REST_MS), rest).await;
     let mut answer = match behind {
         false => ingress::own_answer(refused.status(), id, None, refused.why()),
--- a/components/front/src/calls.rs
+++ b/components/front/src/calls.rs
@@ -10,8 +10,8 @@
 
 use bytes::Bytes;
 use dispatch::{
-    AttemptEnd, CallEnd, Candidate, NextStep, ReplicaId, Route, RouteKind, Typical, after_attempt,
-    choose,
+    AttemptOutcome, CallFailure, Candidate, NextAction, ReplicaId, Route, RouteKind,
+    TypicalDuration, choose_replica, next_action,
 };
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
@@ -63,11 +63,11 @@
     /// With a replica's whole answer.
     Answer(Box<Answer>),
     /// Without.
-    End(CallEnd, String),
+    End(CallFailure, String),
 }
 
 struct Attempt {
-    end: AttemptEnd,
+    end: AttemptOutcome,
     answer: Option<Box<Answer>>,
     why: String,
 }
@@ -119,9 +119,9 @@
                 }
                 None => {
                     let end = if may_have_run {
-                        CallEnd::Unknown
+                        CallFailure::Unknown
                     } else {
-                        CallEnd::NotRun
+                        CallFailure::NotRun
                     };
                     break CallOutcome::End(end, "no replica".to_owned());
                 }
@@ -133,9 +133,9 @@
             Some(done) = flights.next() => {
                 let Attempt { end, answer, why } = done;
                 let step = judge(front, spec, end, may_have_run, &tried);
-                may_have_run |= end == AttemptEnd::Unknown;
+                may_have_run |= end == AttemptOutcome::Unknown;
                 match (&step, answer) {
-                    (NextStep::Deliver, Some(answer)) => break CallOutcome::Answer(answer),
+                    (NextAction::Deliver, Some(answer)) => break CallOutcome::Answer(answer),
                     // Whoever sends calls in the background counts their failures.
                     (_, Some(answer)) if spec.background => break CallOutcome::Answer(answer),
                     (_, Some(answer)) => failure = Some(answer),
@@ -147,7 +147,7 @@
                     why = why.as_str(); ""
                 );
                 match step {
-                    NextStep::Finish(end) if flights.is_empty() => match failure.take() {
+                    NextAction::Finish(end) if flights.is_empty() => match failure.take() {
                         Some(answer) => break CallOutcome::Answer(answer),
                         None => break CallOutcome::End(end, why),
                     },
@@ -164,7 +164,7 @@
                 }
             }
             () = tokio::time::sleep(left) => {
-                break CallOutcome::End(CallEnd::TimedOut, "no answer in time".to_owned());
+                break CallOutcome::End(CallFailure::TimedOut, "no answer in time".to_owned());
             }
         }
     };
@@ -196,9 +196,9 @@
             "front_calls_failed_total"
         }
         CallOutcome::Answer(_) => "front_calls_answered_total",
-        CallOutcome::End(CallEnd::NotRun, _) => "front_calls_not_run_total",
-        CallOutcome::End(CallEnd::TimedOut, _) => "front_calls_timed_out_total",
-        CallOutcome::End(CallEnd::Unknown, _) => "front_calls_unknown_total",
+        CallOutcome::End(CallFailure::NotRun, _) => "front_calls_not_run_total",
+        CallOutcome::End(CallFailure::TimedOut, _) => "front_calls_timed_out_total",
+        CallOutcome::End(CallFailure::Unknown, _) => "front_calls_unknown_total",
     };
     front.metrics.count(end, label, 1);
 }
@@ -206,7 +206,7 @@
 /// When a second replica gets the call, if one may.
 fn hedge_after(
     spec: &CallSpec<'_>,
-    typical: &Typical,
+    typical: &TypicalDuration,
     sent: usize,
     flying: usize,
 ) -> Option<Duration> {
@@ -218,15 +218,15 @@
 fn judge(
     front: &Front,
     spec: &CallSpec<'_>,
-    end: AttemptEnd,
+    end: AttemptOutcome,
     may_have_run: bool,
     tried: &[ReplicaId],
-) -> NextStep {
+) -> NextAction {
     let table = front.replicas.load();
     let untried = services(spec.route)
         .flat_map(|service| table.of(service))
         .any(|member| takes_work(member) && !tried.contains(&member.replica.id));
-    after_attempt(
+    next_action(
         end,
         spec.is_idempotent(),
         may_have_run,
@@ -250,7 +250,7 @@
 async fn pick(
     front: &Front,
     spec: &CallSpec<'_>,
-    typical: &Typical,
+    typical: &TypicalDuration,
     tried: &[ReplicaId],
 ) -> Option<Member> {
     loop {
@@ -266,12 +266,12 @@
 fn choose_member(
     front: &Front,
     spec: &CallSpec<'_>,
-    typical: &Typical,
+    typical: &TypicalDuration,
     tried: &[ReplicaId],
     with_room: bool,
 ) -> Option<Member> {
     let table = front.replicas.load();
-    let drawn = spec.route.draw(rand::random());
+    let drawn = spec.route.pick_service(rand::random());
     let in_service = |service: &str| choose_of(front, &table, service, typical, tried, with_room);
     drawn
         .and_then(|service| in_service(service))
@@ -284,7 +284,7 @@
     front: &Front,
     table: &ReplicaTable,
     service: &str,
-    typical: &Typical,
+    typical: &TypicalDuration,
     tried: &[ReplicaId],
     with_room: bool,
 ) -> Option<Member> {
@@ -299,16 +299,16 @@
         .iter()
         .map(|member| Candidate {
             load: &member.peer.load,
-            near: *member.replica.domain == *front.settings.domain,
+            same_domain: *member.replica.domain == *front.settings.domain,
             connected: member.peer.is_connected(now_ms),
         })
         .collect();
-    let at = choose(&candidates, typical.us(), rand::random(), now_ms)?;
+    let at = choose_replica(&candidates, typical.us(), rand::random(), now_ms)?;
     Some(members[at].clone())
 }
 
 /// Tells the replica's load that its answer was not waited for alone.
-fn overtake(front: &Front, spec: &CallSpec<'_>, typical: &Typical, tried: &[ReplicaId]) {
+fn overtake(front: &Front, spec: &CallSpec<'_>, typical: &TypicalDuration, tried: &[ReplicaId]) {
     let table = front.replicas.load();
     let slow = services(spec.route)
         .flat_map(|service| table.of(service))
@@ -317,7 +317,7 @@
         member
             .peer
             .load
-            .overtaken(typical, typical.us() * HEDGE_TIMES, now_ms());
+            .record_hedge(typical, typical.us() * HEDGE_TIMES, now_ms());
         log::info!(
             event = "call-hedged", id = spec.request_id, route = &*spec.route.name,
             replica = &*member.replica.id, typical_us = typical.us(); ""
@@ -328,7 +328,7 @@
 async fn attempt(
     spec: &CallSpec<'_>,
     member: Member,
-    typical: Arc<Typical>,
+    typical: Arc<TypicalDuration>,
     sent: SentAt,
 ) -> Attempt {
     let load = &member.peer.load;
@@ -342,8 +342,8 @@
     let mut connection = match member.peer.connection(&member.replica).await {
         Ok(connection) => connection,
         Err(error) => {
-            load.failed(now_ms());
-            return failed(AttemptEnd::NotRun, error.to_string());
+            load.record_failure(now_ms());
+            return failed(AttemptOutcome::NotRun, error.to_string());
         }
     };
     let call = spec.at(&member.replica);
@@ -358,15 +358,15 @@
                 let why = format!("status {}", answer.status.as_u16());
                 let answer = Some(Box::new(answer));
                 return Attempt {
-                    end: AttemptEnd::Unknown,
+                    end: AttemptOutcome::Unknown,
                     answer,
                     why,
                 };
             }
-            load.succeeded(&typical, now_us() - began_us, now_ms());
+            load.record_success(&typical, now_us() - began_us, now_ms());
             let answer = Some(Box::new(answer));
             Attempt {
-                end: AttemptEnd::Answered,
+                end: AttemptOutcome::Answered,
                 answer,
                 why: String::new(),
             }
@@ -379,16 +379,16 @@
                 }
                 ReplicaError::NotRun(_) => {}
                 _ => {
-                    load.failed(now_ms());
+                    load.record_failure(now_ms());
                     member.peer.forget_connections();
                 }
             }
             let end = match error.is_not_run() {
                 true => {
                     sent.store(0, Ordering::Relaxed);
-                    AttemptEnd::NotRun
+                    AttemptOutcome::NotRun
                 }
-                false => AttemptEnd::Unknown,
+                false => AttemptOutcome::Unknown,
             };
             failed(end, error.to_string())
         }
--- a/components/front/src/connections.rs
+++ b/components/front/src/connections.rs
@@ -58,8 +58,8 @@
         log::debug!(event = "nodelay-refused", error:% = error; "");
     }
     let limits = front.routes.load().as_ref().map(|routes| routes.limits);
-    let idle_ms = limits.map_or(IDLE_MS, |limits| limits.idle_ms) + IDLE_SLACK_MS;
-    let head_bytes = limits.map_or(HEADER_BYTES, |limits| limits.header_bytes);
+    let idle_ms = limits.map_or(IDLE_MS, |limits| limits.idle_timeout_ms) + IDLE_SLACK_MS;
+    let head_bytes = limits.map_or(HEADER_BYTES, |limits| limits.header_bytes_max);
     let mut closing = front.closing.subscribe();
     let service = service_fn(move |request| {
         let answer = answer(Arc::clone(&front), request);
--- a/components/front/src/follow/replicas.rs
+++ b/components/front/src/follow/replicas.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-use dispatch::{Registry, Replica, Revision};
+use dispatch::{Registry, RegistryChange, Replica};
 use pacing::REPLICA_PACE;
 use platform::records::{self, REPLICA_TOPIC};
 
@@ -24,18 +24,18 @@
         let now_ms = now_ms();
         match news {
             KeyedNews::Key(id, value) => {
-                registry.store_seen(now_ms);
+                registry.record_store_answer(now_ms);
                 changed |=
                     take_replica(&mut registry, &mut malformed, &id, value.as_deref(), now_ms);
             }
             KeyedNews::All(ids) => {
-                registry.store_seen(now_ms);
-                changed |= registry.keep_only(&ids, now_ms) == Revision::Changed;
+                registry.record_store_answer(now_ms);
+                changed |= registry.retain_listed(&ids, now_ms) == RegistryChange::Changed;
             }
-            KeyedNews::Lost => registry.store_lost(),
+            KeyedNews::Lost => registry.record_store_failure(),
             KeyedNews::Settled { .. } => {
-                registry.store_seen(now_ms);
-                changed |= registry.expire(now_ms) == Revision::Changed;
+                registry.record_store_answer(now_ms);
+                changed |= registry.expire(now_ms) == RegistryChange::Changed;
                 front.replicas_read.store(1, Ordering::Relaxed);
                 if std::mem::take(&mut changed) {
                     let next = front.replicas.load().next(registry.replicas());
@@ -80,14 +80,14 @@
             }
         },
     };
-    revision == Revision::Changed
+    revision == RegistryChange::Changed
 }
 
-fn put_replica(registry: &mut Registry, replica: Replica) -> Revision {
+fn put_replica(registry: &mut Registry, replica: Replica) -> RegistryChange {
     let (id, address) = (Arc::clone(&replica.id), replica.address);
     let draining = replica.draining;
     let revision = registry.put(replica);
-    if revision == Revision::Changed {
+    if revision == RegistryChange::Changed {
         log::debug!(event = "replica-changed", replica = &*id, address:% = address, draining; "");
     }
     revision
--- a/components/front/src/jobs/mod.rs
+++ b/components/front/src/jobs/mod.rs
@@ -200,7 +200,7 @@
     data: Vec<DataRange>,
 ) -> StepHead {
     let route = submitted.route;
-    let pool = route.pool();
+    let pool = route.pool_name();
     let shards = shards(front, route, &pool, &submission);
     StepHead {
         id: submitted.id.to_owned(),
--- a/components/front/src/leader.rs
+++ b/components/front/src/leader.rs
@@ -144,7 +144,7 @@
         let models = models(front, &service.models);
         // Texts that may mix versions go on under the new one; others would be begun anew,
         // and a long one that is begun anew ends its step late.
-        let mode = match routes.needs_one_version(name) {
+        let mode = match routes.requires_single_version(name) {
             true => LoadMode::Wait,
             false => LoadMode::Retain,
         };
--- a/components/front/src/peers.rs
+++ b/components/front/src/peers.rs
@@ -102,7 +102,7 @@
 impl ReplicaTable {
     /// The next table: peers of replicas that stay are kept.
     pub fn next<'a>(&self, replicas: impl Iterator<Item = &'a Arc<Replica>>) -> Self {
-        let incarnation = |replica: &Replica| (Arc::clone(&replica.id), replica.born_ms);
+        let incarnation = |replica: &Replica| (Arc::clone(&replica.id), replica.started_ms);
         let mut known: HashMap<(ReplicaId, Option<u64>), Arc<Peer>> = HashMap::new();
         for member in self.iter() {
             known.insert(incarnation(&member.replica), Arc::clone(&member.peer));
--- a/components/front/src/run_item.rs
+++ b/components/front/src/run_item.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dispatch::{Admission, Pace};
+use dispatch::{Admission, EventInterval};
 use hyper::Method;
 use platform::replica::{self, Call, ItemEnd, ItemRun, ItemStart, ReplicaError};
 use platform::sse::Event;
@@ -43,7 +43,7 @@
     /// Time until the item is given up, in milliseconds.
     pub left_ms: u64,
     /// How fast the replica makes events.
-    pub pace: Arc<Pace>,
+    pub pace: Arc<EventInterval>,
     /// Learns that the replica takes items.
     pub admission: Arc<Admission>,
     /// Stops the run, so that another replica goes on.
@@ -104,7 +104,7 @@
                 }
                 let now_us = now_us();
                 spec.heard_ms.store(now_us / 1_000, Ordering::Relaxed);
-                spec.admission.taken(now_us / 1_000);
+                spec.admission.record_start(now_us / 1_000);
                 if let Some(last_us) = last_us.replace(now_us) {
                     spec.pace.record(now_us - last_us, now_us / 1_000);
                 }
--- a/components/front/src/runner/contests.rs
+++ b/components/front/src/runner/contests.rs
@@ -6,7 +6,7 @@
 pub(super) struct Candidate {
     pub(super) key: Key,
     pub(super) head: Arc<StepHead>,
-    pub(super) waiting: Waiting,
+    pub(super) waiting: WaitingItem,
     pub(super) left_ms: u64,
 }
 
@@ -182,7 +182,7 @@
             return;
         }
         let waiting = self.waiting_of(step, &owned, now_ms);
-        let Some(route) = routes.exact(&step.head.host, &step.head.prefix) else {
+        let Some(route) = routes.find_exact(&step.head.host, &step.head.prefix) else {
             found.hopeless.extend(waiting);
             return;
         };
@@ -234,7 +234,7 @@
             key,
             head: Arc::clone(&step.head),
             left_ms,
-            waiting: Waiting {
+            waiting: WaitingItem {
                 model,
                 turn: precedence.turn,
                 rank: precedence.rank,
--- a/components/front/src/runner/engines.rs
+++ b/components/front/src/runner/engines.rs
@@ -7,7 +7,7 @@
     /// When the replica started, where it says so.
     pub(super) born_ms: Option<u64>,
     pub(super) running: Arc<AtomicU32>,
-    pub(super) pace: Arc<Pace>,
+    pub(super) pace: Arc<EventInterval>,
     pub(super) admissions: HashMap<Arc<str>, Arc<Admission>>,
     /// Versions that it had at the last look, by model.
     pub(super) versions: HashMap<Arc<str>, u64>,
@@ -31,7 +31,7 @@
             let before = self.versions.insert(Arc::clone(model), version);
             let renewed = before.is_some_and(|before| before != version);
             if let Some(admission) = self.admissions.get(model).filter(|_| renewed) {
-                admission.renewed();
+                admission.reset();
             }
         }
     }
@@ -39,7 +39,7 @@
     /// Items of a model that it takes, where `free` places are free.
     fn open(&self, model: &str, free: u32, now_ms: u64) -> u32 {
         let admission = self.admissions.get(model);
-        admission.map_or(free, |known| known.places(free, now_ms))
+        admission.map_or(free, |known| known.usable_slots(free, now_ms))
     }
 }
 
@@ -76,7 +76,7 @@
         }
         let typical_us = self.typical_us(members);
         self.pause_us = typical_us;
-        let full = self.with_stalled_runs(stalled_ms(typical_us), now_ms);
+        let full = self.with_stalled_runs(stall_threshold_ms(typical_us), now_ms);
         members
             .iter()
             .map(|(member, foreign)| {
@@ -89,11 +89,11 @@
                 Engine {
                     foreign: *foreign,
                     versions: versions(member, models),
-                    open: models
+                    model_slots: models
                         .iter()
                         .map(|model| state.open(model, free, now_ms))
                         .collect(),
-                    free,
+                    free_slots: free,
                     running,
                     slowness: slowness(&state.pace, typical_us, now_ms),
                 }
@@ -112,7 +112,7 @@
             .retain(|id, state| listed.contains(id) || state.running.load(Ordering::Relaxed) > 0);
         // Pace and refusals of a replica that started again under its id are another one's.
         for member in table.iter() {
-            let born_ms = member.replica.born_ms;
+            let born_ms = member.replica.started_ms;
             let started_again =
                 |state: &EngineState| state.born_ms.is_some() && state.born_ms != born_ms;
             match self.engines.get_mut(&member.replica.id) {
@@ -171,7 +171,7 @@
         engines: &mut [Engine],
         now_ms: u64,
     ) {
-        let stalled_ms = stalled_ms(self.pause_us);
+        let stalled_ms = stall_threshold_ms(self.pause_us);
         let numbers: HashMap<&ReplicaId, usize> = members
             .iter()
             .enumerate()
--- a/components/front/src/runner/look.rs
+++ b/components/front/src/runner/look.rs
@@ -59,12 +59,12 @@
         self.forget_gone(&table);
         let members = contest.members(&table, |replica| self.runs_at(replica));
         let mut engines = self.engines_for(&members, &contest.models, now_ms);
-        let waiting: Vec<Waiting> = contest
+        let waiting: Vec<WaitingItem> = contest
             .waiting
             .iter()
             .map(|item| self.as_it_waits(item, &members, &engines))
             .collect();
-        for Placed { item, engine } in place(&waiting, &mut engines) {
+        for Placement { item, engine } in place(&waiting, &mut engines) {
             self.start_one(&contest.waiting[item], &members[engine].0);
         }
         self.move_runs(&contest, &members, &mut engines, now_ms);
@@ -75,18 +75,18 @@
         item: &Candidate,
         members: &[(Member, bool)],
         engines: &[Engine],
-    ) -> Waiting {
+    ) -> WaitingItem {
         let broke_at = self.partials.get(&item.key).and_then(|(_, at)| at.as_ref());
         let avoid = broke_at.and_then(|broke_at| {
             members
                 .iter()
                 .position(|(member, _)| member.replica.id == *broke_at)
         });
-        let mut waiting = Waiting {
+        let mut waiting = WaitingItem {
             avoid,
             ..item.waiting.clone()
         };
-        if lost_its_version(&waiting, engines) {
+        if has_lost_version(&waiting, engines) {
             self.restart_text(item.key);
             waiting.only_version = None;
         }
@@ -114,7 +114,7 @@
         };
         let replica = Arc::clone(&member.replica.id);
         let admission = self.admission(&replica, &item.head.model);
-        admission.tried(now_ms());
+        admission.record_attempt(now_ms());
         let state = self
             .engines
             .entry(Arc::clone(&replica))
--- a/components/front/src/runner/mod.rs
+++ b/components/front/src/runner/mod.rs
@@ -19,8 +19,9 @@
 
 use bytes::Bytes;
 use dispatch::{
-    Admission, Engine, MoveCause, Pace, Placed, Replica, ReplicaId, Route, Routes, Run, Waiting,
-    WaitingRank, lost_its_version, place, runs_to_move, slowness, stalled_ms, text_left_ms,
+    Admission, Engine, EventInterval, MoveCause, Placement, Replica, ReplicaId, Route, Routes, Run,
+    WaitingItem, WaitingRank, has_lost_version, place, runs_to_move, slowness, stall_threshold_ms,
+    text_left_ms,
 };
 use leaving::Working;
 use ownership::{replica_shards, shard_partition};
@@ -210,7 +211,7 @@
             }
             RunEnd::NotRun(why) => {
                 log::debug!(event = "item-not-run", step = step.0, item, replica = &*replica, why; "");
-                self.admission(&replica, &head.model).refused(now_ms);
+                self.admission(&replica, &head.model).record_refusal(now_ms);
                 self.note_broken(key, replica);
             }
             RunEnd::Broken(why) => {
@@ -218,7 +219,7 @@
                     event = "item-broken", step = step.0, item, replica = &*replica,
                     events, why; ""
                 );
-                self.admission(&replica, &head.model).refused(now_ms);
+                self.admission(&replica, &head.model).record_refusal(now_ms);
                 self.note_broken(key, replica);
             }
             RunEnd::Unready => {
@@ -228,7 +229,7 @@
                 let stopping = running
                     .as_ref()
                     .and_then(|running| running.at.as_ref()?.stopping);
-                let why = stopping.map_or("told", MoveCause::word);
+                let why = stopping.map_or("told", MoveCause::as_str);
                 log::info!(
                     event = "item-moved", step = step.0, item, replica = &*replica, events, why; ""
                 );
--- a/components/front/src/serve.rs
+++ b/components/front/src/serve.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use customers::Customer;
-use dispatch::{CallEnd, Route, RouteKind, Routes};
+use dispatch::{CallFailure, Route, RouteKind, Routes};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
 use platform::ingress::{self, Asked};
@@ -166,7 +166,7 @@
     let Some(id) = id else {
         return ingress::own_answer(StatusCode::BAD_REQUEST, None, None, "no request id");
     };
-    let limit_bytes = routes.limits.body_bytes;
+    let limit_bytes = routes.limits.body_bytes_max;
     let stated = ingress::stated_length(&parts.headers).unwrap_or(0);
     if stated > limit_bytes as u64 {
         return too_large(id);
@@ -234,9 +234,9 @@
             Err(failed) => {
                 log::warn!(event = "stream-failed", id, not_run = failed.not_run, why = failed.why; "");
                 let end = if failed.not_run {
-                    CallEnd::NotRun
+                    CallFailure::NotRun
                 } else {
-                    CallEnd::Unknown
+                    CallFailure::Unknown
                 };
                 ended(end, id)
             }
@@ -253,19 +253,19 @@
     }
 }
 
-fn ended(end: CallEnd, id: &str) -> Response<ReplyBody> {
+fn ended(end: CallFailure, id: &str) -> Response<ReplyBody> {
     match end {
-        CallEnd::NotRun => {
+        CallFailure::NotRun => {
             let status = StatusCode::SERVICE_UNAVAILABLE;
             ingress::own_answer(status, Some(id), Some(BUSY_AGAIN_MS), "not run")
         }
-        CallEnd::TimedOut => ingress::own_answer(
+        CallFailure::TimedOut => ingress::own_answer(
             StatusCode::GATEWAY_TIMEOUT,
             Some(id),
             None,
             "no answer in time",
         ),
-        CallEnd::Unknown => {
+        CallFailure::Unknown => {
             ingress::own_answer(StatusCode::BAD_GATEWAY, Some(id), None, "it may have run")
         }
     }
--- a/components/front/src/state.rs
+++ b/components/front/src/state.rs
@@ -10,7 +10,7 @@
 
 use arc_swap::{ArcSwap, ArcSwapOption};
 use customers::KeyMarks;
-use dispatch::{Routes, Typical};
+use dispatch::{Routes, TypicalDuration};
 use index::Index;
 use lease::Lease;
 use leaving::Drain;
@@ -93,7 +93,7 @@
     pub drain: Drain,
     /// Turns true when kept connections of clients close.
     pub closing: watch::Sender<bool>,
-    typical: Mutex<HashMap<Arc<str>, Arc<Typical>>>,
+    typical: Mutex<HashMap<Arc<str>, Arc<TypicalDuration>>>,
 }
 
 impl Front {
@@ -203,12 +203,12 @@
     }
 
     /// How long calls of this route take.
-    pub fn typical(&self, route: &Arc<str>) -> Arc<Typical> {
+    pub fn typical(&self, route: &Arc<str>) -> Arc<TypicalDuration> {
         let mut typical = locked(&self.typical);
         if let Some(known) = typical.get(route) {
             return Arc::clone(known);
         }
-        let new = Arc::new(Typical::new(TYPICAL_GUESS_MS));
+        let new = Arc::new(TypicalDuration::new(TYPICAL_GUESS_MS));
         typical.insert(Arc::clone(route), Arc::clone(&new));
         new
     }
--- a/components/front/src/stream.rs
+++ b/components/front/src/stream.rs
@@ -61,7 +61,7 @@
 
 fn pick(front: &Front, spec: &CallSpec<'_>, tried: &[ReplicaId]) -> Option<Member> {
     let table = front.replicas.load();
-    let service = spec.route.draw(rand::random())?;
+    let service = spec.route.pick_service(rand::random())?;
     let typical = front.typical(&spec.route.name);
     choose_of(front, &table, service, &typical, tried, false)
 }
--- a/components/inspect/src/read.rs
+++ b/components/inspect/src/read.rs
@@ -64,7 +64,7 @@
         let mut found = (0, Vec::new());
         for record in newest {
             if let OperatorRecord::Routes(routes) = operator_record(&record.key, &record.value)? {
-                let rows = routes.all().into_iter().map(RouteRow::from);
+                let rows = routes.sorted().into_iter().map(RouteRow::from);
                 found = (routes.version, rows.collect());
             }
         }
