--- a/components/front/src/follow/index.rs
+++ b/components/front/src/follow/index.rs
@@ -66,7 +66,7 @@
     if front.index_failing.load(Ordering::Relaxed) {
         return;
     }
-    let _waiting = front.demand.wait();
+    let _waiting = front.demand.begin_wait();
     let asked_ms = now_ms();
     let until = Instant::now() + Duration::from_millis(NEWEST_MS);
     loop {
--- a/components/front/src/follow/mod.rs
+++ b/components/front/src/follow/mod.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use pacing::{Pacer, ReadEnd, TopicPace};
+use pacing::{Pacer, ReadOutcome, TopicPace};
 use platform::store::StoreError;
 use reach::{ReadTimeout, read_timeout};
 use telemetry::Label;
@@ -51,7 +51,7 @@
     partition: u32,
     next: u64,
     pacer: Pacer,
-    end: ReadEnd,
+    end: ReadOutcome,
 }
 
 impl<'a> Follower<'a> {
@@ -63,7 +63,7 @@
             partition,
             next: 0,
             pacer: Pacer::new(pace),
-            end: ReadEnd::Behind,
+            end: ReadOutcome::MoreAvailable,
         }
     }
 
@@ -73,11 +73,11 @@
         let wait_ms = match self.end {
             // What is there is not waited for; nor is the proof of a front that starts that
             // nothing is.
-            ReadEnd::Behind => 0,
+            ReadOutcome::MoreAvailable => 0,
             _ => self.pacer.wait_ms(self.front.demand.urgency()),
         };
         let ReadTimeout { wait_ms, within } =
-            read_timeout(self.pacer.failed(), wait_ms, READ_SLACK_MS);
+            read_timeout(self.pacer.consecutive_failures(), wait_ms, READ_SLACK_MS);
         let from = ReadFrom {
             topic: self.topic,
             partition: self.partition,
@@ -91,9 +91,9 @@
                 self.next += page.records.len() as u64;
                 let current = self.next >= page.end;
                 self.ended(match (current, page.records.is_empty()) {
-                    (false, _) => ReadEnd::Behind,
-                    (true, false) => ReadEnd::Records,
-                    (true, true) => ReadEnd::Nothing,
+                    (false, _) => ReadOutcome::MoreAvailable,
+                    (true, false) => ReadOutcome::Records,
+                    (true, true) => ReadOutcome::Empty,
                 });
                 Batch::Records {
                     from,
@@ -104,7 +104,7 @@
             Err(StoreError::Gone(first)) => {
                 log::info!(event = "history-gone", topic = self.topic, next = self.next, first; "");
                 self.next = first;
-                self.ended(ReadEnd::Behind);
+                self.ended(ReadOutcome::MoreAvailable);
                 Batch::Trimmed
             }
             Err(error) => {
@@ -122,7 +122,7 @@
         match self.front.storage.newest(self.topic, within).await {
             Ok((records, end)) => {
                 self.next = end;
-                self.ended(ReadEnd::Behind);
+                self.ended(ReadOutcome::MoreAvailable);
                 Some(records)
             }
             Err(error) => {
@@ -146,12 +146,14 @@
         }
     }
 
-    fn ended(&mut self, end: ReadEnd) {
-        if self.pacer.failed() > 0 && !matches!(end, ReadEnd::Throttled | ReadEnd::Failed) {
+    fn ended(&mut self, end: ReadOutcome) {
+        if self.pacer.consecutive_failures() > 0
+            && !matches!(end, ReadOutcome::Throttled | ReadOutcome::Failed)
+        {
             log::info!(event = "store-regained", topic = self.topic, next = self.next; "");
         }
         self.end = end;
-        self.pacer.ended(end);
+        self.pacer.record_outcome(end);
     }
 
     /// One line for each row of failed reads.
@@ -159,12 +161,12 @@
         self.front
             .metrics
             .count("front_store_reads_failed_total", Label::default(), 1);
-        if self.pacer.failed() == 0 {
+        if self.pacer.consecutive_failures() == 0 {
             log::warn!(event = "store-read-failed", topic = self.topic, error:% = error; "");
         }
         self.ended(match error {
-            StoreError::Throttled(_) => ReadEnd::Throttled,
-            _ => ReadEnd::Failed,
+            StoreError::Throttled(_) => ReadOutcome::Throttled,
+            _ => ReadOutcome::Failed,
         });
     }
 }
--- a/components/front/src/jobs/mod.rs
+++ b/components/front/src/jobs/mod.rs
@@ -16,7 +16,7 @@
 use dispatch::{Route, Routes};
 use hyper::StatusCode;
 use index::LogRecord;
-use orders::PLACES_AN_ITEM;
+use orders::SLOTS_PER_ITEM;
 use platform::jobs::{self, Submission};
 use steps::{DataRange, IndexRecord, StepHead, StepId};
 
@@ -243,7 +243,7 @@
         .map(|head| (head.model.as_str(), head.items.len()))
         .collect();
     items.insert(&submission.model, submission.heads.len());
-    let filled = items.values().sum::<usize>() as u32 * PLACES_AN_ITEM;
+    let filled = items.values().sum::<usize>() as u32 * SLOTS_PER_ITEM;
     ownership::shard_count(
         places.min(filled),
         front.shard_places.load(Ordering::Relaxed),
--- a/components/front/src/leader.rs
+++ b/components/front/src/leader.rs
@@ -7,7 +7,7 @@
 use dispatch::ReplicaId;
 use index::LogRecord;
 use lease::is_candidate;
-use orders::{Fleet, Model, Node, OrderSettings, plan};
+use orders::{Fleet, Model, OrderSettings, Replica, plan_loads};
 use pacing::Activity;
 use platform::replica::{self, LoadMode, Order, OrderAnswer, ReplicaError};
 use steps::StepHead;
@@ -149,9 +149,9 @@
             false => LoadMode::Retain,
         };
         let fleet = fleet(&members, models, ordered, now_ms);
-        for load in plan(&fleet, &OrderSettings::default()) {
+        for load in plan_loads(&fleet, &OrderSettings::default()) {
             all.push(Planned {
-                member: members[load.node].clone(),
+                member: members[load.replica].clone(),
                 model: Arc::clone(&service.models[load.model]),
                 version: load.version,
                 mode,
@@ -168,8 +168,8 @@
         let step = newest.get(&**name);
         Model {
             name: name.to_string(),
-            named: named.get(name).copied().unwrap_or(0),
-            work: step.map_or(0, |step| step.expected_tokens()),
+            newest_version: named.get(name).copied().unwrap_or(0),
+            work_tokens: step.map_or(0, |step| step.expected_tokens()),
             items: step.map_or(0, |step| step.items.len() as u64),
         }
     };
@@ -207,15 +207,18 @@
             .iter()
             .map(|model| member.replica.version_of(&model.name).unwrap_or(0))
             .collect();
-        Node {
+        Replica {
             versions,
             loading,
-            free: order.is_none(),
+            accepts_orders: order.is_none(),
             slots: u64::from(member.replica.slots),
         }
     };
     let nodes = members.iter().map(node).collect();
-    Fleet { models, nodes }
+    Fleet {
+        models,
+        replicas: nodes,
+    }
 }
 
 fn begin_order(front: &Arc<Front>, ordered: &InProgress, load: Planned) {
--- a/components/front/src/member.rs
+++ b/components/front/src/member.rs
@@ -136,7 +136,7 @@
                 );
             }
             let succeeds = lease::is_successor(ownership.partitions().iter());
-            front.demand.set_active(Activity::Succession, succeeds);
+            front.demand.set_active(Activity::Standby, succeeds);
             front.owned.store(Arc::new(ownership.clone()));
             if changed {
                 front.handed_on.store(true, Ordering::Relaxed);
--- a/components/front/src/results.rs
+++ b/components/front/src/results.rs
@@ -106,7 +106,7 @@
     if front.storage.silent_ms(now_ms()) >= SILENT_MS {
         return Read::Unsure("the store is silent");
     }
-    let _waiting = front.demand.wait();
+    let _waiting = front.demand.begin_wait();
     let mut news = front.index_news.subscribe();
     let mut until = tokio::time::Instant::now() + wait;
     let mut gathers = false;
--- a/components/orders/src/lib.rs
+++ b/components/orders/src/lib.rs
@@ -8,4 +8,4 @@
 
 mod plan;
 
-pub use plan::{Fleet, Load, Model, Node, OrderSettings, PLACES_AN_ITEM, plan};
+pub use plan::{Fleet, LoadOrder, Model, OrderSettings, Replica, SLOTS_PER_ITEM, plan_loads};
--- a/components/orders/tests/plan.rs
+++ b/components/orders/tests/plan.rs
@@ -1,22 +1,22 @@
 //! The plan of loads, under trainers that name versions all the time.
 
-use orders::{Fleet, Load, Model, Node, OrderSettings, plan};
+use orders::{Fleet, LoadOrder, Model, OrderSettings, Replica, plan_loads};
 use quickcheck::{Arbitrary, Gen};
 
 fn model(name: &str, named: u64) -> Model {
     Model {
         name: name.to_owned(),
-        named,
-        work: 0,
+        newest_version: named,
+        work_tokens: 0,
         items: 0,
     }
 }
 
-fn node(versions: &[u64]) -> Node {
-    Node {
+fn node(versions: &[u64]) -> Replica {
+    Replica {
         versions: versions.to_vec(),
         loading: None,
-        free: true,
+        accepts_orders: true,
         slots: 6,
     }
 }
@@ -29,12 +29,12 @@
             .zip(names)
             .map(|(named, name)| model(name, *named))
             .collect(),
-        nodes: versions.iter().map(|held| node(held)).collect(),
+        replicas: versions.iter().map(|held| node(held)).collect(),
     }
 }
 
-fn loads(fleet: &Fleet) -> Vec<Load> {
-    plan(fleet, &OrderSettings::default())
+fn loads(fleet: &Fleet) -> Vec<LoadOrder> {
+    plan_loads(fleet, &OrderSettings::default())
 }
 
 /// Carries loads out one round after the other until nothing is planned; gives their number.
@@ -49,7 +49,7 @@
         rounds += 1;
         assert!(rounds < 100, "the plan never settles");
         for load in planned {
-            fleet.nodes[load.node].versions[load.model] = load.version;
+            fleet.replicas[load.replica].versions[load.model] = load.version;
             count += 1;
         }
     }
@@ -70,16 +70,19 @@
                 .map(|newest| newest - u64::arbitrary(g) % (newest + 1))
                 .collect();
             let mut node = node(&held);
-            node.free = bool::arbitrary(g);
+            node.accepts_orders = bool::arbitrary(g);
             if models > 0 && bool::arbitrary(g) {
                 let model = usize::arbitrary(g) % models;
                 node.loading = Some((model, named[model]));
-                node.free = false;
+                node.accepts_orders = false;
             }
             nodes.push(node);
         }
         let models = named.iter().map(|named| model("m", *named)).collect();
-        Any(Fleet { models, nodes })
+        Any(Fleet {
+            models,
+            replicas: nodes,
+        })
     }
 }
 
@@ -88,27 +91,27 @@
     fn loads_keep_their_bounds(any: Any) -> bool {
         let settings = OrderSettings::default();
         let planned = loads(&any.0);
-        let running = any.0.nodes.iter().filter(|node| node.loading.is_some()).count();
-        let mut nodes: Vec<usize> = planned.iter().map(|load| load.node).collect();
+        let running = any.0.replicas.iter().filter(|node| node.loading.is_some()).count();
+        let mut nodes: Vec<usize> = planned.iter().map(|load| load.replica).collect();
         nodes.dedup();
         assert_eq!(nodes.len(), planned.len());
         planned.iter().all(|load| {
-            let node = &any.0.nodes[load.node];
-            node.free && node.versions[load.model] < load.version
-        }) && planned.len() + running <= settings.loads_at_once(any.0.nodes.len()).max(running)
+            let node = &any.0.replicas[load.replica];
+            node.accepts_orders && node.versions[load.model] < load.version
+        }) && planned.len() + running <= settings.loads_at_once(any.0.replicas.len()).max(running)
     }
 
     // Whatever the replicas hold, each model ends with replicas of use.
     fn every_model_gets_replicas_of_use(any: Any) -> bool {
         let mut fleet = any.0;
-        for node in &mut fleet.nodes {
+        for node in &mut fleet.replicas {
             node.loading = None;
-            node.free = true;
+            node.accepts_orders = true;
         }
         settle(&mut fleet);
-        fleet.nodes.is_empty() || (0..fleet.models.len()).all(|model| {
-            let named = fleet.models[model].named;
-            fleet.nodes.iter().any(|node| node.versions[model] + 1 >= named)
+        fleet.replicas.is_empty() || (0..fleet.models.len()).all(|model| {
+            let named = fleet.models[model].newest_version;
+            fleet.replicas.iter().any(|node| node.versions[model] + 1 >= named)
         })
     }
 }
@@ -120,9 +123,14 @@
     let mut fleet = fleet(&[1], &[&[1][..]; 9]);
     let mut counts = Vec::new();
     for named in 2..8 {
-        fleet.models[0].named = named;
+        fleet.models[0].newest_version = named;
         counts.push(settle(&mut fleet));
-        assert!(fleet.nodes.iter().all(|node| node.versions[0] + 1 >= named));
+        assert!(
+            fleet
+                .replicas
+                .iter()
+                .all(|node| node.versions[0] + 1 >= named)
+        );
     }
     assert_eq!(counts, [4, 5, 4, 5, 4, 5]);
 }
@@ -133,7 +141,7 @@
     let mut fleet = fleet(&[1, 1, 1], &[&[1, 1, 1][..]; 9]);
     for named in 2..8 {
         for model in 0..3 {
-            fleet.models[model].named = named;
+            fleet.models[model].newest_version = named;
             let count = settle(&mut fleet);
             assert!(
                 count <= 3,
@@ -156,7 +164,7 @@
     let versions: Vec<Vec<u64>> = (0..9).map(|_| vec![7, 7, 5]).collect();
     let versions: Vec<&[u64]> = versions.iter().map(Vec::as_slice).collect();
     let mut fleet = fleet(&[9, 9, 9], &versions);
-    for node in &mut fleet.nodes[..3] {
+    for node in &mut fleet.replicas[..3] {
         node.versions = vec![8, 8, 5];
     }
     let models: Vec<usize> = loads(&fleet).iter().map(|load| load.model).collect();
@@ -206,12 +214,12 @@
     for case in cases {
         let mut fleet = fleet(&[9, 9, 9], &[&[1, 1, 1][..]; 12]);
         for (model, work) in fleet.models.iter_mut().zip(case.work) {
-            model.work = work;
+            model.work_tokens = work;
         }
         settle(&mut fleet);
         let of_use = |model| {
-            let of_use = |node: &&Node| node.versions[model] + 1 >= 9;
-            fleet.nodes.iter().filter(of_use).count()
+            let of_use = |node: &&Replica| node.versions[model] + 1 >= 9;
+            fleet.replicas.iter().filter(of_use).count()
         };
         assert_eq!([0, 1, 2].map(of_use), case.useful, "{}", case.name);
     }
@@ -261,7 +269,7 @@
 fn settle_slowly(fleet: &mut Fleet) -> usize {
     let mut count = 0;
     while let Some(load) = loads(fleet).first() {
-        fleet.nodes[load.node].versions[load.model] = load.version;
+        fleet.replicas[load.replica].versions[load.model] = load.version;
         count += 1;
     }
     count
--- a/components/pacing/src/demand.rs
+++ b/components/pacing/src/demand.rs
@@ -15,7 +15,7 @@
     /// It gives orders to replicas.
     Orders = 2,
     /// It is the first to give orders when nobody does, and must notice that soon.
-    Succession = 4,
+    Standby = 4,
 }
 
 /// Activities whose records are wanted as they are written.
@@ -49,11 +49,11 @@
     }
 
     /// Notes that a client waits for records until the guard is dropped.
-    pub fn wait(&self) -> Waiting<'_> {
+    pub fn begin_wait(&self) -> WaitGuard<'_> {
         if self.waiting.fetch_add(1, Ordering::Relaxed) == 0 {
             self.raised.notify_waiters();
         }
-        Waiting(self)
+        WaitGuard(self)
     }
 
     /// How soon the next read is needed.
@@ -75,9 +75,9 @@
 
 /// A client that waits for records.
 #[derive(Debug)]
-pub struct Waiting<'a>(&'a Demand);
+pub struct WaitGuard<'a>(&'a Demand);
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
         self.0.waiting.fetch_sub(1, Ordering::Relaxed);
     }
--- a/components/pacing/src/lib.rs
+++ b/components/pacing/src/lib.rs
@@ -15,6 +15,6 @@
 mod pacer;
 mod paces;
 
-pub use demand::{Activity, Demand, Waiting};
-pub use pacer::{Pacer, ReadEnd, TopicPace, Urgency};
+pub use demand::{Activity, Demand, WaitGuard};
+pub use pacer::{Pacer, ReadOutcome, TopicPace, Urgency};
 pub use paces::{LOG_PACE, REPLICA_PACE};
--- a/components/pacing/src/pacer.rs
+++ b/components/pacing/src/pacer.rs
@@ -13,13 +13,13 @@
 
 /// How a read ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReadEnd {
+pub enum ReadOutcome {
     /// It brought records, and more are there.
-    Behind,
+    MoreAvailable,
     /// It brought records up to the end of the log.
     Records,
     /// It waited and brought nothing.
-    Nothing,
+    Empty,
     /// The store refused it for its budget of calls.
     Throttled,
     /// It failed for another reason.
@@ -78,7 +78,7 @@
     }
 
     /// Reads that failed in a row.
-    pub fn failed(&self) -> u32 {
+    pub fn consecutive_failures(&self) -> u32 {
         self.failed
     }
 
@@ -91,31 +91,31 @@
     }
 
     /// Notes how a read ended.
-    pub fn ended(&mut self, end: ReadEnd) {
+    pub fn record_outcome(&mut self, end: ReadOutcome) {
         let stretch = self.stretch_hundredths;
         self.stretch_hundredths = match end {
-            ReadEnd::Throttled if self.failed == 0 => (stretch + STRETCH_MORE).min(STRETCH_MAX),
-            ReadEnd::Throttled | ReadEnd::Failed => stretch,
+            ReadOutcome::Throttled if self.failed == 0 => (stretch + STRETCH_MORE).min(STRETCH_MAX),
+            ReadOutcome::Throttled | ReadOutcome::Failed => stretch,
             _ => stretch.saturating_sub(STRETCH_LESS).max(STRETCH_MIN),
         };
         self.failed = match end {
-            ReadEnd::Throttled | ReadEnd::Failed => self.failed.saturating_add(1),
-            ReadEnd::Behind | ReadEnd::Records | ReadEnd::Nothing => 0,
+            ReadOutcome::Throttled | ReadOutcome::Failed => self.failed.saturating_add(1),
+            ReadOutcome::MoreAvailable | ReadOutcome::Records | ReadOutcome::Empty => 0,
         };
     }
 
     /// Interval until the next read, in milliseconds. `random` is drawn evenly for each interval.
-    pub fn interval_ms(&self, end: ReadEnd, urgency: Urgency, random: u64) -> u64 {
+    pub fn interval_ms(&self, end: ReadOutcome, urgency: Urgency, random: u64) -> u64 {
         let interval_ms = match end {
-            ReadEnd::Behind => 0,
+            ReadOutcome::MoreAvailable => 0,
             // The wait at the store was the interval of a process that needs its records soon.
-            ReadEnd::Nothing if urgency != Urgency::Idle => 0,
-            ReadEnd::Nothing | ReadEnd::Records => match urgency {
+            ReadOutcome::Empty if urgency != Urgency::Idle => 0,
+            ReadOutcome::Empty | ReadOutcome::Records => match urgency {
                 Urgency::Idle => self.pace.idle_ms * self.stretch_hundredths / 100,
                 Urgency::Waiting => self.pace.waiting_ms,
                 Urgency::Acting => self.pace.acting_ms,
             },
-            ReadEnd::Throttled | ReadEnd::Failed => self.backoff_ms(urgency),
+            ReadOutcome::Throttled | ReadOutcome::Failed => self.backoff_ms(urgency),
         };
         jittered(interval_ms, random)
     }
--- a/components/pacing/tests/load.rs
+++ b/components/pacing/tests/load.rs
@@ -2,7 +2,7 @@
 //!
 //! Load pattern: many followers of one log into which records are written all the time.
 
-use pacing::{LOG_PACE, Pacer, REPLICA_PACE, ReadEnd, Urgency};
+use pacing::{LOG_PACE, Pacer, REPLICA_PACE, ReadOutcome, Urgency};
 
 /// Simulated time.
 const DAY_MS: u64 = 10_000;
@@ -102,7 +102,7 @@
         if self.until_ms.is_none() && now_ms >= self.next_ms {
             if *budget == 0 {
                 counts.throttled += 1;
-                self.ended(ReadEnd::Throttled, now_ms, draw);
+                self.ended(ReadOutcome::Throttled, now_ms, draw);
                 return;
             }
             *budget -= 1;
@@ -113,8 +113,8 @@
             return;
         };
         let end = match (written > self.seen, now_ms >= until_ms) {
-            (true, _) => ReadEnd::Records,
-            (false, true) => ReadEnd::Nothing,
+            (true, _) => ReadOutcome::Records,
+            (false, true) => ReadOutcome::Empty,
             (false, false) => return,
         };
         self.seen = written;
@@ -124,8 +124,8 @@
         self.ended(end, now_ms, draw);
     }
 
-    fn ended(&mut self, end: ReadEnd, now_ms: u64, draw: u64) {
-        self.pacer.ended(end);
+    fn ended(&mut self, end: ReadOutcome, now_ms: u64, draw: u64) {
+        self.pacer.record_outcome(end);
         // The next call goes out a millisecond later at the earliest.
         self.next_ms = now_ms + 1 + self.pacer.interval_ms(end, self.urgency, draw);
     }
@@ -205,10 +205,10 @@
             behind_max = behind_max.max(end - next);
             next = end.min(next + 250);
             let read = match next < end {
-                true => ReadEnd::Behind,
-                false => ReadEnd::Records,
+                true => ReadOutcome::MoreAvailable,
+                false => ReadOutcome::Records,
             };
-            pacer.ended(read);
+            pacer.record_outcome(read);
             // A read takes 5 ms besides the interval.
             now_ms += 5 + pacer.interval_ms(read, case.urgency, draws.next());
         }
--- a/components/pacing/tests/pacer.rs
+++ b/components/pacing/tests/pacer.rs
@@ -1,6 +1,6 @@
 //! Intervals between the reads of one follower.
 
-use pacing::{Activity, Demand, LOG_PACE, Pacer, ReadEnd, Urgency};
+use pacing::{Activity, Demand, LOG_PACE, Pacer, ReadOutcome, Urgency};
 
 /// Draws in the middle of the jitter's span.
 const MIDDLE: [(u64, u64); 6] = [(0, 0), (20, 5), (50, 12), (100, 25), (200, 50), (500, 125)];
@@ -12,7 +12,7 @@
 
 struct Case {
     name: &'static str,
-    end: ReadEnd,
+    end: ReadOutcome,
     urgency: Urgency,
     failed: u32,
     interval_ms: u64,
@@ -28,46 +28,64 @@
         interval_ms,
     };
     let cases = [
-        case("more is there", ReadEnd::Behind, Urgency::Idle, 0, 0),
-        case("records, acting", ReadEnd::Records, Urgency::Acting, 0, 20),
+        case(
+            "more is there",
+            ReadOutcome::MoreAvailable,
+            Urgency::Idle,
+            0,
+            0,
+        ),
+        case(
+            "records, acting",
+            ReadOutcome::Records,
+            Urgency::Acting,
+            0,
+            20,
+        ),
         case(
             "records, a client waits",
-            ReadEnd::Records,
+            ReadOutcome::Records,
             Urgency::Waiting,
             0,
             50,
         ),
-        case("records, idle", ReadEnd::Records, Urgency::Idle, 0, 500),
-        case("nothing, acting", ReadEnd::Nothing, Urgency::Acting, 0, 0),
+        case("records, idle", ReadOutcome::Records, Urgency::Idle, 0, 500),
+        case("nothing, acting", ReadOutcome::Empty, Urgency::Acting, 0, 0),
         case(
             "nothing, a client waits",
-            ReadEnd::Nothing,
+            ReadOutcome::Empty,
             Urgency::Waiting,
             0,
             0,
         ),
-        case("nothing, idle", ReadEnd::Nothing, Urgency::Idle, 0, 500),
-        case("throttled once", ReadEnd::Throttled, Urgency::Idle, 1, 100),
+        case("nothing, idle", ReadOutcome::Empty, Urgency::Idle, 0, 500),
+        case(
+            "throttled once",
+            ReadOutcome::Throttled,
+            Urgency::Idle,
+            1,
+            100,
+        ),
         case(
             "throttled often, idle",
-            ReadEnd::Throttled,
+            ReadOutcome::Throttled,
             Urgency::Idle,
             40,
             800,
         ),
         case(
             "throttled often, acting",
-            ReadEnd::Throttled,
+            ReadOutcome::Throttled,
             Urgency::Acting,
             40,
             200,
         ),
-        case("failed twice", ReadEnd::Failed, Urgency::Idle, 2, 200),
+        case("failed twice", ReadOutcome::Failed, Urgency::Idle, 2, 200),
     ];
     for case in cases {
         let mut pacer = Pacer::new(LOG_PACE);
         for _ in 0..case.failed {
-            pacer.ended(case.end);
+            pacer.record_outcome(case.end);
         }
         let interval_ms = pacer.interval_ms(case.end, case.urgency, middle(case.interval_ms));
         assert_eq!(interval_ms, case.interval_ms, "{}", case.name);
@@ -80,7 +98,7 @@
     let pacer = Pacer::new(LOG_PACE);
     let draws = 0..1_000;
     let longest_ms = draws
-        .map(|draw| pacer.interval_ms(ReadEnd::Nothing, Urgency::Idle, draw))
+        .map(|draw| pacer.interval_ms(ReadOutcome::Empty, Urgency::Idle, draw))
         .max();
     assert!(longest_ms.unwrap_or(0) + pacer.wait_ms(Urgency::Idle) < 900);
 }
@@ -89,12 +107,12 @@
 fn can_start_at_the_first_interval_again_behind_a_read_that_came_through() {
     let mut pacer = Pacer::new(LOG_PACE);
     for _ in 0..9 {
-        pacer.ended(ReadEnd::Throttled);
+        pacer.record_outcome(ReadOutcome::Throttled);
     }
-    pacer.ended(ReadEnd::Nothing);
-    pacer.ended(ReadEnd::Throttled);
+    pacer.record_outcome(ReadOutcome::Empty);
+    pacer.record_outcome(ReadOutcome::Throttled);
     assert_eq!(
-        pacer.interval_ms(ReadEnd::Throttled, Urgency::Idle, 25),
+        pacer.interval_ms(ReadOutcome::Throttled, Urgency::Idle, 25),
         100
     );
 }
@@ -105,7 +123,7 @@
     let raises: [(&str, Raise, Urgency); 5] = [
         (
             "a client waits",
-            |demand| std::mem::forget(demand.wait()),
+            |demand| std::mem::forget(demand.begin_wait()),
             Urgency::Waiting,
         ),
         (
@@ -120,7 +138,7 @@
         ),
         (
             "succession",
-            |demand| demand.set_active(Activity::Succession, true),
+            |demand| demand.set_active(Activity::Standby, true),
             Urgency::Waiting,
         ),
         ("partitions", Demand::refresh, Urgency::Idle),
@@ -143,7 +161,7 @@
     demand.set_active(Activity::Items, false);
     assert_eq!(demand.urgency(), Urgency::Acting);
     demand.set_active(Activity::Orders, false);
-    let (first, second) = (demand.wait(), demand.wait());
+    let (first, second) = (demand.begin_wait(), demand.begin_wait());
     drop(first);
     assert_eq!(demand.urgency(), Urgency::Waiting);
     drop(second);
--- a/dev/sim/src/fleet/mod.rs
+++ b/dev/sim/src/fleet/mod.rs
@@ -10,7 +10,7 @@
 
 use lease::{LeaseRecord, is_candidate};
 use ownership::{SETTLING_MS, join_interval_ms};
-use pacing::ReadEnd;
+use pacing::ReadOutcome;
 
 use crate::SimError;
 use crate::draws::Draws;
@@ -56,7 +56,7 @@
     },
     Answered {
         topic: usize,
-        end: ReadEnd,
+        end: ReadOutcome,
         next: usize,
     },
     Join,
@@ -292,7 +292,7 @@
                 if follower.waits && follower.read == read {
                     follower.waits = false;
                     let next = follower.next;
-                    let end = ReadEnd::Nothing;
+                    let end = ReadOutcome::Empty;
                     self.at_front(front, ONE_WAY_MS, Event::Answered { topic, end, next });
                 }
             }
--- a/dev/sim/src/fleet/reading.rs
+++ b/dev/sim/src/fleet/reading.rs
@@ -19,7 +19,7 @@
         if turned_away || !self.store.take_read(self.now_ms) {
             self.count(|counts| counts.refused[topic] += 1);
             let next = self.fronts[front].followers[topic].next;
-            let end = ReadEnd::Throttled;
+            let end = ReadOutcome::Throttled;
             self.at_front(front, 2 * ONE_WAY_MS, Event::Answered { topic, end, next });
             return;
         }
@@ -44,14 +44,14 @@
         let bytes: u64 = page.iter().map(|record| record.bytes).sum();
         let next = from + page.len();
         let end = match next < log.end() {
-            true => ReadEnd::Behind,
-            false => ReadEnd::Records,
+            true => ReadOutcome::MoreAvailable,
+            false => ReadOutcome::Records,
         };
         self.count(|counts| counts.bytes[topic] += bytes);
         self.at_front(front, after_ms, Event::Answered { topic, end, next });
     }
 
-    pub(super) fn answered(&mut self, front: usize, topic: usize, end: ReadEnd, next: usize) {
+    pub(super) fn answered(&mut self, front: usize, topic: usize, end: ReadOutcome, next: usize) {
         let (now_ms, from) = (self.now_ms, self.fronts[front].followers[topic].next);
         for offset in from..next {
             let record = &self.store.logs[topic].page(offset, 0)[0];
@@ -70,10 +70,10 @@
         }
         let state = &mut self.fronts[front];
         state.followers[topic].next = next;
-        if topic == INDEX && matches!(end, ReadEnd::Records | ReadEnd::Nothing) {
+        if topic == INDEX && matches!(end, ReadOutcome::Records | ReadOutcome::Empty) {
             state.index_current_ms = now_ms;
         }
-        state.followers[topic].pacer.ended(end);
+        state.followers[topic].pacer.record_outcome(end);
         if topic == INDEX && next > from {
             self.lead(front);
         }
--- a/dev/sim/src/front.rs
+++ b/dev/sim/src/front.rs
@@ -107,7 +107,7 @@
         let succeeds = lease::is_successor(self.ownership.partitions().iter());
         // A trainer reads at one front all day here; its urgency is the same.
         let active = succeeds || self.has_trainer;
-        self.demand.set_active(Activity::Succession, active);
+        self.demand.set_active(Activity::Standby, active);
     }
 
     /// How old its knowledge of the index is; none before it was read once.
