--- a/components/front/src/follow/mod.rs
+++ b/components/front/src/follow/mod.rs
@@ -76,8 +76,10 @@
             ReadOutcome::MoreAvailable => 0,
             _ => self.pacer.wait_ms(self.front.demand.urgency()),
         };
-        let ReadTimeout { wait_ms, within } =
-            read_timeout(self.pacer.consecutive_failures(), wait_ms, READ_SLACK_MS);
+        let ReadTimeout {
+            wait_ms,
+            timeout: within,
+        } = read_timeout(self.pacer.consecutive_failures(), wait_ms, READ_SLACK_MS);
         let from = ReadFrom {
             topic: self.topic,
             partition: self.partition,
--- a/components/front/src/leave.rs
+++ b/components/front/src/leave.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use leaving::{DrainSettings, Step};
+use leaving::{DrainAction, DrainSettings};
 
 use crate::clock::now_ms;
 use crate::state::Front;
@@ -59,17 +59,17 @@
 /// Leaves; returns when the process may end.
 pub async fn leave(front: &Arc<Front>) {
     front.drain.start(now_ms());
-    log::info!(event = "leaving", work = front.drain.progress().count(); "");
+    log::info!(event = "leaving", work = front.drain.work_counter().count(); "");
     front.runner_news.notify_one();
     tokio::join!(leader::give_up(front), hand_over(front));
     loop {
-        match front.drain.step(now_ms()) {
-            Step::Exit { cut_off } => {
+        match front.drain.next_action(now_ms()) {
+            DrainAction::Exit { cut_off } => {
                 front.storage.calls.log();
                 log::info!(event = "left", cut_off; "");
                 return;
             }
-            Step::WaitUntil { .. } | Step::Serve => {
+            DrainAction::WaitUntil { .. } | DrainAction::Serve => {
                 let closing = front.drain.phase(now_ms()) == leaving::Phase::Finishing;
                 front.closing.send_if_modified(|known| {
                     let news = *known != closing;
--- a/components/front/src/meter.rs
+++ b/components/front/src/meter.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use leaving::{Progress, Working};
+use leaving::{WorkCounter, WorkGuard};
 use tokio::sync::Notify;
 use usage::{Batch, CustomerSeries, Tally, TrueTime, WindowSettings};
 
@@ -26,7 +26,7 @@
 struct Noted {
     tally: Tally,
     /// Keeps a leaving process until the counts are written.
-    unwritten: Option<Working>,
+    unwritten: Option<WorkGuard>,
 }
 
 /// What this front counts.
@@ -73,19 +73,19 @@
         locked(&self.series).rows()
     }
 
-    fn note(&self, customer: &str, began_ms: u64, progress: &Progress) {
+    fn note(&self, customer: &str, began_ms: u64, progress: &WorkCounter) {
         locked(&self.series).note(customer);
         let Some(windows) = &self.windows else { return };
         let window = windows.window_at(self.true_ms(began_ms));
         let mut noted = locked(&self.noted);
         noted.tally.note(window, customer);
         if noted.unwritten.is_none() {
-            noted.unwritten = Some(progress.enter());
+            noted.unwritten = Some(progress.begin());
         }
         self.news.notify_one();
     }
 
-    fn next_batch(&self) -> Option<(Batch, Option<Working>)> {
+    fn next_batch(&self) -> Option<(Batch, Option<WorkGuard>)> {
         let mut noted = locked(&self.noted);
         let batch = noted.tally.next_batch()?;
         Some((batch, noted.unwritten.take()))
@@ -127,7 +127,9 @@
         let first_ms = sent.filter(|at_ms| *at_ms > 0).min();
         if let (Some(customer), Some(first_ms)) = (self.customer, first_ms) {
             let front = self.front;
-            front.meter.note(customer, first_ms, front.drain.progress());
+            front
+                .meter
+                .note(customer, first_ms, front.drain.work_counter());
         }
     }
 }
--- a/components/front/src/runner/look.rs
+++ b/components/front/src/runner/look.rs
@@ -177,7 +177,7 @@
             Running {
                 abort: task.abort_handle(),
                 at: Some(at),
-                _working: self.front.drain.progress().enter(),
+                _working: self.front.drain.work_counter().begin(),
             },
         );
     }
--- a/components/front/src/runner/mod.rs
+++ b/components/front/src/runner/mod.rs
@@ -23,7 +23,7 @@
     WaitingItem, WaitingRank, has_lost_version, place, runs_to_move, slowness, stall_threshold_ms,
     text_left_ms,
 };
-use leaving::Working;
+use leaving::WorkGuard;
 use ownership::{replica_shards, shard_partition};
 use pacing::Activity;
 use steps::{ErrorCause, FailedPart, ItemData, ItemHead, Step, StepHead, StepId, decode_item};
@@ -83,7 +83,7 @@
     /// Where it runs; none once its text is whole.
     at: Option<RunningAt>,
     /// A leaving process stays until the text is listed, or its run is given up.
-    _working: Working,
+    _working: WorkGuard,
 }
 
 struct RunningAt {
--- a/components/front/src/runner/settle.rs
+++ b/components/front/src/runner/settle.rs
@@ -83,7 +83,7 @@
             Running {
                 abort: task.abort_handle(),
                 at: None,
-                _working: self.front.drain.progress().enter(),
+                _working: self.front.drain.work_counter().begin(),
             },
         );
     }
--- a/components/front/src/storage.rs
+++ b/components/front/src/storage.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use index::DATA_TOPIC;
 use platform::store::{KeyedRecord, Membership, Page, Store, StoreError};
-use reach::{Reach, Sign};
+use reach::{Availability, Reachability};
 
 use crate::clock::now_ms;
 use crate::store_calls::{GROUP, StoreCalls, TopicCalls};
@@ -41,7 +41,7 @@
 /// The store and whether it is within reach.
 pub struct Storage {
     store: Store,
-    reach: Reach,
+    reach: Reachability,
     /// Calls by topic.
     pub calls: StoreCalls,
     /// When anything was heard of the store last, in milliseconds.
@@ -53,7 +53,7 @@
     pub fn new(address: SocketAddr) -> Self {
         Self {
             store: Store::new(address),
-            reach: Reach::default(),
+            reach: Reachability::default(),
             calls: StoreCalls::default(),
             heard_ms: AtomicU64::new(now_ms()),
         }
@@ -66,12 +66,12 @@
 
     /// How often the store was lost and came back.
     pub fn returns(&self) -> u64 {
-        self.reach.returns()
+        self.reach.recoveries()
     }
 
     /// Whether the last call that ended found the store out of reach.
     pub fn is_lost(&self) -> bool {
-        self.reach.is_lost()
+        self.reach.is_unreachable()
     }
 
     /// How long nothing was heard of the store, in milliseconds: no answer, not even a refusal.
@@ -190,11 +190,11 @@
             StoreError::Unsure(_)
             | StoreError::NotDone(_)
             | StoreError::Unreachable(_)
-            | StoreError::Silent(_) => Sign::Unavailable,
+            | StoreError::Silent(_) => Availability::Unavailable,
             StoreError::Gone(_) | StoreError::Conflict(_) | StoreError::Malformed(_) => {
-                Sign::Available
+                Availability::Available
             }
-            StoreError::Throttled(_) => Sign::Nothing,
+            StoreError::Throttled(_) => Availability::Unknown,
         };
         let outcome = self.reach.call(call, sign_of).await;
         self.note(calls, outcome.unwrap_or_else(left_behind))
@@ -207,7 +207,7 @@
     ) -> Result<T, StoreError> {
         let calls = self.calls.of(GROUP);
         calls.count_read();
-        let outcome = self.reach.follow(call).await;
+        let outcome = self.reach.call_untracked(call).await;
         self.note(calls, outcome.unwrap_or_else(left_behind))
     }
 
--- a/components/gateway/src/admission.rs
+++ b/components/gateway/src/admission.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use leaving::Working;
+use leaving::WorkGuard;
 use limits::{InProgress, Permit, Request};
 use node::now_ms;
 use types::{Cause, Failure};
@@ -19,7 +19,7 @@
     pub account: Arc<Account>,
     in_progress: InProgress,
     _permit: Option<Permit>,
-    _working: Working,
+    _working: WorkGuard,
 }
 
 impl Admitted {
@@ -66,7 +66,7 @@
     job: &Job,
     account: Arc<Account>,
     mut in_progress: InProgress,
-    working: Working,
+    working: WorkGuard,
 ) -> Result<Admitted, Failure> {
     let permit = match permit(gateway, job, &account).await {
         Ok(permit) => permit,
--- a/components/gateway/src/keyed/relay.rs
+++ b/components/gateway/src/keyed/relay.rs
@@ -13,7 +13,7 @@
 use claims::{Holder, KeyDigest, Outcome, RequestDigest, Verdict, shard_of};
 use futures_util::stream;
 use http::Response;
-use leaving::Working;
+use leaving::WorkGuard;
 use link::CallEvent;
 use node::now_ms;
 use protocol::Head;
@@ -149,7 +149,7 @@
     }
 
     /// What a submission holds until its end is recorded, and while it has no verdict.
-    fn enter(&self) -> Result<(Working, Place), Failure> {
+    fn enter(&self) -> Result<(WorkGuard, Place), Failure> {
         let working = self.gateway.drain.admit(now_ms())?;
         let place = self.gateway.claims.room.enter(&self.job.payer)?;
         Ok((working, place))
--- a/components/gateway/src/refresh.rs
+++ b/components/gateway/src/refresh.rs
@@ -102,7 +102,7 @@
 }
 
 fn levels(gateway: &Gateway) {
-    let in_progress = gateway.drain.progress().count() as u64;
+    let in_progress = gateway.drain.work_counter().count() as u64;
     let label = Label::default();
     gateway
         .metrics
--- a/components/gateway/src/status.rs
+++ b/components/gateway/src/status.rs
@@ -104,7 +104,7 @@
         readiness: gateway.readiness().as_str(),
         leaving: gateway.drain.is_leaving(),
         isolated: snapshot.isolated,
-        in_progress: gateway.drain.progress().count(),
+        in_progress: gateway.drain.work_counter().count(),
         config: configured(&view),
         unmet_dependencies: view.unmet().iter().map(unmet).collect(),
         members: snapshot.members.iter().map(member).collect(),
--- a/components/leaving/src/drain.rs
+++ b/components/leaving/src/drain.rs
@@ -15,7 +15,7 @@
 use derive::{key, value};
 use types::{Cause, Failure};
 
-use crate::{Progress, Working};
+use crate::{WorkCounter, WorkGuard};
 
 const NOT_STARTED: u64 = u64::MAX;
 
@@ -67,7 +67,7 @@
 
 /// What the process does next.
 #[key]
-pub enum Step {
+pub enum DrainAction {
     /// Nothing until this time; ask again then, or when a piece of work ends.
     WaitUntil {
         /// On the process's monotonic clock.
@@ -86,7 +86,7 @@
 #[derive(Debug)]
 pub struct Drain {
     settings: DrainSettings,
-    progress: Progress,
+    progress: WorkCounter,
     started_ms: AtomicU64,
     closed: AtomicBool,
 }
@@ -96,7 +96,7 @@
     pub fn new(settings: DrainSettings) -> Self {
         Self {
             settings,
-            progress: Progress::default(),
+            progress: WorkCounter::default(),
             started_ms: AtomicU64::new(NOT_STARTED),
             closed: AtomicBool::new(false),
         }
@@ -134,11 +134,11 @@
     }
 
     /// Takes new work in, or refuses it as not run.
-    pub fn admit(&self, now_ms: u64) -> Result<Working, Failure> {
+    pub fn admit(&self, now_ms: u64) -> Result<WorkGuard, Failure> {
         // Counted first, asked after. The other way round, a thread that stops between
         // the two would let `step` see an empty count, and the process would exit under
         // a request that it had already admitted: a cut connection for the caller.
-        let working = self.progress.enter();
+        let working = self.progress.begin();
         match self.phase(now_ms) {
             Phase::Serving | Phase::Settling => Ok(working),
             Phase::Finishing => Err(self.refusal()),
@@ -151,23 +151,23 @@
     }
 
     /// Work in progress, for guards that do not come from [`Drain::admit`].
-    pub fn progress(&self) -> &Progress {
+    pub fn work_counter(&self) -> &WorkCounter {
         &self.progress
     }
 
     /// What to do next. Ask at the time that the last answer named and whenever a piece
     /// of work ends after the notice.
-    pub fn step(&self, now_ms: u64) -> Step {
+    pub fn next_action(&self, now_ms: u64) -> DrainAction {
         let started_ms = self.started_ms.load(Ordering::SeqCst);
         let settled_ms = started_ms.saturating_add(self.settings.settle_ms);
         match self.phase(now_ms) {
-            Phase::Serving => Step::Serve,
-            Phase::Settling => Step::WaitUntil { at_ms: settled_ms },
+            Phase::Serving => DrainAction::Serve,
+            Phase::Settling => DrainAction::WaitUntil { at_ms: settled_ms },
             Phase::Finishing => self.finish(settled_ms, now_ms),
         }
     }
 
-    fn finish(&self, settled_ms: u64, now_ms: u64) -> Step {
+    fn finish(&self, settled_ms: u64, now_ms: u64) -> DrainAction {
         // A request may be admitted with a time that was read before the process was
         // frozen. Once closed, its `admit` refuses whatever time it brings; and the
         // count is read after closing, so an earlier one is seen here.
@@ -175,8 +175,8 @@
         let left = self.progress.count();
         let last_ms = settled_ms.saturating_add(self.settings.finish_ms_max);
         if left == 0 || now_ms >= last_ms {
-            return Step::Exit { cut_off: left };
+            return DrainAction::Exit { cut_off: left };
         }
-        Step::WaitUntil { at_ms: last_ms }
+        DrainAction::WaitUntil { at_ms: last_ms }
     }
 }
--- a/components/leaving/src/lib.rs
+++ b/components/leaving/src/lib.rs
@@ -5,6 +5,6 @@
 mod probers;
 mod progress;
 
-pub use drain::{Drain, DrainSettings, Phase, Step};
+pub use drain::{Drain, DrainAction, DrainSettings, Phase};
 pub use probers::{Probers, ProbersSettings};
-pub use progress::{Progress, Working};
+pub use progress::{WorkCounter, WorkGuard};
--- a/components/leaving/src/probers.rs
+++ b/components/leaving/src/probers.rs
@@ -18,7 +18,7 @@
     /// prober in a thousand misses three. Its next probe tells it then.
     pub notices: u32,
     /// Time between two notices, in milliseconds.
-    pub notice_every_ms: u64,
+    pub notice_interval_ms: u64,
 }
 
 impl Default for ProbersSettings {
@@ -27,7 +27,7 @@
             recent_ms: 300_000,
             probers_max: 1_024,
             notices: 3,
-            notice_every_ms: 200,
+            notice_interval_ms: 200,
         }
     }
 }
@@ -53,7 +53,7 @@
     }
 
     /// Takes a probe in.
-    pub fn heard(&mut self, prober: SocketAddr, now_ms: u64) {
+    pub fn record_probe(&mut self, prober: SocketAddr, now_ms: u64) {
         let full = self.heard_ms.len() >= self.settings.probers_max;
         if full && !self.heard_ms.contains_key(&prober) {
             self.evict();
@@ -62,7 +62,7 @@
     }
 
     /// Starts telling them that this process leaves.
-    pub fn leave(&mut self, now_ms: u64) {
+    pub fn start_notices(&mut self, now_ms: u64) {
         self.notices_left = self.settings.notices;
         self.next_notice_ms = now_ms;
     }
@@ -73,12 +73,12 @@
     }
 
     /// Whom to send a status that says leaving now; empty before the next notice is due.
-    pub fn notify(&mut self, now_ms: u64) -> Vec<SocketAddr> {
+    pub fn due_recipients(&mut self, now_ms: u64) -> Vec<SocketAddr> {
         if self.notices_left == 0 || now_ms < self.next_notice_ms {
             return Vec::new();
         }
         self.notices_left -= 1;
-        self.next_notice_ms = now_ms + self.settings.notice_every_ms;
+        self.next_notice_ms = now_ms + self.settings.notice_interval_ms;
         self.recent(now_ms)
     }
 
--- a/components/leaving/src/progress.rs
+++ b/components/leaving/src/progress.rs
@@ -5,16 +5,16 @@
 
 /// Counts the work in progress; clones share the count.
 #[derive(Clone, Debug, Default)]
-pub struct Progress {
+pub struct WorkCounter {
     count: Arc<AtomicUsize>,
 }
 
-impl Progress {
+impl WorkCounter {
     /// Counts one more piece of work until the guard is dropped.
-    pub fn enter(&self) -> Working {
+    pub fn begin(&self) -> WorkGuard {
         // SeqCst: see `Drain::admit`, which reads the drain's state after this.
         self.count.fetch_add(1, Ordering::SeqCst);
-        Working {
+        WorkGuard {
             count: Arc::clone(&self.count),
         }
     }
@@ -27,11 +27,11 @@
 
 /// One piece of work in progress; ends when dropped.
 #[derive(Debug)]
-pub struct Working {
+pub struct WorkGuard {
     count: Arc<AtomicUsize>,
 }
 
-impl Drop for Working {
+impl Drop for WorkGuard {
     fn drop(&mut self) {
         self.count.fetch_sub(1, Ordering::SeqCst);
     }
--- a/components/leaving/tests/drain.rs
+++ b/components/leaving/tests/drain.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use leaving::{Drain, DrainSettings, Phase, Probers, ProbersSettings, Step};
+use leaving::{Drain, DrainAction, DrainSettings, Phase, Probers, ProbersSettings};
 use types::{Cause, RunState};
 
 const SETTINGS: DrainSettings = DrainSettings {
@@ -28,7 +28,10 @@
     assert!(!drain.is_ready());
     assert_eq!(drain.phase(1_099), Phase::Settling);
     let late = drain.admit(1_099).unwrap();
-    assert_eq!(drain.step(1_099), Step::WaitUntil { at_ms: 1_100 });
+    assert_eq!(
+        drain.next_action(1_099),
+        DrainAction::WaitUntil { at_ms: 1_100 }
+    );
     let refusal = drain.admit(1_100).unwrap_err();
     assert_eq!(
         (refusal.run, refusal.cause),
@@ -36,9 +39,12 @@
     );
     assert_eq!(refusal.retry_after_ms, Some(500));
     drop(early);
-    assert_eq!(drain.step(2_000), Step::WaitUntil { at_ms: 6_100 });
+    assert_eq!(
+        drain.next_action(2_000),
+        DrainAction::WaitUntil { at_ms: 6_100 }
+    );
     drop(late);
-    assert_eq!(drain.step(2_001), Step::Exit { cut_off: 0 });
+    assert_eq!(drain.next_action(2_001), DrainAction::Exit { cut_off: 0 });
 }
 
 /// The caller sees its call fail when it outlasts every deadline, and not before.
@@ -49,8 +55,11 @@
     let drain = Drain::new(SETTINGS);
     let _stuck = drain.admit(0).unwrap();
     drain.start(0);
-    assert_eq!(drain.step(5_999), Step::WaitUntil { at_ms: 6_000 });
-    assert_eq!(drain.step(6_000), Step::Exit { cut_off: 1 });
+    assert_eq!(
+        drain.next_action(5_999),
+        DrainAction::WaitUntil { at_ms: 6_000 }
+    );
+    assert_eq!(drain.next_action(6_000), DrainAction::Exit { cut_off: 1 });
 }
 
 /// The caller sees "not run" instead of a cut connection.
@@ -60,7 +69,7 @@
 fn errors_when_a_thread_brings_an_old_time_after_the_close() {
     let drain = Drain::new(SETTINGS);
     drain.start(0);
-    assert_eq!(drain.step(1_000), Step::Exit { cut_off: 0 });
+    assert_eq!(drain.next_action(1_000), DrainAction::Exit { cut_off: 0 });
     assert!(drain.admit(10).is_err());
     let agent = Drain::new(DrainSettings::AGENT);
     agent.start(70);
@@ -70,14 +79,14 @@
 #[test]
 fn can_tell_recent_probers_several_times() {
     let mut probers = Probers::new(ProbersSettings::default());
-    probers.heard(prober(1), 0);
-    probers.heard(prober(2), 400_000);
+    probers.record_probe(prober(1), 0);
+    probers.record_probe(prober(2), 400_000);
     assert_eq!(probers.next_notice_ms(), None);
-    probers.leave(400_000);
-    assert_eq!(probers.notify(400_000), [prober(2)]);
-    assert!(probers.notify(400_100).is_empty());
-    assert_eq!(probers.notify(400_200), [prober(2)]);
-    assert_eq!(probers.notify(400_400), [prober(2)]);
+    probers.start_notices(400_000);
+    assert_eq!(probers.due_recipients(400_000), [prober(2)]);
+    assert!(probers.due_recipients(400_100).is_empty());
+    assert_eq!(probers.due_recipients(400_200), [prober(2)]);
+    assert_eq!(probers.due_recipients(400_400), [prober(2)]);
     assert_eq!(probers.next_notice_ms(), None);
 }
 
@@ -94,7 +103,7 @@
                 2 => drop(drain.start(now_ms)),
                 _ => {}
             }
-            if let Step::Exit { cut_off } = drain.step(now_ms) {
+            if let DrainAction::Exit { cut_off } = drain.next_action(now_ms) {
                 return cut_off == working.len();
             }
         }
--- a/components/node/src/gossip_heard.rs
+++ b/components/node/src/gossip_heard.rs
@@ -84,7 +84,7 @@
     }
 
     async fn on_probe(&mut self, from: NodeId, now_ms: u64) {
-        self.probers.heard(from.address, now_ms);
+        self.probers.record_probe(from.address, now_ms);
         if self.hooks.statuses.is_some() {
             self.send_status(from.address).await;
         } else {
--- a/components/node/src/gossip_loop.rs
+++ b/components/node/src/gossip_loop.rs
@@ -90,7 +90,7 @@
         for member in self.members.due_probes(now_ms) {
             self.send(member, vec![News::Probe]).await;
         }
-        for prober in self.probers.notify(now_ms) {
+        for prober in self.probers.due_recipients(now_ms) {
             self.send_status(prober).await;
         }
         if let Some(entry) = self.greeting.due(now_ms) {
@@ -176,7 +176,7 @@
                 let node = self.members.own().node;
                 let peers = self.members.peers().len();
                 self.rumours.hear(&News::Leaving { node }, peers, now_ms);
-                self.probers.leave(now_ms);
+                self.probers.start_notices(now_ms);
             }
             Order::PushStatus => {
                 for prober in self.probers.recent(now_ms) {
--- a/components/node/src/leave.rs
+++ b/components/node/src/leave.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use leaving::{Drain, Phase, Step};
+use leaving::{Drain, DrainAction, Phase};
 use tokio::sync::watch;
 
 use crate::{Gossip, now_ms};
@@ -55,7 +55,7 @@
 pub async fn settle(drain: &Drain, gossip: &Gossip, leaving: &Leaving) {
     leaving.ordered().await;
     if drain.start(now_ms()) {
-        log::info!(event = "leaving", in_progress = drain.progress().count(); "");
+        log::info!(event = "leaving", in_progress = drain.work_counter().count(); "");
     }
     gossip.leave();
     while drain.phase(now_ms()) != Phase::Finishing {
@@ -69,12 +69,14 @@
 pub async fn overtime(drain: &Drain, leaving: &Leaving) {
     leaving.ordered().await;
     loop {
-        match drain.step(now_ms()) {
-            Step::Exit { cut_off } if cut_off > 0 => {
+        match drain.next_action(now_ms()) {
+            DrainAction::Exit { cut_off } if cut_off > 0 => {
                 log::warn!(event = "work-cut-off", in_progress = cut_off; "");
                 return;
             }
-            Step::Exit { .. } | Step::WaitUntil { .. } | Step::Serve => look_again().await,
+            DrainAction::Exit { .. } | DrainAction::WaitUntil { .. } | DrainAction::Serve => {
+                look_again().await
+            }
         }
     }
 }
--- a/components/reach/src/lib.rs
+++ b/components/reach/src/lib.rs
@@ -23,24 +23,24 @@
 
 /// What an error says of the dependency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
+pub enum Availability {
     /// It serves.
     Available,
     /// It is out of reach.
     Unavailable,
     /// Neither: a refusal for a budget of calls comes while others are served, and the next call
     /// that is served is no recovery that leaves calls behind.
-    Nothing,
+    Unknown,
 }
 
 /// Reach of one dependency, shared by the tasks that call it.
 #[derive(Debug)]
-pub struct Reach {
+pub struct Reachability {
     lost: AtomicBool,
     returns: watch::Sender<u64>,
 }
 
-impl Default for Reach {
+impl Default for Reachability {
     fn default() -> Self {
         Self {
             lost: AtomicBool::new(false),
@@ -49,14 +49,14 @@
     }
 }
 
-impl Reach {
+impl Reachability {
     /// Whether the last call that ended says that the dependency is out of reach.
-    pub fn is_lost(&self) -> bool {
+    pub fn is_unreachable(&self) -> bool {
         self.lost.load(Ordering::Relaxed)
     }
 
     /// How often the dependency has returned.
-    pub fn returns(&self) -> u64 {
+    pub fn recoveries(&self) -> u64 {
         *self.returns.borrow()
     }
 
@@ -65,21 +65,23 @@
     pub async fn call<T, E>(
         &self,
         call: impl Future<Output = Result<T, E>>,
-        sign_of: impl Fn(&E) -> Sign,
+        sign_of: impl Fn(&E) -> Availability,
     ) -> Option<Result<T, E>> {
-        let outcome = self.follow(call).await?;
-        let sign = outcome.as_ref().map_or_else(sign_of, |_| Sign::Available);
+        let outcome = self.call_untracked(call).await?;
+        let sign = outcome
+            .as_ref()
+            .map_or_else(sign_of, |_| Availability::Available);
         match sign {
-            Sign::Unavailable => self.lost.store(true, Ordering::Relaxed),
-            Sign::Available => self.answered(),
-            Sign::Nothing => {}
+            Availability::Unavailable => self.lost.store(true, Ordering::Relaxed),
+            Availability::Available => self.answered(),
+            Availability::Unknown => {}
         }
         Some(outcome)
     }
 
     /// Makes a call whose outcome says nothing of the others: the dependency may serve one
     /// kind and refuse the rest. Nothing comes back if the call was left behind.
-    pub async fn follow<T>(&self, call: impl Future<Output = T>) -> Option<T> {
+    pub async fn call_untracked<T>(&self, call: impl Future<Output = T>) -> Option<T> {
         let mut returns = self.returns.subscribe();
         tokio::select! {
             biased;
--- a/components/reach/src/timeout.rs
+++ b/components/reach/src/timeout.rs
@@ -12,7 +12,7 @@
     /// How long it waits for news at the dependency, in milliseconds.
     pub wait_ms: u64,
     /// Longest time for all of it.
-    pub within: Duration,
+    pub timeout: Duration,
 }
 
 /// Times of a read after so many failed ones in a row, if it usually waits `wait_ms` and has
@@ -25,11 +25,11 @@
     match failed % 2 {
         0 => ReadTimeout {
             wait_ms,
-            within: Duration::from_millis(wait_ms + slack_ms),
+            timeout: Duration::from_millis(wait_ms + slack_ms),
         },
         _ => ReadTimeout {
             wait_ms: 0,
-            within: Duration::from_millis(PROBE_MS.min(wait_ms + slack_ms)),
+            timeout: Duration::from_millis(PROBE_MS.min(wait_ms + slack_ms)),
         },
     }
 }
--- a/components/reach/tests/reach.rs
+++ b/components/reach/tests/reach.rs
@@ -3,18 +3,18 @@
 use std::future::{pending, ready};
 use std::time::Duration;
 
-use reach::{Reach, Sign, read_timeout};
+use reach::{Availability, Reachability, read_timeout};
 use tokio::time::{Instant, sleep};
 
 const LONG: Duration = Duration::from_secs(20);
 
 type Outcome = Result<u8, &'static str>;
 
-fn sign_of(why: &str) -> Sign {
+fn sign_of(why: &str) -> Availability {
     match why {
-        "silent" => Sign::Unavailable,
-        "throttled" => Sign::Nothing,
-        _ => Sign::Available,
+        "silent" => Availability::Unavailable,
+        "throttled" => Availability::Unknown,
+        _ => Availability::Available,
     }
 }
 
@@ -27,7 +27,7 @@
     outcome
 }
 
-async fn call(reach: &Reach, outcome: Outcome) -> Option<Outcome> {
+async fn call(reach: &Reachability, outcome: Outcome) -> Option<Outcome> {
     reach.call(ready(outcome), |why| sign_of(why)).await
 }
 
@@ -35,42 +35,51 @@
 async fn can_give_up_a_call_that_the_return_left_behind() {
     // A dependency swallows a call that may take 20 s. One call fails at 1 s and the next
     // comes through at 2 s; the swallowed one is given up a moment later, not at 20 s.
-    let reach = Reach::default();
+    let reach = Reachability::default();
     let began = Instant::now();
     let others = async {
         let _ = reach
-            .call(after(1_000, Err("silent")), |_| Sign::Unavailable)
+            .call(after(1_000, Err("silent")), |_| Availability::Unavailable)
             .await;
-        assert!(reach.is_lost());
-        let _ = reach.call(after(1_000, Ok(1)), |_| Sign::Unavailable).await;
-        assert!(!reach.is_lost());
+        assert!(reach.is_unreachable());
+        let _ = reach
+            .call(after(1_000, Ok(1)), |_| Availability::Unavailable)
+            .await;
+        assert!(!reach.is_unreachable());
     };
-    let (outcome, ()) = tokio::join!(reach.call(swallowed(), |_| Sign::Unavailable), others);
+    let (outcome, ()) = tokio::join!(
+        reach.call(swallowed(), |_| Availability::Unavailable),
+        others
+    );
     assert_eq!(outcome, None);
     assert_eq!(began.elapsed(), Duration::from_millis(2_300));
 }
 
 #[tokio::test(start_paused = true)]
 async fn can_keep_a_slow_call_that_answers_after_the_return() {
-    let reach = Reach::default();
+    let reach = Reachability::default();
     let others = async {
         let _ = reach
-            .call(after(100, Err("silent")), |_| Sign::Unavailable)
+            .call(after(100, Err("silent")), |_| Availability::Unavailable)
+            .await;
+        let _ = reach
+            .call(after(100, Ok(1)), |_| Availability::Unavailable)
             .await;
-        let _ = reach.call(after(100, Ok(1)), |_| Sign::Unavailable).await;
     };
-    let slow = reach.call(after(450, Ok(7)), |_| Sign::Unavailable);
+    let slow = reach.call(after(450, Ok(7)), |_| Availability::Unavailable);
     let (outcome, ()) = tokio::join!(slow, others);
     assert_eq!(outcome, Some(Ok(7)));
 }
 
 #[tokio::test(start_paused = true)]
 async fn can_end_a_pause_at_the_return() {
-    let reach = Reach::default();
+    let reach = Reachability::default();
     let began = Instant::now();
     let others = async {
         call(&reach, Err("silent")).await;
-        let _ = reach.call(after(500, Ok(1)), |_| Sign::Unavailable).await;
+        let _ = reach
+            .call(after(500, Ok(1)), |_| Availability::Unavailable)
+            .await;
     };
     tokio::join!(reach.pause(LONG), others);
     assert_eq!(began.elapsed(), Duration::from_millis(500));
@@ -81,13 +90,13 @@
 #[tokio::test(start_paused = true)]
 async fn can_tell_a_refusal_from_silence() {
     // A dependency that refuses is within reach; its answers leave no call behind.
-    let reach = Reach::default();
+    let reach = Reachability::default();
     let others = async {
         call(&reach, Err("refused")).await;
-        assert!(!reach.is_lost());
+        assert!(!reach.is_unreachable());
         call(&reach, Ok(1)).await;
     };
-    let slow = reach.call(after(5_000, Ok(7)), |_| Sign::Unavailable);
+    let slow = reach.call(after(5_000, Ok(7)), |_| Availability::Unavailable);
     let (outcome, ()) = tokio::join!(slow, others);
     assert_eq!(outcome, Some(Ok(7)));
 }
@@ -96,16 +105,18 @@
 async fn can_follow_without_a_say() {
     // The groups of a store are served while its records are refused: a join that comes
     // through must end nobody's pause, and is given up with the others at the return.
-    let reach = Reach::default();
+    let reach = Reachability::default();
     let began = Instant::now();
     let others = async {
         call(&reach, Err("silent")).await;
-        let joined = reach.follow(after(100, Ok(1))).await;
+        let joined = reach.call_untracked(after(100, Ok(1))).await;
         assert_eq!(joined, Some(Ok(1)));
-        assert!(reach.is_lost());
-        let _ = reach.call(after(900, Ok(1)), |_| Sign::Unavailable).await;
+        assert!(reach.is_unreachable());
+        let _ = reach
+            .call(after(900, Ok(1)), |_| Availability::Unavailable)
+            .await;
     };
-    let (left, (), ()) = tokio::join!(reach.follow(swallowed()), reach.pause(LONG), others);
+    let (left, (), ()) = tokio::join!(reach.call_untracked(swallowed()), reach.pause(LONG), others);
     assert_eq!(left, None);
     assert_eq!(began.elapsed(), Duration::from_millis(1_300));
 }
@@ -117,10 +128,13 @@
     for failed in 0..6 {
         for (wait_ms, slack_ms) in [(450, 900), (0, 900), (2_000, 300)] {
             let read_timeout = read_timeout(failed, wait_ms, slack_ms);
-            assert!(Duration::from_millis(read_timeout.wait_ms) < read_timeout.within);
+            assert!(Duration::from_millis(read_timeout.wait_ms) < read_timeout.timeout);
         }
     }
-    assert_eq!(read_timeout(1, 450, 900).within, Duration::from_millis(400));
+    assert_eq!(
+        read_timeout(1, 450, 900).timeout,
+        Duration::from_millis(400)
+    );
     assert_eq!(read_timeout(2, 450, 900), read_timeout(0, 450, 900));
 }
 
@@ -128,7 +142,7 @@
 /// left behind is made again, and the reads that are refused double.
 #[tokio::test(start_paused = true)]
 async fn can_keep_a_long_read_beside_throttled_ones() {
-    let reach = Reach::default();
+    let reach = Reachability::default();
     let others = async {
         for outcome in [Err("throttled"), Ok(1), Err("throttled"), Ok(1)] {
             let _ = reach.call(after(50, outcome), |why| sign_of(why)).await;
@@ -137,5 +151,5 @@
     let long = reach.call(after(900, Ok(7)), |why| sign_of(why));
     let (outcome, ()) = tokio::join!(long, others);
     assert_eq!(outcome, Some(Ok(7)));
-    assert_eq!(reach.returns(), 0);
+    assert_eq!(reach.recoveries(), 0);
 }
--- a/components/sidecar/src/calls.rs
+++ b/components/sidecar/src/calls.rs
@@ -56,7 +56,7 @@
 ) -> Result<(), Failure> {
     // Held until the end, so that a drain waits for this call.
     let _working = agent.drain.admit(now_ms())?;
-    if agent.drain.progress().count() > agent.limits.calls_max {
+    if agent.drain.work_counter().count() > agent.limits.calls_max {
         return Err(gate::full());
     }
     let life = agent.health.life();
--- a/components/sidecar/src/status.rs
+++ b/components/sidecar/src/status.rs
@@ -81,7 +81,7 @@
 }
 
 fn load(agent: &Agent, look: &Look) -> Load {
-    let running = agent.drain.progress().count();
+    let running = agent.drain.work_counter().count();
     let report = &look.load;
     let since_read_ms = now_ms().saturating_sub(look.load_read_ms);
     Load {
@@ -153,7 +153,7 @@
         endpoint_up: look.up,
         endpoint_life: agent.health.life(),
         leaving: agent.drain.is_leaving(),
-        in_progress: agent.drain.progress().count(),
+        in_progress: agent.drain.work_counter().count(),
         hosted: hosted(&agent, &look).into_iter().map(hosted_row).collect(),
         models: weights.statuses().iter().map(model_row).collect(),
         config: config_rows(&agent),
