--- a/components/orders/src/plan.rs
+++ b/components/orders/src/plan.rs
@@ -48,8 +48,8 @@
 
 impl OrderSettings {
     /// Loads at once over `nodes` replicas.
-    pub fn loads_at_once(&self, nodes: usize) -> usize {
-        self.loads_min.max(nodes / self.replicas_per_load)
+    pub fn loads_at_once(&self, replicas: usize) -> usize {
+        self.loads_min.max(replicas / self.replicas_per_load)
     }
 }
 
