--- a/components/dispatch/src/admission.rs
+++ b/components/dispatch/src/admission.rs
@@ -1,52 +1,55 @@
-//! Whether a model replica takes items of a model now.
+//! Limits attempts at a model replica that has refused items of a model.
 //!
-//! A replica that loads a version refuses items of that model for about a second, and every
-//! item that waits would be refused there over and over. So after a refusal one item at a
-//! time is tried, until one is taken. What is tried is the most urgent item, which loses time
-//! at each refusal, so tries are rare; a replica's record tells when it has the version.
+//! While a replica loads a version of the weights, it refuses items of that model for about a
+//! second. Without a limit, every waiting item would be sent there and refused again and again.
+//! After a refusal, one item at a time is attempted until the replica starts one. The attempted
+//! item is the most urgent one, which loses time with each refusal, so attempts are kept rare. The
+//! replica's record in the store shows when the replica has the new version; no attempt is needed
+//! for that.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Pause between tries after a refusal, in milliseconds; a load takes twice as long and more.
-const AGAIN_MS: u64 = 400;
+/// Interval between attempts after a refusal. Loading a version takes at least twice as long.
+const RETRY_INTERVAL_MS: u64 = 400;
 
-/// What is known of a replica's willingness.
+/// What one replica has refused and started of one model.
 #[derive(Debug, Default)]
 pub struct Admission {
     refused_ms: AtomicU64,
-    taken_ms: AtomicU64,
-    tried_ms: AtomicU64,
+    started_ms: AtomicU64,
+    attempted_ms: AtomicU64,
 }
 
 impl Admission {
-    /// The replica refused an item, or broke one off.
+    /// Records that the replica refused an item or interrupted its run.
     pub fn record_refusal(&self, now_ms: u64) {
         self.refused_ms.store(now_ms, Ordering::Relaxed);
-        self.tried_ms.fetch_max(now_ms, Ordering::Relaxed);
+        self.attempted_ms.fetch_max(now_ms, Ordering::Relaxed);
     }
 
-    /// The replica has another version than when it refused.
+    /// Lifts the limit; called when the replica's version has changed since the refusal.
     pub fn reset(&self) {
         self.refused_ms.store(0, Ordering::Relaxed);
     }
 
-    /// The replica makes an item.
+    /// Records that the replica has started to generate an item.
     pub fn record_start(&self, now_ms: u64) {
-        self.taken_ms.fetch_max(now_ms, Ordering::Relaxed);
+        self.started_ms.fetch_max(now_ms, Ordering::Relaxed);
     }
 
-    /// An item is sent there.
+    /// Records that an item is being sent to the replica.
     pub fn record_attempt(&self, now_ms: u64) {
-        self.tried_ms.fetch_max(now_ms, Ordering::Relaxed);
+        self.attempted_ms.fetch_max(now_ms, Ordering::Relaxed);
     }
 
-    /// How many of `free` places may be used now.
+    /// Number of the replica's `free` slots that may be used now: all of them, or at most one after
+    /// a refusal.
     pub fn usable_slots(&self, free: u32, now_ms: u64) -> u32 {
         let refused_ms = self.refused_ms.load(Ordering::Relaxed);
-        if refused_ms == 0 || self.taken_ms.load(Ordering::Relaxed) > refused_ms {
+        if refused_ms == 0 || self.started_ms.load(Ordering::Relaxed) > refused_ms {
             return free;
         }
-        let next_ms = self.tried_ms.load(Ordering::Relaxed) + AGAIN_MS;
+        let next_ms = self.attempted_ms.load(Ordering::Relaxed) + RETRY_INTERVAL_MS;
         if now_ms < next_ms { 0 } else { free.min(1) }
     }
 }
--- a/components/dispatch/src/items.rs
+++ b/components/dispatch/src/items.rs
@@ -1,74 +1,77 @@
-//! Placing of a step's items on model replicas.
+//! Placement of items of training steps on model replicas.
 //!
-//! Trainers take turns by steps: the oldest step of each customer's model that has items waiting
-//! goes before the second one of any. A customer that asks for many steps at once so delays its
-//! own later ones, and a customer with one step waits for one step of each other trainer at
-//! most. Turns of customers alone would set one that trains several models back behind one that
-//! trains one; models are the operator's, so a customer gets no more turns by itself.
-//! Within a turn the higher rank goes first; nobody waits longer for it than a turn.
+//! Steps are served in turns. For each customer and model, the oldest step with waiting items has
+//! turn 0, the next one turn 1, and so on; lower turns are placed first. A customer that submits
+//! many steps at once therefore delays its own later steps, and a customer with a single step waits
+//! for at most one step of each other trainer. Turns by customer alone would put a customer that
+//! trains several models behind one that trains a single model. The operator defines the models, so
+//! a customer cannot gain turns by itself. Within a turn, a higher rank goes first; no step waits
+//! longer for a higher rank than one turn.
 //!
-//! A trainer waits for whole groups, so items of the oldest step go first, and within a step
-//! the longest ones by the trainer's hint: an item makes its tokens one after the other, and
-//! a long one that starts late ends the step late. A long item of the next step does not go
-//! before a short one of the oldest: where places are short, as behind an outage, both steps
-//! would end late. A replica makes each token hardly slower when it runs eight requests than
-//! when it runs one, so free places are worth taking.
+//! A trainer waits for whole groups of items, so items of the oldest step go first. Within a step,
+//! the longest items by the trainer's length hint go first: the tokens of an item are generated one
+//! after the other, and a long item that starts late delays the end of its step. A long item of the
+//! next step does not overtake a short one of the oldest step: when slots are scarce, for example
+//! after an outage, both steps would end late. A replica generates each token hardly slower with
+//! eight concurrent requests than with one, so every free slot is used.
 
 use derive::value;
 
 use crate::WaitingRank;
 
-/// An item that waits for a place.
+/// An item that waits for a slot at a replica.
 #[value]
 pub struct WaitingItem {
-    /// Number of its model among those that share the replicas.
+    /// Index of the item's model among the models that share the replicas.
     pub model: usize,
-    /// Steps of its customer's model before its own that have waiting items too.
+    /// Number of older steps of the same customer and model that also have waiting items.
     pub turn: u32,
-    /// Rank of its customer and route.
+    /// Rank of the customer and the route.
     pub rank: WaitingRank,
-    /// Rank of its step, the oldest lowest.
+    /// Position of the step by age; the oldest step has the lowest value.
     pub step_rank: u64,
-    /// Time until its text is whole once it runs, as far as can be told, in milliseconds.
+    /// Estimated time to complete the text once the item runs.
     pub left_ms: u64,
-    /// Oldest version of the weights that may make them.
+    /// Oldest version of the weights that may generate the item.
     pub min_version: u64,
-    /// The only version that may, where a text began under it and must not mix.
+    /// The only version that may continue the text, if the route forbids mixed versions and a text
+    /// was already started.
     pub only_version: Option<u64>,
-    /// Engine to avoid, where a run just broke.
+    /// Index of the engine at which a run of this item was just interrupted; it is used only if no
+    /// other engine fits.
     pub avoid: Option<usize>,
 }
 
-/// A model replica.
+/// A model replica with the capacity that this front sees.
 #[value]
 pub struct Engine {
-    /// Whether it belongs to another front's part of the replicas first.
+    /// Whether the replica belongs to a shard that another front runs.
     pub foreign: bool,
-    /// Versions of the weights that it has, by model.
+    /// Version of the weights that the replica has, by index of the model; 0 for none.
     pub versions: Vec<u64>,
-    /// Items of each model that it may still take.
+    /// Slots that may be used for each model; fewer than `free_slots` after a refusal.
     pub model_slots: Vec<u32>,
-    /// Items that it may still take in all.
+    /// Free slots over all models.
     pub free_slots: u32,
-    /// Items of this process that it runs.
+    /// Items that this process runs at the replica.
     pub running: u32,
-    /// Time for a token against its like, in thousandths.
+    /// Time per event relative to the other replicas, in thousandths.
     pub slowness: u64,
 }
 
 impl Engine {
-    /// Whether it has weights that may make this item.
+    /// Whether the replica has a version of the weights that may generate the item.
     pub fn can_run(&self, model: usize, min_version: u64, only_version: Option<u64>) -> bool {
         let version = self.versions[model];
         version >= min_version && only_version.is_none_or(|only| only == version)
     }
 
-    /// Whether it has a place for an item of a model.
+    /// Whether the replica has a free slot for an item of the model.
     pub fn has_slot(&self, model: usize) -> bool {
         self.free_slots > 0 && self.model_slots[model] > 0
     }
 
-    /// Takes an item of a model in.
+    /// Takes a slot for an item of the model. The caller has checked [`Engine::has_slot`].
     pub fn take_slot(&mut self, model: usize) {
         self.free_slots -= 1;
         self.model_slots[model] -= 1;
@@ -76,7 +79,7 @@
     }
 }
 
-/// An item and its engine, by their indices.
+/// An item and the engine that it is placed on.
 #[value]
 pub struct Placement {
     /// Index among the waiting items.
@@ -85,40 +88,43 @@
     pub engine: usize,
 }
 
-/// Time for a token by the number of requests at once: 0.568 ms and 0.0162 ms more for each
-/// (figures of the deployments' engines), in thousandths of a millisecond.
-const TOKEN_BASE: u64 = 568;
-const TOKEN_EACH: u64 = 16;
-/// Requests at once for which the time of a text is told.
-const USUAL_RUNNING: u64 = 4;
-/// A text that is longer than its hint goes on for a part of what it has, as far as can be
-/// told: lengths have long tails.
-const BEYOND_HINT: u64 = 2;
+/// Time per token: 568 µs, and 16 µs more for each concurrent request. The deployments' engines
+/// take 0.568 ms and 0.0162 ms.
+const TOKEN_BASE_US: u64 = 568;
+const TOKEN_PER_REQUEST_US: u64 = 16;
+/// Concurrent requests at a replica that the estimate of a text's duration assumes.
+const TYPICAL_RUNNING: u64 = 4;
+/// A text that has exceeded its hint is expected to take another half of the time that it has taken
+/// so far, because text lengths have a long tail.
+const OVERRUN_DIVISOR: u64 = 2;
 
-/// Time until a text is whole, in milliseconds, from the trainer's hint at its tokens, the events
-/// that it has, and the usual pause between events; 0 for a pause that is not known.
-pub fn text_left_ms(expected_tokens: u32, made_events: u64, pause_us: u64) -> u64 {
-    let token_us = TOKEN_BASE + USUAL_RUNNING * TOKEN_EACH;
-    let whole_ms = u64::from(expected_tokens) * token_us / 1_000;
-    let made_ms = made_events * pause_us / 1_000;
-    whole_ms.saturating_sub(made_ms).max(made_ms / BEYOND_HINT)
+/// Estimates the time to complete a text, in milliseconds, from the trainer's hint at its number of
+/// tokens, the events generated so far, and the typical interval between events. An `interval_us`
+/// of 0 means that the interval is not known.
+pub fn text_left_ms(expected_tokens: u32, generated_events: u64, interval_us: u64) -> u64 {
+    let token_us = TOKEN_BASE_US + TYPICAL_RUNNING * TOKEN_PER_REQUEST_US;
+    let expected_ms = u64::from(expected_tokens) * token_us / 1_000;
+    let elapsed_ms = generated_events * interval_us / 1_000;
+    expected_ms
+        .saturating_sub(elapsed_ms)
+        .max(elapsed_ms / OVERRUN_DIVISOR)
 }
 
-/// Whether a text that has to go on under one version can't: no replica has that version any
-/// more, and some could make the item from its beginning. Without replicas nothing is said,
-/// as they may come back as they were.
+/// Whether a text that must be completed by one version cannot be: no replica has that version any
+/// more, and some replica could generate the item from its start. With no replicas the answer is
+/// false, because the same replicas may come back with the same versions.
 pub fn has_lost_version(item: &WaitingItem, engines: &[Engine]) -> bool {
     let Some(only) = item.only_version else {
         return false;
     };
     let version = |engine: &Engine| engine.versions[item.model];
-    let could_begin = engines
+    let can_start = engines
         .iter()
         .any(|engine| version(engine) >= item.min_version);
-    could_begin && engines.iter().all(|engine| version(engine) != only)
+    can_start && engines.iter().all(|engine| version(engine) != only)
 }
 
-/// Places as many items as there are places, in the order in which they should start.
+/// Places waiting items on free slots. The result is in the order in which the items should start.
 pub fn place(waiting: &[WaitingItem], engines: &mut [Engine]) -> Vec<Placement> {
     let mut order: Vec<usize> = (0..waiting.len()).collect();
     order.sort_by_key(|at| {
@@ -141,26 +147,27 @@
     placed
 }
 
-/// The engine for an item: one of this front's part, as long as one of them has weights that may
-/// make it. An engine of another part is full of runs that this front can't see, as a rule.
+/// Selects the engine for an item: one in this front's shards as long as any of these has suitable
+/// weights, even without a free slot. An engine in another front's shard is usually full of runs
+/// that this front cannot see.
 fn best_engine(item: &WaitingItem, engines: &[Engine]) -> Option<usize> {
-    let can_make =
+    let is_suitable =
         |engine: &Engine| engine.can_run(item.model, item.min_version, item.only_version);
-    let abroad = !engines
+    let uses_foreign = !engines
         .iter()
-        .any(|engine| !engine.foreign && can_make(engine));
+        .any(|engine| !engine.foreign && is_suitable(engine));
     let fits = |engine: &Engine| {
-        (abroad || !engine.foreign) && engine.has_slot(item.model) && can_make(engine)
+        (uses_foreign || !engine.foreign) && engine.has_slot(item.model) && is_suitable(engine)
     };
     let best = |avoid: Option<usize>| {
         (0..engines.len())
             .filter(|at| fits(&engines[*at]) && Some(*at) != avoid)
-            .min_by_key(|at| token_time(&engines[*at]))
+            .min_by_key(|at| token_cost(&engines[*at]))
     };
     best(item.avoid).or_else(|| best(None))
 }
 
-fn token_time(engine: &Engine) -> u64 {
-    let each = TOKEN_BASE + TOKEN_EACH * u64::from(engine.running + 1);
-    each * engine.slowness
+fn token_cost(engine: &Engine) -> u64 {
+    let token_us = TOKEN_BASE_US + TOKEN_PER_REQUEST_US * u64::from(engine.running + 1);
+    token_us * engine.slowness
 }
--- a/components/dispatch/src/load.rs
+++ b/components/dispatch/src/load.rs
@@ -1,54 +1,56 @@
-//! What this process has at a replica, and how slow the replica is against its like.
+//! Calls of this process at one replica, and how slow the replica is compared with the others.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 
-use crate::fade::faded;
-
-/// Slowness is kept in thousandths; a replica like the others has this much.
-const EVEN: u64 = 1_000;
-/// Share of a new observation in the mean, in thousandths: a slow replica is known after
-/// three answers.
-const SHARE: u64 = 300;
-/// How fast a replica's slowness is forgotten, in milliseconds for half of it, so that a
-/// replica that was slow is tried again gently.
-const FORGET_HALF_MS: u64 = 3_000;
-/// Failures in a row after which a replica is left out.
-const FAILURES_MAX: u32 = 2;
-/// How long it is left out, in milliseconds; a replica that crashed is back after seconds,
-/// and one call may find that out.
-const LEFT_OUT_MS: u64 = 1_500;
-/// Most slowness that one answer can show, in thousandths, against outliers.
-const SLOWEST: u64 = 10_000;
-
-/// How long a call of some kind takes as a rule.
+use crate::decay::decayed;
+
+/// Slowness of a replica that is as fast as the others, in thousandths. All slowness values are in
+/// thousandths.
+const BASELINE_THOUSANDTHS: u64 = 1_000;
+/// Weight of a new observation in the moving average, in thousandths. A slow replica is recognised
+/// after three answers.
+const EWMA_WEIGHT_THOUSANDTHS: u64 = 300;
+/// Time in which the excess slowness of a replica without new answers halves, so that a replica
+/// that was slow receives calls again gradually.
+const DECAY_HALF_LIFE_MS: u64 = 3_000;
+/// Consecutive failures after which a replica is ejected.
+const FAILURES_TO_EJECT: u32 = 2;
+/// How long a replica stays ejected. A crashed replica is back within seconds, and a single call is
+/// enough to find out.
+const EJECTION_MS: u64 = 1_500;
+/// Highest slowness that a single answer can show, in thousandths; limits the effect of outliers.
+const SLOWNESS_MAX_THOUSANDTHS: u64 = 10_000;
+
+/// Moving average of the duration of a route's calls.
 #[derive(Debug)]
 pub struct TypicalDuration {
     us: AtomicU64,
 }
 
 impl TypicalDuration {
-    /// Starts from a guess, in milliseconds.
+    /// Starts from an estimate.
     pub fn new(guess_ms: u64) -> Self {
         Self {
             us: AtomicU64::new(guess_ms.max(1) * 1_000),
         }
     }
 
-    /// In microseconds.
+    /// The duration in microseconds.
     pub fn us(&self) -> u64 {
         self.us.load(Ordering::Relaxed)
     }
 
     fn record(&self, us: u64) {
-        // Slow ones count less, or one slow replica would hide itself.
-        let seen = us.min(self.us() * 3);
-        let mean = (self.us() * 15 + seen) / 16;
+        // Long durations are capped; otherwise a slow replica would raise the average and look
+        // normal.
+        let counted_us = us.min(self.us() * 3);
+        let mean = (self.us() * 15 + counted_us) / 16;
         self.us.store(mean.max(1_000), Ordering::Relaxed);
     }
 }
 
-/// What this process has at one replica.
+/// Calls of this process at one replica.
 #[derive(Debug, Default)]
 pub struct ReplicaLoad {
     calls: AtomicU32,
@@ -57,11 +59,12 @@
     slowness: AtomicU64,
     observed_ms: AtomicU64,
     failures: AtomicU32,
-    left_out_until_ms: AtomicU64,
+    ejected_until_ms: AtomicU64,
 }
 
 impl ReplicaLoad {
-    /// Counts a call in until the guard is dropped.
+    /// Counts a call as in progress until the guard is dropped. `background` marks a call that no
+    /// client waits for.
     pub fn begin(self: &Arc<Self>, typical_us: u64, background: bool) -> InFlightCall {
         self.calls.fetch_add(1, Ordering::Relaxed);
         self.work_us.fetch_add(typical_us, Ordering::Relaxed);
@@ -75,30 +78,35 @@
         }
     }
 
-    /// Calls in progress.
+    /// Number of calls in progress.
     pub fn calls(&self) -> u32 {
         self.calls.load(Ordering::Relaxed)
     }
 
-    /// Calls in progress for which nobody waits.
+    /// Number of calls in progress that no client waits for.
     pub fn background(&self) -> u32 {
         self.background.load(Ordering::Relaxed)
     }
 
-    /// Takes a whole answer.
+    /// Records a complete answer.
     pub fn record_success(&self, typical: &TypicalDuration, took_us: u64, now_ms: u64) {
-        let ratio = (took_us * EVEN / typical.us().max(1)).min(SLOWEST);
+        let ratio =
+            (took_us * BASELINE_THOUSANDTHS / typical.us().max(1)).min(SLOWNESS_MAX_THOUSANDTHS);
         typical.record(took_us);
-        let mean = (self.slowness(now_ms) * (EVEN - SHARE) + ratio * SHARE) / EVEN;
+        let mean = (self.slowness(now_ms) * (BASELINE_THOUSANDTHS - EWMA_WEIGHT_THOUSANDTHS)
+            + ratio * EWMA_WEIGHT_THOUSANDTHS)
+            / BASELINE_THOUSANDTHS;
         self.slowness.store(mean, Ordering::Relaxed);
         self.observed_ms.store(now_ms, Ordering::Relaxed);
         self.failures.store(0, Ordering::Relaxed);
-        self.left_out_until_ms.store(0, Ordering::Relaxed);
+        self.ejected_until_ms.store(0, Ordering::Relaxed);
     }
 
-    /// Takes a call that was given to another replica for lack of an answer after this time.
+    /// Records that a call was hedged to another replica because this one had not answered after
+    /// `waited_us`.
     pub fn record_hedge(&self, typical: &TypicalDuration, waited_us: u64, now_ms: u64) {
-        let ratio = (waited_us * EVEN / typical.us().max(1)).min(SLOWEST);
+        let ratio =
+            (waited_us * BASELINE_THOUSANDTHS / typical.us().max(1)).min(SLOWNESS_MAX_THOUSANDTHS);
         let mean = self
             .slowness(now_ms)
             .max((self.slowness(now_ms) + ratio) / 2);
@@ -106,37 +114,38 @@
         self.observed_ms.store(now_ms, Ordering::Relaxed);
     }
 
-    /// Takes a failure that is the replica's: no connection, a broken or late answer.
+    /// Records a failure that the replica caused: no connection, or a broken or late answer.
     pub fn record_failure(&self, now_ms: u64) {
-        let row = self.failures.fetch_add(1, Ordering::Relaxed) + 1;
-        if row >= FAILURES_MAX {
-            self.left_out_until_ms
-                .store(now_ms + LEFT_OUT_MS, Ordering::Relaxed);
+        let in_a_row = self.failures.fetch_add(1, Ordering::Relaxed) + 1;
+        if in_a_row >= FAILURES_TO_EJECT {
+            self.ejected_until_ms
+                .store(now_ms + EJECTION_MS, Ordering::Relaxed);
         }
     }
 
-    /// Whether it is left out now.
+    /// Whether the replica is ejected after consecutive failures.
     pub fn is_ejected(&self, now_ms: u64) -> bool {
-        now_ms < self.left_out_until_ms.load(Ordering::Relaxed)
+        now_ms < self.ejected_until_ms.load(Ordering::Relaxed)
     }
 
-    /// Slowness in thousandths, 1,000 for a replica like the others.
+    /// Slowness in thousandths; 1,000 for a replica that is as fast as the others.
     pub fn slowness(&self, now_ms: u64) -> u64 {
-        let kept = match self.slowness.load(Ordering::Relaxed) {
-            0 => EVEN,
-            kept => kept,
+        let stored = match self.slowness.load(Ordering::Relaxed) {
+            0 => BASELINE_THOUSANDTHS,
+            stored => stored,
         };
         let age_ms = now_ms.saturating_sub(self.observed_ms.load(Ordering::Relaxed));
-        faded(kept, EVEN, age_ms, FORGET_HALF_MS)
+        decayed(stored, BASELINE_THOUSANDTHS, age_ms, DECAY_HALF_LIFE_MS)
     }
 
-    /// Expected time until a new call of `typical_us` ends here, in arbitrary units.
+    /// Expected time until a new call of `typical_us` completes at this replica, in arbitrary
+    /// units.
     pub fn cost(&self, typical_us: u64, now_ms: u64) -> u64 {
         (self.work_us.load(Ordering::Relaxed) + typical_us) * self.slowness(now_ms)
     }
 }
 
-/// A call in progress; counted out when dropped.
+/// A call in progress; dropping it removes the call from the counts.
 #[derive(Debug)]
 pub struct InFlightCall {
     load: Arc<ReplicaLoad>,
--- a/components/dispatch/src/moves.rs
+++ b/components/dispatch/src/moves.rs
@@ -1,56 +1,56 @@
-//! Which runs of items go on at another replica.
+//! Selects runs of items that continue at another replica.
 //!
-//! A replica runs so many requests at once, of all fronts together, and its memory holds so
-//! many tokens. What is beyond that waits there without a sign: a request in a queue, or one
-//! that was preempted in the middle. A replica that went dark or loads weights looks the same,
-//! and a slow one makes a long item late. Another replica goes on with a text once it has read
-//! it again, some ten milliseconds, so a run is worth moving as long as another one has a
-//! place. Where one run makes nothing, no further one is sent.
+//! A replica runs a limited number of requests over all fronts, and its memory holds a limited
+//! number of tokens. Requests beyond these limits wait at the replica without notice: a request in
+//! its queue, or one that was preempted half way. An unreachable replica and one that loads weights
+//! look the same from here, and a slow replica delays long items. Another replica continues a text
+//! after reading it again, which takes about ten milliseconds, so moving a run pays off as long as
+//! another replica has a free slot. No further run is sent to a replica at which a run has stalled.
 
 use crate::Engine;
-use crate::pace::is_worth_moving;
+use crate::event_interval::is_worth_moving;
 
-/// Moves of one item away from slow replicas, at most, so that no misjudgement sends it to
-/// and fro.
+/// Limit on moves of one item away from slow replicas, so that misjudgements do not move it back
+/// and forth.
 pub const SLOW_MOVES_MAX: u32 = 2;
-/// Usual pauses between events that a run may be silent for; slow replicas pause three to
-/// four times as long and are told by their pace.
-const PAUSES: u64 = 5;
-/// Silence that never counts, in milliseconds: ways between failure domains, a prompt that is
-/// read in chunks between the tokens of others, and a busy front. Longer silence ends trainers'
-/// steps later.
-const SILENT_MS_MIN: u64 = 200;
+/// Typical event intervals without an event after which a run counts as stalled. Slow replicas have
+/// intervals three to four times as long as others and are recognised by [`crate::EventInterval`].
+const STALL_INTERVALS: u64 = 5;
+/// Silence that never counts as a stall. It covers latency between failure domains, a prompt that
+/// is processed in chunks between the tokens of other requests, and a busy front. A longer
+/// threshold makes trainers' steps end later.
+const STALL_MS_MIN: u64 = 200;
 
 /// A run in progress.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// Index of its engine.
+    /// Index of the engine that the run is at.
     pub engine: usize,
-    /// Number of its model among those that share the replicas.
+    /// Index of the model among the models that share the replicas.
     pub model: usize,
-    /// Time until its text is whole at a replica like the others, in milliseconds.
+    /// Time to complete the text at a replica of normal speed.
     pub left_ms: u64,
-    /// Time since it was sent or made its newest event, in milliseconds.
+    /// Time since the newest event, or since the run was sent if it has none.
     pub silent_ms: u64,
-    /// Oldest version that may make its events.
+    /// Oldest version of the weights that may continue the text.
     pub min_version: u64,
-    /// The only version that may, where the text must not mix.
+    /// The only version that may continue the text, if the route forbids mixed versions.
     pub only_version: Option<u64>,
-    /// How often its item was moved away from a slow replica.
+    /// How often the item was already moved away from a slow replica.
     pub slow_moves: u32,
 }
 
 /// Why a run is moved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MoveCause {
-    /// It makes nothing.
+    /// The run has produced no event for the stall threshold.
     Stalled,
-    /// Its replica is slow.
+    /// The replica is slower than another one that has a free slot.
     Slow,
 }
 
 impl MoveCause {
-    /// The cause in one word, for lines.
+    /// The name used in log lines.
     pub fn as_str(self) -> &'static str {
         match self {
             MoveCause::Stalled => "stalled",
@@ -59,14 +59,14 @@
     }
 }
 
-/// Silence from which on a run counts as stalled, in milliseconds, where replicas make an event
-/// each `typical_us`; 0 if that is not known yet.
+/// Silence after which a run counts as stalled, in milliseconds, for replicas with a typical event
+/// interval of `typical_us`; 0 means that the interval is not known yet.
 pub fn stall_threshold_ms(typical_us: u64) -> u64 {
-    (typical_us * PAUSES / 1_000).max(SILENT_MS_MIN)
+    (typical_us * STALL_INTERVALS / 1_000).max(STALL_MS_MIN)
 }
 
-/// The runs to stop, by their indices, as far as the places that are left elsewhere go; takes
-/// those places.
+/// Returns the indices of the runs to stop here and continue elsewhere, as long as other engines
+/// have slots. Takes those slots.
 pub fn runs_to_move(
     runs: &[Run],
     engines: &mut [Engine],
@@ -77,7 +77,7 @@
         let Some(there) = fastest_for(run, engines) else {
             continue;
         };
-        let Some(cause) = cause(run, engines, there, stalled_ms) else {
+        let Some(cause) = move_cause(run, engines, there, stalled_ms) else {
             continue;
         };
         engines[there].take_slot(run.model);
@@ -86,7 +86,7 @@
     moved
 }
 
-fn cause(run: &Run, engines: &[Engine], there: usize, stalled_ms: u64) -> Option<MoveCause> {
+fn move_cause(run: &Run, engines: &[Engine], there: usize, stalled_ms: u64) -> Option<MoveCause> {
     if run.silent_ms >= stalled_ms {
         return Some(MoveCause::Stalled);
     }
@@ -95,7 +95,7 @@
     (slow && run.slow_moves < SLOW_MOVES_MAX).then_some(MoveCause::Slow)
 }
 
-/// The fastest other engine with a place for a run.
+/// The fastest other engine that has a slot and suitable weights for a run.
 fn fastest_for(run: &Run, engines: &[Engine]) -> Option<usize> {
     let fits = |engine: &Engine| {
         !engine.foreign
--- a/components/dispatch/src/registry.rs
+++ b/components/dispatch/src/registry.rs
@@ -1,9 +1,9 @@
-//! Replicas that may take work, from their records in the platform's store.
+//! Replicas that accept work, from their records in the platform's store.
 //!
-//! A record that vanishes while the store is away, or just after its return, may come back:
-//! the replica lives and could not write. So such a replica takes work for a short time more.
-//! Each life of a replica has an id of its own; the address alone names nobody, as it is
-//! given to other services later.
+//! A record that disappears during a store outage or shortly after it may come back: the replica
+//! may be alive and only unable to write. Such a replica keeps receiving work for a short time.
+//! Each incarnation of a replica has its own id. The address does not identify a replica, because
+//! the platform reuses addresses for other services.
 
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
@@ -11,84 +11,84 @@
 
 use derive::value;
 
-/// Id of one life of a replica.
+/// Id of one incarnation of a replica.
 pub type ReplicaId = Arc<str>;
 
-/// How long a replica whose record vanished takes work after the store's return, in
-/// milliseconds. Records of live replicas are back about two seconds after it; a word that a
-/// replica is gone binds only once the store has been steady for three seconds.
-const RETURN_MS: u64 = 2_300;
+/// How long a replica whose record is missing keeps receiving work after the store's recovery.
+/// Records of live replicas are back about 2 s after the recovery, and a removed record must be
+/// obeyed only once the store has been stable for 3 s.
+const RECOVERY_GRACE_MS: u64 = 2_300;
 
-/// How long the store must have given no answer, behind a failed call, for records of live
-/// replicas to be missing, in milliseconds. They write each second and more; a refused read is
-/// made again within 0.3 s, and one that is not answered takes 1.3 s.
-const AWAY_MS: u64 = 900;
+/// How long the store must have been silent after a failed call before records of live replicas can
+/// be missing. Replicas write at least once a second. A refused read is retried within 0.3 s, and a
+/// read without an answer times out after 1.3 s.
+const OUTAGE_MS_MIN: u64 = 900;
 
-/// A replica as its record tells.
+/// A replica as described by its record.
 #[value]
 pub struct Replica {
-    /// Id of this life.
+    /// Unique to one incarnation.
     pub id: ReplicaId,
-    /// When it started, in milliseconds of true time, where it says so. A replica may start again
-    /// under its id, and knows nothing then of what it was told before.
+    /// Start time as Unix time, if the record has one. A replica that restarts under the same id
+    /// has lost its state.
     pub started_ms: Option<u64>,
-    /// Its service.
+    /// Service that the replica belongs to.
     pub service: Arc<str>,
-    /// Where it listens.
+    /// Address that the replica listens on.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain that the replica is in.
     pub domain: Arc<str>,
-    /// Requests that it runs at once.
+    /// Number of requests that the replica runs concurrently.
     pub slots: u32,
-    /// Whether it takes no new work, as it will go.
+    /// Whether the replica accepts no new work because it is about to stop.
     pub draining: bool,
-    /// Versions of the weights that it has, by model.
+    /// Versions of the weights that the replica has, by name of the model.
     pub models: Vec<(Arc<str>, u64)>,
 }
 
 impl Replica {
-    /// Version of the weights of this model.
+    /// Version of the weights that the replica has for a model.
     pub fn version_of(&self, model: &str) -> Option<u64> {
         let held = self.models.iter().find(|(name, _)| &**name == model)?;
         Some(held.1)
     }
 }
 
-/// What a record changed.
+/// Effect of a record on the set of replicas.
 #[value]
 pub enum RegistryChange {
-    /// Nothing that matters.
+    /// No replica was added, removed or changed.
     Unchanged,
-    /// A replica came, went or changed.
+    /// A replica was added, removed or changed.
     Changed,
 }
 
 #[derive(Debug)]
 struct Entry {
     replica: Arc<Replica>,
-    vanished: bool,
+    missing: bool,
 }
 
-/// Replicas that may take work.
+/// Replicas that accept work, and whether the store's removals can be trusted.
 #[derive(Debug, Default)]
 pub struct Registry {
     entries: BTreeMap<ReplicaId, Entry>,
-    /// When the store came back last from a time in which records may have expired; none
-    /// before it was seen.
-    store_since_ms: Option<u64>,
-    /// When it answered last, in milliseconds.
-    seen_ms: u64,
-    /// Whether a call has failed since.
+    /// When the store recovered from the last outage long enough for records to expire; `None`
+    /// before its first answer.
+    store_available_since_ms: Option<u64>,
+    /// Time of the store's last answer.
+    answered_ms: u64,
+    /// Whether a call has failed since the last answer.
     failing: bool,
 }
 
 impl Registry {
-    /// Takes a replica's record.
+    /// Adds or updates a replica from its record.
     pub fn put(&mut self, replica: Replica) -> RegistryChange {
         if let Some(known) = self.entries.get_mut(&replica.id)
             && *known.replica == replica
         {
-            known.vanished = false;
+            known.missing = false;
             return RegistryChange::Unchanged;
         }
         let id = Arc::clone(&replica.id);
@@ -97,27 +97,29 @@
             id,
             Entry {
                 replica,
-                vanished: false,
+                missing: false,
             },
         );
         RegistryChange::Changed
     }
 
-    /// Takes the word that a replica has no record any more.
+    /// Handles the removal of a replica's record. During and shortly after an outage the replica is
+    /// only marked as missing.
     pub fn remove(&mut self, id: &str, now_ms: u64) -> RegistryChange {
-        if self.is_trusted(now_ms) {
+        if self.trusts_removals(now_ms) {
             return match self.entries.remove(id) {
                 Some(_) => RegistryChange::Changed,
                 None => RegistryChange::Unchanged,
             };
         }
         if let Some(entry) = self.entries.get_mut(id) {
-            entry.vanished = true;
+            entry.missing = true;
         }
         RegistryChange::Unchanged
     }
 
-    /// Takes a whole list: every other replica has no record any more.
+    /// Handles a complete list of records: every replica that is not in `listed` has lost its
+    /// record.
     pub fn retain_listed(&mut self, listed: &[ReplicaId], now_ms: u64) -> RegistryChange {
         let listed: HashSet<&ReplicaId> = listed.iter().collect();
         let missing: Vec<ReplicaId> = self
@@ -126,52 +128,55 @@
             .filter(|id| !listed.contains(*id))
             .cloned()
             .collect();
-        let mut revision = RegistryChange::Unchanged;
+        let mut change = RegistryChange::Unchanged;
         for id in missing {
             if self.remove(&id, now_ms) == RegistryChange::Changed {
-                revision = RegistryChange::Changed;
+                change = RegistryChange::Changed;
             }
         }
-        revision
+        change
     }
 
-    /// A call to the store failed.
+    /// Records a failed call to the store.
     pub fn record_store_failure(&mut self) {
         self.failing = true;
     }
 
-    /// The store answers.
+    /// Records an answer of the store.
     pub fn record_store_answer(&mut self, now_ms: u64) {
-        if self.store_since_ms.is_none() || self.is_away(now_ms) {
-            self.store_since_ms = Some(now_ms);
+        if self.store_available_since_ms.is_none() || self.is_store_unavailable(now_ms) {
+            self.store_available_since_ms = Some(now_ms);
         }
         self.failing = false;
-        self.seen_ms = now_ms;
+        self.answered_ms = now_ms;
     }
 
-    fn is_away(&self, now_ms: u64) -> bool {
-        self.failing && now_ms >= self.seen_ms + AWAY_MS
+    fn is_store_unavailable(&self, now_ms: u64) -> bool {
+        self.failing && now_ms >= self.answered_ms + OUTAGE_MS_MIN
     }
 
-    fn is_trusted(&self, now_ms: u64) -> bool {
-        let since_ms = self.store_since_ms;
-        !self.is_away(now_ms) && since_ms.is_some_and(|since_ms| now_ms >= since_ms + RETURN_MS)
+    fn trusts_removals(&self, now_ms: u64) -> bool {
+        let available_since_ms = self.store_available_since_ms;
+        !self.is_store_unavailable(now_ms)
+            && available_since_ms
+                .is_some_and(|available_since_ms| now_ms >= available_since_ms + RECOVERY_GRACE_MS)
     }
 
-    /// Drops replicas whose record did not come back in time.
+    /// Removes replicas whose records have not come back within the grace period after the store's
+    /// recovery.
     pub fn expire(&mut self, now_ms: u64) -> RegistryChange {
-        if !self.is_trusted(now_ms) {
+        if !self.trusts_removals(now_ms) {
             return RegistryChange::Unchanged;
         }
         let before = self.entries.len();
-        self.entries.retain(|_, entry| !entry.vanished);
+        self.entries.retain(|_, entry| !entry.missing);
         match before == self.entries.len() {
             true => RegistryChange::Unchanged,
             false => RegistryChange::Changed,
         }
     }
 
-    /// All replicas, those that are draining included.
+    /// All replicas, including draining ones.
     pub fn replicas(&self) -> impl Iterator<Item = &Arc<Replica>> {
         self.entries.values().map(|entry| &entry.replica)
     }
--- a/components/dispatch/src/retry.rs
+++ b/components/dispatch/src/retry.rs
@@ -1,67 +1,68 @@
-//! What follows an attempt of an ordinary call. The one place that decides on it.
+//! Decides what follows an attempt of a call: all retries of ordinary calls are decided here.
 
 use derive::{key, value};
 
 /// How an attempt ended.
 #[key]
 pub enum AttemptOutcome {
-    /// A whole answer with the replica's signature.
+    /// The replica sent a complete answer with its signature.
     Answered,
-    /// The replica says that it did not run it, or it provably never got it.
+    /// The replica reported that it did not run the request, or the request provably did not reach
+    /// it.
     NotRun,
-    /// It may have run; no whole answer came.
+    /// The request may have run, but there is no complete answer.
     Unknown,
 }
 
-/// How a call ends that gets no answer of a replica.
+/// How a call fails when no replica has answered it.
 #[key]
 pub enum CallFailure {
-    /// It did not run and will not.
+    /// No attempt has run the request, and none will.
     NotRun,
-    /// It may have run, and the time is up.
+    /// An attempt may have run the request, and the deadline has passed.
     TimedOut,
-    /// It may have run.
+    /// An attempt may have run the request.
     Unknown,
 }
 
-/// What to do next.
+/// What to do after an attempt.
 #[value]
 pub enum NextAction {
-    /// The answer goes to the client.
+    /// Send the answer to the client.
     Deliver,
-    /// Send it to a replica that was not tried.
+    /// Send the request to a replica that has not received it yet.
     Retry,
-    /// The client gets this end.
+    /// Report the failure to the client.
     Finish(CallFailure),
 }
 
-/// Time that must be left for an attempt to make sense, in milliseconds.
-const USEFUL_MS: u64 = 10;
+/// Least time before the deadline for which another attempt is made.
+const ATTEMPT_MS_MIN: u64 = 10;
 
-/// Decides after an attempt. `sent` is the number of replicas that the request was sent to,
-/// `untried` whether another replica is there, `may_have_run` whether an earlier attempt may
-/// have run.
+/// Decides what to do after an attempt. `may_have_run` says whether an earlier attempt may have run
+/// the request, `sent` is the number of replicas that it was sent to, and `has_untried` says
+/// whether there is another replica.
 pub fn next_action(
-    end: AttemptOutcome,
+    outcome: AttemptOutcome,
     idempotent: bool,
     may_have_run: bool,
     sent: u32,
     attempts_max: u32,
-    untried: bool,
+    has_untried: bool,
     left_ms: u64,
 ) -> NextAction {
-    let may_have_run = may_have_run || end == AttemptOutcome::Unknown;
-    let final_end = match (may_have_run, left_ms) {
+    let may_have_run = may_have_run || outcome == AttemptOutcome::Unknown;
+    let failure = match (may_have_run, left_ms) {
         (false, _) => CallFailure::NotRun,
         (true, 0) => CallFailure::TimedOut,
         (true, _) => CallFailure::Unknown,
     };
     let repeatable = idempotent || !may_have_run;
-    if end == AttemptOutcome::Answered {
+    if outcome == AttemptOutcome::Answered {
         return NextAction::Deliver;
     }
-    if repeatable && sent < attempts_max && untried && left_ms >= USEFUL_MS {
+    if repeatable && sent < attempts_max && has_untried && left_ms >= ATTEMPT_MS_MIN {
         return NextAction::Retry;
     }
-    NextAction::Finish(final_end)
+    NextAction::Finish(failure)
 }
--- a/components/dispatch/tests/calls.rs
+++ b/components/dispatch/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Choice of a replica for a call, and what follows a failed attempt.
+//! Selection of a replica for a call, and the decision after a failed attempt.
 
 use std::sync::Arc;
 
@@ -9,12 +9,13 @@
 
 const MS: u64 = 1_000;
 
-/// Place in `loads` of the choice among those that were not tried, as callers put it.
+/// Index in `loads` of the choice among the replicas that were not tried; filters them as callers
+/// do.
 fn chosen(loads: &[Arc<ReplicaLoad>], tried: &[usize], random: u64, now_ms: u64) -> Option<usize> {
     chosen_with(loads, tried, &[], random, now_ms)
 }
 
-/// The same where idle connections to some are pooled.
+/// As `chosen`, with idle pooled connections to the replicas in `connected`.
 fn chosen_with(
     loads: &[Arc<ReplicaLoad>],
     tried: &[usize],
@@ -41,7 +42,7 @@
     let loads = loads(4);
     let mut held = Vec::new();
     for random in 0..8 {
-        let at = chosen(&loads, &[], random * 7, 0).expect("one");
+        let at = chosen(&loads, &[], random * 7, 0).expect("a replica");
         held.push(loads[at].begin(25 * MS, false));
     }
     assert!(loads.iter().all(|load| load.calls() == 2));
@@ -50,9 +51,10 @@
 }
 
 #[test]
-fn can_keep_clerks_away_from_a_slow_replica_and_come_back_to_it() {
-    // One replica takes 3.5 times as long. A few answers show it; then calls go elsewhere,
-    // though it has less in progress. Seconds later it is tried again.
+fn can_avoid_a_slow_replica_and_try_it_again_later() {
+    // Guards against calls that keep going to a slow replica, and against avoiding it for ever. One
+    // replica takes 3.5 times as long. After a few answers calls go elsewhere, although it has
+    // fewer calls in progress; seconds later it is tried again.
     let loads = loads(3);
     let typical = TypicalDuration::new(25);
     for _ in 0..4 {
@@ -69,18 +71,22 @@
 }
 
 #[test]
-fn can_leave_out_a_replica_that_fails_in_a_row() {
+fn can_eject_a_replica_after_consecutive_failures() {
     let loads = loads(2);
     loads[0].record_failure(1_000);
     loads[0].record_failure(1_010);
     assert!((0..9).all(|random| chosen(&loads, &[], random, 1_500) == Some(1)));
-    assert_eq!(chosen(&loads, &[1], 0, 1_500), Some(0), "better than none");
+    assert_eq!(
+        chosen(&loads, &[1], 0, 1_500),
+        Some(0),
+        "an ejected replica is better than none"
+    );
 }
 
-/// Load pattern: many fronts with a call each few seconds before many replicas. Guards against a new
-/// connection for each of them.
+/// Guards against a new connection for each call. Load pattern: many fronts that send a call every
+/// few seconds to many replicas.
 #[test]
-fn can_stay_with_a_connected_replica_while_it_has_nothing_else_to_do() {
+fn can_prefer_a_connected_replica_while_it_is_idle() {
     let loads = loads(35);
     let choice = |connected: &[usize]| {
         let randoms = 0..70;
@@ -91,7 +97,7 @@
     let _busy = loads[7].begin(25 * MS, false);
     assert!(
         choice(&[7]).iter().all(|at| *at != Some(7)),
-        "it is at work"
+        "the connected replica is busy"
     );
     assert!(choice(&[7, 9]).iter().all(|at| *at == Some(9)));
 }
@@ -104,7 +110,7 @@
 }
 
 #[test]
-fn can_decide_what_follows_an_attempt() {
+fn can_decide_the_action_after_an_attempt() {
     struct Case {
         name: &'static str,
         end: AttemptOutcome,
@@ -125,7 +131,7 @@
             next: NextAction::Deliver,
         },
         Case {
-            name: "an idempotent call that broke off",
+            name: "an idempotent call that was interrupted",
             end: AttemptOutcome::Unknown,
             idempotent: true,
             ran_before: false,
@@ -134,7 +140,7 @@
             next: NextAction::Retry,
         },
         Case {
-            name: "a call that may run once and broke off",
+            name: "a call that runs at most once and was interrupted",
             end: AttemptOutcome::Unknown,
             idempotent: false,
             ran_before: false,
@@ -143,7 +149,7 @@
             next: NextAction::Finish(CallFailure::Unknown),
         },
         Case {
-            name: "a call that may run once and was refused",
+            name: "a call that runs at most once and was refused",
             end: AttemptOutcome::NotRun,
             idempotent: false,
             ran_before: false,
@@ -161,7 +167,7 @@
             next: NextAction::Finish(CallFailure::NotRun),
         },
         Case {
-            name: "the last one refused, an earlier one may have run it",
+            name: "the last replica refused, an earlier one may have run it",
             end: AttemptOutcome::NotRun,
             idempotent: true,
             ran_before: true,
@@ -170,7 +176,7 @@
             next: NextAction::Finish(CallFailure::Unknown),
         },
         Case {
-            name: "the time is up",
+            name: "the deadline has passed",
             end: AttemptOutcome::Unknown,
             idempotent: true,
             ran_before: false,
@@ -180,14 +186,14 @@
         },
     ];
     for case in cases {
-        let untried = true;
+        let has_untried = true;
         let next = next_action(
             case.end,
             case.idempotent,
             case.ran_before,
             case.sent,
             2,
-            untried,
+            has_untried,
             case.left_ms,
         );
         assert_eq!(next, case.next, "{}", case.name);
--- a/components/dispatch/tests/items.rs
+++ b/components/dispatch/tests/items.rs
@@ -1,4 +1,4 @@
-//! Placing items on model replicas, under the load of a step that arrives at once.
+//! Placement of items on model replicas when all items of a step arrive at once.
 
 use dispatch::{
     Admission, Engine, EventInterval, WaitingItem, WaitingRank, has_lost_version, is_worth_moving,
@@ -53,16 +53,16 @@
 }
 
 checks::seeded! {
-    // Whatever waits: no replica gets more than it has places for, an item never goes to
-    // weights that may not make it, and nothing waits while a place fits it.
-    fn places_fit_and_none_stays_empty(items: Vec<Item>, free: Vec<u8>) -> bool {
+    // For any waiting items: no replica receives more than its slots allow, no item goes to
+    // unsuitable weights, and no item waits while a slot fits it.
+    fn placements_fit_and_use_every_slot(items: Vec<Item>, free: Vec<u8>) -> bool {
         let waiting: Vec<WaitingItem> = items.into_iter().map(|item| item.0).collect();
         let before: Vec<Engine> = free
             .iter()
             .take(6)
             .enumerate()
             .map(|(at, free)| Engine {
-                // One that refused items of the second model takes one of them.
+                // An engine that refused items of the second model takes at most one of them.
                 model_slots: vec![u32::from(free % 9), u32::from(free % 9).min(1)],
                 foreign: at % 2 == 1,
                 ..engine(at as u64 % 4, u32::from(free % 9))
@@ -74,9 +74,9 @@
             let version = engine.versions[item.model];
             version >= item.min_version && item.only_version.is_none_or(|only| only == version)
         };
-        let has_home = |item: &WaitingItem| before.iter().any(|one| !one.foreign && fits(item, one));
+        let has_own = |item: &WaitingItem| before.iter().any(|one| !one.foreign && fits(item, one));
         let allowed = |item: &WaitingItem, engine: &Engine| {
-            fits(item, engine) && (!engine.foreign || !has_home(item))
+            fits(item, engine) && (!engine.foreign || !has_own(item))
         };
         for (at, engine) in before.iter().enumerate() {
             let taken = placed.iter().filter(|placed| placed.engine == at).count();
@@ -97,9 +97,9 @@
 }
 
 #[test]
-fn can_tell_that_a_text_has_lost_its_version() {
-    // A text that must not mix versions broke off, and its replicas load the next version.
-    // Kept for the old one, the item would wait until its step is over.
+fn can_detect_that_a_text_has_lost_its_version() {
+    // Guards against items that wait until their step is over. A text that must not mix versions
+    // was interrupted, and its replicas load the next version.
     struct Case {
         name: &'static str,
         only_version: Option<u64>,
@@ -113,11 +113,11 @@
         lost,
     };
     let cases = [
-        case("may mix", None, &[3], false),
-        case("still there", Some(2), &[3, 2], false),
-        case("gone", Some(2), &[3, 4], true),
-        case("nobody there", Some(2), &[], false),
-        case("only too old ones", Some(3), &[1], false),
+        case("may mix versions", None, &[3], false),
+        case("a replica still has the version", Some(2), &[3, 2], false),
+        case("no replica has the version", Some(2), &[3, 4], true),
+        case("no replicas", Some(2), &[], false),
+        case("only older versions", Some(3), &[1], false),
     ];
     for case in cases {
         let item = WaitingItem {
@@ -136,8 +136,9 @@
 
 #[test]
 fn can_start_the_longest_items_of_the_oldest_step_first() {
-    // A step of many items arrives at once behind one that is nearly done. A long item takes
-    // six seconds however many replicas are free, so it must not wait behind short ones.
+    // Guards against long items that wait behind short ones: a long item takes six seconds even
+    // with many free replicas. Many items of a step arrive at once while an older step is nearly
+    // complete.
     let waiting = [
         waiting(2, 9_000),
         waiting(1, 100),
@@ -150,51 +151,60 @@
 }
 
 #[test]
-fn can_tell_how_long_a_text_goes_on() {
+fn can_estimate_the_time_left_of_a_text() {
     struct Case {
         name: &'static str,
-        made_events: u64,
-        pause_us: u64,
+        generated_events: u64,
+        interval_us: u64,
         left_ms: u64,
     }
-    let case = |name, made_events, pause_us, left_ms| Case {
+    let case = |name, generated_events, interval_us, left_ms| Case {
         name,
-        made_events,
-        pause_us,
+        generated_events,
+        interval_us,
         left_ms,
     };
     // A thousand tokens take 632 ms at a replica that runs four requests.
     let cases = [
-        case("not begun, no pause known", 0, 0, 632),
-        case("not begun", 0, 35_000, 632),
-        case("half of it", 9, 35_000, 317),
+        case("not started, interval unknown", 0, 0, 632),
+        case("not started", 0, 35_000, 632),
+        case("half generated", 9, 35_000, 317),
         case("as long as the hint", 18, 35_000, 315),
-        case("far longer", 100, 35_000, 1_750),
+        case("far beyond the hint", 100, 35_000, 1_750),
     ];
     for case in cases {
-        let left_ms = text_left_ms(1_000, case.made_events, case.pause_us);
+        let left_ms = text_left_ms(1_000, case.generated_events, case.interval_us);
         assert_eq!(left_ms, case.left_ms, "{}", case.name);
     }
 }
 
 #[test]
-fn can_keep_to_the_own_part_of_the_replicas_as_long_as_it_can_make_an_item() {
-    // Each of many fronts has its part. Sent to all replicas, items of one front wait unseen
-    // in the queues of another's; kept at home where no replica has the version, they never run.
-    let abroad = |version| Engine {
+fn can_prefer_replicas_of_own_shards_that_have_suitable_weights() {
+    // Each of many fronts has its shards of the replicas. Guards against items that wait unseen in
+    // queues at another front's replicas, and against items that never run because no replica in
+    // the front's own shards has the version.
+    let foreign = |version| Engine {
         foreign: true,
         ..engine(version, 8)
     };
-    let place_one = |home| place(&[waiting(0, 500)], &mut [home, abroad(2)]);
-    assert!(place_one(engine(2, 0)).is_empty(), "home is full");
-    assert_eq!(place_one(engine(2, 1))[0].engine, 0, "home has a place");
-    assert_eq!(place_one(engine(1, 8))[0].engine, 1, "home has old weights");
+    let place_one = |own| place(&[waiting(0, 500)], &mut [own, foreign(2)]);
+    assert!(place_one(engine(2, 0)).is_empty(), "own replica is full");
+    assert_eq!(
+        place_one(engine(2, 1))[0].engine,
+        0,
+        "own replica has a free slot"
+    );
+    assert_eq!(
+        place_one(engine(1, 8))[0].engine,
+        1,
+        "own replica has old weights"
+    );
 }
 
 #[test]
-fn can_share_places_among_models() {
-    // Two models have items for the same replica, which refused those of the second a moment
-    // ago. Together they take no more than it has, and of the second one is tried.
+fn can_share_slots_among_models() {
+    // Guards against placing more items of several models than the replica has slots. The replica
+    // has just refused items of the second model, so only one of these is tried.
     let second = |left_ms| WaitingItem {
         model: 1,
         ..waiting(0, left_ms)
@@ -224,7 +234,7 @@
 }
 
 #[test]
-fn can_avoid_the_replica_where_a_run_broke_unless_there_is_no_other() {
+fn can_avoid_the_replica_of_an_interrupted_run_unless_it_is_the_only_one() {
     let item = WaitingItem {
         avoid: Some(0),
         ..waiting(1, 500)
@@ -239,25 +249,26 @@
 }
 
 #[test]
-fn can_tell_a_replica_that_turned_slow_within_a_few_events() {
-    // A replica turns 3.5 times slower in the middle of long items. Four events later they
-    // are worth moving; a fuller replica, a quarter slower than the others, is not left.
-    let pace = EventInterval::default();
-    (0..20).for_each(|event| pace.record(35_000, event * 35));
-    assert_eq!(slowness(&pace, 35_000, 700), 1_000);
-    (0..4).for_each(|event| pace.record(122_000, 700 + event * 122));
+fn can_detect_a_slow_replica_within_a_few_events() {
+    // Guards against long items that stay at a replica that becomes 3.5 times slower half way.
+    // After four events they are worth moving; items at a fuller replica that is a quarter slower
+    // are not.
+    let interval = EventInterval::default();
+    (0..20).for_each(|event| interval.record(35_000, event * 35));
+    assert_eq!(slowness(&interval, 35_000, 700), 1_000);
+    (0..4).for_each(|event| interval.record(122_000, 700 + event * 122));
     assert!(is_worth_moving(
         1_000,
-        slowness(&pace, 35_000, 1_400),
+        slowness(&interval, 35_000, 1_400),
         1_000
     ));
 }
 
 #[test]
-fn can_tell_what_a_move_gains() {
-    // One replica of three is a third slower than the others. A long text that stays there ends
-    // its step almost two seconds late; a short one would gain less than the move costs, and so
-    // would any at a replica that is only fuller.
+fn can_decide_whether_a_move_gains_enough_time() {
+    // One replica of three is a third slower than the others. A long text that stays there ends its
+    // step almost two seconds late. A short text would gain less than the move costs, and so would
+    // any text at a replica that is only fuller.
     struct Case {
         name: &'static str,
         left_ms: u64,
@@ -275,11 +286,11 @@
     let cases = [
         case("long, a third slower", 5_000, 1_300, 1_000, true),
         case("short, a third slower", 2_000, 1_300, 1_000, false),
-        case("short, far slower", 300, 3_500, 1_000, true),
-        case("nearly done, far slower", 60, 3_500, 1_000, false),
+        case("short, much slower", 300, 3_500, 1_000, true),
+        case("nearly complete, much slower", 60, 3_500, 1_000, false),
         case("long, a fuller replica", 9_000, 1_140, 1_000, false),
-        case("all are slow", 5_000, 2_000, 1_900, false),
-        case("the other is slower", 5_000, 1_000, 1_300, false),
+        case("all replicas are slow", 5_000, 2_000, 1_900, false),
+        case("the other replica is slower", 5_000, 1_000, 1_300, false),
     ];
     for case in cases {
         let moves = is_worth_moving(case.left_ms, case.here, case.there);
@@ -288,31 +299,33 @@
 }
 
 #[test]
-fn can_pass_over_a_single_long_pause() {
-    // A replica loads a version of another model and makes no event for a second. Taken for
-    // slow, it would lose all its items to others, which load next: they went to and fro.
-    let pace = EventInterval::default();
-    (0..20).for_each(|event| pace.record(35_000, event * 35));
-    pace.record(900_000, 1_600);
+fn can_ignore_a_single_long_interval() {
+    // Guards against items that move back and forth. A replica loads a version of another model and
+    // generates no event for a second. If it counted as slow, it would lose all its items to
+    // replicas that load next.
+    let interval = EventInterval::default();
+    (0..20).for_each(|event| interval.record(35_000, event * 35));
+    interval.record(900_000, 1_600);
     assert!(!is_worth_moving(
         9_000,
-        slowness(&pace, 35_000, 1_600),
+        slowness(&interval, 35_000, 1_600),
         1_000
     ));
 }
 
 #[test]
-fn can_give_items_again_to_a_replica_that_was_slow() {
-    let pace = EventInterval::default();
-    pace.record(122_000, 1_000);
-    assert!(slowness(&pace, 35_000, 1_500) > 3_000);
-    assert!(slowness(&pace, 35_000, 17_500) < 1_200);
+fn can_use_a_formerly_slow_replica_again() {
+    let interval = EventInterval::default();
+    interval.record(122_000, 1_000);
+    assert!(slowness(&interval, 35_000, 1_500) > 3_000);
+    assert!(slowness(&interval, 35_000, 17_500) < 1_200);
 }
 
 #[test]
-fn can_try_one_item_at_a_time_at_a_replica_that_refused() {
-    // A replica loads a version for a second while forty items wait. Each would be refused
-    // there ten times, on a connection of its own; so one is tried at a time until one runs.
+fn can_attempt_one_item_at_a_time_after_a_refusal() {
+    // Guards against repeated refusals. A replica loads a version for a second while forty items
+    // wait: each would be refused ten times, on a connection of its own. One item at a time is
+    // tried until one runs.
     let admission = Admission::default();
     assert_eq!(admission.usable_slots(8, 1_000), 8);
     admission.record_refusal(1_000);
@@ -328,29 +341,30 @@
     assert_eq!(
         admission.usable_slots(8, 2_020),
         8,
-        "it has the version now"
+        "the replica has the version now"
     );
 }
 
 #[test]
-fn can_spread_a_group_over_replicas_that_are_free() {
-    // Sixteen items of one prompt arrive while sixteen replicas are idle. Kept together for
-    // the prompt's sake, five long ones on a replica fill its memory, preempt one another and
-    // end the step late; a prompt is read again in a millisecond.
+fn can_spread_a_group_over_idle_replicas() {
+    // Guards against packing a group onto few replicas to share its prompt. Sixteen items of one
+    // prompt arrive while sixteen replicas are idle: five long items at one replica fill its
+    // memory, preempt one another and delay the step, while a prompt is read again in a
+    // millisecond.
     let group: Vec<WaitingItem> = (0..16).map(|item| waiting(1, 500 + item)).collect();
     let mut engines = vec![engine(2, 8); 16];
     place(&group, &mut engines);
     assert!(engines.iter().all(|engine| engine.running == 1));
 }
 
-/// Rounds of placing until the last item of a customer's first step has a place, where places
-/// come free all at once.
+/// Number of rounds of placement until all waiting items that match `of` are placed. All slots
+/// become free in each round.
 fn rounds_until_placed(waiting: &[WaitingItem], of: impl Fn(&WaitingItem) -> bool) -> usize {
     let mut left: Vec<WaitingItem> = waiting.to_vec();
     for round in 1.. {
         let mut engines: Vec<Engine> = (0..10).map(|_| engine(2, 8)).collect();
         let placed = place(&left, &mut engines);
-        assert!(!placed.is_empty(), "something is placed in each round");
+        assert!(!placed.is_empty(), "no item was placed in this round");
         let taken: std::collections::HashSet<usize> = placed.iter().map(|one| one.item).collect();
         let mut at = 0;
         left.retain(|_| {
@@ -361,28 +375,28 @@
             return round;
         }
     }
-    unreachable!("rounds go on")
+    unreachable!("the loop ends only by returning")
 }
 
 #[test]
-fn a_flood_of_one_customer_delays_a_small_one_by_one_step() {
-    // Pattern: one large customer asks for twenty steps of forty items at once; later
-    // seventy-six small ones ask for a step of four items each. Eighty places come free a
-    // round. By age alone the small ones wait for all eight hundred items of the flood: they
-    // begin in the eleventh round. In turns they wait for one step.
-    let of_flood = |step: u64| {
+fn a_burst_of_one_customer_delays_others_by_one_step() {
+    // Load pattern: a large customer submits twenty steps of forty items at once, then seventy-six
+    // small customers submit a step of four items each; eighty slots become free per round. By age
+    // alone the small ones would wait for all eight hundred items and start in the eleventh round;
+    // with turns they wait for one step.
+    let of_large = |step: u64| {
         (0..40).map(move |_| WaitingItem {
             turn: step as u32,
             ..waiting(step, 3_000)
         })
     };
     let of_small = |step: u64| (0..4).map(move |_| waiting(100 + step, 1_000));
-    let mut all: Vec<WaitingItem> = (0..20).flat_map(of_flood).collect();
+    let mut all: Vec<WaitingItem> = (0..20).flat_map(of_large).collect();
     all.extend((0..76).flat_map(of_small));
     let small_items = 76 * 4;
     let aim = (40 + small_items as usize).div_ceil(80);
     let rounds = rounds_until_placed(&all, |item| item.step_rank >= 100);
-    assert!(rounds <= aim, "{rounds} rounds, aim {aim}");
+    assert!(rounds <= aim, "{rounds} rounds, expected at most {aim}");
     let by_age: Vec<WaitingItem> = all
         .iter()
         .map(|item| WaitingItem {
@@ -393,14 +407,15 @@
     let before = rounds_until_placed(&by_age, |item| item.step_rank >= 100);
     assert!(
         before > 2 * aim,
-        "by age alone the flood goes first: {before} rounds"
+        "by age alone the burst should delay the others, but they took {before} rounds"
     );
 }
 
 #[test]
 fn a_higher_rank_goes_first_within_a_turn() {
-    // Pattern: places for most of what waits come free. The customer's rank goes before the
-    // route's, both before age, and none before a turn.
+    // Load pattern: slots for most of the waiting items become free. The customer's rank is
+    // compared before the route's, both before the age of the step, and the turn before either
+    // rank.
     let ranked = |turn, customer, route, step_rank| WaitingItem {
         turn,
         rank: WaitingRank { customer, route },
--- a/components/dispatch/tests/moves.rs
+++ b/components/dispatch/tests/moves.rs
@@ -1,4 +1,4 @@
-//! Runs that go on at another replica, under the load of several fronts on the same replicas.
+//! Runs that continue at another replica, when several fronts share the replicas.
 
 use dispatch::{Engine, MoveCause, Run, runs_to_move, stall_threshold_ms};
 
@@ -26,10 +26,10 @@
 }
 
 #[test]
-fn can_move_runs_that_make_nothing_while_another_replica_has_a_place() {
-    // Other fronts fill a replica that this front believes to be free, its memory runs out, it
-    // loads weights, or it went dark: a text stands still, and the trainer waits for the whole
-    // group. It goes on elsewhere as soon as that is known, and only where there is room.
+fn can_move_stalled_runs_to_a_free_slot() {
+    // Guards against texts that stall while the trainer waits for the whole group. A run stalls if
+    // other fronts fill the replica unseen, or if it runs out of memory, loads weights or becomes
+    // unreachable. The run moves as soon as the stall is detected, but only to a free slot.
     struct Case {
         name: &'static str,
         run: Run,
@@ -50,22 +50,22 @@
     let cases = [
         case("silent", run(900), engine(2, 1, 1_000), stalled),
         case(
-            "silent at its slow replica",
+            "silent, the other replica is slow",
             run(900),
             engine(2, 1, 3_000),
             stalled,
         ),
-        case("it makes events", run(60), engine(2, 1, 1_000), None),
-        case("no place", run(900), engine(2, 0, 1_000), None),
-        case("too old a version", run(900), engine(1, 1, 1_000), None),
+        case("generates events", run(60), engine(2, 1, 1_000), None),
+        case("no free slot", run(900), engine(2, 0, 1_000), None),
+        case("version too old", run(900), engine(1, 1, 1_000), None),
         case(
-            "must not mix, same version",
+            "must not mix versions, same version",
             single(3),
             engine(3, 1, 1_000),
             stalled,
         ),
         case(
-            "must not mix, other version",
+            "must not mix versions, other version",
             single(2),
             engine(3, 1, 1_000),
             None,
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn can_move_as_many_runs_as_there_are_places() {
+fn can_move_as_many_runs_as_there_are_free_slots() {
     let mut engines = [engine(2, 0, 1_000), engine(2, 2, 1_000)];
     let moved = runs_to_move(&[run(900), run(900), run(900)], &mut engines, 250);
     assert_eq!(moved.len(), 2);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn can_tell_silence_by_the_usual_pause() {
+fn can_derive_the_stall_threshold_from_the_typical_interval() {
     struct Case {
         typical_us: u64,
         stalled_ms: u64,
--- a/components/dispatch/tests/registry.rs
+++ b/components/dispatch/tests/registry.rs
@@ -1,4 +1,4 @@
-//! Which replicas take work, as records come, vanish and come back.
+//! Which replicas accept work as their records appear, disappear and come back.
 
 use dispatch::{Registry, RegistryChange, Replica};
 
@@ -44,17 +44,17 @@
 }
 
 #[test]
-fn can_drop_a_replica_at_once_while_the_store_is_steady() {
+fn can_remove_a_replica_at_once_while_the_store_is_available() {
     let mut registry = with(&["a", "b"]);
     assert_eq!(registry.remove("a", 60_000), RegistryChange::Changed);
     assert_eq!(ids(&registry), ["b"]);
 }
 
 #[test]
-fn can_keep_replicas_whose_records_expired_while_the_store_was_away() {
-    // The store is down for longer than a heartbeat lives, so every record expires though
-    // the replicas live. Dropping them all would refuse every request. They write again
-    // within two seconds of its return; the one that does not is gone.
+fn can_keep_replicas_whose_records_expired_during_an_outage() {
+    // Guards against refusing every request after a store outage. In an outage longer than the
+    // lifetime of a heartbeat every record expires although the replicas live. Live replicas write
+    // again within 2 s of the recovery; one that does not is gone.
     let mut registry = with(&["a", "b"]);
     registry.record_store_failure();
     registry.record_store_answer(60_000);
@@ -68,24 +68,24 @@
 }
 
 #[test]
-fn can_drop_a_gone_replica_behind_a_refused_read() {
-    // With hundreds of fronts the store refuses a read now and then, and the next one is
-    // answered. No record expires in that time. Taken for an outage, it kept a replica that
-    // had left in use for 2.3 s more, and it got work.
+fn can_remove_a_replica_after_a_refused_read() {
+    // Guards against taking a refused read for an outage, which keeps a replica that has left in
+    // use for another 2.3 s. With hundreds of fronts the store refuses a read now and then and
+    // answers the next; no record expires meanwhile.
     struct Case {
         name: &'static str,
-        away_ms: u64,
+        silent_ms: u64,
         kept: &'static [&'static str],
     }
     let cases = [
         Case {
-            name: "refused for a moment",
-            away_ms: 250,
+            name: "a refused read",
+            silent_ms: 250,
             kept: &["a"],
         },
         Case {
             name: "a read without an answer",
-            away_ms: 1_450,
+            silent_ms: 1_450,
             kept: &["a", "b"],
         },
     ];
@@ -93,14 +93,14 @@
         let mut registry = with(&["a", "b"]);
         registry.record_store_answer(60_000);
         registry.record_store_failure();
-        registry.record_store_answer(60_000 + case.away_ms);
-        registry.remove("b", 60_000 + case.away_ms);
+        registry.record_store_answer(60_000 + case.silent_ms);
+        registry.remove("b", 60_000 + case.silent_ms);
         assert_eq!(ids(&registry), case.kept, "{}", case.name);
     }
 }
 
 #[test]
-fn can_take_a_whole_list_after_the_history_was_lost() {
+fn can_apply_a_complete_list_of_records() {
     let mut registry = with(&["a", "b", "c"]);
     let listed = ["a".into(), "c".into()];
     assert_eq!(
--- a/components/dispatch/tests/routes.rs
+++ b/components/dispatch/tests/routes.rs
@@ -1,4 +1,4 @@
-//! The route of a request and the service that it draws.
+//! The route of a request, and the service that is picked for it.
 
 use std::collections::HashMap;
 
@@ -85,9 +85,9 @@
 }
 
 #[test]
-fn can_draw_services_by_their_weights() {
+fn can_pick_services_by_their_weights() {
     let routes = routes();
-    let route = routes.find("host", "/a/b/c").expect("there");
+    let route = routes.find("host", "/a/b/c").expect("a route");
     let drawn =
         (0..1_000).filter(|random| route.pick_service(*random).is_some_and(|s| &**s == "y"));
     assert_eq!(drawn.count(), 100);
@@ -96,9 +96,10 @@
 }
 
 #[test]
-fn can_tell_that_a_service_makes_texts_of_one_version() {
-    // Weights that change under a text which must not mix versions throw it away: on the quiet
-    // days of three deployments up to a quarter of the worth was lost by that.
+fn can_tell_that_a_service_requires_a_single_version() {
+    // Guards against loads that change the weights during a text that must not mix versions, which
+    // makes the text useless. This lost up to a quarter of the worth on quiet days of three
+    // deployments.
     let limits = Limits {
         header_bytes_max: 1,
         body_bytes_max: 1,
@@ -122,7 +123,7 @@
 }
 
 #[test]
-fn can_tell_the_customer_of_a_request() {
+fn can_find_the_customer_of_a_request() {
     struct Case {
         name: &'static str,
         public: bool,
@@ -186,7 +187,7 @@
 }
 
 #[test]
-fn a_customer_s_rank_goes_before_the_route_s() {
+fn a_customers_rank_takes_precedence_over_the_routes() {
     let route = route("r", "/a/", &[("x", 1)]);
     let customer = |rank| Customer {
         name: "a".into(),
