--- a/components/leaving/src/drain.rs
+++ b/components/leaving/src/drain.rs
@@ -1,14 +1,14 @@
-//! The drain of one process, from the first notice to its exit.
+//! Drains one process, from the first notice to its exit.
 //!
-//! An entry stays behind the platform's balancer for a while after it says that it is
-//! not ready, and the balancer goes on sending it requests; so it takes new work for
-//! `settle_ms` more. An agent is told about by membership, which needs no such time: its
-//! `settle_ms` is 0, and it refuses new work as soon as any source says that it leaves.
-//! Refused work is "not run", with a time to come back. Work in progress always
-//! finishes, up to `finish_ms_max`; only then does the process exit.
+//! An entry stays behind the platform's load balancer for a while after it reports that it is not
+//! ready, and the balancer keeps sending requests to it. The entry therefore accepts new work for
+//! another `settle_ms`. Membership spreads the notice of a leaving agent without such a lag, so an
+//! agent's `settle_ms` is 0, and it refuses new work as soon as any source says that it leaves.
+//! Refused work is reported as "not run" with a time to retry. Work in progress has up to
+//! `finish_ms_max` to finish; only then does the process exit.
 //!
-//! All methods take `&self` and atomics hold the state, so that the request path asks
-//! without waiting for anyone.
+//! All methods take `&self` and the state is held in atomics, so that requests never block on the
+//! drain.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
@@ -19,22 +19,22 @@
 
 const NOT_STARTED: u64 = u64::MAX;
 
-/// Times of a drain.
+/// Time limits of a drain.
 #[value]
 #[derive(Copy)]
 pub struct DrainSettings {
-    /// How long new work is still taken after readiness went false, in milliseconds: the
-    /// lag of the platform's balancer for an entry, 0 for an agent.
+    /// How long new work is still accepted after the process reports that it is not ready: the lag
+    /// of the platform's load balancer for an entry, 0 for an agent.
     pub settle_ms: u64,
-    /// Longest time for the work in progress after new work is refused, in milliseconds.
-    /// Not below the longest deadline that the process accepts, or calls would be cut off.
+    /// Longest time for the work in progress after new work is refused. It must not be below the
+    /// longest deadline that the process accepts; otherwise calls would be cut off.
     pub finish_ms_max: u64,
-    /// When a refused caller may come back, in milliseconds.
+    /// When the caller of refused work may retry.
     pub retry_after_ms: u32,
 }
 
 impl DrainSettings {
-    /// For an entry behind a balancer that notices within 8 s.
+    /// For an entry behind a load balancer that notices within 8 s.
     pub const ENTRY: Self = Self {
         settle_ms: 8_000,
         finish_ms_max: 600_000,
@@ -48,18 +48,18 @@
         retry_after_ms: 100,
     };
 
-    /// Longest time from the first notice to the last new work, in milliseconds.
+    /// Longest time from the first notice to the last new work that is accepted.
     pub fn leave_within_ms(&self) -> u64 {
         self.settle_ms
     }
 }
 
-/// How far a drain has come.
+/// Phase of a drain.
 #[key]
 pub enum Phase {
-    /// No notice yet; ready.
+    /// No notice yet; the process is ready.
     Serving,
-    /// Not ready, but new work is still taken.
+    /// The process is not ready, but still accepts new work.
     Settling,
     /// New work is refused; the work in progress finishes.
     Finishing,
@@ -68,16 +68,16 @@
 /// What the process does next.
 #[key]
 pub enum DrainAction {
-    /// Nothing until this time; ask again then, or when a piece of work ends.
+    /// Wait until this time, or until a piece of work ends; then call [`Drain::next_action`] again.
     WaitUntil {
-        /// On the process's monotonic clock.
+        /// Time on the process's monotonic clock.
         at_ms: u64,
     },
-    /// Nothing until the first notice.
+    /// Continue to serve until the first notice.
     Serve,
     /// Exit now.
     Exit {
-        /// Pieces of work that did not finish within the longest time.
+        /// Number of pieces of work that did not finish within the longest time.
         cut_off: usize,
     },
 }
@@ -86,31 +86,31 @@
 #[derive(Debug)]
 pub struct Drain {
     settings: DrainSettings,
-    progress: WorkCounter,
+    work: WorkCounter,
     started_ms: AtomicU64,
     closed: AtomicBool,
 }
 
 impl Drain {
-    /// A process that serves.
+    /// Creates the drain of a process that serves.
     pub fn new(settings: DrainSettings) -> Self {
         Self {
             settings,
-            progress: WorkCounter::default(),
+            work: WorkCounter::default(),
             started_ms: AtomicU64::new(NOT_STARTED),
             closed: AtomicBool::new(false),
         }
     }
 
-    /// Takes the first notice: a signal, an operator's order, the VM list or a rumour.
-    /// True for the first one only, which the process then tells others about.
+    /// Starts the drain at the first notice: a signal, an operator's order, the VM list or a gossip
+    /// message. Returns true for the first notice only; the process then notifies others.
     pub fn start(&self, now_ms: u64) -> bool {
         self.started_ms
             .compare_exchange(NOT_STARTED, now_ms, Ordering::SeqCst, Ordering::SeqCst)
             .is_ok()
     }
 
-    /// How far the drain has come.
+    /// The current phase.
     pub fn phase(&self, now_ms: u64) -> Phase {
         let started_ms = self.started_ms.load(Ordering::SeqCst);
         if started_ms == NOT_STARTED {
@@ -123,40 +123,41 @@
         Phase::Finishing
     }
 
-    /// Whether the balancer may send new work.
+    /// Whether the load balancer may send new work.
     pub fn is_ready(&self) -> bool {
         self.started_ms.load(Ordering::SeqCst) == NOT_STARTED
     }
 
-    /// Whether others should be told that this process is leaving.
+    /// Whether other processes should be notified that this process is leaving.
     pub fn is_leaving(&self) -> bool {
         !self.is_ready()
     }
 
-    /// Takes new work in, or refuses it as not run.
+    /// Accepts new work, or refuses it as not run.
     pub fn admit(&self, now_ms: u64) -> Result<WorkGuard, Failure> {
-        // Counted first, asked after. The other way round, a thread that stops between
-        // the two would let `step` see an empty count, and the process would exit under
-        // a request that it had already admitted: a cut connection for the caller.
-        let working = self.progress.begin();
+        // The work is counted before the phase is checked. In the reverse order, a thread that is
+        // suspended between the two steps would let `next_action` see a count of 0, and the process
+        // would exit during a request that it had already admitted; the caller would see a cut
+        // connection.
+        let working = self.work.begin();
         match self.phase(now_ms) {
             Phase::Serving | Phase::Settling => Ok(working),
             Phase::Finishing => Err(self.refusal()),
         }
     }
 
-    /// The answer to work that comes too late.
+    /// The failure for work that arrives too late.
     pub fn refusal(&self) -> Failure {
         Failure::not_run(Cause::Leaving).retry_after(self.settings.retry_after_ms)
     }
 
-    /// Work in progress, for guards that do not come from [`Drain::admit`].
+    /// Counter of the work in progress, for guards that do not come from [`Drain::admit`].
     pub fn work_counter(&self) -> &WorkCounter {
-        &self.progress
+        &self.work
     }
 
-    /// What to do next. Ask at the time that the last answer named and whenever a piece
-    /// of work ends after the notice.
+    /// Returns what to do next. To be called at the time that the last result named, and whenever a
+    /// piece of work ends after the first notice.
     pub fn next_action(&self, now_ms: u64) -> DrainAction {
         let started_ms = self.started_ms.load(Ordering::SeqCst);
         let settled_ms = started_ms.saturating_add(self.settings.settle_ms);
@@ -168,14 +169,14 @@
     }
 
     fn finish(&self, settled_ms: u64, now_ms: u64) -> DrainAction {
-        // A request may be admitted with a time that was read before the process was
-        // frozen. Once closed, its `admit` refuses whatever time it brings; and the
-        // count is read after closing, so an earlier one is seen here.
+        // A request may be admitted with a time that was read before the process was suspended.
+        // Once `closed` is set, `admit` refuses work whatever time the caller passes. The count is
+        // read after `closed` is set, so work that was admitted before is counted here.
         self.closed.store(true, Ordering::SeqCst);
-        let left = self.progress.count();
+        let remaining = self.work.count();
         let last_ms = settled_ms.saturating_add(self.settings.finish_ms_max);
-        if left == 0 || now_ms >= last_ms {
-            return DrainAction::Exit { cut_off: left };
+        if remaining == 0 || now_ms >= last_ms {
+            return DrainAction::Exit { cut_off: remaining };
         }
         DrainAction::WaitUntil { at_ms: last_ms }
     }
--- a/components/leaving/src/lib.rs
+++ b/components/leaving/src/lib.rs
@@ -1,5 +1,6 @@
-//! How a process goes: readiness first, then new work, then the work in progress. Pure:
-//! the time comes in as `now_ms` of the process's monotonic clock.
+//! How a process leaves: it first reports that it is not ready, then refuses new work, then
+//! finishes the work in progress. The crate reads no clock; callers pass `now_ms` of the process's
+//! monotonic clock.
 
 mod drain;
 mod probers;
--- a/components/leaving/src/probers.rs
+++ b/components/leaving/src/probers.rs
@@ -1,23 +1,23 @@
-//! Who asked an agent for its status lately: the entries that may have calls for it, and
-//! so the ones to tell at once when it leaves.
+//! Tracks which entries have recently probed an agent for its status. They may have calls for it,
+//! so the agent notifies them at once when it leaves.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
 use derive::value;
 
-/// How long and how often probers are told.
+/// Which probers are notified, and how often.
 #[value]
 #[derive(Copy)]
 pub struct ProbersSettings {
-    /// A prober counts as recent for this long, in milliseconds.
+    /// How long after its last probe a prober counts as recent.
     pub recent_ms: u64,
-    /// Probers kept at most; the longest silent one goes first.
+    /// Largest number of probers in memory; the one with the oldest probe is evicted first.
     pub probers_max: usize,
-    /// How often each prober is told; datagrams get lost, and at a loss of 10 % one
-    /// prober in a thousand misses three. Its next probe tells it then.
+    /// Number of notices to each prober. Datagrams get lost: at a loss of 10 % one prober in a
+    /// thousand misses three notices and learns of the leave from its next probe.
     pub notices: u32,
-    /// Time between two notices, in milliseconds.
+    /// Time between two notices.
     pub notice_interval_ms: u64,
 }
 
@@ -36,43 +36,44 @@
 #[derive(Debug)]
 pub struct Probers {
     settings: ProbersSettings,
-    heard_ms: HashMap<SocketAddr, u64>,
+    probed_ms: HashMap<SocketAddr, u64>,
     notices_left: u32,
     next_notice_ms: u64,
 }
 
 impl Probers {
-    /// Nobody has asked yet.
+    /// Creates an empty set of probers.
     pub fn new(settings: ProbersSettings) -> Self {
         Self {
             settings,
-            heard_ms: HashMap::new(),
+            probed_ms: HashMap::new(),
             notices_left: 0,
             next_notice_ms: 0,
         }
     }
 
-    /// Takes a probe in.
+    /// Records a probe.
     pub fn record_probe(&mut self, prober: SocketAddr, now_ms: u64) {
-        let full = self.heard_ms.len() >= self.settings.probers_max;
-        if full && !self.heard_ms.contains_key(&prober) {
+        let is_full = self.probed_ms.len() >= self.settings.probers_max;
+        if is_full && !self.probed_ms.contains_key(&prober) {
             self.evict();
         }
-        self.heard_ms.insert(prober, now_ms);
+        self.probed_ms.insert(prober, now_ms);
     }
 
-    /// Starts telling them that this process leaves.
+    /// Starts the notices that this process is leaving.
     pub fn start_notices(&mut self, now_ms: u64) {
         self.notices_left = self.settings.notices;
         self.next_notice_ms = now_ms;
     }
 
-    /// When [`Probers::notify`] is to be asked next; `None` when nothing is left to tell.
+    /// When [`Probers::due_recipients`] is to be called next; `None` if no notice is left to send.
     pub fn next_notice_ms(&self) -> Option<u64> {
         (self.notices_left > 0).then_some(self.next_notice_ms)
     }
 
-    /// Whom to send a status that says leaving now; empty before the next notice is due.
+    /// Takes the next notice if it is due and returns its recipients, to whom the caller sends the
+    /// status "leaving". Returns no address before the notice is due.
     pub fn due_recipients(&mut self, now_ms: u64) -> Vec<SocketAddr> {
         if self.notices_left == 0 || now_ms < self.next_notice_ms {
             return Vec::new();
@@ -82,17 +83,17 @@
         self.recent(now_ms)
     }
 
-    /// Who asked within the last `recent_ms`.
+    /// Addresses that have sent a probe within the last `recent_ms`.
     pub fn recent(&self, now_ms: u64) -> Vec<SocketAddr> {
         let oldest_ms = now_ms.saturating_sub(self.settings.recent_ms);
-        let recent = self.heard_ms.iter().filter(|&(_, &at)| at >= oldest_ms);
+        let recent = self.probed_ms.iter().filter(|&(_, &at)| at >= oldest_ms);
         recent.map(|(&prober, _)| prober).collect()
     }
 
     fn evict(&mut self) {
-        let oldest = self.heard_ms.iter().min_by_key(|&(_, &at)| at);
+        let oldest = self.probed_ms.iter().min_by_key(|&(_, &at)| at);
         if let Some((&oldest, _)) = oldest {
-            self.heard_ms.remove(&oldest);
+            self.probed_ms.remove(&oldest);
         }
     }
 }
--- a/components/leaving/src/progress.rs
+++ b/components/leaving/src/progress.rs
@@ -1,31 +1,31 @@
-//! Count of the work in progress, held by guards.
+//! Counts the work in progress by guards.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Counts the work in progress; clones share the count.
+/// Counter of the work in progress; clones share the count.
 #[derive(Clone, Debug, Default)]
 pub struct WorkCounter {
     count: Arc<AtomicUsize>,
 }
 
 impl WorkCounter {
-    /// Counts one more piece of work until the guard is dropped.
+    /// Counts a piece of work until the guard is dropped.
     pub fn begin(&self) -> WorkGuard {
-        // SeqCst: see `Drain::admit`, which reads the drain's state after this.
+        // SeqCst: `Drain::admit` reads the drain's state after this increment.
         self.count.fetch_add(1, Ordering::SeqCst);
         WorkGuard {
             count: Arc::clone(&self.count),
         }
     }
 
-    /// Pieces of work in progress.
+    /// Number of pieces of work in progress.
     pub fn count(&self) -> usize {
         self.count.load(Ordering::SeqCst)
     }
 }
 
-/// One piece of work in progress; ends when dropped.
+/// A piece of work in progress; dropping it ends the work.
 #[derive(Debug)]
 pub struct WorkGuard {
     count: Arc<AtomicUsize>,
--- a/components/leaving/tests/drain.rs
+++ b/components/leaving/tests/drain.rs
@@ -1,4 +1,4 @@
-//! A process goes.
+//! The drain of a process.
 
 use std::net::SocketAddr;
 
@@ -15,11 +15,11 @@
     SocketAddr::from(([10, 0, 0, number], 7_000))
 }
 
-/// The caller sees no cut connection and, at the end, "not run" with a time to come back.
-/// A signal comes while a call runs; readiness is false at once, the balancer still sends
-/// a call, which is taken; later ones are refused; the process exits after both ended.
+/// Guards against cut connections while an entry drains. A signal arrives during a call; readiness
+/// is false at once, and a call that the balancer still sends is accepted. Later calls are refused
+/// as "not run" with a time to retry, and the process exits after both calls have ended.
 #[test]
-fn can_drain_an_entry_behind_its_balancer() {
+fn can_drain_an_entry_behind_its_load_balancer() {
     let drain = Drain::new(SETTINGS);
     let early = drain.admit(0).unwrap();
     assert!(drain.is_ready());
@@ -47,9 +47,8 @@
     assert_eq!(drain.next_action(2_001), DrainAction::Exit { cut_off: 0 });
 }
 
-/// The caller sees its call fail when it outlasts every deadline, and not before.
-/// One call never ends; the process waits for it up to the stated time and says how many
-/// it cut off, because a process that never exits blocks the VM's replacement.
+/// Guards against a process that never exits and so blocks the replacement of its VM. One call
+/// never ends; the process waits for `finish_ms_max` and reports how many calls it cut off.
 #[test]
 fn can_exit_when_a_call_never_ends() {
     let drain = Drain::new(SETTINGS);
@@ -62,11 +61,11 @@
     assert_eq!(drain.next_action(6_000), DrainAction::Exit { cut_off: 1 });
 }
 
-/// The caller sees "not run" instead of a cut connection.
-/// A thread reads the time, is frozen, and goes on to admit its call after the process
-/// found nothing in progress; the old time must not let it in.
+/// Guards against a cut connection instead of "not run". A thread reads the time, is suspended, and
+/// admits its call after the process has found no work in progress; the old time must not admit the
+/// call.
 #[test]
-fn errors_when_a_thread_brings_an_old_time_after_the_close() {
+fn errors_when_work_is_admitted_with_an_old_time_after_the_close() {
     let drain = Drain::new(SETTINGS);
     drain.start(0);
     assert_eq!(drain.next_action(1_000), DrainAction::Exit { cut_off: 0 });
@@ -77,7 +76,7 @@
 }
 
 #[test]
-fn can_tell_recent_probers_several_times() {
+fn can_notify_recent_probers_several_times() {
     let mut probers = Probers::new(ProbersSettings::default());
     probers.record_probe(prober(1), 0);
     probers.record_probe(prober(2), 400_000);
@@ -91,7 +90,7 @@
 }
 
 checks::seeded! {
-    fn never_exits_early_under_admitted_work(steps: Vec<(u8, u16)>) -> bool {
+    fn never_exits_before_admitted_work_ends(steps: Vec<(u8, u16)>) -> bool {
         let drain = Drain::new(SETTINGS);
         let mut working = Vec::new();
         let mut now_ms = 0;
--- a/components/orders/src/lib.rs
+++ b/components/orders/src/lib.rs
@@ -1,10 +1,11 @@
-//! Which model replica gets which version of the weights, and when.
+//! Plans which model replica loads which version of the weights, and when.
 //!
-//! A step that waits for version k is asked once k is named and takes k - 1 as well. So each
-//! replica needs every second version only: half of a model's replicas serve k - 1 while the
-//! others load k. A load stops new items of its model at that replica for about a second,
-//! and loads share one source; so replicas that are of no use load first, few at a time.
-//! Replicas that will not be used for a model are left alone.
+//! A step that requires version k is submitted once k has been named, and it also accepts version
+//! k-1. Each replica therefore needs only every second version: half of a model's replicas serve
+//! k-1 while the others load k. During a load a replica accepts no new items of the model for about
+//! a second, and all loads share one source of weights. Loads therefore go to replicas without a
+//! usable version first, a few at a time. Replicas that a model will not need do not load its
+//! weights.
 
 mod plan;
 
--- a/components/orders/src/plan.rs
+++ b/components/orders/src/plan.rs
@@ -1,36 +1,37 @@
-//! The plan of loads: a pure function of what is known.
+//! Computes the plan of loads as a pure function of the fleet's state.
 
 use std::cmp::Reverse;
 
 use derive::value;
 
-/// Replicas that a model uses, in hundredths of its part. A replica that serves two models loads
-/// for both, and all loads share one source: at two parts a fleet of 38 replicas for three
-/// models loads nearly without a pause. At one part too few replicas have weights of use when
-/// a step begins.
+/// Number of replicas that a model uses, in hundredths of its share. A replica that serves two
+/// models loads weights for both, and all loads share one source. At twice the share, a fleet of 38
+/// replicas with three models is loading almost all the time. At the plain share, too few replicas
+/// have usable weights when a step begins.
 const SHARE_HUNDREDTHS: u64 = 200;
 
-/// Replicas that a model uses at least, however little it owes: one loads while the other serves.
-const NODES_MIN: usize = 2;
+/// Fewest replicas that a model uses, however little work it has: one loads while the other serves.
+const REPLICAS_MIN: usize = 2;
 
-/// Places that a model uses for each item of its newest step, at most: two steps are open at a time,
-/// and half as many again are headroom for items that are moved and replicas that load. Beyond
-/// it loads serve nobody: on 3,000 replicas 4,104 orders were given for 500 items a step.
+/// Upper limit on the slots that a model uses for each item of its newest step. Two steps are open
+/// at a time, and half as many slots again are headroom for items that are moved and for replicas
+/// that load. More loads would serve no item: without this limit, 4,104 orders were given on 3,000
+/// replicas for 500 items per step.
 pub const SLOTS_PER_ITEM: u32 = 3;
 
 /// Settings of the plan.
 #[value]
 #[derive(Copy)]
 pub struct OrderSettings {
-    /// Loads at once over all replicas, however few there are. More share one source and take
-    /// longer each.
+    /// Fewest concurrent loads over all replicas, however small the fleet. Loads share one source,
+    /// so more of them take longer each.
     pub loads_min: usize,
-    /// One load more for each so many replicas: larger fleets have larger sources, which
-    /// slow down from a fifth of the replicas on.
+    /// One more concurrent load is allowed for each such number of replicas. Larger fleets have
+    /// larger sources, which slow down once a fifth of the replicas load.
     pub replicas_per_load: usize,
-    /// Versions behind the named one that are still of use.
+    /// How many versions behind the newest one a usable version may be.
     pub lag_versions: u64,
-    /// Replicas that a model uses, in hundredths of its part by the work that it owes, where
+    /// Number of replicas that a model uses, in hundredths of its share of the requested tokens, if
     /// several models share the replicas.
     pub share_hundredths: u64,
 }
@@ -47,85 +48,87 @@
 }
 
 impl OrderSettings {
-    /// Loads at once over `nodes` replicas.
+    /// Number of concurrent loads for a number of replicas.
     pub fn loads_at_once(&self, replicas: usize) -> usize {
         self.loads_min.max(replicas / self.replicas_per_load)
     }
 }
 
-/// A model and its newest named version.
+/// A model and its demand.
 #[value]
 pub struct Model {
-    /// Its name.
+    /// Name of the model.
     pub name: String,
-    /// Newest version that was named.
+    /// Newest version of the weights that the trainer has named.
     pub newest_version: u64,
-    /// Tokens that its newest step asks for; 0 if it has none yet.
+    /// Tokens that the model's newest step asks for; 0 if the model has no step yet.
     pub work_tokens: u64,
-    /// Items of that step.
+    /// Number of items in the model's newest step.
     pub items: u64,
 }
 
-/// A replica.
+/// A replica and the weights that it has.
 #[value]
 pub struct Replica {
-    /// Versions that it has, in the order of [`Fleet::models`].
+    /// Versions that the replica has, in the order of [`Fleet::models`].
     pub versions: Vec<u64>,
-    /// The load that it has accepted or may have accepted: index of the model, version.
+    /// The load that the replica has accepted or may have accepted: the index of the model and the
+    /// version.
     pub loading: Option<(usize, u64)>,
-    /// Whether an order may be given now.
+    /// Whether the replica may be given an order now.
     pub accepts_orders: bool,
-    /// Items that it runs at once.
+    /// Number of items that the replica runs concurrently.
     pub slots: u64,
 }
 
-/// All that a plan is made from.
+/// Input of the plan.
 #[value]
 pub struct Fleet {
-    /// Models, in a fixed order.
+    /// Models, in the same order for every plan.
     pub models: Vec<Model>,
-    /// Replicas, in a fixed order.
+    /// Replicas, in the same order for every plan.
     pub replicas: Vec<Replica>,
 }
 
-/// One load to order.
+/// An order to a replica to load a version.
 #[value]
 pub struct LoadOrder {
-    /// Index of the replica.
+    /// Index in [`Fleet::replicas`].
     pub replica: usize,
-    /// Index of the model.
+    /// Index in [`Fleet::models`].
     pub model: usize,
     /// Version to load.
     pub version: u64,
 }
 
-/// Replicas that each model uses: all where there is one model, else twice its part by the work
-/// that it owes, and in both cases no more than its items fill. A model without a step counts as
-/// the mean of the others.
-fn wanted(fleet: &Fleet, settings: &OrderSettings) -> Vec<usize> {
-    let nodes = fleet.replicas.len();
+/// Number of replicas that each model uses. A single model uses all replicas; otherwise a model
+/// uses its share by requested tokens, scaled by the settings. Neither is more than the model's
+/// items can fill. A model without a step counts as the mean of the others.
+fn replica_counts(fleet: &Fleet, settings: &OrderSettings) -> Vec<usize> {
+    let replicas = fleet.replicas.len();
     let work = known_or_mean(fleet.models.iter().map(|model| model.work_tokens));
     let total: u64 = work.iter().sum();
-    let part = |work: u64| match fleet.models.len() {
-        1 => nodes,
-        _ => (nodes as u64 * work * settings.share_hundredths).div_ceil(total * 100) as usize,
+    let share = |work: u64| match fleet.models.len() {
+        1 => replicas,
+        _ => (replicas as u64 * work * settings.share_hundredths).div_ceil(total * 100) as usize,
     };
-    let slots: u64 = fleet.replicas.iter().map(|node| node.slots).sum();
-    let slots_each = (slots / (nodes as u64).max(1)).max(1);
+    let slots: u64 = fleet.replicas.iter().map(|replica| replica.slots).sum();
+    let slots_per_replica = (slots / (replicas as u64).max(1)).max(1);
     let items = known_or_mean(fleet.models.iter().map(|model| model.items));
-    let filled = |items: u64| (items * u64::from(SLOTS_PER_ITEM)).div_ceil(slots_each) as usize;
+    let replicas_filled =
+        |items: u64| (items * u64::from(SLOTS_PER_ITEM)).div_ceil(slots_per_replica) as usize;
     let known = fleet.models.iter().any(|model| model.items > 0);
     work.into_iter()
         .zip(items)
         .map(|(work, items)| match known {
-            true => part(work).min(filled(items)),
-            false => part(work),
+            true => share(work).min(replicas_filled(items)),
+            false => share(work),
         })
-        .map(|count| count.max(NODES_MIN).min(nodes))
+        .map(|count| count.max(REPLICAS_MIN).min(replicas))
         .collect()
 }
 
-/// The figures, with the mean of the known ones in place of each 0; all alike if none is known.
+/// Replaces each 0 by the mean of the other figures, or by 1 if all are 0.
 fn known_or_mean(figures: impl Iterator<Item = u64>) -> Vec<u64> {
     let figures: Vec<u64> = figures.collect();
     let known = figures.iter().filter(|figure| **figure > 0).count() as u64;
@@ -134,79 +137,81 @@
     figures.into_iter().map(or_mean).collect()
 }
 
-/// Loads of one model, and how many of its replicas are of use.
-struct Wanted {
-    useful: usize,
+/// Loads of one model, and the number of its replicas that have a usable version.
+struct ModelLoads {
+    usable: usize,
     loads: Vec<LoadOrder>,
 }
 
-/// The loads to order now: those at replicas of no use first, and among the models always
-/// for the one with the fewest replicas of use. In a fixed order of models the last one got
-/// no load for ten seconds behind an outage, as the others named versions all the while.
+/// Returns the loads to order now. Replicas without a usable version come first; among the models,
+/// the next load always goes to the one with the fewest usable replicas. With a fixed order of
+/// models the last model got no load for ten seconds after an outage, because the other trainers
+/// kept naming versions.
 pub fn plan_loads(fleet: &Fleet, settings: &OrderSettings) -> Vec<LoadOrder> {
     let mut assigned = vec![0_usize; fleet.replicas.len()];
-    let mut useless = Vec::new();
+    let mut unusable = Vec::new();
     let mut early = Vec::new();
-    for (model, count) in wanted(fleet, settings).into_iter().enumerate() {
+    for (model, count) in replica_counts(fleet, settings).into_iter().enumerate() {
         let members = members(fleet, model, count, &assigned, settings);
-        for node in &members {
-            assigned[*node] += 1;
+        for replica in &members {
+            assigned[*replica] += 1;
         }
         let (first, later) = collect_loads(fleet, model, &members, settings);
-        let useful = members.len() - first.len();
-        useless.push(Wanted {
-            useful,
+        let usable = members.len() - first.len();
+        unusable.push(ModelLoads {
+            usable,
             loads: first,
         });
-        early.push(Wanted {
-            useful,
+        early.push(ModelLoads {
+            usable,
             loads: later,
         });
     }
     let running = fleet
         .replicas
         .iter()
-        .filter(|node| node.loading.is_some())
+        .filter(|replica| replica.loading.is_some())
         .count();
-    let room = settings
+    let capacity = settings
         .loads_at_once(fleet.replicas.len())
         .saturating_sub(running);
-    let mut taken = vec![false; fleet.replicas.len()];
+    let mut ordered = vec![false; fleet.replicas.len()];
     let mut loads = Vec::new();
-    for mut wanted in [useless, early] {
-        while loads.len() < room {
-            let Some(load) = next_load(fleet, &mut wanted, &taken) else {
+    for mut wanted in [unusable, early] {
+        while loads.len() < capacity {
+            let Some(load) = next_load(fleet, &mut wanted, &ordered) else {
                 break;
             };
-            taken[load.replica] = true;
+            ordered[load.replica] = true;
             loads.push(load);
         }
     }
     loads
 }
 
-/// The next load for the model with the fewest replicas of use.
-fn next_load(fleet: &Fleet, wanted: &mut [Wanted], taken: &[bool]) -> Option<LoadOrder> {
+/// Takes the next load of the model with the fewest usable replicas.
+fn next_load(fleet: &Fleet, wanted: &mut [ModelLoads], ordered: &[bool]) -> Option<LoadOrder> {
     for model in wanted.iter_mut() {
-        let may_load =
-            |load: &LoadOrder| fleet.replicas[load.replica].accepts_orders && !taken[load.replica];
+        let may_load = |load: &LoadOrder| {
+            fleet.replicas[load.replica].accepts_orders && !ordered[load.replica]
+        };
         model.loads.retain(may_load);
     }
-    let open = wanted.iter_mut().filter(|model| !model.loads.is_empty());
-    let model = open.min_by_key(|model| model.useful)?;
-    model.useful += 1;
+    let pending = wanted.iter_mut().filter(|model| !model.loads.is_empty());
+    let model = pending.min_by_key(|model| model.usable)?;
+    model.usable += 1;
     Some(model.loads.remove(0))
 }
 
-fn version_of(node: &Replica, model: usize) -> u64 {
-    match node.loading {
+fn version_of(replica: &Replica, model: usize) -> u64 {
+    match replica.loading {
         Some((loading, version)) if loading == model => version,
-        _ => node.versions[model],
+        _ => replica.versions[model],
     }
 }
 
-/// Replicas that serve a model: those that are of use now, then the newest, then those that
-/// serve the fewest models.
+/// Selects the replicas that serve a model: first those with a usable version, then by the newest
+/// version, then by the fewest models served.
 fn members(
     fleet: &Fleet,
     model: usize,
@@ -214,14 +219,14 @@
     assigned: &[usize],
     settings: &OrderSettings,
 ) -> Vec<usize> {
-    let named = fleet.models[model].newest_version;
+    let newest = fleet.models[model].newest_version;
     let mut order: Vec<usize> = (0..fleet.replicas.len()).collect();
     order.sort_by_key(|at| {
         let version = version_of(&fleet.replicas[*at], model);
-        let useful = version + settings.lag_versions >= named;
-        let newest = if useful { named } else { version };
+        let usable = version + settings.lag_versions >= newest;
+        let sort_version = if usable { newest } else { version };
         (
-            Reverse(newest),
+            Reverse(sort_version),
             assigned[*at],
             (*at + model * fleet.replicas.len() / 3) % fleet.replicas.len(),
         )
@@ -230,32 +235,37 @@
     order
 }
 
-/// Loads of a model at replicas of no use, and those at replicas that are of use still.
+/// Returns a model's loads at replicas without a usable version, and its early loads at replicas
+/// that still have one.
 fn collect_loads(
     fleet: &Fleet,
     model: usize,
     members: &[usize],
     settings: &OrderSettings,
 ) -> (Vec<LoadOrder>, Vec<LoadOrder>) {
-    let named = fleet.models[model].newest_version;
-    let held = |node: &usize| version_of(&fleet.replicas[*node], model);
-    let load = |node: &usize| LoadOrder {
-        replica: *node,
+    let newest = fleet.models[model].newest_version;
+    let version_at = |replica: &usize| version_of(&fleet.replicas[*replica], model);
+    let load = |replica: &usize| LoadOrder {
+        replica: *replica,
         model,
-        version: named,
+        version: newest,
     };
-    let at_named = members.iter().filter(|node| held(node) >= named).count();
-    let behind = |node: &&usize| held(node) + settings.lag_versions < named;
-    let useless: Vec<LoadOrder> = members.iter().filter(behind).map(load).collect();
-    // Replicas that are of use load only where half of them would not have the newest
-    // version otherwise, so that the next version finds half of them of use again.
-    let missing = (members.len() / 2).saturating_sub(at_named + useless.len());
-    let useful = |node: &&usize| held(node) < named && !behind(node);
+    let at_newest = members
+        .iter()
+        .filter(|replica| version_at(replica) >= newest)
+        .count();
+    let is_unusable = |replica: &&usize| version_at(replica) + settings.lag_versions < newest;
+    let unusable: Vec<LoadOrder> = members.iter().filter(is_unusable).map(load).collect();
+    // Replicas with a usable version load only if fewer than half of the replicas would have the
+    // newest version otherwise. When the next version is named, half of the replicas are then still
+    // usable.
+    let missing = (members.len() / 2).saturating_sub(at_newest + unusable.len());
+    let usable = |replica: &&usize| version_at(replica) < newest && !is_unusable(replica);
     let early = members
         .iter()
-        .filter(useful)
+        .filter(usable)
         .take(missing)
         .map(load)
         .collect();
-    (useless, early)
+    (unusable, early)
 }
--- a/components/pacing/src/demand.rs
+++ b/components/pacing/src/demand.rs
@@ -1,4 +1,4 @@
-//! Who needs the newest records at this moment.
+//! Tracks how urgently a process needs the newest records.
 
 use std::sync::atomic::{AtomicU8, AtomicU32, Ordering};
 
@@ -7,31 +7,32 @@
 
 use crate::Urgency;
 
-/// What a process does on the strength of the newest records.
+/// An activity of the process that depends on the newest records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Activity {
-    /// It runs items of steps.
+    /// The process runs items of training steps.
     Items = 1,
-    /// It gives orders to replicas.
+    /// The process gives orders to replicas.
     Orders = 2,
-    /// It is the first to give orders when nobody does, and must notice that soon.
+    /// The process is the first to take over giving orders, and must notice soon that no other
+    /// process does.
     Standby = 4,
 }
 
-/// Activities whose records are wanted as they are written.
-const ACTING: u8 = Activity::Items as u8 | Activity::Orders as u8;
+/// Activities for which records are read as soon as they are written.
+const ACTING_MASK: u8 = Activity::Items as u8 | Activity::Orders as u8;
 
-/// Demand of a process for the newest records, shared by its followers.
+/// Demand of a process for the newest records, shared by all tasks that follow a topic.
 #[derive(Debug, Default)]
 pub struct Demand {
-    /// Bits of the activities.
+    /// One bit for each [`Activity`].
     activities: AtomicU8,
     waiting: AtomicU32,
     raised: Notify,
 }
 
 impl Demand {
-    /// Notes whether this process is engaged in an activity.
+    /// Sets whether this process is engaged in an activity.
     pub fn set_active(&self, activity: Activity, active: bool) {
         let bit = activity as u8;
         let before = match active {
@@ -43,12 +44,12 @@
         }
     }
 
-    /// Asks for one read at once: what the process is responsible for has changed.
+    /// Requests one read at once, for example because the process was assigned other partitions.
     pub fn refresh(&self) {
         self.raised.notify_waiters();
     }
 
-    /// Notes that a client waits for records until the guard is dropped.
+    /// Registers a client that waits for records until the guard is dropped.
     pub fn begin_wait(&self) -> WaitGuard<'_> {
         if self.waiting.fetch_add(1, Ordering::Relaxed) == 0 {
             self.raised.notify_waiters();
@@ -60,20 +61,21 @@
     pub fn urgency(&self) -> Urgency {
         let activities = self.activities.load(Ordering::Relaxed);
         let waiting = self.waiting.load(Ordering::Relaxed) > 0;
-        match (activities & ACTING != 0, activities != 0 || waiting) {
+        match (activities & ACTING_MASK != 0, activities != 0 || waiting) {
             (true, _) => Urgency::Acting,
             (false, true) => Urgency::Waiting,
             (false, false) => Urgency::Idle,
         }
     }
 
-    /// Resolves when a read is needed sooner than before. Counts from this call on, polled or not.
+    /// Resolves when a read is needed sooner than before. The future observes changes from this
+    /// call on, even if it has not been polled yet.
     pub fn raised(&self) -> Notified<'_> {
         self.raised.notified()
     }
 }
 
-/// A client that waits for records.
+/// Counts a client as waiting for records until dropped.
 #[derive(Debug)]
 pub struct WaitGuard<'a>(&'a Demand);
 
--- a/components/pacing/src/lib.rs
+++ b/components/pacing/src/lib.rs
@@ -1,15 +1,16 @@
-//! Watch coalescing: when a process that follows a log reads on.
+//! Watch coalescing: decides when a process that follows a log reads again.
 //!
-//! Every process follows the same logs. If each record woke each process, reads would grow with
-//! processes times records, which no store with a budget of calls bears for long. So only a
-//! process that acts on the records, or whose client waits for one, reads as they are written.
-//! All others poll at a fixed interval and take what has gathered, so that their reads grow
-//! with the number of processes alone. A read that the store refuses for its budget is retried
-//! under exponential backoff, the longer the less the process needs it, so that those that act
-//! get through. Intervals are jittered by the caller's random number, against processes that
-//! started, or lost the store, at the same moment.
+//! Every process follows the same logs. If each record woke each process, the number of reads would
+//! grow with processes times records and soon exceed the store's budget of calls. Only a process
+//! that acts on the records, or whose client waits for one, reads records as they are written. All
+//! others poll at a fixed interval and read the records written since the last poll, so their reads
+//! grow only with the number of processes. A read that the store refuses for exceeding the budget
+//! is retried with exponential backoff. The backoff is longer for a process with less need of the
+//! records, so that reads of processes that act on them succeed. Intervals are jittered by a random
+//! number from the caller, because processes that start, or lose the store, at the same moment
+//! would otherwise read at the same moment.
 //!
-//! Nothing is read or waited for here, and no clock is consulted.
+//! The crate does no I/O and reads no clock.
 
 mod demand;
 mod pacer;
--- a/components/pacing/src/pacer.rs
+++ b/components/pacing/src/pacer.rs
@@ -1,9 +1,9 @@
 //! The interval before the next read of one topic.
 
-/// How soon a process needs the next records.
+/// How soon a process needs the next records, from the least urgent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
-    /// Nobody waits; records are wanted for the requests to come.
+    /// No client waits; records are read for later requests.
     Idle,
     /// A client waits for a record.
     Waiting,
@@ -14,75 +14,75 @@
 /// How a read ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// It brought records, and more are there.
+    /// The read returned records, and the log has more.
     MoreAvailable,
-    /// It brought records up to the end of the log.
+    /// The read returned records up to the end of the log.
     Records,
-    /// It waited and brought nothing.
+    /// The read waited and returned no record.
     Empty,
-    /// The store refused it for its budget of calls.
+    /// The store refused the read because the budget of calls is exceeded.
     Throttled,
-    /// It failed for another reason.
+    /// The read failed for another reason.
     Failed,
 }
 
-/// Intervals of one topic between reads that bring records, and the wait of one read.
+/// Intervals between the reads of one topic, and how long each read waits at the store.
 #[derive(Clone, Copy, Debug)]
 pub struct TopicPace {
-    /// Interval of a process that acts on the records, in milliseconds.
+    /// Interval for a process that acts on the records.
     pub acting_ms: u64,
-    /// Interval while a client waits, in milliseconds.
+    /// Interval while a client waits.
     pub waiting_ms: u64,
-    /// Interval while nobody does, in milliseconds.
+    /// Interval while no client waits.
     pub idle_ms: u64,
-    /// How long a read waits for a record, in milliseconds.
+    /// How long a read waits for a record if the process needs records soon.
     pub wait_ms: u64,
-    /// The same while nobody waits, in milliseconds.
+    /// How long a read waits for a record if the process is idle.
     pub idle_wait_ms: u64,
 }
 
-/// Backoff after the first failed read, in milliseconds; doubles up to the greatest.
-const BACKOFF_MS: u64 = 100;
-/// Greatest backoff of a process that acts, or whose client waits, in milliseconds.
+/// Backoff after the first failed read; doubles with each further failure.
+const BACKOFF_INITIAL_MS: u64 = 100;
+/// Longest backoff of a process that acts on the records or whose client waits.
 const BACKOFF_MS_MAX: u64 = 200;
-/// Greatest backoff of an idle process, in milliseconds: below the second in which every process
+/// Longest backoff of an idle process. It is shorter than the second within which every process
 /// must know of an accepted step.
 const IDLE_BACKOFF_MS_MAX: u64 = 800;
-/// Stretch of an idle process's interval, in hundredths: grows with each row of refusals for the
-/// store's budget and shrinks with each read that comes through, so that a fleet finds by itself
-/// how often each of its processes can read. A long row counts once, as a store may turn one
-/// process away for seconds and have budget for all when it is back.
-const STRETCH_MIN: u64 = 100;
-const STRETCH_MAX: u64 = 300;
-const STRETCH_MORE: u64 = 100;
-const STRETCH_LESS: u64 = 10;
-/// Jitter takes this share of an interval either way, in hundredths.
+/// Factor on an idle process's interval, in hundredths. It grows with the first refusal of each row
+/// of refusals for exceeding the store's budget and shrinks with each successful read, so that the
+/// processes of a fleet converge on a rate that the store can serve. A row of refusals counts once
+/// because a store may refuse one process for seconds and have budget for all processes after that.
+const STRETCH_HUNDREDTHS_MIN: u64 = 100;
+const STRETCH_HUNDREDTHS_MAX: u64 = 300;
+const STRETCH_INCREASE_HUNDREDTHS: u64 = 100;
+const STRETCH_DECREASE_HUNDREDTHS: u64 = 10;
+/// Largest jitter in either direction, in hundredths of the interval.
 const JITTER_HUNDREDTHS: u64 = 25;
 
-/// Pacing of one topic's reads.
+/// Paces the reads of one topic.
 #[derive(Debug)]
 pub struct Pacer {
     pace: TopicPace,
-    failed: u32,
+    consecutive_failures: u32,
     stretch_hundredths: u64,
 }
 
 impl Pacer {
-    /// Nothing was read yet.
+    /// Creates a pacer for a topic that has not been read yet.
     pub fn new(pace: TopicPace) -> Self {
         Self {
             pace,
-            failed: 0,
-            stretch_hundredths: STRETCH_MIN,
+            consecutive_failures: 0,
+            stretch_hundredths: STRETCH_HUNDREDTHS_MIN,
         }
     }
 
-    /// Reads that failed in a row.
+    /// Number of reads that have failed in a row.
     pub fn consecutive_failures(&self) -> u32 {
-        self.failed
+        self.consecutive_failures
     }
 
-    /// How long the next read may wait for a record at the store, in milliseconds.
+    /// How long the next read may wait for a record at the store.
     pub fn wait_ms(&self, urgency: Urgency) -> u64 {
         match urgency {
             Urgency::Idle => self.pace.idle_wait_ms,
@@ -90,25 +90,33 @@
         }
     }
 
-    /// Notes how a read ended.
-    pub fn record_outcome(&mut self, end: ReadOutcome) {
+    /// Records how a read ended.
+    pub fn record_outcome(&mut self, outcome: ReadOutcome) {
         let stretch = self.stretch_hundredths;
-        self.stretch_hundredths = match end {
-            ReadOutcome::Throttled if self.failed == 0 => (stretch + STRETCH_MORE).min(STRETCH_MAX),
+        self.stretch_hundredths = match outcome {
+            ReadOutcome::Throttled if self.consecutive_failures == 0 => {
+                (stretch + STRETCH_INCREASE_HUNDREDTHS).min(STRETCH_HUNDREDTHS_MAX)
+            }
             ReadOutcome::Throttled | ReadOutcome::Failed => stretch,
-            _ => stretch.saturating_sub(STRETCH_LESS).max(STRETCH_MIN),
+            _ => stretch
+                .saturating_sub(STRETCH_DECREASE_HUNDREDTHS)
+                .max(STRETCH_HUNDREDTHS_MIN),
         };
-        self.failed = match end {
-            ReadOutcome::Throttled | ReadOutcome::Failed => self.failed.saturating_add(1),
+        self.consecutive_failures = match outcome {
+            ReadOutcome::Throttled | ReadOutcome::Failed => {
+                self.consecutive_failures.saturating_add(1)
+            }
             ReadOutcome::MoreAvailable | ReadOutcome::Records | ReadOutcome::Empty => 0,
         };
     }
 
-    /// Interval until the next read, in milliseconds. `random` is drawn evenly for each interval.
-    pub fn interval_ms(&self, end: ReadOutcome, urgency: Urgency, random: u64) -> u64 {
-        let interval_ms = match end {
+    /// Interval until the next read. `random` is a uniformly distributed random number, drawn anew
+    /// for each interval.
+    pub fn interval_ms(&self, outcome: ReadOutcome, urgency: Urgency, random: u64) -> u64 {
+        let interval_ms = match outcome {
             ReadOutcome::MoreAvailable => 0,
-            // The wait at the store was the interval of a process that needs its records soon.
+            // For a process that needs records soon, the wait at the store has replaced the
+            // interval.
             ReadOutcome::Empty if urgency != Urgency::Idle => 0,
             ReadOutcome::Empty | ReadOutcome::Records => match urgency {
                 Urgency::Idle => self.pace.idle_ms * self.stretch_hundredths / 100,
@@ -121,12 +129,12 @@
     }
 
     fn backoff_ms(&self, urgency: Urgency) -> u64 {
-        let greatest_ms = match urgency {
+        let backoff_ms_max = match urgency {
             Urgency::Idle => IDLE_BACKOFF_MS_MAX,
             Urgency::Waiting | Urgency::Acting => BACKOFF_MS_MAX,
         };
-        let doublings = self.failed.saturating_sub(1).min(8);
-        (BACKOFF_MS << doublings).min(greatest_ms)
+        let doublings = self.consecutive_failures.saturating_sub(1).min(8);
+        (BACKOFF_INITIAL_MS << doublings).min(backoff_ms_max)
     }
 }
 
--- a/components/pacing/src/paces.rs
+++ b/components/pacing/src/paces.rs
@@ -1,15 +1,15 @@
-//! Intervals of the topics that every process follows.
+//! Intervals for the topics that every process follows.
 
 use crate::TopicPace;
 
-/// How long a read waits for a record. One that comes back empty proves that nothing is new,
-/// and answers to trainers rely on a proof that is younger than a second.
+/// How long a read waits for a record. A read that returns no record proves that the process knows
+/// the whole log, and answers to trainers rely on a proof that is less than a second old.
 const WAIT_MS: u64 = 450;
-/// The same at a process for which nobody waits: the interval behind the read is part of the
-/// second.
+/// The same for an idle process. It is shorter because the interval after the read also counts
+/// towards the second.
 const IDLE_WAIT_MS: u64 = 250;
 
-/// Intervals of the index, of usage and of the operator's records.
+/// Intervals for the index, the usage records and the operator's records.
 pub const LOG_PACE: TopicPace = TopicPace {
     acting_ms: 20,
     waiting_ms: 50,
@@ -18,8 +18,8 @@
     idle_wait_ms: IDLE_WAIT_MS,
 };
 
-/// Intervals of replicas' records, so that the heartbeats of many cost few calls; far below the
-/// two seconds in which a leaving replica must be known.
+/// Intervals for the replicas' records. They are longer so that the heartbeats of many replicas
+/// cost few calls, but far below the two seconds within which a leaving replica must be known.
 pub const REPLICA_PACE: TopicPace = TopicPace {
     acting_ms: 120,
     waiting_ms: 500,
--- a/components/pacing/tests/pacer.rs
+++ b/components/pacing/tests/pacer.rs
@@ -2,34 +2,37 @@
 
 use pacing::{Activity, Demand, LOG_PACE, Pacer, ReadOutcome, Urgency};
 
-/// Draws in the middle of the jitter's span.
-const MIDDLE: [(u64, u64); 6] = [(0, 0), (20, 5), (50, 12), (100, 25), (200, 50), (500, 125)];
+/// Random numbers that give a jitter of zero, by interval in milliseconds.
+const NO_JITTER_RANDOM: [(u64, u64); 6] =
+    [(0, 0), (20, 5), (50, 12), (100, 25), (200, 50), (500, 125)];
 
-fn middle(interval_ms: u64) -> u64 {
-    let known = MIDDLE.iter().find(|(known, _)| *known == interval_ms);
+fn no_jitter_random(interval_ms: u64) -> u64 {
+    let known = NO_JITTER_RANDOM
+        .iter()
+        .find(|(known, _)| *known == interval_ms);
     known.map_or(200, |(_, draw)| *draw)
 }
 
 struct Case {
     name: &'static str,
-    end: ReadOutcome,
+    outcome: ReadOutcome,
     urgency: Urgency,
-    failed: u32,
+    failures: u32,
     interval_ms: u64,
 }
 
 #[test]
 fn can_pace_reads_by_urgency_and_by_how_the_last_one_ended() {
-    let case = |name, end, urgency, failed, interval_ms| Case {
+    let case = |name, outcome, urgency, failures, interval_ms| Case {
         name,
-        end,
+        outcome,
         urgency,
-        failed,
+        failures,
         interval_ms,
     };
     let cases = [
         case(
-            "more is there",
+            "more records available",
             ReadOutcome::MoreAvailable,
             Urgency::Idle,
             0,
@@ -50,15 +53,15 @@
             50,
         ),
         case("records, idle", ReadOutcome::Records, Urgency::Idle, 0, 500),
-        case("nothing, acting", ReadOutcome::Empty, Urgency::Acting, 0, 0),
+        case("empty, acting", ReadOutcome::Empty, Urgency::Acting, 0, 0),
         case(
-            "nothing, a client waits",
+            "empty, a client waits",
             ReadOutcome::Empty,
             Urgency::Waiting,
             0,
             0,
         ),
-        case("nothing, idle", ReadOutcome::Empty, Urgency::Idle, 0, 500),
+        case("empty, idle", ReadOutcome::Empty, Urgency::Idle, 0, 500),
         case(
             "throttled once",
             ReadOutcome::Throttled,
@@ -84,17 +87,22 @@
     ];
     for case in cases {
         let mut pacer = Pacer::new(LOG_PACE);
-        for _ in 0..case.failed {
-            pacer.record_outcome(case.end);
+        for _ in 0..case.failures {
+            pacer.record_outcome(case.outcome);
         }
-        let interval_ms = pacer.interval_ms(case.end, case.urgency, middle(case.interval_ms));
+        let interval_ms = pacer.interval_ms(
+            case.outcome,
+            case.urgency,
+            no_jitter_random(case.interval_ms),
+        );
         assert_eq!(interval_ms, case.interval_ms, "{}", case.name);
     }
 }
 
 #[test]
-fn can_prove_within_a_second_that_nothing_is_new() {
-    // An idle front answers that a step does not exist, on the strength of its last read.
+fn can_confirm_within_a_second_that_the_log_has_no_new_record() {
+    // Guards against wrong answers to trainers: an idle front relies on its last read when it
+    // answers that a step does not exist.
     let pacer = Pacer::new(LOG_PACE);
     let draws = 0..1_000;
     let longest_ms = draws
@@ -104,7 +112,7 @@
 }
 
 #[test]
-fn can_start_at_the_first_interval_again_behind_a_read_that_came_through() {
+fn can_reset_the_backoff_after_a_successful_read() {
     let mut pacer = Pacer::new(LOG_PACE);
     for _ in 0..9 {
         pacer.record_outcome(ReadOutcome::Throttled);
@@ -118,7 +126,7 @@
 }
 
 #[tokio::test]
-async fn can_end_an_interval_when_a_client_begins_to_wait_or_the_process_to_act() {
+async fn can_end_an_interval_when_demand_rises() {
     type Raise = fn(&Demand);
     let raises: [(&str, Raise, Urgency); 5] = [
         (
@@ -137,11 +145,11 @@
             Urgency::Acting,
         ),
         (
-            "succession",
+            "standby",
             |demand| demand.set_active(Activity::Standby, true),
             Urgency::Waiting,
         ),
-        ("partitions", Demand::refresh, Urgency::Idle),
+        ("new partitions", Demand::refresh, Urgency::Idle),
     ];
     for (name, raise, urgency) in raises {
         let demand = Demand::default();
@@ -154,7 +162,7 @@
 }
 
 #[test]
-fn can_be_idle_again_when_the_last_client_and_activity_are_gone() {
+fn can_become_idle_after_the_last_client_and_activity_end() {
     let demand = Demand::default();
     demand.set_active(Activity::Items, true);
     demand.set_active(Activity::Orders, true);
--- a/components/reach/src/lib.rs
+++ b/components/reach/src/lib.rs
@@ -1,12 +1,12 @@
-//! Whether a dependency that many tasks call is within reach, and which calls and pauses its
-//! return has left behind.
+//! Tracks whether a dependency that many tasks call is reachable, and ends calls and pauses that
+//! its recovery has made pointless.
 //!
-//! The load that this answers: a dependency swallows calls for some seconds and then serves
-//! again. Each task finds out by itself, at the end of its own call's time and of its own
-//! pause behind that, so the last ones go on some seconds after the first. Here the first call
-//! that comes through tells all: a call that was begun before is given a moment and then given
-//! up, and pauses end. Decides nothing about what a given up call means: its outcome is
-//! unknown, as after any timeout.
+//! The failure that this handles: a dependency does not answer for some seconds and then serves
+//! again. If each task noticed this by itself, at the end of its own timeout and of its own pause
+//! after that, the last tasks would continue seconds after the first. Here the first successful
+//! call notifies all tasks: pauses end, and calls that began before the recovery are abandoned
+//! after a grace period. The outcome of an abandoned call is unknown, as after any timeout; how to
+//! handle this is up to the caller.
 
 mod timeout;
 
@@ -17,98 +17,100 @@
 
 pub use timeout::{ReadTimeout, read_timeout};
 
-/// Time that a call from before the return still gets, in milliseconds. A dependency that is
-/// slow and not silent answers within 240, as measured; a call that it swallowed never does.
+/// Time that a call from before the recovery still has. A dependency that is slow but alive answers
+/// within 240 ms; a call that it has lost is never answered.
 const GRACE_MS: u64 = 300;
 
-/// What an error says of the dependency.
+/// What an error shows about the dependency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// It serves.
+    /// The dependency serves calls.
     Available,
-    /// It is out of reach.
+    /// The dependency is unreachable.
     Unavailable,
-    /// Neither: a refusal for a budget of calls comes while others are served, and the next call
-    /// that is served is no recovery that leaves calls behind.
+    /// The error shows neither. A refusal for exceeding a budget of calls arrives while other calls
+    /// are served, so the next successful call is not a recovery after which earlier calls are
+    /// abandoned.
     Unknown,
 }
 
-/// Reach of one dependency, shared by the tasks that call it.
+/// Reachability of one dependency, shared by the tasks that call it.
 #[derive(Debug)]
 pub struct Reachability {
-    lost: AtomicBool,
-    returns: watch::Sender<u64>,
+    unreachable: AtomicBool,
+    recoveries: watch::Sender<u64>,
 }
 
 impl Default for Reachability {
     fn default() -> Self {
         Self {
-            lost: AtomicBool::new(false),
-            returns: watch::Sender::new(0),
+            unreachable: AtomicBool::new(false),
+            recoveries: watch::Sender::new(0),
         }
     }
 }
 
 impl Reachability {
-    /// Whether the last call that ended says that the dependency is out of reach.
+    /// Whether the last call that showed anything found the dependency unreachable.
     pub fn is_unreachable(&self) -> bool {
-        self.lost.load(Ordering::Relaxed)
+        self.unreachable.load(Ordering::Relaxed)
     }
 
-    /// How often the dependency has returned.
+    /// Number of times that the dependency has become reachable again.
     pub fn recoveries(&self) -> u64 {
-        *self.returns.borrow()
+        *self.recoveries.borrow()
     }
 
-    /// Makes a call; nothing comes back if the dependency returned meanwhile and the call was
-    /// left behind. `sign_of` tells what an error says of the dependency.
+    /// Makes a call. Returns `None` if the dependency has recovered since the call began and the
+    /// call was abandoned. `availability_of` says what an error shows about the dependency.
     pub async fn call<T, E>(
         &self,
         call: impl Future<Output = Result<T, E>>,
-        sign_of: impl Fn(&E) -> Availability,
+        availability_of: impl Fn(&E) -> Availability,
     ) -> Option<Result<T, E>> {
         let outcome = self.call_untracked(call).await?;
-        let sign = outcome
+        let availability = outcome
             .as_ref()
-            .map_or_else(sign_of, |_| Availability::Available);
-        match sign {
-            Availability::Unavailable => self.lost.store(true, Ordering::Relaxed),
-            Availability::Available => self.answered(),
+            .map_or_else(availability_of, |_| Availability::Available);
+        match availability {
+            Availability::Unavailable => self.unreachable.store(true, Ordering::Relaxed),
+            Availability::Available => self.record_answer(),
             Availability::Unknown => {}
         }
         Some(outcome)
     }
 
-    /// Makes a call whose outcome says nothing of the others: the dependency may serve one
-    /// kind and refuse the rest. Nothing comes back if the call was left behind.
+    /// Makes a call whose outcome does not update the reachability, because the dependency may
+    /// serve this kind of call and refuse others. Returns `None` if the call was abandoned after a
+    /// recovery.
     pub async fn call_untracked<T>(&self, call: impl Future<Output = T>) -> Option<T> {
-        let mut returns = self.returns.subscribe();
+        let mut recoveries = self.recoveries.subscribe();
         tokio::select! {
             biased;
             outcome = call => Some(outcome),
-            () = left_behind(&mut returns) => None,
+            () = recovery_grace_expired(&mut recoveries) => None,
         }
     }
 
-    /// Waits, until the dependency returns at most.
+    /// Waits for `pause`, or until the dependency recovers.
     pub async fn pause(&self, pause: Duration) {
-        let mut returns = self.returns.subscribe();
+        let mut recoveries = self.recoveries.subscribe();
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
-            // The sender lives as long as `self`.
-            _ = returns.changed() => {}
+            // The sender lives as long as `self`, so `changed` cannot fail.
+            _ = recoveries.changed() => {}
         }
     }
 
-    fn answered(&self) {
-        if self.lost.swap(false, Ordering::Relaxed) {
-            self.returns.send_modify(|returns| *returns += 1);
+    fn record_answer(&self) {
+        if self.unreachable.swap(false, Ordering::Relaxed) {
+            self.recoveries.send_modify(|recoveries| *recoveries += 1);
         }
     }
 }
 
-async fn left_behind(returns: &mut watch::Receiver<u64>) {
-    // The sender lives as long as the call.
-    let _ = returns.changed().await;
+async fn recovery_grace_expired(recoveries: &mut watch::Receiver<u64>) {
+    // The sender lives as long as the call, so `changed` cannot fail.
+    let _ = recoveries.changed().await;
     tokio::time::sleep(Duration::from_millis(GRACE_MS)).await;
 }
--- a/components/reach/src/timeout.rs
+++ b/components/reach/src/timeout.rs
@@ -1,26 +1,26 @@
-//! How long a read that waits for news may take, after reads that failed.
+//! Timeouts of reads that wait for new records, depending on earlier failures.
 
 use std::time::Duration;
 
-/// Time for a read that finds out whether a silent dependency is back, in milliseconds; a slow
-/// one answers within 240, as measured.
+/// Timeout of a read that checks whether a silent dependency is back. A slow dependency answers
+/// within 240 ms.
 const PROBE_MS: u64 = 400;
 
-/// Times of one read.
+/// Wait and timeout of one read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadTimeout {
-    /// How long it waits for news at the dependency, in milliseconds.
+    /// How long the read waits at the dependency for new records.
     pub wait_ms: u64,
-    /// Longest time for all of it.
+    /// Timeout of the whole read, including the wait.
     pub timeout: Duration,
 }
 
-/// Times of a read after so many failed ones in a row, if it usually waits `wait_ms` and has
-/// `slack_ms` beyond.
+/// Returns the wait and timeout of a read after `failed` consecutive failures. Reads normally wait
+/// `wait_ms` and have `slack_ms` in addition.
 ///
-/// Every second one asks for what is there and is short: it finds out soon that a silent
-/// dependency, or a connection that lost an answer, is back. The others get through to one
-/// that is slow under the reads of many processes.
+/// Every second read does not wait and has a short timeout. It finds out quickly that a silent
+/// dependency, or a connection that lost an answer, is back. The other reads have the full timeout,
+/// so that they succeed at a dependency that is slow under the reads of many processes.
 pub fn read_timeout(failed: u32, wait_ms: u64, slack_ms: u64) -> ReadTimeout {
     match failed % 2 {
         0 => ReadTimeout {
--- a/components/reach/tests/reach.rs
+++ b/components/reach/tests/reach.rs
@@ -1,4 +1,4 @@
-//! Calls and pauses around the return of a dependency, in paused time.
+//! Calls and pauses around the recovery of a dependency, with paused time.
 
 use std::future::{pending, ready};
 use std::time::Duration;
@@ -10,15 +10,15 @@
 
 type Outcome = Result<u8, &'static str>;
 
-fn sign_of(why: &str) -> Availability {
-    match why {
+fn availability_of(error: &str) -> Availability {
+    match error {
         "silent" => Availability::Unavailable,
         "throttled" => Availability::Unknown,
         _ => Availability::Available,
     }
 }
 
-async fn swallowed() -> Outcome {
+async fn lost_call() -> Outcome {
     pending().await
 }
 
@@ -28,13 +28,16 @@
 }
 
 async fn call(reach: &Reachability, outcome: Outcome) -> Option<Outcome> {
-    reach.call(ready(outcome), |why| sign_of(why)).await
+    reach
+        .call(ready(outcome), |error| availability_of(error))
+        .await
 }
 
 #[tokio::test(start_paused = true)]
-async fn can_give_up_a_call_that_the_return_left_behind() {
-    // A dependency swallows a call that may take 20 s. One call fails at 1 s and the next
-    // comes through at 2 s; the swallowed one is given up a moment later, not at 20 s.
+async fn can_abandon_a_lost_call_after_the_recovery() {
+    // Guards against waiting for the whole timeout of a lost call. A dependency loses a call that
+    // may take 20 s. Another call fails at 1 s and the next succeeds at 2 s; the lost call is
+    // abandoned 300 ms later.
     let reach = Reachability::default();
     let began = Instant::now();
     let others = async {
@@ -48,7 +51,7 @@
         assert!(!reach.is_unreachable());
     };
     let (outcome, ()) = tokio::join!(
-        reach.call(swallowed(), |_| Availability::Unavailable),
+        reach.call(lost_call(), |_| Availability::Unavailable),
         others
     );
     assert_eq!(outcome, None);
@@ -56,7 +59,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn can_keep_a_slow_call_that_answers_after_the_return() {
+async fn can_keep_a_slow_call_that_is_answered_after_the_recovery() {
     let reach = Reachability::default();
     let others = async {
         let _ = reach
@@ -72,7 +75,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn can_end_a_pause_at_the_return() {
+async fn can_end_a_pause_at_the_recovery() {
     let reach = Reachability::default();
     let began = Instant::now();
     let others = async {
@@ -84,12 +87,16 @@
     tokio::join!(reach.pause(LONG), others);
     assert_eq!(began.elapsed(), Duration::from_millis(500));
     reach.pause(LONG).await;
-    assert_eq!(began.elapsed(), Duration::from_millis(20_500), "no return");
+    assert_eq!(
+        began.elapsed(),
+        Duration::from_millis(20_500),
+        "no recovery during the second pause"
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn can_tell_a_refusal_from_silence() {
-    // A dependency that refuses is within reach; its answers leave no call behind.
+async fn can_distinguish_a_refusal_from_silence() {
+    // A dependency that refuses calls is reachable; its answers abandon no other call.
     let reach = Reachability::default();
     let others = async {
         call(&reach, Err("refused")).await;
@@ -102,9 +109,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn can_follow_without_a_say() {
-    // The groups of a store are served while its records are refused: a join that comes
-    // through must end nobody's pause, and is given up with the others at the return.
+async fn can_make_an_untracked_call_without_ending_pauses() {
+    // Guards against pauses that end too early. A store serves its groups while it refuses its
+    // records: a successful join must end no pause, and a join is abandoned with the other calls at
+    // the recovery.
     let reach = Reachability::default();
     let began = Instant::now();
     let others = async {
@@ -116,15 +124,16 @@
             .call(after(900, Ok(1)), |_| Availability::Unavailable)
             .await;
     };
-    let (left, (), ()) = tokio::join!(reach.call_untracked(swallowed()), reach.pause(LONG), others);
-    assert_eq!(left, None);
+    let (abandoned, (), ()) =
+        tokio::join!(reach.call_untracked(lost_call()), reach.pause(LONG), others);
+    assert_eq!(abandoned, None);
     assert_eq!(began.elapsed(), Duration::from_millis(1_300));
 }
 
 #[test]
-fn can_wait_for_news_no_longer_than_a_read_may_take() {
-    // A read that waited at the store for longer than it may take would fail on every quiet
-    // day, and pass for a store that is lost.
+fn can_keep_the_wait_below_the_timeout_of_a_read() {
+    // Guards against reads that wait at the store for longer than their timeout: they would fail
+    // whenever no record is written, and the store would appear unreachable.
     for failed in 0..6 {
         for (wait_ms, slack_ms) in [(450, 900), (0, 900), (2_000, 300)] {
             let read_timeout = read_timeout(failed, wait_ms, slack_ms);
@@ -138,17 +147,19 @@
     assert_eq!(read_timeout(2, 450, 900), read_timeout(0, 450, 900));
 }
 
-/// Guards against waits that a refusal for the budget of calls ends: each long read that is then
-/// left behind is made again, and the reads that are refused double.
+/// Guards against a throttled read that ends the waits of others: each long read that is abandoned
+/// is made again, and the number of refused reads doubles.
 #[tokio::test(start_paused = true)]
-async fn can_keep_a_long_read_beside_throttled_ones() {
+async fn can_keep_a_long_read_during_throttled_reads() {
     let reach = Reachability::default();
     let others = async {
         for outcome in [Err("throttled"), Ok(1), Err("throttled"), Ok(1)] {
-            let _ = reach.call(after(50, outcome), |why| sign_of(why)).await;
+            let _ = reach
+                .call(after(50, outcome), |error| availability_of(error))
+                .await;
         }
     };
-    let long = reach.call(after(900, Ok(7)), |why| sign_of(why));
+    let long = reach.call(after(900, Ok(7)), |error| availability_of(error));
     let (outcome, ()) = tokio::join!(long, others);
     assert_eq!(outcome, Some(Ok(7)));
     assert_eq!(reach.recoveries(), 0);
