--- a/components/dispatch/src/admission.rs
+++ b/components/dispatch/src/admission.rs
@@ -2,10 +2,10 @@
 //!
 //! While a replica loads a version of the weights, it refuses items of that model for about a
 //! second. Without a limit, every waiting item would be sent there and refused again and again.
-//! After a refusal, one item at a time is attempted until the replica starts one. The attempted
-//! item is the most urgent one, which loses time with each refusal, so attempts are kept rare. The
-//! replica's record in the store shows when the replica has the new version; no attempt is needed
-//! for that.
+//! After a refusal, this module therefore admits one item at a time until the replica starts one.
+//! That item is the most urgent one and loses time with each refusal, so attempts are rare. No
+//! attempt is needed to find out when the replica has the new version: its record in the store says
+//! so.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -42,8 +42,8 @@
         self.attempted_ms.fetch_max(now_ms, Ordering::Relaxed);
     }
 
-    /// Number of the replica's `free` slots that may be used now: all of them, or at most one after
-    /// a refusal.
+    /// Number of the replica's `free` slots that may be used now: all of them, or after a refusal
+    /// at most one per retry interval.
     pub fn usable_slots(&self, free: u32, now_ms: u64) -> u32 {
         let refused_ms = self.refused_ms.load(Ordering::Relaxed);
         if refused_ms == 0 || self.started_ms.load(Ordering::Relaxed) > refused_ms {
--- a/components/dispatch/src/moves.rs
+++ b/components/dispatch/src/moves.rs
@@ -1,10 +1,10 @@
 //! Selects runs of items that continue at another replica.
 //!
 //! A replica runs a limited number of requests over all fronts, and its memory holds a limited
-//! number of tokens. Requests beyond these limits wait at the replica without notice: a request in
-//! its queue, or one that was preempted half way. An unreachable replica and one that loads weights
-//! look the same from here, and a slow replica delays long items. Another replica continues a text
-//! after reading it again, which takes about ten milliseconds, so moving a run pays off as long as
+//! number of tokens. Requests beyond these limits wait in the replica's queue or are preempted half
+//! way, and no front is notified of it. An unreachable replica and one that loads weights look the
+//! same to a front, and a slow replica delays long items. Another replica continues a text after
+//! reading it again, which takes about ten milliseconds, so moving a run pays off as long as
 //! another replica has a free slot. No further run is sent to a replica at which a run has stalled.
 
 use crate::Engine;
@@ -65,8 +65,8 @@
     (typical_us * STALL_INTERVALS / 1_000).max(STALL_MS_MIN)
 }
 
-/// Returns the indices of the runs to stop here and continue elsewhere, as long as other engines
-/// have slots. Takes those slots.
+/// Returns the indices of the runs to stop here and continue elsewhere, with the cause, as long as
+/// other engines have slots. Takes those slots.
 pub fn runs_to_move(
     runs: &[Run],
     engines: &mut [Engine],
--- a/components/leaving/src/drain.rs
+++ b/components/leaving/src/drain.rs
@@ -4,8 +4,8 @@
 //! ready, and the balancer keeps sending requests to it. The entry therefore accepts new work for
 //! another `settle_ms`. Membership spreads the notice of a leaving agent without such a lag, so an
 //! agent's `settle_ms` is 0, and it refuses new work as soon as any source says that it leaves.
-//! Refused work is reported as "not run" with a time to retry. Work in progress has up to
-//! `finish_ms_max` to finish; only then does the process exit.
+//! Refused work is reported as "not run" with a time to retry. The process exits when all work in
+//! progress has finished, or after `finish_ms_max`.
 //!
 //! All methods take `&self` and the state is held in atomics, so that requests never block on the
 //! drain.
--- a/components/leaving/src/probers.rs
+++ b/components/leaving/src/probers.rs
@@ -61,7 +61,7 @@
         self.probed_ms.insert(prober, now_ms);
     }
 
-    /// Starts the notices that this process is leaving.
+    /// Starts the notices that this process is leaving; the first one is due at `now_ms`.
     pub fn start_notices(&mut self, now_ms: u64) {
         self.notices_left = self.settings.notices;
         self.next_notice_ms = now_ms;
--- a/components/leaving/src/progress.rs
+++ b/components/leaving/src/progress.rs
@@ -1,4 +1,4 @@
-//! Counts the work in progress by guards.
+//! Counts the work in progress; each piece of work holds a guard.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/components/orders/src/plan.rs
+++ b/components/orders/src/plan.rs
@@ -102,8 +102,9 @@
 }
 
 /// Number of replicas that each model uses. A single model uses all replicas; otherwise a model
-/// uses its share by requested tokens, scaled by the settings. Neither is more than the model's
-/// items can fill. A model without a step counts as the mean of the others.
+/// uses its share by requested tokens, scaled by the settings. Both numbers are limited to the
+/// replicas that the model's items can fill. A model without a step counts as the mean of the
+/// others.
 fn replica_counts(fleet: &Fleet, settings: &OrderSettings) -> Vec<usize> {
     let replicas = fleet.replicas.len();
     let work = known_or_mean(fleet.models.iter().map(|model| model.work_tokens));
--- a/components/pacing/src/pacer.rs
+++ b/components/pacing/src/pacer.rs
@@ -48,10 +48,11 @@
 /// Longest backoff of an idle process. It is shorter than the second within which every process
 /// must know of an accepted step.
 const IDLE_BACKOFF_MS_MAX: u64 = 800;
-/// Factor on an idle process's interval, in hundredths. It grows with the first refusal of each row
-/// of refusals for exceeding the store's budget and shrinks with each successful read, so that the
-/// processes of a fleet converge on a rate that the store can serve. A row of refusals counts once
-/// because a store may refuse one process for seconds and have budget for all processes after that.
+/// Factor on an idle process's interval, in hundredths. It grows with the first of several
+/// consecutive refusals for exceeding the store's budget and shrinks with each successful read, so
+/// that the processes of a fleet converge on a rate that the store can serve. Consecutive refusals
+/// count once because a store may refuse one process for seconds and have budget for all processes
+/// after that.
 const STRETCH_HUNDREDTHS_MIN: u64 = 100;
 const STRETCH_HUNDREDTHS_MAX: u64 = 300;
 const STRETCH_INCREASE_HUNDREDTHS: u64 = 100;
@@ -110,8 +111,8 @@
         };
     }
 
-    /// Interval until the next read. `random` is a uniformly distributed random number, drawn anew
-    /// for each interval.
+    /// Interval between a read that ended with `outcome` and the next one. `random` is a uniformly
+    /// distributed random number, drawn anew for each interval.
     pub fn interval_ms(&self, outcome: ReadOutcome, urgency: Urgency, random: u64) -> u64 {
         let interval_ms = match outcome {
             ReadOutcome::MoreAvailable => 0,
--- a/components/pacing/src/paces.rs
+++ b/components/pacing/src/paces.rs
@@ -18,8 +18,9 @@
     idle_wait_ms: IDLE_WAIT_MS,
 };
 
-/// Intervals for the replicas' records. They are longer so that the heartbeats of many replicas
-/// cost few calls, but far below the two seconds within which a leaving replica must be known.
+/// Intervals for the replicas' records. Those of acting and waiting processes are longer than in
+/// [`LOG_PACE`], so that the heartbeats of many replicas cost few calls, but far below the two
+/// seconds within which a leaving replica must be known.
 pub const REPLICA_PACE: TopicPace = TopicPace {
     acting_ms: 120,
     waiting_ms: 500,
--- a/components/pacing/tests/pacer.rs
+++ b/components/pacing/tests/pacer.rs
@@ -10,7 +10,7 @@
     let known = NO_JITTER_RANDOM
         .iter()
         .find(|(known, _)| *known == interval_ms);
-    known.map_or(200, |(_, draw)| *draw)
+    known.map_or(200, |(_, random)| *random)
 }
 
 struct Case {
@@ -104,9 +104,9 @@
     // Guards against wrong answers to trainers: an idle front relies on its last read when it
     // answers that a step does not exist.
     let pacer = Pacer::new(LOG_PACE);
-    let draws = 0..1_000;
-    let longest_ms = draws
-        .map(|draw| pacer.interval_ms(ReadOutcome::Empty, Urgency::Idle, draw))
+    let randoms = 0..1_000;
+    let longest_ms = randoms
+        .map(|random| pacer.interval_ms(ReadOutcome::Empty, Urgency::Idle, random))
         .max();
     assert!(longest_ms.unwrap_or(0) + pacer.wait_ms(Urgency::Idle) < 900);
 }
--- a/components/reach/src/lib.rs
+++ b/components/reach/src/lib.rs
@@ -51,7 +51,7 @@
 }
 
 impl Reachability {
-    /// Whether the last call that showed anything found the dependency unreachable.
+    /// Whether the last call that gave evidence found the dependency unreachable.
     pub fn is_unreachable(&self) -> bool {
         self.unreachable.load(Ordering::Relaxed)
     }
