--- a/components/dispatch/tests/items.rs
+++ b/components/dispatch/tests/items.rs
@@ -347,9 +347,9 @@
 
 #[test]
 fn can_spread_a_group_over_idle_replicas() {
-    // Guards against packing a group onto few replicas to share its prompt. Five of sixteen long
-    // items at one replica fill its memory, preempt one another and delay the step, while sixteen
-    // replicas are idle; reading the prompt again takes a millisecond.
+    // Guards against packing a group onto few replicas to share its prompt. Sixteen replicas are
+    // idle; five long items at one of them would fill its memory, preempt one another and delay the
+    // step, while reading the prompt again takes a millisecond.
     let group: Vec<WaitingItem> = (0..16).map(|item| waiting(1, 500 + item)).collect();
     let mut engines = vec![engine(2, 8); 16];
     place(&group, &mut engines);
@@ -380,8 +380,9 @@
 #[test]
 fn a_burst_of_one_customer_delays_others_by_one_step() {
     // Load pattern: a customer submits twenty steps of forty items at once, then seventy-six others
-    // submit four items each; eighty slots become free per round. By age alone these would wait for
-    // all eight hundred items and start in the eleventh round; with turns they wait for one step.
+    // submit four items each; eighty slots become free per round. By age alone the others would
+    // wait for all eight hundred items and start in the eleventh round; with turns they wait for
+    // one step.
     let of_large = |step: u64| {
         (0..40).map(move |_| WaitingItem {
             turn: step as u32,
--- a/components/orders/tests/plan.rs
+++ b/components/orders/tests/plan.rs
@@ -119,9 +119,9 @@
 
 #[test]
 fn can_load_every_second_version_at_each_replica() {
-    // Guards against loading every version at every replica. One model on nine replicas names a
-    // version every four seconds. A step also accepts the version before, so half of the replicas
-    // load while the others serve.
+    // Guards against loading every version at every replica. A trainer names a version of one model
+    // every four seconds. A step also accepts the version before, so half of the nine replicas load
+    // while the others serve.
     let mut fleet = fleet(&[1], &[&[1][..]; 9]);
     let mut counts = Vec::new();
     for newest_version in 2..8 {
