--- a/components/dispatch/src/routes.rs
+++ b/components/dispatch/src/routes.rs
@@ -33,7 +33,7 @@
 /// A service of a route and its weight.
 #[value]
 pub struct ServiceShare {
-    /// Name of the service.
+    /// Service that may answer the requests of the route.
     pub service: Arc<str>,
     /// Weight relative to the other services of the route; 0 disables the service.
     pub weight: u32,
--- a/components/dispatch/tests/items.rs
+++ b/components/dispatch/tests/items.rs
@@ -379,10 +379,9 @@
 
 #[test]
 fn a_burst_of_one_customer_delays_others_by_one_step() {
-    // Load pattern: a customer submits twenty steps of forty items at once, then seventy-six others
-    // submit four items each; eighty slots become free per round. By age alone the others would
-    // wait for all eight hundred items and start in the eleventh round; with turns they wait for
-    // one step.
+    // Load pattern: a customer submits twenty steps of forty items, then seventy-six others submit
+    // four items each; eighty slots become free per round. By age alone the others would wait for
+    // all eight hundred items and start in the eleventh round; with turns they wait for one step.
     let of_large = |step: u64| {
         (0..40).map(move |_| WaitingItem {
             turn: step as u32,
--- a/components/orders/src/plan.rs
+++ b/components/orders/src/plan.rs
@@ -57,7 +57,7 @@
 /// A model and its demand.
 #[value]
 pub struct Model {
-    /// Name of the model.
+    /// Name of the model in the configuration.
     pub name: String,
     /// Newest version of the weights that the trainer has named.
     pub newest_version: u64,
