--- a/components/dispatch/tests/calls.rs
+++ b/components/dispatch/tests/calls.rs
@@ -1,19 +1,21 @@
-//! Choice of a replica for a call, and what follows a failed attempt.
+//! Selection of a replica for a call, and the decision after a failed attempt.
 
 use std::sync::Arc;
 
 use dispatch::{
-    AttemptEnd, CallEnd, Candidate, NextStep, ReplicaLoad, Typical, after_attempt, choose,
+    AttemptOutcome, CallFailure, Candidate, NextAction, ReplicaLoad, TypicalDuration,
+    choose_replica, next_action,
 };
 
 const MS: u64 = 1_000;
 
-/// Place in `loads` of the choice among those that were not tried, as callers put it.
+/// Index in `loads` of the choice among the replicas that were not tried; filters them as callers
+/// do.
 fn chosen(loads: &[Arc<ReplicaLoad>], tried: &[usize], random: u64, now_ms: u64) -> Option<usize> {
     chosen_with(loads, tried, &[], random, now_ms)
 }
 
-/// The same where idle connections to some are pooled.
+/// As `chosen`, with idle pooled connections to the replicas in `connected`.
 fn chosen_with(
     loads: &[Arc<ReplicaLoad>],
     tried: &[usize],
@@ -24,11 +26,11 @@
     let left: Vec<usize> = (0..loads.len()).filter(|at| !tried.contains(at)).collect();
     let candidate = |at: &usize| Candidate {
         load: &loads[*at],
-        near: true,
+        same_domain: true,
         connected: connected.contains(at),
     };
     let candidates: Vec<Candidate<'_>> = left.iter().map(candidate).collect();
-    choose(&candidates, 25 * MS, random, now_ms).map(|at| left[at])
+    choose_replica(&candidates, 25 * MS, random, now_ms).map(|at| left[at])
 }
 
 fn loads(count: usize) -> Vec<Arc<ReplicaLoad>> {
@@ -40,7 +42,7 @@
     let loads = loads(4);
     let mut held = Vec::new();
     for random in 0..8 {
-        let at = chosen(&loads, &[], random * 7, 0).expect("one");
+        let at = chosen(&loads, &[], random * 7, 0).expect("a replica");
         held.push(loads[at].begin(25 * MS, false));
     }
     assert!(loads.iter().all(|load| load.calls() == 2));
@@ -49,15 +51,16 @@
 }
 
 #[test]
-fn can_keep_clerks_away_from_a_slow_replica_and_come_back_to_it() {
-    // One replica takes 3.5 times as long. A few answers show it; then calls go elsewhere,
-    // though it has less in progress. Seconds later it is tried again.
+fn can_avoid_a_slow_replica_and_try_it_again_later() {
+    // Guards against calls that keep going to a slow replica, and against avoiding it for ever. One
+    // replica takes 3.5 times as long. After a few answers calls go elsewhere, although it has
+    // fewer calls in progress; seconds later it is tried again.
     let loads = loads(3);
-    let typical = Typical::new(25);
+    let typical = TypicalDuration::new(25);
     for _ in 0..4 {
-        loads[0].succeeded(&typical, 90 * MS, 1_000);
-        loads[1].succeeded(&typical, 25 * MS, 1_000);
-        loads[2].succeeded(&typical, 25 * MS, 1_000);
+        loads[0].record_success(&typical, 90 * MS, 1_000);
+        loads[1].record_success(&typical, 25 * MS, 1_000);
+        loads[2].record_success(&typical, 25 * MS, 1_000);
     }
     let _busy = [
         loads[1].begin(25 * MS, false),
@@ -68,18 +71,22 @@
 }
 
 #[test]
-fn can_leave_out_a_replica_that_fails_in_a_row() {
+fn can_eject_a_replica_after_consecutive_failures() {
     let loads = loads(2);
-    loads[0].failed(1_000);
-    loads[0].failed(1_010);
+    loads[0].record_failure(1_000);
+    loads[0].record_failure(1_010);
     assert!((0..9).all(|random| chosen(&loads, &[], random, 1_500) == Some(1)));
-    assert_eq!(chosen(&loads, &[1], 0, 1_500), Some(0), "better than none");
+    assert_eq!(
+        chosen(&loads, &[1], 0, 1_500),
+        Some(0),
+        "an ejected replica is better than none"
+    );
 }
 
-/// Load pattern: many fronts with a call each few seconds before many replicas. Guards against a new
-/// connection for each of them.
+/// Guards against a new connection for each call. Load pattern: many fronts that send a call every
+/// few seconds to many replicas.
 #[test]
-fn can_stay_with_a_connected_replica_while_it_has_nothing_else_to_do() {
+fn can_prefer_a_connected_replica_while_it_is_idle() {
     let loads = loads(35);
     let choice = |connected: &[usize]| {
         let randoms = 0..70;
@@ -90,7 +97,7 @@
     let _busy = loads[7].begin(25 * MS, false);
     assert!(
         choice(&[7]).iter().all(|at| *at != Some(7)),
-        "it is at work"
+        "the connected replica is busy"
     );
     assert!(choice(&[7, 9]).iter().all(|at| *at == Some(9)));
 }
@@ -103,90 +110,90 @@
 }
 
 #[test]
-fn can_decide_what_follows_an_attempt() {
+fn can_decide_the_action_after_an_attempt() {
     struct Case {
         name: &'static str,
-        end: AttemptEnd,
+        end: AttemptOutcome,
         idempotent: bool,
         ran_before: bool,
         sent: u32,
         left_ms: u64,
-        next: NextStep,
+        next: NextAction,
     }
     let cases = [
         Case {
             name: "an answer",
-            end: AttemptEnd::Answered,
+            end: AttemptOutcome::Answered,
             idempotent: false,
             ran_before: false,
             sent: 1,
             left_ms: 500,
-            next: NextStep::Deliver,
+            next: NextAction::Deliver,
         },
         Case {
-            name: "an idempotent call that broke off",
-            end: AttemptEnd::Unknown,
+            name: "an idempotent call that was interrupted",
+            end: AttemptOutcome::Unknown,
             idempotent: true,
             ran_before: false,
             sent: 1,
             left_ms: 500,
-            next: NextStep::Again,
+            next: NextAction::Retry,
         },
         Case {
-            name: "a call that may run once and broke off",
-            end: AttemptEnd::Unknown,
+            name: "a call that runs at most once and was interrupted",
+            end: AttemptOutcome::Unknown,
             idempotent: false,
             ran_before: false,
             sent: 1,
             left_ms: 500,
-            next: NextStep::Finish(CallEnd::Unknown),
+            next: NextAction::Finish(CallFailure::Unknown),
         },
         Case {
-            name: "a call that may run once and was refused",
-            end: AttemptEnd::NotRun,
+            name: "a call that runs at most once and was refused",
+            end: AttemptOutcome::NotRun,
             idempotent: false,
             ran_before: false,
             sent: 1,
             left_ms: 500,
-            next: NextStep::Again,
+            next: NextAction::Retry,
         },
         Case {
             name: "all replicas refused",
-            end: AttemptEnd::NotRun,
+            end: AttemptOutcome::NotRun,
             idempotent: true,
             ran_before: false,
             sent: 2,
             left_ms: 500,
-            next: NextStep::Finish(CallEnd::NotRun),
+            next: NextAction::Finish(CallFailure::NotRun),
         },
         Case {
-            name: "the last one refused, an earlier one may have run it",
-            end: AttemptEnd::NotRun,
+            name: "the last replica refused, an earlier one may have run it",
+            end: AttemptOutcome::NotRun,
             idempotent: true,
             ran_before: true,
             sent: 2,
             left_ms: 500,
-            next: NextStep::Finish(CallEnd::Unknown),
+            next: NextAction::Finish(CallFailure::Unknown),
         },
         Case {
-            name: "the time is up",
-            end: AttemptEnd::Unknown,
+            name: "the deadline has passed",
+            end: AttemptOutcome::Unknown,
             idempotent: true,
             ran_before: false,
             sent: 1,
             left_ms: 0,
-            next: NextStep::Finish(CallEnd::TimedOut),
+            next: NextAction::Finish(CallFailure::TimedOut),
         },
     ];
     for case in cases {
-        let untried = true;
-        let next = after_attempt(
+        let has_untried = true;
+        let next = next_action(
             case.end,
             case.idempotent,
             case.ran_before,
             case.sent,
             2,
-            untried,
+            has_untried,
             case.left_ms,
         );
         assert_eq!(next, case.next, "{}", case.name);
--- a/components/inspect/src/read.rs
+++ b/components/inspect/src/read.rs
@@ -66,7 +66,7 @@
             if let OperatorRecord::Routes(routes) =
                 parse_operator_record(&record.key, &record.value)?
             {
-                let rows = routes.all().into_iter().map(RouteRow::from);
+                let rows = routes.sorted().into_iter().map(RouteRow::from);
                 found = (routes.version, rows.collect());
             }
         }
--- a/components/pacing/tests/pacer.rs
+++ b/components/pacing/tests/pacer.rs
@@ -1,111 +1,137 @@
 //! Intervals between the reads of one follower.
 
-use pacing::{Activity, Demand, LOG_PACE, Pacer, ReadEnd, Urgency};
+use pacing::{Activity, Demand, LOG_PACE, Pacer, ReadOutcome, Urgency};
 
-/// Draws in the middle of the jitter's span.
-const MIDDLE: [(u64, u64); 6] = [(0, 0), (20, 5), (50, 12), (100, 25), (200, 50), (500, 125)];
+/// Random numbers that give a jitter of zero, by interval in milliseconds.
+const NO_JITTER_RANDOM: [(u64, u64); 6] =
+    [(0, 0), (20, 5), (50, 12), (100, 25), (200, 50), (500, 125)];
 
-fn middle(interval_ms: u64) -> u64 {
-    let known = MIDDLE.iter().find(|(known, _)| *known == interval_ms);
-    known.map_or(200, |(_, draw)| *draw)
+fn no_jitter_random(interval_ms: u64) -> u64 {
+    let known = NO_JITTER_RANDOM
+        .iter()
+        .find(|(known, _)| *known == interval_ms);
+    known.map_or(200, |(_, random)| *random)
 }
 
 struct Case {
     name: &'static str,
-    end: ReadEnd,
+    outcome: ReadOutcome,
     urgency: Urgency,
-    failed: u32,
+    failures: u32,
     interval_ms: u64,
 }
 
 #[test]
 fn can_pace_reads_by_urgency_and_by_how_the_last_one_ended() {
-    let case = |name, end, urgency, failed, interval_ms| Case {
+    let case = |name, outcome, urgency, failures, interval_ms| Case {
         name,
-        end,
+        outcome,
         urgency,
-        failed,
+        failures,
         interval_ms,
     };
     let cases = [
-        case("more is there", ReadEnd::Behind, Urgency::Idle, 0, 0),
-        case("records, acting", ReadEnd::Records, Urgency::Acting, 0, 20),
+        case(
+            "more records available",
+            ReadOutcome::MoreAvailable,
+            Urgency::Idle,
+            0,
+            0,
+        ),
+        case(
+            "records, acting",
+            ReadOutcome::Records,
+            Urgency::Acting,
+            0,
+            20,
+        ),
         case(
             "records, a client waits",
-            ReadEnd::Records,
+            ReadOutcome::Records,
             Urgency::Waiting,
             0,
             50,
         ),
-        case("records, idle", ReadEnd::Records, Urgency::Idle, 0, 500),
-        case("nothing, acting", ReadEnd::Nothing, Urgency::Acting, 0, 0),
+        case("records, idle", ReadOutcome::Records, Urgency::Idle, 0, 500),
+        case("empty, acting", ReadOutcome::Empty, Urgency::Acting, 0, 0),
         case(
-            "nothing, a client waits",
-            ReadEnd::Nothing,
+            "empty, a client waits",
+            ReadOutcome::Empty,
             Urgency::Waiting,
             0,
             0,
         ),
-        case("nothing, idle", ReadEnd::Nothing, Urgency::Idle, 0, 500),
-        case("throttled once", ReadEnd::Throttled, Urgency::Idle, 1, 100),
+        case("empty, idle", ReadOutcome::Empty, Urgency::Idle, 0, 500),
+        case(
+            "throttled once",
+            ReadOutcome::Throttled,
+            Urgency::Idle,
+            1,
+            100,
+        ),
         case(
             "throttled often, idle",
-            ReadEnd::Throttled,
+            ReadOutcome::Throttled,
             Urgency::Idle,
             40,
             800,
         ),
         case(
             "throttled often, acting",
-            ReadEnd::Throttled,
+            ReadOutcome::Throttled,
             Urgency::Acting,
             40,
             200,
         ),
-        case("failed twice", ReadEnd::Failed, Urgency::Idle, 2, 200),
+        case("failed twice", ReadOutcome::Failed, Urgency::Idle, 2, 200),
     ];
     for case in cases {
         let mut pacer = Pacer::new(LOG_PACE);
-        for _ in 0..case.failed {
-            pacer.ended(case.end);
+        for _ in 0..case.failures {
+            pacer.record_outcome(case.outcome);
         }
-        let interval_ms = pacer.interval_ms(case.end, case.urgency, middle(case.interval_ms));
+        let interval_ms = pacer.interval_ms(
+            case.outcome,
+            case.urgency,
+            no_jitter_random(case.interval_ms),
+        );
         assert_eq!(interval_ms, case.interval_ms, "{}", case.name);
     }
 }
 
 #[test]
-fn can_prove_within_a_second_that_nothing_is_new() {
-    // An idle front answers that a step does not exist, on the strength of its last read.
+fn can_confirm_within_a_second_that_the_log_has_no_new_record() {
+    // Guards against wrong answers to trainers: an idle front relies on its last read when it
+    // answers that a step does not exist.
     let pacer = Pacer::new(LOG_PACE);
-    let draws = 0..1_000;
-    let longest_ms = draws
-        .map(|draw| pacer.interval_ms(ReadEnd::Nothing, Urgency::Idle, draw))
+    let randoms = 0..1_000;
+    let longest_ms = randoms
+        .map(|random| pacer.interval_ms(ReadOutcome::Empty, Urgency::Idle, random))
         .max();
     assert!(longest_ms.unwrap_or(0) + pacer.wait_ms(Urgency::Idle) < 900);
 }
 
 #[test]
-fn can_start_at_the_first_interval_again_behind_a_read_that_came_through() {
+fn can_reset_the_backoff_after_a_successful_read() {
     let mut pacer = Pacer::new(LOG_PACE);
     for _ in 0..9 {
-        pacer.ended(ReadEnd::Throttled);
+        pacer.record_outcome(ReadOutcome::Throttled);
     }
-    pacer.ended(ReadEnd::Nothing);
-    pacer.ended(ReadEnd::Throttled);
+    pacer.record_outcome(ReadOutcome::Empty);
+    pacer.record_outcome(ReadOutcome::Throttled);
     assert_eq!(
-        pacer.interval_ms(ReadEnd::Throttled, Urgency::Idle, 25),
+        pacer.interval_ms(ReadOutcome::Throttled, Urgency::Idle, 25),
         100
     );
 }
 
 #[tokio::test]
-async fn can_end_an_interval_when_a_client_begins_to_wait_or_the_process_to_act() {
+async fn can_end_an_interval_when_demand_rises() {
     type Raise = fn(&Demand);
     let raises: [(&str, Raise, Urgency); 5] = [
         (
             "a client waits",
-            |demand| std::mem::forget(demand.wait()),
+            |demand| std::mem::forget(demand.begin_wait()),
             Urgency::Waiting,
         ),
         (
@@ -119,11 +145,11 @@
             Urgency::Acting,
         ),
         (
-            "succession",
-            |demand| demand.set_active(Activity::Succession, true),
+            "standby",
+            |demand| demand.set_active(Activity::Standby, true),
             Urgency::Waiting,
         ),
-        ("partitions", Demand::refresh, Urgency::Idle),
+        ("new partitions", Demand::refresh, Urgency::Idle),
     ];
     for (name, raise, urgency) in raises {
         let demand = Demand::default();
@@ -136,14 +162,14 @@
 }
 
 #[test]
-fn can_be_idle_again_when_the_last_client_and_activity_are_gone() {
+fn can_become_idle_after_the_last_client_and_activity_end() {
     let demand = Demand::default();
     demand.set_active(Activity::Items, true);
     demand.set_active(Activity::Orders, true);
     demand.set_active(Activity::Items, false);
     assert_eq!(demand.urgency(), Urgency::Acting);
     demand.set_active(Activity::Orders, false);
-    let (first, second) = (demand.wait(), demand.wait());
+    let (first, second) = (demand.begin_wait(), demand.begin_wait());
     drop(first);
     assert_eq!(demand.urgency(), Urgency::Waiting);
     drop(second);
