--- a/components/front/src/access.rs
+++ b/components/front/src/access.rs
@@ -14,7 +14,7 @@
 use platform::{ReplyBody, discard, ingress};
 
 use crate::clock::now_ms;
-use crate::figures;
+use crate::metrics;
 use crate::results;
 use crate::state::Front;
 
@@ -100,7 +100,7 @@
     id: Option<&str>,
     refused: Refused,
 ) -> Response<ReplyBody> {
-    let behind_ms = front.operator_age_ms(now_ms());
+    let behind_ms = front.operator_records_age_ms(now_ms());
     let behind = behind_ms >= BEHIND_MS;
     let key = match ingress::shown_key(headers) {
         ShownKey::One(key) => front.key_marks.of(key),
@@ -112,7 +112,7 @@
     );
     front.metrics.count(
         "front_requests_refused_total",
-        figures::call_label(false),
+        metrics::call_label(false),
         1,
     );
     let rest = discard(body, routes.limits.body_bytes);
--- a/components/front/src/calls.rs
+++ b/components/front/src/calls.rs
@@ -19,8 +19,8 @@
 use platform::replica::{self, Answer, ReplicaError};
 
 use crate::clock::{now_ms, now_us};
-use crate::figures;
-use crate::meter::{SentAt, Started};
+use crate::meter::{CountedRequest, SentAt};
+use crate::metrics;
 use crate::peers::{Member, ReplicaTable};
 use crate::state::Front;
 
@@ -79,7 +79,7 @@
     }
 
     /// The call as it goes to this replica now.
-    pub fn at(&self, replica: &dispatch::Replica) -> replica::Call<'_> {
+    pub fn replica_call(&self, replica: &dispatch::Replica) -> replica::Call<'_> {
         replica::Call {
             method: self.method.clone(),
             path: self.path,
@@ -106,7 +106,7 @@
     let mut flights = FuturesUnordered::new();
     let mut tried: Vec<ReplicaId> = Vec::new();
     let counted = spec.customer.filter(|_| !spec.background);
-    let mut started = Started::new(front, counted);
+    let mut started = CountedRequest::new(front, counted);
     let mut may_have_run = false;
     let mut failure: Option<Box<Answer>> = None;
     let outcome = loop {
@@ -114,7 +114,7 @@
             match pick(front, spec, &typical, &tried).await {
                 Some(member) => {
                     tried.push(Arc::clone(&member.replica.id));
-                    let sent = started.attempt();
+                    let sent = started.start_attempt();
                     flights.push(attempt(spec, member, Arc::clone(&typical), sent));
                 }
                 None => {
@@ -159,7 +159,7 @@
                 if let Some(member) = next {
                     overtake(front, spec, &typical, &tried);
                     tried.push(Arc::clone(&member.replica.id));
-                    let sent = started.attempt();
+                    let sent = started.start_attempt();
                     flights.push(attempt(spec, member, Arc::clone(&typical), sent));
                 }
             }
@@ -186,7 +186,7 @@
 
 /// Counts a call that ended.
 fn note(front: &Front, spec: &CallSpec<'_>, outcome: &CallOutcome, sent: usize, took_ms: u64) {
-    let label = figures::call_label(spec.background);
+    let label = metrics::call_label(spec.background);
     front.metrics.record("front_call_ms", label, took_ms);
     front
         .metrics
@@ -272,7 +272,8 @@
 ) -> Option<Member> {
     let table = front.replicas.load();
     let drawn = spec.route.draw(rand::random());
-    let in_service = |service: &str| choose_of(front, &table, service, typical, tried, with_room);
+    let in_service =
+        |service: &str| choose_replica(front, &table, service, typical, tried, with_room);
     drawn
         .and_then(|service| in_service(service))
         .or_else(|| services(spec.route).find_map(in_service))
@@ -280,7 +281,7 @@
 
 /// A replica of a service that takes work and was not tried; `with_room` for work that
 /// nobody waits for.
-pub fn choose_of(
+pub fn choose_replica(
     front: &Front,
     table: &ReplicaTable,
     service: &str,
@@ -346,7 +347,7 @@
             return failed(AttemptEnd::NotRun, error.to_string());
         }
     };
-    let call = spec.at(&member.replica);
+    let call = spec.replica_call(&member.replica);
     let left_ms = call.left_ms;
     sent.store(now_ms(), Ordering::Relaxed);
     match replica::call(&mut connection, call, Duration::from_millis(left_ms)).await {
--- a/components/front/src/connections.rs
+++ b/components/front/src/connections.rs
@@ -60,7 +60,7 @@
     let limits = front.routes.load().as_ref().map(|routes| routes.limits);
     let idle_ms = limits.map_or(IDLE_MS, |limits| limits.idle_ms) + IDLE_SLACK_MS;
     let head_bytes = limits.map_or(HEADER_BYTES, |limits| limits.header_bytes);
-    let mut closing = front.closing.subscribe();
+    let mut closing = front.close_connections.subscribe();
     let service = service_fn(move |request| {
         let answer = answer(Arc::clone(&front), request);
         async move { Ok::<_, std::convert::Infallible>(answer.await) }
--- a/components/front/src/follow/index.rs
+++ b/components/front/src/follow/index.rs
@@ -35,12 +35,12 @@
                 apply(&front, from, &records, now_ms);
                 let first = front.index_current_ms() == 0;
                 if current {
-                    front.index_is_current(now_ms);
+                    front.mark_index_current(now_ms);
                 }
                 if first || !records.is_empty() {
-                    front.index_news.send_modify(|count| *count += 1);
-                    front.runner_news.notify_one();
-                    front.leader_news.notify_one();
+                    front.index_changes.send_modify(|count| *count += 1);
+                    front.runner_wakeup.notify_one();
+                    front.leader_wakeup.notify_one();
                 }
             }
             Batch::Trimmed => front.index().skipped(now_ms()),
@@ -62,7 +62,7 @@
 /// nobody waited may be half a second behind, and a step that it does not know may have been
 /// accepted at another front just before. Gives up where the store does not answer in time, and at
 /// once where it did not answer last: another front may know more, and the client is sent there.
-pub async fn wait_for_newest(front: &Front) {
+pub async fn wait_until_index_current(front: &Front) {
     if front.index_failing.load(Ordering::Relaxed) {
         return;
     }
--- a/components/front/src/follow/mod.rs
+++ b/components/front/src/follow/mod.rs
@@ -16,12 +16,12 @@
 use reach::{ReadTimeout, read_timeout};
 use telemetry::Label;
 
-pub use self::index::{index, wait_for_newest};
+pub use self::index::{index, wait_until_index_current};
 pub use operator::operator;
 pub use replicas::replicas;
 
 use crate::state::Front;
-use crate::storage::ReadFrom;
+use crate::storage::ReadRequest;
 
 /// Time for a read beyond its wait; covers a store that is slow.
 const READ_SLACK_MS: u64 = 900;
@@ -78,7 +78,7 @@
         };
         let ReadTimeout { wait_ms, within } =
             read_timeout(self.pacer.failed(), wait_ms, READ_SLACK_MS);
-        let from = ReadFrom {
+        let from = ReadRequest {
             topic: self.topic,
             partition: self.partition,
             offset: self.next,
--- a/components/front/src/follow/operator.rs
+++ b/components/front/src/follow/operator.rs
@@ -8,13 +8,13 @@
 
 use super::keyed::{KeyedNews, follow};
 use crate::clock::now_ms;
-use crate::state::{Front, locked};
+use crate::state::{Front, lock};
 
 /// Follows the configuration and the named versions.
 pub async fn operator(front: Arc<Front>) {
     follow(&front, OPERATOR_TOPIC, LOG_PACE, |news| match news {
         KeyedNews::Key(key, Some(value)) => take_record(&front, &key, &value),
-        KeyedNews::Settled { current: true } => front.operator_is_current(now_ms()),
+        KeyedNews::Settled { current: true } => front.mark_operator_records_current(now_ms()),
         _ => {}
     })
     .await;
@@ -45,12 +45,12 @@
 }
 
 fn name_version(front: &Front, model: Arc<str>, version: u64) {
-    let mut named = locked(&front.named);
+    let mut named = lock(&front.named_versions);
     let known = named.entry(Arc::clone(&model)).or_insert(0);
     if version > *known {
         log::info!(event = "version-named", model = &*model, version; "");
         *known = version;
-        front.leader_news.notify_one();
-        front.runner_news.notify_one();
+        front.leader_wakeup.notify_one();
+        front.runner_wakeup.notify_one();
     }
 }
--- a/components/front/src/follow/replicas.rs
+++ b/components/front/src/follow/replicas.rs
@@ -40,8 +40,8 @@
                 if std::mem::take(&mut changed) {
                     let next = front.replicas.load().next(registry.replicas());
                     front.replicas.store(Arc::new(next));
-                    front.runner_news.notify_one();
-                    front.leader_news.notify_one();
+                    front.runner_wakeup.notify_one();
+                    front.leader_wakeup.notify_one();
                 }
             }
         }
--- a/components/front/src/jobs/mod.rs
+++ b/components/front/src/jobs/mod.rs
@@ -23,7 +23,7 @@
 use self::append::{Appended, PendingAppend};
 use self::data::DataRefusal;
 use crate::clock::now_ms;
-use crate::figures;
+use crate::metrics;
 use crate::state::Front;
 use crate::writer::{append_index, encode};
 
@@ -100,7 +100,7 @@
     let took_ms = now_ms() - began_ms;
     front
         .metrics
-        .record("front_submission_ms", figures::item_label(), took_ms);
+        .record("front_submission_ms", metrics::item_label(), took_ms);
     log::info!(
         event = "step-submitted", id, customer = customer.unwrap_or_default(),
         status = reply.status.as_u16(), took_ms, why = reply.why; ""
--- a/components/front/src/leader.rs
+++ b/components/front/src/leader.rs
@@ -15,7 +15,7 @@
 use crate::clock::now_ms;
 use crate::peers::Member;
 use crate::reports::Reports;
-use crate::state::{Front, locked};
+use crate::state::{Front, lock};
 use crate::writer::write_index;
 
 /// How often the lease and the plan are looked at, in milliseconds.
@@ -48,7 +48,7 @@
     let mut led = false;
     loop {
         tokio::select! {
-            () = front.leader_news.notified() => {}
+            () = front.leader_wakeup.notified() => {}
             () = tokio::time::sleep(Duration::from_millis(LOOK_MS)) => {}
         }
         let now_ms = now_ms();
@@ -57,7 +57,7 @@
             led = held;
             log::info!(event = "lease-changed", held; "");
             front.demand.set_active(Activity::Orders, held);
-            locked(&ordered).clear();
+            lock(&ordered).clear();
         }
         let (loads, report) = match held {
             true => (
@@ -83,7 +83,7 @@
 fn keep_lease(front: &Arc<Front>, wants_orders: bool, now_ms: u64) {
     let record = {
         let mut index = front.index();
-        let owns = !front.owned.load().partitions().is_empty();
+        let owns = !front.ownership.load().partitions().is_empty();
         if !is_candidate(&index.lease, owns, front.started_ms, now_ms) {
             return;
         }
@@ -163,7 +163,7 @@
 
 fn models(front: &Front, names: &[Arc<str>]) -> Vec<Model> {
     let newest = newest_steps(front);
-    let named = locked(&front.named);
+    let named = lock(&front.named_versions);
     let model = |name: &Arc<str>| {
         let step = newest.get(&**name);
         Model {
@@ -186,7 +186,7 @@
 }
 
 fn fleet(members: &[&Member], models: Vec<Model>, ordered: &InProgress, now_ms: u64) -> Fleet {
-    let mut ordered = locked(ordered);
+    let mut ordered = lock(ordered);
     ordered.retain(|id, order| {
         let member = members.iter().find(|member| member.replica.id == *id);
         let arrived = member.is_some_and(|member| {
@@ -236,7 +236,7 @@
         until_ms,
         accepted: true,
     };
-    locked(ordered).insert(Arc::clone(&member.replica.id), order);
+    lock(ordered).insert(Arc::clone(&member.replica.id), order);
     let (front, ordered) = (Arc::clone(front), Arc::clone(ordered));
     tokio::spawn(async move {
         let answer = give_order(&front, &member, &model, version, mode).await;
@@ -253,7 +253,7 @@
             ),
         }
         let done = matches!(answer, Ok(Some(OrderAnswer::Accepted | OrderAnswer::Holds)));
-        if !done && let Some(order) = locked(&ordered).get_mut(&member.replica.id) {
+        if !done && let Some(order) = lock(&ordered).get_mut(&member.replica.id) {
             order.accepted = false;
             order.until_ms = now_ms() + PAUSE_MS;
         }
--- a/components/front/src/leave.rs
+++ b/components/front/src/leave.rs
@@ -38,13 +38,13 @@
 
 /// How long a leaving front goes on with the items that it runs, in milliseconds after the stop
 /// signal. The longest take six seconds; what is left then is saved once more.
-pub fn keep_runs_ms(grace_ms: u64) -> u64 {
+pub fn drain_runs_ms(grace_ms: u64) -> u64 {
     grace_ms.saturating_sub(MARGIN_MS + SAVE_MS)
 }
 
 /// Gives the shards to other fronts once what was made of their items is saved.
 async fn hand_over(front: &Arc<Front>) {
-    let mut saved = front.handed_over.subscribe();
+    let mut saved = front.texts_saved.subscribe();
     let within = Duration::from_millis(SAVE_MS);
     if tokio::time::timeout(within, saved.wait_for(|saved| *saved))
         .await
@@ -60,7 +60,7 @@
 pub async fn leave(front: &Arc<Front>) {
     front.drain.start(now_ms());
     log::info!(event = "leaving", work = front.drain.progress().count(); "");
-    front.runner_news.notify_one();
+    front.runner_wakeup.notify_one();
     tokio::join!(leader::give_up(front), hand_over(front));
     loop {
         match front.drain.step(now_ms()) {
@@ -71,7 +71,7 @@
             }
             Step::WaitUntil { .. } | Step::Serve => {
                 let closing = front.drain.phase(now_ms()) == leaving::Phase::Finishing;
-                front.closing.send_if_modified(|known| {
+                front.close_connections.send_if_modified(|known| {
                     let news = *known != closing;
                     *known = closing;
                     news
--- a/components/front/src/member.rs
+++ b/components/front/src/member.rs
@@ -105,10 +105,10 @@
 async fn step_down(front: &Front, ownership: &mut Ownership, why: &str) {
     log::warn!(event = "stepping-down", unwritable_ms = front.unwritable_ms(now_ms()), why; "");
     ownership.step_down();
-    front.owned.store(Arc::new(ownership.clone()));
+    front.ownership.store(Arc::new(ownership.clone()));
     if leave_group(front).await {
         ownership.left();
-        front.owned.store(Arc::new(ownership.clone()));
+        front.ownership.store(Arc::new(ownership.clone()));
     }
 }
 
@@ -137,12 +137,12 @@
             }
             let succeeds = lease::is_successor(ownership.partitions().iter());
             front.demand.set_active(Activity::Succession, succeeds);
-            front.owned.store(Arc::new(ownership.clone()));
+            front.ownership.store(Arc::new(ownership.clone()));
             if changed {
-                front.handed_on.store(true, Ordering::Relaxed);
+                front.partitions_moved.store(true, Ordering::Relaxed);
                 front.demand.refresh();
             }
-            front.runner_news.notify_one();
+            front.runner_wakeup.notify_one();
             changed
         }
         Err(error) => {
@@ -155,9 +155,9 @@
 /// Hands the partitions to others at once; while the store does not know of it, they stand
 /// still for a time to live that it may not count while it is away, so it is told again.
 pub async fn leave(front: Arc<Front>) {
-    let mut given_up = Ownership::clone(&front.owned.load());
+    let mut given_up = Ownership::clone(&front.ownership.load());
     given_up.step_down();
-    front.owned.store(Arc::new(given_up));
+    front.ownership.store(Arc::new(given_up));
     while !leave_group(&front).await {
         front.storage.pause(join_interval_ms(false)).await;
     }
--- a/components/front/src/meter.rs
+++ b/components/front/src/meter.rs
@@ -13,7 +13,7 @@
 use usage::{Batch, CustomerSeries, Tally, TrueTime, WindowSettings};
 
 use crate::clock::now_ms;
-use crate::state::{Front, locked};
+use crate::state::{Front, lock};
 use crate::writer::{append_usage, until_done};
 
 /// How long counts are gathered before they are written, in milliseconds: what a front that is
@@ -59,25 +59,25 @@
 
     /// True time at a moment of the process's clock, in milliseconds.
     pub fn true_ms(&self, at_ms: u64) -> u64 {
-        locked(&self.time).at_ms(at_ms).unwrap_or(0)
+        lock(&self.time).at_ms(at_ms).unwrap_or(0)
     }
 
     fn sample(&self) {
         let day = SystemTime::now().duration_since(UNIX_EPOCH);
         let day_ms = day.map_or(0, |day| day.as_millis() as u64);
-        locked(&self.time).sample(day_ms, now_ms());
+        lock(&self.time).sample(day_ms, now_ms());
     }
 
     /// Requests by customer for the metrics page.
     pub fn series(&self) -> Vec<(String, u64)> {
-        locked(&self.series).rows()
+        lock(&self.series).rows()
     }
 
     fn note(&self, customer: &str, began_ms: u64, progress: &Progress) {
-        locked(&self.series).note(customer);
+        lock(&self.series).note(customer);
         let Some(windows) = &self.windows else { return };
         let window = windows.window_at(self.true_ms(began_ms));
-        let mut noted = locked(&self.noted);
+        let mut noted = lock(&self.noted);
         noted.tally.note(window, customer);
         if noted.unwritten.is_none() {
             noted.unwritten = Some(progress.enter());
@@ -86,7 +86,7 @@
     }
 
     fn next_batch(&self) -> Option<(Batch, Option<Working>)> {
-        let mut noted = locked(&self.noted);
+        let mut noted = lock(&self.noted);
         let batch = noted.tally.next_batch()?;
         Some((batch, noted.unwritten.take()))
     }
@@ -94,7 +94,7 @@
 
 /// Where one request was sent, and when; counted when dropped, so that one whose client goes
 /// away counts too.
-pub struct Started<'a> {
+pub struct CountedRequest<'a> {
     front: &'a Front,
     customer: Option<&'a str>,
     sent: Vec<SentAt>,
@@ -103,7 +103,7 @@
 /// When a request was sent to one replica; 0 while it is not, or was not run.
 pub type SentAt = Arc<AtomicU64>;
 
-impl<'a> Started<'a> {
+impl<'a> CountedRequest<'a> {
     /// A request that was sent nowhere; one that has no customer is not counted.
     pub fn new(front: &'a Front, customer: Option<&'a str>) -> Self {
         Self {
@@ -114,14 +114,14 @@
     }
 
     /// The next attempt.
-    pub fn attempt(&mut self) -> SentAt {
+    pub fn start_attempt(&mut self) -> SentAt {
         let sent = SentAt::default();
         self.sent.push(Arc::clone(&sent));
         sent
     }
 }
 
-impl Drop for Started<'_> {
+impl Drop for CountedRequest<'_> {
     fn drop(&mut self) {
         let sent = self.sent.iter().map(|sent| sent.load(Ordering::Relaxed));
         let first_ms = sent.filter(|at_ms| *at_ms > 0).min();
--- a/components/front/src/figures.rs
+++ b/components/front/src/metrics.rs
@@ -5,7 +5,7 @@
 use telemetry::{Label, Metrics, MetricsError, MetricsSettings, Row};
 use types::Class;
 
-/// Messages that wait for the thread that owns the figures, at most: a second of them on a
+/// Messages that wait for the thread that owns the metrics, at most: a second of them on a
 /// busy front, 80 kB of memory.
 const QUEUED_MAX: usize = 1_024;
 
--- a/components/front/src/partial.rs
+++ b/components/front/src/partial.rs
@@ -12,7 +12,7 @@
 use platform::store::StoreError;
 use steps::{IndexRecord, Place, SavedPiece, StepId};
 
-use crate::state::{Front, locked};
+use crate::state::{Front, lock};
 use crate::writer::{APPEND_MS, WriteError, data_partition, write_index};
 
 /// Longest time for reading a piece, in milliseconds.
@@ -138,7 +138,7 @@
             let known = index.ledger.get(step).filter(|step| !step.is_listed(item));
             known.map(|step| step.pieces(item).last().map_or(0, |piece| piece.id))
         };
-        let unsaved = newest.and_then(|newest| locked(&partial).unsaved(newest));
+        let unsaved = newest.and_then(|newest| lock(&partial).unsaved(newest));
         if let Some((piece, text)) = unsaved {
             pieces.push((step, item, piece));
             bytes.push(text);
@@ -203,7 +203,10 @@
         } = piece.text;
         let within = Duration::from_millis(READ_MS);
         let kb = bytes / 1_024 + READ_EXTRA_KB;
-        let text = front.storage.record(partition, offset, kb, within).await?;
+        let text = front
+            .storage
+            .read_data_record(partition, offset, kb, within)
+            .await?;
         if text.len() != bytes as usize {
             let why = format!("no piece of {bytes} bytes at {offset}");
             return Err(StoreError::Malformed(why));
--- a/components/front/src/peers.rs
+++ b/components/front/src/peers.rs
@@ -8,7 +8,7 @@
 use platform::{Connection, ExchangeError, connect};
 
 use crate::clock::now_ms;
-use crate::state::locked;
+use crate::state::lock;
 
 /// Longest time for a connection to a replica, in milliseconds. The way is below 3 ms and a
 /// replica takes 1 ms for it; one that takes longer is cut off or overrun.
@@ -47,14 +47,14 @@
 
     /// Whether an idle connection is pooled.
     pub fn is_connected(&self, now_ms: u64) -> bool {
-        let idle = locked(&self.idle);
+        let idle = lock(&self.idle);
         let newest = idle.last();
         newest.is_some_and(|idle| now_ms < idle.until_ms && idle.connection.is_usable())
     }
 
     fn kept(&self) -> Option<Connection> {
         let now_ms = now_ms();
-        let mut idle = locked(&self.idle);
+        let mut idle = lock(&self.idle);
         while let Some(newest) = idle.pop() {
             if now_ms < newest.until_ms && newest.connection.is_usable() {
                 return Some(newest.connection);
@@ -68,7 +68,7 @@
         let now_ms = now_ms();
         let keep_ms = keep_ms.map_or(KEEP_MS, |stated| stated.saturating_sub(KEEP_MARGIN_MS));
         let until_ms = now_ms + keep_ms;
-        let mut idle = locked(&self.idle);
+        let mut idle = lock(&self.idle);
         if idle.len() == IDLE_MAX {
             idle.remove(0);
         }
@@ -80,7 +80,7 @@
 
     /// Closes all kept connections, as one of them was silent or brought odd bytes.
     pub fn forget_connections(&self) {
-        locked(&self.idle).clear();
+        lock(&self.idle).clear();
     }
 }
 
--- a/components/front/src/reports.rs
+++ b/components/front/src/reports.rs
@@ -16,9 +16,9 @@
 use usage::{Change, Outcome, Report, Sender, UsageRecord, Window};
 
 use crate::clock::now_ms;
-use crate::figures;
 use crate::follow::{Batch, Follower};
-use crate::state::{Front, locked};
+use crate::metrics;
+use crate::state::{Front, lock};
 use crate::writer::append_usage;
 
 /// Longest time for sending a report, in milliseconds; within the time that an announcement
@@ -55,9 +55,9 @@
             } => {
                 apply(&front, from, &records);
                 if current {
-                    front.usage_is_current(now_ms());
+                    front.mark_usage_current(now_ms());
                 }
-                front.leader_news.notify_one();
+                front.leader_wakeup.notify_one();
             }
             Batch::Trimmed => skipped(&front),
             Batch::Failed => {}
@@ -110,7 +110,7 @@
                 .filter(|_| front.meter.windows().is_some()),
             sender: Arc::default(),
             sealing_ms: HashMap::new(),
-            returns: front.storage.returns(),
+            returns: front.storage.recoveries(),
             returned_ms: 0,
         }
     }
@@ -119,7 +119,7 @@
     pub fn look(&mut self, front: &Arc<Front>, now_ms: u64) -> Option<Report> {
         let windows = *front.meter.windows()?;
         self.duty?;
-        let returns = front.storage.returns();
+        let returns = front.storage.recoveries();
         if std::mem::replace(&mut self.returns, returns) != returns {
             self.returned_ms = now_ms;
         }
@@ -128,7 +128,7 @@
         }
         let true_ms = front.meter.true_ms(now_ms);
         let (to_seal, report) = {
-            let sender = locked(&self.sender);
+            let sender = lock(&self.sender);
             let sent = |window| sender.has_sent(window);
             let usage = front.usage();
             let to_seal = usage.to_seal(&windows, true_ms);
@@ -138,7 +138,7 @@
         if settled {
             self.seal(front, &to_seal, now_ms);
         }
-        report.filter(|_| locked(&self.sender).is_free(now_ms))
+        report.filter(|_| lock(&self.sender).is_free(now_ms))
     }
 
     fn seal(&mut self, front: &Arc<Front>, windows: &[Window], now_ms: u64) {
@@ -161,14 +161,14 @@
     /// Sends a report under a fencing number that allows it now.
     pub fn send(&self, front: &Arc<Front>, report: Report, fence: u64) {
         let Some(duty) = self.duty else { return };
-        if !locked(&self.sender).begin(&report, now_ms()) {
+        if !lock(&self.sender).begin(&report, now_ms()) {
             return;
         }
         let (front, sender) = (Arc::clone(front), Arc::clone(&self.sender));
         tokio::spawn(async move {
             let outcome = send(&front, &duty, &report, fence).await;
-            locked(&sender).ended(outcome, now_ms(), rand::random());
-            front.leader_news.notify_one();
+            lock(&sender).ended(outcome, now_ms(), rand::random());
+            front.leader_wakeup.notify_one();
             if outcome == Outcome::Taken {
                 note_reported(&front, report.window).await;
             }
@@ -194,7 +194,7 @@
             );
             front
                 .metrics
-                .count("front_usage_reports_total", figures::call_label(true), 1);
+                .count("front_usage_reports_total", metrics::call_label(true), 1);
             Outcome::Taken
         }
         Ok(answer) => {
--- a/components/front/src/results.rs
+++ b/components/front/src/results.rs
@@ -17,7 +17,7 @@
 use crate::clock::now_ms;
 use crate::follow;
 use crate::state::Front;
-use crate::storage::data_from;
+use crate::storage::data_read;
 
 /// Bytes of a page after which no further result is added: peak memory against reads. A page
 /// always has one result if there is one.
@@ -74,7 +74,7 @@
     if known.is_some() {
         return known;
     }
-    follow::wait_for_newest(front).await;
+    follow::wait_until_index_current(front).await;
     look(&front.index())
 }
 
@@ -107,7 +107,7 @@
         return Read::Unsure("the store is silent");
     }
     let _waiting = front.demand.wait();
-    let mut news = front.index_news.subscribe();
+    let mut news = front.index_changes.subscribe();
     let mut until = tokio::time::Instant::now() + wait;
     let mut gathers = false;
     let found = loop {
@@ -198,7 +198,7 @@
         let kb = bytes / 1_024 + READ_EXTRA_KB;
         let page = front
             .storage
-            .read(data_from(first.partition, from, kb), within)
+            .read(data_read(first.partition, from, kb), within)
             .await?;
         if page.records.is_empty() {
             return Err(StoreError::Malformed(format!("no record at {from}")));
@@ -230,7 +230,10 @@
         return missing(front);
     };
     let within = Duration::from_millis(READ_MS);
-    let record = front.storage.record(partition, offset, 1, within).await;
+    let record = front
+        .storage
+        .read_data_record(partition, offset, 1, within)
+        .await;
     let body = record.map(|record| decode_item(&record).map(|data| data.body));
     match body {
         Ok(Ok(body)) => Read::Found(body.into()),
--- a/components/front/src/run_item.rs
+++ b/components/front/src/run_item.rs
@@ -15,7 +15,7 @@
 use crate::clock::now_us;
 use crate::partial::{Partial, SharedPartial};
 use crate::peers::Member;
-use crate::state::locked;
+use crate::state::lock;
 
 /// Longest wait for the head of a run's answer, in milliseconds: an engine takes up to 24
 /// requests more than it runs at once, which wait for a place.
@@ -72,7 +72,7 @@
 
 /// Runs an item until the run ends; what it makes is added to `shared`.
 pub async fn run(spec: &RunSpec, shared: &SharedPartial) -> RunEnd {
-    let behind = locked(shared).last_event;
+    let behind = lock(shared).last_event;
     let started = tokio::select! {
         started = start(spec, behind) => started,
         () = spec.stop.notified() => return RunEnd::Stopped,
@@ -99,7 +99,7 @@
         };
         match next {
             Ok(Some(event)) => {
-                if let Err(end) = take_event(spec, &mut locked(shared), &item_run, &event) {
+                if let Err(end) = take_event(spec, &mut lock(shared), &item_run, &event) {
                     return end;
                 }
                 let now_us = now_us();
@@ -112,7 +112,7 @@
             // A run that goes on behind the last event of a text has no event to bring: the run
             // before it broke between that event and its end. Taken for broken, the item
             // would run again and again until its time is up.
-            Ok(None) if locked(shared).last_event == 0 => {
+            Ok(None) if lock(shared).last_event == 0 => {
                 return RunEnd::Broken("a stream without events".to_owned());
             }
             Ok(None) => {
--- a/components/front/src/runner/contests.rs
+++ b/components/front/src/runner/contests.rs
@@ -149,7 +149,7 @@
             for step in index.ledger.steps().filter(|step| step.is_open()) {
                 let shards = 0..step.head.shards;
                 let owned: BTreeSet<u16> = shards
-                    .filter(|shard| front.runs(&step.head, *shard, now_ms))
+                    .filter(|shard| front.owns_shard(&step.head, *shard, now_ms))
                     .collect();
                 if !owned.is_empty() {
                     found.owns_steps = true;
@@ -254,14 +254,14 @@
     /// Events that this front has of an item's text.
     fn made_events(&self, key: &Key) -> u64 {
         let partial = self.partials.get(key);
-        partial.map_or(0, |(partial, _)| locked(partial).last_event)
+        partial.map_or(0, |(partial, _)| lock(partial).last_event)
     }
 
     /// Version under which the text of an item began, here or as it is saved; none if what is
     /// saved is of no use.
     fn started_under(&self, step: &Step, key: Key) -> Option<u64> {
         if let Some((partial, _)) = self.partials.get(&key) {
-            let partial = locked(partial);
+            let partial = lock(partial);
             if partial.discarded || !partial.versions.is_empty() {
                 return partial.versions.first().copied();
             }
@@ -290,7 +290,7 @@
 
 /// Whether this front runs the first shard of a pool, and so the items of the next step.
 fn owns_pool(front: &Front, routes: &Routes, now_ms: u64) -> bool {
-    let owned = front.owned.load();
+    let owned = front.ownership.load();
     let partitions = front.settings.store.partitions;
     let mut firsts = routes
         .step_pools()
--- a/components/front/src/runner/data.rs
+++ b/components/front/src/runner/data.rs
@@ -1,7 +1,7 @@
 //! Reading the data of a step's items.
 
 use super::*;
-use crate::storage::data_from;
+use crate::storage::data_read;
 
 pub(super) async fn read_data(front: &Front, head: &StepHead) -> Option<Vec<Arc<ItemData>>> {
     let mut data = Vec::with_capacity(head.items.len());
@@ -10,7 +10,7 @@
         let within = Duration::from_millis(DATA_MS);
         let page = front
             .storage
-            .read(data_from(partition, offset, DATA_KB), within)
+            .read(data_read(partition, offset, DATA_KB), within)
             .await;
         let page = match page {
             Ok(page) => page,
--- a/components/front/src/runner/engines.rs
+++ b/components/front/src/runner/engines.rs
@@ -200,7 +200,7 @@
         model: usize,
         now_ms: u64,
     ) -> Option<Run> {
-        let partial = locked(&self.partials.get(key)?.0);
+        let partial = lock(&self.partials.get(key)?.0);
         let left_ms = text_left_ms(at.expected_tokens, partial.last_event, self.pause_us);
         let started_under = partial.versions.first().copied();
         Some(Run {
@@ -223,7 +223,7 @@
             return;
         };
         if cause == MoveCause::Slow {
-            locked(partial).moves += 1;
+            lock(partial).moves += 1;
         }
         at.stopping = Some(cause);
         at.stop.notify_one();
--- a/components/front/src/runner/handover.rs
+++ b/components/front/src/runner/handover.rs
@@ -13,7 +13,7 @@
             let newest = step.pieces(key.1).last().map_or(0, |piece| piece.id);
             let partial = self.partials.get(*key);
             self.front.is_handed_on(&step.head, step.shard(key.1))
-                && partial.is_some_and(|(partial, _)| locked(partial).is_overtaken(newest))
+                && partial.is_some_and(|(partial, _)| lock(partial).is_overtaken(newest))
         };
         self.running.keys().filter(is_overtaken).copied().collect()
     }
@@ -26,7 +26,7 @@
             return false;
         }
         let since_ms = *self.leaves_since_ms.get_or_insert(now_ms);
-        let keep_ms = leave::keep_runs_ms(self.front.settings.bounds.grace_ms);
+        let keep_ms = leave::drain_runs_ms(self.front.settings.bounds.grace_ms);
         now_ms >= since_ms + keep_ms && !self.front.storage.is_lost()
     }
 
@@ -37,8 +37,8 @@
         if self.saving {
             return;
         }
-        let first = self.front.drain.is_leaving() && !*self.front.handed_over.borrow();
-        let dealt = self.front.handed_on.swap(false, Ordering::Relaxed);
+        let first = self.front.drain.is_leaving() && !*self.front.texts_saved.borrow();
+        let dealt = self.front.partitions_moved.swap(false, Ordering::Relaxed);
         let due = now_ms >= self.saved_ms + SAVE_MS;
         if !due && !first && !dealt {
             return;
--- a/components/front/src/runner/look.rs
+++ b/components/front/src/runner/look.rs
@@ -99,7 +99,7 @@
         let (step, item) = (key.0.0, key.1);
         log::info!(event = "text-restarted", step, item; "");
         let held = self.partials.entry(key).or_default();
-        locked(&held.0).discard();
+        lock(&held.0).discard();
     }
 
     fn start_one(&mut self, item: &Candidate, member: &Member) {
@@ -159,7 +159,7 @@
         };
         log::debug!(
             event = "item-started", id = spec.id, step = step.0, item = number,
-            replica = &*replica, from_event = locked(&partial).last_event; ""
+            replica = &*replica, from_event = lock(&partial).last_event; ""
         );
         let (key, news) = (item.key, self.news.clone());
         let front = Arc::clone(&self.front);
@@ -188,7 +188,7 @@
 /// begun from its first event would end late for nothing.
 async fn take_up(front: &Front, partial: &SharedPartial, saved: &[SavedPiece]) -> bool {
     let begun = {
-        let partial = locked(partial);
+        let partial = lock(partial);
         partial.discarded || partial.last_event > 0
     };
     if saved.is_empty() || begun {
@@ -196,7 +196,7 @@
     }
     match partial::restore(front, saved).await {
         Ok(restored) => {
-            *locked(partial) = restored;
+            *lock(partial) = restored;
             true
         }
         Err(error) => {
--- a/components/front/src/runner/mod.rs
+++ b/components/front/src/runner/mod.rs
@@ -30,13 +30,13 @@
 use tokio::task::AbortHandle;
 
 use crate::clock::now_ms;
-use crate::figures;
 use crate::leave;
+use crate::metrics;
 use crate::partial::{self, Partial, SharedPartial};
 use crate::peers::{Member, ReplicaTable};
 use crate::reward;
 use crate::run_item::{self, RunEnd, RunSpec};
-use crate::state::{Front, locked};
+use crate::state::{Front, lock};
 use crate::writer::{Ended, Outcome, note_failed};
 
 use data::read_data;
@@ -153,7 +153,7 @@
     loop {
         tokio::select! {
             Some(news) = heard.recv() => runner.take(news),
-            () = front.runner_news.notified() => {}
+            () = front.runner_wakeup.notified() => {}
             () = tokio::time::sleep(Duration::from_millis(LOOK_MS)) => {}
         }
         while let Ok(news) = heard.try_recv() {
@@ -178,7 +178,7 @@
             News::Saved => {
                 self.saving = false;
                 if self.front.drain.is_leaving() {
-                    self.front.handed_over.send_replace(true);
+                    self.front.texts_saved.send_replace(true);
                 }
             }
         }
@@ -193,14 +193,14 @@
         let events = self
             .partials
             .get(&key)
-            .map_or(0, |held| locked(&held.0).last_event);
+            .map_or(0, |held| lock(&held.0).last_event);
         let (step, item) = key;
         self.count_run(&end);
         match end {
             RunEnd::Whole => {
                 self.stages.whole(&self.front, key, now_ms);
                 let partial = self.partials.remove(&key).map(|held| held.0);
-                let text = partial.map(|partial| std::mem::take(&mut *locked(&partial)));
+                let text = partial.map(|partial| std::mem::take(&mut *lock(&partial)));
                 self.settle(
                     key,
                     &head,
@@ -259,7 +259,7 @@
             RunEnd::Stopped => "front_runs_moved_total",
             RunEnd::Failed | RunEnd::Impossible => "front_runs_failed_total",
         };
-        self.front.metrics.count(name, figures::item_label(), 1);
+        self.front.metrics.count(name, metrics::item_label(), 1);
     }
 
     /// Says which of the trainers' steps the later lines name by their number.
--- a/components/front/src/runner/settle.rs
+++ b/components/front/src/runner/settle.rs
@@ -28,7 +28,7 @@
                     let (customer, began_ms) = (customer.as_deref(), now_ms());
                     let score = reward::score(&front, key, scorer, customer, failed_rewards).await;
                     let took_ms = now_ms() - began_ms;
-                    let label = figures::item_label();
+                    let label = metrics::item_label();
                     front.metrics.record("front_item_score_ms", label, took_ms);
                     score
                 }
--- a/components/front/src/runner/stages.rs
+++ b/components/front/src/runner/stages.rs
@@ -18,7 +18,7 @@
     /// step was read.
     pub(super) fn sent(&mut self, front: &Front, key: Key, accepted_ms: u64, now_ms: u64) {
         self.0.entry(key).or_insert_with(|| {
-            let (label, took_ms) = (figures::item_label(), now_ms - accepted_ms);
+            let (label, took_ms) = (metrics::item_label(), now_ms - accepted_ms);
             front.metrics.record("front_item_placed_ms", label, took_ms);
             ItemTimes {
                 sent_ms: now_ms,
@@ -30,7 +30,7 @@
     /// Notes that the text of an item is whole.
     pub(super) fn whole(&mut self, front: &Front, key: Key, now_ms: u64) {
         if let Some(times) = self.0.get_mut(&key) {
-            let (label, took_ms) = (figures::item_label(), now_ms - times.sent_ms);
+            let (label, took_ms) = (metrics::item_label(), now_ms - times.sent_ms);
             front.metrics.record("front_item_text_ms", label, took_ms);
             times.whole_ms = Some(now_ms);
         }
@@ -41,7 +41,7 @@
         self.0.retain(|key, times| {
             let keep = wanted(key);
             if let (false, Some(whole_ms)) = (keep, times.whole_ms) {
-                let (label, took_ms) = (figures::item_label(), now_ms - whole_ms);
+                let (label, took_ms) = (metrics::item_label(), now_ms - whole_ms);
                 front.metrics.record("front_item_listed_ms", label, took_ms);
             }
             keep
--- a/components/front/src/serve.rs
+++ b/components/front/src/serve.rs
@@ -15,7 +15,7 @@
 use crate::clock::now_ms;
 use crate::results::{self, Read};
 use crate::state::Front;
-use crate::{access, figures, jobs, stream};
+use crate::{access, jobs, metrics, stream};
 
 /// When a client of a front that knows no configuration yet may come again, in milliseconds.
 const UNKNOWING_AGAIN_MS: u64 = 300;
@@ -30,9 +30,9 @@
 /// Answers the balancer, and whoever fetches the metrics.
 pub async fn ready(front: Arc<Front>, request: Request<Incoming>) -> Response<ReplyBody> {
     if request.uri().path() == METRICS_PATH {
-        let mut text = figures::text(&front.metrics.rows().await);
+        let mut text = metrics::text(&front.metrics.rows().await);
         text.push_str(&front.storage.calls.text());
-        text.push_str(&figures::customers_text(&front.meter.series()));
+        text.push_str(&metrics::customers_text(&front.meter.series()));
         return ingress::success(StatusCode::OK, None, "text/plain", text.into());
     }
     let status = match front.is_ready() {
--- a/components/front/src/start.rs
+++ b/components/front/src/start.rs
@@ -16,7 +16,7 @@
 use crate::clock::now_us;
 use crate::state::Front;
 use crate::{
-    connections, figures, follow, leader, leave, member, meter, reload, reports, runner, serve,
+    connections, follow, leader, leave, member, meter, metrics, reload, reports, runner, serve,
     writer,
 };
 
@@ -59,7 +59,7 @@
         let drain = Drain::new(leave::drain_settings(settings.bounds.grace_ms));
         let clients = listen(settings.clients).await?;
         let ready = listen(settings.ready).await?;
-        let front = Arc::new(Front::new(settings, lease, drain, figures::start()?));
+        let front = Arc::new(Front::new(settings, lease, drain, metrics::start()?));
         Ok(Self {
             front,
             clients,
--- a/components/front/src/state.rs
+++ b/components/front/src/state.rs
@@ -48,17 +48,17 @@
     /// Configuration in force; none before the first was read.
     pub routes: ArcSwapOption<Routes>,
     /// When the operator's records were last known to be read to their end; 0 before.
-    operator_current_ms: AtomicU64,
+    operator_records_current_ms: AtomicU64,
     /// Marks of refused keys in the log.
     pub key_marks: KeyMarks,
     /// Replicas that may take work.
     pub replicas: ArcSwap<ReplicaTable>,
     /// Newest named version by model.
-    pub named: Mutex<BTreeMap<Arc<str>, u64>>,
+    pub named_versions: Mutex<BTreeMap<Arc<str>, u64>>,
     /// Steps and the lease.
     index: Mutex<Index>,
     /// Counts changes of the index.
-    pub index_news: watch::Sender<u64>,
+    pub index_changes: watch::Sender<u64>,
     /// When the index was last known to be read to its end; 0 before.
     index_current_ms: AtomicU64,
     /// Whether the last read of the index failed.
@@ -72,17 +72,17 @@
     /// Since when results can't be written; 0 while they can.
     pub unwritable_since_ms: AtomicU64,
     /// What this front runs.
-    pub owned: ArcSwap<Ownership>,
+    pub ownership: ArcSwap<Ownership>,
     /// Whether partitions were dealt to others since the runner looked.
-    pub handed_on: AtomicBool,
+    pub partitions_moved: AtomicBool,
     /// Places of model replicas that a shard has, by the size of the fronts that run shards.
     pub shard_places: AtomicU32,
     /// Wakes the task that runs items.
-    pub runner_news: Notify,
+    pub runner_wakeup: Notify,
     /// Turns true when a leaving front has saved the texts that it was making.
-    pub handed_over: watch::Sender<bool>,
+    pub texts_saved: watch::Sender<bool>,
     /// Wakes the task that gives orders.
-    pub leader_news: Notify,
+    pub leader_wakeup: Notify,
     /// Usage of customers, at the holder of the lease.
     usage: Mutex<UsageLedger>,
     /// When the records of usage were last known to be read to their end; 0 before.
@@ -92,7 +92,7 @@
     /// The drain of this process.
     pub drain: Drain,
     /// Turns true when kept connections of clients close.
-    pub closing: watch::Sender<bool>,
+    pub close_connections: watch::Sender<bool>,
     typical: Mutex<HashMap<Arc<str>, Arc<Typical>>>,
 }
 
@@ -104,29 +104,29 @@
             storage: Storage::new(settings.store.address),
             metrics,
             routes: ArcSwapOption::empty(),
-            operator_current_ms: AtomicU64::new(0),
+            operator_records_current_ms: AtomicU64::new(0),
             key_marks: KeyMarks::new(rand::random()),
             replicas: ArcSwap::default(),
-            named: Mutex::default(),
+            named_versions: Mutex::default(),
             index: Mutex::new(Index::new(lease)),
-            index_news: watch::Sender::new(0),
+            index_changes: watch::Sender::new(0),
             index_current_ms: AtomicU64::new(0),
             index_failing: AtomicBool::new(false),
             index_read: Notify::new(),
             demand: Demand::default(),
             replicas_read: AtomicU64::new(0),
             unwritable_since_ms: AtomicU64::new(0),
-            owned: ArcSwap::from_pointee(Ownership::new(member::settings(&settings))),
-            handed_on: AtomicBool::new(false),
+            ownership: ArcSwap::from_pointee(Ownership::new(member::settings(&settings))),
+            partitions_moved: AtomicBool::new(false),
             shard_places: AtomicU32::new(LARGE_SHARD_PLACES),
-            runner_news: Notify::new(),
-            handed_over: watch::Sender::new(false),
-            leader_news: Notify::new(),
+            runner_wakeup: Notify::new(),
+            texts_saved: watch::Sender::new(false),
+            leader_wakeup: Notify::new(),
             usage: Mutex::default(),
             usage_current_ms: AtomicU64::new(0),
             meter: Meter::new(report_windows(&settings)),
             drain,
-            closing: watch::Sender::new(false),
+            close_connections: watch::Sender::new(false),
             typical: Mutex::default(),
             settings,
         }
@@ -134,16 +134,16 @@
 
     /// Steps and the lease. Not held across a wait.
     pub fn index(&self) -> MutexGuard<'_, Index> {
-        locked(&self.index)
+        lock(&self.index)
     }
 
     /// Usage of customers. Not held across a wait.
     pub fn usage(&self) -> MutexGuard<'_, UsageLedger> {
-        locked(&self.usage)
+        lock(&self.usage)
     }
 
     /// Notes that the records of usage were read to their end at `now_ms`.
-    pub fn usage_is_current(&self, now_ms: u64) {
+    pub fn mark_usage_current(&self, now_ms: u64) {
         self.usage_current_ms.store(now_ms, Ordering::Relaxed);
     }
 
@@ -153,17 +153,18 @@
     }
 
     /// Notes that the operator's records were read to their end at `now_ms`.
-    pub fn operator_is_current(&self, now_ms: u64) {
-        self.operator_current_ms.store(now_ms, Ordering::Relaxed);
+    pub fn mark_operator_records_current(&self, now_ms: u64) {
+        self.operator_records_current_ms
+            .store(now_ms, Ordering::Relaxed);
     }
 
     /// How old the knowledge of the configuration is, in milliseconds.
-    pub fn operator_age_ms(&self, now_ms: u64) -> u64 {
-        now_ms.saturating_sub(self.operator_current_ms.load(Ordering::Relaxed))
+    pub fn operator_records_age_ms(&self, now_ms: u64) -> u64 {
+        now_ms.saturating_sub(self.operator_records_current_ms.load(Ordering::Relaxed))
     }
 
     /// Notes that the index was read to its end at `now_ms`.
-    pub fn index_is_current(&self, now_ms: u64) {
+    pub fn mark_index_current(&self, now_ms: u64) {
         self.index_current_ms.store(now_ms, Ordering::Relaxed);
         self.index_read.notify_waiters();
     }
@@ -204,7 +205,7 @@
 
     /// How long calls of this route take.
     pub fn typical(&self, route: &Arc<str>) -> Arc<Typical> {
-        let mut typical = locked(&self.typical);
+        let mut typical = lock(&self.typical);
         if let Some(known) = typical.get(route) {
             return Arc::clone(known);
         }
@@ -214,18 +215,24 @@
     }
 
     /// Whether this front runs a shard of a step now.
-    pub fn runs(&self, head: &StepHead, shard: u16, now_ms: u64) -> bool {
-        self.owned.load().owns(self.partition(head, shard), now_ms)
+    pub fn owns_shard(&self, head: &StepHead, shard: u16, now_ms: u64) -> bool {
+        self.ownership
+            .load()
+            .owns(self.partition(head, shard), now_ms)
     }
 
     /// Whether runs of items of a shard that were begun here may go on.
     pub fn may_finish(&self, head: &StepHead, shard: u16) -> bool {
-        self.owned.load().may_finish(self.partition(head, shard))
+        self.ownership
+            .load()
+            .may_finish(self.partition(head, shard))
     }
 
     /// Whether another front has a shard and must be told of its items that this one runs.
     pub fn is_handed_on(&self, head: &StepHead, shard: u16) -> bool {
-        self.owned.load().is_handed_on(self.partition(head, shard))
+        self.ownership
+            .load()
+            .is_handed_on(self.partition(head, shard))
     }
 
     fn partition(&self, head: &StepHead, shard: u16) -> u32 {
@@ -240,6 +247,6 @@
 }
 
 /// Takes a lock; a panic under it left a whole value, as each change is one assignment.
-pub fn locked<T>(lock: &Mutex<T>) -> MutexGuard<'_, T> {
+pub fn lock<T>(lock: &Mutex<T>) -> MutexGuard<'_, T> {
     lock.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/components/front/src/storage.rs
+++ b/components/front/src/storage.rs
@@ -14,7 +14,7 @@
 use crate::store_calls::{GROUP, StoreCalls, TopicCalls};
 
 /// Where a read goes on, and how much it brings.
-pub struct ReadFrom<'a> {
+pub struct ReadRequest<'a> {
     /// Topic.
     pub topic: &'a str,
     /// Its partition.
@@ -28,8 +28,8 @@
 }
 
 /// Records of the data topic from an offset on; data is there when its place is known.
-pub fn data_from(partition: u32, offset: u64, max_kb: u32) -> ReadFrom<'static> {
-    ReadFrom {
+pub fn data_read(partition: u32, offset: u64, max_kb: u32) -> ReadRequest<'static> {
+    ReadRequest {
         topic: DATA_TOPIC,
         partition,
         offset,
@@ -65,7 +65,7 @@
     }
 
     /// How often the store was lost and came back.
-    pub fn returns(&self) -> u64 {
+    pub fn recoveries(&self) -> u64 {
         self.reach.returns()
     }
 
@@ -99,8 +99,8 @@
     }
 
     /// Reads records.
-    pub async fn read(&self, from: ReadFrom<'_>, within: Duration) -> Result<Page, StoreError> {
-        let ReadFrom {
+    pub async fn read(&self, from: ReadRequest<'_>, within: Duration) -> Result<Page, StoreError> {
+        let ReadRequest {
             topic,
             partition,
             offset,
@@ -118,7 +118,7 @@
     }
 
     /// One record of the data topic; `max_kb` is at least its length.
-    pub async fn record(
+    pub async fn read_data_record(
         &self,
         partition: u32,
         offset: u64,
@@ -126,7 +126,7 @@
         within: Duration,
     ) -> Result<Bytes, StoreError> {
         let page = self
-            .read(data_from(partition, offset, max_kb), within)
+            .read(data_read(partition, offset, max_kb), within)
             .await?;
         let first = page.records.into_iter().next();
         first.ok_or_else(|| StoreError::Malformed(format!("no record at {offset}")))
--- a/components/front/src/stream.rs
+++ b/components/front/src/stream.rs
@@ -14,9 +14,9 @@
 use platform::{BodyError, ReplyBody};
 use tokio::sync::mpsc;
 
-use crate::calls::{CallSpec, choose_of};
+use crate::calls::{CallSpec, choose_replica};
 use crate::clock::now_ms;
-use crate::meter::Started;
+use crate::meter::CountedRequest;
 use crate::peers::Member;
 use crate::state::Front;
 
@@ -37,7 +37,7 @@
     spec: &CallSpec<'_>,
 ) -> Result<Response<ReplyBody>, NotStarted> {
     let mut tried: Vec<ReplicaId> = Vec::new();
-    let mut started = Started::new(front, spec.customer);
+    let mut started = CountedRequest::new(front, spec.customer);
     let mut last = NotStarted {
         not_run: true,
         why: "no replica".to_owned(),
@@ -47,7 +47,7 @@
             break;
         };
         tried.push(Arc::clone(&member.replica.id));
-        let sent = started.attempt();
+        let sent = started.start_attempt();
         match begin(&member, spec).await {
             Ok(response) => {
                 sent.store(now_ms(), Ordering::Relaxed);
@@ -63,7 +63,7 @@
     let table = front.replicas.load();
     let service = spec.route.draw(rand::random())?;
     let typical = front.typical(&spec.route.name);
-    choose_of(front, &table, service, &typical, tried, false)
+    choose_replica(front, &table, service, &typical, tried, false)
 }
 
 async fn begin(member: &Member, spec: &CallSpec<'_>) -> Result<Response<ReplyBody>, NotStarted> {
@@ -73,7 +73,7 @@
         .connection(&member.replica)
         .await
         .map_err(|error| not_run(error.to_string()))?;
-    let call = spec.at(&member.replica);
+    let call = spec.replica_call(&member.replica);
     let within = Duration::from_millis(call.left_ms);
     let stream = replica::open_stream(&mut connection, call, within)
         .await
--- a/components/front/src/writer.rs
+++ b/components/front/src/writer.rs
@@ -228,11 +228,11 @@
 {
     let mut pause_ms = PAUSE_MS;
     loop {
-        let returns = front.storage.returns();
+        let returns = front.storage.recoveries();
         match append().await {
             Ok(offset) => return offset,
             Err(error) => {
-                if front.storage.returns() != returns {
+                if front.storage.recoveries() != returns {
                     pause_ms = PAUSE_MS;
                 }
                 log::warn!(event = "records-not-written", what, pause_ms, error:% = error; "");
