--- a/components/front/src/access.rs
+++ b/components/front/src/access.rs
@@ -1,8 +1,10 @@
-//! Who a client is: the holder of the key that its request shows, by the configuration in force.
+//! Authentication of clients: maps the API key of a request to a customer, by the active
+//! configuration.
 //!
-//! A refusal is final for a client, who asks no more with that key. So a front says that a key
-//! is nobody's, or that there is no route, only while it hears of the configuration; behind, it
-//! says that nothing was run and when to come again, as the newest version may know both.
+//! Clients treat 401 and 404 as final and don't retry. A front therefore answers that a key is
+//! unknown or that no route matches only while its configuration is current. While it is stale,
+//! the front answers 503 with Retry-After instead, since a newer version may contain the key or
+//! the route.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,20 +20,19 @@
 use crate::results;
 use crate::state::Front;
 
-/// Age of what is known of the configuration from which on a front is behind, in milliseconds;
-/// a read that brings nothing new comes back twice within it.
-const BEHIND_MS: u64 = 1_000;
-/// When a client that a front behind can't judge may come again, in milliseconds.
-const BEHIND_AGAIN_MS: u64 = 300;
-/// Longest time for reading the rest of a refused request, in milliseconds.
-const REST_MS: u64 = 1_000;
+/// Age of the last complete read of the operator's records at which the configuration counts as
+/// stale, in milliseconds. A long poll that finds nothing new returns twice within this time.
+const STALE_MS: u64 = 1_000;
+/// Retry-After of a refusal that is based on a stale configuration, in milliseconds.
+const STALE_RETRY_AFTER_MS: u64 = 300;
+/// Time limit for reading the rest of a refused request's body, in milliseconds.
+const DISCARD_MS: u64 = 1_000;
 
-/// Why a request goes no further.
+/// Why a request is refused before it is routed to a replica.
 #[derive(Clone, Copy)]
 pub enum Refused {
-    /// No route matches.
     NoRoute,
-    /// Its key opens nothing.
+    /// The key is missing, malformed or belongs to no customer.
     Key(Refusal),
 }
 
@@ -43,14 +44,14 @@
         }
     }
 
-    fn why(self) -> &'static str {
+    fn message(self) -> &'static str {
         match self {
             Refused::NoRoute => "no route",
             Refused::Key(_) => "the key is not known",
         }
     }
 
-    fn word(self) -> &'static str {
+    fn as_str(self) -> &'static str {
         match self {
             Refused::NoRoute => "no-route",
             Refused::Key(refusal) => refusal.word(),
@@ -58,8 +59,8 @@
     }
 }
 
-/// The customer of a call of a route; none where the route needs none.
-pub fn caller(
+/// Authenticates a call of a route. `None` for a public route, which needs no key.
+pub fn authenticate_call(
     routes: &Routes,
     route: &Route,
     headers: &HeaderMap,
@@ -68,9 +69,9 @@
     routes.customer(route, shown).map_err(Refused::Key)
 }
 
-/// The customer that reads or ends a step. Without a key only a step is open that was
-/// submitted without one.
-pub async fn reader(
+/// Authenticates a request that reads or ends a step. Without a valid key, only a step that was
+/// submitted without a customer is accessible.
+pub async fn authenticate_step_access(
     front: &Front,
     routes: &Routes,
     headers: &HeaderMap,
@@ -80,18 +81,18 @@
         Ok(holder) => return Ok(holder.cloned()),
         Err(refusal) => refusal,
     };
-    let open = results::find(front, |index| {
+    let anonymous_step = results::find(front, |index| {
         index.ledger.by_name(None, step).map(|step| step.id)
     });
-    match open.await {
+    match anonymous_step.await {
         Some(_) => Ok(None),
         None => Err(Refused::Key(refusal)),
     }
 }
 
-/// Refuses a request, of which the rest is read first: a connection that closes with unread
-/// bytes is reset, and the client would not see why. Nothing of it is kept, as anybody may send
-/// it.
+/// Refuses a request after reading the rest of its body: closing a connection with unread bytes
+/// resets it, and the client would lose the answer. The body is discarded as it arrives, since
+/// unauthenticated clients could otherwise make the front buffer it.
 pub async fn refuse(
     front: &Front,
     routes: &Routes,
@@ -100,15 +101,15 @@
     id: Option<&str>,
     refused: Refused,
 ) -> Response<ReplyBody> {
-    let behind_ms = front.operator_records_age_ms(now_ms());
-    let behind = behind_ms >= BEHIND_MS;
+    let age_ms = front.operator_records_age_ms(now_ms());
+    let is_stale = age_ms >= STALE_MS;
     let key = match ingress::shown_key(headers) {
         ShownKey::One(key) => front.key_marks.of(key),
         ShownKey::Nothing | ShownKey::Odd => String::new(),
     };
     log::info!(
-        event = "refused", id = id.unwrap_or_default(), why = refused.word(), key, behind,
-        behind_ms, routes_version = routes.version; ""
+        event = "refused", id = id.unwrap_or_default(), why = refused.as_str(), key,
+        behind = is_stale, behind_ms = age_ms, routes_version = routes.version; ""
     );
     front.metrics.count(
         "front_requests_refused_total",
@@ -116,13 +117,13 @@
         1,
     );
     let rest = discard(body, routes.limits.body_bytes);
-    let read = tokio::time::timeout(Duration::from_millis(REST_MS), rest).await;
-    let mut answer = match behind {
-        false => ingress::own_answer(refused.status(), id, None, refused.why()),
+    let read = tokio::time::timeout(Duration::from_millis(DISCARD_MS), rest).await;
+    let mut answer = match is_stale {
+        false => ingress::own_answer(refused.status(), id, None, refused.message()),
         true => {
             let status = StatusCode::SERVICE_UNAVAILABLE;
             let why = "the configuration was not read lately";
-            ingress::own_answer(status, id, Some(BEHIND_AGAIN_MS), why)
+            ingress::own_answer(status, id, Some(STALE_RETRY_AFTER_MS), why)
         }
     };
     if !matches!(read, Ok(Ok(_))) {
--- a/components/front/src/calls.rs
+++ b/components/front/src/calls.rs
@@ -1,8 +1,8 @@
-//! Ordinary calls: one request to one replica, a second one where the first is late or
-//! failed and the request may run again.
+//! Ordinary calls: a request is sent to one replica, and to a second one as a hedged request or
+//! a retry if the first is late or fails and the request is idempotent.
 //!
-//! An answer is taken whole before any of it is passed on, so that a torn one can be asked
-//! for again and never looks whole to the client.
+//! An answer is read completely before any of it is forwarded. A truncated answer can therefore
+//! be retried, and the client never takes it for a complete one.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -24,45 +24,44 @@
 use crate::peers::{Member, ReplicaTable};
 use crate::state::Front;
 
-/// An idempotent call is sent to a second replica after this many times the usual time.
-const HEDGE_TIMES: u64 = 3;
-/// But not before, in milliseconds: below it a second call rarely overtakes the first.
-const HEDGE_MS_MIN: u64 = 50;
-/// Calls at one replica for which nobody waits, at most, so that a third of its six places
-/// stays for those who wait even while three fronts send such calls.
+/// A hedged request is sent after this multiple of the route's typical latency.
+const HEDGE_LATENCY_FACTOR: u64 = 3;
+/// Shortest delay of a hedged request, in milliseconds. A second request that is sent earlier
+/// rarely finishes first.
+const HEDGE_DELAY_MS_MIN: u64 = 50;
+/// Limit on this front's background calls in flight at one replica, which has six slots. Meant to
+/// leave a third of the slots to interactive calls while three fronts send background calls.
 const BACKGROUND_MAX: u32 = 2;
-/// Pause until a place for such a call is looked for again, in milliseconds.
-const BACKGROUND_PAUSE_MS: u64 = 10;
+/// Interval at which a waiting background call looks for a replica with room, in milliseconds.
+const BACKGROUND_POLL_MS: u64 = 10;
 
 /// A call of a route.
 pub struct CallSpec<'a> {
-    /// The route.
     pub route: &'a Arc<Route>,
-    /// Method of the request.
     pub method: Method,
     /// Path and query.
     pub path: &'a str,
-    /// Headers that go on.
+    /// Headers to forward to the replica.
     pub headers: HeaderMap,
-    /// Whole body.
     pub body: Bytes,
-    /// Id of the request.
+    /// The client's request id, which stays the same over all attempts.
     pub request_id: &'a str,
-    /// The customer for whom it runs; none where no key was asked for.
+    /// `None` on a public route, which needs no key.
     pub customer: Option<&'a str>,
-    /// Its rank at a model replica, 0 the highest.
+    /// Priority in a model replica's queue, 0 the highest; `None` for other replicas.
     pub rank: Option<u8>,
-    /// Whether nobody waits for it.
+    /// Whether no client waits for the answer, as with reward calls. Such a call waits until a
+    /// replica has room.
     pub background: bool,
-    /// When it is given up, in milliseconds of this process's clock.
+    /// When the call times out, in milliseconds of [`now_ms`].
     pub deadline_at_ms: u64,
 }
 
 /// How a call ended.
 pub enum CallOutcome {
-    /// With a replica's whole answer.
+    /// A replica's complete answer, which may be an error status.
     Answer(Box<Answer>),
-    /// Without.
+    /// No answer; the text is the cause, for the log.
     End(CallEnd, String),
 }
 
@@ -73,12 +72,12 @@
 }
 
 impl CallSpec<'_> {
-    /// Time until it is given up, in milliseconds.
+    /// Time until the deadline, in milliseconds.
     pub fn left_ms(&self) -> u64 {
         self.deadline_at_ms.saturating_sub(now_ms())
     }
 
-    /// The call as it goes to this replica now.
+    /// The request to send to `replica` now, with the remaining time as its deadline.
     pub fn replica_call(&self, replica: &dispatch::Replica) -> replica::Call<'_> {
         replica::Call {
             method: self.method.clone(),
@@ -99,23 +98,23 @@
     }
 }
 
-/// Carries out a call until its end.
+/// Performs a call, with hedging and retries, until it has an answer or its deadline passes.
 pub async fn perform(front: &Front, spec: &CallSpec<'_>) -> CallOutcome {
     let began_us = now_us();
     let typical = front.typical(&spec.route.name);
-    let mut flights = FuturesUnordered::new();
+    let mut attempts = FuturesUnordered::new();
     let mut tried: Vec<ReplicaId> = Vec::new();
     let counted = spec.customer.filter(|_| !spec.background);
     let mut started = CountedRequest::new(front, counted);
     let mut may_have_run = false;
     let mut failure: Option<Box<Answer>> = None;
     let outcome = loop {
-        if flights.is_empty() {
-            match pick(front, spec, &typical, &tried).await {
+        if attempts.is_empty() {
+            match select_replica(front, spec, &typical, &tried).await {
                 Some(member) => {
                     tried.push(Arc::clone(&member.replica.id));
                     let sent = started.start_attempt();
-                    flights.push(attempt(spec, member, Arc::clone(&typical), sent));
+                    attempts.push(attempt(spec, member, Arc::clone(&typical), sent));
                 }
                 None => {
                     let end = if may_have_run {
@@ -127,16 +126,17 @@
                 }
             }
         }
-        let hedge = hedge_after(spec, &typical, tried.len(), flights.len());
+        let hedge_delay = hedge_delay(spec, &typical, tried.len(), attempts.len());
         let left = Duration::from_millis(spec.left_ms());
         tokio::select! {
-            Some(done) = flights.next() => {
+            Some(done) = attempts.next() => {
                 let Attempt { end, answer, why } = done;
-                let step = judge(front, spec, end, may_have_run, &tried);
+                let step = next_step(front, spec, end, may_have_run, &tried);
                 may_have_run |= end == AttemptEnd::Unknown;
                 match (&step, answer) {
                     (NextStep::Deliver, Some(answer)) => break CallOutcome::Answer(answer),
-                    // Whoever sends calls in the background counts their failures.
+                    // The sender of a background call handles its failures itself, so the error
+                    // answer is returned without a retry.
                     (_, Some(answer)) if spec.background => break CallOutcome::Answer(answer),
                     (_, Some(answer)) => failure = Some(answer),
                     (_, None) => {}
@@ -147,20 +147,20 @@
                     why = why.as_str(); ""
                 );
                 match step {
-                    NextStep::Finish(end) if flights.is_empty() => match failure.take() {
+                    NextStep::Finish(end) if attempts.is_empty() => match failure.take() {
                         Some(answer) => break CallOutcome::Answer(answer),
                         None => break CallOutcome::End(end, why),
                     },
                     _ => {}
                 }
             }
-            () = tokio::time::sleep(hedge.unwrap_or(left)), if hedge.is_some_and(|at| at < left) => {
+            () = tokio::time::sleep(hedge_delay.unwrap_or(left)), if hedge_delay.is_some_and(|delay| delay < left) => {
                 let next = choose_member(front, spec, &typical, &tried, false);
                 if let Some(member) = next {
-                    overtake(front, spec, &typical, &tried);
+                    record_hedge(front, spec, &typical, &tried);
                     tried.push(Arc::clone(&member.replica.id));
                     let sent = started.start_attempt();
-                    flights.push(attempt(spec, member, Arc::clone(&typical), sent));
+                    attempts.push(attempt(spec, member, Arc::clone(&typical), sent));
                 }
             }
             () = tokio::time::sleep(left) => {
@@ -169,7 +169,7 @@
         }
     };
     let took_ms = (now_us() - began_us) / 1_000;
-    note(front, spec, &outcome, tried.len(), took_ms);
+    count_call(front, spec, &outcome, tried.len(), took_ms);
     let replica = tried.last().map_or("none", |id| &**id);
     match &outcome {
         CallOutcome::Answer(answer) => log::info!(
@@ -184,8 +184,14 @@
     outcome
 }
 
-/// Counts a call that ended.
-fn note(front: &Front, spec: &CallSpec<'_>, outcome: &CallOutcome, sent: usize, took_ms: u64) {
+/// Updates the metrics for a call that ended.
+fn count_call(
+    front: &Front,
+    spec: &CallSpec<'_>,
+    outcome: &CallOutcome,
+    sent: usize,
+    took_ms: u64,
+) {
     let label = metrics::call_label(spec.background);
     front.metrics.record("front_call_ms", label, took_ms);
     front
@@ -203,19 +209,20 @@
     front.metrics.count(end, label, 1);
 }
 
-/// When a second replica gets the call, if one may.
-fn hedge_after(
+/// How long to wait before sending a hedged request; `None` if the call must not be hedged.
+fn hedge_delay(
     spec: &CallSpec<'_>,
     typical: &Typical,
     sent: usize,
-    flying: usize,
+    in_flight: usize,
 ) -> Option<Duration> {
-    let allowed = spec.is_idempotent() && (sent as u32) < spec.route.attempts_max && flying == 1;
-    let after_ms = (typical.us() * HEDGE_TIMES / 1_000).max(HEDGE_MS_MIN);
-    allowed.then(|| Duration::from_millis(after_ms))
+    let allowed = spec.is_idempotent() && (sent as u32) < spec.route.attempts_max && in_flight == 1;
+    let delay_ms = (typical.us() * HEDGE_LATENCY_FACTOR / 1_000).max(HEDGE_DELAY_MS_MIN);
+    allowed.then(|| Duration::from_millis(delay_ms))
 }
 
-fn judge(
+/// What to do after an attempt ended with `end`.
+fn next_step(
     front: &Front,
     spec: &CallSpec<'_>,
     end: AttemptEnd,
@@ -225,7 +232,7 @@
     let table = front.replicas.load();
     let untried = services(spec.route)
         .flat_map(|service| table.of(service))
-        .any(|member| takes_work(member) && !tried.contains(&member.replica.id));
+        .any(|member| accepts_work(member) && !tried.contains(&member.replica.id));
     after_attempt(
         end,
         spec.is_idempotent(),
@@ -241,13 +248,13 @@
     route.shares.iter().map(|share| &*share.service)
 }
 
-fn takes_work(member: &Member) -> bool {
+fn accepts_work(member: &Member) -> bool {
     !member.replica.draining
 }
 
-/// The replica for the first or next attempt. A call for which nobody waits stands back
-/// until a replica has room for it.
-async fn pick(
+/// Selects the replica for the next attempt; `None` if no untried replica is available. A
+/// background call waits until a replica has room for it.
+async fn select_replica(
     front: &Front,
     spec: &CallSpec<'_>,
     typical: &Typical,
@@ -255,11 +262,11 @@
 ) -> Option<Member> {
     loop {
         let member = choose_member(front, spec, typical, tried, spec.background);
-        let room = spec.background && member.is_none() && spec.left_ms() > 0;
-        if !room || choose_member(front, spec, typical, tried, false).is_none() {
+        let wait_for_room = spec.background && member.is_none() && spec.left_ms() > 0;
+        if !wait_for_room || choose_member(front, spec, typical, tried, false).is_none() {
             return member;
         }
-        tokio::time::sleep(Duration::from_millis(BACKGROUND_PAUSE_MS)).await;
+        tokio::time::sleep(Duration::from_millis(BACKGROUND_POLL_MS)).await;
     }
 }
 
@@ -271,16 +278,16 @@
     with_room: bool,
 ) -> Option<Member> {
     let table = front.replicas.load();
-    let drawn = spec.route.draw(rand::random());
+    let drawn_service = spec.route.draw(rand::random());
     let in_service =
         |service: &str| choose_replica(front, &table, service, typical, tried, with_room);
-    drawn
+    drawn_service
         .and_then(|service| in_service(service))
         .or_else(|| services(spec.route).find_map(in_service))
 }
 
-/// A replica of a service that takes work and was not tried; `with_room` for work that
-/// nobody waits for.
+/// Selects an untried replica of a service that accepts work. `with_room` restricts the choice to
+/// replicas below the limit on background calls.
 pub fn choose_replica(
     front: &Front,
     table: &ReplicaTable,
@@ -292,7 +299,7 @@
     let members: Vec<&Member> = table
         .of(service)
         .iter()
-        .filter(|member| takes_work(member) && !tried.contains(&member.replica.id))
+        .filter(|member| accepts_work(member) && !tried.contains(&member.replica.id))
         .filter(|member| !with_room || member.peer.load.background() < BACKGROUND_MAX)
         .collect();
     let now_ms = now_ms();
@@ -304,12 +311,12 @@
             connected: member.peer.is_connected(now_ms),
         })
         .collect();
-    let at = choose(&candidates, typical.us(), rand::random(), now_ms)?;
-    Some(members[at].clone())
+    let chosen = choose(&candidates, typical.us(), rand::random(), now_ms)?;
+    Some(members[chosen].clone())
 }
 
-/// Tells the replica's load that its answer was not waited for alone.
-fn overtake(front: &Front, spec: &CallSpec<'_>, typical: &Typical, tried: &[ReplicaId]) {
+/// Records in the slow replica's load estimate that a hedged request was sent because of it.
+fn record_hedge(front: &Front, spec: &CallSpec<'_>, typical: &Typical, tried: &[ReplicaId]) {
     let table = front.replicas.load();
     let slow = services(spec.route)
         .flat_map(|service| table.of(service))
@@ -318,7 +325,7 @@
         member
             .peer
             .load
-            .overtaken(typical, typical.us() * HEDGE_TIMES, now_ms());
+            .overtaken(typical, typical.us() * HEDGE_LATENCY_FACTOR, now_ms());
         log::info!(
             event = "call-hedged", id = spec.request_id, route = &*spec.route.name,
             replica = &*member.replica.id, typical_us = typical.us(); ""
@@ -326,6 +333,7 @@
     }
 }
 
+/// Sends the call to one replica and updates the replica's load estimate by the outcome.
 async fn attempt(
     spec: &CallSpec<'_>,
     member: Member,
@@ -374,7 +382,7 @@
         }
         Err(error) => {
             match error {
-                // A refusal that was read to its end leaves the connection as good as before.
+                // The refusal was read completely, so the connection can be reused.
                 ReplicaError::NotRun(_) if connection.is_usable() => {
                     member.peer.keep(connection, None);
                 }
--- a/components/front/src/connections.rs
+++ b/components/front/src/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of clients and of the balancer.
+//! HTTP/1 connections of clients and of the platform's load balancer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,18 +13,19 @@
 
 use crate::state::Front;
 
-/// Beyond the idle time that clients may use, in milliseconds, so that none meets a close.
+/// Added to the idle time that clients are allowed, in milliseconds, so that a client never sends
+/// a request on a connection that is being closed for idleness.
 const IDLE_SLACK_MS: u64 = 2_000;
-/// Idle time before the configuration is known, in milliseconds.
-const IDLE_MS: u64 = 15_000;
-/// Most bytes of a request's head before the configuration is known.
-const HEADER_BYTES: usize = 16 * 1024;
-/// Least that hyper takes as a buffer.
+/// Idle time limit until the first configuration is read, in milliseconds.
+const DEFAULT_IDLE_MS: u64 = 15_000;
+/// Size limit of a request's head until the first configuration is read.
+const DEFAULT_HEADER_BYTES: usize = 16 * 1024;
+/// Smallest buffer size that hyper accepts; it panics below that.
 const HEADER_BYTES_MIN: usize = 8 * 1024;
-/// Pause after a connection could not be taken, in milliseconds, as descriptors ran out.
+/// Pause after `accept` failed, in milliseconds. The usual cause is a lack of file descriptors.
 const ACCEPT_PAUSE_MS: u64 = 20;
 
-/// Takes connections and answers their requests with `answer`.
+/// Accepts connections and answers their requests with `answer`, until the process ends.
 pub async fn accept<F, A>(front: Arc<Front>, listener: TcpListener, answer: A)
 where
     A: Fn(Arc<Front>, Request<Incoming>) -> F + Copy + Send + 'static,
@@ -43,9 +44,9 @@
     }
 }
 
-/// Returns when kept connections shall close.
-async fn closed_by(closing: &mut tokio::sync::watch::Receiver<bool>) {
-    // The sender lives as long as the process.
+/// Returns once idle connections are to be closed.
+async fn wait_until_closing(closing: &mut tokio::sync::watch::Receiver<bool>) {
+    // `wait_for` fails only if the sender is dropped, and the sender lives as long as the process.
     let _ = closing.wait_for(|closing| *closing).await;
 }
 
@@ -58,8 +59,8 @@
         log::debug!(event = "nodelay-refused", error:% = error; "");
     }
     let limits = front.routes.load().as_ref().map(|routes| routes.limits);
-    let idle_ms = limits.map_or(IDLE_MS, |limits| limits.idle_ms) + IDLE_SLACK_MS;
-    let head_bytes = limits.map_or(HEADER_BYTES, |limits| limits.header_bytes);
+    let idle_ms = limits.map_or(DEFAULT_IDLE_MS, |limits| limits.idle_ms) + IDLE_SLACK_MS;
+    let head_bytes = limits.map_or(DEFAULT_HEADER_BYTES, |limits| limits.header_bytes);
     let mut closing = front.close_connections.subscribe();
     let service = service_fn(move |request| {
         let answer = answer(Arc::clone(&front), request);
@@ -67,14 +68,14 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        // This time counts from the last answer, so it must not be below the idle time.
+        // hyper counts this time from the last answer, so it also limits the idle time.
         .header_read_timeout(Duration::from_millis(idle_ms))
         .max_buf_size(head_bytes.max(HEADER_BYTES_MIN))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let closed = tokio::select! {
         closed = connection.as_mut() => closed,
-        () = closed_by(&mut closing) => {
+        () = wait_until_closing(&mut closing) => {
             connection.as_mut().graceful_shutdown();
             connection.as_mut().await
         }
--- a/components/front/src/lib.rs
+++ b/components/front/src/lib.rs
@@ -1,9 +1,11 @@
-//! The front process: takes clients' requests, runs steps, gives orders.
+//! The front process: serves clients' requests, runs the items of training steps and orders
+//! model replicas to load weights.
 //!
-//! Every front does the same, and none is special: which front runs a model's steps follows
-//! from membership in a group, and which one gives orders to replicas from a lease. What
-//! must last lies in the platform's store; a front that starts reads it again. Decisions are
-//! in packages without I/O; this package carries them out.
+//! All fronts run the same code. Membership in a group of the platform's store decides which
+//! front runs which shard of a step, and a lease decides which front gives orders to replicas.
+//! All durable state is in the platform's store; a front that starts reads it from there.
+//! Decisions are made in crates without I/O (`dispatch`, `orders`, `lease`, `ownership`, ...);
+//! this crate performs the I/O for them.
 
 mod access;
 mod calls;
--- a/components/front/src/metrics.rs
+++ b/components/front/src/metrics.rs
@@ -1,15 +1,15 @@
-//! Counters and histograms of a front, and their text for whoever fetches them.
+//! Counters and histograms of a front, and their text form for the metrics page.
 
 use std::fmt::Write;
 
 use telemetry::{Label, Metrics, MetricsError, MetricsSettings, Row};
 use types::Class;
 
-/// Messages that wait for the thread that owns the metrics, at most: a second of them on a
-/// busy front, 80 kB of memory.
+/// Capacity of the queue to the metrics thread: one second of updates on a busy front, which
+/// take 80 kB of memory.
 const QUEUED_MAX: usize = 1_024;
 
-/// Starts the figures of a process.
+/// Starts the thread that aggregates the metrics of this process.
 pub fn start() -> Result<Metrics, MetricsError> {
     Metrics::start(&MetricsSettings {
         prefix: "hornbeamrock.front".to_owned(),
@@ -18,7 +18,7 @@
     })
 }
 
-/// Label of calls: reward calls are background work.
+/// Label of calls. Reward calls are background work; calls of clients are interactive.
 pub fn call_label(background: bool) -> Label<'static> {
     let class = if background {
         Class::Background
@@ -31,7 +31,6 @@
     }
 }
 
-/// Label of items.
 pub fn item_label() -> Label<'static> {
     Label {
         customer: None,
@@ -39,7 +38,7 @@
     }
 }
 
-/// One line a customer, the small ones together in the last.
+/// One line per customer. The last line is the sum of customers without a series of their own.
 pub fn customers_text(series: &[(String, u64)]) -> String {
     let line = |(customer, count): &(String, u64)| {
         let name = "front_customer_requests_total";
@@ -48,7 +47,7 @@
     series.iter().map(line).collect()
 }
 
-/// One line a series: name, class, count, and of histograms the quantiles.
+/// One line per series with name, class and count, and for histograms the quantiles.
 pub fn text(rows: &[Row]) -> String {
     let mut text = String::new();
     for row in rows {
@@ -62,7 +61,7 @@
             max,
             ..
         } = row;
-        // Writing to a string does not fail.
+        // Writing to a `String` never fails.
         let _ = write!(text, "{name}{{class=\"{class}\"}} count={count}");
         if *max > 0 {
             let _ = write!(text, " p50={p50} p99={p99} p999={p999} max={max}");
--- a/components/front/src/serve.rs
+++ b/components/front/src/serve.rs
@@ -78,13 +78,14 @@
     let Some(step) = asked.step() else {
         return call(front, &routes, request, id).await;
     };
-    let customer = match access::reader(front, &routes, request.headers(), step).await {
-        Ok(customer) => customer,
-        Err(refused) => {
-            let (parts, body) = request.into_parts();
-            return access::refuse(front, &routes, &parts.headers, body, id, refused).await;
-        }
-    };
+    let customer =
+        match access::authenticate_step_access(front, &routes, request.headers(), step).await {
+            Ok(customer) => customer,
+            Err(refused) => {
+                let (parts, body) = request.into_parts();
+                return access::refuse(front, &routes, &parts.headers, body, id, refused).await;
+            }
+        };
     step_call(front, name_of(&customer), &asked, id).await
 }
 
@@ -157,7 +158,7 @@
         let refused = Refused::NoRoute;
         return access::refuse(front, routes, &parts.headers, body, id, refused).await;
     };
-    let customer = match access::caller(routes, route, &parts.headers) {
+    let customer = match access::authenticate_call(routes, route, &parts.headers) {
         Ok(customer) => customer,
         Err(refused) => {
             return access::refuse(front, routes, &parts.headers, body, id, refused).await;
