--- a/components/front/src/calls.rs
+++ b/components/front/src/calls.rs
@@ -122,7 +122,7 @@
                     } else {
                         CallEnd::NotRun
                     };
-                    break CallOutcome::End(end, "no replica".to_owned());
+                    break CallOutcome::End(end, "no replica available".to_owned());
                 }
             }
         }
@@ -164,7 +164,7 @@
                 }
             }
             () = tokio::time::sleep(left) => {
-                break CallOutcome::End(CallEnd::TimedOut, "no answer in time".to_owned());
+                break CallOutcome::End(CallEnd::TimedOut, "no answer before the deadline".to_owned());
             }
         }
     };
--- a/components/front/src/follow/index.rs
+++ b/components/front/src/follow/index.rs
@@ -1,4 +1,4 @@
-//! The index: steps, results and the lease.
+//! Follower of the index: the log of steps, results and the lease.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -13,12 +13,12 @@
 use crate::clock::now_ms;
 use crate::state::Front;
 
-/// How long steps are kept beyond the time in which they can be read.
-const KEPT_SLACK_MS: u64 = 5_000;
-/// Longest wait for the newest records; an idle read in progress comes back within it.
-const NEWEST_MS: u64 = 700;
+/// How long steps stay in memory beyond the time in which clients can read them, in milliseconds.
+const RETENTION_SLACK_MS: u64 = 5_000;
+/// Timeout of the read barrier, in milliseconds; an idle long poll in progress returns within it.
+const BARRIER_TIMEOUT_MS: u64 = 700;
 
-/// Follows the index.
+/// Applies the records of the index to the front's state, until the process ends.
 pub async fn index(front: Arc<Front>) {
     let mut follower = Follower::new(&front, INDEX_TOPIC, INDEX_PARTITION, LOG_PACE);
     loop {
@@ -54,27 +54,28 @@
     index.apply(from, records, now_ms, |offset, error| {
         log::warn!(event = "record-malformed", topic = INDEX_TOPIC, offset, error:% = error; "");
     });
-    let kept_ms = front.settings.bounds.readable_ms + KEPT_SLACK_MS;
-    index.ledger.forget_before(kept_ms, now_ms);
+    let retention_ms = front.settings.bounds.readable_ms + RETENTION_SLACK_MS;
+    index.ledger.forget_before(retention_ms, now_ms);
 }
 
-/// Read barrier: waits until the index was read to its end after this call. A front for which
-/// nobody waited may be half a second behind, and a step that it does not know may have been
-/// accepted at another front just before. Gives up where the store does not answer in time, and at
-/// once where it did not answer last: another front may know more, and the client is sent there.
+/// Read barrier: waits until the index has been read to its end after this call. A front whose
+/// clients don't wait for records polls slowly and may be half a second behind, so a step that it
+/// does not know may just have been accepted by another front. Returns early if the store does not
+/// answer within the timeout, and at once if the last read of the index failed: the client is then
+/// told to retry and may reach a front that is current.
 pub async fn wait_until_index_current(front: &Front) {
     if front.index_failing.load(Ordering::Relaxed) {
         return;
     }
     let _waiting = front.demand.wait();
-    let asked_ms = now_ms();
-    let until = Instant::now() + Duration::from_millis(NEWEST_MS);
+    let called_ms = now_ms();
+    let deadline = Instant::now() + Duration::from_millis(BARRIER_TIMEOUT_MS);
     loop {
         let read = front.index_read.notified();
-        if front.index_current_ms() > asked_ms {
+        if front.index_current_ms() > called_ms {
             return;
         }
-        if timeout_at(until, read).await.is_err() {
+        if timeout_at(deadline, read).await.is_err() {
             return;
         }
     }
--- a/components/front/src/follow/keyed.rs
+++ b/components/front/src/follow/keyed.rs
@@ -1,4 +1,4 @@
-//! Following a keyed topic: the newest record of each key, then the changes behind them.
+//! Follower of a keyed topic: reads the newest record of each key, then the changes that follow.
 
 use std::collections::HashMap;
 
@@ -10,30 +10,30 @@
 use super::{Batch, Follower};
 use crate::state::Front;
 
-/// What a follower is told by a keyed topic.
-pub enum KeyedNews {
-    /// A key has a value, or was dropped.
+/// An update of a keyed topic.
+pub enum KeyedUpdate {
+    /// The key's new value; `None` if the key was deleted.
     Key(String, Option<Bytes>),
-    /// These are all keys that have a value.
-    All(Vec<ReplicaId>),
-    /// All news so far were told; whether nothing is left to be read.
-    Settled { current: bool },
-    /// The store can't be reached.
-    Lost,
+    /// All keys that have a value; every other key was deleted.
+    AllKeys(Vec<ReplicaId>),
+    /// End of a batch of updates; `current` if the batch reached the end of the log.
+    BatchEnd { current: bool },
+    /// A read of the topic failed.
+    ReadFailed,
 }
 
-/// Follows a keyed topic and tells `take` what it says, in order.
+/// Follows a keyed topic and passes its updates to `on_update` in order, until the process ends.
 pub async fn follow(
     front: &Front,
     topic: &'static str,
     pace: TopicPace,
-    mut take: impl FnMut(KeyedNews),
+    mut on_update: impl FnMut(KeyedUpdate),
 ) {
     let mut follower = Follower::new(front, topic, 0, pace);
     let mut offsets: HashMap<String, u64> = HashMap::new();
     loop {
-        let Some(newest) = follower.newest().await else {
-            take(KeyedNews::Lost);
+        let Some(newest) = follower.read_newest().await else {
+            on_update(KeyedUpdate::ReadFailed);
             continue;
         };
         let mut keys = Vec::with_capacity(newest.len());
@@ -44,11 +44,11 @@
                 .is_none_or(|known| *known < record.offset)
             {
                 offsets.insert(record.key.clone(), record.offset);
-                take(KeyedNews::Key(record.key, Some(record.value)));
+                on_update(KeyedUpdate::Key(record.key, Some(record.value)));
             }
         }
-        take(KeyedNews::All(keys));
-        take(KeyedNews::Settled { current: true });
+        on_update(KeyedUpdate::AllKeys(keys));
+        on_update(KeyedUpdate::BatchEnd { current: true });
         loop {
             match follower.read().await {
                 Batch::Records {
@@ -57,25 +57,25 @@
                     current,
                 } => {
                     for (offset, record) in (from..).zip(records) {
-                        take_record(topic, offset, record, &mut offsets, &mut take);
+                        apply_record(topic, offset, record, &mut offsets, &mut on_update);
                     }
-                    take(KeyedNews::Settled { current });
+                    on_update(KeyedUpdate::BatchEnd { current });
                 }
                 Batch::Trimmed => break,
-                Batch::Failed => take(KeyedNews::Lost),
+                Batch::Failed => on_update(KeyedUpdate::ReadFailed),
             }
         }
     }
 }
 
-/// Tells of a record unless a newer one of its key is known: a log whose history was lost may
-/// be read from an older offset.
-fn take_record(
+/// Passes a record on unless a newer record of its key was already passed on: after the store has
+/// lost history, the log may be read again from an older offset.
+fn apply_record(
     topic: &str,
     offset: u64,
     record: Bytes,
     offsets: &mut HashMap<String, u64>,
-    take: &mut impl FnMut(KeyedNews),
+    on_update: &mut impl FnMut(KeyedUpdate),
 ) {
     let (key, value) = match keyed(record) {
         Ok(read) => read,
@@ -91,5 +91,5 @@
         true => offsets.insert(key.clone(), offset),
         false => offsets.remove(&key),
     };
-    take(KeyedNews::Key(key, value));
+    on_update(KeyedUpdate::Key(key, value));
 }
--- a/components/front/src/follow/mod.rs
+++ b/components/front/src/follow/mod.rs
@@ -1,7 +1,9 @@
-//! Following the platform's store: the operator's and replicas' records, and the index.
+//! Followers of the platform's store: the operator's records, the replicas' records and the
+//! index.
 //!
-//! Reads are paced by [`pacing`]: a front that acts on records, or whose client waits for one,
-//! reads them as they are written; all others take what has gathered.
+//! [`pacing`] sets the read intervals. A front that acts on the records, or whose client waits
+//! for one, reads them as they are written. All other fronts poll at longer intervals and read
+//! the accumulated records, which keeps the load on the store low.
 
 mod index;
 mod keyed;
@@ -23,28 +25,29 @@
 use crate::state::Front;
 use crate::storage::ReadRequest;
 
-/// Time for a read beyond its wait; covers a store that is slow.
+/// Added to the wait time of a long poll to get its timeout, in milliseconds; allows for a slow
+/// store.
 const READ_SLACK_MS: u64 = 900;
-/// Time for the newest records of all keys.
-const NEWEST_MS: u64 = 1_350;
-/// Most kibibytes of one read: peak memory against calls after a start.
-const READ_KB: u32 = 64;
+/// Timeout for reading the newest records of all keys, in milliseconds.
+const NEWEST_TIMEOUT_MS: u64 = 1_350;
+/// Size limit of one read in kibibytes. A larger limit means fewer calls after a start, but a
+/// higher memory peak.
+const READ_KB_MAX: u32 = 64;
 
-/// What a read brought.
+/// Result of a read.
 pub enum Batch {
-    /// Records from this offset on; `current` if they reach the end of the log.
+    /// Records from offset `from` on; `current` if they reach the end of the log.
     Records {
         from: u64,
         records: Vec<Bytes>,
         current: bool,
     },
-    /// The records are gone; reading goes on at the first that is left.
+    /// The store no longer has the records; the next read starts at the oldest remaining one.
     Trimmed,
-    /// Nothing, as the read failed.
     Failed,
 }
 
-/// Follows one partition of a topic.
+/// Reads one partition of a topic in order.
 pub struct Follower<'a> {
     front: &'a Front,
     topic: &'static str,
@@ -55,7 +58,7 @@
 }
 
 impl<'a> Follower<'a> {
-    /// Follows from the first record on; the first read is made at once.
+    /// Starts at offset 0, with the first read made without a pause.
     pub fn new(front: &'a Front, topic: &'static str, partition: u32, pace: TopicPace) -> Self {
         Self {
             front,
@@ -67,12 +70,12 @@
         }
     }
 
-    /// Reads on when the interval behind the last read is over.
+    /// Reads the next records, once the interval since the last read is over.
     pub async fn read(&mut self) -> Batch {
         self.pause().await;
         let wait_ms = match self.end {
-            // What is there is not waited for; nor is the proof of a front that starts that
-            // nothing is.
+            // More records are known to exist, or this is the first read, which must not wait:
+            // a front that starts needs the answer that the log is empty.
             ReadEnd::Behind => 0,
             _ => self.pacer.wait_ms(self.front.demand.urgency()),
         };
@@ -82,7 +85,7 @@
             topic: self.topic,
             partition: self.partition,
             offset: self.next,
-            max_kb: READ_KB,
+            max_kb: READ_KB_MAX,
             wait_ms,
         };
         match self.front.storage.read(from, within).await {
@@ -90,7 +93,7 @@
                 let from = self.next;
                 self.next += page.records.len() as u64;
                 let current = self.next >= page.end;
-                self.ended(match (current, page.records.is_empty()) {
+                self.read_ended(match (current, page.records.is_empty()) {
                     (false, _) => ReadEnd::Behind,
                     (true, false) => ReadEnd::Records,
                     (true, true) => ReadEnd::Nothing,
@@ -104,34 +107,35 @@
             Err(StoreError::Gone(first)) => {
                 log::info!(event = "history-gone", topic = self.topic, next = self.next, first; "");
                 self.next = first;
-                self.ended(ReadEnd::Behind);
+                self.read_ended(ReadEnd::Behind);
                 Batch::Trimmed
             }
             Err(error) => {
-                self.failed(&error);
+                self.read_failed(&error);
                 Batch::Failed
             }
         }
     }
 
-    /// The newest record of each key of a keyed topic; reading goes on behind them. None if the
-    /// read failed.
-    pub async fn newest(&mut self) -> Option<Vec<platform::store::KeyedRecord>> {
+    /// Reads the newest record of each key of a keyed topic; the next [`Follower::read`] continues
+    /// behind them. `None` if the read failed.
+    pub async fn read_newest(&mut self) -> Option<Vec<platform::store::KeyedRecord>> {
         self.pause().await;
-        let within = Duration::from_millis(NEWEST_MS);
-        match self.front.storage.newest(self.topic, within).await {
+        let within = Duration::from_millis(NEWEST_TIMEOUT_MS);
+        match self.front.storage.read_newest(self.topic, within).await {
             Ok((records, end)) => {
                 self.next = end;
-                self.ended(ReadEnd::Behind);
+                self.read_ended(ReadEnd::Behind);
                 Some(records)
             }
             Err(error) => {
-                self.failed(&error);
+                self.read_failed(&error);
                 None
             }
         }
     }
 
+    /// Waits for the read interval; ends early when demand rises or the store is back.
     async fn pause(&self) {
         let demand = &self.front.demand;
         let raised = demand.raised();
@@ -146,7 +150,7 @@
         }
     }
 
-    fn ended(&mut self, end: ReadEnd) {
+    fn read_ended(&mut self, end: ReadEnd) {
         if self.pacer.failed() > 0 && !matches!(end, ReadEnd::Throttled | ReadEnd::Failed) {
             log::info!(event = "store-regained", topic = self.topic, next = self.next; "");
         }
@@ -154,15 +158,15 @@
         self.pacer.ended(end);
     }
 
-    /// One line for each row of failed reads.
-    fn failed(&mut self, error: &StoreError) {
+    /// Counts a failed read; of consecutive failures only the first is logged.
+    fn read_failed(&mut self, error: &StoreError) {
         self.front
             .metrics
             .count("front_store_reads_failed_total", Label::default(), 1);
         if self.pacer.failed() == 0 {
             log::warn!(event = "store-read-failed", topic = self.topic, error:% = error; "");
         }
-        self.ended(match error {
+        self.read_ended(match error {
             StoreError::Throttled(_) => ReadEnd::Throttled,
             _ => ReadEnd::Failed,
         });
--- a/components/front/src/follow/operator.rs
+++ b/components/front/src/follow/operator.rs
@@ -1,4 +1,5 @@
-//! The operator's records: the configuration, and the versions that trainers named.
+//! Follower of the operator's records: the configuration and the weight versions that trainers
+//! named.
 
 use std::sync::Arc;
 
@@ -6,28 +7,28 @@
 use pacing::LOG_PACE;
 use platform::records::{self, OPERATOR_TOPIC, OperatorRecord};
 
-use super::keyed::{KeyedNews, follow};
+use super::keyed::{KeyedUpdate, follow};
 use crate::clock::now_ms;
 use crate::state::{Front, lock};
 
-/// Follows the configuration and the named versions.
+/// Applies the operator's records to the front's state, until the process ends.
 pub async fn operator(front: Arc<Front>) {
-    follow(&front, OPERATOR_TOPIC, LOG_PACE, |news| match news {
-        KeyedNews::Key(key, Some(value)) => take_record(&front, &key, &value),
-        KeyedNews::Settled { current: true } => front.mark_operator_records_current(now_ms()),
+    follow(&front, OPERATOR_TOPIC, LOG_PACE, |update| match update {
+        KeyedUpdate::Key(key, Some(value)) => apply_record(&front, &key, &value),
+        KeyedUpdate::BatchEnd { current: true } => front.mark_operator_records_current(now_ms()),
         _ => {}
     })
     .await;
 }
 
-fn take_record(front: &Front, key: &str, value: &Bytes) {
+fn apply_record(front: &Front, key: &str, value: &Bytes) {
     match records::operator_record(key, value) {
         Ok(OperatorRecord::Routes(routes)) => {
-            let in_force = front.routes.load();
-            let in_force = in_force.as_ref().map_or(0, |known| known.version);
-            // An old version can be read again after the history was lost; nobody goes back to
-            // it.
-            if routes.version > in_force {
+            let active = front.routes.load();
+            let active_version = active.as_ref().map_or(0, |known| known.version);
+            // An older version may be read again after the store has lost history; it must not
+            // replace a newer one.
+            if routes.version > active_version {
                 log::info!(
                     event = "routes-in-force", version = routes.version,
                     customers = routes.customers.iter().count(),
@@ -36,7 +37,7 @@
                 front.routes.store(Some(routes));
             }
         }
-        Ok(OperatorRecord::Named { model, version }) => name_version(front, model, version),
+        Ok(OperatorRecord::Named { model, version }) => apply_named_version(front, model, version),
         Ok(OperatorRecord::Other) => {}
         Err(error) => {
             log::warn!(event = "record-malformed", topic = OPERATOR_TOPIC, error:% = error; "");
@@ -44,7 +45,7 @@
     }
 }
 
-fn name_version(front: &Front, model: Arc<str>, version: u64) {
+fn apply_named_version(front: &Front, model: Arc<str>, version: u64) {
     let mut named = lock(&front.named_versions);
     let known = named.entry(Arc::clone(&model)).or_insert(0);
     if version > *known {
--- a/components/front/src/follow/replicas.rs
+++ b/components/front/src/follow/replicas.rs
@@ -1,4 +1,4 @@
-//! The replicas' records.
+//! Follower of the replicas' records.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -8,32 +8,37 @@
 use pacing::REPLICA_PACE;
 use platform::records::{self, REPLICA_TOPIC};
 
-use super::keyed::{KeyedNews, follow};
+use super::keyed::{KeyedUpdate, follow};
 use crate::clock::now_ms;
 use crate::state::Front;
 
-/// Ids of records that can't be read that are remembered, so that each is logged once.
+/// Limit on the remembered ids of malformed records; a remembered id is not logged again.
 const MALFORMED_MAX: usize = 256;
 
-/// Follows the replicas' records.
+/// Builds the table of replicas from their records, until the process ends.
 pub async fn replicas(front: Arc<Front>) {
     let mut registry = Registry::default();
     let mut malformed = HashSet::new();
     let mut changed = false;
-    follow(&front, REPLICA_TOPIC, REPLICA_PACE, |news| {
+    follow(&front, REPLICA_TOPIC, REPLICA_PACE, |update| {
         let now_ms = now_ms();
-        match news {
-            KeyedNews::Key(id, value) => {
+        match update {
+            KeyedUpdate::Key(id, value) => {
                 registry.store_seen(now_ms);
-                changed |=
-                    take_replica(&mut registry, &mut malformed, &id, value.as_deref(), now_ms);
+                changed |= apply_replica_record(
+                    &mut registry,
+                    &mut malformed,
+                    &id,
+                    value.as_deref(),
+                    now_ms,
+                );
             }
-            KeyedNews::All(ids) => {
+            KeyedUpdate::AllKeys(ids) => {
                 registry.store_seen(now_ms);
                 changed |= registry.keep_only(&ids, now_ms) == Revision::Changed;
             }
-            KeyedNews::Lost => registry.store_lost(),
-            KeyedNews::Settled { .. } => {
+            KeyedUpdate::ReadFailed => registry.store_lost(),
+            KeyedUpdate::BatchEnd { .. } => {
                 registry.store_seen(now_ms);
                 changed |= registry.expire(now_ms) == Revision::Changed;
                 front.replicas_read.store(1, Ordering::Relaxed);
@@ -49,9 +54,10 @@
     .await;
 }
 
-/// Whether something changed. A record that nobody can read names no replica: another writer's, as a
-/// rule, which may write it again and again, so that a row of them is logged once.
-fn take_replica(
+/// Applies the record of one replica; true if the registry changed. A malformed record removes the
+/// replica: it usually comes from another program, which may write it repeatedly, so it is logged
+/// only once until the key has a valid record or is deleted.
+fn apply_replica_record(
     registry: &mut Registry,
     malformed: &mut HashSet<String>,
     id: &str,
--- a/components/front/src/jobs/append.rs
+++ b/components/front/src/jobs/append.rs
@@ -1,44 +1,47 @@
-//! An append on the path of a client, retried for a time.
+//! Appends that a client waits for, retried for a limited time.
 
 use crate::clock::now_ms;
 use crate::state::Front;
 use crate::writer::WriteError;
 
-/// How long the store is tried for before a client is refused, in milliseconds: another front
-/// may reach it, and the client comes again at once.
+/// How long appends are retried before the client is refused, in milliseconds. Short, because the
+/// client retries at once and may get a front that reaches the store.
 const REFUSE_AFTER_MS: u64 = 1_200;
-/// How long a record that may have landed is waited for, in milliseconds.
+/// How long appends are retried when an earlier attempt may have stored the record, in
+/// milliseconds.
 const UNSURE_AFTER_MS: u64 = 3_500;
-/// Pause after an append that failed, in milliseconds.
-const PAUSE_MS: u64 = 60;
+/// Pause between attempts, in milliseconds.
+const RETRY_PAUSE_MS: u64 = 60;
 
-/// Append in progress, and for whom.
+/// An append in progress.
 pub struct PendingAppend<'a> {
-    /// What it is, for the log.
+    /// Kind of the record, for the log.
     pub what: &'static str,
     /// The trainer's id of the step.
     pub id: &'a str,
-    /// When the client came, on the process's clock.
+    /// When the client's request arrived, in milliseconds of [`now_ms`].
     pub began_ms: u64,
-    /// Whether the record means something as soon as it lands.
-    pub binds: bool,
+    /// Whether the record takes effect as soon as it is stored. Item data has no effect until the
+    /// step's record refers to it.
+    pub takes_effect: bool,
 }
 
 /// How the attempts ended.
 pub enum Appended {
-    /// The record stands at this offset.
+    /// The record is stored at this offset.
     Done(u64),
-    /// It was seen in the index, whoever wrote it.
+    /// An equivalent record was read from the index; another front may have written it.
     Seen,
-    /// It does not stand and will not.
+    /// The record is not stored and never will be.
     NotDone,
-    /// It may stand or land later.
+    /// The record may be stored already, or may still be stored later.
     Unsure,
 }
 
-/// Appends until it is done, is seen, or has been tried for long enough. A record that may
-/// have landed once is never reported as not done.
-pub async fn until_settled<F>(
+/// Retries an append until it succeeds, the record is seen in the index, or the time is over. If
+/// any attempt may have stored a record that takes effect, the outcome is never
+/// [`Appended::NotDone`].
+pub async fn append_with_retries<F>(
     front: &Front,
     pending: &PendingAppend<'_>,
     mut append: impl FnMut() -> F,
@@ -52,7 +55,7 @@
         match append().await {
             Ok(offset) => return Appended::Done(offset),
             Err(error) => {
-                unsure |= pending.binds && !error.is_not_done();
+                unsure |= pending.takes_effect && !error.is_not_done();
                 log::warn!(
                     event = "append-failed", what = pending.what, id = pending.id, unsure,
                     error:% = error; ""
@@ -66,7 +69,7 @@
         match unsure {
             false if waited_ms > REFUSE_AFTER_MS => return Appended::NotDone,
             true if waited_ms > UNSURE_AFTER_MS => return Appended::Unsure,
-            _ => front.storage.pause(PAUSE_MS).await,
+            _ => front.storage.pause(RETRY_PAUSE_MS).await,
         }
     }
 }
--- a/components/front/src/jobs/data.rs
+++ b/components/front/src/jobs/data.rs
@@ -1,5 +1,5 @@
-//! The data of a step's items in the store: checked before any of it is written, then written
-//! in a few appends.
+//! Writes the data of a step's items to the store. All items are encoded and checked against the
+//! record limit first, then written in a few appends.
 
 use std::time::Duration;
 
@@ -12,34 +12,33 @@
 use crate::state::Front;
 use crate::writer::data_partition;
 
-/// Longest time for one append on the path of a client, in milliseconds.
-const APPEND_MS: u64 = 1_000;
-/// Length that the store puts before each record, in bytes.
-const FRAME_BYTES: usize = 4;
+/// Timeout of one append attempt, in milliseconds.
+const APPEND_TIMEOUT_MS: u64 = 1_000;
+/// Size of the length prefix that the store puts before each record, in bytes.
+const LENGTH_PREFIX_BYTES: usize = 4;
 
 quick_error! {
-    /// Why a step's data can't be stored.
+    /// Why the data of a step could not be stored.
     #[derive(Debug)]
     pub enum DataRefusal {
-        /// An item can't be encoded.
         Encode(reason: DataError) {
             source(reason)
             from()
-            display("cannot encode an item: {}", reason)
+            display("failed to encode item data: {}", reason)
         }
-        /// An item is longer than a record may be.
+        /// An encoded item exceeds the size limit of the store's records.
         TooLong(item: String, bytes: usize, bytes_max: usize) {
-            display("item {} takes {} bytes, a record holds {}", item, bytes, bytes_max)
+            display("item {} too long: got {} bytes, a record holds {}", item, bytes, bytes_max)
         }
-        /// The store can't be reached.
+        /// The append did not succeed in time.
         Unreachable {
-            display("the store cannot be reached")
+            display("failed to append item data: the store did not accept it in time")
         }
     }
 }
 
-/// Writes the items' data; gives where it lies. What landed without an answer is named by
-/// nobody and expires.
+/// Writes the data of the items and returns its location in the data topic. Data of a failed call
+/// may still have been stored, but no record refers to it, so it expires.
 pub async fn write(
     front: &Front,
     heads: &[ItemHead],
@@ -47,15 +46,15 @@
     pending: &PendingAppend<'_>,
 ) -> Result<Vec<DataRange>, DataRefusal> {
     let mut ranges = Vec::new();
-    for batch in batches(front, heads, items)? {
+    for batch in encode_batches(front, heads, items)? {
         ranges.push(write_batch(front, &batch, pending).await?);
     }
     Ok(ranges)
 }
 
-/// The encoded items in batches of half of what one call may bring, so that two steps at once
-/// hold little memory; each item goes as it is encoded.
-fn batches(
+/// Encodes the items in batches of half the size that one append may have, so that two concurrent
+/// submissions use little memory. Each item is dropped once it is encoded.
+fn encode_batches(
     front: &Front,
     heads: &[ItemHead],
     items: Vec<ItemData>,
@@ -67,10 +66,10 @@
     for (head, item) in heads.iter().zip(items) {
         let encoded = encode_item(&item)?;
         if encoded.len() > store.record_bytes {
-            let (id, most) = (head.id.clone(), store.record_bytes);
-            return Err(DataRefusal::TooLong(id, encoded.len(), most));
+            let (id, bytes_max) = (head.id.clone(), store.record_bytes);
+            return Err(DataRefusal::TooLong(id, encoded.len(), bytes_max));
         }
-        let framed_bytes = encoded.len() + FRAME_BYTES;
+        let framed_bytes = encoded.len() + LENGTH_PREFIX_BYTES;
         if bytes + framed_bytes > batch_bytes_max && bytes > 0 {
             batches.push(Vec::new());
             bytes = 0;
@@ -89,12 +88,12 @@
     pending: &PendingAppend<'_>,
 ) -> Result<DataRange, DataRefusal> {
     let partition = data_partition(front);
-    let within = Duration::from_millis(APPEND_MS);
+    let within = Duration::from_millis(APPEND_TIMEOUT_MS);
     let append = || async {
         let appended = front.storage.append(DATA_TOPIC, partition, records, within);
         Ok(appended.await?)
     };
-    match append::until_settled(front, pending, append, || false).await {
+    match append::append_with_retries(front, pending, append, || false).await {
         Appended::Done(offset) => Ok(DataRange {
             partition,
             offset,
--- a/components/front/src/jobs/mod.rs
+++ b/components/front/src/jobs/mod.rs
@@ -1,9 +1,9 @@
 //! Submission and end of a trainer's step.
 //!
-//! A step is accepted once its record stands in the index. Its items' data is written first:
-//! if that fails, nothing of the step exists, and a refusal is a promise. Once the record
-//! was sent without an answer it may land seconds later; from then on the client gets either
-//! the acceptance or an answer that promises nothing.
+//! A step is accepted once its record is in the index. The data of its items is written before
+//! that: if that write fails, the step does not exist, and the refusal is final. If the append of
+//! the record gets no answer, the record may still be stored seconds later. From then on the
+//! client gets either the acceptance or an answer that leaves the outcome open (504).
 
 mod append;
 mod data;
@@ -27,48 +27,46 @@
 use crate::state::Front;
 use crate::writer::{append_index, encode};
 
-/// When a refused trainer may come again, in milliseconds.
-const AGAIN_MS: u64 = 250;
+/// Retry-After of a refusal, in milliseconds.
+const RETRY_AFTER_MS: u64 = 250;
 
-/// Reply to a submission or an end.
+/// Reply to a request that submits or ends a step.
 pub struct StepReply {
-    /// Status of the answer.
     pub status: StatusCode,
-    /// When to come again, in milliseconds.
-    pub again_ms: Option<u64>,
-    /// What happened.
-    pub why: &'static str,
+    /// Retry-After in milliseconds; `None` if a retry would not help.
+    pub retry_after_ms: Option<u64>,
+    /// Text of the answer's body.
+    pub message: &'static str,
 }
 
 impl StepReply {
-    fn new(status: StatusCode, why: &'static str) -> Self {
+    fn new(status: StatusCode, message: &'static str) -> Self {
         Self {
             status,
-            again_ms: None,
-            why,
+            retry_after_ms: None,
+            message,
         }
     }
 
-    fn again(why: &'static str) -> Self {
+    fn unavailable(message: &'static str) -> Self {
         Self {
             status: StatusCode::SERVICE_UNAVAILABLE,
-            again_ms: Some(AGAIN_MS),
-            why,
+            retry_after_ms: Some(RETRY_AFTER_MS),
+            message,
         }
     }
 }
 
-/// A step as it came in.
+/// Origin of a submitted step.
 pub struct Submitted<'a> {
-    /// The route.
     pub route: &'a Arc<Route>,
-    /// The customer; none where no key was asked for.
+    /// `None` on a public route, which needs no key.
     pub customer: Option<&'a str>,
-    /// The trainer's id of the step.
+    /// The step's id, chosen by the trainer.
     pub id: &'a str,
 }
 
-/// Accepts a step or says why not.
+/// Validates a submitted step and accepts or refuses it.
 pub async fn submit(
     front: &Front,
     routes: &Routes,
@@ -93,7 +91,7 @@
         log::info!(event = "step-refused", id, model = submission.model.as_str(); "");
         return StepReply::new(StatusCode::BAD_REQUEST, "no replica serves this model");
     }
-    if let Some(reply) = known(front, submitted, &submission.digest) {
+    if let Some(reply) = reply_if_known(front, submitted, &submission.digest) {
         return reply;
     }
     let reply = accept(front, submitted, submission, began_ms).await;
@@ -103,7 +101,7 @@
         .record("front_submission_ms", metrics::item_label(), took_ms);
     log::info!(
         event = "step-submitted", id, customer = customer.unwrap_or_default(),
-        status = reply.status.as_u16(), took_ms, why = reply.why; ""
+        status = reply.status.as_u16(), took_ms, why = reply.message; ""
     );
     reply
 }
@@ -118,8 +116,12 @@
         })
 }
 
-/// Reply to a repeated submission.
-fn known(front: &Front, submitted: &Submitted<'_>, digest: &[u8; 16]) -> Option<StepReply> {
+/// Reply to a submission whose id the customer has used before; `None` for a new id.
+fn reply_if_known(
+    front: &Front,
+    submitted: &Submitted<'_>,
+    digest: &[u8; 16],
+) -> Option<StepReply> {
     let index = front.index();
     let step = index.ledger.by_name(submitted.customer, submitted.id)?;
     Some(match step.head.digest == *digest {
@@ -139,12 +141,12 @@
         what: "item-data",
         id,
         began_ms,
-        binds: false,
+        takes_effect: false,
     };
     let items = std::mem::take(&mut submission.data);
     let data = match data::write(front, &submission.heads, items, &pending).await {
         Ok(data) => data,
-        Err(refusal) => return refused(id, &refusal),
+        Err(refusal) => return refused_data(id, &refusal),
     };
     let digest = submission.digest;
     let head = step_head(front, submitted, submission, data);
@@ -164,21 +166,24 @@
         return StepReply::new(StatusCode::PAYLOAD_TOO_LARGE, "the step has too many items");
     }
     pending.what = "step";
-    pending.binds = true;
-    let is_known = || known(front, submitted, &digest).is_some();
-    match append::until_settled(front, &pending, || append_index(front, &record), is_known).await {
+    pending.takes_effect = true;
+    let is_known = || reply_if_known(front, submitted, &digest).is_some();
+    match append::append_with_retries(front, &pending, || append_index(front, &record), is_known)
+        .await
+    {
         Appended::Done(_) => StepReply::new(StatusCode::ACCEPTED, "accepted"),
-        Appended::Seen => known(front, submitted, &digest).unwrap_or_else(unsure),
-        Appended::NotDone => StepReply::again("the store cannot be reached"),
+        Appended::Seen => reply_if_known(front, submitted, &digest).unwrap_or_else(unsure),
+        Appended::NotDone => StepReply::unavailable("the store cannot be reached"),
         Appended::Unsure => unsure(),
     }
 }
 
+/// Reply when the step's record may or may not be stored.
 fn unsure() -> StepReply {
     StepReply::new(StatusCode::GATEWAY_TIMEOUT, "it may be accepted or not")
 }
 
-fn refused(id: &str, refusal: &DataRefusal) -> StepReply {
+fn refused_data(id: &str, refusal: &DataRefusal) -> StepReply {
     log::warn!(event = "step-refused", id, error:% = refusal; "");
     match refusal {
         DataRefusal::TooLong(..) => StepReply::new(
@@ -189,7 +194,7 @@
             StatusCode::INTERNAL_SERVER_ERROR,
             "an item cannot be encoded",
         ),
-        DataRefusal::Unreachable => StepReply::again("the store cannot be reached"),
+        DataRefusal::Unreachable => StepReply::unavailable("the store cannot be reached"),
     }
 }
 
@@ -201,7 +206,7 @@
 ) -> StepHead {
     let route = submitted.route;
     let pool = route.pool();
-    let shards = shards(front, route, &pool, &submission);
+    let shards = choose_shard_count(front, route, &pool, &submission);
     StepHead {
         id: submitted.id.to_owned(),
         customer: submitted.customer.map(str::to_owned),
@@ -223,11 +228,11 @@
     }
 }
 
-/// Shards of a pool, by its places as far as items fill them, and by what the step before was dealt
-/// among.
-fn shards(front: &Front, route: &Route, pool: &str, submission: &Submission) -> u16 {
+/// Number of shards for a step of a pool, by the pool's slots as far as items can fill them, and by
+/// the number of shards of the pool's newest step.
+fn choose_shard_count(front: &Front, route: &Route, pool: &str, submission: &Submission) -> u16 {
     let table = front.replicas.load();
-    let places: u32 = route
+    let slots: u32 = route
         .services()
         .flat_map(|service| table.of(service))
         .filter(|member| !member.replica.draining)
@@ -236,8 +241,8 @@
     let index = front.index();
     let heads = index.ledger.steps().map(|step| &step.head);
     let of_pool: Vec<_> = heads.filter(|head| head.pool == *pool).collect();
-    let before = of_pool.last().map(|head| head.shards);
-    // The newest step of each model stands for it.
+    let newest_shards = of_pool.last().map(|head| head.shards);
+    // Only the newest step of each model counts.
     let mut items: HashMap<&str, usize> = of_pool
         .iter()
         .map(|head| (head.model.as_str(), head.items.len()))
@@ -245,20 +250,20 @@
     items.insert(&submission.model, submission.heads.len());
     let filled = items.values().sum::<usize>() as u32 * PLACES_AN_ITEM;
     ownership::shard_count(
-        places.min(filled),
+        slots.min(filled),
         front.shard_places.load(Ordering::Relaxed),
-        before,
+        newest_shards,
         front.settings.store.partitions,
     )
 }
 
-/// Ends a step. A step that this front does not know is answered by the caller.
+/// Ends a step that this front knows from the index.
 pub async fn end(front: &Front, id: &str, step: StepId) -> StepReply {
     let pending = PendingAppend {
         what: "end",
         id,
         began_ms: now_ms(),
-        binds: true,
+        takes_effect: true,
     };
     let record = match encode(&[LogRecord::Index(IndexRecord::Ended { step })]) {
         Ok(record) => record,
@@ -274,9 +279,11 @@
         let index = front.index();
         index.ledger.get(step).is_none_or(|step| step.ended)
     };
-    match append::until_settled(front, &pending, || append_index(front, &record), is_ended).await {
+    match append::append_with_retries(front, &pending, || append_index(front, &record), is_ended)
+        .await
+    {
         Appended::Done(_) | Appended::Seen => StepReply::new(StatusCode::OK, "ended"),
-        Appended::NotDone => StepReply::again("the store cannot be reached"),
+        Appended::NotDone => StepReply::unavailable("the store cannot be reached"),
         Appended::Unsure => StepReply::new(StatusCode::GATEWAY_TIMEOUT, "it may be ended or not"),
     }
 }
--- a/components/front/src/serve.rs
+++ b/components/front/src/serve.rs
@@ -142,7 +142,7 @@
         event = "step-ended", id = name, status = reply.status.as_u16(),
         listed = step.results.len(), items = step.head.items.len(); ""
     );
-    ingress::own_answer(reply.status, id, reply.again_ms, reply.why)
+    ingress::own_answer(reply.status, id, reply.retry_after_ms, reply.message)
 }
 
 async fn call(
@@ -187,7 +187,7 @@
             id,
         };
         let reply = jobs::submit(front, routes, &submitted, body).await;
-        return ingress::own_answer(reply.status, Some(id), reply.again_ms, reply.why);
+        return ingress::own_answer(reply.status, Some(id), reply.retry_after_ms, reply.message);
     }
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
     let allowed_ms = ingress::deadline_ms(&parts.headers).unwrap_or(DEADLINE_MS);
--- a/components/front/src/storage.rs
+++ b/components/front/src/storage.rs
@@ -133,7 +133,7 @@
     }
 
     /// The newest record of each key of a keyed topic, and the end to read on from.
-    pub async fn newest(
+    pub async fn read_newest(
         &self,
         topic: &str,
         within: Duration,
