--- a/bin/hornbeamrock/src/cli.rs
+++ b/bin/hornbeamrock/src/cli.rs
@@ -1,18 +1,18 @@
-//! Command line.
+//! Command line of `hornbeamrock`.
 
 use clap::{Arg, Command};
 
-/// Role that takes clients' requests, runs steps and gives orders.
+/// Subcommand that runs a front: serves clients' requests, runs steps and gives orders to replicas.
 pub const FRONT: &str = "front";
 
-/// The command line of the program.
+/// Definition of the command line.
 pub fn command() -> Command {
     let log_level = Arg::new("log-level")
         .long("log-level")
         .env("HORNBEAMROCK_LOG_LEVEL")
         .value_parser(telemetry::LogLevel::WORDS)
         .default_value("info")
-        .help("Least severe lines that are written");
+        .help("Lowest level of log lines that are written");
     let front = Command::new(FRONT)
         .about("Takes clients' requests, runs steps and gives orders to replicas")
         .arg(log_level);
--- a/bin/hornbeamrock/src/main.rs
+++ b/bin/hornbeamrock/src/main.rs
@@ -1,4 +1,4 @@
-//! `hornbeamrock`: the process that runs on the users' platform.
+//! `hornbeamrock`: runs a front of the rollout service on the users' platform.
 
 mod cli;
 
@@ -11,22 +11,22 @@
 use telemetry::{LogLevel, LogsError, Output};
 
 quick_error! {
-    /// Why the process can't run.
+    /// Why the process failed.
     #[derive(Debug)]
     enum RunError {
-        /// No log.
+        /// The logger did not start.
         Logs(reason: LogsError) {
             source(reason)
             from()
             display("{}", reason)
         }
-        /// No runtime.
+        /// The Tokio runtime did not start.
         Runtime(reason: std::io::Error) {
             source(reason)
             from()
-            display("cannot start the runtime: {}", reason)
+            display("failed to start the Tokio runtime: {}", reason)
         }
-        /// The front can't run.
+        /// The front did not start.
         Front(reason: FrontError) {
             source(reason)
             from()
@@ -35,7 +35,7 @@
     }
 }
 
-/// Exit code for settings that can't be used.
+/// Exit code for a settings file that is missing or invalid.
 const EXIT_SETTINGS: u8 = 2;
 
 fn main() -> ExitCode {
@@ -43,7 +43,7 @@
     let level = matches
         .subcommand()
         .and_then(|(_, front)| front.get_one::<String>("log-level"))
-        .and_then(|word| LogLevel::parse(word))
+        .and_then(|name| LogLevel::parse(name))
         .unwrap_or(LogLevel::Info);
     let path = settings::path();
     let settings = match settings::load(&path) {
@@ -64,7 +64,8 @@
 
 fn run(settings: FrontSettings, path: &Path, level: LogLevel) -> Result<(), RunError> {
     let _logs = telemetry::start_logs_to(level, Output::Stdout)?;
-    // On one core a second thread costs memory and wake-ups and runs no earlier.
+    // On one core, a second worker thread would cost memory and wake-ups without running anything
+    // sooner.
     let runtime = match settings.cores {
         0 | 1 => tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -75,7 +76,7 @@
             .build()?,
     };
     runtime.block_on(front::run(settings, path))?;
-    // Tasks that still wait have nothing left to finish.
+    // The front has drained its work; tasks that remain only wait, so they are not waited for.
     runtime.shutdown_background();
     Ok(())
 }
--- a/components/front/src/calls.rs
+++ b/components/front/src/calls.rs
@@ -389,7 +389,7 @@
                 ReplicaError::NotRun(_) => {}
                 _ => {
                     load.failed(now_ms());
-                    member.peer.forget_connections();
+                    member.peer.close_idle();
                 }
             }
             let end = match error.is_not_run() {
--- a/components/front/src/leader.rs
+++ b/components/front/src/leader.rs
@@ -107,7 +107,7 @@
 }
 
 /// Gives the lease up, so that another front need not wait for its silence.
-pub async fn give_up(front: &Front) {
+pub async fn release_lease(front: &Front) {
     let record = front.index().lease.give_up();
     if let Some(record) = record
         && let Err(error) = write_index(front, &[LogRecord::Lease(record)]).await
--- a/components/front/src/leave.rs
+++ b/components/front/src/leave.rs
@@ -1,9 +1,9 @@
-//! How a front leaves after the stop signal.
+//! Graceful shutdown of a front after the stop signal.
 //!
-//! Readiness goes false first, and requests are served on until the balancer has surely
-//! turned away. The lease and the models go to other fronts at once. Kept connections close
-//! after their next answer. Then the work in progress finishes, and the process ends well
-//! before it would be killed.
+//! The front reports itself as not ready first and serves requests until the load balancer has
+//! certainly stopped sending any. It releases the lease and its shards to other fronts at once.
+//! Client connections are closed after their next answer. Then the work in progress finishes, and
+//! the process exits well before the platform would kill it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,54 +14,55 @@
 use crate::state::Front;
 use crate::{leader, member};
 
-/// How long the balancer may go on sending, in milliseconds: it asks once a second and turns
-/// after two misses.
+/// How long the load balancer may still send requests after readiness went false, in
+/// milliseconds: it probes once per second and removes a front after two failed probes.
 const SETTLE_MS: u64 = 2_600;
-/// Time that is left before the kill, in milliseconds.
-const MARGIN_MS: u64 = 900;
-/// When a client that came too late may come again, in milliseconds.
-const AGAIN_MS: u32 = 50;
-/// Longest time for saving texts, in milliseconds; two appends of a slow store.
-const SAVE_MS: u64 = 1_000;
-/// How often the end is looked for, in milliseconds.
-const LOOK_MS: u64 = 20;
+/// Safety margin between the last work and the platform's kill, in milliseconds.
+const KILL_MARGIN_MS: u64 = 900;
+/// Retry-After of a request that is refused because the front is leaving, in milliseconds.
+const RETRY_AFTER_MS: u32 = 50;
+/// Timeout for saving partial texts, in milliseconds: enough for two appends to a slow store.
+const SAVE_TIMEOUT_MS: u64 = 1_000;
+/// Interval of checks whether the drain is complete, in milliseconds.
+const POLL_MS: u64 = 20;
 
-/// Times of the drain within `grace_ms`.
+/// Times of the drain, which must be complete within `grace_ms` of the stop signal.
 pub fn drain_settings(grace_ms: u64) -> DrainSettings {
     let settle_ms = SETTLE_MS.min(grace_ms / 3);
     DrainSettings {
         settle_ms,
-        finish_ms_max: grace_ms.saturating_sub(settle_ms + MARGIN_MS),
-        retry_after_ms: AGAIN_MS,
+        finish_ms_max: grace_ms.saturating_sub(settle_ms + KILL_MARGIN_MS),
+        retry_after_ms: RETRY_AFTER_MS,
     }
 }
 
-/// How long a leaving front goes on with the items that it runs, in milliseconds after the stop
-/// signal. The longest take six seconds; what is left then is saved once more.
+/// How long a leaving front continues the item runs that it has in progress, in milliseconds after
+/// the stop signal. The longest items take six seconds; texts that are still incomplete after this
+/// time are saved once more for the next owner.
 pub fn drain_runs_ms(grace_ms: u64) -> u64 {
-    grace_ms.saturating_sub(MARGIN_MS + SAVE_MS)
+    grace_ms.saturating_sub(KILL_MARGIN_MS + SAVE_TIMEOUT_MS)
 }
 
-/// Gives the shards to other fronts once what was made of their items is saved.
-async fn hand_over(front: &Arc<Front>) {
+/// Releases the shards to other fronts once the partial texts of their items are saved.
+async fn release_shards(front: &Arc<Front>) {
     let mut saved = front.texts_saved.subscribe();
-    let within = Duration::from_millis(SAVE_MS);
+    let within = Duration::from_millis(SAVE_TIMEOUT_MS);
     if tokio::time::timeout(within, saved.wait_for(|saved| *saved))
         .await
         .is_err()
     {
         log::warn!(event = "handed-over-unsaved"; "");
     }
-    // Ends with the process at the latest.
+    // Not awaited: retries until the store has processed the leave, or the process ends.
     tokio::spawn(member::leave(Arc::clone(front)));
 }
 
-/// Leaves; returns when the process may end.
+/// Shuts the front down; returns when the process may exit.
 pub async fn leave(front: &Arc<Front>) {
     front.drain.start(now_ms());
     log::info!(event = "leaving", work = front.drain.progress().count(); "");
     front.runner_wakeup.notify_one();
-    tokio::join!(leader::give_up(front), hand_over(front));
+    tokio::join!(leader::release_lease(front), release_shards(front));
     loop {
         match front.drain.step(now_ms()) {
             Step::Exit { cut_off } => {
@@ -72,11 +73,11 @@
             Step::WaitUntil { .. } | Step::Serve => {
                 let closing = front.drain.phase(now_ms()) == leaving::Phase::Finishing;
                 front.close_connections.send_if_modified(|known| {
-                    let news = *known != closing;
+                    let changed = *known != closing;
                     *known = closing;
-                    news
+                    changed
                 });
-                tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
+                tokio::time::sleep(Duration::from_millis(POLL_MS)).await;
             }
         }
     }
--- a/components/front/src/peers.rs
+++ b/components/front/src/peers.rs
@@ -1,4 +1,4 @@
-//! Replicas with what this process has there: connections and load.
+//! The table of replicas, with this process's connection pool and load estimate for each.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -10,49 +10,50 @@
 use crate::clock::now_ms;
 use crate::state::lock;
 
-/// Longest time for a connection to a replica, in milliseconds. The way is below 3 ms and a
-/// replica takes 1 ms for it; one that takes longer is cut off or overrun.
-const CONNECT_MS: u64 = 250;
-/// Kept idle connections to one replica, at most: as many as one runner uses at once.
+/// Timeout for connecting to a replica, in milliseconds. The network takes less than 3 ms and the
+/// replica 1 ms; a replica that takes longer than the timeout is unreachable or overloaded.
+const CONNECT_TIMEOUT_MS: u64 = 250;
+/// Limit on idle connections per replica: as many as the runner uses there at once.
 const IDLE_MAX: usize = 16;
-/// How long an idle connection is kept where the replica does not say, in milliseconds.
-const KEEP_MS: u64 = 4_000;
-/// Part of the replica's time that is left unused, in milliseconds, against the race with
-/// its close.
-const KEEP_MARGIN_MS: u64 = 300;
+/// How long an idle connection is kept if the replica's answer states no time, in milliseconds.
+const KEEP_ALIVE_MS: u64 = 4_000;
+/// Subtracted from the keep-alive time that the replica states, in milliseconds, so that no request
+/// is sent while the replica closes the connection.
+const KEEP_ALIVE_MARGIN_MS: u64 = 300;
 
 struct Idle {
     connection: Connection,
     until_ms: u64,
 }
 
-/// Connections and load of one life of a replica.
+/// Connection pool and load estimate for one incarnation of a replica. A restarted replica gets a
+/// new one.
 #[derive(Default)]
 pub struct Peer {
-    /// Load of this process.
+    /// This process's calls in flight at the replica, and their latency.
     pub load: Arc<ReplicaLoad>,
     idle: Mutex<Vec<Idle>>,
 }
 
 impl Peer {
-    /// A kept connection or a new one.
+    /// An idle connection from the pool, or a new one.
     pub async fn connection(&self, replica: &Replica) -> Result<Connection, ExchangeError> {
-        if let Some(kept) = self.kept() {
-            return Ok(kept);
+        if let Some(pooled) = self.take_idle() {
+            return Ok(pooled);
         }
-        let mut new = connect(replica.address, Duration::from_millis(CONNECT_MS)).await?;
+        let mut new = connect(replica.address, Duration::from_millis(CONNECT_TIMEOUT_MS)).await?;
         new.ready().await?;
         Ok(new)
     }
 
-    /// Whether an idle connection is pooled.
+    /// Whether the pool has a usable idle connection.
     pub fn is_connected(&self, now_ms: u64) -> bool {
         let idle = lock(&self.idle);
         let newest = idle.last();
         newest.is_some_and(|idle| now_ms < idle.until_ms && idle.connection.is_usable())
     }
 
-    fn kept(&self) -> Option<Connection> {
+    fn take_idle(&self) -> Option<Connection> {
         let now_ms = now_ms();
         let mut idle = lock(&self.idle);
         while let Some(newest) = idle.pop() {
@@ -63,10 +64,13 @@
         None
     }
 
-    /// Keeps a connection whose last answer was taken whole.
+    /// Returns a connection to the pool, after its last answer was read completely. `keep_ms` is
+    /// the keep-alive time that the replica stated.
     pub fn keep(&self, connection: Connection, keep_ms: Option<u64>) {
         let now_ms = now_ms();
-        let keep_ms = keep_ms.map_or(KEEP_MS, |stated| stated.saturating_sub(KEEP_MARGIN_MS));
+        let keep_ms = keep_ms.map_or(KEEP_ALIVE_MS, |stated| {
+            stated.saturating_sub(KEEP_ALIVE_MARGIN_MS)
+        });
         let until_ms = now_ms + keep_ms;
         let mut idle = lock(&self.idle);
         if idle.len() == IDLE_MAX {
@@ -78,29 +82,29 @@
         });
     }
 
-    /// Closes all kept connections, as one of them was silent or brought odd bytes.
-    pub fn forget_connections(&self) {
+    /// Closes all idle connections, after a call on one connection timed out or failed.
+    pub fn close_idle(&self) {
         lock(&self.idle).clear();
     }
 }
 
-/// A replica and what this process has there.
+/// A replica of a service, with this process's connections to it.
 #[derive(Clone)]
 pub struct Member {
-    /// As its record tells.
+    /// The replica's newest record.
     pub replica: Arc<Replica>,
-    /// What this process has there.
     pub peer: Arc<Peer>,
 }
 
-/// All replicas that may take work, by service.
+/// Snapshot of all replicas with a valid record, by service.
 #[derive(Default)]
 pub struct ReplicaTable {
     by_service: HashMap<Arc<str>, Vec<Member>>,
 }
 
 impl ReplicaTable {
-    /// The next table: peers of replicas that stay are kept.
+    /// A table of `replicas`. Replicas with the same id and start time keep their connections and
+    /// load estimates.
     pub fn next<'a>(&self, replicas: impl Iterator<Item = &'a Arc<Replica>>) -> Self {
         let incarnation = |replica: &Replica| (Arc::clone(&replica.id), replica.born_ms);
         let mut known: HashMap<(ReplicaId, Option<u64>), Arc<Peer>> = HashMap::new();
@@ -122,12 +126,12 @@
         Self { by_service }
     }
 
-    /// Replicas of a service, those that are draining included.
+    /// Replicas of a service, including draining ones.
     pub fn of(&self, service: &str) -> &[Member] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// All replicas.
+    /// Replicas of all services.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.by_service.values().flatten()
     }
--- a/components/front/src/reload.rs
+++ b/components/front/src/reload.rs
@@ -1,9 +1,8 @@
-//! Changes of the settings file while the process runs.
+//! Reloads the settings file while the process runs.
 //!
-//! The platform changes the file with a signal or without one, so it is looked at on each
-//! signal and at intervals. The address of the store is taken over at once. Addresses to
-//! listen on and names hold until the next start, and a file that can't be used changes
-//! nothing.
+//! The platform may change the file with or without sending SIGHUP, so the file is checked on each
+//! signal and at intervals. A new address of the store takes effect at once. Listen addresses and
+//! names take effect at the next start, and a malformed file is logged and ignored.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -14,32 +13,32 @@
 
 use crate::state::Front;
 
-/// Pause between looks at the file, in milliseconds: a look costs one system call.
-const LOOK_MS: u64 = 2_000;
+/// Interval of checks for a change of the file, in milliseconds. A check costs one system call.
+const POLL_MS: u64 = 2_000;
 
-/// Follows the settings file until the process ends.
+/// Reloads the settings on each change of the file, until the process ends.
 pub async fn follow(front: Arc<Front>, path: &Path, mut signals: Signal) {
-    let mut seen = changed_at(path);
+    let mut known = modified_at(path);
     loop {
         let signalled = tokio::select! {
             signal = signals.recv() => signal.is_some(),
-            () = tokio::time::sleep(Duration::from_millis(LOOK_MS)) => false,
+            () = tokio::time::sleep(Duration::from_millis(POLL_MS)) => false,
         };
-        let now = changed_at(path);
-        if signalled || now != seen {
-            seen = now;
-            take_over(&front, path, signalled);
+        let modified = modified_at(path);
+        if signalled || modified != known {
+            known = modified;
+            reload(&front, path, signalled);
         }
     }
 }
 
-fn changed_at(path: &Path) -> Option<SystemTime> {
+fn modified_at(path: &Path) -> Option<SystemTime> {
     std::fs::metadata(path)
-        .and_then(|about| about.modified())
+        .and_then(|metadata| metadata.modified())
         .ok()
 }
 
-fn take_over(front: &Front, path: &Path, signalled: bool) {
+fn reload(front: &Front, path: &Path, signalled: bool) {
     match settings::load(path) {
         Ok(next) => {
             let store = next.store.address;
--- a/components/front/src/start.rs
+++ b/components/front/src/start.rs
@@ -1,4 +1,4 @@
-//! Start and end of a front.
+//! Startup and shutdown of the front process.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -21,29 +21,29 @@
 };
 
 quick_error! {
-    /// Why a front can't run.
+    /// Why a front could not start.
     #[derive(Debug)]
     pub enum FrontError {
-        /// An address can't be listened on.
+        /// Binding a listener to this address failed.
         Listen(address: SocketAddr, reason: std::io::Error) {
             source(reason)
-            display("cannot listen on {}: {}", address, reason)
+            display("failed to listen on {}: {}", address, reason)
         }
-        /// Metrics can't be kept.
+        /// The metrics thread did not start.
         Metrics(reason: telemetry::MetricsError) {
             source(reason)
             from()
-            display("cannot keep metrics: {}", reason)
+            display("failed to start the metrics: {}", reason)
         }
-        /// Signals can't be heard.
+        /// Installing a signal handler failed.
         Signals(reason: std::io::Error) {
             source(reason)
-            display("cannot hear signals: {}", reason)
+            display("failed to install a signal handler: {}", reason)
         }
     }
 }
 
-/// A front that listens and does nothing yet.
+/// A front whose listeners are bound, but which serves nothing until [`Bound::run`].
 pub struct Bound {
     front: Arc<Front>,
     clients: TcpListener,
@@ -51,10 +51,11 @@
 }
 
 impl Bound {
-    /// Listens on the addresses of the settings.
+    /// Binds the listeners to the addresses in the settings.
     pub async fn new(settings: FrontSettings) -> Result<Self, FrontError> {
         let lease_settings = LeaseSettings::with_pause(settings.bounds.holder_pause_ms);
-        // No two lives of a VM may number their records alike; time does not go back on it.
+        // Two runs of a front on the same VM must not number their records alike, so the numbers
+        // start at the clock, which does not go back on a VM.
         let lease = Lease::new(&settings.node, now_us(), lease_settings);
         let drain = Drain::new(leave::drain_settings(settings.bounds.grace_ms));
         let clients = listen(settings.clients).await?;
@@ -67,17 +68,18 @@
         })
     }
 
-    /// Where clients connect.
+    /// Address that clients connect to, with the port that was bound if the settings ask for
+    /// port 0.
     pub fn clients(&self) -> Result<SocketAddr, FrontError> {
-        local(&self.clients, self.front.settings.clients)
+        local_address(&self.clients, self.front.settings.clients)
     }
 
-    /// Where the balancer asks.
+    /// Address of the load balancer's readiness probe and of the metrics page.
     pub fn ready(&self) -> Result<SocketAddr, FrontError> {
-        local(&self.ready, self.front.settings.ready)
+        local_address(&self.ready, self.front.settings.ready)
     }
 
-    /// Runs until `stop` and the end of the work in progress.
+    /// Serves until `stop` completes, then drains the work in progress.
     pub async fn run(self, stop: impl Future<Output = ()>) {
         let Self {
             front,
@@ -90,7 +92,7 @@
             clients:% = front.settings.clients, store:% = front.settings.store.address,
             retention_ms = front.settings.store.retention_ms; ""
         );
-        let (ended, results) = mpsc::channel(runner::ENDED_MAX);
+        let (ended_items, results) = mpsc::channel(runner::ENDED_MAX);
         let mut tasks = JoinSet::new();
         tasks.spawn(connections::accept(Arc::clone(&front), ready, serve::ready));
         tasks.spawn(connections::accept(
@@ -107,17 +109,17 @@
         tasks.spawn(meter::write_counts(Arc::clone(&front)));
         tasks.spawn(leader::lead(Arc::clone(&front)));
         tasks.spawn(writer::write_results(Arc::clone(&front), results));
-        tasks.spawn(runner::run(Arc::clone(&front), ended));
+        tasks.spawn(runner::run(Arc::clone(&front), ended_items));
         stop.await;
         leave::leave(&front).await;
     }
 }
 
-/// Runs a front until the stop signal and the end of its work. `path` is the file that the
-/// settings came from; its changes are followed.
+/// Runs a front until SIGTERM and the end of its drain. `path` is the settings file, which is
+/// reloaded on changes and on SIGHUP.
 pub async fn run(settings: FrontSettings, path: &Path) -> Result<(), FrontError> {
     let mut stop = signal(SignalKind::terminate()).map_err(FrontError::Signals)?;
-    let reload = signal(SignalKind::hangup()).map_err(FrontError::Signals)?;
+    let hangup = signal(SignalKind::hangup()).map_err(FrontError::Signals)?;
     let bound = Bound::new(settings).await?;
     let front = Arc::clone(&bound.front);
     let stop = async move {
@@ -125,14 +127,14 @@
     };
     tokio::select! {
         () = bound.run(stop) => Ok(()),
-        () = reload::follow(front, path, reload) => Ok(()),
+        () = reload::follow(front, path, hangup) => Ok(()),
     }
 }
 
-fn local(listener: &TcpListener, asked: SocketAddr) -> Result<SocketAddr, FrontError> {
+fn local_address(listener: &TcpListener, configured: SocketAddr) -> Result<SocketAddr, FrontError> {
     listener
         .local_addr()
-        .map_err(|reason| FrontError::Listen(asked, reason))
+        .map_err(|reason| FrontError::Listen(configured, reason))
 }
 
 async fn listen(address: SocketAddr) -> Result<TcpListener, FrontError> {
--- a/components/front/src/store_calls.rs
+++ b/components/front/src/store_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the store, counted by topic: what a front costs the store that all share.
+//! Counts of calls to the store by topic: the load that this front puts on the shared store.
 
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -7,9 +7,9 @@
 use platform::records::{OPERATOR_TOPIC, REPLICA_TOPIC};
 use platform::store::StoreError;
 
-/// Label of calls to the group of fronts.
+/// Label of calls that concern the group of fronts; takes the place of a topic.
 pub const GROUP: &str = "group";
-/// Topics with counts of their own.
+/// Topics that are counted separately.
 const TOPICS: [&str; 6] = [
     INDEX_TOPIC,
     DATA_TOPIC,
@@ -31,20 +31,19 @@
 }
 
 impl TopicCalls {
-    /// Counts a read, or another call that changes nothing.
+    /// Counts a read or a call about the group.
     pub fn count_read(&self) {
         self.reads.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts an append.
     pub fn count_append(&self) {
         self.appends.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts what a read brought.
-    pub fn count_records<'a>(&self, lengths: impl Iterator<Item = &'a [u8]>) {
+    /// Counts records that a read returned, and their bytes.
+    pub fn count_records<'a>(&self, read: impl Iterator<Item = &'a [u8]>) {
         let (mut records, mut bytes) = (0, 0);
-        for record in lengths {
+        for record in read {
             records += 1;
             bytes += record.len() as u64;
         }
@@ -52,7 +51,7 @@
         self.bytes.fetch_add(bytes, Ordering::Relaxed);
     }
 
-    /// Counts a call that failed.
+    /// Counts a failed call, with throttled calls apart from other errors.
     pub fn count_error(&self, error: &StoreError) {
         let counter = match error {
             StoreError::Throttled(_) => &self.throttled,
@@ -79,25 +78,25 @@
 pub struct StoreCalls([TopicCalls; TOPICS.len()]);
 
 impl StoreCalls {
-    /// Counts of a topic; those of the last one for a name that is no topic.
+    /// Counts of a topic. Unknown topics are counted with [`GROUP`].
     pub fn of(&self, topic: &str) -> &TopicCalls {
         let known = TOPICS.iter().position(|known| *known == topic);
         &self.0[known.unwrap_or(TOPICS.len() - 1)]
     }
 
-    /// One line a series.
+    /// One line per series, for the metrics page.
     pub fn text(&self) -> String {
         let mut text = String::new();
         for (topic, calls) in TOPICS.iter().zip(&self.0) {
             for (name, count) in calls.rows() {
-                // Writing to a string does not fail.
+                // Writing to a `String` never fails.
                 let _ = writeln!(text, "{name}{{topic=\"{topic}\"}} count={count}");
             }
         }
         text
     }
 
-    /// Logs one line a topic that was called.
+    /// Logs one line per topic with at least one call.
     pub fn log(&self) {
         for (topic, calls) in TOPICS.iter().zip(&self.0) {
             let [reads, appends, records, bytes, throttled, failed] =
