--- a/components/front/src/calls.rs
+++ b/components/front/src/calls.rs
@@ -131,7 +131,7 @@
         tokio::select! {
             Some(done) = attempts.next() => {
                 let Attempt { end, answer, why } = done;
-                let step = next_step(front, spec, end, may_have_run, &tried);
+                let step = action_after_attempt(front, spec, end, may_have_run, &tried);
                 may_have_run |= end == AttemptEnd::Unknown;
                 match (&step, answer) {
                     (NextStep::Deliver, Some(answer)) => break CallOutcome::Answer(answer),
@@ -222,7 +222,7 @@
 }
 
 /// What to do after an attempt ended with `end`.
-fn next_step(
+fn action_after_attempt(
     front: &Front,
     spec: &CallSpec<'_>,
     end: AttemptEnd,
@@ -280,7 +280,7 @@
     let table = front.replicas.load();
     let drawn_service = spec.route.draw(rand::random());
     let in_service =
-        |service: &str| choose_replica(front, &table, service, typical, tried, with_room);
+        |service: &str| choose_in_service(front, &table, service, typical, tried, with_room);
     drawn_service
         .and_then(|service| in_service(service))
         .or_else(|| services(spec.route).find_map(in_service))
@@ -288,7 +288,7 @@
 
 /// Selects an untried replica of a service that accepts work. `with_room` restricts the choice to
 /// replicas below the limit on background calls.
-pub fn choose_replica(
+pub fn choose_in_service(
     front: &Front,
     table: &ReplicaTable,
     service: &str,
--- a/components/front/src/member.rs
+++ b/components/front/src/member.rs
@@ -85,7 +85,7 @@
 /// Whether a front that stands by takes part now.
 async fn takes_part(front: &Front, standby: &mut Standby) -> bool {
     let within = Duration::from_millis(WITHIN_MS);
-    match front.storage.owners(RUNNER_GROUP, within).await {
+    match front.storage.read_owners(RUNNER_GROUP, within).await {
         Ok(owners) => {
             let larger = |(_, owner): &(u32, String)| !owner.starts_with(STANDBY_PREFIX);
             standby.owners_read(owners.iter().any(larger), now_ms());
--- a/components/front/src/reload.rs
+++ b/components/front/src/reload.rs
@@ -42,7 +42,7 @@
     match settings::load(path) {
         Ok(next) => {
             let store = next.store.address;
-            let moved = front.storage.move_to(store);
+            let moved = front.storage.set_address(store);
             let same = next == front.settings;
             log::info!(event = "settings-read", signalled, same, store_moved = moved, store:% = store; "");
         }
--- a/components/front/src/reports.rs
+++ b/components/front/src/reports.rs
@@ -134,7 +134,7 @@
             let to_seal = usage.to_seal(&windows, true_ms);
             (to_seal, usage.to_send(&windows, true_ms, sent))
         };
-        let settled = !front.storage.is_lost() && now_ms >= self.returned_ms + RETURN_MS;
+        let settled = !front.storage.is_unavailable() && now_ms >= self.returned_ms + RETURN_MS;
         if settled {
             self.seal(front, &to_seal, now_ms);
         }
--- a/components/front/src/state.rs
+++ b/components/front/src/state.rs
@@ -1,8 +1,8 @@
-//! What the tasks of a front share.
+//! State that the tasks of a front share.
 //!
-//! Routes and replicas are published as immutable snapshots that a request reads without a
-//! lock. Steps and the lease change with the log; their lock is held for a few microseconds
-//! and never across a wait.
+//! Routes and replicas are published as immutable snapshots, which requests read without a lock.
+//! Steps and the lease are updated with each record of the index; their mutex is held for a few
+//! microseconds and never across an await.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -28,76 +28,73 @@
 use crate::peers::ReplicaTable;
 use crate::storage::Storage;
 
-/// Guess at the time of a call of a route that was not seen yet, in milliseconds.
-const TYPICAL_GUESS_MS: u64 = 40;
+/// Assumed latency of a route without any completed call, in milliseconds.
+const INITIAL_LATENCY_MS: u64 = 40;
 
-/// How long nothing may be heard of the store at a front that is ready, in milliseconds: longer
-/// than a read of the index that gets no answer.
-const READY_SILENT_MS_MAX: u64 = 1_600;
+/// A front that has had no answer from the store for this time is not ready, in milliseconds.
+/// Longer than the timeout of one read of the index.
+const READY_SILENCE_MS_MAX: u64 = 1_600;
 
-/// What the tasks of a front share.
+/// The shared state. All times are in milliseconds of [`now_ms`].
 pub struct Front {
-    /// When the process started, on its clock.
+    /// When the process started.
     pub started_ms: u64,
-    /// Settings of the process.
+    /// Settings at the start of the process.
     pub settings: FrontSettings,
-    /// The platform's store.
+    /// Client of the platform's store.
     pub storage: Storage,
-    /// Counters and histograms.
     pub metrics: Metrics,
-    /// Configuration in force; none before the first was read.
+    /// Active configuration; `None` before the first was read.
     pub routes: ArcSwapOption<Routes>,
-    /// When the operator's records were last known to be read to their end; 0 before.
+    /// When the operator's records were last read to their end; 0 if never.
     operator_records_current_ms: AtomicU64,
-    /// Marks of refused keys in the log.
+    /// Hashes refused keys for the log, with a key of this process.
     pub key_marks: KeyMarks,
-    /// Replicas that may take work.
+    /// Snapshot of the replicas' records.
     pub replicas: ArcSwap<ReplicaTable>,
-    /// Newest named version by model.
+    /// Newest weight version that a trainer named, by model.
     pub named_versions: Mutex<BTreeMap<Arc<str>, u64>>,
-    /// Steps and the lease.
     index: Mutex<Index>,
-    /// Counts changes of the index.
+    /// Number of changes of the index; subscribers wake on each.
     pub index_changes: watch::Sender<u64>,
-    /// When the index was last known to be read to its end; 0 before.
+    /// When the index was last read to its end; 0 if never.
     index_current_ms: AtomicU64,
     /// Whether the last read of the index failed.
     pub index_failing: AtomicBool,
-    /// Notified when the index was read to its end.
+    /// Notified each time the index has been read to its end.
     pub index_read: Notify,
-    /// Who needs the newest records of the store.
+    /// Tasks and clients that need the newest records; sets the pace of reads.
     pub demand: Demand,
-    /// Whether the replicas' records were read.
+    /// 1 once the replicas' records have been read, 0 before.
     pub replicas_read: AtomicU64,
-    /// Since when results can't be written; 0 while they can.
+    /// Since when appends of results fail; 0 while they succeed.
     pub unwritable_since_ms: AtomicU64,
-    /// What this front runs.
+    /// Partitions that this front owns.
     pub ownership: ArcSwap<Ownership>,
-    /// Whether partitions were dealt to others since the runner looked.
+    /// Whether the group's assignment of partitions has changed since the runner last checked.
     pub partitions_moved: AtomicBool,
-    /// Places of model replicas that a shard has, by the size of the fronts that run shards.
+    /// Slots of model replicas per shard. Depends on whether large or small fronts run the shards.
     pub shard_places: AtomicU32,
     /// Wakes the task that runs items.
     pub runner_wakeup: Notify,
-    /// Turns true when a leaving front has saved the texts that it was making.
+    /// Turns true once a leaving front has saved its partial texts.
     pub texts_saved: watch::Sender<bool>,
-    /// Wakes the task that gives orders.
+    /// Wakes the task that gives orders to replicas.
     pub leader_wakeup: Notify,
-    /// Usage of customers, at the holder of the lease.
+    /// Usage of customers; maintained only while this front holds the lease.
     usage: Mutex<UsageLedger>,
-    /// When the records of usage were last known to be read to their end; 0 before.
+    /// When the usage log was last read to its end; 0 if never.
     usage_current_ms: AtomicU64,
-    /// Counts customers' requests.
     pub meter: Meter,
-    /// The drain of this process.
     pub drain: Drain,
-    /// Turns true when kept connections of clients close.
+    /// Turns true when idle connections of clients are to be closed.
     pub close_connections: watch::Sender<bool>,
+    /// Typical latency by route.
     typical: Mutex<HashMap<Arc<str>, Arc<Typical>>>,
 }
 
 impl Front {
-    /// The state of a front that knows nothing yet.
+    /// State before anything was read from the store.
     pub fn new(settings: FrontSettings, lease: Lease, drain: Drain, metrics: Metrics) -> Self {
         Self {
             started_ms: now_ms(),
@@ -132,49 +129,49 @@
         }
     }
 
-    /// Steps and the lease. Not held across a wait.
+    /// Locks the steps and the lease. The guard must not be held across an await.
     pub fn index(&self) -> MutexGuard<'_, Index> {
         lock(&self.index)
     }
 
-    /// Usage of customers. Not held across a wait.
+    /// Locks the usage of customers. The guard must not be held across an await.
     pub fn usage(&self) -> MutexGuard<'_, UsageLedger> {
         lock(&self.usage)
     }
 
-    /// Notes that the records of usage were read to their end at `now_ms`.
+    /// Records that the usage log was read to its end at `now_ms`.
     pub fn mark_usage_current(&self, now_ms: u64) {
         self.usage_current_ms.store(now_ms, Ordering::Relaxed);
     }
 
-    /// How old the knowledge of usage is, in milliseconds.
+    /// Time since the usage log was last read to its end, in milliseconds.
     pub fn usage_age_ms(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.usage_current_ms.load(Ordering::Relaxed))
     }
 
-    /// Notes that the operator's records were read to their end at `now_ms`.
+    /// Records that the operator's records were read to their end at `now_ms`.
     pub fn mark_operator_records_current(&self, now_ms: u64) {
         self.operator_records_current_ms
             .store(now_ms, Ordering::Relaxed);
     }
 
-    /// How old the knowledge of the configuration is, in milliseconds.
+    /// Time since the operator's records were last read to their end, in milliseconds.
     pub fn operator_records_age_ms(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.operator_records_current_ms.load(Ordering::Relaxed))
     }
 
-    /// Notes that the index was read to its end at `now_ms`.
+    /// Records that the index was read to its end at `now_ms`, and wakes read barriers.
     pub fn mark_index_current(&self, now_ms: u64) {
         self.index_current_ms.store(now_ms, Ordering::Relaxed);
         self.index_read.notify_waiters();
     }
 
-    /// When the index was last known to be read to its end, in milliseconds; 0 before.
+    /// When the index was last read to its end; 0 if never.
     pub fn index_current_ms(&self) -> u64 {
         self.index_current_ms.load(Ordering::Relaxed)
     }
 
-    /// How old the knowledge of the index is, in milliseconds; none before it was read once.
+    /// Time since the index was last read to its end, in milliseconds; `None` if it never was.
     pub fn index_age_ms(&self, now_ms: u64) -> Option<u64> {
         match self.index_current_ms() {
             0 => None,
@@ -182,7 +179,7 @@
         }
     }
 
-    /// How long results could not be written, in milliseconds; 0 while they can.
+    /// How long appends of results have failed, in milliseconds; 0 while they succeed.
     pub fn unwritable_ms(&self, now_ms: u64) -> u64 {
         match self.unwritable_since_ms.load(Ordering::Relaxed) {
             0 => 0,
@@ -190,45 +187,47 @@
         }
     }
 
-    /// Whether clients may be sent here. A front that is cut off from the store alone has nothing
-    /// for trainers, who read nothing there for as long as the cut lasts. A store that is down
-    /// for all is heard of, as a rule; where it isn't, no front is ready and the balancer uses
-    /// all of them, also those that leave.
+    /// Whether the load balancer may send clients to this front. A front that is cut off from the
+    /// store is not ready, as trainers could not read any results there. An outage of the store
+    /// usually still brings error answers, so the fronts stay ready. If the store is silent for all
+    /// fronts, none is ready, and the balancer then sends requests to all of them, including those
+    /// that are leaving.
     pub fn is_ready(&self) -> bool {
         let now_ms = now_ms();
         self.routes.load().is_some()
             && self.replicas_read.load(Ordering::Relaxed) > 0
             && self.index_age_ms(now_ms).is_some()
-            && self.storage.silent_ms(now_ms) < READY_SILENT_MS_MAX
+            && self.storage.silent_ms(now_ms) < READY_SILENCE_MS_MAX
             && self.drain.is_ready()
     }
 
-    /// How long calls of this route take.
+    /// Estimate of the latency of a route's calls, shared by all calls of the route.
     pub fn typical(&self, route: &Arc<str>) -> Arc<Typical> {
         let mut typical = lock(&self.typical);
         if let Some(known) = typical.get(route) {
             return Arc::clone(known);
         }
-        let new = Arc::new(Typical::new(TYPICAL_GUESS_MS));
+        let new = Arc::new(Typical::new(INITIAL_LATENCY_MS));
         typical.insert(Arc::clone(route), Arc::clone(&new));
         new
     }
 
-    /// Whether this front runs a shard of a step now.
+    /// Whether this front may start runs of a shard's items now.
     pub fn owns_shard(&self, head: &StepHead, shard: u16, now_ms: u64) -> bool {
         self.ownership
             .load()
             .owns(self.partition(head, shard), now_ms)
     }
 
-    /// Whether runs of items of a shard that were begun here may go on.
+    /// Whether runs of a shard's items that were started here may continue.
     pub fn may_finish(&self, head: &StepHead, shard: u16) -> bool {
         self.ownership
             .load()
             .may_finish(self.partition(head, shard))
     }
 
-    /// Whether another front has a shard and must be told of its items that this one runs.
+    /// Whether another front owns the shard now and must be notified of the items that this front
+    /// still runs.
     pub fn is_handed_on(&self, head: &StepHead, shard: u16) -> bool {
         self.ownership
             .load()
@@ -240,13 +239,15 @@
     }
 }
 
+/// Windows of usage reports; `None` if the settings ask for no reports.
 fn report_windows(settings: &FrontSettings) -> Option<WindowSettings> {
     let duties = settings.duties.as_ref()?;
     let windows = WindowSettings::new(duties.window_ms, duties.report_due_ms);
     duties.reports_usage.then_some(windows)
 }
 
-/// Takes a lock; a panic under it left a whole value, as each change is one assignment.
+/// Locks a mutex and ignores poisoning: each update under the lock is a single assignment, so a
+/// panic leaves a consistent value.
 pub fn lock<T>(lock: &Mutex<T>) -> MutexGuard<'_, T> {
     lock.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/components/front/src/storage.rs
+++ b/components/front/src/storage.rs
@@ -1,5 +1,7 @@
-//! The platform's store as the tasks of a front use it: one client, whose calls tell each
-//! other when the store is back.
+//! Client of the platform's store, shared by all tasks of a front.
+//!
+//! The tasks also share what their calls reveal about the store's availability: once one call
+//! succeeds after an outage, pauses end and calls from before the recovery are abandoned.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,21 +15,19 @@
 use crate::clock::now_ms;
 use crate::store_calls::{GROUP, StoreCalls, TopicCalls};
 
-/// Where a read goes on, and how much it brings.
+/// Start and limits of a read.
 pub struct ReadRequest<'a> {
-    /// Topic.
     pub topic: &'a str,
-    /// Its partition.
     pub partition: u32,
-    /// First offset.
+    /// Offset of the first record to read.
     pub offset: u64,
-    /// Most kibibytes.
+    /// Limit on the size of the returned records, in kibibytes.
     pub max_kb: u32,
-    /// How long the read may wait for a record, in milliseconds.
+    /// How long the store may wait for a record before it answers, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// Records of the data topic from an offset on; data is there when its place is known.
+/// A read of the data topic without waiting: data is stored before any record refers to it.
 pub fn data_read(partition: u32, offset: u64, max_kb: u32) -> ReadRequest<'static> {
     ReadRequest {
         topic: DATA_TOPIC,
@@ -38,53 +38,53 @@
     }
 }
 
-/// The store and whether it is within reach.
+/// Client of the store, with its availability and counts of its calls.
 pub struct Storage {
     store: Store,
     reach: Reach,
-    /// Calls by topic.
+    /// Counts of calls by topic.
     pub calls: StoreCalls,
-    /// When anything was heard of the store last, in milliseconds.
-    heard_ms: AtomicU64,
+    /// When the store last answered a call, even with an error, in milliseconds of [`now_ms`].
+    last_answer_ms: AtomicU64,
 }
 
 impl Storage {
-    /// A client of the store at `address`; connects when it is first used.
+    /// Client of the store at `address`; connects with the first call.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             store: Store::new(address),
             reach: Reach::default(),
             calls: StoreCalls::default(),
-            heard_ms: AtomicU64::new(now_ms()),
+            last_answer_ms: AtomicU64::new(now_ms()),
         }
     }
 
-    /// Goes to another address from the next call on; true if it is another one.
-    pub fn move_to(&self, address: SocketAddr) -> bool {
+    /// Sets the store's address for the following calls; true if the address changed.
+    pub fn set_address(&self, address: SocketAddr) -> bool {
         self.store.move_to(address)
     }
 
-    /// How often the store was lost and came back.
+    /// How often the store became available again after an outage.
     pub fn recoveries(&self) -> u64 {
         self.reach.returns()
     }
 
-    /// Whether the last call that ended found the store out of reach.
-    pub fn is_lost(&self) -> bool {
+    /// Whether the last completed call found the store unavailable.
+    pub fn is_unavailable(&self) -> bool {
         self.reach.is_lost()
     }
 
-    /// How long nothing was heard of the store, in milliseconds: no answer, not even a refusal.
+    /// Time since the store last answered a call, even with an error, in milliseconds.
     pub fn silent_ms(&self, now_ms: u64) -> u64 {
-        now_ms.saturating_sub(self.heard_ms.load(Ordering::Relaxed))
+        now_ms.saturating_sub(self.last_answer_ms.load(Ordering::Relaxed))
     }
 
-    /// Waits, until the store is back at most.
+    /// Sleeps for `pause_ms`; ends early if the store becomes available again.
     pub async fn pause(&self, pause_ms: u64) {
         self.reach.pause(Duration::from_millis(pause_ms)).await;
     }
 
-    /// Appends records to a partition; gives the offset of the first.
+    /// Appends records to a partition; returns the offset of the first.
     pub async fn append(
         &self,
         topic: &str,
@@ -98,7 +98,7 @@
         self.call(calls, append).await
     }
 
-    /// Reads records.
+    /// Reads records from one partition.
     pub async fn read(&self, from: ReadRequest<'_>, within: Duration) -> Result<Page, StoreError> {
         let ReadRequest {
             topic,
@@ -117,7 +117,7 @@
         Ok(page)
     }
 
-    /// One record of the data topic; `max_kb` is at least its length.
+    /// Reads one record of the data topic. `max_kb` must be at least the record's length.
     pub async fn read_data_record(
         &self,
         partition: u32,
@@ -132,7 +132,7 @@
         first.ok_or_else(|| StoreError::Malformed(format!("no record at {offset}")))
     }
 
-    /// The newest record of each key of a keyed topic, and the end to read on from.
+    /// Reads the newest record of each key of a keyed topic, and the offset to continue from.
     pub async fn read_newest(
         &self,
         topic: &str,
@@ -145,7 +145,7 @@
         Ok((records, end))
     }
 
-    /// Joins a group or stays in it.
+    /// Joins a group, or renews the membership.
     pub async fn join(
         &self,
         group: &str,
@@ -161,8 +161,8 @@
         self.group_call(join).await
     }
 
-    /// Partitions of a group that have an owner, with its name.
-    pub async fn owners(
+    /// Reads which partitions of a group have an owner, with the owner's name.
+    pub async fn read_owners(
         &self,
         group: &str,
         within: Duration,
@@ -170,7 +170,6 @@
         self.group_call(self.store.owners(group, within)).await
     }
 
-    /// Leaves a group.
     pub async fn leave(
         &self,
         group: &str,
@@ -181,12 +180,13 @@
             .await
     }
 
+    /// Makes a call whose outcome updates the store's availability.
     async fn call<T>(
         &self,
         calls: &TopicCalls,
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
-        let sign_of = |error: &StoreError| match error {
+        let availability_of = |error: &StoreError| match error {
             StoreError::Unsure(_)
             | StoreError::NotDone(_)
             | StoreError::Unreachable(_)
@@ -196,11 +196,12 @@
             }
             StoreError::Throttled(_) => Sign::Nothing,
         };
-        let outcome = self.reach.call(call, sign_of).await;
-        self.note(calls, outcome.unwrap_or_else(left_behind))
+        let outcome = self.reach.call(call, availability_of).await;
+        self.record_outcome(calls, outcome.unwrap_or_else(abandoned))
     }
 
-    /// A store that refuses every record still serves its groups, so that a join says nothing.
+    /// Makes a call about a group. The outcome does not update the store's availability, since a
+    /// store that refuses all records may still serve its groups.
     async fn group_call<T>(
         &self,
         call: impl Future<Output = Result<T, StoreError>>,
@@ -208,21 +209,26 @@
         let calls = self.calls.of(GROUP);
         calls.count_read();
         let outcome = self.reach.follow(call).await;
-        self.note(calls, outcome.unwrap_or_else(left_behind))
+        self.record_outcome(calls, outcome.unwrap_or_else(abandoned))
     }
 
-    fn note<T>(&self, calls: &TopicCalls, outcome: Result<T, StoreError>) -> Result<T, StoreError> {
+    fn record_outcome<T>(
+        &self,
+        calls: &TopicCalls,
+        outcome: Result<T, StoreError>,
+    ) -> Result<T, StoreError> {
         if let Err(error) = &outcome {
             calls.count_error(error);
         }
         if !outcome.as_ref().is_err_and(StoreError::is_silence) {
-            self.heard_ms.store(now_ms(), Ordering::Relaxed);
+            self.last_answer_ms.store(now_ms(), Ordering::Relaxed);
         }
         outcome
     }
 }
 
-fn left_behind<T>() -> Result<T, StoreError> {
-    let why = "the store is back and has not answered";
+/// Outcome of a call that was abandoned because the store recovered before answering it.
+fn abandoned<T>() -> Result<T, StoreError> {
+    let why = "call abandoned: the store recovered without answering the call";
     Err(StoreError::Unsure(why.to_owned()))
 }
--- a/components/front/src/stream.rs
+++ b/components/front/src/stream.rs
@@ -14,7 +14,7 @@
 use platform::{BodyError, ReplyBody};
 use tokio::sync::mpsc;
 
-use crate::calls::{CallSpec, choose_replica};
+use crate::calls::{CallSpec, choose_in_service};
 use crate::clock::now_ms;
 use crate::meter::CountedRequest;
 use crate::peers::Member;
@@ -63,7 +63,7 @@
     let table = front.replicas.load();
     let service = spec.route.draw(rand::random())?;
     let typical = front.typical(&spec.route.name);
-    choose_replica(front, &table, service, &typical, tried, false)
+    choose_in_service(front, &table, service, &typical, tried, false)
 }
 
 async fn begin(member: &Member, spec: &CallSpec<'_>) -> Result<Response<ReplyBody>, NotStarted> {
