--- a/components/front/src/leader.rs
+++ b/components/front/src/leader.rs
@@ -1,4 +1,4 @@
-//! The task that gives orders to model replicas while this front holds the lease.
+//! The task that orders model replicas to load weights while this front holds the lease.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -18,60 +18,65 @@
 use crate::state::{Front, lock};
 use crate::writer::write_index;
 
-/// How often the lease and the plan are looked at, in milliseconds.
-const LOOK_MS: u64 = 100;
-/// How old the knowledge of the log may be for taking part in the lease, in milliseconds.
+/// Interval at which the lease and the plan of loads are checked, in milliseconds.
+const POLL_MS: u64 = 100;
+/// A front takes part in the lease only if it has read the index to its end within this time, in
+/// milliseconds.
 const INDEX_AGE_MS_MAX: u64 = 1_000;
-/// How long a load that was accepted is waited for, in milliseconds, before the replica is
-/// asked again: a load takes 0.9 s alone and several times that beside others.
-const LOAD_MS: u64 = 4_000;
-/// The same where the replica finishes its texts first: the longest take six seconds.
-const WAITING_LOAD_MS: u64 = 10_000;
+/// How long to wait for an accepted load before the replica is ordered again, in milliseconds. A
+/// load takes 0.9 s alone, and several times as long while other replicas load.
+const LOAD_TIMEOUT_MS: u64 = 4_000;
+/// As [`LOAD_TIMEOUT_MS`], if the replica finishes its texts before the load. The longest texts take
+/// six seconds.
+const WAITING_LOAD_TIMEOUT_MS: u64 = 10_000;
 /// Pause after an order that was not accepted, in milliseconds.
-const PAUSE_MS: u64 = 300;
+const RETRY_PAUSE_MS: u64 = 300;
 
-/// What this front ordered at a replica.
-struct Ordered {
+/// An order that this front sent to a replica.
+struct PendingOrder {
     model: Arc<str>,
     version: u64,
+    /// When the order counts as failed and the replica may get another one.
     until_ms: u64,
+    /// Whether the replica accepted the order or its answer is still awaited.
     accepted: bool,
 }
 
-/// Orders in progress, by replica.
-type InProgress = Arc<Mutex<HashMap<ReplicaId, Ordered>>>;
+/// Pending orders by replica.
+type PendingOrders = Arc<Mutex<HashMap<ReplicaId, PendingOrder>>>;
 
-/// Takes the lease when it is free, keeps it, and gives orders while it holds.
+/// Acquires the lease when it is free, renews it, and gives orders while this front holds it.
 pub async fn lead(front: Arc<Front>) {
-    let ordered: InProgress = Arc::default();
+    let ordered: PendingOrders = Arc::default();
     let mut reports = Reports::new(&front);
-    let mut led = false;
+    let mut was_held = false;
     loop {
         tokio::select! {
             () = front.leader_wakeup.notified() => {}
-            () = tokio::time::sleep(Duration::from_millis(LOOK_MS)) => {}
+            () = tokio::time::sleep(Duration::from_millis(POLL_MS)) => {}
         }
         let now_ms = now_ms();
         let held = front.index().lease.is_held_here();
-        if held != led {
-            led = held;
+        if held != was_held {
+            was_held = held;
             log::info!(event = "lease-changed", held; "");
             front.demand.set_active(Activity::Orders, held);
             lock(&ordered).clear();
         }
         let (loads, report) = match held {
             true => (
-                planned(&front, &ordered, now_ms),
-                reports.look(&front, now_ms),
+                planned_loads(&front, &ordered, now_ms),
+                reports.seal_and_take_due(&front, now_ms),
             ),
             false => (Vec::new(), None),
         };
-        keep_lease(&front, !loads.is_empty() || report.is_some(), now_ms);
-        // An announcement just written comes back through the log and wakes this task.
+        update_lease(&front, !loads.is_empty() || report.is_some(), now_ms);
+        // Without an announcement there is no fencing token yet. The announcement was just sent; when
+        // it is read back from the index, it wakes this task.
         let fence = front.index().lease.fence(now_ms);
         if let Some(fence) = fence {
             for load in loads {
-                begin_order(&front, &ordered, load);
+                start_order(&front, &ordered, load);
             }
             if let Some(report) = report {
                 reports.send(&front, report, fence);
@@ -80,7 +85,9 @@
     }
 }
 
-fn keep_lease(front: &Arc<Front>, wants_orders: bool, now_ms: u64) {
+/// Writes the next record of the lease, if one is due: to acquire it, to renew it or to announce
+/// orders.
+fn update_lease(front: &Arc<Front>, wants_orders: bool, now_ms: u64) {
     let record = {
         let mut index = front.index();
         let owns = !front.ownership.load().partitions().is_empty();
@@ -89,7 +96,7 @@
         }
         let read_since_ms = index.read_since_ms;
         match front.index_age_ms(now_ms) {
-            // Who does not read the log does not know whether the lease is free.
+            // Only a front with a current index knows whether the lease is free.
             Some(age_ms) if age_ms < INDEX_AGE_MS_MAX => {
                 index.lease.next_record(read_since_ms, wants_orders, now_ms)
             }
@@ -106,7 +113,7 @@
     }
 }
 
-/// Gives the lease up, so that another front need not wait for its silence.
+/// Releases the lease, so that another front can acquire it without waiting for it to expire.
 pub async fn release_lease(front: &Front) {
     let record = front.index().lease.give_up();
     if let Some(record) = record
@@ -116,15 +123,15 @@
     }
 }
 
-/// A load to order.
-struct Planned {
+/// A load that the plan asks for.
+struct PlannedLoad {
     member: Member,
     model: Arc<str>,
     version: u64,
     mode: LoadMode,
 }
 
-fn planned(front: &Front, ordered: &InProgress, now_ms: u64) -> Vec<Planned> {
+fn planned_loads(front: &Front, ordered: &PendingOrders, now_ms: u64) -> Vec<PlannedLoad> {
     let routes = front.routes.load_full();
     let Some(routes) = routes else {
         return Vec::new();
@@ -141,16 +148,16 @@
             .iter()
             .filter(|member| !member.replica.draining)
             .collect();
-        let models = models(front, &service.models);
-        // Texts that may mix versions go on under the new one; others would be begun anew,
-        // and a long one that is begun anew ends its step late.
+        let models = plan_models(front, &service.models);
+        // Texts that may mix versions continue with the new weights. Texts that need a single
+        // version would have to be restarted, and restarting a long text delays its step.
         let mode = match routes.needs_one_version(name) {
             true => LoadMode::Wait,
             false => LoadMode::Retain,
         };
-        let fleet = fleet(&members, models, ordered, now_ms);
+        let fleet = plan_fleet(&members, models, ordered, now_ms);
         for load in plan(&fleet, &OrderSettings::default()) {
-            all.push(Planned {
+            all.push(PlannedLoad {
                 member: members[load.node].clone(),
                 model: Arc::clone(&service.models[load.model]),
                 version: load.version,
@@ -161,7 +168,7 @@
     all
 }
 
-fn models(front: &Front, names: &[Arc<str>]) -> Vec<Model> {
+fn plan_models(front: &Front, names: &[Arc<str>]) -> Vec<Model> {
     let newest = newest_steps(front);
     let named = lock(&front.named_versions);
     let model = |name: &Arc<str>| {
@@ -185,17 +192,23 @@
         .collect()
 }
 
-fn fleet(members: &[&Member], models: Vec<Model>, ordered: &InProgress, now_ms: u64) -> Fleet {
+/// The state of the replicas for the plan. Drops pending orders that are done or timed out.
+fn plan_fleet(
+    members: &[&Member],
+    models: Vec<Model>,
+    ordered: &PendingOrders,
+    now_ms: u64,
+) -> Fleet {
     let mut ordered = lock(ordered);
     ordered.retain(|id, order| {
         let member = members.iter().find(|member| member.replica.id == *id);
-        let arrived = member.is_some_and(|member| {
+        let loaded = member.is_some_and(|member| {
             member
                 .replica
                 .version_of(&order.model)
                 .is_some_and(|held| held >= order.version)
         });
-        !arrived && member.is_some() && now_ms < order.until_ms
+        !loaded && member.is_some() && now_ms < order.until_ms
     });
     let node = |member: &&Member| {
         let order = ordered.get(&member.replica.id);
@@ -218,19 +231,20 @@
     Fleet { models, nodes }
 }
 
-fn begin_order(front: &Arc<Front>, ordered: &InProgress, load: Planned) {
-    let Planned {
+/// Sends an order in a task of its own.
+fn start_order(front: &Arc<Front>, ordered: &PendingOrders, load: PlannedLoad) {
+    let PlannedLoad {
         member,
         model,
         version,
         mode,
     } = load;
-    let load_ms = match mode {
-        LoadMode::Wait => WAITING_LOAD_MS,
-        LoadMode::Retain => LOAD_MS,
+    let timeout_ms = match mode {
+        LoadMode::Wait => WAITING_LOAD_TIMEOUT_MS,
+        LoadMode::Retain => LOAD_TIMEOUT_MS,
     };
-    let until_ms = now_ms() + load_ms;
-    let order = Ordered {
+    let until_ms = now_ms() + timeout_ms;
+    let order = PendingOrder {
         model: Arc::clone(&model),
         version,
         until_ms,
@@ -239,7 +253,7 @@
     lock(ordered).insert(Arc::clone(&member.replica.id), order);
     let (front, ordered) = (Arc::clone(front), Arc::clone(ordered));
     tokio::spawn(async move {
-        let answer = give_order(&front, &member, &model, version, mode).await;
+        let answer = send_order(&front, &member, &model, version, mode).await;
         let id = &*member.replica.id;
         match &answer {
             Ok(Some(answer)) => log::info!(
@@ -252,17 +266,17 @@
                 event = "order-failed", replica = id, model = &*model, version, error:% = error; ""
             ),
         }
-        let done = matches!(answer, Ok(Some(OrderAnswer::Accepted | OrderAnswer::Holds)));
-        if !done && let Some(order) = lock(&ordered).get_mut(&member.replica.id) {
+        let is_accepted = matches!(answer, Ok(Some(OrderAnswer::Accepted | OrderAnswer::Holds)));
+        if !is_accepted && let Some(order) = lock(&ordered).get_mut(&member.replica.id) {
             order.accepted = false;
-            order.until_ms = now_ms() + PAUSE_MS;
+            order.until_ms = now_ms() + RETRY_PAUSE_MS;
         }
     });
 }
 
-/// Reads the replica's report and gives the order that fits it; none where the lease has run
-/// out meanwhile or the replica is busy.
-async fn give_order(
+/// Reads the replica's report and sends the order. `None` if the replica is busy or this front may
+/// no longer give orders.
+async fn send_order(
     front: &Front,
     member: &Member,
     model: &str,
@@ -271,8 +285,9 @@
 ) -> Result<Option<OrderAnswer>, ReplicaError> {
     let instance = &*member.replica.id;
     let mut connection = member.peer.connection(&member.replica).await?;
-    // An earlier order without an answer may still be carried out. The count of accepted
-    // orders tells: the later of the two finds another count than it names and is refused.
+    // An earlier order whose answer was lost may still be executed. Each order therefore names the
+    // number of orders that the replica has accepted so far; of two orders with the same number the
+    // replica refuses the later one.
     let report = replica::report(&mut connection, instance).await?;
     let held = report.models.iter().find(|held| held.0 == model);
     if held.is_some_and(|held| held.1 >= version) {
--- a/components/front/src/member.rs
+++ b/components/front/src/member.rs
@@ -1,9 +1,10 @@
 //! Membership in the group of fronts that run steps.
 //!
-//! The store deals partitions to members, and a shard of the steps is run by the owner of its
-//! partition. Two owners for a moment cost runs of items, never a result: the index says
-//! which result holds. So partitions that are dealt anew at any time do no harm. Fronts with
-//! little processor time are members only while no other front is one.
+//! The store assigns partitions to the members of the group, and the owner of a partition runs the
+//! shards of steps that map to it. If two fronts own a partition for a short time, some items run
+//! twice, but no result is lost or duplicated, because the index decides which result is valid.
+//! Rebalancing is therefore safe at any time. Fronts with a small CPU share join the group only
+//! while no larger front is a member.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -20,71 +21,73 @@
 use crate::clock::now_ms;
 use crate::state::Front;
 
-/// How long results may be unwritable before the models go to another front, in
-/// milliseconds; a slow store answers within 240.
-const UNWRITABLE_MS: u64 = 800;
-/// Longest time for a join, in milliseconds.
-const WITHIN_MS: u64 = 700;
+/// How long appends of results may fail before the front gives its shards to other fronts, in
+/// milliseconds. Well above the 240 ms that a slow store takes to answer.
+const UNWRITABLE_MS_MAX: u64 = 800;
+/// Timeout of one call about the group, in milliseconds.
+const GROUP_TIMEOUT_MS: u64 = 700;
 
-/// Least share of a core, in thousandths, of a front that runs shards beside others of its like.
-/// A shard of 96 places keeps a front at work for a twentieth of a core on average, and for
-/// several times that while steps begin.
-const LARGE_THOUSANDTHS: u32 = 200;
-/// Pause between looks at who owns partitions, in milliseconds, of a front that stands by.
-const STANDBY_MS: u64 = 1_000;
-/// Begins the names of members that stand by for others.
+/// CPU share, in thousandths of a core, from which a front counts as large and always joins the
+/// group. A shard of 96 slots takes a twentieth of a core on average, and several times as much
+/// while steps start.
+const LARGE_CPU_THOUSANDTHS: u32 = 200;
+/// Interval at which a small front on standby checks who owns partitions, in milliseconds.
+const STANDBY_POLL_MS: u64 = 1_000;
+/// Prefix of the member names of small fronts.
 const STANDBY_PREFIX: &str = "standby:";
 
-/// Times of the membership.
-pub fn settings(settings: &FrontSettings) -> OwnershipSettings {
+/// Time limits of the membership.
+pub fn ownership_settings(settings: &FrontSettings) -> OwnershipSettings {
     OwnershipSettings {
         ttl_ms: MEMBER_TTL_MS.max(settings.store.member_ttl_min_ms),
-        unwritable_ms_max: UNWRITABLE_MS,
+        unwritable_ms_max: UNWRITABLE_MS_MAX,
     }
 }
 
-/// Stays in the group until the process leaves.
-pub async fn stay(front: Arc<Front>) {
-    let mut ownership = Ownership::new(settings(&front.settings));
+/// Keeps up the membership in the group until the process starts to leave.
+pub async fn maintain(front: Arc<Front>) {
+    let mut ownership = Ownership::new(ownership_settings(&front.settings));
     let mut standby = is_small(&front).then(Standby::default);
-    let mut settling_until_ms = 0;
+    let mut rebalancing_until_ms = 0;
     while front.drain.is_ready() {
         if let Some(standby) = &mut standby
-            && !takes_part(&front, standby).await
+            && !should_join(&front, standby).await
         {
             if !ownership.partitions().is_empty() {
-                step_down(&front, &mut ownership, "larger fronts are back").await;
+                step_down(&front, &mut ownership, "larger fronts own partitions").await;
             }
-            front.storage.pause(STANDBY_MS).await;
+            front.storage.pause(STANDBY_POLL_MS).await;
             continue;
         }
         let unwritable_ms = front.unwritable_ms(now_ms());
         match ownership.next(unwritable_ms) {
             Next::Join { generation } => {
                 let changed = join(&front, &mut ownership, generation).await;
-                // Of hundreds of fronts few have a partition to hand on or to wait for.
+                // A front without partitions has none to release or to wait for; in a large fleet
+                // that is true of most fronts.
                 if changed && !ownership.partitions().is_empty() {
-                    settling_until_ms = now_ms() + SETTLING_MS;
+                    rebalancing_until_ms = now_ms() + SETTLING_MS;
                 }
             }
             Next::StepDown => {
-                step_down(&front, &mut ownership, "results cannot be written").await;
+                step_down(&front, &mut ownership, "appends of results fail").await;
             }
             Next::Wait => {}
         }
-        let settling = now_ms() < settling_until_ms;
-        let pause_ms = join_interval_ms(settling);
+        let rebalancing = now_ms() < rebalancing_until_ms;
+        let pause_ms = join_interval_ms(rebalancing);
         front.storage.pause(pause_ms).await;
     }
 }
 
 fn is_small(front: &Front) -> bool {
-    front.settings.processor_thousandths < LARGE_THOUSANDTHS
+    front.settings.processor_thousandths < LARGE_CPU_THOUSANDTHS
 }
 
-/// Whether a front that stands by takes part now.
-async fn takes_part(front: &Front, standby: &mut Standby) -> bool {
-    let within = Duration::from_millis(WITHIN_MS);
+/// Whether a small front should be a member now: reads who owns partitions, and sets the shard size
+/// for fronts of that size.
+async fn should_join(front: &Front, standby: &mut Standby) -> bool {
+    let within = Duration::from_millis(GROUP_TIMEOUT_MS);
     match front.storage.read_owners(RUNNER_GROUP, within).await {
         Ok(owners) => {
             let larger = |(_, owner): &(u32, String)| !owner.starts_with(STANDBY_PREFIX);
@@ -92,16 +95,16 @@
         }
         Err(error) => log::warn!(event = "owners-not-read", error:% = error; ""),
     }
-    let takes_part = standby.takes_part(now_ms());
-    let shard_places = match takes_part {
+    let should_join = standby.takes_part(now_ms());
+    let shard_places = match should_join {
         true => SMALL_SHARD_PLACES,
         false => LARGE_SHARD_PLACES,
     };
     front.shard_places.store(shard_places, Ordering::Relaxed);
-    takes_part
+    should_join
 }
 
-/// Gives all partitions up, so that other members are dealt them.
+/// Releases all partitions, so that the store assigns them to other members.
 async fn step_down(front: &Front, ownership: &mut Ownership, why: &str) {
     log::warn!(event = "stepping-down", unwritable_ms = front.unwritable_ms(now_ms()), why; "");
     ownership.step_down();
@@ -112,7 +115,7 @@
     }
 }
 
-/// Joins or stays; true if the group changed.
+/// Joins the group or renews the membership; true if the assignment of partitions changed.
 async fn join(front: &Front, ownership: &mut Ownership, generation: u64) -> bool {
     let sent_ms = now_ms();
     let joined = front
@@ -123,7 +126,7 @@
             RUNNER_TOPIC,
             ownership.ttl_ms(),
             generation,
-            Duration::from_millis(WITHIN_MS),
+            Duration::from_millis(GROUP_TIMEOUT_MS),
         )
         .await;
     match joined {
@@ -135,8 +138,8 @@
                     partitions:? = ownership.partitions(); ""
                 );
             }
-            let succeeds = lease::is_successor(ownership.partitions().iter());
-            front.demand.set_active(Activity::Succession, succeeds);
+            let is_successor = lease::is_successor(ownership.partitions().iter());
+            front.demand.set_active(Activity::Succession, is_successor);
             front.ownership.store(Arc::new(ownership.clone()));
             if changed {
                 front.partitions_moved.store(true, Ordering::Relaxed);
@@ -152,20 +155,21 @@
     }
 }
 
-/// Hands the partitions to others at once; while the store does not know of it, they stand
-/// still for a time to live that it may not count while it is away, so it is told again.
+/// Releases all partitions when the front shuts down. Until the store has processed the leave,
+/// nobody runs the partitions; their time to live may not expire while the store is down. The leave
+/// is therefore retried until it succeeds.
 pub async fn leave(front: Arc<Front>) {
-    let mut given_up = Ownership::clone(&front.ownership.load());
-    given_up.step_down();
-    front.ownership.store(Arc::new(given_up));
+    let mut released = Ownership::clone(&front.ownership.load());
+    released.step_down();
+    front.ownership.store(Arc::new(released));
     while !leave_group(&front).await {
         front.storage.pause(join_interval_ms(false)).await;
     }
 }
 
-/// Whether the store knows of it.
+/// Leaves the group; true if the store confirmed it.
 async fn leave_group(front: &Front) -> bool {
-    let within = Duration::from_millis(WITHIN_MS);
+    let within = Duration::from_millis(GROUP_TIMEOUT_MS);
     let left = front
         .storage
         .leave(RUNNER_GROUP, &member_name(front), within)
--- a/components/front/src/meter.rs
+++ b/components/front/src/meter.rs
@@ -1,8 +1,9 @@
-//! How often customers' requests begin to run, noted here and written to the log of usage.
+//! Counts customers' requests and appends the counts to the usage log.
 //!
-//! A count is noted when a request has ended, for the moment at which it was sent to the replica
-//! that ran it first. Counts are written several times a window, so that a front that is killed
-//! loses those of a moment; one that is told to stop writes them before it ends.
+//! A request is counted when it ends, in the window of the time at which it was sent to the first
+//! replica that ran it. Counts are written several times per window, so a front that is killed
+//! loses only the last fraction of a second. A front that shuts down writes all counts before it
+//! exits.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -16,95 +17,96 @@
 use crate::state::{Front, lock};
 use crate::writer::{append_usage, until_done};
 
-/// How long counts are gathered before they are written, in milliseconds: what a front that is
-/// killed loses, against appends of each front.
-const GATHER_MS: u64 = 500;
-/// How often true time is sampled, in milliseconds.
-const SAMPLE_MS: u64 = 1_000;
+/// How long counts are batched before they are written, in milliseconds. A longer time saves
+/// appends, but a front that is killed loses the counts of this time.
+const BATCH_MS: u64 = 500;
+/// Interval of the samples of the wall clock, in milliseconds.
+const CLOCK_SAMPLE_MS: u64 = 1_000;
 
 #[derive(Default)]
-struct Noted {
+struct Pending {
     tally: Tally,
-    /// Keeps a leaving process until the counts are written.
+    /// Keeps a leaving process alive until the counts are written.
     unwritten: Option<Working>,
 }
 
-/// What this front counts.
+/// Counts of this front that are not written yet, and the series for the metrics page.
 pub struct Meter {
     windows: Option<WindowSettings>,
-    time: Mutex<TrueTime>,
-    noted: Mutex<Noted>,
+    clock: Mutex<TrueTime>,
+    pending: Mutex<Pending>,
     series: Mutex<CustomerSeries>,
-    news: Notify,
+    counted: Notify,
 }
 
 impl Meter {
-    /// Counts nothing where no report is asked for.
+    /// Without `windows` only the series for the metrics page are counted.
     pub fn new(windows: Option<WindowSettings>) -> Self {
         let meter = Self {
             windows,
-            time: Mutex::default(),
-            noted: Mutex::default(),
+            clock: Mutex::default(),
+            pending: Mutex::default(),
             series: Mutex::default(),
-            news: Notify::new(),
+            counted: Notify::new(),
         };
-        meter.sample();
+        meter.sample_clock();
         meter
     }
 
-    /// Windows of the reports; none where none is asked for.
+    /// Windows of the usage reports; `None` if the settings ask for no reports.
     pub fn windows(&self) -> Option<&WindowSettings> {
         self.windows.as_ref()
     }
 
-    /// True time at a moment of the process's clock, in milliseconds.
-    pub fn true_ms(&self, at_ms: u64) -> u64 {
-        lock(&self.time).at_ms(at_ms).unwrap_or(0)
+    /// Converts a time of [`now_ms`] to UTC, in milliseconds since 1970.
+    pub fn utc_ms(&self, at_ms: u64) -> u64 {
+        lock(&self.clock).at_ms(at_ms).unwrap_or(0)
     }
 
-    fn sample(&self) {
-        let day = SystemTime::now().duration_since(UNIX_EPOCH);
-        let day_ms = day.map_or(0, |day| day.as_millis() as u64);
-        lock(&self.time).sample(day_ms, now_ms());
+    fn sample_clock(&self) {
+        let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH);
+        let wall_ms = since_1970.map_or(0, |since_1970| since_1970.as_millis() as u64);
+        lock(&self.clock).sample(wall_ms, now_ms());
     }
 
-    /// Requests by customer for the metrics page.
+    /// Number of requests by customer, for the metrics page.
     pub fn series(&self) -> Vec<(String, u64)> {
         lock(&self.series).rows()
     }
 
-    fn note(&self, customer: &str, began_ms: u64, progress: &Progress) {
+    fn count(&self, customer: &str, began_ms: u64, progress: &Progress) {
         lock(&self.series).note(customer);
         let Some(windows) = &self.windows else { return };
-        let window = windows.window_at(self.true_ms(began_ms));
-        let mut noted = lock(&self.noted);
-        noted.tally.note(window, customer);
-        if noted.unwritten.is_none() {
-            noted.unwritten = Some(progress.enter());
+        let window = windows.window_at(self.utc_ms(began_ms));
+        let mut pending = lock(&self.pending);
+        pending.tally.note(window, customer);
+        if pending.unwritten.is_none() {
+            pending.unwritten = Some(progress.enter());
         }
-        self.news.notify_one();
+        self.counted.notify_one();
     }
 
     fn next_batch(&self) -> Option<(Batch, Option<Working>)> {
-        let mut noted = lock(&self.noted);
-        let batch = noted.tally.next_batch()?;
-        Some((batch, noted.unwritten.take()))
+        let mut pending = lock(&self.pending);
+        let batch = pending.tally.next_batch()?;
+        Some((batch, pending.unwritten.take()))
     }
 }
 
-/// Where one request was sent, and when; counted when dropped, so that one whose client goes
-/// away counts too.
+/// A customer's request with the times of its attempts. It is counted on drop, so that a request
+/// whose client disconnects is counted too.
 pub struct CountedRequest<'a> {
     front: &'a Front,
     customer: Option<&'a str>,
     sent: Vec<SentAt>,
 }
 
-/// When a request was sent to one replica; 0 while it is not, or was not run.
+/// When a request was sent to one replica, in milliseconds of [`now_ms`]; 0 if it was not sent or
+/// certainly not run.
 pub type SentAt = Arc<AtomicU64>;
 
 impl<'a> CountedRequest<'a> {
-    /// A request that was sent nowhere; one that has no customer is not counted.
+    /// A request without attempts. It is never counted if `customer` is `None`.
     pub fn new(front: &'a Front, customer: Option<&'a str>) -> Self {
         Self {
             front,
@@ -113,7 +115,7 @@
         }
     }
 
-    /// The next attempt.
+    /// Adds an attempt. The caller stores the send time in the returned value.
     pub fn start_attempt(&mut self) -> SentAt {
         let sent = SentAt::default();
         self.sent.push(Arc::clone(&sent));
@@ -127,28 +129,31 @@
         let first_ms = sent.filter(|at_ms| *at_ms > 0).min();
         if let (Some(customer), Some(first_ms)) = (self.customer, first_ms) {
             let front = self.front;
-            front.meter.note(customer, first_ms, front.drain.progress());
+            front
+                .meter
+                .count(customer, first_ms, front.drain.progress());
         }
     }
 }
 
-/// Samples true time until the process ends.
-pub async fn keep_time(front: Arc<Front>) {
+/// Samples the wall clock until the process ends.
+pub async fn sample_clock(front: Arc<Front>) {
     loop {
-        tokio::time::sleep(Duration::from_millis(SAMPLE_MS)).await;
-        front.meter.sample();
+        tokio::time::sleep(Duration::from_millis(CLOCK_SAMPLE_MS)).await;
+        front.meter.sample_clock();
     }
 }
 
-/// Writes counts until the process ends. A batch is written until the log has it, and the next
-/// one begins behind it: readers take batches of one front in the order of their numbers.
+/// Appends counts to the usage log until the process ends. Each batch is retried until it is
+/// stored, and only then is the next one created, because readers ignore a batch whose number is
+/// not above that of the writer's previous one.
 pub async fn write_counts(front: Arc<Front>) {
-    // No two lives of a front may number their batches alike.
+    // Batch numbers start at 1 in every process, so each process writes under an id of its own.
     let writer: u64 = rand::random();
     loop {
-        front.meter.news.notified().await;
+        front.meter.counted.notified().await;
         if !front.drain.is_leaving() {
-            tokio::time::sleep(Duration::from_millis(GATHER_MS)).await;
+            tokio::time::sleep(Duration::from_millis(BATCH_MS)).await;
         }
         while let Some((batch, unwritten)) = front.meter.next_batch() {
             let record = batch.record(writer);
--- a/components/front/src/reports.rs
+++ b/components/front/src/reports.rs
@@ -1,8 +1,9 @@
-//! The duty of reporting customers' usage, while this front holds the lease on orders.
+//! Reports of customers' usage to the platform, while this front holds the lease on orders.
 //!
-//! The lease is the one that orders have: a report is announced like an order and goes out
-//! under the same fencing number, so two fronts never report in turns. What a report says is not
-//! the holder's: it is what stands in the log of usage before the seal of its window.
+//! Reports use the lease of the orders: a report is announced like an order and carries the same
+//! fencing token, so two fronts never alternate in reporting. The content of a report does not
+//! depend on the lease holder: it is the sum of the usage records that precede the window's seal in
+//! the usage log.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -21,22 +22,23 @@
 use crate::state::{Front, lock};
 use crate::writer::append_usage;
 
-/// Longest time for sending a report, in milliseconds; within the time that an announcement
-/// allows, as a rule.
-const SEND_MS: u64 = 800;
-/// How long an unanswered seal is waited for, in milliseconds.
-const SEAL_AGAIN_MS: u64 = 500;
-/// How long after the store came back a window is sealed at the earliest, in milliseconds: other
-/// fronts write then what they counted meanwhile.
-const RETURN_MS: u64 = 1_500;
-
-/// How often a front that does not hold the lease looks whether it does, in milliseconds.
-const IDLE_MS: u64 = 200;
-/// How old the knowledge of usage may be for sealing and sending, in milliseconds.
+/// Timeout for sending a report, in milliseconds. Usually shorter than the time that an
+/// announcement allows.
+const SEND_TIMEOUT_MS: u64 = 800;
+/// How long to wait for a seal to appear in the log before it is written again, in milliseconds.
+const SEAL_RETRY_MS: u64 = 500;
+/// No window is sealed within this time after the store has recovered, in milliseconds, because
+/// other fronts still have to write the counts of the outage.
+const RECOVERY_MS: u64 = 1_500;
+
+/// Interval at which a front without the lease checks whether it holds it, in milliseconds.
+const IDLE_POLL_MS: u64 = 200;
+/// Windows are sealed and reported only if the usage log was read to its end within this time, in
+/// milliseconds.
 const USAGE_AGE_MS_MAX: u64 = 1_000;
 
-/// Follows the log of usage while this front holds the lease. One that takes the lease reads what
-/// is kept of it first.
+/// Follows the usage log while this front holds the lease. After acquiring the lease, a front first
+/// reads the records that the log still has.
 pub async fn follow_usage(front: Arc<Front>) {
     if front.meter.windows().is_none() {
         return;
@@ -44,7 +46,7 @@
     let mut follower = Follower::new(&front, USAGE_TOPIC, INDEX_PARTITION, LOG_PACE);
     loop {
         if !front.index().lease.is_held_here() {
-            tokio::time::sleep(Duration::from_millis(IDLE_MS)).await;
+            tokio::time::sleep(Duration::from_millis(IDLE_POLL_MS)).await;
             continue;
         }
         match follower.read().await {
@@ -59,7 +61,7 @@
                 }
                 front.leader_wakeup.notify_one();
             }
-            Batch::Trimmed => skipped(&front),
+            Batch::Trimmed => record_gap(&front),
             Batch::Failed => {}
         }
     }
@@ -77,31 +79,35 @@
         }
     }
     if let Some(windows) = front.meter.windows() {
-        let true_ms = front.meter.true_ms(now_ms());
+        let true_ms = front.meter.utc_ms(now_ms());
         usage.saw(windows.window_at(true_ms));
         usage.forget(windows, true_ms);
     }
 }
 
-/// Records were lost: the window that goes on now is the last one that is known in part.
-fn skipped(front: &Front) {
+/// Records were trimmed before they were read. Counts are incomplete up to and including the current
+/// window, so this front reports only later windows.
+fn record_gap(front: &Front) {
     if let Some(windows) = front.meter.windows() {
-        let window = windows.window_at(front.meter.true_ms(now_ms()));
+        let window = windows.window_at(front.meter.utc_ms(now_ms()));
         front.usage().skipped(window.next());
     }
 }
 
-/// The reports of this front.
+/// State of sealing windows and sending reports.
 pub struct Reports {
     duty: Option<DutySettings>,
     sender: Arc<Mutex<Sender>>,
+    /// Seals that are being written, with the time at which the write started.
     sealing_ms: HashMap<Window, u64>,
-    returns: u64,
-    returned_ms: u64,
+    /// The store's recoveries that were seen.
+    recoveries: u64,
+    /// When the store's last recovery was seen, in milliseconds of [`now_ms`].
+    recovered_ms: u64,
 }
 
 impl Reports {
-    /// Nothing was reported.
+    /// Never reports if the settings ask for no usage reports.
     pub fn new(front: &Front) -> Self {
         Self {
             duty: front
@@ -110,23 +116,23 @@
                 .filter(|_| front.meter.windows().is_some()),
             sender: Arc::default(),
             sealing_ms: HashMap::new(),
-            returns: front.storage.recoveries(),
-            returned_ms: 0,
+            recoveries: front.storage.recoveries(),
+            recovered_ms: 0,
         }
     }
 
-    /// Seals windows whose time has come, and gives the report that is to go out now.
-    pub fn look(&mut self, front: &Arc<Front>, now_ms: u64) -> Option<Report> {
+    /// Seals the windows that are due, and returns the report to send now, if any.
+    pub fn seal_and_take_due(&mut self, front: &Arc<Front>, now_ms: u64) -> Option<Report> {
         let windows = *front.meter.windows()?;
         self.duty?;
-        let returns = front.storage.recoveries();
-        if std::mem::replace(&mut self.returns, returns) != returns {
-            self.returned_ms = now_ms;
+        let recoveries = front.storage.recoveries();
+        if std::mem::replace(&mut self.recoveries, recoveries) != recoveries {
+            self.recovered_ms = now_ms;
         }
         if front.usage_age_ms(now_ms) >= USAGE_AGE_MS_MAX {
             return None;
         }
-        let true_ms = front.meter.true_ms(now_ms);
+        let true_ms = front.meter.utc_ms(now_ms);
         let (to_seal, report) = {
             let sender = lock(&self.sender);
             let sent = |window| sender.has_sent(window);
@@ -134,7 +140,7 @@
             let to_seal = usage.to_seal(&windows, true_ms);
             (to_seal, usage.to_send(&windows, true_ms, sent))
         };
-        let settled = !front.storage.is_unavailable() && now_ms >= self.returned_ms + RETURN_MS;
+        let settled = !front.storage.is_unreachable() && now_ms >= self.recovered_ms + RECOVERY_MS;
         if settled {
             self.seal(front, &to_seal, now_ms);
         }
@@ -143,7 +149,7 @@
 
     fn seal(&mut self, front: &Arc<Front>, windows: &[Window], now_ms: u64) {
         self.sealing_ms
-            .retain(|_, sent_ms| now_ms < *sent_ms + SEAL_AGAIN_MS);
+            .retain(|_, sent_ms| now_ms < *sent_ms + SEAL_RETRY_MS);
         for window in windows.iter().copied() {
             if self.sealing_ms.contains_key(&window) {
                 continue;
@@ -158,7 +164,7 @@
         }
     }
 
-    /// Sends a report under a fencing number that allows it now.
+    /// Sends a report with the lease's fencing token `fence`.
     pub fn send(&self, front: &Arc<Front>, report: Report, fence: u64) {
         let Some(duty) = self.duty else { return };
         if !lock(&self.sender).begin(&report, now_ms()) {
@@ -170,7 +176,7 @@
             lock(&sender).ended(outcome, now_ms(), rand::random());
             front.leader_wakeup.notify_one();
             if outcome == Outcome::Taken {
-                note_reported(&front, report.window).await;
+                record_reported(&front, report.window).await;
             }
         });
     }
@@ -181,7 +187,7 @@
         node: &front.settings.node,
         fence,
     };
-    let within = Duration::from_millis(SEND_MS);
+    let within = Duration::from_millis(SEND_TIMEOUT_MS);
     let sent = duty::report_usage(duty.address, &holder, report, within).await;
     let window = report.window.0;
     let lateness_ms = lateness_ms(front, report.window);
@@ -211,15 +217,16 @@
     }
 }
 
-/// How long after the end of its window a report goes out, in milliseconds.
+/// Time since the end of the window, in milliseconds.
 fn lateness_ms(front: &Front, window: Window) -> u64 {
     let windows = front.meter.windows();
     let end_ms = windows.map_or(0, |windows| windows.end_ms(window));
-    front.meter.true_ms(now_ms()).saturating_sub(end_ms)
+    front.meter.utc_ms(now_ms()).saturating_sub(end_ms)
 }
 
-/// Tells the next holder; without the record it sends the same report once more.
-async fn note_reported(front: &Front, window: Window) {
+/// Records in the usage log that a window was reported. Without the record, the next holder of the
+/// lease sends the same report again.
+async fn record_reported(front: &Front, window: Window) {
     if let Err(error) = append_usage(front, &UsageRecord::Reported { window }).await {
         log::warn!(event = "usage-not-noted", window = window.0, error:% = error; "");
     }
--- a/components/front/src/runner/handover.rs
+++ b/components/front/src/runner/handover.rs
@@ -27,7 +27,7 @@
         }
         let since_ms = *self.leaves_since_ms.get_or_insert(now_ms);
         let keep_ms = leave::drain_runs_ms(self.front.settings.bounds.grace_ms);
-        now_ms >= since_ms + keep_ms && !self.front.storage.is_unavailable()
+        now_ms >= since_ms + keep_ms && !self.front.storage.is_unreachable()
     }
 
     /// Saves texts that are not whole, at intervals. With each round others are told what this
--- a/components/front/src/serve.rs
+++ b/components/front/src/serve.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: what they ask for, and the answer.
+//! Handlers for requests of clients and of the load balancer.
 
 use std::sync::Arc;
 
@@ -17,17 +17,17 @@
 use crate::state::Front;
 use crate::{access, jobs, metrics, stream};
 
-/// When a client of a front that knows no configuration yet may come again, in milliseconds.
-const UNKNOWING_AGAIN_MS: u64 = 300;
-/// When a client whose replicas were all busy may come again, in milliseconds: half of what a
-/// call takes.
-const BUSY_AGAIN_MS: u64 = 60;
-/// Path of the metrics, on the address that the balancer asks.
+/// Retry-After of a front that has not read a configuration yet, in milliseconds.
+const UNCONFIGURED_RETRY_AFTER_MS: u64 = 300;
+/// Retry-After when all replicas are busy, in milliseconds: half the duration of a call.
+const BUSY_RETRY_AFTER_MS: u64 = 60;
+/// Path of the metrics page, on the address of the readiness probe.
 const METRICS_PATH: &str = "/metrics";
-/// Longest time of a request that states none and whose route has none, in milliseconds.
-const DEADLINE_MS: u64 = 30_000;
+/// Timeout of a request without a deadline header, in milliseconds. A shorter timeout of the route
+/// takes precedence.
+const DEFAULT_TIMEOUT_MS: u64 = 30_000;
 
-/// Answers the balancer, and whoever fetches the metrics.
+/// Answers the load balancer's readiness probe and requests for the metrics page.
 pub async fn ready(front: Arc<Front>, request: Request<Incoming>) -> Response<ReplyBody> {
     if request.uri().path() == METRICS_PATH {
         let mut text = metrics::text(&front.metrics.rows().await);
@@ -44,12 +44,12 @@
     answer
 }
 
-/// Answers a client.
+/// Answers a client's request, or refuses it if the front is leaving and the drain has begun.
 pub async fn client(front: Arc<Front>, request: Request<Incoming>) -> Response<ReplyBody> {
     let id = ingress::request_id(request.headers()).map(str::to_owned);
     let mut answer = match front.drain.admit(now_ms()) {
         Ok(working) => {
-            let answer = admitted(&front, request, id.as_deref()).await;
+            let answer = serve_admitted(&front, request, id.as_deref()).await;
             drop(working);
             answer
         }
@@ -65,18 +65,23 @@
     answer
 }
 
-async fn admitted(
+async fn serve_admitted(
     front: &Arc<Front>,
     request: Request<Incoming>,
     id: Option<&str>,
 ) -> Response<ReplyBody> {
     let Some(routes) = front.routes.load_full() else {
         let status = StatusCode::SERVICE_UNAVAILABLE;
-        return ingress::own_answer(status, id, Some(UNKNOWING_AGAIN_MS), "no configuration yet");
+        return ingress::own_answer(
+            status,
+            id,
+            Some(UNCONFIGURED_RETRY_AFTER_MS),
+            "no configuration yet",
+        );
     };
     let asked = ingress::asked(request.method(), request.uri(), request.headers());
     let Some(step) = asked.step() else {
-        return call(front, &routes, request, id).await;
+        return route_call(front, &routes, request, id).await;
     };
     let customer =
         match access::authenticate_step_access(front, &routes, request.headers(), step).await {
@@ -86,11 +91,11 @@
                 return access::refuse(front, &routes, &parts.headers, body, id, refused).await;
             }
         };
-    step_call(front, name_of(&customer), &asked, id).await
+    serve_step_request(front, name_of(&customer), &asked, id).await
 }
 
-/// A customer's call about a step that it submitted.
-async fn step_call(
+/// Serves a request about a step that the customer submitted before.
+async fn serve_step_request(
     front: &Front,
     customer: Option<&str>,
     asked: &Asked,
@@ -119,7 +124,7 @@
     match read {
         Read::Found(body) => ingress::success(status, id, content_type, body),
         Read::Missing => ingress::own_answer(status, id, None, "there is no such step or item"),
-        Read::Unsure(why) => ingress::own_answer(status, id, Some(BUSY_AGAIN_MS), why),
+        Read::Unsure(why) => ingress::own_answer(status, id, Some(BUSY_RETRY_AFTER_MS), why),
     }
 }
 
@@ -145,7 +150,8 @@
     ingress::own_answer(reply.status, id, reply.retry_after_ms, reply.message)
 }
 
-async fn call(
+/// Serves a call of a configured route.
+async fn route_call(
     front: &Arc<Front>,
     routes: &Routes,
     request: Request<Incoming>,
@@ -168,8 +174,8 @@
         return ingress::own_answer(StatusCode::BAD_REQUEST, None, None, "no request id");
     };
     let limit_bytes = routes.limits.body_bytes;
-    let stated = ingress::stated_length(&parts.headers).unwrap_or(0);
-    if stated > limit_bytes as u64 {
+    let content_length = ingress::stated_length(&parts.headers).unwrap_or(0);
+    if content_length > limit_bytes as u64 {
         return too_large(id);
     }
     let body = match collect(body, limit_bytes).await {
@@ -190,10 +196,10 @@
         return ingress::own_answer(reply.status, Some(id), reply.retry_after_ms, reply.message);
     }
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
-    let allowed_ms = ingress::deadline_ms(&parts.headers).unwrap_or(DEADLINE_MS);
-    let allowed_ms = match route.timeout_ms {
-        0 => allowed_ms,
-        timeout_ms => allowed_ms.min(timeout_ms),
+    let timeout_ms = ingress::deadline_ms(&parts.headers).unwrap_or(DEFAULT_TIMEOUT_MS);
+    let timeout_ms = match route.timeout_ms {
+        0 => timeout_ms,
+        route_timeout_ms => timeout_ms.min(route_timeout_ms),
     };
     let spec = CallSpec {
         route,
@@ -205,15 +211,15 @@
         customer: name_of(&customer),
         rank: rank(route, customer.as_deref()),
         background: false,
-        deadline_at_ms: began_ms + allowed_ms,
+        deadline_at_ms: began_ms + timeout_ms,
     };
-    ordinary(front, route, &spec, id).await
+    perform_call(front, route, &spec, id).await
 }
 
-/// Rank of a call at its replica; only model replicas know of ranks.
+/// Priority of a call in the replica's queue; only model replicas support priorities.
 fn rank(route: &Route, customer: Option<&Customer>) -> Option<u8> {
-    let known = route.kind == RouteKind::Stream;
-    known.then(|| route.rank_for(customer)).flatten()
+    let supported = route.kind == RouteKind::Stream;
+    supported.then(|| route.rank_for(customer)).flatten()
 }
 
 fn too_large(id: &str) -> Response<ReplyBody> {
@@ -223,7 +229,7 @@
     answer
 }
 
-async fn ordinary(
+async fn perform_call(
     front: &Arc<Front>,
     route: &Route,
     spec: &CallSpec<'_>,
@@ -239,7 +245,7 @@
                 } else {
                     CallEnd::Unknown
                 };
-                ended(end, id)
+                failure_answer(end, id)
             }
         };
     }
@@ -250,15 +256,15 @@
             *response.headers_mut() = answer.headers;
             response
         }
-        CallOutcome::End(end, _) => ended(end, id),
+        CallOutcome::End(end, _) => failure_answer(end, id),
     }
 }
 
-fn ended(end: CallEnd, id: &str) -> Response<ReplyBody> {
+fn failure_answer(end: CallEnd, id: &str) -> Response<ReplyBody> {
     match end {
         CallEnd::NotRun => {
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            ingress::own_answer(status, Some(id), Some(BUSY_AGAIN_MS), "not run")
+            ingress::own_answer(status, Some(id), Some(BUSY_RETRY_AFTER_MS), "not run")
         }
         CallEnd::TimedOut => ingress::own_answer(
             StatusCode::GATEWAY_TIMEOUT,
--- a/components/front/src/start.rs
+++ b/components/front/src/start.rs
@@ -103,9 +103,9 @@
         tasks.spawn(follow::operator(Arc::clone(&front)));
         tasks.spawn(follow::replicas(Arc::clone(&front)));
         tasks.spawn(follow::index(Arc::clone(&front)));
-        tasks.spawn(member::stay(Arc::clone(&front)));
+        tasks.spawn(member::maintain(Arc::clone(&front)));
         tasks.spawn(reports::follow_usage(Arc::clone(&front)));
-        tasks.spawn(meter::keep_time(Arc::clone(&front)));
+        tasks.spawn(meter::sample_clock(Arc::clone(&front)));
         tasks.spawn(meter::write_counts(Arc::clone(&front)));
         tasks.spawn(leader::lead(Arc::clone(&front)));
         tasks.spawn(writer::write_results(Arc::clone(&front), results));
--- a/components/front/src/state.rs
+++ b/components/front/src/state.rs
@@ -48,7 +48,7 @@
     pub routes: ArcSwapOption<Routes>,
     /// When the operator's records were last read to their end; 0 if never.
     operator_records_current_ms: AtomicU64,
-    /// Hashes refused keys for the log, with a key of this process.
+    /// Hashes refused keys for the log, with a salt that is drawn for each process.
     pub key_marks: KeyMarks,
     /// Snapshot of the replicas' records.
     pub replicas: ArcSwap<ReplicaTable>,
@@ -113,7 +113,7 @@
             demand: Demand::default(),
             replicas_read: AtomicU64::new(0),
             unwritable_since_ms: AtomicU64::new(0),
-            ownership: ArcSwap::from_pointee(Ownership::new(member::settings(&settings))),
+            ownership: ArcSwap::from_pointee(Ownership::new(member::ownership_settings(&settings))),
             partitions_moved: AtomicBool::new(false),
             shard_places: AtomicU32::new(LARGE_SHARD_PLACES),
             runner_wakeup: Notify::new(),
--- a/components/front/src/storage.rs
+++ b/components/front/src/storage.rs
@@ -69,8 +69,8 @@
         self.reach.returns()
     }
 
-    /// Whether the last completed call found the store unavailable.
-    pub fn is_unavailable(&self) -> bool {
+    /// Whether the last completed call found the store unreachable.
+    pub fn is_unreachable(&self) -> bool {
         self.reach.is_lost()
     }
 
