--- a/components/front/src/follow/replicas.rs
+++ b/components/front/src/follow/replicas.rs
@@ -1,4 +1,4 @@
-//! The replicas' records.
+//! Follower of the replicas' records.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -8,40 +8,45 @@
 use pacing::REPLICA_PACE;
 use platform::records::{self, REPLICA_TOPIC};
 
-use super::keyed::{KeyedNews, follow};
+use super::keyed::{KeyedUpdate, follow};
 use crate::clock::now_ms;
 use crate::state::Front;
 
-/// Ids of records that can't be read that are remembered, so that each is logged once.
+/// Limit on the remembered ids of malformed records; a remembered id is not logged again.
 const MALFORMED_MAX: usize = 256;
 
-/// Follows the replicas' records.
+/// Builds the table of replicas from their records, until the process ends.
 pub async fn replicas(front: Arc<Front>) {
     let mut registry = Registry::default();
     let mut malformed = HashSet::new();
     let mut changed = false;
-    follow(&front, REPLICA_TOPIC, REPLICA_PACE, |news| {
+    follow(&front, REPLICA_TOPIC, REPLICA_PACE, |update| {
         let now_ms = now_ms();
-        match news {
-            KeyedNews::Key(id, value) => {
+        match update {
+            KeyedUpdate::Key(id, value) => {
                 registry.record_store_answer(now_ms);
-                changed |=
-                    take_replica(&mut registry, &mut malformed, &id, value.as_deref(), now_ms);
+                changed |= apply_replica_record(
+                    &mut registry,
+                    &mut malformed,
+                    &id,
+                    value.as_deref(),
+                    now_ms,
+                );
             }
-            KeyedNews::All(ids) => {
+            KeyedUpdate::AllKeys(ids) => {
                 registry.record_store_answer(now_ms);
                 changed |= registry.retain_listed(&ids, now_ms) == RegistryChange::Changed;
             }
-            KeyedNews::Lost => registry.record_store_failure(),
-            KeyedNews::Settled { .. } => {
+            KeyedUpdate::ReadFailed => registry.record_store_failure(),
+            KeyedUpdate::BatchEnd { .. } => {
                 registry.record_store_answer(now_ms);
                 changed |= registry.expire(now_ms) == RegistryChange::Changed;
                 front.replicas_read.store(1, Ordering::Relaxed);
                 if std::mem::take(&mut changed) {
                     let next = front.replicas.load().next(registry.replicas());
                     front.replicas.store(Arc::new(next));
-                    front.runner_news.notify_one();
-                    front.leader_news.notify_one();
+                    front.runner_wakeup.notify_one();
+                    front.leader_wakeup.notify_one();
                 }
             }
         }
@@ -49,9 +54,10 @@
     .await;
 }
 
-/// Whether something changed. A record that nobody can read names no replica: another writer's, as a
-/// rule, which may write it again and again, so that a row of them is logged once.
-fn take_replica(
+/// Applies the record of one replica; true if the registry changed. A malformed record removes the
+/// replica: it usually comes from another program, which may write it repeatedly, so it is logged
+/// only once until the key has a valid record or is deleted.
+fn apply_replica_record(
     registry: &mut Registry,
     malformed: &mut HashSet<String>,
     id: &str,
