--- a/components/front/src/access.rs
+++ b/components/front/src/access.rs
@@ -81,7 +81,7 @@
         Ok(holder) => return Ok(holder.cloned()),
         Err(refusal) => refusal,
     };
-    let anonymous_step = results::find(front, |index| {
+    let anonymous_step = results::find_in_index(front, |index| {
         index.ledger.find(None, step).map(|step| step.id)
     });
     match anonymous_step.await {
--- a/components/front/src/serve.rs
+++ b/components/front/src/serve.rs
@@ -13,7 +13,7 @@
 use crate::access::Refused;
 use crate::calls::{self, CallOutcome, CallSpec};
 use crate::clock::now_ms;
-use crate::results::{self, Read};
+use crate::results::{self, ReadOutcome};
 use crate::state::Front;
 use crate::{access, jobs, metrics, stream};
 
@@ -103,11 +103,11 @@
 ) -> Response<ResponseBody> {
     match asked {
         Operation::Results { step, after, wait } => {
-            let read = results::results(front, customer, step, *after, *wait).await;
+            let read = results::read_results(front, customer, step, *after, *wait).await;
             read_answer(id, read, "application/json")
         }
         Operation::ItemBody { step, item } => {
-            let read = results::item_body(front, customer, step, item).await;
+            let read = results::read_item_body(front, customer, step, item).await;
             read_answer(id, read, "application/octet-stream")
         }
         Operation::EndStep { step } => end_step(front, customer, id, step).await,
@@ -119,14 +119,14 @@
     customer.as_ref().map(|customer| &*customer.name)
 }
 
-fn read_answer(id: Option<&str>, read: Read, content_type: &str) -> Response<ResponseBody> {
+fn read_answer(id: Option<&str>, read: ReadOutcome, content_type: &str) -> Response<ResponseBody> {
     let status = read.status();
     match read {
-        Read::Found(body) => ingress::success_response(status, id, content_type, body),
-        Read::Missing => {
+        ReadOutcome::Found(body) => ingress::success_response(status, id, content_type, body),
+        ReadOutcome::NotFound => {
             ingress::status_response(status, id, None, "there is no such step or item")
         }
-        Read::Unsure(why) => ingress::status_response(status, id, Some(BUSY_RETRY_AFTER_MS), why),
+        ReadOutcome::Unavailable(why) => ingress::status_response(status, id, Some(BUSY_RETRY_AFTER_MS), why),
     }
 }
 
@@ -136,11 +136,11 @@
     id: Option<&str>,
     name: &str,
 ) -> Response<ResponseBody> {
-    let known = results::find(front, |index| {
+    let known = results::find_in_index(front, |index| {
         index.ledger.find_visible(customer, name).cloned()
     });
     let Some(step) = known.await else {
-        let read = results::results(front, customer, name, 0, std::time::Duration::ZERO).await;
+        let read = results::read_results(front, customer, name, 0, std::time::Duration::ZERO).await;
         return read_answer(id, read, "application/json");
     };
     if step.ended {
@@ -245,10 +245,10 @@
     id: &str,
 ) -> Response<ResponseBody> {
     if route.kind == RouteKind::Stream {
-        return match stream::pass_on(front, spec).await {
+        return match stream::relay(front, spec).await {
             Ok(answer) => answer,
             Err(failed) => {
-                log::warn!(event = "stream-failed", id, not_run = failed.not_run, why = failed.why; "");
+                log::warn!(event = "stream-failed", id, not_run = failed.not_run, why = failed.reason; "");
                 let end = if failed.not_run {
                     CallFailure::NotRun
                 } else {
--- a/components/front/tests/front/common.rs
+++ b/components/front/tests/front/common.rs
@@ -1,4 +1,4 @@
-//! A small site: the store, replicas of both sorts and fronts in this process.
+//! A test deployment in one process: the store, plain and model replicas, and fronts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,12 +17,10 @@
 use tokio::sync::oneshot;
 use tokio::task::JoinHandle;
 
-/// Longest time for anything that a test waits for.
-pub const PATIENCE: Duration = Duration::from_secs(20);
-/// Pause between looks at what a test waits for.
-const LOOK: Duration = Duration::from_millis(10);
+/// Timeout of every request and condition that a test waits for.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A replica of the site.
 pub struct Replica {
     pub id: String,
     pub service: &'static str,
@@ -30,12 +28,12 @@
     pub seen: Seen,
 }
 
-/// A front of the site. Dropped, it dies without leaving.
+/// A running front. Dropping the handle aborts the front without a shutdown.
 pub struct FrontHandle {
-    pub clients: SocketAddr,
-    pub ready: SocketAddr,
-    /// Its door to the store, for faults.
-    pub door: Handle,
+    pub client_address: SocketAddr,
+    pub readiness_address: SocketAddr,
+    /// The store's listener that only this front uses, for injecting faults.
+    pub store_listener: Handle,
     stop: Option<oneshot::Sender<()>>,
     pub task: JoinHandle<()>,
 }
@@ -47,22 +45,24 @@
 }
 
 impl FrontHandle {
-    /// Gives the stop signal.
+    /// Sends the stop signal.
     pub fn stop(&mut self) {
         if let Some(stop) = self.stop.take() {
             let _ = stop.send(());
         }
     }
 
-    /// Sends a request on a connection of its own; gives status, Retry-After and body.
-    pub async fn ask(
+    /// Sends a request on a new connection; returns the status, `Retry-After` and the body.
+    pub async fn request(
         &self,
         method: Method,
         path: &str,
         headers: &[(&str, &str)],
         body: &str,
     ) -> (u16, Option<String>, String) {
-        let mut connection = connect(self.clients, PATIENCE).await.expect("a connection");
+        let mut connection = connect(self.client_address, TEST_TIMEOUT)
+            .await
+            .expect("a connection");
         let mut request = Request::builder()
             .method(method)
             .uri(path)
@@ -72,13 +72,16 @@
         }
         let body = Bytes::copy_from_slice(body.as_bytes());
         let request = request.body(Full::new(body)).expect("a request");
-        let answer = connection.send(request, PATIENCE).await.expect("an answer");
+        let answer = connection
+            .send(request, TEST_TIMEOUT)
+            .await
+            .expect("an answer");
         let status = answer.status().as_u16();
         let retry_after = answer.headers().get("retry-after");
         let retry_after = retry_after.map(|value| value.to_str().unwrap_or("?").to_owned());
         let body = collect(answer.into_body(), 1 << 20)
             .await
-            .expect("a whole body");
+            .expect("a complete body");
         (
             status,
             retry_after,
@@ -86,92 +89,97 @@
         )
     }
 
-    /// An ordinary call.
+    /// Sends a call with a deadline of 2 s; returns the status and the body.
     pub async fn call(&self, id: &str, path: &str) -> (u16, String) {
         let headers = [
             ("hornbeamrock-request-id", id),
             ("hornbeamrock-deadline-ms", "2000"),
         ];
-        let (status, _, body) = self.ask(Method::POST, path, &headers, "body").await;
+        let (status, _, body) = self.request(Method::POST, path, &headers, "body").await;
         (status, body)
     }
 
-    /// Submits a step.
+    /// Submits a step; returns the status and `Retry-After`.
     pub async fn submit(&self, id: &str, step: &str) -> (u16, Option<String>) {
         let headers = [
             ("hornbeamrock-request-id", id),
             ("hornbeamrock-deadline-ms", "12000"),
         ];
         let path = format!("{}{id}", records::STEPS);
-        let (status, again, _) = self.ask(Method::POST, &path, &headers, step).await;
-        (status, again)
+        let (status, retry_after, _) = self.request(Method::POST, &path, &headers, step).await;
+        (status, retry_after)
     }
 
-    /// Results of a step from a position on, waiting up to a second for one.
+    /// Results of a step after the first `after` ones; waits up to a second for the first.
     pub async fn results(&self, id: &str, after: usize) -> (u16, Value) {
         let path = format!("/v1/lots/{id}?After={after}");
         let headers = [("hornbeamrock-wait-ms", "1000")];
-        let (status, _, body) = self.ask(Method::GET, &path, &headers, "").await;
+        let (status, _, body) = self.request(Method::GET, &path, &headers, "").await;
         (status, serde_json::from_str(&body).unwrap_or(Value::Null))
     }
 
-    /// Reads until a step has this many results.
+    /// Reads results of a step until there are `count` of them.
     pub async fn all_results(&self, id: &str, count: usize) -> Vec<Value> {
         let mut all = Vec::new();
-        let reads = async {
+        let read_all = async {
             while all.len() < count {
                 let (_, page) = self.results(id, all.len()).await;
                 let results = page["Results"].as_array().cloned().unwrap_or_default();
                 all.extend(results);
             }
         };
-        tokio::time::timeout(PATIENCE, reads)
+        tokio::time::timeout(TEST_TIMEOUT, read_all)
             .await
-            .expect("results in time");
+            .expect("all results before the timeout");
         all
     }
 
-    /// The text of the metrics.
+    /// Body of the metrics endpoint.
     pub async fn metrics(&self) -> String {
-        let mut connection = connect(self.ready, PATIENCE).await.expect("a connection");
+        let mut connection = connect(self.readiness_address, TEST_TIMEOUT)
+            .await
+            .expect("a connection");
         let request = Request::builder().uri("/metrics").header("host", "h");
         let request = request.body(Full::new(Bytes::new())).expect("a request");
-        let answer = connection.send(request, PATIENCE).await.expect("an answer");
+        let answer = connection
+            .send(request, TEST_TIMEOUT)
+            .await
+            .expect("an answer");
         let body = collect(answer.into_body(), 1 << 20)
             .await
-            .expect("a whole body");
+            .expect("a complete body");
         String::from_utf8_lossy(&body).into_owned()
     }
 
     pub async fn is_ready(&self) -> bool {
-        let Ok(mut connection) = connect(self.ready, PATIENCE).await else {
+        let Ok(mut connection) = connect(self.readiness_address, TEST_TIMEOUT).await else {
             return false;
         };
         let request = Request::builder().uri("/v1/ready").header("host", "h");
         let request = request.body(Full::new(Bytes::new())).expect("a request");
-        let answer = connection.send(request, PATIENCE).await;
+        let answer = connection.send(request, TEST_TIMEOUT).await;
         answer.is_ok_and(|answer| answer.status() == 200)
     }
 }
 
-/// The site.
+/// The store and the replicas, which all fronts of a test share.
 pub struct Site {
     pub store: Store,
     pub replicas: Vec<Replica>,
-    /// Places that each replica says it has.
+    /// Slots that each replica reports in its record.
     pub slots: u32,
-    /// Duties that fronts are given.
+    /// Duties in the settings of fronts that are started from now on.
     pub duties: Option<DutySettings>,
 }
 
 impl Site {
-    /// A store with a configuration, two plain replicas and two model replicas that make
-    /// `events` events, one each `pause_ms`.
+    /// Starts a store with a configuration, two plain replicas and two model replicas that produce
+    /// `events` events per text, one every `pause_ms`.
     pub async fn start(events: u64, pause_ms: u64) -> Self {
         Self::start_with(events, pause_ms, 5).await
     }
 
-    /// The same, whose plain replicas take `call_ms` for a call.
+    /// Like [`Site::start`], with plain replicas that take `call_ms` for a call.
     pub async fn start_with(events: u64, pause_ms: u64, call_ms: u64) -> Self {
         let mut site = Self {
             store: Store::default(),
@@ -204,12 +212,12 @@
             handle,
             seen,
         };
-        self.beat(&replica, "ready", 1);
+        self.write_heartbeat(&replica, "ready", 1);
         self.replicas.push(replica);
     }
 
-    /// Writes a replica's record.
-    pub fn beat(&self, replica: &Replica, state: &str, version: u64) {
+    /// Writes a replica's record to the store.
+    pub fn write_heartbeat(&self, replica: &Replica, state: &str, version: u64) {
         let address = replica.handle.address;
         let record = records::replica_with(replica.service, address, state, version, self.slots);
         self.store.put("keyed.servers", &replica.id, Some(&record));
@@ -219,17 +227,17 @@
         self.replicas
             .iter()
             .find(|replica| replica.id == id)
-            .expect("known")
+            .expect("a replica with this id")
     }
 
-    /// Names a version as the trainer does.
+    /// Writes the record with which a trainer names the current version of the weights.
     pub fn name_version(&self, version: u64) {
         let key = format!("version/{MODEL}");
         self.store
             .put("keyed.op", &key, Some(&records::version(version)));
     }
 
-    /// Runs of a request at all replicas: the events behind which they began.
+    /// Runs of a request at all replicas, each as the number of the event after which it began.
     pub fn runs(&self, request_id: &str) -> Vec<u64> {
         let runs = self.replicas.iter().map(|replica| replica.seen.runs());
         runs.flat_map(|mut runs| runs.remove(request_id).unwrap_or_default())
@@ -239,24 +247,24 @@
     /// Starts a front and waits until it is ready.
     pub async fn front(&self, node: &str) -> FrontHandle {
         let front = self.unready_front(node).await;
-        until("the front is ready", || front.is_ready()).await;
+        wait_until("the front is ready", || front.is_ready()).await;
         front
     }
 
-    /// Starts a front with little processor time and waits until it is ready.
+    /// Starts a front with nine hundredths of a core and waits until it is ready.
     pub async fn small_front(&self, node: &str) -> FrontHandle {
         let front = self.start_front(node, 90).await;
-        until("the front is ready", || front.is_ready()).await;
+        wait_until("the front is ready", || front.is_ready()).await;
         front
     }
 
-    /// Starts a front.
+    /// Starts a front without waiting until it is ready.
     pub async fn unready_front(&self, node: &str) -> FrontHandle {
         self.start_front(node, 500).await
     }
 
     async fn start_front(&self, node: &str, cpu_share_thousandths: u32) -> FrontHandle {
-        let door = self
+        let store_listener = self
             .store
             .open(([127, 0, 0, 1], 0).into())
             .await
@@ -264,24 +272,24 @@
         let settings = FrontSettings {
             cpu_share_thousandths,
             duties: self.duties,
-            ..settings(node, door.address)
+            ..settings(node, store_listener.address)
         };
         let bound = Bound::new(settings).await.expect("ports");
-        let (clients, ready) = (
+        let (client_address, readiness_address) = (
             bound.clients().expect("bound"),
             bound.ready().expect("bound"),
         );
         let (stop, stopped) = oneshot::channel();
         let task = tokio::spawn(bound.run(async {
-            // A dropped sender is no signal.
+            // A dropped sender is not a stop signal: the task is aborted instead.
             if stopped.await.is_err() {
                 std::future::pending().await
             }
         }));
         FrontHandle {
-            clients,
-            ready,
-            door,
+            client_address,
+            readiness_address,
+            store_listener,
             stop: Some(stop),
             task,
         }
@@ -289,13 +297,13 @@
 }
 
 fn settings(node: &str, store: SocketAddr) -> FrontSettings {
-    let any = ([127, 0, 0, 1], 0).into();
+    let any_port = ([127, 0, 0, 1], 0).into();
     FrontSettings {
         node: node.to_owned(),
         domain: "zone-a".to_owned(),
         ip: [127, 0, 0, 1].into(),
-        client_address: any,
-        readiness_address: any,
+        client_address: any_port,
+        readiness_address: any_port,
         cores: 1,
         cpu_share_thousandths: 500,
         store: StoreSettings {
@@ -316,22 +324,26 @@
     }
 }
 
-/// Waits until something holds.
-pub async fn until<F>(what: &str, mut holds: impl FnMut() -> F)
+/// Polls a condition until it holds; `description` says what was waited for in the panic message.
+pub async fn wait_until<F>(description: &str, mut holds: impl FnMut() -> F)
 where
     F: Future<Output = bool>,
 {
-    let looks = async {
+    let polling = async {
         while !holds().await {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    let in_time = tokio::time::timeout(PATIENCE, looks).await;
-    assert!(in_time.is_ok(), "not in time: {what}");
+    let polled = tokio::time::timeout(TEST_TIMEOUT, polling).await;
+    assert!(
+        polled.is_ok(),
+        "timed out waiting for a condition: {description}"
+    );
 }
 
-/// Replicas write the version that they hold, as the real ones do.
-pub fn beat_loaded(site: &Site) {
+/// Writes the records of all model replicas with the version that each was last ordered to load,
+/// as real replicas do after a load.
+pub fn write_loaded_heartbeats(site: &Site) {
     for replica in site
         .replicas
         .iter()
@@ -339,6 +351,6 @@
     {
         let orders = replica.seen.orders();
         let version = orders.last().map_or(1, |order| order.version);
-        site.beat(replica, "ready", version);
+        site.write_heartbeat(replica, "ready", version);
     }
 }
