--- a/components/front/src/calls.rs
+++ b/components/front/src/calls.rs
@@ -316,7 +316,12 @@
 }
 
 /// Records in the slow replica's load estimate that a hedged request was sent because of it.
-fn record_hedge(front: &Front, spec: &CallSpec<'_>, typical: &TypicalDuration, tried: &[ReplicaId]) {
+fn record_hedge(
+    front: &Front,
+    spec: &CallSpec<'_>,
+    typical: &TypicalDuration,
+    tried: &[ReplicaId],
+) {
     let table = front.replicas.load();
     let slow = services(spec.route)
         .flat_map(|service| table.of(service))
--- a/components/front/src/follow/operator.rs
+++ b/components/front/src/follow/operator.rs
@@ -37,7 +37,9 @@
                 front.routes.store(Some(routes));
             }
         }
-        Ok(OperatorRecord::VersionNamed { model, version }) => apply_named_version(front, model, version),
+        Ok(OperatorRecord::VersionNamed { model, version }) => {
+            apply_named_version(front, model, version)
+        }
         Ok(OperatorRecord::Other) => {}
         Err(error) => {
             log::warn!(event = "record-malformed", topic = OPERATOR_TOPIC, error:% = error; "");
--- a/components/front/src/serve.rs
+++ b/components/front/src/serve.rs
@@ -126,7 +126,9 @@
         ReadOutcome::NotFound => {
             ingress::status_response(status, id, None, "there is no such step or item")
         }
-        ReadOutcome::Unavailable(why) => ingress::status_response(status, id, Some(BUSY_RETRY_AFTER_MS), why),
+        ReadOutcome::Unavailable(why) => {
+            ingress::status_response(status, id, Some(BUSY_RETRY_AFTER_MS), why)
+        }
     }
 }
 
@@ -202,7 +204,12 @@
             id,
         };
         let reply = jobs::submit(front, routes, &submitted, body).await;
-        return ingress::status_response(reply.status, Some(id), reply.retry_after_ms, reply.message);
+        return ingress::status_response(
+            reply.status,
+            Some(id),
+            reply.retry_after_ms,
+            reply.message,
+        );
     }
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
     let timeout_ms = ingress::deadline_ms(&parts.headers).unwrap_or(DEFAULT_TIMEOUT_MS);
