--- a/components/dispatch/tests/routes.rs
+++ b/components/dispatch/tests/routes.rs
@@ -1,8 +1,8 @@
-//! The route of a request and the service that it draws.
+//! The route of a request, and the service that is picked for it.
 
 use std::collections::HashMap;
 
-use customers::{Customer, Customers, Entry, Refusal, ShownKey};
+use customers::{Customer, Customers, Entry, PresentedKey, Refusal};
 use dispatch::{Limits, Route, RouteKind, Routes, ServiceShare};
 
 fn route(name: &str, prefix: &str, shares: &[(&str, u32)]) -> Route {
@@ -30,15 +30,15 @@
 
 fn routes() -> Routes {
     let limits = Limits {
-        header_bytes: 1,
-        body_bytes: 1,
-        idle_ms: 1,
+        header_bytes_max: 1,
+        body_bytes_max: 1,
+        idle_timeout_ms: 1,
     };
     let routes = vec![
         route("short", "/a/", &[("x", 1)]),
         route("long", "/a/b/", &[("x", 90), ("y", 10)]),
     ];
-    Routes::new(1, routes, HashMap::new(), limits, Customers::open())
+    Routes::new(1, routes, HashMap::new(), limits, Customers::unrestricted())
 }
 
 #[test]
@@ -85,23 +85,25 @@
 }
 
 #[test]
-fn can_draw_services_by_their_weights() {
+fn can_pick_services_by_their_weights() {
     let routes = routes();
-    let route = routes.find("host", "/a/b/c").expect("there");
-    let drawn = (0..1_000).filter(|random| route.draw(*random).is_some_and(|s| &**s == "y"));
+    let route = routes.find("host", "/a/b/c").expect("a route");
+    let drawn =
+        (0..1_000).filter(|random| route.pick_service(*random).is_some_and(|s| &**s == "y"));
     assert_eq!(drawn.count(), 100);
     let none = self::route("none", "/n/", &[("x", 0)]);
-    assert_eq!(none.draw(5), None);
+    assert_eq!(none.pick_service(5), None);
 }
 
 #[test]
-fn can_tell_that_a_service_makes_texts_of_one_version() {
-    // Weights that change under a text which must not mix versions throw it away: on the quiet
-    // days of three deployments up to a quarter of the worth was lost by that.
+fn can_tell_that_a_service_requires_a_single_version() {
+    // Guards against loads that change the weights during a text that must not mix versions, which
+    // makes the text useless. This lost up to a quarter of the worth on quiet days of three
+    // deployments.
     let limits = Limits {
-        header_bytes: 1,
-        body_bytes: 1,
-        idle_ms: 1,
+        header_bytes_max: 1,
+        body_bytes_max: 1,
+        idle_timeout_ms: 1,
     };
     let single = Route {
         single_version: true,
@@ -113,50 +115,50 @@
         vec![single, mixed],
         HashMap::new(),
         limits,
-        Customers::open(),
+        Customers::unrestricted(),
     );
     for (service, needs) in [("x", true), ("y", true), ("z", false), ("none", false)] {
-        assert_eq!(routes.needs_one_version(service), needs, "{service}");
+        assert_eq!(routes.requires_single_version(service), needs, "{service}");
     }
 }
 
 #[test]
-fn can_tell_the_customer_of_a_request() {
+fn can_find_the_customer_of_a_request() {
     struct Case {
         name: &'static str,
         public: bool,
-        shown: ShownKey<'static>,
+        shown: PresentedKey<'static>,
         customer: Result<Option<&'static str>, Refusal>,
     }
     let cases = [
         Case {
             name: "a key",
             public: false,
-            shown: ShownKey::One("key"),
+            shown: PresentedKey::One("key"),
             customer: Ok(Some("a")),
         },
         Case {
             name: "no key",
             public: false,
-            shown: ShownKey::Nothing,
+            shown: PresentedKey::Nothing,
             customer: Err(Refusal::Missing),
         },
         Case {
             name: "no key on a public route",
             public: true,
-            shown: ShownKey::Nothing,
+            shown: PresentedKey::Nothing,
             customer: Ok(None),
         },
         Case {
             name: "an unknown key on a public route",
             public: true,
-            shown: ShownKey::One("other"),
+            shown: PresentedKey::One("other"),
             customer: Ok(None),
         },
         Case {
             name: "a key on a public route",
             public: true,
-            shown: ShownKey::One("key"),
+            shown: PresentedKey::One("key"),
             customer: Ok(Some("a")),
         },
     ];
@@ -172,7 +174,7 @@
         vec![],
         HashMap::new(),
         limits,
-        Customers::listed([entry]),
+        Customers::from_entries([entry]),
     );
     for case in cases {
         let mut route = route("r", "/a/", &[("x", 1)]);
@@ -185,7 +187,7 @@
 }
 
 #[test]
-fn a_customer_s_rank_goes_before_the_route_s() {
+fn a_customers_rank_takes_precedence_over_the_routes() {
     let route = route("r", "/a/", &[("x", 1)]);
     let customer = |rank| Customer {
         name: "a".into(),
--- a/components/front/src/partial.rs
+++ b/components/front/src/partial.rs
@@ -10,9 +10,9 @@
 use bytes::Bytes;
 use index::{DATA_TOPIC, LogRecord};
 use platform::store::StoreError;
-use steps::{IndexRecord, Place, SavedPiece, StepId};
+use steps::{DataLocation, SavedPiece, StepId, StepRecord};
 
-use crate::state::{Front, locked};
+use crate::state::{Front, lock};
 use crate::writer::{APPEND_TIMEOUT_MS, WriteError, data_partition, write_index};
 
 /// Timeout of reading one piece.
@@ -104,7 +104,7 @@
             after: self.saved.last_piece,
             last_event: self.last_event,
             versions: self.versions.clone(),
-            text: Place {
+            text: DataLocation {
                 partition: 0,
                 offset: 0,
                 bytes: text.len() as u32,
@@ -150,7 +150,7 @@
             let known = index.ledger.get(step).filter(|step| !step.is_listed(item));
             known.map(|step| step.pieces(item).last().map_or(0, |piece| piece.id))
         };
-        let next = newest_piece.and_then(|newest| locked(&partial).next_piece(newest));
+        let next = newest_piece.and_then(|newest| lock(&partial).next_piece(newest));
         if let Some((piece, text)) = next {
             pieces.push((step, item, piece));
             texts.push(text);
@@ -172,7 +172,7 @@
         return;
     }
     let count = items.len();
-    let record = [LogRecord::Index(IndexRecord::Kept { items, for_ms })];
+    let record = [LogRecord::Step(StepRecord::Reserved { items, for_ms })];
     match write_index(front, &record).await {
         Ok(_) => log::info!(event = "items-kept", items = count, for_ms; ""),
         // The owners start the items too, which costs duplicate runs but no result.
@@ -193,13 +193,13 @@
         .await?;
     let mut records = Vec::with_capacity(pieces.len());
     for (step, item, mut piece) in pieces {
-        piece.text = Place {
+        piece.text = DataLocation {
             partition,
             offset,
             bytes: piece.text.bytes,
         };
         offset += 1;
-        records.push(LogRecord::Index(IndexRecord::Saved { step, item, piece }));
+        records.push(LogRecord::Step(StepRecord::Saved { step, item, piece }));
     }
     write_index(front, &records).await?;
     Ok(())
@@ -209,14 +209,17 @@
 pub async fn restore(front: &Front, pieces: &[SavedPiece]) -> Result<PartialText, StoreError> {
     let mut texts = Vec::with_capacity(pieces.len());
     for piece in pieces {
-        let Place {
+        let DataLocation {
             partition,
             offset,
             bytes,
         } = piece.text;
         let timeout = Duration::from_millis(READ_TIMEOUT_MS);
         let kb = bytes / 1_024 + READ_EXTRA_KB;
-        let text = front.storage.record(partition, offset, kb, timeout).await?;
+        let text = front
+            .storage
+            .read_data_record(partition, offset, kb, timeout)
+            .await?;
         if text.len() != bytes as usize {
             let reason = format!("record at offset {offset} is not a saved piece of {bytes} bytes");
             return Err(StoreError::Malformed(reason));
--- a/components/front/src/reports.rs
+++ b/components/front/src/reports.rs
@@ -1,8 +1,9 @@
-//! The duty of reporting customers' usage, while this front holds the lease on orders.
+//! Reports of customers' usage to the platform, while this front holds the lease on orders.
 //!
-//! The lease is the one that orders have: a report is announced like an order and goes out
-//! under the same fencing number, so two fronts never report in turns. What a report says is not
-//! the holder's: it is what stands in the log of usage before the seal of its window.
+//! Reports use the lease of the orders: a report is announced like an order and carries the same
+//! fencing token, so two fronts never alternate in reporting. The content of a report does not
+//! depend on the lease holder: it is the sum of the usage records that precede the window's seal in
+//! the usage log.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -11,32 +12,33 @@
 use bytes::Bytes;
 use index::{INDEX_PARTITION, USAGE_TOPIC, decode_usage};
 use pacing::LOG_PACE;
-use platform::duty::{self, DutyAnswer, Holder};
+use platform::duty::{self, DutyResponse, LeaseHolder};
 use platform::settings::DutySettings;
 use usage::{Change, Outcome, Report, Sender, UsageRecord, Window};
 
 use crate::clock::now_ms;
-use crate::figures;
 use crate::follow::{Batch, Follower};
-use crate::state::{Front, locked};
+use crate::metrics;
+use crate::state::{Front, lock};
 use crate::writer::append_usage;
 
-/// Longest time for sending a report, in milliseconds; within the time that an announcement
-/// allows, as a rule.
-const SEND_MS: u64 = 800;
-/// How long an unanswered seal is waited for, in milliseconds.
-const SEAL_AGAIN_MS: u64 = 500;
-/// How long after the store came back a window is sealed at the earliest, in milliseconds: other
-/// fronts write then what they counted meanwhile.
-const RETURN_MS: u64 = 1_500;
-
-/// How often a front that does not hold the lease looks whether it does, in milliseconds.
-const IDLE_MS: u64 = 200;
-/// How old the knowledge of usage may be for sealing and sending, in milliseconds.
+/// Timeout for sending a report, in milliseconds. Usually shorter than the time that an
+/// announcement allows.
+const SEND_TIMEOUT_MS: u64 = 800;
+/// How long to wait for a seal to appear in the log before it is written again, in milliseconds.
+const SEAL_RETRY_MS: u64 = 500;
+/// No window is sealed within this time after the store has recovered, in milliseconds, because
+/// other fronts still have to write the counts of the outage.
+const RECOVERY_MS: u64 = 1_500;
+
+/// Interval at which a front without the lease checks whether it holds it, in milliseconds.
+const IDLE_POLL_MS: u64 = 200;
+/// Windows are sealed and reported only if the usage log was read to its end within this time, in
+/// milliseconds.
 const USAGE_AGE_MS_MAX: u64 = 1_000;
 
-/// Follows the log of usage while this front holds the lease. One that takes the lease reads what
-/// is kept of it first.
+/// Follows the usage log while this front holds the lease. After acquiring the lease, a front first
+/// reads the records that the log still has.
 pub async fn follow_usage(front: Arc<Front>) {
     if front.meter.windows().is_none() {
         return;
@@ -44,7 +46,7 @@
     let mut follower = Follower::new(&front, USAGE_TOPIC, INDEX_PARTITION, LOG_PACE);
     loop {
         if !front.index().lease.is_held_here() {
-            tokio::time::sleep(Duration::from_millis(IDLE_MS)).await;
+            tokio::time::sleep(Duration::from_millis(IDLE_POLL_MS)).await;
             continue;
         }
         match follower.read().await {
@@ -55,11 +57,11 @@
             } => {
                 apply(&front, from, &records);
                 if current {
-                    front.usage_is_current(now_ms());
+                    front.mark_usage_current(now_ms());
                 }
-                front.leader_news.notify_one();
+                front.leader_wakeup.notify_one();
             }
-            Batch::Trimmed => skipped(&front),
+            Batch::Trimmed => record_gap(&front),
             Batch::Failed => {}
         }
     }
@@ -77,31 +79,35 @@
         }
     }
     if let Some(windows) = front.meter.windows() {
-        let true_ms = front.meter.true_ms(now_ms());
-        usage.saw(windows.window_at(true_ms));
-        usage.forget(windows, true_ms);
+        let true_ms = front.meter.utc_ms(now_ms());
+        usage.note_window(windows.window_at(true_ms));
+        usage.remove_expired(windows, true_ms);
     }
 }
 
-/// Records were lost: the window that goes on now is the last one that is known in part.
-fn skipped(front: &Front) {
+/// Records were trimmed before they were read. Counts are incomplete up to and including the current
+/// window, so this front reports only later windows.
+fn record_gap(front: &Front) {
     if let Some(windows) = front.meter.windows() {
-        let window = windows.window_at(front.meter.true_ms(now_ms()));
-        front.usage().skipped(window.next());
+        let window = windows.window_at(front.meter.utc_ms(now_ms()));
+        front.usage().mark_gap(window.next());
     }
 }
 
-/// The reports of this front.
+/// State of sealing windows and sending reports.
 pub struct Reports {
     duty: Option<DutySettings>,
     sender: Arc<Mutex<Sender>>,
+    /// Seals that are being written, with the time at which the write started.
     sealing_ms: HashMap<Window, u64>,
-    returns: u64,
-    returned_ms: u64,
+    /// The store's recoveries that were seen.
+    recoveries: u64,
+    /// When the store's last recovery was seen, in milliseconds of [`now_ms`].
+    recovered_ms: u64,
 }
 
 impl Reports {
-    /// Nothing was reported.
+    /// Never reports if the settings ask for no usage reports.
     pub fn new(front: &Front) -> Self {
         Self {
             duty: front
@@ -110,40 +116,40 @@
                 .filter(|_| front.meter.windows().is_some()),
             sender: Arc::default(),
             sealing_ms: HashMap::new(),
-            returns: front.storage.returns(),
-            returned_ms: 0,
+            recoveries: front.storage.recoveries(),
+            recovered_ms: 0,
         }
     }
 
-    /// Seals windows whose time has come, and gives the report that is to go out now.
-    pub fn look(&mut self, front: &Arc<Front>, now_ms: u64) -> Option<Report> {
+    /// Seals the windows that are due, and returns the report to send now, if any.
+    pub fn seal_and_take_due(&mut self, front: &Arc<Front>, now_ms: u64) -> Option<Report> {
         let windows = *front.meter.windows()?;
         self.duty?;
-        let returns = front.storage.returns();
-        if std::mem::replace(&mut self.returns, returns) != returns {
-            self.returned_ms = now_ms;
+        let recoveries = front.storage.recoveries();
+        if std::mem::replace(&mut self.recoveries, recoveries) != recoveries {
+            self.recovered_ms = now_ms;
         }
         if front.usage_age_ms(now_ms) >= USAGE_AGE_MS_MAX {
             return None;
         }
-        let true_ms = front.meter.true_ms(now_ms);
+        let true_ms = front.meter.utc_ms(now_ms);
         let (to_seal, report) = {
-            let sender = locked(&self.sender);
+            let sender = lock(&self.sender);
             let sent = |window| sender.has_sent(window);
             let usage = front.usage();
-            let to_seal = usage.to_seal(&windows, true_ms);
-            (to_seal, usage.to_send(&windows, true_ms, sent))
+            let to_seal = usage.windows_to_seal(&windows, true_ms);
+            (to_seal, usage.report_to_send(&windows, true_ms, sent))
         };
-        let settled = !front.storage.is_lost() && now_ms >= self.returned_ms + RETURN_MS;
+        let settled = !front.storage.is_unreachable() && now_ms >= self.recovered_ms + RECOVERY_MS;
         if settled {
             self.seal(front, &to_seal, now_ms);
         }
-        report.filter(|_| locked(&self.sender).is_free(now_ms))
+        report.filter(|_| lock(&self.sender).is_ready(now_ms))
     }
 
     fn seal(&mut self, front: &Arc<Front>, windows: &[Window], now_ms: u64) {
         self.sealing_ms
-            .retain(|_, sent_ms| now_ms < *sent_ms + SEAL_AGAIN_MS);
+            .retain(|_, sent_ms| now_ms < *sent_ms + SEAL_RETRY_MS);
         for window in windows.iter().copied() {
             if self.sealing_ms.contains_key(&window) {
                 continue;
@@ -158,35 +164,35 @@
         }
     }
 
-    /// Sends a report under a fencing number that allows it now.
+    /// Sends a report with the lease's fencing token `fence`.
     pub fn send(&self, front: &Arc<Front>, report: Report, fence: u64) {
         let Some(duty) = self.duty else { return };
-        if !locked(&self.sender).begin(&report, now_ms()) {
+        if !lock(&self.sender).begin(&report, now_ms()) {
             return;
         }
         let (front, sender) = (Arc::clone(front), Arc::clone(&self.sender));
         tokio::spawn(async move {
             let outcome = send(&front, &duty, &report, fence).await;
-            locked(&sender).ended(outcome, now_ms(), rand::random());
-            front.leader_news.notify_one();
-            if outcome == Outcome::Taken {
-                note_reported(&front, report.window).await;
+            lock(&sender).finish(outcome, now_ms(), rand::random());
+            front.leader_wakeup.notify_one();
+            if outcome == Outcome::Accepted {
+                record_reported(&front, report.window).await;
             }
         });
     }
 }
 
 async fn send(front: &Front, duty: &DutySettings, report: &Report, fence: u64) -> Outcome {
-    let holder = Holder {
+    let holder = LeaseHolder {
         node: &front.settings.node,
         fence,
     };
-    let within = Duration::from_millis(SEND_MS);
+    let within = Duration::from_millis(SEND_TIMEOUT_MS);
     let sent = duty::report_usage(duty.address, &holder, report, within).await;
     let window = report.window.0;
     let lateness_ms = lateness_ms(front, report.window);
     match sent {
-        Ok(DutyAnswer::Taken) => {
+        Ok(DutyResponse::Accepted) => {
             let requests: u64 = report.counts.values().sum();
             log::info!(
                 event = "usage-reported", window, fence, requests,
@@ -194,32 +200,33 @@
             );
             front
                 .metrics
-                .count("front_usage_reports_total", figures::call_label(true), 1);
-            Outcome::Taken
+                .count("front_usage_reports_total", metrics::call_label(true), 1);
+            Outcome::Accepted
         }
         Ok(answer) => {
             log::warn!(event = "usage-not-taken", window, fence, answer:? = answer; "");
             match answer {
-                DutyAnswer::Fenced => Outcome::Fenced,
-                _ => Outcome::NotTaken,
+                DutyResponse::Fenced => Outcome::Fenced,
+                _ => Outcome::NotAccepted,
             }
         }
         Err(error) => {
             log::warn!(event = "usage-not-sent", window, fence, error:% = error; "");
-            Outcome::NotTaken
+            Outcome::NotAccepted
         }
     }
 }
 
-/// How long after the end of its window a report goes out, in milliseconds.
+/// Time since the end of the window, in milliseconds.
 fn lateness_ms(front: &Front, window: Window) -> u64 {
     let windows = front.meter.windows();
     let end_ms = windows.map_or(0, |windows| windows.end_ms(window));
-    front.meter.true_ms(now_ms()).saturating_sub(end_ms)
+    front.meter.utc_ms(now_ms()).saturating_sub(end_ms)
 }
 
-/// Tells the next holder; without the record it sends the same report once more.
-async fn note_reported(front: &Front, window: Window) {
+/// Records in the usage log that a window was reported. Without the record, the next holder of the
+/// lease sends the same report again.
+async fn record_reported(front: &Front, window: Window) {
     if let Err(error) = append_usage(front, &UsageRecord::Reported { window }).await {
         log::warn!(event = "usage-not-noted", window = window.0, error:% = error; "");
     }
--- a/components/front/src/results.rs
+++ b/components/front/src/results.rs
@@ -13,12 +13,12 @@
 use index::Index;
 use platform::jobs::ResultsPage;
 use platform::store::StoreError;
-use steps::{ListedResult, Place, ResultState, StepHead, decode_item};
+use steps::{DataLocation, ListedResult, ResultState, StepHead, decode_item};
 
 use crate::clock::now_ms;
 use crate::follow;
 use crate::state::Front;
-use crate::storage::data_from;
+use crate::storage::data_read;
 
 /// Size of a page from which on no further result is added. A larger page needs more memory, a
 /// smaller one more reads. A page has at least one result, whatever its size.
@@ -77,7 +77,7 @@
     if known.is_some() {
         return known;
     }
-    follow::wait_for_newest(front).await;
+    follow::wait_until_index_current(front).await;
     lookup(&front.index())
 }
 
@@ -96,7 +96,7 @@
     id: &str,
     after: usize,
 ) -> Option<UnreadResults> {
-    let step = index.ledger.visible(customer, id)?;
+    let step = index.ledger.find_visible(customer, id)?;
     Some(UnreadResults {
         head: Arc::clone(&step.head),
         results: step.results.iter().skip(after).cloned().collect(),
@@ -116,8 +116,8 @@
     if front.storage.silent_ms(now_ms()) >= SILENT_MS {
         return ReadOutcome::Unavailable("the store is silent");
     }
-    let _waiting = front.demand.wait();
-    let mut index_changes = front.index_news.subscribe();
+    let _waiting = front.demand.begin_wait();
+    let mut index_changes = front.index_changes.subscribe();
     let mut wait_until = tokio::time::Instant::now() + wait;
     let mut is_gathering = false;
     let found = loop {
@@ -177,7 +177,7 @@
 }
 
 /// Location of a result's text in the data topic; `None` for an item that ended without a text.
-fn text_location(result: &ListedResult) -> Option<Place> {
+fn text_location(result: &ListedResult) -> Option<DataLocation> {
     match &result.state {
         ResultState::Succeeded { text, .. } => Some(*text),
         ResultState::Errored(_) => None,
@@ -210,7 +210,7 @@
     front: &Front,
     results: &[Arc<ListedResult>],
 ) -> Result<Vec<Bytes>, StoreError> {
-    let locations: Vec<Place> = results
+    let locations: Vec<DataLocation> = results
         .iter()
         .filter_map(|result| text_location(result))
         .collect();
@@ -226,7 +226,7 @@
         let kb = bytes / 1_024 + READ_EXTRA_KB;
         let page = front
             .storage
-            .read(data_from(first.partition, from, kb), timeout)
+            .read(data_read(first.partition, from, kb), timeout)
             .await?;
         if page.records.is_empty() {
             return Err(StoreError::Malformed(format!(
@@ -244,9 +244,9 @@
         ResultState::Succeeded {
             versions, score, ..
         } => {
-            page.succeeded(id, &String::from_utf8_lossy(text), versions, score);
+            page.add_succeeded(id, &String::from_utf8_lossy(text), versions, score);
         }
-        ResultState::Errored(_) => page.errored(id),
+        ResultState::Errored(_) => page.add_errored(id),
     }
 }
 
@@ -258,14 +258,17 @@
     item: &str,
 ) -> ReadOutcome {
     let location = find_in_index(front, |index| {
-        let step = index.ledger.visible(customer, id)?;
-        step.head.data_of(step.item(item)?)
+        let step = index.ledger.find_visible(customer, id)?;
+        step.head.data_location(step.item_number(item)?)
     });
     let Some((partition, offset)) = location.await else {
         return not_found(front);
     };
     let timeout = Duration::from_millis(READ_TIMEOUT_MS);
-    let record = front.storage.record(partition, offset, 1, timeout).await;
+    let record = front
+        .storage
+        .read_data_record(partition, offset, 1, timeout)
+        .await;
     let body = record.map(|record| decode_item(&record).map(|data| data.body));
     match body {
         Ok(Ok(body)) => ReadOutcome::Found(body.into()),
--- a/components/front/src/run_item.rs
+++ b/components/front/src/run_item.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dispatch::{Admission, Pace};
+use dispatch::{Admission, EventInterval};
 use hyper::Method;
 use platform::replica::{self, Call, ItemEnd, ItemRun, ItemStart, ReplicaError};
 use platform::sse::Event;
@@ -16,7 +16,7 @@
 use crate::clock::now_us;
 use crate::partial::{PartialText, SharedPartialText};
 use crate::peers::Member;
-use crate::state::locked;
+use crate::state::lock;
 
 /// Timeout of the head of a replica's response. An engine queues up to 24 requests beyond those
 /// that it runs, and answers a queued request only once it has a free slot.
@@ -44,7 +44,7 @@
     /// Time until the item is abandoned.
     pub left_ms: u64,
     /// The replica's mean pause between events; each event of this run updates it.
-    pub pace: Arc<Pace>,
+    pub pace: Arc<EventInterval>,
     /// The replica's admission state for the model; each event marks it as accepting items.
     pub admission: Arc<Admission>,
     /// Stops the run when notified, so that the item can resume at another replica.
@@ -73,7 +73,7 @@
 
 /// Runs an item at one replica until the run ends; appends its events to `shared`.
 pub async fn run(spec: &RunSpec, shared: &SharedPartialText) -> RunEnd {
-    let last_event = locked(shared).last_event;
+    let last_event = lock(shared).last_event;
     let started = tokio::select! {
         started = start(spec, last_event) => started,
         () = spec.stop.notified() => return RunEnd::Stopped,
@@ -100,18 +100,18 @@
         };
         match next {
             Ok(Some(event)) => {
-                if let Err(end) = append_event(spec, &mut locked(shared), &item_run, &event) {
+                if let Err(end) = append_event(spec, &mut lock(shared), &item_run, &event) {
                     return end;
                 }
                 let now_us = now_us();
                 spec.last_progress_ms
                     .store(now_us / 1_000, Ordering::Relaxed);
-                spec.admission.taken(now_us / 1_000);
+                spec.admission.record_start(now_us / 1_000);
                 if let Some(last_us) = last_event_us.replace(now_us) {
                     spec.pace.record(now_us - last_us, now_us / 1_000);
                 }
             }
-            Ok(None) if locked(shared).last_event == 0 => {
+            Ok(None) if lock(shared).last_event == 0 => {
                 return RunEnd::Interrupted("the stream ended without events".to_owned());
             }
             // Also complete if this run had no events: the previous run may have broken between
@@ -160,8 +160,8 @@
         headers,
         body: Bytes::copy_from_slice(&spec.data.body),
         request_id: &spec.id,
-        instance: Arc::clone(&spec.member.replica.id),
-        left_ms: spec.left_ms,
+        replica_id: Arc::clone(&spec.member.replica.id),
+        timeout_ms: spec.left_ms,
         customer: spec.customer.as_deref(),
         rank: None,
     };
--- a/components/front/src/runner/contests.rs
+++ b/components/front/src/runner/contests.rs
@@ -9,7 +9,7 @@
 pub(super) struct QueuedItem {
     pub(super) key: ItemKey,
     pub(super) head: Arc<StepHead>,
-    pub(super) waiting: Waiting,
+    pub(super) waiting: WaitingItem,
     /// Time until the item is abandoned.
     pub(super) left_ms: u64,
 }
@@ -162,7 +162,7 @@
             for step in index.ledger.steps().filter(|step| step.is_open()) {
                 let shards = 0..step.head.shards;
                 let owned: BTreeSet<u16> = shards
-                    .filter(|shard| front.runs(&step.head, *shard, now_ms))
+                    .filter(|shard| front.owns_shard(&step.head, *shard, now_ms))
                     .collect();
                 if !owned.is_empty() {
                     scan.owns_steps = true;
@@ -197,7 +197,7 @@
             return;
         }
         let waiting = self.waiting_keys(step, &owned, now_ms);
-        let Some(route) = routes.exact(&step.head.host, &step.head.prefix) else {
+        let Some(route) = routes.find_exact(&step.head.host, &step.head.prefix) else {
             scan.abandoned.extend(waiting);
             return;
         };
@@ -228,7 +228,7 @@
     fn waiting_keys(&self, step: &Step, owned: &BTreeSet<u16>, now_ms: u64) -> Vec<ItemKey> {
         let key_if_waiting = |(item, progress): (usize, &steps::ItemProgress)| {
             let key = (step.id, item as u32);
-            let may_run = owned.contains(&step.shard(key.1)) && !step.is_kept(key.1, now_ms);
+            let may_run = owned.contains(&step.shard(key.1)) && !step.is_reserved(key.1, now_ms);
             let is_waiting = !progress.listed && !self.running.contains_key(&key);
             (may_run && is_waiting).then_some(key)
         };
@@ -255,7 +255,7 @@
             key,
             head: Arc::clone(&step.head),
             left_ms,
-            waiting: Waiting {
+            waiting: WaitingItem {
                 model,
                 turn: precedence.turn,
                 rank: precedence.rank,
@@ -275,14 +275,14 @@
     /// Number of events of an item's text that this front has.
     fn generated_events(&self, key: &ItemKey) -> u64 {
         let partial = self.partials.get(key);
-        partial.map_or(0, |(partial, _)| locked(partial).last_event)
+        partial.map_or(0, |(partial, _)| lock(partial).last_event)
     }
 
     /// Version of the weights that generated the beginning of an item's text, whether this front
     /// has the text or only its saved pieces do. `None` if there is no text or it was discarded.
     fn initial_version(&self, step: &Step, key: ItemKey) -> Option<u64> {
         if let Some((partial, _)) = self.partials.get(&key) {
-            let partial = locked(partial);
+            let partial = lock(partial);
             if partial.discarded || !partial.versions.is_empty() {
                 return partial.versions.first().copied();
             }
@@ -313,7 +313,7 @@
 /// Whether this front owns the first shard of any pool. Every step has a first shard, so its owner
 /// will run items of the pool's next step.
 fn owns_first_shard(front: &Front, routes: &Routes, now_ms: u64) -> bool {
-    let owned = front.owned.load();
+    let owned = front.ownership.load();
     let partitions = front.settings.store.partitions;
     let mut first_shards = routes
         .step_pools()
--- a/components/front/src/runner/engines.rs
+++ b/components/front/src/runner/engines.rs
@@ -9,7 +9,7 @@
     pub(super) born_ms: Option<u64>,
     /// Number of items that this front runs at the replica.
     pub(super) running: Arc<AtomicU32>,
-    pub(super) pace: Arc<Pace>,
+    pub(super) pace: Arc<EventInterval>,
     /// Whether the replica accepts items, by model.
     pub(super) admissions: HashMap<Arc<str>, Arc<Admission>>,
     /// Versions of the weights in the replica's last record, by model; 0 for none.
@@ -35,7 +35,7 @@
             let previous = self.versions.insert(Arc::clone(model), version);
             let has_changed = previous.is_some_and(|previous| previous != version);
             if let Some(admission) = self.admissions.get(model).filter(|_| has_changed) {
-                admission.renewed();
+                admission.reset();
             }
         }
     }
@@ -43,7 +43,7 @@
     /// How many of `free` slots items of a model may use.
     fn usable_slots(&self, model: &str, free: u32, now_ms: u64) -> u32 {
         let admission = self.admissions.get(model);
-        admission.map_or(free, |known| known.places(free, now_ms))
+        admission.map_or(free, |known| known.usable_slots(free, now_ms))
     }
 }
 
@@ -81,7 +81,7 @@
         }
         let typical_pause_us = self.typical_pause_us(members);
         self.typical_pause_us = typical_pause_us;
-        let stalled = self.replicas_with_stalled_runs(stalled_ms(typical_pause_us), now_ms);
+        let stalled = self.replicas_with_stalled_runs(stall_threshold_ms(typical_pause_us), now_ms);
         members
             .iter()
             .map(|(member, foreign)| {
@@ -94,11 +94,11 @@
                 Engine {
                     foreign: *foreign,
                     versions: versions(member, models),
-                    open: models
+                    model_slots: models
                         .iter()
                         .map(|model| state.usable_slots(model, free, now_ms))
                         .collect(),
-                    free,
+                    free_slots: free,
                     running,
                     slowness: slowness(&state.pace, typical_pause_us, now_ms),
                 }
@@ -119,7 +119,7 @@
         // A replica that restarted under its id shares neither pace nor refusals with its former
         // process.
         for member in table.iter() {
-            let born_ms = member.replica.born_ms;
+            let born_ms = member.replica.started_ms;
             let has_restarted =
                 |state: &EngineState| state.born_ms.is_some() && state.born_ms != born_ms;
             match self.engines.get_mut(&member.replica.id) {
@@ -178,7 +178,7 @@
         engines: &mut [Engine],
         now_ms: u64,
     ) {
-        let stalled_ms = stalled_ms(self.typical_pause_us);
+        let stalled_ms = stall_threshold_ms(self.typical_pause_us);
         let numbers: HashMap<&ReplicaId, usize> = members
             .iter()
             .enumerate()
@@ -211,7 +211,7 @@
         model: usize,
         now_ms: u64,
     ) -> Option<Run> {
-        let partial = locked(&self.partials.get(key)?.0);
+        let partial = lock(&self.partials.get(key)?.0);
         let left_ms = text_left_ms(
             run.expected_tokens,
             partial.last_event,
@@ -239,7 +239,7 @@
             return;
         };
         if cause == MoveCause::Slow {
-            locked(partial).slow_moves += 1;
+            lock(partial).slow_moves += 1;
         }
         run.stop_cause = Some(cause);
         run.stop.notify_one();
--- a/components/front/src/runner/handover.rs
+++ b/components/front/src/runner/handover.rs
@@ -18,7 +18,7 @@
             let newest_piece = step.pieces(key.1).last().map_or(0, |piece| piece.id);
             let partial = self.partials.get(*key);
             self.front.is_handed_on(&step.head, step.shard(key.1))
-                && partial.is_some_and(|(partial, _)| locked(partial).is_superseded(newest_piece))
+                && partial.is_some_and(|(partial, _)| lock(partial).is_superseded(newest_piece))
         };
         self.running.keys().filter(is_superseded).copied().collect()
     }
@@ -31,8 +31,8 @@
             return false;
         }
         let since_ms = *self.leaving_since_ms.get_or_insert(now_ms);
-        let continue_ms = leave::keep_runs_ms(self.front.settings.bounds.grace_ms);
-        now_ms >= since_ms + continue_ms && !self.front.storage.is_lost()
+        let continue_ms = leave::drain_runs_ms(self.front.settings.bounds.grace_ms);
+        now_ms >= since_ms + continue_ms && !self.front.storage.is_unreachable()
     }
 
     /// Starts a round of saving partial texts if one is due: at intervals, and at once when the
@@ -42,8 +42,8 @@
         if self.is_saving {
             return;
         }
-        let is_first_of_drain = self.front.drain.is_leaving() && !*self.front.handed_over.borrow();
-        let partitions_moved = self.front.handed_on.swap(false, Ordering::Relaxed);
+        let is_first_of_drain = self.front.drain.is_leaving() && !*self.front.texts_saved.borrow();
+        let partitions_moved = self.front.partitions_moved.swap(false, Ordering::Relaxed);
         let is_due = now_ms >= self.last_save_ms + SAVE_INTERVAL_MS;
         if !is_due && !is_first_of_drain && !partitions_moved {
             return;
--- a/components/front/src/runner/look.rs
+++ b/components/front/src/runner/look.rs
@@ -65,12 +65,12 @@
         self.remove_gone(&table);
         let members = queue.members(&table, |replica| self.has_runs_at(replica));
         let mut engines = self.engines_for(&members, &queue.models, now_ms);
-        let waiting: Vec<Waiting> = queue
+        let waiting: Vec<WaitingItem> = queue
             .waiting
             .iter()
             .map(|item| self.prepare_waiting(item, &members, &engines))
             .collect();
-        for Placed { item, engine } in place(&waiting, &mut engines) {
+        for Placement { item, engine } in place(&waiting, &mut engines) {
             self.start_run(&queue.waiting[item], &members[engine].0);
         }
         self.move_runs(&queue, &members, &mut engines, now_ms);
@@ -83,18 +83,18 @@
         item: &QueuedItem,
         members: &[(Member, bool)],
         engines: &[Engine],
-    ) -> Waiting {
+    ) -> WaitingItem {
         let broke_at = self.partials.get(&item.key).and_then(|(_, at)| at.as_ref());
         let avoid = broke_at.and_then(|broke_at| {
             members
                 .iter()
                 .position(|(member, _)| member.replica.id == *broke_at)
         });
-        let mut waiting = Waiting {
+        let mut waiting = WaitingItem {
             avoid,
             ..item.waiting.clone()
         };
-        if lost_its_version(&waiting, engines) {
+        if has_lost_version(&waiting, engines) {
             self.restart_text(item.key);
             waiting.only_version = None;
         }
@@ -107,7 +107,7 @@
         let (step, item) = (key.0.0, key.1);
         log::info!(event = "text-restarted", step, item; "");
         let entry = self.partials.entry(key).or_default();
-        locked(&entry.0).discard();
+        lock(&entry.0).discard();
     }
 
     /// Starts a run of an item at a replica in a new task.
@@ -123,7 +123,7 @@
         };
         let replica = Arc::clone(&member.replica.id);
         let admission = self.admission(&replica, &item.head.model);
-        admission.tried(now_ms());
+        admission.record_attempt(now_ms());
         let state = self
             .engines
             .entry(Arc::clone(&replica))
@@ -168,7 +168,7 @@
         };
         log::debug!(
             event = "item-started", id = spec.id, step = step.0, item = number,
-            replica = &*replica, from_event = locked(&partial).last_event; ""
+            replica = &*replica, from_event = lock(&partial).last_event; ""
         );
         let (key, messages) = (item.key, self.messages.clone());
         let front = Arc::clone(&self.front);
@@ -186,7 +186,7 @@
             RunningItem {
                 abort: task.abort_handle(),
                 replica_run: Some(at),
-                _working: self.front.drain.progress().enter(),
+                _working: self.front.drain.work_counter().begin(),
             },
         );
     }
@@ -202,7 +202,7 @@
     saved: &[SavedPiece],
 ) -> bool {
     let needs_no_pieces = {
-        let partial = locked(partial);
+        let partial = lock(partial);
         partial.discarded || partial.last_event > 0
     };
     if saved.is_empty() || needs_no_pieces {
@@ -210,7 +210,7 @@
     }
     match partial::restore(front, saved).await {
         Ok(restored) => {
-            *locked(partial) = restored;
+            *lock(partial) = restored;
             true
         }
         Err(error) => {
--- a/components/front/src/runner/mod.rs
+++ b/components/front/src/runner/mod.rs
@@ -22,10 +22,11 @@
 
 use bytes::Bytes;
 use dispatch::{
-    Admission, Engine, MoveCause, Pace, Placed, Replica, ReplicaId, Route, Routes, Run, Waiting,
-    WaitingRank, lost_its_version, place, runs_to_move, slowness, stalled_ms, text_left_ms,
+    Admission, Engine, EventInterval, MoveCause, Placement, Replica, ReplicaId, Route, Routes, Run,
+    WaitingItem, WaitingRank, has_lost_version, place, runs_to_move, slowness, stall_threshold_ms,
+    text_left_ms,
 };
-use leaving::Working;
+use leaving::WorkGuard;
 use ownership::{replica_shards, shard_partition};
 use pacing::Activity;
 use steps::{ErrorCause, FailedPart, ItemData, ItemHead, Step, StepHead, StepId, decode_item};
@@ -33,13 +34,13 @@
 use tokio::task::AbortHandle;
 
 use crate::clock::now_ms;
-use crate::figures;
 use crate::leave;
+use crate::metrics;
 use crate::partial::{self, PartialText, SharedPartialText};
 use crate::peers::{Member, ReplicaTable};
 use crate::reward;
 use crate::run_item::{self, RunEnd, RunSpec};
-use crate::state::{Front, locked};
+use crate::state::{Front, lock};
 use crate::writer::{EndedItem, ItemOutcome, record_failure};
 
 use data::read_data;
@@ -90,7 +91,7 @@
     /// The run at a replica; `None` once the item needs no replica any more.
     replica_run: Option<ReplicaRun>,
     /// Keeps a process that shuts down alive until the item is listed or stopped.
-    _working: Working,
+    _working: WorkGuard,
 }
 
 struct ReplicaRun {
@@ -163,7 +164,7 @@
     loop {
         tokio::select! {
             Some(message) = inbox.recv() => runner.handle(message),
-            () = front.runner_news.notified() => {}
+            () = front.runner_wakeup.notified() => {}
             () = tokio::time::sleep(Duration::from_millis(RECONCILE_INTERVAL_MS)) => {}
         }
         while let Ok(message) = inbox.try_recv() {
@@ -188,7 +189,7 @@
             RunnerMessage::TextsSaved => {
                 self.is_saving = false;
                 if self.front.drain.is_leaving() {
-                    self.front.handed_over.send_replace(true);
+                    self.front.texts_saved.send_replace(true);
                 }
             }
         }
@@ -203,14 +204,14 @@
         let events = self
             .partials
             .get(&key)
-            .map_or(0, |entry| locked(&entry.0).last_event);
+            .map_or(0, |entry| lock(&entry.0).last_event);
         let (step, item) = key;
         self.count_run(&end);
         match end {
             RunEnd::Complete => {
                 self.timings.record_complete(&self.front, key, now_ms);
                 let partial = self.partials.remove(&key).map(|entry| entry.0);
-                let text = partial.map(|partial| std::mem::take(&mut *locked(&partial)));
+                let text = partial.map(|partial| std::mem::take(&mut *lock(&partial)));
                 self.finish(
                     key,
                     &head,
@@ -220,7 +221,7 @@
             }
             RunEnd::NotRun(why) => {
                 log::debug!(event = "item-not-run", step = step.0, item, replica = &*replica, why; "");
-                self.admission(&replica, &head.model).refused(now_ms);
+                self.admission(&replica, &head.model).record_refusal(now_ms);
                 self.note_interrupted(key, replica);
             }
             RunEnd::Interrupted(why) => {
@@ -228,7 +229,7 @@
                     event = "item-broken", step = step.0, item, replica = &*replica,
                     events, why; ""
                 );
-                self.admission(&replica, &head.model).refused(now_ms);
+                self.admission(&replica, &head.model).record_refusal(now_ms);
                 self.note_interrupted(key, replica);
             }
             RunEnd::PiecesUnreadable => {
@@ -238,7 +239,7 @@
                 let stop_cause = running
                     .as_ref()
                     .and_then(|running| running.replica_run.as_ref()?.stop_cause);
-                let why = stop_cause.map_or("told", MoveCause::word);
+                let why = stop_cause.map_or("told", MoveCause::as_str);
                 log::info!(
                     event = "item-moved", step = step.0, item, replica = &*replica, events, why; ""
                 );
@@ -269,7 +270,7 @@
             RunEnd::Stopped => "front_runs_moved_total",
             RunEnd::Failed | RunEnd::Impossible => "front_runs_failed_total",
         };
-        self.front.metrics.count(name, figures::item_label(), 1);
+        self.front.metrics.count(name, metrics::item_label(), 1);
     }
 
     /// Logs the ids of a step: the trainer's id and the number that later log lines use.
--- a/components/front/src/runner/settle.rs
+++ b/components/front/src/runner/settle.rs
@@ -29,7 +29,7 @@
                     let (customer, started_ms) = (customer.as_deref(), now_ms());
                     let score = reward::score(&front, key, scorer, customer, failed_rewards).await;
                     let took_ms = now_ms() - started_ms;
-                    let label = figures::item_label();
+                    let label = metrics::item_label();
                     front.metrics.record("front_item_score_ms", label, took_ms);
                     score
                 }
@@ -84,7 +84,7 @@
             RunningItem {
                 abort: task.abort_handle(),
                 replica_run: None,
-                _working: self.front.drain.progress().enter(),
+                _working: self.front.drain.work_counter().begin(),
             },
         );
     }
--- a/components/front/src/runner/stages.rs
+++ b/components/front/src/runner/stages.rs
@@ -25,7 +25,7 @@
         now_ms: u64,
     ) {
         self.0.entry(key).or_insert_with(|| {
-            let (label, took_ms) = (figures::item_label(), now_ms - accepted_ms);
+            let (label, took_ms) = (metrics::item_label(), now_ms - accepted_ms);
             front.metrics.record("front_item_placed_ms", label, took_ms);
             ItemTimes {
                 sent_ms: now_ms,
@@ -37,7 +37,7 @@
     /// Records that the text of an item is complete.
     pub(super) fn record_complete(&mut self, front: &Front, key: ItemKey, now_ms: u64) {
         if let Some(times) = self.0.get_mut(&key) {
-            let (label, took_ms) = (figures::item_label(), now_ms - times.sent_ms);
+            let (label, took_ms) = (metrics::item_label(), now_ms - times.sent_ms);
             front.metrics.record("front_item_text_ms", label, took_ms);
             times.complete_ms = Some(now_ms);
         }
@@ -53,7 +53,7 @@
         self.0.retain(|key, times| {
             let is_kept = is_wanted(key);
             if let (false, Some(complete_ms)) = (is_kept, times.complete_ms) {
-                let (label, took_ms) = (figures::item_label(), now_ms - complete_ms);
+                let (label, took_ms) = (metrics::item_label(), now_ms - complete_ms);
                 front.metrics.record("front_item_listed_ms", label, took_ms);
             }
             is_kept
--- a/components/front/src/serve.rs
+++ b/components/front/src/serve.rs
@@ -1,111 +1,117 @@
-//! Requests of clients: what they ask for, and the answer.
+//! Handlers for requests of clients and of the load balancer.
 
 use std::sync::Arc;
 
 use bytes::Bytes;
 use customers::Customer;
-use dispatch::{CallEnd, Route, RouteKind, Routes};
+use dispatch::{CallFailure, Route, RouteKind, Routes};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
-use platform::ingress::{self, Asked};
-use platform::{BodyError, ReplyBody, collect};
+use platform::ingress::{self, Operation};
+use platform::{BodyError, ResponseBody, collect};
 
 use crate::access::Refused;
 use crate::calls::{self, CallOutcome, CallSpec};
 use crate::clock::now_ms;
 use crate::results::{self, ReadOutcome};
 use crate::state::Front;
-use crate::{access, figures, jobs, stream};
+use crate::{access, jobs, metrics, stream};
 
-/// When a client of a front that knows no configuration yet may come again, in milliseconds.
-const UNKNOWING_AGAIN_MS: u64 = 300;
-/// When a client whose replicas were all busy may come again, in milliseconds: half of what a
-/// call takes.
-const BUSY_AGAIN_MS: u64 = 60;
-/// Path of the metrics, on the address that the balancer asks.
+/// Retry-After of a front that has not read a configuration yet, in milliseconds.
+const UNCONFIGURED_RETRY_AFTER_MS: u64 = 300;
+/// Retry-After when all replicas are busy, in milliseconds: half the duration of a call.
+const BUSY_RETRY_AFTER_MS: u64 = 60;
+/// Path of the metrics page, on the address of the readiness probe.
 const METRICS_PATH: &str = "/metrics";
-/// Longest time of a request that states none and whose route has none, in milliseconds.
-const DEADLINE_MS: u64 = 30_000;
+/// Timeout of a request without a deadline header, in milliseconds. A shorter timeout of the route
+/// takes precedence.
+const DEFAULT_TIMEOUT_MS: u64 = 30_000;
 
-/// Answers the balancer, and whoever fetches the metrics.
-pub async fn ready(front: Arc<Front>, request: Request<Incoming>) -> Response<ReplyBody> {
+/// Answers the load balancer's readiness probe and requests for the metrics page.
+pub async fn ready(front: Arc<Front>, request: Request<Incoming>) -> Response<ResponseBody> {
     if request.uri().path() == METRICS_PATH {
-        let mut text = figures::text(&front.metrics.rows().await);
+        let mut text = metrics::text(&front.metrics.rows().await);
         text.push_str(&front.storage.calls.text());
-        text.push_str(&figures::customers_text(&front.meter.series()));
-        return ingress::success(StatusCode::OK, None, "text/plain", text.into());
+        text.push_str(&metrics::customers_text(&front.meter.series()));
+        return ingress::success_response(StatusCode::OK, None, "text/plain", text.into());
     }
     let status = match front.is_ready() {
         true => StatusCode::OK,
         false => StatusCode::SERVICE_UNAVAILABLE,
     };
-    let mut answer = Response::new(ReplyBody::empty());
+    let mut answer = Response::new(ResponseBody::empty());
     *answer.status_mut() = status;
     answer
 }
 
-/// Answers a client.
-pub async fn client(front: Arc<Front>, request: Request<Incoming>) -> Response<ReplyBody> {
+/// Answers a client's request, or refuses it if the front is leaving and the drain has begun.
+pub async fn client(front: Arc<Front>, request: Request<Incoming>) -> Response<ResponseBody> {
     let id = ingress::request_id(request.headers()).map(str::to_owned);
     let mut answer = match front.drain.admit(now_ms()) {
         Ok(working) => {
-            let answer = admitted(&front, request, id.as_deref()).await;
+            let answer = serve_admitted(&front, request, id.as_deref()).await;
             drop(working);
             answer
         }
         Err(refusal) => {
             let again_ms = refusal.retry_after_ms.map(u64::from);
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            ingress::own_answer(status, id.as_deref(), again_ms, "leaving")
+            ingress::status_response(status, id.as_deref(), again_ms, "leaving")
         }
     };
     if front.drain.is_leaving() {
-        ingress::close_after(&mut answer);
+        ingress::set_connection_close(&mut answer);
     }
     answer
 }
 
-async fn admitted(
+async fn serve_admitted(
     front: &Arc<Front>,
     request: Request<Incoming>,
     id: Option<&str>,
-) -> Response<ReplyBody> {
+) -> Response<ResponseBody> {
     let Some(routes) = front.routes.load_full() else {
         let status = StatusCode::SERVICE_UNAVAILABLE;
-        return ingress::own_answer(status, id, Some(UNKNOWING_AGAIN_MS), "no configuration yet");
+        return ingress::status_response(
+            status,
+            id,
+            Some(UNCONFIGURED_RETRY_AFTER_MS),
+            "no configuration yet",
+        );
     };
-    let asked = ingress::asked(request.method(), request.uri(), request.headers());
+    let asked = ingress::parse_operation(request.method(), request.uri(), request.headers());
     let Some(step) = asked.step() else {
-        return call(front, &routes, request, id).await;
-    };
-    let customer = match access::reader(front, &routes, request.headers(), step).await {
-        Ok(customer) => customer,
-        Err(refused) => {
-            let (parts, body) = request.into_parts();
-            return access::refuse(front, &routes, &parts.headers, body, id, refused).await;
-        }
+        return route_call(front, &routes, request, id).await;
     };
-    step_call(front, name_of(&customer), &asked, id).await
+    let customer =
+        match access::authenticate_step_access(front, &routes, request.headers(), step).await {
+            Ok(customer) => customer,
+            Err(refused) => {
+                let (parts, body) = request.into_parts();
+                return access::refuse(front, &routes, &parts.headers, body, id, refused).await;
+            }
+        };
+    serve_step_request(front, name_of(&customer), &asked, id).await
 }
 
-/// A customer's call about a step that it submitted.
-async fn step_call(
+/// Serves a request about a step that the customer submitted before.
+async fn serve_step_request(
     front: &Front,
     customer: Option<&str>,
-    asked: &Asked,
+    asked: &Operation,
     id: Option<&str>,
-) -> Response<ReplyBody> {
+) -> Response<ResponseBody> {
     match asked {
-        Asked::Results { step, after, wait } => {
+        Operation::Results { step, after, wait } => {
             let read = results::read_results(front, customer, step, *after, *wait).await;
             read_answer(id, read, "application/json")
         }
-        Asked::ItemBody { step, item } => {
+        Operation::ItemBody { step, item } => {
             let read = results::read_item_body(front, customer, step, item).await;
             read_answer(id, read, "application/octet-stream")
         }
-        Asked::EndStep { step } => end_step(front, customer, id, step).await,
-        Asked::Call => ingress::own_answer(StatusCode::NOT_FOUND, id, None, "no route"),
+        Operation::EndStep { step } => end_step(front, customer, id, step).await,
+        Operation::Call => ingress::status_response(StatusCode::NOT_FOUND, id, None, "no route"),
     }
 }
 
@@ -113,14 +119,16 @@
     customer.as_ref().map(|customer| &*customer.name)
 }
 
-fn read_answer(id: Option<&str>, read: ReadOutcome, content_type: &str) -> Response<ReplyBody> {
+fn read_answer(id: Option<&str>, read: ReadOutcome, content_type: &str) -> Response<ResponseBody> {
     let status = read.status();
     match read {
-        ReadOutcome::Found(body) => ingress::success(status, id, content_type, body),
+        ReadOutcome::Found(body) => ingress::success_response(status, id, content_type, body),
         ReadOutcome::NotFound => {
-            ingress::own_answer(status, id, None, "there is no such step or item")
+            ingress::status_response(status, id, None, "there is no such step or item")
+        }
+        ReadOutcome::Unavailable(why) => {
+            ingress::status_response(status, id, Some(BUSY_RETRY_AFTER_MS), why)
         }
-        ReadOutcome::Unavailable(why) => ingress::own_answer(status, id, Some(BUSY_AGAIN_MS), why),
     }
 }
 
@@ -129,30 +137,32 @@
     customer: Option<&str>,
     id: Option<&str>,
     name: &str,
-) -> Response<ReplyBody> {
-    let known =
-        results::find_in_index(front, |index| index.ledger.visible(customer, name).cloned());
+) -> Response<ResponseBody> {
+    let known = results::find_in_index(front, |index| {
+        index.ledger.find_visible(customer, name).cloned()
+    });
     let Some(step) = known.await else {
         let read = results::read_results(front, customer, name, 0, std::time::Duration::ZERO).await;
         return read_answer(id, read, "application/json");
     };
     if step.ended {
-        return ingress::own_answer(StatusCode::OK, id, None, "ended before");
+        return ingress::status_response(StatusCode::OK, id, None, "ended before");
     }
     let reply = jobs::end(front, name, step.id).await;
     log::info!(
         event = "step-ended", id = name, status = reply.status.as_u16(),
         listed = step.results.len(), items = step.head.items.len(); ""
     );
-    ingress::own_answer(reply.status, id, reply.again_ms, reply.why)
+    ingress::status_response(reply.status, id, reply.retry_after_ms, reply.message)
 }
 
-async fn call(
+/// Serves a call of a configured route.
+async fn route_call(
     front: &Arc<Front>,
     routes: &Routes,
     request: Request<Incoming>,
     id: Option<&str>,
-) -> Response<ReplyBody> {
+) -> Response<ResponseBody> {
     let began_ms = now_ms();
     let (parts, body) = request.into_parts();
     let host = ingress::host(&parts.uri, &parts.headers).unwrap_or_default();
@@ -160,18 +170,18 @@
         let refused = Refused::NoRoute;
         return access::refuse(front, routes, &parts.headers, body, id, refused).await;
     };
-    let customer = match access::caller(routes, route, &parts.headers) {
+    let customer = match access::authenticate_call(routes, route, &parts.headers) {
         Ok(customer) => customer,
         Err(refused) => {
             return access::refuse(front, routes, &parts.headers, body, id, refused).await;
         }
     };
     let Some(id) = id else {
-        return ingress::own_answer(StatusCode::BAD_REQUEST, None, None, "no request id");
+        return ingress::status_response(StatusCode::BAD_REQUEST, None, None, "no request id");
     };
-    let limit_bytes = routes.limits.body_bytes;
-    let stated = ingress::stated_length(&parts.headers).unwrap_or(0);
-    if stated > limit_bytes as u64 {
+    let limit_bytes = routes.limits.body_bytes_max;
+    let content_length = ingress::content_length(&parts.headers).unwrap_or(0);
+    if content_length > limit_bytes as u64 {
         return too_large(id);
     }
     let body = match collect(body, limit_bytes).await {
@@ -179,7 +189,12 @@
         Err(BodyError::TooLarge(_)) => return too_large(id),
         Err(error) => {
             log::info!(event = "body-broken", id, error:% = error; "");
-            return ingress::own_answer(StatusCode::BAD_REQUEST, Some(id), None, "broken body");
+            return ingress::status_response(
+                StatusCode::BAD_REQUEST,
+                Some(id),
+                None,
+                "broken body",
+            );
         }
     };
     if route.kind == RouteKind::Rollout {
@@ -189,87 +204,92 @@
             id,
         };
         let reply = jobs::submit(front, routes, &submitted, body).await;
-        return ingress::own_answer(reply.status, Some(id), reply.again_ms, reply.why);
+        return ingress::status_response(
+            reply.status,
+            Some(id),
+            reply.retry_after_ms,
+            reply.message,
+        );
     }
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
-    let allowed_ms = ingress::deadline_ms(&parts.headers).unwrap_or(DEADLINE_MS);
-    let allowed_ms = match route.timeout_ms {
-        0 => allowed_ms,
-        timeout_ms => allowed_ms.min(timeout_ms),
+    let timeout_ms = ingress::deadline_ms(&parts.headers).unwrap_or(DEFAULT_TIMEOUT_MS);
+    let timeout_ms = match route.timeout_ms {
+        0 => timeout_ms,
+        route_timeout_ms => timeout_ms.min(route_timeout_ms),
     };
     let spec = CallSpec {
         route,
         method: parts.method,
         path,
-        headers: ingress::to_replica(&parts.headers),
+        headers: ingress::replica_headers(&parts.headers),
         body,
         request_id: id,
         customer: name_of(&customer),
         rank: rank(route, customer.as_deref()),
         background: false,
-        deadline_at_ms: began_ms + allowed_ms,
+        deadline_at_ms: began_ms + timeout_ms,
     };
-    ordinary(front, route, &spec, id).await
+    perform_call(front, route, &spec, id).await
 }
 
-/// Rank of a call at its replica; only model replicas know of ranks.
+/// Priority of a call in the replica's queue; only model replicas support priorities.
 fn rank(route: &Route, customer: Option<&Customer>) -> Option<u8> {
-    let known = route.kind == RouteKind::Stream;
-    known.then(|| route.rank_for(customer)).flatten()
+    let supported = route.kind == RouteKind::Stream;
+    supported.then(|| route.rank_for(customer)).flatten()
 }
 
-fn too_large(id: &str) -> Response<ReplyBody> {
+fn too_large(id: &str) -> Response<ResponseBody> {
     let status = StatusCode::PAYLOAD_TOO_LARGE;
-    let mut answer = ingress::own_answer(status, Some(id), None, "the body is too long");
-    ingress::close_after(&mut answer);
+    let mut answer = ingress::status_response(status, Some(id), None, "the body is too long");
+    ingress::set_connection_close(&mut answer);
     answer
 }
 
-async fn ordinary(
+async fn perform_call(
     front: &Arc<Front>,
     route: &Route,
     spec: &CallSpec<'_>,
     id: &str,
-) -> Response<ReplyBody> {
+) -> Response<ResponseBody> {
     if route.kind == RouteKind::Stream {
         return match stream::relay(front, spec).await {
             Ok(answer) => answer,
             Err(failed) => {
                 log::warn!(event = "stream-failed", id, not_run = failed.not_run, why = failed.reason; "");
                 let end = if failed.not_run {
-                    CallEnd::NotRun
+                    CallFailure::NotRun
                 } else {
-                    CallEnd::Unknown
+                    CallFailure::Unknown
                 };
-                ended(end, id)
+                failure_answer(end, id)
             }
         };
     }
     match calls::perform(front, spec).await {
         CallOutcome::Answer(answer) => {
-            let mut response = Response::new(ReplyBody::Whole(Bytes::clone(&answer.body)));
+            let mut response = Response::new(ResponseBody::Full(Bytes::clone(&answer.body)));
             *response.status_mut() = answer.status;
             *response.headers_mut() = answer.headers;
             response
         }
-        CallOutcome::End(end, _) => ended(end, id),
+        CallOutcome::End(end, _) => failure_answer(end, id),
     }
 }
 
-fn ended(end: CallEnd, id: &str) -> Response<ReplyBody> {
+fn failure_answer(end: CallFailure, id: &str) -> Response<ResponseBody> {
     match end {
-        CallEnd::NotRun => {
+        CallFailure::NotRun => {
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            ingress::own_answer(status, Some(id), Some(BUSY_AGAIN_MS), "not run")
+            ingress::status_response(status, Some(id), Some(BUSY_RETRY_AFTER_MS), "not run")
         }
-        CallEnd::TimedOut => ingress::own_answer(
+        CallFailure::TimedOut => ingress::status_response(
             StatusCode::GATEWAY_TIMEOUT,
             Some(id),
             None,
             "no answer in time",
         ),
-        CallEnd::Unknown => {
-            ingress::own_answer(StatusCode::BAD_GATEWAY, Some(id), None, "it may have run")
+        CallFailure::Unknown => {
+            ingress::status_response(StatusCode::BAD_GATEWAY, Some(id), None, "it may have run")
         }
     }
 }
--- a/components/front/src/stream.rs
+++ b/components/front/src/stream.rs
@@ -12,12 +12,12 @@
 use http_body_util::BodyExt;
 use hyper::Response;
 use platform::replica;
-use platform::{BodyError, ReplyBody};
+use platform::{BodyError, ResponseBody};
 use tokio::sync::mpsc;
 
-use crate::calls::{CallSpec, choose_of};
+use crate::calls::{CallSpec, choose_in_service};
 use crate::clock::now_ms;
-use crate::meter::Started;
+use crate::meter::CountedRequest;
 use crate::peers::Member;
 use crate::state::Front;
 
@@ -37,9 +37,9 @@
 pub async fn relay(
     front: &Arc<Front>,
     spec: &CallSpec<'_>,
-) -> Result<Response<ReplyBody>, NotStarted> {
+) -> Result<Response<ResponseBody>, NotStarted> {
     let mut tried: Vec<ReplicaId> = Vec::new();
-    let mut started = Started::new(front, spec.customer);
+    let mut started = CountedRequest::new(front, spec.customer);
     let mut last_error = NotStarted {
         not_run: true,
         reason: "no replica is available".to_owned(),
@@ -49,7 +49,7 @@
             break;
         };
         tried.push(Arc::clone(&member.replica.id));
-        let sent = started.attempt();
+        let sent = started.start_attempt();
         match open(&member, spec).await {
             Ok(response) => {
                 sent.store(now_ms(), Ordering::Relaxed);
@@ -63,12 +63,12 @@
 
 fn choose_untried(front: &Front, spec: &CallSpec<'_>, tried: &[ReplicaId]) -> Option<Member> {
     let table = front.replicas.load();
-    let service = spec.route.draw(rand::random())?;
+    let service = spec.route.pick_service(rand::random())?;
     let typical = front.typical(&spec.route.name);
-    choose_of(front, &table, service, &typical, tried, false)
+    choose_in_service(front, &table, service, &typical, tried, false)
 }
 
-async fn open(member: &Member, spec: &CallSpec<'_>) -> Result<Response<ReplyBody>, NotStarted> {
+async fn open(member: &Member, spec: &CallSpec<'_>) -> Result<Response<ResponseBody>, NotStarted> {
     let not_run = |reason: String| NotStarted {
         not_run: true,
         reason,
@@ -78,8 +78,8 @@
         .connection(&member.replica)
         .await
         .map_err(|error| not_run(error.to_string()))?;
-    let call = spec.at(&member.replica);
-    let timeout = Duration::from_millis(call.left_ms);
+    let call = spec.replica_call(&member.replica);
+    let timeout = Duration::from_millis(call.timeout_ms);
     let stream = replica::open_stream(&mut connection, call, timeout)
         .await
         .map_err(|error| NotStarted {
@@ -87,7 +87,7 @@
             reason: error.to_string(),
         })?;
     let (frames, body) = mpsc::channel(BUFFERED_FRAMES_MAX);
-    let mut answer = Response::new(ReplyBody::Flow(body));
+    let mut answer = Response::new(ResponseBody::Stream(body));
     *answer.status_mut() = stream.status;
     *answer.headers_mut() = stream.headers;
     let mut from_replica = stream.body;
@@ -106,8 +106,8 @@
                     Ok(data) => Ok(data),
                     Err(_) => continue,
                 },
-                Ok(Some(Err(reason))) => Err(BodyError::Broken(reason.to_string())),
-                Err(_) => Err(BodyError::Broken(
+                Ok(Some(Err(reason))) => Err(BodyError::Interrupted(reason.to_string())),
+                Err(_) => Err(BodyError::Interrupted(
                     "the replica sent no event before the deadline".to_owned(),
                 )),
             };
--- a/components/front/src/writer.rs
+++ b/components/front/src/writer.rs
@@ -11,7 +11,7 @@
 use index::{DATA_TOPIC, INDEX_PARTITION, INDEX_TOPIC, IndexError, LogRecord, USAGE_TOPIC};
 use platform::store::StoreError;
 use quick_error::quick_error;
-use steps::{ErrorCause, FailedPart, IndexRecord, Place, ResultState, StepId};
+use steps::{DataLocation, ErrorCause, FailedPart, ResultState, StepId, StepRecord};
 use tokio::sync::mpsc;
 use usage::UsageRecord;
 
@@ -115,7 +115,7 @@
 /// Records a failed run or reward call of an item in the index, so that a front that takes over
 /// counts it too.
 pub async fn record_failure(front: &Front, (step, item): (StepId, u32), part: FailedPart) {
-    let record = [LogRecord::Index(IndexRecord::Failed { step, item, part })];
+    let record = [LogRecord::Step(StepRecord::Failed { step, item, part })];
     if let Err(error) = write_index(front, &record).await {
         // This front still counts the failure; a front that takes over allows one more attempt.
         log::warn!(event = "failure-not-written", step = step.0, item, error:% = error; "");
@@ -179,7 +179,7 @@
                 versions,
                 score,
             } => {
-                let place = Place {
+                let place = DataLocation {
                     partition,
                     offset,
                     bytes: text.len() as u32,
@@ -193,7 +193,7 @@
             }
         };
         log::debug!(event = "item-ended", step = ended.step.0, item = ended.item; "");
-        records.push(LogRecord::Index(IndexRecord::Listed {
+        records.push(LogRecord::Step(StepRecord::Listed {
             step: ended.step,
             item: ended.item,
             state,
@@ -231,11 +231,11 @@
 {
     let mut pause_ms = BACKOFF_MS;
     loop {
-        let returns = front.storage.returns();
+        let returns = front.storage.recoveries();
         match append().await {
             Ok(offset) => return offset,
             Err(error) => {
-                if front.storage.returns() != returns {
+                if front.storage.recoveries() != returns {
                     pause_ms = BACKOFF_MS;
                 }
                 log::warn!(event = "records-not-written", what, pause_ms, error:% = error; "");
