--- a/components/front/src/reward.rs
+++ b/components/front/src/reward.rs
@@ -23,7 +23,7 @@
 pub async fn score(
     front: &Arc<Front>,
     key: (StepId, u32),
-    scorer: &RewardCall,
+    reward_call: &RewardCall,
     customer: Option<&str>,
     mut failed: u32,
 ) -> Option<String> {
@@ -31,7 +31,7 @@
         let routes = front.routes.load_full();
         let route = routes
             .as_ref()
-            .and_then(|routes| routes.find(&scorer.host, &scorer.path));
+            .and_then(|routes| routes.find(&reward_call.host, &reward_call.path));
         let Some(route) = route else {
             // The next version of the configuration may have the route.
             tokio::time::sleep(Duration::from_millis(RETRY_PAUSE_MS)).await;
@@ -44,10 +44,10 @@
         let spec = CallSpec {
             route,
             method: Method::POST,
-            path: &scorer.path,
+            path: &reward_call.path,
             headers: HeaderMap::new(),
-            body: scorer.body.clone().into(),
-            request_id: &scorer.id,
+            body: reward_call.body.clone().into(),
+            request_id: &reward_call.id,
             customer,
             rank: None,
             background: true,
--- a/components/front/src/run_item.rs
+++ b/components/front/src/run_item.rs
@@ -44,7 +44,7 @@
     /// Time until the item is abandoned.
     pub left_ms: u64,
     /// The replica's mean pause between events; each event of this run updates it.
-    pub pace: Arc<EventInterval>,
+    pub event_interval: Arc<EventInterval>,
     /// The replica's admission state for the model; each event marks it as accepting items.
     pub admission: Arc<Admission>,
     /// Stops the run when notified, so that the item can resume at another replica.
@@ -108,7 +108,7 @@
                     .store(now_us / 1_000, Ordering::Relaxed);
                 spec.admission.record_start(now_us / 1_000);
                 if let Some(last_us) = last_event_us.replace(now_us) {
-                    spec.pace.record(now_us - last_us, now_us / 1_000);
+                    spec.event_interval.record(now_us - last_us, now_us / 1_000);
                 }
             }
             Ok(None) if lock(shared).last_event == 0 => {
--- a/components/front/src/runner/engines.rs
+++ b/components/front/src/runner/engines.rs
@@ -1,15 +1,15 @@
 //! State of the model replicas that the runner places items on.
 
-use super::contests::PoolQueue;
+use super::pool_queues::PoolQueue;
 use super::*;
 
 /// What this front knows of a model replica.
 pub(super) struct EngineState {
     /// When the replica started, if its record says so; tells restarts under the same id apart.
-    pub(super) born_ms: Option<u64>,
+    pub(super) started_ms: Option<u64>,
     /// Number of items that this front runs at the replica.
     pub(super) running: Arc<AtomicU32>,
-    pub(super) pace: Arc<EventInterval>,
+    pub(super) event_interval: Arc<EventInterval>,
     /// Whether the replica accepts items, by model.
     pub(super) admissions: HashMap<Arc<str>, Arc<Admission>>,
     /// Versions of the weights in the replica's last record, by model; 0 for none.
@@ -19,9 +19,9 @@
 impl EngineState {
     pub(super) fn new() -> Self {
         Self {
-            born_ms: None,
+            started_ms: None,
             running: Arc::default(),
-            pace: Arc::default(),
+            event_interval: Arc::default(),
             admissions: HashMap::new(),
             versions: HashMap::new(),
         }
@@ -40,10 +40,10 @@
         }
     }
 
-    /// How many of `free` slots items of a model may use.
-    fn usable_slots(&self, model: &str, free: u32, now_ms: u64) -> u32 {
+    /// How many of `free_slots` slots items of a model may use.
+    fn usable_slots(&self, model: &str, free_slots: u32, now_ms: u64) -> u32 {
         let admission = self.admissions.get(model);
-        admission.map_or(free, |known| known.usable_slots(free, now_ms))
+        admission.map_or(free_slots, |known| known.usable_slots(free_slots, now_ms))
     }
 }
 
@@ -87,7 +87,7 @@
             .map(|(member, foreign)| {
                 let state = &self.engines[&member.replica.id];
                 let running = state.running.load(Ordering::Relaxed);
-                let free = match stalled.contains(&member.replica.id) {
+                let free_slots = match stalled.contains(&member.replica.id) {
                     true => 0,
                     false => member.replica.slots.saturating_sub(running),
                 };
@@ -96,11 +96,11 @@
                     versions: versions(member, models),
                     model_slots: models
                         .iter()
-                        .map(|model| state.usable_slots(model, free, now_ms))
+                        .map(|model| state.usable_slots(model, free_slots, now_ms))
                         .collect(),
-                    free_slots: free,
+                    free_slots,
                     running,
-                    slowness: slowness(&state.pace, typical_pause_us, now_ms),
+                    slowness: slowness(&state.event_interval, typical_pause_us, now_ms),
                 }
             })
             .collect()
@@ -116,18 +116,18 @@
         let listed: HashSet<&ReplicaId> = table.iter().map(|member| &member.replica.id).collect();
         self.engines
             .retain(|id, state| listed.contains(id) || state.running.load(Ordering::Relaxed) > 0);
-        // A replica that restarted under its id shares neither pace nor refusals with its former
+        // A replica that restarted under its id shares neither event interval nor refusals with its former
         // process.
         for member in table.iter() {
-            let born_ms = member.replica.started_ms;
+            let started_ms = member.replica.started_ms;
             let has_restarted =
-                |state: &EngineState| state.born_ms.is_some() && state.born_ms != born_ms;
+                |state: &EngineState| state.started_ms.is_some() && state.started_ms != started_ms;
             match self.engines.get_mut(&member.replica.id) {
                 Some(state) if has_restarted(state) => *state = EngineState::new(),
                 _ => {}
             }
             if let Some(state) = self.engines.get_mut(&member.replica.id) {
-                state.born_ms = born_ms;
+                state.started_ms = started_ms;
             }
         }
     }
@@ -148,23 +148,23 @@
 
     /// Median of the replicas' mean pauses between events; 0 if none is known yet.
     fn typical_pause_us(&self, members: &[(Member, bool)]) -> u64 {
-        let mut paces: Vec<u64> = members
+        let mut intervals: Vec<u64> = members
             .iter()
             .filter_map(|(member, _)| self.engines.get(&member.replica.id))
-            .map(|state| state.pace.mean_us())
+            .map(|state| state.event_interval.mean_us())
             .filter(|mean_us| *mean_us > 0)
             .collect();
-        paces.sort_unstable();
-        paces.get(paces.len() / 2).copied().unwrap_or(0)
+        intervals.sort_unstable();
+        intervals.get(intervals.len() / 2).copied().unwrap_or(0)
     }
 
-    /// Replicas with a run of this front that has produced no event for `stalled_ms`.
-    fn replicas_with_stalled_runs(&self, stalled_ms: u64, now_ms: u64) -> HashSet<&ReplicaId> {
+    /// Replicas with a run of this front that has produced no event for `threshold_ms`.
+    fn replicas_with_stalled_runs(&self, threshold_ms: u64, now_ms: u64) -> HashSet<&ReplicaId> {
         let runs = self
             .running
             .values()
             .filter_map(|running| running.replica_run.as_ref());
-        runs.filter(|run| run.silent_ms(now_ms) >= stalled_ms)
+        runs.filter(|run| run.silent_ms(now_ms) >= threshold_ms)
             .map(|run| &run.replica)
             .collect()
     }
@@ -178,7 +178,7 @@
         engines: &mut [Engine],
         now_ms: u64,
     ) {
-        let stalled_ms = stall_threshold_ms(self.typical_pause_us);
+        let threshold_ms = stall_threshold_ms(self.typical_pause_us);
         let numbers: HashMap<&ReplicaId, usize> = members
             .iter()
             .enumerate()
@@ -197,7 +197,7 @@
                 Some((*key, self.movable_run(key, run, engine, model, now_ms)?))
             })
             .unzip();
-        for (run, cause) in runs_to_move(&runs, engines, stalled_ms) {
+        for (run, cause) in runs_to_move(&runs, engines, threshold_ms) {
             self.stop_run(keys[run], cause);
         }
     }
--- a/components/front/src/runner/settle.rs
+++ b/components/front/src/runner/finish.rs
@@ -25,9 +25,9 @@
         self.hand_to_writer(key, async move {
             let score = match &data.scorer {
                 None => Some(String::new()),
-                Some(scorer) => {
+                Some(reward_call) => {
                     let (customer, started_ms) = (customer.as_deref(), now_ms());
-                    let score = reward::score(&front, key, scorer, customer, failed_rewards).await;
+                    let score = reward::score(&front, key, reward_call, customer, failed_rewards).await;
                     let took_ms = now_ms() - started_ms;
                     let label = metrics::item_label();
                     front.metrics.record("front_item_score_ms", label, took_ms);
@@ -35,7 +35,7 @@
                 }
             };
             let (step, item) = key;
-            let reward = data.scorer.as_ref().map_or("none", |scorer| &scorer.id);
+            let reward = data.scorer.as_ref().map_or("none", |reward_call| &reward_call.id);
             let Some(score) = score else {
                 log::info!(event = "item-without-score", id = item_id, step = step.0, item, reward; "");
                 return ItemOutcome::Error(ErrorCause::Reward);
--- a/components/front/src/runner/mod.rs
+++ b/components/front/src/runner/mod.rs
@@ -7,13 +7,13 @@
 //! over reads the steps from the index, restores the saved texts and runs all items that are not
 //! listed.
 
-mod contests;
 mod data;
 mod engines;
+mod finish;
 mod handover;
-mod look;
-mod settle;
-mod stages;
+mod pool_queues;
+mod reconcile;
+mod timings;
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
@@ -45,7 +45,7 @@
 
 use data::read_data;
 use engines::{EngineState, SlotGuard};
-use stages::ItemTimings;
+use timings::ItemTimings;
 
 /// Longest time between two passes over the steps.
 const RECONCILE_INTERVAL_MS: u64 = 100;
--- a/components/front/src/runner/look.rs
+++ b/components/front/src/runner/reconcile.rs
@@ -4,7 +4,7 @@
 use platform::store::StoreError;
 use steps::SavedPiece;
 
-use super::contests::{PoolQueue, QueuedItem};
+use super::pool_queues::{PoolQueue, QueuedItem};
 use super::*;
 
 impl Runner {
@@ -151,7 +151,7 @@
             min_version: item.head.min_version,
             single_version: item.head.single_version,
             left_ms: item.left_ms,
-            pace: Arc::clone(&state.pace),
+            event_interval: Arc::clone(&state.event_interval),
             admission,
             stop: Arc::new(Notify::new()),
             last_progress_ms: Arc::new(AtomicU64::new(now_ms())),
--- a/components/front/src/stream.rs
+++ b/components/front/src/stream.rs
@@ -39,7 +39,7 @@
     spec: &CallSpec<'_>,
 ) -> Result<Response<ResponseBody>, NotStarted> {
     let mut tried: Vec<ReplicaId> = Vec::new();
-    let mut started = CountedRequest::new(front, spec.customer);
+    let mut counted_request = CountedRequest::new(front, spec.customer);
     let mut last_error = NotStarted {
         not_run: true,
         reason: "no replica is available".to_owned(),
@@ -49,7 +49,7 @@
             break;
         };
         tried.push(Arc::clone(&member.replica.id));
-        let sent = started.start_attempt();
+        let sent = counted_request.start_attempt();
         match open(&member, spec).await {
             Ok(response) => {
                 sent.store(now_ms(), Ordering::Relaxed);
@@ -87,9 +87,9 @@
             reason: error.to_string(),
         })?;
     let (frames, body) = mpsc::channel(BUFFERED_FRAMES_MAX);
-    let mut answer = Response::new(ResponseBody::Stream(body));
-    *answer.status_mut() = stream.status;
-    *answer.headers_mut() = stream.headers;
+    let mut response = Response::new(ResponseBody::Stream(body));
+    *response.status_mut() = stream.status;
+    *response.headers_mut() = stream.headers;
     let mut from_replica = stream.body;
     let in_flight = member.peer.load.begin(0, false);
     tokio::spawn(async move {
@@ -117,5 +117,5 @@
             }
         }
     });
-    Ok(answer)
+    Ok(response)
 }
--- a/components/front/src/writer.rs
+++ b/components/front/src/writer.rs
@@ -179,7 +179,7 @@
                 versions,
                 score,
             } => {
-                let place = DataLocation {
+                let location = DataLocation {
                     partition,
                     offset,
                     bytes: text.len() as u32,
@@ -188,7 +188,7 @@
                 ResultState::Succeeded {
                     versions: versions.clone(),
                     score: score.clone(),
-                    text: place,
+                    text: location,
                 }
             }
         };
@@ -231,11 +231,11 @@
 {
     let mut pause_ms = BACKOFF_MS;
     loop {
-        let returns = front.storage.recoveries();
+        let recoveries = front.storage.recoveries();
         match append().await {
             Ok(offset) => return offset,
             Err(error) => {
-                if front.storage.recoveries() != returns {
+                if front.storage.recoveries() != recoveries {
                     pause_ms = BACKOFF_MS;
                 }
                 log::warn!(event = "records-not-written", what, pause_ms, error:% = error; "");
