--- a/components/front/src/run_item.rs
+++ b/components/front/src/run_item.rs
@@ -21,7 +21,7 @@
 /// Timeout of the head of a replica's response. An engine queues up to 24 requests beyond those
 /// that it runs, and answers a queued request only once it has a free slot.
 const HEAD_TIMEOUT_MS: u64 = 4_000;
-/// Longest pause between events. A replica produces one every 35 ms, a slow replica one every
+/// Longest interval between events. A replica produces one every 35 ms, a slow replica one every
 /// 150 ms; after a longer silence the replica counts as lost.
 const EVENT_TIMEOUT_MS: u64 = 1_500;
 
@@ -43,7 +43,7 @@
     pub single_version: bool,
     /// Time until the item is abandoned.
     pub left_ms: u64,
-    /// The replica's mean pause between events; each event of this run updates it.
+    /// The replica's mean interval between events; each event of this run updates it.
     pub event_interval: Arc<EventInterval>,
     /// The replica's admission state for the model; each event marks it as accepting items.
     pub admission: Arc<Admission>,
@@ -57,9 +57,9 @@
 pub enum RunEnd {
     /// The text is complete.
     Complete,
-    /// The replica did not run the request, or its version is too old for the step; with the reason.
+    /// The replica did not run the request, or its version is too old for the step.
     NotRun(String),
-    /// The stream broke off, with the reason; another run may resume after the last event.
+    /// The stream broke off; another run may resume after the last event.
     Interrupted(String),
     /// [`RunSpec::stop`] was notified.
     Stopped,
@@ -107,8 +107,9 @@
                 spec.last_progress_ms
                     .store(now_us / 1_000, Ordering::Relaxed);
                 spec.admission.record_start(now_us / 1_000);
-                if let Some(last_us) = last_event_us.replace(now_us) {
-                    spec.event_interval.record(now_us - last_us, now_us / 1_000);
+                if let Some(previous_us) = last_event_us.replace(now_us) {
+                    spec.event_interval
+                        .record(now_us - previous_us, now_us / 1_000);
                 }
             }
             Ok(None) if lock(shared).last_event == 0 => {
--- a/components/front/src/runner/engines.rs
+++ b/components/front/src/runner/engines.rs
@@ -79,9 +79,10 @@
                 state.update_versions(member, models);
             }
         }
-        let typical_pause_us = self.typical_pause_us(members);
-        self.typical_pause_us = typical_pause_us;
-        let stalled = self.replicas_with_stalled_runs(stall_threshold_ms(typical_pause_us), now_ms);
+        let typical_interval_us = self.typical_interval_us(members);
+        self.typical_interval_us = typical_interval_us;
+        let stalled =
+            self.replicas_with_stalled_runs(stall_threshold_ms(typical_interval_us), now_ms);
         members
             .iter()
             .map(|(member, foreign)| {
@@ -100,7 +101,7 @@
                         .collect(),
                     free_slots,
                     running,
-                    slowness: slowness(&state.event_interval, typical_pause_us, now_ms),
+                    slowness: slowness(&state.event_interval, typical_interval_us, now_ms),
                 }
             })
             .collect()
@@ -116,8 +117,8 @@
         let listed: HashSet<&ReplicaId> = table.iter().map(|member| &member.replica.id).collect();
         self.engines
             .retain(|id, state| listed.contains(id) || state.running.load(Ordering::Relaxed) > 0);
-        // A replica that restarted under its id shares neither event interval nor refusals with its former
-        // process.
+        // A replica that restarted under its id shares neither the event interval nor the refusals
+        // of its former process.
         for member in table.iter() {
             let started_ms = member.replica.started_ms;
             let has_restarted =
@@ -146,8 +147,8 @@
         Arc::clone(state.admissions.entry(model.into()).or_default())
     }
 
-    /// Median of the replicas' mean pauses between events; 0 if none is known yet.
-    fn typical_pause_us(&self, members: &[(Member, bool)]) -> u64 {
+    /// Median of the replicas' mean intervals between events; 0 if none is known yet.
+    fn typical_interval_us(&self, members: &[(Member, bool)]) -> u64 {
         let mut intervals: Vec<u64> = members
             .iter()
             .filter_map(|(member, _)| self.engines.get(&member.replica.id))
@@ -178,7 +179,7 @@
         engines: &mut [Engine],
         now_ms: u64,
     ) {
-        let threshold_ms = stall_threshold_ms(self.typical_pause_us);
+        let threshold_ms = stall_threshold_ms(self.typical_interval_us);
         let numbers: HashMap<&ReplicaId, usize> = members
             .iter()
             .enumerate()
@@ -215,7 +216,7 @@
         let left_ms = text_left_ms(
             run.expected_tokens,
             partial.last_event,
-            self.typical_pause_us,
+            self.typical_interval_us,
         );
         let initial_version = partial.versions.first().copied();
         Some(Run {
--- a/components/front/src/runner/finish.rs
+++ b/components/front/src/runner/finish.rs
@@ -27,7 +27,8 @@
                 None => Some(String::new()),
                 Some(reward_call) => {
                     let (customer, started_ms) = (customer.as_deref(), now_ms());
-                    let score = reward::score(&front, key, reward_call, customer, failed_rewards).await;
+                    let score =
+                        reward::score(&front, key, reward_call, customer, failed_rewards).await;
                     let took_ms = now_ms() - started_ms;
                     let label = metrics::item_label();
                     front.metrics.record("front_item_score_ms", label, took_ms);
@@ -35,7 +36,7 @@
                 }
             };
             let (step, item) = key;
-            let reward = data.scorer.as_ref().map_or("none", |reward_call| &reward_call.id);
+            let reward = data.scorer.as_ref().map_or("none", |call| &call.id);
             let Some(score) = score else {
                 log::info!(event = "item-without-score", id = item_id, step = step.0, item, reward; "");
                 return ItemOutcome::Error(ErrorCause::Reward);
--- a/components/front/src/runner/handover.rs
+++ b/components/front/src/runner/handover.rs
@@ -1,8 +1,8 @@
 //! Hand-over of items when a front shuts down or its shards are reassigned to other fronts.
 //!
 //! The front continues the items that it already runs and reserves them in the index, so that the
-//! new owners do not start them as well. It saves the texts of all its items, so that the new owners
-//! can resume the items that it has to stop.
+//! new owners do not start them as well. It saves the texts of all its items, so that the new
+//! owners can resume the items that it has to stop.
 
 use super::*;
 
--- a/components/front/src/runner/mod.rs
+++ b/components/front/src/runner/mod.rs
@@ -49,8 +49,8 @@
 
 /// Longest time between two passes over the steps.
 const RECONCILE_INTERVAL_MS: u64 = 100;
-/// Maximum age of this front's copy of the index for starting runs. An item must not reach a replica
-/// three seconds after its step was ended.
+/// Maximum age of this front's copy of the index for starting runs. An item must not reach a
+/// replica three seconds after its step was ended.
 const INDEX_AGE_MS_MAX: u64 = 1_500;
 /// How long other fronts leave alone the items that a front still runs after its shards went to
 /// others. The front renews this reservation with every round of saving texts. If it dies, its
@@ -135,8 +135,8 @@
     engines: HashMap<ReplicaId, EngineState>,
     /// The table that `engines` was last brought in line with.
     table: Arc<ReplicaTable>,
-    /// Median of the replicas' mean pauses between events; 0 until it is known.
-    typical_pause_us: u64,
+    /// Median of the replicas' mean intervals between events; 0 until it is known.
+    typical_interval_us: u64,
     /// When the runner first saw that this front shuts down; `None` before.
     leaving_since_ms: Option<u64>,
 }
@@ -158,7 +158,7 @@
         timings: ItemTimings::default(),
         engines: HashMap::new(),
         table: Arc::default(),
-        typical_pause_us: 0,
+        typical_interval_us: 0,
         leaving_since_ms: None,
     };
     loop {
--- a/components/front/src/runner/pool_queues.rs
+++ b/components/front/src/runner/pool_queues.rs
@@ -263,7 +263,7 @@
                 left_ms: text_left_ms(
                     head.expected_tokens(),
                     self.generated_events(&key),
-                    self.typical_pause_us,
+                    self.typical_interval_us,
                 ),
                 min_version: step.head.min_version,
                 only_version,
--- a/components/front/src/runner/reconcile.rs
+++ b/components/front/src/runner/reconcile.rs
@@ -84,7 +84,10 @@
         members: &[(Member, bool)],
         engines: &[Engine],
     ) -> WaitingItem {
-        let broke_at = self.partials.get(&item.key).and_then(|(_, at)| at.as_ref());
+        let broke_at = self
+            .partials
+            .get(&item.key)
+            .and_then(|(_, replica)| replica.as_ref());
         let avoid = broke_at.and_then(|broke_at| {
             members
                 .iter()
@@ -156,7 +159,7 @@
             stop: Arc::new(Notify::new()),
             last_progress_ms: Arc::new(AtomicU64::new(now_ms())),
         };
-        let at = ReplicaRun {
+        let replica_run = ReplicaRun {
             replica: Arc::clone(&replica),
             stop: Arc::clone(&spec.stop),
             stop_cause: None,
@@ -185,7 +188,7 @@
             key,
             RunningItem {
                 abort: task.abort_handle(),
-                replica_run: Some(at),
+                replica_run: Some(replica_run),
                 _working: self.front.drain.work_counter().begin(),
             },
         );
--- a/components/front/src/stream.rs
+++ b/components/front/src/stream.rs
@@ -90,7 +90,7 @@
     let mut response = Response::new(ResponseBody::Stream(body));
     *response.status_mut() = stream.status;
     *response.headers_mut() = stream.headers;
-    let mut from_replica = stream.body;
+    let mut replica_body = stream.body;
     let in_flight = member.peer.load.begin(0, false);
     tokio::spawn(async move {
         // Dropping the connection when this task ends cancels the run at the replica.
@@ -98,7 +98,7 @@
         loop {
             let frame = tokio::select! {
                 () = frames.closed() => return,
-                frame = tokio::time::timeout(timeout, from_replica.frame()) => frame,
+                frame = tokio::time::timeout(timeout, replica_body.frame()) => frame,
             };
             let relayed = match frame {
                 Ok(None) => return,
