--- a/components/front/tests/front/calls.rs
+++ b/components/front/tests/front/calls.rs
@@ -1,4 +1,4 @@
-//! Ordinary calls through a front.
+//! Calls of clients through a front: answers, retries, refusals and readiness.
 
 use crate::common::{Site, wait_until};
 use hyper::Method;
@@ -6,7 +6,7 @@
 use standins::{Fault, FaultKind};
 
 #[tokio::test]
-async fn can_answer_a_call_with_the_replica_s_whole_answer() {
+async fn can_forward_a_replica_s_complete_answer() {
     let site = Site::start(3, 1).await;
     let front = site.front("a").await;
     let (status, body) = front.call("q-1", "/calls/x?y=1").await;
@@ -15,7 +15,7 @@
 }
 
 #[tokio::test]
-async fn errors_with_the_status_that_fits() {
+async fn errors_with_a_status_for_each_kind_of_invalid_request() {
     struct Case {
         name: &'static str,
         path: &'static str,
@@ -36,19 +36,19 @@
             status: 413,
         },
         Case {
-            name: "an item that no record of the store can hold",
+            name: "an item above the store's record limit",
             path: "/steps/x",
             body: records::step(1, 1, 2).replace("q80=", &"A".repeat(400_000)),
             status: 413,
         },
         Case {
-            name: "more items than a record of the store can name",
+            name: "a list of items above the store's record limit",
             path: "/steps/x",
             body: records::step(1, 1, 1_500).replace("item-1-", &"i".repeat(200)),
             status: 413,
         },
         Case {
-            name: "what is no step",
+            name: "a body that is no step",
             path: "/steps/x",
             body: "{}".to_owned(),
             status: 400,
@@ -73,8 +73,8 @@
 
 #[tokio::test]
 async fn errors_when_the_head_of_a_request_is_too_long() {
-    // The head is never read to its end. The caller reads why before the connection closes,
-    // and no replica saw anything.
+    // The front stops reading the oversized head. The client must still receive the 431 before the
+    // connection closes, and no replica may receive the call.
     let site = Site::start(3, 1).await;
     let front = site.front("a").await;
     let long = "x".repeat(40_000);
@@ -89,8 +89,8 @@
 
 #[tokio::test]
 async fn errors_as_not_run_while_no_configuration_is_known() {
-    // A front starts while the store is out. It knows no route, and a 404 would tell the
-    // caller that there is none; so it says when to come again, and is not ready.
+    // A front that starts while the store is down knows no route. A 404 would be final for the
+    // client, so the front must answer 503 with Retry-After and report itself as not ready.
     let site = Site::start(3, 1).await;
     let door = site
         .store
@@ -104,7 +104,7 @@
     let headers = [("hornbeamrock-request-id", "q-1")];
     let (status, again, _) = front.request(Method::POST, "/calls/x", &headers, "").await;
     if status == 200 {
-        // The front had read the configuration before the outage began.
+        // The front read the configuration before the outage began; there is nothing to check.
         return;
     }
     assert_eq!(status, 503);
@@ -113,9 +113,9 @@
 }
 
 #[tokio::test]
-async fn can_ask_another_replica_when_an_answer_is_torn() {
-    // A replica closes its connection in the middle of its answers. The call may run twice,
-    // so the front asks the other one and the client sees one whole answer.
+async fn can_retry_at_another_replica_when_an_answer_is_truncated() {
+    // A replica closes the connection in the middle of each answer. The call is idempotent, so the
+    // front must retry at the other replica, and the client must get one complete answer.
     let site = Site::start(3, 1).await;
     let front = site.front("a").await;
     site.replica("plain-1")
@@ -128,9 +128,9 @@
 }
 
 #[tokio::test]
-async fn errors_when_a_call_that_may_run_once_loses_its_answer() {
-    // Both replicas run the call and lose the answer. The front must not ask the second one,
-    // and must not say that it did not run.
+async fn errors_when_the_answer_of_an_at_most_once_call_is_lost() {
+    // Both replicas would run the call and lose the answer. The front must not send the call to the
+    // second replica, and must not answer that it did not run.
     let site = Site::start(3, 1).await;
     let front = site.front("a").await;
     for id in ["plain-1", "plain-2"] {
@@ -140,17 +140,17 @@
     }
     let (status, _) = front.call("bid-1", "/bids/x").await;
     assert_eq!(status, 502);
-    assert_eq!(site.runs("bid-1"), [0], "once");
+    assert_eq!(site.runs("bid-1"), [0], "the call ran more than once");
 }
 
 #[tokio::test]
-async fn can_turn_away_from_a_replica_that_drains() {
+async fn can_stop_sending_calls_to_a_draining_replica() {
     let site = Site::start(3, 1).await;
     let front = site.front("a").await;
     site.write_heartbeat(site.replica("plain-1"), "draining", 1);
     let number = std::sync::atomic::AtomicU32::new(0);
-    // Work in the moment before the record is read may still go there; none does later.
-    wait_until("calls go to the other replica only", || async {
+    // Calls may still go to the replica until the front has read the record; none may go there later.
+    wait_until("all calls go to the other replica", || async {
         let first = number.fetch_add(10, std::sync::atomic::Ordering::Relaxed);
         for call in first..first + 10 {
             front.call(&format!("d-{call}"), "/calls/x").await;
@@ -162,15 +162,15 @@
 }
 
 #[tokio::test]
-async fn can_follow_the_configuration_after_the_history_was_lost() {
-    // The store forgets the records of the operator while the front reads on. The front reads
-    // the newest ones again, and never goes back to an older version.
+async fn can_follow_the_configuration_after_the_store_lost_its_history() {
+    // The store drops the operator's records while the front follows them. The front must read the
+    // newest records again, and must never return to an older version.
     let site = Site::start(3, 1).await;
     let front = site.front("a").await;
     site.store.forget("keyed.op", 0);
     let next = records::config(9).replace("/calls/", "/moved/");
     site.store.put("keyed.op", "config", Some(&next));
-    wait_until("the new route serves", || async {
+    wait_until("the new route is active", || async {
         front.call("q-2", "/moved/x").await.0 == 200
     })
     .await;
@@ -182,7 +182,7 @@
 }
 
 #[tokio::test]
-async fn can_show_its_metrics_on_the_balancer_s_address() {
+async fn can_serve_its_metrics_on_the_readiness_address() {
     let site = Site::start(3, 1).await;
     let front = site.front("a").await;
     front.call("q-1", "/calls/x").await;
@@ -195,9 +195,9 @@
 }
 
 #[tokio::test]
-async fn can_stop_the_work_for_a_client_that_leaves() {
-    // A client closes its connection while a replica works on its call. The front closes its
-    // own connection to the replica, which stops; it does not wait for the answer.
+async fn can_cancel_a_call_when_its_client_disconnects() {
+    // A client closes its connection while a replica works on its call. The front must close its
+    // own connection to the replica instead of waiting for the answer, so that the replica stops.
     let site = Site::start_with(3, 1, 600_000).await;
     let front = site.front("a").await;
     let call = front.call("q-1", "/calls/x");
@@ -208,30 +208,34 @@
             .sum::<usize>()
     };
     tokio::select! {
-        answer = call => panic!("answered: {answer:?}"),
-        () = wait_until("a replica works on it", || async { working() > 0 }) => {}
+        answer = call => panic!("unexpected answer: {answer:?}"),
+        () = wait_until("a replica works on the call", || async { working() > 0 }) => {}
     }
-    wait_until("no replica works on it", || async { working() == 0 }).await;
+    wait_until("no replica works on the call", || async { working() == 0 }).await;
 }
 
 #[tokio::test]
-async fn can_turn_the_balancer_away_while_the_store_is_out_of_reach() {
-    // A front is cut off from the store and not from its clients. Trainers that the balancer
-    // sends to it read nothing for as long as the cut lasts, while their steps are whole; so it
-    // is not ready, and it is again when the store is back. Calls that reach it are answered.
+async fn is_not_ready_while_the_store_is_silent() {
+    // A front is cut off from the store but not from its clients. Trainers could not read their
+    // results there, so the front must not be ready until the store is reachable again. It must
+    // still answer the calls that it receives.
     let site = Site::start(4, 1).await;
     let front = site.front("a").await;
     front.store_listener.fault(Fault::new(FaultKind::Silent));
-    wait_until("it is not ready", || async { !front.is_ready().await }).await;
+    wait_until("the front is not ready", || async {
+        !front.is_ready().await
+    })
+    .await;
     assert_eq!(front.call("c-1", "/calls/1").await.0, 200);
     front.store_listener.clear_faults();
-    wait_until("it is ready", || front.is_ready()).await;
+    wait_until("the front is ready", || front.is_ready()).await;
 }
 
 #[tokio::test]
-async fn can_stay_ready_while_the_store_refuses_everybody() {
-    // The store is down and says so. Were no front ready, the balancer would use all of them,
-    // also those that leave or are gone, and calls that need no store would be lost there.
+async fn stays_ready_while_the_store_refuses_all_calls() {
+    // The store answers every call with an error. If no front were ready, the load balancer would
+    // use all of them, including those that leave or are gone, and calls that need no store would be
+    // lost there.
     let site = Site::start(4, 1).await;
     let front = site.front("a").await;
     front.store_listener.fault(Fault::new(FaultKind::Outage));
--- a/components/front/tests/front/customers.rs
+++ b/components/front/tests/front/customers.rs
@@ -1,4 +1,4 @@
-//! Customers through a front: whose a request is, and what one customer sees of another.
+//! Customers at a front: authentication by key, and isolation between customers.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -43,15 +43,16 @@
     (status, body)
 }
 
-/// Customers that replicas were told with requests of this id.
-fn named(site: &Site, id: &str) -> Vec<String> {
+/// Customers that the front named to replicas in requests with this id.
+fn named_customers(site: &Site, id: &str) -> Vec<String> {
     let replicas = site.replicas.iter();
     replicas
         .flat_map(|replica| replica.seen.customers(id))
         .collect()
 }
 
-fn keys_passed_on(site: &Site) -> usize {
+/// Number of requests in which a replica received a client's key.
+fn keys_received(site: &Site) -> usize {
     site.replicas
         .iter()
         .map(|replica| replica.seen.keys())
@@ -59,7 +60,7 @@
 }
 
 #[tokio::test]
-async fn can_tell_a_replica_the_holder_of_the_key_whatever_the_client_says() {
+async fn can_name_the_key_s_customer_to_the_replica_whatever_headers_the_client_sends() {
     let site = site(3).await;
     let front = site.front("a").await;
     let headers = [
@@ -71,12 +72,12 @@
     ];
     let (status, _, _) = front.request(Method::POST, "/calls/x", &headers, "").await;
     assert_eq!(status, 200);
-    assert_eq!(named(&site, "q-1"), ["anna"]);
-    assert_eq!(keys_passed_on(&site), 0);
+    assert_eq!(named_customers(&site, "q-1"), ["anna"]);
+    assert_eq!(keys_received(&site), 0);
 }
 
 #[tokio::test]
-async fn errors_when_the_key_is_nobody_s() {
+async fn errors_when_the_key_belongs_to_no_customer() {
     struct Case {
         name: &'static str,
         path: &'static str,
@@ -143,16 +144,16 @@
         assert_eq!(status, case.status, "{}", case.name);
     }
     assert_eq!(
-        named(&site, "q-1"),
+        named_customers(&site, "q-1"),
         [""],
-        "the public call alone has run, for nobody"
+        "only the public call must run, without a customer"
     );
 }
 
 #[tokio::test]
 async fn can_use_the_connection_after_a_refused_key() {
-    // The refused request has a body that nobody needs. Left unread it would reset the
-    // connection, and the client would lose the answer and the next request with it.
+    // The front must read the body of the refused request. Unread bytes would reset the connection,
+    // and the client would lose the answer and its next request.
     let site = site(3).await;
     let front = site.front("a").await;
     let mut connection = connect(front.client_address, TEST_TIMEOUT)
@@ -164,7 +165,10 @@
         ("key", 401),
         ("key-bert", 200),
     ] {
-        connection.ready().await.expect("still open");
+        connection
+            .ready()
+            .await
+            .expect("the connection is still open");
         let request = Request::builder()
             .method(Method::POST)
             .uri("/calls/x")
@@ -184,10 +188,10 @@
 }
 
 #[tokio::test]
-async fn a_key_that_was_taken_away_opens_nothing_and_its_steps_go_on() {
-    // The operator takes a customer's last key while its step runs. Calls with that key are
-    // refused within moments. The step ends, its items and reward calls still run for the
-    // customer, and a new key of the customer reads it.
+async fn a_revoked_key_is_refused_while_its_steps_continue() {
+    // The operator revokes a customer's last key while its step runs. Calls with the key must soon be
+    // refused. The step must end, its items and reward calls must still run for the customer, and a
+    // new key of the customer must be able to read the step.
     let site = Site::start(40, 20).await;
     let config = |version, keys: &[&str]| records::config_for(version, &[("anna", keys)]);
     site.store
@@ -202,31 +206,31 @@
     })
     .await;
     wait_until("the step has ended", async || {
-        !named(&site, "score-1-3").is_empty()
+        !named_customers(&site, "score-1-3").is_empty()
     })
     .await;
     site.store
         .put("keyed.op", "config", Some(&config(6, &["key-new"])));
-    wait_until("the new key reads it", async || {
+    wait_until("the new key can read the step", async || {
         let path = "/v1/lots/s-1?After=3";
         let (status, body) = ask(&front, "key-new", Method::GET, path, "").await;
         status == 200 && body.contains("\"NextToken\":4")
     })
     .await;
     for id in ["item-1-0", "score-1-0", "item-1-3"] {
-        assert_eq!(named(&site, id), ["anna"], "{id}");
+        assert_eq!(named_customers(&site, id), ["anna"], "{id}");
     }
-    assert_eq!(keys_passed_on(&site), 0);
+    assert_eq!(keys_received(&site), 0);
 }
 
 #[tokio::test]
-async fn another_customer_s_step_is_as_if_it_were_not_there() {
+async fn another_customer_s_step_is_not_found() {
     let site = site(3).await;
     let fronts = [site.front("a").await, site.front("b").await];
     let step = records::step(1, 1, 2);
     let submitted = ask(&fronts[0], "key-anna", Method::POST, "/steps/s-1", &step).await;
     assert_eq!(submitted.0, 202);
-    wait_until("the owner reads its step", async || {
+    wait_until("the owner can read its step", async || {
         ask(&fronts[1], "key-spare", Method::GET, "/v1/lots/s-1", "")
             .await
             .0
@@ -252,8 +256,8 @@
         },
     ];
     for case in cases {
-        // 503 while a front has not read the log for a moment; never the step.
-        wait_until("the step is missing", async || {
+        // 503 is allowed while the front's index is not current; the step's content never is.
+        wait_until("the step is not found", async || {
             let (status, body) =
                 ask(&fronts[1], "key-bert", case.method.clone(), case.path, "").await;
             assert!(
@@ -266,7 +270,10 @@
         .await;
     }
     let (status, body) = ask(&fronts[1], "key-anna", Method::GET, "/v1/lots/s-1", "").await;
-    assert_eq!(status, 200, "it was not ended: {body}");
+    assert_eq!(
+        status, 200,
+        "the owner's step must not have been ended: {body}"
+    );
     let own = ask(
         &fronts[1],
         "key-bert",
@@ -275,33 +282,36 @@
         &records::step(7, 1, 2),
     )
     .await;
-    assert_eq!(own.0, 202, "another customer's id is free");
-    wait_until("it runs for its own customer", async || {
-        named(&site, "item-7-0") == ["bert"]
+    assert_eq!(
+        own.0, 202,
+        "a step id in use by another customer must be accepted"
+    );
+    wait_until("the step runs for its own customer", async || {
+        named_customers(&site, "item-7-0") == ["bert"]
     })
     .await;
 }
 
 #[tokio::test]
-async fn errors_as_not_run_when_a_front_behind_does_not_know_a_key() {
-    // A front is cut off from the store while the operator adds a key. A caller with that key
-    // would give up for good after 401; it is told that nothing ran and when to come again.
+async fn errors_as_not_run_when_a_stale_front_does_not_know_a_key() {
+    // A front is cut off from the store while the operator adds a key. A 401 would be final for a
+    // client with that key, so the front must answer 503: the call did not run and may be retried.
     let site = site(3).await;
     let front = site.front("a").await;
     front.store_listener.fault(Fault::new(FaultKind::Outage));
     front.store_listener.crash(0);
-    wait_until("it knows that it is behind", async || {
+    wait_until("the front treats its configuration as stale", async || {
         ask(&front, "key-new", Method::POST, "/calls/x", "").await.0 == 503
     })
     .await;
     let known = ask(&front, "key-anna", Method::POST, "/calls/x", "").await;
-    assert_eq!(known.0, 200, "what it knows still works");
+    assert_eq!(known.0, 200, "a key that the front knows must still work");
 }
 
 #[tokio::test]
-async fn a_run_that_another_front_takes_over_is_its_customer_s_still() {
-    // The front that runs the items dies in the middle of them, behind the taking away of its
-    // customer's last key. The other front goes on; replicas hear the same customer.
+async fn an_item_that_another_front_takes_over_still_runs_for_its_customer() {
+    // The customer's last key is revoked, then the front that runs the items dies. The front that
+    // takes over must name the same customer to the replicas.
     let site = Site::start(60, 40).await;
     let config = |version, keys: &[&str]| records::config_for(version, &[("anna", keys)]);
     site.store
@@ -317,26 +327,27 @@
     site.store.put("keyed.op", "config", Some(&config(5, &[])));
     let _other = site.front("b").await;
     drop(runner);
-    wait_until("the other front runs them", async || {
+    wait_until("the other front runs the items", async || {
         site.runs("item-1-0").len() > 1
     })
     .await;
-    wait_until("they are scored", async || {
-        !named(&site, "score-1-0").is_empty() && !named(&site, "score-1-1").is_empty()
+    wait_until("the items are scored", async || {
+        !named_customers(&site, "score-1-0").is_empty()
+            && !named_customers(&site, "score-1-1").is_empty()
     })
     .await;
     for id in ["item-1-0", "item-1-1", "score-1-0", "score-1-1"] {
-        let mut customers = named(&site, id);
+        let mut customers = named_customers(&site, id);
         customers.dedup();
         assert_eq!(customers, ["anna"], "{id}");
     }
 }
 
 #[tokio::test]
-async fn keys_taken_away_in_quick_succession_are_gone_after_a_cut() {
-    // A front is cut off from the store while the operator takes keys away and gives others,
-    // one version behind the other. It may know the old ones as long as it is cut off; once
-    // the store is back, the newest version holds, and none before it.
+async fn only_the_newest_keys_are_valid_after_an_outage() {
+    // A front is cut off from the store while the operator revokes and adds keys in several versions
+    // of the configuration. It may accept old keys during the outage. After it, only the newest
+    // version must be active.
     let site = site(3).await;
     let front = site.front("a").await;
     front.store_listener.fault(Fault::new(FaultKind::Outage));
@@ -352,7 +363,7 @@
         site.store.put("keyed.op", "config", Some(&config));
     }
     front.store_listener.clear_faults();
-    wait_until("the newest version is in force", async || {
+    wait_until("the newest version is active", async || {
         let old = ask(&front, "key-anna", Method::POST, "/calls/x", "").await;
         old.0 == 401
     })
@@ -383,22 +394,25 @@
         let path = format!("/calls/{}", case.key);
         let (status, _) = ask(&front, case.key, Method::POST, &path, "").await;
         assert_eq!(status, case.status, "{}", case.key);
-        let customers = named(&site, case.key).concat();
+        let customers = named_customers(&site, case.key).concat();
         assert_eq!(customers, case.customer, "{}", case.key);
     }
 }
 
 #[tokio::test]
-async fn errors_as_not_run_when_a_front_behind_knows_no_route() {
-    // The operator adds a route while a front is cut off. A 404 would be final for its callers;
-    // they are told to come again.
+async fn errors_as_not_run_when_a_stale_front_knows_no_route() {
+    // The operator adds a route while a front is cut off from the store. A 404 would be final for
+    // the route's clients, so the front must answer 503 instead.
     let site = site(3).await;
     let front = site.front("a").await;
     let (status, _) = ask(&front, "key-anna", Method::POST, "/new/x", "").await;
-    assert_eq!(status, 404, "as long as it hears of the configuration");
+    assert_eq!(
+        status, 404,
+        "a front with a current configuration must answer 404"
+    );
     front.store_listener.fault(Fault::new(FaultKind::Outage));
     front.store_listener.crash(0);
-    wait_until("it knows that it is behind", async || {
+    wait_until("the front treats its configuration as stale", async || {
         ask(&front, "key-anna", Method::POST, "/new/x", "").await.0 == 503
     })
     .await;
--- a/components/front/tests/front/usage.rs
+++ b/components/front/tests/front/usage.rs
@@ -1,4 +1,4 @@
-//! Reports of customers' usage by fronts that are lost, and to a receiver that fails.
+//! Reports of customers' usage, also when fronts, the store or the receiver fail.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 
 use crate::common::{FrontHandle, Site, wait_until};
 
-/// Windows of a second, sealed a second and a half behind their end.
+/// Windows last one second and are sealed 1.5 s after their end, half of [`DUE_MS`].
 const WINDOW_MS: u64 = 1_000;
 const DUE_MS: u64 = 3_000;
 
@@ -41,8 +41,8 @@
     front.request(Method::POST, path, &headers, body).await.0
 }
 
-/// Requests of each customer over all windows, each window once; two reports of one window must
-/// not differ.
+/// Requests of each customer over all windows, counting each window once. Panics if two reports of
+/// a window differ.
 fn totals(reports: &[Reported]) -> BTreeMap<String, u64> {
     let mut windows: BTreeMap<u64, &BTreeMap<String, u64>> = BTreeMap::new();
     for report in reports {
@@ -72,8 +72,8 @@
 
 #[tokio::test]
 async fn can_report_each_request_of_a_customer_once() {
-    // Calls through two fronts; a step whose items and reward calls run for its customer and
-    // are in no report; calls that are refused or that no customer makes.
+    // Calls run through two fronts. Items and reward calls of a step, refused calls and calls
+    // without a customer must not be in any report.
     let (site, _receiver, told) = site().await;
     let fronts = [site.front("a").await, site.front("b").await];
     for number in 0..6 {
@@ -111,9 +111,9 @@
 }
 
 #[tokio::test]
-async fn can_report_on_when_the_holder_dies() {
-    // The front that reports is killed right behind a report. The other one takes the duty
-    // over, seals what is open and reports it under a higher number, no request twice.
+async fn can_continue_reports_when_the_lease_holder_dies() {
+    // The reporting front is killed right after a report. The other front must take over, seal the
+    // open windows and report them with a higher fencing token, without counting a request twice.
     let (site, _receiver, told) = site().await;
     let mut fronts = vec![site.front("a").await, site.front("b").await];
     for front in &fronts {
@@ -136,9 +136,9 @@
 }
 
 #[tokio::test]
-async fn can_send_the_same_report_until_it_is_taken() {
-    // The receiver takes a report and its answer is lost, then it refuses some. It sees the
-    // same counts again, and the window is reported in the end.
+async fn can_resend_the_same_report_until_it_is_accepted() {
+    // The receiver accepts reports but its answers are lost, then it refuses reports. Each report
+    // must be sent again with the same counts until the receiver accepts it.
     let (site, receiver, told) = site().await;
     let front = site.front("a").await;
     receiver.fault(Fault::new(FaultKind::AnswerLost).times(2));
@@ -151,9 +151,9 @@
 }
 
 #[tokio::test]
-async fn can_report_what_a_front_counted_before_it_left() {
-    // A front is told to stop right behind a call, before its counts were written. It writes
-    // them before it ends; the other front reports them.
+async fn can_report_requests_that_a_front_counted_before_it_left() {
+    // A front gets the stop signal right after a call, before its counts are written. It must write
+    // them before it exits, and the other front must report them.
     let (site, _receiver, told) = site().await;
     let mut leaving = site.front("a").await;
     let _other = site.front("b").await;
@@ -164,9 +164,9 @@
 }
 
 #[tokio::test]
-async fn can_count_on_while_the_store_turns_a_front_away() {
-    // One front can't write while calls run. Their counts are written when it can, before
-    // their windows are sealed.
+async fn can_count_requests_while_the_store_refuses_appends() {
+    // The store refuses one front's appends while calls run. The counts must be written once the
+    // store accepts them again, before their windows are sealed.
     let (site, _receiver, told) = site().await;
     let cut = site.front("a").await;
     let _other = site.front("b").await;
@@ -179,10 +179,10 @@
 }
 
 #[tokio::test]
-async fn can_seal_a_window_whose_seal_was_not_written() {
-    // The store takes the counts and refuses the holder's appends while their window is due to
-    // be sealed. The window is sealed later and reported; a seal that counts as on its way for
-    // ever keeps its requests from every report.
+async fn can_retry_a_seal_that_was_not_written() {
+    // The store accepts the counts but refuses appends while their window is due to be sealed. The
+    // seal must be written again; if a failed seal counted as pending forever, the window's requests
+    // would be in no report.
     let (site, _receiver, told) = site().await;
     let front = site.front("a").await;
     assert_eq!(call(&front, "key-anna", "a-1", "/calls/x", "").await, 200);
