--- a/components/front/src/access.rs
+++ b/components/front/src/access.rs
@@ -122,8 +122,8 @@
         false => ingress::status_response(refused.status(), id, None, refused.message()),
         true => {
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            let why = "the configuration was not read lately";
-            ingress::status_response(status, id, Some(STALE_RETRY_AFTER_MS), why)
+            let message = "the configuration was not read lately";
+            ingress::status_response(status, id, Some(STALE_RETRY_AFTER_MS), message)
         }
     };
     if !matches!(read, Ok(Ok(_))) {
--- a/components/front/src/calls.rs
+++ b/components/front/src/calls.rs
@@ -62,13 +62,13 @@
     /// A replica's complete answer, which may be an error status.
     Answer(Box<ReplicaResponse>),
     /// No answer; the text is the cause, for the log.
-    End(CallFailure, String),
+    Failed(CallFailure, String),
 }
 
 struct Attempt {
     end: AttemptOutcome,
     answer: Option<Box<ReplicaResponse>>,
-    why: String,
+    reason: String,
 }
 
 impl CallSpec<'_> {
@@ -101,11 +101,11 @@
 /// Performs a call, with hedging and retries, until it has an answer or its deadline passes.
 pub async fn perform(front: &Front, spec: &CallSpec<'_>) -> CallOutcome {
     let began_us = now_us();
-    let typical = front.typical(&spec.route.name);
+    let typical = front.typical_duration(&spec.route.name);
     let mut attempts = FuturesUnordered::new();
     let mut tried: Vec<ReplicaId> = Vec::new();
     let counted = spec.customer.filter(|_| !spec.background);
-    let mut started = CountedRequest::new(front, counted);
+    let mut counted_request = CountedRequest::new(front, counted);
     let mut may_have_run = false;
     let mut failure: Option<Box<ReplicaResponse>> = None;
     let outcome = loop {
@@ -113,7 +113,7 @@
             match select_replica(front, spec, &typical, &tried).await {
                 Some(member) => {
                     tried.push(Arc::clone(&member.replica.id));
-                    let sent = started.start_attempt();
+                    let sent = counted_request.start_attempt();
                     attempts.push(attempt(spec, member, Arc::clone(&typical), sent));
                 }
                 None => {
@@ -122,7 +122,7 @@
                     } else {
                         CallFailure::NotRun
                     };
-                    break CallOutcome::End(end, "no replica available".to_owned());
+                    break CallOutcome::Failed(end, "no replica available".to_owned());
                 }
             }
         }
@@ -130,10 +130,10 @@
         let left = Duration::from_millis(spec.left_ms());
         tokio::select! {
             Some(done) = attempts.next() => {
-                let Attempt { end, answer, why } = done;
-                let step = action_after_attempt(front, spec, end, may_have_run, &tried);
+                let Attempt { end, answer, reason } = done;
+                let action = action_after_attempt(front, spec, end, may_have_run, &tried);
                 may_have_run |= end == AttemptOutcome::Unknown;
-                match (&step, answer) {
+                match (&action, answer) {
                     (NextAction::Deliver, Some(answer)) => break CallOutcome::Answer(answer),
                     // The sender of a background call handles its failures itself, so the error
                     // answer is returned without a retry.
@@ -144,12 +144,12 @@
                 log::info!(
                     event = "attempt-failed", id = spec.request_id,
                     route = &*spec.route.name, sent = tried.len(), left_ms = spec.left_ms(),
-                    why = why.as_str(); ""
+                    why = reason.as_str(); ""
                 );
-                match step {
+                match action {
                     NextAction::Finish(end) if attempts.is_empty() => match failure.take() {
                         Some(answer) => break CallOutcome::Answer(answer),
-                        None => break CallOutcome::End(end, why),
+                        None => break CallOutcome::Failed(end, reason),
                     },
                     _ => {}
                 }
@@ -159,12 +159,12 @@
                 if let Some(member) = next {
                     record_hedge(front, spec, &typical, &tried);
                     tried.push(Arc::clone(&member.replica.id));
-                    let sent = started.start_attempt();
+                    let sent = counted_request.start_attempt();
                     attempts.push(attempt(spec, member, Arc::clone(&typical), sent));
                 }
             }
             () = tokio::time::sleep(left) => {
-                break CallOutcome::End(CallFailure::TimedOut, "no answer before the deadline".to_owned());
+                break CallOutcome::Failed(CallFailure::TimedOut, "no answer before the deadline".to_owned());
             }
         }
     };
@@ -176,9 +176,9 @@
             event = "call-answered", id = spec.request_id, route = &*spec.route.name,
             status = answer.status.as_u16(), replica, sent = tried.len(), took_ms; ""
         ),
-        CallOutcome::End(end, why) => log::warn!(
+        CallOutcome::Failed(end, reason) => log::warn!(
             event = "call-failed", id = spec.request_id, route = &*spec.route.name,
-            end:? = end, replica, sent = tried.len(), took_ms, why = why.as_str(); ""
+            end:? = end, replica, sent = tried.len(), took_ms, why = reason.as_str(); ""
         ),
     }
     outcome
@@ -202,9 +202,9 @@
             "front_calls_failed_total"
         }
         CallOutcome::Answer(_) => "front_calls_answered_total",
-        CallOutcome::End(CallFailure::NotRun, _) => "front_calls_not_run_total",
-        CallOutcome::End(CallFailure::TimedOut, _) => "front_calls_timed_out_total",
-        CallOutcome::End(CallFailure::Unknown, _) => "front_calls_unknown_total",
+        CallOutcome::Failed(CallFailure::NotRun, _) => "front_calls_not_run_total",
+        CallOutcome::Failed(CallFailure::TimedOut, _) => "front_calls_timed_out_total",
+        CallOutcome::Failed(CallFailure::Unknown, _) => "front_calls_unknown_total",
     };
     front.metrics.count(end, label, 1);
 }
@@ -347,10 +347,10 @@
 ) -> Attempt {
     let load = &member.peer.load;
     let _in_flight = load.begin(typical.us(), spec.background);
-    let failed = |end, why| Attempt {
+    let failed = |end, reason| Attempt {
         end,
         answer: None,
-        why,
+        reason,
     };
     let began_us = now_us();
     let mut connection = match member.peer.connection(&member.replica).await {
@@ -366,15 +366,17 @@
     match replica::call(&mut connection, call, Duration::from_millis(left_ms)).await {
         Ok((answer, reusable)) => {
             if reusable {
-                member.peer.keep(connection, answer.keep_alive_ms);
+                member
+                    .peer
+                    .return_connection(connection, answer.keep_alive_ms);
             }
             if answer.status.is_server_error() {
-                let why = format!("status {}", answer.status.as_u16());
+                let reason = format!("status {}", answer.status.as_u16());
                 let answer = Some(Box::new(answer));
                 return Attempt {
                     end: AttemptOutcome::Unknown,
                     answer,
-                    why,
+                    reason,
                 };
             }
             load.record_success(&typical, now_us() - began_us, now_ms());
@@ -382,14 +384,14 @@
             Attempt {
                 end: AttemptOutcome::Answered,
                 answer,
-                why: String::new(),
+                reason: String::new(),
             }
         }
         Err(error) => {
             match error {
                 // The refusal was read completely, so the connection can be reused.
                 ReplicaError::NotRun(_) if connection.is_usable() => {
-                    member.peer.keep(connection, None);
+                    member.peer.return_connection(connection, None);
                 }
                 ReplicaError::NotRun(_) => {}
                 _ => {
--- a/components/front/src/follow/index.rs
+++ b/components/front/src/follow/index.rs
@@ -19,7 +19,7 @@
 const BARRIER_TIMEOUT_MS: u64 = 700;
 
 /// Applies the records of the index to the front's state, until the process ends.
-pub async fn index(front: Arc<Front>) {
+pub async fn follow_index(front: Arc<Front>) {
     let mut follower = Follower::new(&front, INDEX_TOPIC, INDEX_PARTITION, LOG_PACE);
     loop {
         let batch = follower.read().await;
--- a/components/front/src/follow/mod.rs
+++ b/components/front/src/follow/mod.rs
@@ -18,9 +18,9 @@
 use reach::{ReadTimeout, read_timeout};
 use telemetry::Label;
 
-pub use self::index::{index, wait_until_index_current};
-pub use operator::operator;
-pub use replicas::replicas;
+pub use self::index::{follow_index, wait_until_index_current};
+pub use operator::follow_operator;
+pub use replicas::follow_replicas;
 
 use crate::state::Front;
 use crate::storage::ReadRequest;
@@ -44,6 +44,7 @@
     },
     /// The store no longer has the records; the next read starts at the oldest remaining one.
     Trimmed,
+    /// Nothing was read; the next read starts at the same offset.
     Failed,
 }
 
@@ -54,7 +55,7 @@
     partition: u32,
     next: u64,
     pacer: Pacer,
-    end: ReadOutcome,
+    last_outcome: ReadOutcome,
 }
 
 impl<'a> Follower<'a> {
@@ -66,23 +67,21 @@
             partition,
             next: 0,
             pacer: Pacer::new(pace),
-            end: ReadOutcome::MoreAvailable,
+            last_outcome: ReadOutcome::MoreAvailable,
         }
     }
 
     /// Reads the next records, once the interval since the last read is over.
     pub async fn read(&mut self) -> Batch {
         self.pause().await;
-        let wait_ms = match self.end {
+        let wait_ms = match self.last_outcome {
             // More records are known to exist, or this is the first read, which must not wait:
             // a front that starts needs the answer that the log is empty.
             ReadOutcome::MoreAvailable => 0,
             _ => self.pacer.wait_ms(self.front.demand.urgency()),
         };
-        let ReadTimeout {
-            wait_ms,
-            timeout: within,
-        } = read_timeout(self.pacer.consecutive_failures(), wait_ms, READ_SLACK_MS);
+        let ReadTimeout { wait_ms, timeout } =
+            read_timeout(self.pacer.consecutive_failures(), wait_ms, READ_SLACK_MS);
         let from = ReadRequest {
             topic: self.topic,
             partition: self.partition,
@@ -90,12 +89,12 @@
             max_kb: READ_KB_MAX,
             wait_ms,
         };
-        match self.front.storage.read(from, within).await {
+        match self.front.storage.read(from, timeout).await {
             Ok(page) => {
                 let from = self.next;
                 self.next += page.records.len() as u64;
                 let current = self.next >= page.end;
-                self.read_ended(match (current, page.records.is_empty()) {
+                self.record_outcome(match (current, page.records.is_empty()) {
                     (false, _) => ReadOutcome::MoreAvailable,
                     (true, false) => ReadOutcome::Records,
                     (true, true) => ReadOutcome::Empty,
@@ -109,11 +108,11 @@
             Err(StoreError::Gone(first)) => {
                 log::info!(event = "history-gone", topic = self.topic, next = self.next, first; "");
                 self.next = first;
-                self.read_ended(ReadOutcome::MoreAvailable);
+                self.record_outcome(ReadOutcome::MoreAvailable);
                 Batch::Trimmed
             }
             Err(error) => {
-                self.read_failed(&error);
+                self.record_failure(&error);
                 Batch::Failed
             }
         }
@@ -123,15 +122,15 @@
     /// behind them. `None` if the read failed.
     pub async fn read_newest(&mut self) -> Option<Vec<platform::store::KeyedRecord>> {
         self.pause().await;
-        let within = Duration::from_millis(NEWEST_TIMEOUT_MS);
-        match self.front.storage.read_newest(self.topic, within).await {
+        let timeout = Duration::from_millis(NEWEST_TIMEOUT_MS);
+        match self.front.storage.read_newest(self.topic, timeout).await {
             Ok((records, end)) => {
                 self.next = end;
-                self.read_ended(ReadOutcome::MoreAvailable);
+                self.record_outcome(ReadOutcome::MoreAvailable);
                 Some(records)
             }
             Err(error) => {
-                self.read_failed(&error);
+                self.record_failure(&error);
                 None
             }
         }
@@ -141,9 +140,9 @@
     async fn pause(&self) {
         let demand = &self.front.demand;
         let raised = demand.raised();
-        let interval_ms = self
-            .pacer
-            .interval_ms(self.end, demand.urgency(), rand::random());
+        let interval_ms =
+            self.pacer
+                .interval_ms(self.last_outcome, demand.urgency(), rand::random());
         if interval_ms > 0 {
             tokio::select! {
                 () = self.front.storage.pause(interval_ms) => {}
@@ -152,25 +151,25 @@
         }
     }
 
-    fn read_ended(&mut self, end: ReadOutcome) {
+    fn record_outcome(&mut self, end: ReadOutcome) {
         if self.pacer.consecutive_failures() > 0
             && !matches!(end, ReadOutcome::Throttled | ReadOutcome::Failed)
         {
             log::info!(event = "store-regained", topic = self.topic, next = self.next; "");
         }
-        self.end = end;
+        self.last_outcome = end;
         self.pacer.record_outcome(end);
     }
 
     /// Counts a failed read; of consecutive failures only the first is logged.
-    fn read_failed(&mut self, error: &StoreError) {
+    fn record_failure(&mut self, error: &StoreError) {
         self.front
             .metrics
             .count("front_store_reads_failed_total", Label::default(), 1);
         if self.pacer.consecutive_failures() == 0 {
             log::warn!(event = "store-read-failed", topic = self.topic, error:% = error; "");
         }
-        self.read_ended(match error {
+        self.record_outcome(match error {
             StoreError::Throttled(_) => ReadOutcome::Throttled,
             _ => ReadOutcome::Failed,
         });
--- a/components/front/src/follow/operator.rs
+++ b/components/front/src/follow/operator.rs
@@ -12,7 +12,7 @@
 use crate::state::{Front, lock};
 
 /// Applies the operator's records to the front's state, until the process ends.
-pub async fn operator(front: Arc<Front>) {
+pub async fn follow_operator(front: Arc<Front>) {
     follow(&front, OPERATOR_TOPIC, LOG_PACE, |update| match update {
         KeyedUpdate::Key(key, Some(value)) => apply_record(&front, &key, &value),
         KeyedUpdate::BatchEnd { current: true } => front.mark_operator_records_current(now_ms()),
--- a/components/front/src/follow/replicas.rs
+++ b/components/front/src/follow/replicas.rs
@@ -16,7 +16,7 @@
 const MALFORMED_MAX: usize = 256;
 
 /// Builds the table of replicas from their records, until the process ends.
-pub async fn replicas(front: Arc<Front>) {
+pub async fn follow_replicas(front: Arc<Front>) {
     let mut registry = Registry::default();
     let mut malformed = HashSet::new();
     let mut changed = false;
@@ -43,7 +43,7 @@
                 changed |= registry.expire(now_ms) == RegistryChange::Changed;
                 front.replicas_read.store(1, Ordering::Relaxed);
                 if std::mem::take(&mut changed) {
-                    let next = front.replicas.load().next(registry.replicas());
+                    let next = front.replicas.load().rebuild(registry.replicas());
                     front.replicas.store(Arc::new(next));
                     front.runner_wakeup.notify_one();
                     front.leader_wakeup.notify_one();
--- a/components/front/src/jobs/append.rs
+++ b/components/front/src/jobs/append.rs
@@ -9,7 +9,7 @@
 const REFUSE_AFTER_MS: u64 = 1_200;
 /// How long appends are retried when an earlier attempt may have stored the record, in
 /// milliseconds.
-const UNSURE_AFTER_MS: u64 = 3_500;
+const UNKNOWN_AFTER_MS: u64 = 3_500;
 /// Pause between attempts, in milliseconds.
 const RETRY_PAUSE_MS: u64 = 60;
 
@@ -27,33 +27,33 @@
 }
 
 /// How the attempts ended.
-pub enum Appended {
+pub enum AppendOutcome {
     /// The record is stored at this offset.
-    Done(u64),
+    Stored(u64),
     /// An equivalent record was read from the index; another front may have written it.
-    Seen,
+    FoundInIndex,
     /// The record is not stored and never will be.
-    NotDone,
+    NotStored,
     /// The record may be stored already, or may still be stored later.
-    Unsure,
+    Unknown,
 }
 
 /// Retries an append until it succeeds, the record is seen in the index, or the time is over. If
 /// any attempt may have stored a record that takes effect, the outcome is never
-/// [`Appended::NotDone`].
-pub async fn append_with_retries<F>(
+/// [`AppendOutcome::NotStored`].
+pub async fn append_for_client<F>(
     front: &Front,
     pending: &PendingAppend<'_>,
     mut append: impl FnMut() -> F,
     is_seen: impl Fn() -> bool,
-) -> Appended
+) -> AppendOutcome
 where
     F: Future<Output = Result<u64, WriteError>>,
 {
     let mut unsure = false;
     loop {
         match append().await {
-            Ok(offset) => return Appended::Done(offset),
+            Ok(offset) => return AppendOutcome::Stored(offset),
             Err(error) => {
                 unsure |= pending.takes_effect && !error.is_not_done();
                 log::warn!(
@@ -63,12 +63,12 @@
             }
         }
         if is_seen() {
-            return Appended::Seen;
+            return AppendOutcome::FoundInIndex;
         }
         let waited_ms = now_ms() - pending.began_ms;
         match unsure {
-            false if waited_ms > REFUSE_AFTER_MS => return Appended::NotDone,
-            true if waited_ms > UNSURE_AFTER_MS => return Appended::Unsure,
+            false if waited_ms > REFUSE_AFTER_MS => return AppendOutcome::NotStored,
+            true if waited_ms > UNKNOWN_AFTER_MS => return AppendOutcome::Unknown,
             _ => front.storage.pause(RETRY_PAUSE_MS).await,
         }
     }
--- a/components/front/src/jobs/data.rs
+++ b/components/front/src/jobs/data.rs
@@ -8,7 +8,7 @@
 use quick_error::quick_error;
 use steps::{DataError, DataRange, ItemData, ItemHead, encode_item};
 
-use super::append::{self, Appended, PendingAppend};
+use super::append::{self, AppendOutcome, PendingAppend};
 use crate::state::Front;
 use crate::writer::data_partition;
 
@@ -39,7 +39,7 @@
 
 /// Writes the data of the items and returns its location in the data topic. Data of a failed call
 /// may still have been stored, but no record refers to it, so it expires.
-pub async fn write(
+pub async fn write_data(
     front: &Front,
     heads: &[ItemHead],
     items: Vec<ItemData>,
@@ -88,17 +88,21 @@
     pending: &PendingAppend<'_>,
 ) -> Result<DataRange, DataRefusal> {
     let partition = data_partition(front);
-    let within = Duration::from_millis(APPEND_TIMEOUT_MS);
+    let timeout = Duration::from_millis(APPEND_TIMEOUT_MS);
     let append = || async {
-        let appended = front.storage.append(DATA_TOPIC, partition, records, within);
+        let appended = front
+            .storage
+            .append(DATA_TOPIC, partition, records, timeout);
         Ok(appended.await?)
     };
-    match append::append_with_retries(front, pending, append, || false).await {
-        Appended::Done(offset) => Ok(DataRange {
+    match append::append_for_client(front, pending, append, || false).await {
+        AppendOutcome::Stored(offset) => Ok(DataRange {
             partition,
             offset,
             count: records.len() as u32,
         }),
-        Appended::Seen | Appended::NotDone | Appended::Unsure => Err(DataRefusal::Unreachable),
+        AppendOutcome::FoundInIndex | AppendOutcome::NotStored | AppendOutcome::Unknown => {
+            Err(DataRefusal::Unreachable)
+        }
     }
 }
--- a/components/front/src/jobs/mod.rs
+++ b/components/front/src/jobs/mod.rs
@@ -20,7 +20,7 @@
 use platform::jobs::{self, Submission};
 use steps::{DataRange, StepHead, StepId, StepRecord};
 
-use self::append::{Appended, PendingAppend};
+use self::append::{AppendOutcome, PendingAppend};
 use self::data::DataRefusal;
 use crate::clock::now_ms;
 use crate::metrics;
@@ -144,7 +144,7 @@
         takes_effect: false,
     };
     let items = std::mem::take(&mut submission.data);
-    let data = match data::write(front, &submission.heads, items, &pending).await {
+    let data = match data::write_data(front, &submission.heads, items, &pending).await {
         Ok(data) => data,
         Err(refusal) => return refused_data(id, &refusal),
     };
@@ -168,18 +168,20 @@
     pending.what = "step";
     pending.takes_effect = true;
     let is_known = || reply_if_known(front, submitted, &digest).is_some();
-    match append::append_with_retries(front, &pending, || append_index(front, &record), is_known)
+    match append::append_for_client(front, &pending, || append_index(front, &record), is_known)
         .await
     {
-        Appended::Done(_) => StepReply::new(StatusCode::ACCEPTED, "accepted"),
-        Appended::Seen => reply_if_known(front, submitted, &digest).unwrap_or_else(unsure),
-        Appended::NotDone => StepReply::unavailable("the store cannot be reached"),
-        Appended::Unsure => unsure(),
+        AppendOutcome::Stored(_) => StepReply::new(StatusCode::ACCEPTED, "accepted"),
+        AppendOutcome::FoundInIndex => {
+            reply_if_known(front, submitted, &digest).unwrap_or_else(unknown_outcome)
+        }
+        AppendOutcome::NotStored => StepReply::unavailable("the store cannot be reached"),
+        AppendOutcome::Unknown => unknown_outcome(),
     }
 }
 
 /// Reply when the step's record may or may not be stored.
-fn unsure() -> StepReply {
+fn unknown_outcome() -> StepReply {
     StepReply::new(StatusCode::GATEWAY_TIMEOUT, "it may be accepted or not")
 }
 
@@ -228,8 +230,8 @@
     }
 }
 
-/// Number of shards for a step of a pool, by the pool's slots as far as items can fill them, and by
-/// the number of shards of the pool's newest step.
+/// Number of shards for a new step. Depends on the pool's slots, as far as the items of the pool's
+/// newest steps can fill them, and on the number of shards of the pool's newest step.
 fn choose_shard_count(front: &Front, route: &Route, pool: &str, submission: &Submission) -> u16 {
     let table = front.replicas.load();
     let slots: u32 = route
@@ -242,7 +244,7 @@
     let heads = index.ledger.steps().map(|step| &step.head);
     let of_pool: Vec<_> = heads.filter(|head| head.pool == *pool).collect();
     let newest_shards = of_pool.last().map(|head| head.shards);
-    // Only the newest step of each model counts.
+    // Steps are in the order of the index, so each model's newest step overwrites the older ones.
     let mut items: HashMap<&str, usize> = of_pool
         .iter()
         .map(|head| (head.model.as_str(), head.items.len()))
@@ -251,14 +253,14 @@
     let filled = items.values().sum::<usize>() as u32 * SLOTS_PER_ITEM;
     ownership::shard_count(
         slots.min(filled),
-        front.shard_places.load(Ordering::Relaxed),
+        front.shard_slots.load(Ordering::Relaxed),
         newest_shards,
         front.settings.store.partitions,
     )
 }
 
 /// Ends a step that this front knows from the index.
-pub async fn end(front: &Front, id: &str, step: StepId) -> StepReply {
+pub async fn end_step(front: &Front, id: &str, step: StepId) -> StepReply {
     let pending = PendingAppend {
         what: "end",
         id,
@@ -279,11 +281,15 @@
         let index = front.index();
         index.ledger.get(step).is_none_or(|step| step.ended)
     };
-    match append::append_with_retries(front, &pending, || append_index(front, &record), is_ended)
+    match append::append_for_client(front, &pending, || append_index(front, &record), is_ended)
         .await
     {
-        Appended::Done(_) | Appended::Seen => StepReply::new(StatusCode::OK, "ended"),
-        Appended::NotDone => StepReply::unavailable("the store cannot be reached"),
-        Appended::Unsure => StepReply::new(StatusCode::GATEWAY_TIMEOUT, "it may be ended or not"),
+        AppendOutcome::Stored(_) | AppendOutcome::FoundInIndex => {
+            StepReply::new(StatusCode::OK, "ended")
+        }
+        AppendOutcome::NotStored => StepReply::unavailable("the store cannot be reached"),
+        AppendOutcome::Unknown => {
+            StepReply::new(StatusCode::GATEWAY_TIMEOUT, "it may be ended or not")
+        }
     }
 }
--- a/components/front/src/leader.rs
+++ b/components/front/src/leader.rs
@@ -26,8 +26,8 @@
 /// How long to wait for an accepted load before the replica is ordered again, in milliseconds. A
 /// load takes 0.9 s alone, and several times as long while other replicas load.
 const LOAD_TIMEOUT_MS: u64 = 4_000;
-/// As [`LOAD_TIMEOUT_MS`], if the replica finishes its texts before the load. The longest texts take
-/// six seconds.
+/// As [`LOAD_TIMEOUT_MS`], for a replica that finishes its texts before the load. The longest texts
+/// take six seconds.
 const WAITING_LOAD_TIMEOUT_MS: u64 = 10_000;
 /// Pause after an order that was not accepted, in milliseconds.
 const RETRY_PAUSE_MS: u64 = 300;
@@ -47,7 +47,7 @@
 
 /// Acquires the lease when it is free, renews it, and gives orders while this front holds it.
 pub async fn lead(front: Arc<Front>) {
-    let ordered: PendingOrders = Arc::default();
+    let pending: PendingOrders = Arc::default();
     let mut reports = Reports::new(&front);
     let mut was_held = false;
     loop {
@@ -61,22 +61,22 @@
             was_held = held;
             log::info!(event = "lease-changed", held; "");
             front.demand.set_active(Activity::Orders, held);
-            lock(&ordered).clear();
+            lock(&pending).clear();
         }
         let (loads, report) = match held {
             true => (
-                planned_loads(&front, &ordered, now_ms),
+                planned_loads(&front, &pending, now_ms),
                 reports.seal_and_take_due(&front, now_ms),
             ),
             false => (Vec::new(), None),
         };
         update_lease(&front, !loads.is_empty() || report.is_some(), now_ms);
-        // Without an announcement there is no fencing token yet. The announcement was just sent; when
-        // it is read back from the index, it wakes this task.
+        // `None` until the announcement that was just sent is read back from the index. Reading it
+        // wakes this task.
         let fence = front.index().lease.fence(now_ms);
         if let Some(fence) = fence {
             for load in loads {
-                start_order(&front, &ordered, load);
+                start_order(&front, &pending, load);
             }
             if let Some(report) = report {
                 reports.send(&front, report, fence);
@@ -131,7 +131,7 @@
     mode: LoadMode,
 }
 
-fn planned_loads(front: &Front, ordered: &PendingOrders, now_ms: u64) -> Vec<PlannedLoad> {
+fn planned_loads(front: &Front, pending: &PendingOrders, now_ms: u64) -> Vec<PlannedLoad> {
     let routes = front.routes.load_full();
     let Some(routes) = routes else {
         return Vec::new();
@@ -155,7 +155,7 @@
             true => LoadMode::Wait,
             false => LoadMode::Retain,
         };
-        let fleet = plan_fleet(&members, models, ordered, now_ms);
+        let fleet = plan_fleet(&members, models, pending, now_ms);
         for load in plan_loads(&fleet, &OrderSettings::default()) {
             all.push(PlannedLoad {
                 member: members[load.replica].clone(),
@@ -196,11 +196,11 @@
 fn plan_fleet(
     members: &[&Member],
     models: Vec<Model>,
-    ordered: &PendingOrders,
+    pending: &PendingOrders,
     now_ms: u64,
 ) -> Fleet {
-    let mut ordered = lock(ordered);
-    ordered.retain(|id, order| {
+    let mut pending = lock(pending);
+    pending.retain(|id, order| {
         let member = members.iter().find(|member| member.replica.id == *id);
         let loaded = member.is_some_and(|member| {
             member
@@ -210,8 +210,8 @@
         });
         !loaded && member.is_some() && now_ms < order.until_ms
     });
-    let node = |member: &&Member| {
-        let order = ordered.get(&member.replica.id);
+    let replica = |member: &&Member| {
+        let order = pending.get(&member.replica.id);
         let loading = order.filter(|order| order.accepted).and_then(|order| {
             let model = models.iter().position(|model| model.name == *order.model)?;
             Some((model, order.version))
@@ -227,15 +227,12 @@
             slots: u64::from(member.replica.slots),
         }
     };
-    let nodes = members.iter().map(node).collect();
-    Fleet {
-        models,
-        replicas: nodes,
-    }
+    let replicas = members.iter().map(replica).collect();
+    Fleet { models, replicas }
 }
 
 /// Sends an order in a task of its own.
-fn start_order(front: &Arc<Front>, ordered: &PendingOrders, load: PlannedLoad) {
+fn start_order(front: &Arc<Front>, pending: &PendingOrders, load: PlannedLoad) {
     let PlannedLoad {
         member,
         model,
@@ -253,8 +250,8 @@
         until_ms,
         accepted: true,
     };
-    lock(ordered).insert(Arc::clone(&member.replica.id), order);
-    let (front, ordered) = (Arc::clone(front), Arc::clone(ordered));
+    lock(pending).insert(Arc::clone(&member.replica.id), order);
+    let (front, pending) = (Arc::clone(front), Arc::clone(pending));
     tokio::spawn(async move {
         let answer = send_order(&front, &member, &model, version, mode).await;
         let id = &*member.replica.id;
@@ -273,7 +270,7 @@
             answer,
             Ok(Some(OrderResponse::Accepted | OrderResponse::Holds))
         );
-        if !is_accepted && let Some(order) = lock(&ordered).get_mut(&member.replica.id) {
+        if !is_accepted && let Some(order) = lock(&pending).get_mut(&member.replica.id) {
             order.accepted = false;
             order.until_ms = now_ms() + RETRY_PAUSE_MS;
         }
@@ -289,12 +286,12 @@
     version: u64,
     mode: LoadMode,
 ) -> Result<Option<OrderResponse>, ReplicaError> {
-    let instance = &*member.replica.id;
+    let replica_id = &*member.replica.id;
     let mut connection = member.peer.connection(&member.replica).await?;
     // An earlier order whose answer was lost may still be executed. Each order therefore names the
     // number of orders that the replica has accepted so far; of two orders with the same number the
     // replica refuses the later one.
-    let report = replica::fetch_report(&mut connection, instance).await?;
+    let report = replica::fetch_report(&mut connection, replica_id).await?;
     let held = report.models.iter().find(|held| held.0 == model);
     if held.is_some_and(|held| held.1 >= version) {
         return Ok(Some(OrderResponse::Holds));
@@ -314,9 +311,9 @@
         fence,
         expected_orders: report.orders,
     };
-    let answer = replica::send_order(&mut connection, instance, &order).await?;
+    let answer = replica::send_order(&mut connection, replica_id, &order).await?;
     if connection.ready().await.is_ok() {
-        member.peer.keep(connection, None);
+        member.peer.return_connection(connection, None);
     }
     Ok(Some(answer))
 }
--- a/components/front/src/leave.rs
+++ b/components/front/src/leave.rs
@@ -46,8 +46,8 @@
 /// Releases the shards to other fronts once the partial texts of their items are saved.
 async fn release_shards(front: &Arc<Front>) {
     let mut saved = front.texts_saved.subscribe();
-    let within = Duration::from_millis(SAVE_TIMEOUT_MS);
-    if tokio::time::timeout(within, saved.wait_for(|saved| *saved))
+    let timeout = Duration::from_millis(SAVE_TIMEOUT_MS);
+    if tokio::time::timeout(timeout, saved.wait_for(|saved| *saved))
         .await
         .is_err()
     {
--- a/components/front/src/member.rs
+++ b/components/front/src/member.rs
@@ -84,11 +84,11 @@
     front.settings.cpu_share_thousandths < LARGE_CPU_THOUSANDTHS
 }
 
-/// Whether a small front should be a member now: reads who owns partitions, and sets the shard size
-/// for fronts of that size.
+/// Whether a small front should be a member now, by the current owners of partitions. Also sets the
+/// number of slots per shard for the size of the fronts that are members.
 async fn should_join(front: &Front, standby: &mut Standby) -> bool {
-    let within = Duration::from_millis(GROUP_TIMEOUT_MS);
-    match front.storage.read_owners(RUNNER_GROUP, within).await {
+    let timeout = Duration::from_millis(GROUP_TIMEOUT_MS);
+    match front.storage.read_owners(RUNNER_GROUP, timeout).await {
         Ok(owners) => {
             let larger = |(_, owner): &(u32, String)| !owner.starts_with(STANDBY_PREFIX);
             standby.observe_owners(owners.iter().any(larger), now_ms());
@@ -96,11 +96,11 @@
         Err(error) => log::warn!(event = "owners-not-read", error:% = error; ""),
     }
     let should_join = standby.should_join(now_ms());
-    let shard_places = match should_join {
+    let shard_slots = match should_join {
         true => SMALL_SHARD_SLOTS,
         false => LARGE_SHARD_SLOTS,
     };
-    front.shard_places.store(shard_places, Ordering::Relaxed);
+    front.shard_slots.store(shard_slots, Ordering::Relaxed);
     should_join
 }
 
@@ -115,7 +115,7 @@
     }
 }
 
-/// Joins the group or renews the membership; true if the assignment of partitions changed.
+/// Joins the group or renews the membership; true if the group's generation changed.
 async fn join(front: &Front, ownership: &mut Ownership, generation: u64) -> bool {
     let sent_ms = now_ms();
     let joined = front
@@ -169,10 +169,10 @@
 
 /// Leaves the group; true if the store confirmed it.
 async fn leave_group(front: &Front) -> bool {
-    let within = Duration::from_millis(GROUP_TIMEOUT_MS);
+    let timeout = Duration::from_millis(GROUP_TIMEOUT_MS);
     let left = front
         .storage
-        .leave(RUNNER_GROUP, &member_name(front), within)
+        .leave(RUNNER_GROUP, &member_name(front), timeout)
         .await;
     if let Err(error) = &left {
         log::warn!(event = "leave-failed", error:% = error; "");
--- a/components/front/src/peers.rs
+++ b/components/front/src/peers.rs
@@ -66,7 +66,7 @@
 
     /// Returns a connection to the pool, after its last answer was read completely. `keep_ms` is
     /// the keep-alive time that the replica stated.
-    pub fn keep(&self, connection: Connection, keep_ms: Option<u64>) {
+    pub fn return_connection(&self, connection: Connection, keep_ms: Option<u64>) {
         let now_ms = now_ms();
         let keep_ms = keep_ms.map_or(KEEP_ALIVE_MS, |stated| {
             stated.saturating_sub(KEEP_ALIVE_MARGIN_MS)
@@ -105,7 +105,7 @@
 impl ReplicaTable {
     /// A table of `replicas`. Replicas with the same id and start time keep their connections and
     /// load estimates.
-    pub fn next<'a>(&self, replicas: impl Iterator<Item = &'a Arc<Replica>>) -> Self {
+    pub fn rebuild<'a>(&self, replicas: impl Iterator<Item = &'a Arc<Replica>>) -> Self {
         let incarnation = |replica: &Replica| (Arc::clone(&replica.id), replica.started_ms);
         let mut known: HashMap<(ReplicaId, Option<u64>), Arc<Peer>> = HashMap::new();
         for member in self.iter() {
--- a/components/front/src/reports.rs
+++ b/components/front/src/reports.rs
@@ -79,14 +79,14 @@
         }
     }
     if let Some(windows) = front.meter.windows() {
-        let true_ms = front.meter.utc_ms(now_ms());
-        usage.note_window(windows.window_at(true_ms));
-        usage.remove_expired(windows, true_ms);
+        let utc_ms = front.meter.utc_ms(now_ms());
+        usage.note_window(windows.window_at(utc_ms));
+        usage.remove_expired(windows, utc_ms);
     }
 }
 
-/// Records were trimmed before they were read. Counts are incomplete up to and including the current
-/// window, so this front reports only later windows.
+/// Handles records that were trimmed before they were read. Counts are incomplete up to and
+/// including the current window, so this front reports only later windows.
 fn record_gap(front: &Front) {
     if let Some(windows) = front.meter.windows() {
         let window = windows.window_at(front.meter.utc_ms(now_ms()));
@@ -132,16 +132,17 @@
         if front.usage_age_ms(now_ms) >= USAGE_AGE_MS_MAX {
             return None;
         }
-        let true_ms = front.meter.utc_ms(now_ms);
+        let utc_ms = front.meter.utc_ms(now_ms);
         let (to_seal, report) = {
             let sender = lock(&self.sender);
             let sent = |window| sender.has_sent(window);
             let usage = front.usage();
-            let to_seal = usage.windows_to_seal(&windows, true_ms);
-            (to_seal, usage.report_to_send(&windows, true_ms, sent))
+            let to_seal = usage.windows_to_seal(&windows, utc_ms);
+            (to_seal, usage.report_to_send(&windows, utc_ms, sent))
         };
-        let settled = !front.storage.is_unreachable() && now_ms >= self.recovered_ms + RECOVERY_MS;
-        if settled {
+        let is_recovered =
+            !front.storage.is_unreachable() && now_ms >= self.recovered_ms + RECOVERY_MS;
+        if is_recovered {
             self.seal(front, &to_seal, now_ms);
         }
         report.filter(|_| lock(&self.sender).is_ready(now_ms))
@@ -187,8 +188,8 @@
         node: &front.settings.node,
         fence,
     };
-    let within = Duration::from_millis(SEND_TIMEOUT_MS);
-    let sent = duty::report_usage(duty.address, &holder, report, within).await;
+    let timeout = Duration::from_millis(SEND_TIMEOUT_MS);
+    let sent = duty::report_usage(duty.address, &holder, report, timeout).await;
     let window = report.window.0;
     let lateness_ms = lateness_ms(front, report.window);
     match sent {
--- a/components/front/src/run_item.rs
+++ b/components/front/src/run_item.rs
@@ -82,7 +82,7 @@
         Ok(ItemStart::Running(run)) => run,
         Ok(ItemStart::Ended(end, connection)) => {
             if let Some(connection) = connection {
-                spec.member.peer.keep(connection, None);
+                spec.member.peer.return_connection(connection, None);
             }
             return match end {
                 ItemEnd::NotRun(why) => RunEnd::NotRun(why),
@@ -119,7 +119,7 @@
             // interrupted, the item would run again and again until its time is up.
             Ok(None) => {
                 if let Some((connection, keep_ms)) = item_run.finish().await {
-                    spec.member.peer.keep(connection, keep_ms);
+                    spec.member.peer.return_connection(connection, keep_ms);
                 }
                 return RunEnd::Complete;
             }
--- a/components/front/src/runner/handover.rs
+++ b/components/front/src/runner/handover.rs
@@ -17,7 +17,7 @@
             };
             let newest_piece = step.pieces(key.1).last().map_or(0, |piece| piece.id);
             let partial = self.partials.get(*key);
-            self.front.is_handed_on(&step.head, step.shard(key.1))
+            self.front.is_reassigned(&step.head, step.shard(key.1))
                 && partial.is_some_and(|(partial, _)| lock(partial).is_superseded(newest_piece))
         };
         self.running.keys().filter(is_superseded).copied().collect()
@@ -75,7 +75,7 @@
         let of_others = |key: &&ItemKey| {
             let step = index.ledger.get(key.0);
             leaving
-                || step.is_some_and(|step| self.front.is_handed_on(&step.head, step.shard(key.1)))
+                || step.is_some_and(|step| self.front.is_reassigned(&step.head, step.shard(key.1)))
         };
         let reserved = self.running.keys().filter(of_others).copied().collect();
         let released = self.partials.keys().filter(of_others);
--- a/components/front/src/serve.rs
+++ b/components/front/src/serve.rs
@@ -28,7 +28,10 @@
 const DEFAULT_TIMEOUT_MS: u64 = 30_000;
 
 /// Answers the load balancer's readiness probe and requests for the metrics page.
-pub async fn ready(front: Arc<Front>, request: Request<Incoming>) -> Response<ResponseBody> {
+pub async fn serve_readiness(
+    front: Arc<Front>,
+    request: Request<Incoming>,
+) -> Response<ResponseBody> {
     if request.uri().path() == METRICS_PATH {
         let mut text = metrics::text(&front.metrics.rows().await);
         text.push_str(&front.storage.calls.text());
@@ -44,19 +47,20 @@
     answer
 }
 
-/// Answers a client's request, or refuses it if the front is leaving and the drain has begun.
-pub async fn client(front: Arc<Front>, request: Request<Incoming>) -> Response<ResponseBody> {
+/// Answers a client's request. A leaving front refuses requests once the settle time of its drain
+/// is over.
+pub async fn serve_client(front: Arc<Front>, request: Request<Incoming>) -> Response<ResponseBody> {
     let id = ingress::request_id(request.headers()).map(str::to_owned);
     let mut answer = match front.drain.admit(now_ms()) {
-        Ok(working) => {
+        Ok(work_guard) => {
             let answer = serve_admitted(&front, request, id.as_deref()).await;
-            drop(working);
+            drop(work_guard);
             answer
         }
         Err(refusal) => {
-            let again_ms = refusal.retry_after_ms.map(u64::from);
+            let retry_after_ms = refusal.retry_after_ms.map(u64::from);
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            ingress::status_response(status, id.as_deref(), again_ms, "leaving")
+            ingress::status_response(status, id.as_deref(), retry_after_ms, "leaving")
         }
     };
     if front.drain.is_leaving() {
@@ -79,8 +83,8 @@
             "no configuration yet",
         );
     };
-    let asked = ingress::parse_operation(request.method(), request.uri(), request.headers());
-    let Some(step) = asked.step() else {
+    let operation = ingress::parse_operation(request.method(), request.uri(), request.headers());
+    let Some(step) = operation.step() else {
         return route_call(front, &routes, request, id).await;
     };
     let customer =
@@ -91,24 +95,24 @@
                 return access::refuse(front, &routes, &parts.headers, body, id, refused).await;
             }
         };
-    serve_step_request(front, name_of(&customer), &asked, id).await
+    serve_step_request(front, name_of(&customer), &operation, id).await
 }
 
 /// Serves a request about a step that the customer submitted before.
 async fn serve_step_request(
     front: &Front,
     customer: Option<&str>,
-    asked: &Operation,
+    operation: &Operation,
     id: Option<&str>,
 ) -> Response<ResponseBody> {
-    match asked {
+    match operation {
         Operation::Results { step, after, wait } => {
             let read = results::read_results(front, customer, step, *after, *wait).await;
-            read_answer(id, read, "application/json")
+            read_response(id, read, "application/json")
         }
         Operation::ItemBody { step, item } => {
             let read = results::read_item_body(front, customer, step, item).await;
-            read_answer(id, read, "application/octet-stream")
+            read_response(id, read, "application/octet-stream")
         }
         Operation::EndStep { step } => end_step(front, customer, id, step).await,
         Operation::Call => ingress::status_response(StatusCode::NOT_FOUND, id, None, "no route"),
@@ -119,15 +123,19 @@
     customer.as_ref().map(|customer| &*customer.name)
 }
 
-fn read_answer(id: Option<&str>, read: ReadOutcome, content_type: &str) -> Response<ResponseBody> {
+fn read_response(
+    id: Option<&str>,
+    read: ReadOutcome,
+    content_type: &str,
+) -> Response<ResponseBody> {
     let status = read.status();
     match read {
         ReadOutcome::Found(body) => ingress::success_response(status, id, content_type, body),
         ReadOutcome::NotFound => {
             ingress::status_response(status, id, None, "there is no such step or item")
         }
-        ReadOutcome::Unavailable(why) => {
-            ingress::status_response(status, id, Some(BUSY_RETRY_AFTER_MS), why)
+        ReadOutcome::Unavailable(message) => {
+            ingress::status_response(status, id, Some(BUSY_RETRY_AFTER_MS), message)
         }
     }
 }
@@ -138,17 +146,17 @@
     id: Option<&str>,
     name: &str,
 ) -> Response<ResponseBody> {
-    let known = results::find_in_index(front, |index| {
+    let lookup = results::find_in_index(front, |index| {
         index.ledger.find_visible(customer, name).cloned()
     });
-    let Some(step) = known.await else {
+    let Some(step) = lookup.await else {
         let read = results::read_results(front, customer, name, 0, std::time::Duration::ZERO).await;
-        return read_answer(id, read, "application/json");
+        return read_response(id, read, "application/json");
     };
     if step.ended {
         return ingress::status_response(StatusCode::OK, id, None, "ended before");
     }
-    let reply = jobs::end(front, name, step.id).await;
+    let reply = jobs::end_step(front, name, step.id).await;
     log::info!(
         event = "step-ended", id = name, status = reply.status.as_u16(),
         listed = step.results.len(), items = step.head.items.len(); ""
@@ -182,11 +190,11 @@
     let limit_bytes = routes.limits.body_bytes_max;
     let content_length = ingress::content_length(&parts.headers).unwrap_or(0);
     if content_length > limit_bytes as u64 {
-        return too_large(id);
+        return too_large_response(id);
     }
     let body = match collect(body, limit_bytes).await {
         Ok(body) => body,
-        Err(BodyError::TooLarge(_)) => return too_large(id),
+        Err(BodyError::TooLarge(_)) => return too_large_response(id),
         Err(error) => {
             log::info!(event = "body-broken", id, error:% = error; "");
             return ingress::status_response(
@@ -238,7 +246,7 @@
     supported.then(|| route.rank_for(customer)).flatten()
 }
 
-fn too_large(id: &str) -> Response<ResponseBody> {
+fn too_large_response(id: &str) -> Response<ResponseBody> {
     let status = StatusCode::PAYLOAD_TOO_LARGE;
     let mut answer = ingress::status_response(status, Some(id), None, "the body is too long");
     ingress::set_connection_close(&mut answer);
@@ -261,7 +269,7 @@
                 } else {
                     CallFailure::Unknown
                 };
-                failure_answer(end, id)
+                failure_response(end, id)
             }
         };
     }
@@ -272,11 +280,11 @@
             *response.headers_mut() = answer.headers;
             response
         }
-        CallOutcome::End(end, _) => failure_answer(end, id),
+        CallOutcome::Failed(end, _) => failure_response(end, id),
     }
 }
 
-fn failure_answer(end: CallFailure, id: &str) -> Response<ResponseBody> {
+fn failure_response(end: CallFailure, id: &str) -> Response<ResponseBody> {
     match end {
         CallFailure::NotRun => {
             let status = StatusCode::SERVICE_UNAVAILABLE;
--- a/components/front/src/start.rs
+++ b/components/front/src/start.rs
@@ -94,15 +94,19 @@
         );
         let (ended_items, results) = mpsc::channel(runner::ENDED_QUEUE_MAX);
         let mut tasks = JoinSet::new();
-        tasks.spawn(connections::accept(Arc::clone(&front), ready, serve::ready));
+        tasks.spawn(connections::accept(
+            Arc::clone(&front),
+            ready,
+            serve::serve_readiness,
+        ));
         tasks.spawn(connections::accept(
             Arc::clone(&front),
             clients,
-            serve::client,
+            serve::serve_client,
         ));
-        tasks.spawn(follow::operator(Arc::clone(&front)));
-        tasks.spawn(follow::replicas(Arc::clone(&front)));
-        tasks.spawn(follow::index(Arc::clone(&front)));
+        tasks.spawn(follow::follow_operator(Arc::clone(&front)));
+        tasks.spawn(follow::follow_replicas(Arc::clone(&front)));
+        tasks.spawn(follow::follow_index(Arc::clone(&front)));
         tasks.spawn(member::maintain(Arc::clone(&front)));
         tasks.spawn(reports::follow_usage(Arc::clone(&front)));
         tasks.spawn(meter::sample_clock(Arc::clone(&front)));
--- a/components/front/src/state.rs
+++ b/components/front/src/state.rs
@@ -71,10 +71,11 @@
     pub unwritable_since_ms: AtomicU64,
     /// Partitions that this front owns.
     pub ownership: ArcSwap<Ownership>,
-    /// Whether the group's assignment of partitions has changed since the runner last checked.
+    /// Whether the group's generation has changed since the runner last checked, so that partitions
+    /// may have moved to other fronts.
     pub partitions_moved: AtomicBool,
     /// Slots of model replicas per shard. Depends on whether large or small fronts run the shards.
-    pub shard_places: AtomicU32,
+    pub shard_slots: AtomicU32,
     /// Wakes the task that runs items.
     pub runner_wakeup: Notify,
     /// Turns true once a leaving front has saved its partial texts.
@@ -90,7 +91,7 @@
     /// Turns true when idle connections of clients are to be closed.
     pub close_connections: watch::Sender<bool>,
     /// Typical latency by route.
-    typical: Mutex<HashMap<Arc<str>, Arc<TypicalDuration>>>,
+    typical_durations: Mutex<HashMap<Arc<str>, Arc<TypicalDuration>>>,
 }
 
 impl Front {
@@ -115,7 +116,7 @@
             unwritable_since_ms: AtomicU64::new(0),
             ownership: ArcSwap::from_pointee(Ownership::new(member::ownership_settings(&settings))),
             partitions_moved: AtomicBool::new(false),
-            shard_places: AtomicU32::new(LARGE_SHARD_SLOTS),
+            shard_slots: AtomicU32::new(LARGE_SHARD_SLOTS),
             runner_wakeup: Notify::new(),
             texts_saved: watch::Sender::new(false),
             leader_wakeup: Notify::new(),
@@ -124,7 +125,7 @@
             meter: Meter::new(report_windows(&settings)),
             drain,
             close_connections: watch::Sender::new(false),
-            typical: Mutex::default(),
+            typical_durations: Mutex::default(),
             settings,
         }
     }
@@ -202,8 +203,8 @@
     }
 
     /// Estimate of the latency of a route's calls, shared by all calls of the route.
-    pub fn typical(&self, route: &Arc<str>) -> Arc<TypicalDuration> {
-        let mut typical = lock(&self.typical);
+    pub fn typical_duration(&self, route: &Arc<str>) -> Arc<TypicalDuration> {
+        let mut typical = lock(&self.typical_durations);
         if let Some(known) = typical.get(route) {
             return Arc::clone(known);
         }
@@ -228,7 +229,7 @@
 
     /// Whether another front owns the shard now and must be notified of the items that this front
     /// still runs.
-    pub fn is_handed_on(&self, head: &StepHead, shard: u16) -> bool {
+    pub fn is_reassigned(&self, head: &StepHead, shard: u16) -> bool {
         self.ownership
             .load()
             .is_reassigned(self.partition(head, shard))
--- a/components/front/src/storage.rs
+++ b/components/front/src/storage.rs
@@ -90,16 +90,16 @@
         topic: &str,
         partition: u32,
         records: &[Bytes],
-        within: Duration,
+        timeout: Duration,
     ) -> Result<u64, StoreError> {
         let calls = self.calls.of(topic);
         calls.count_append();
-        let append = self.store.append(topic, partition, records, within);
+        let append = self.store.append(topic, partition, records, timeout);
         self.call(calls, append).await
     }
 
     /// Reads records from one partition.
-    pub async fn read(&self, from: ReadRequest<'_>, within: Duration) -> Result<Page, StoreError> {
+    pub async fn read(&self, from: ReadRequest<'_>, timeout: Duration) -> Result<Page, StoreError> {
         let ReadRequest {
             topic,
             partition,
@@ -111,7 +111,7 @@
         calls.count_read();
         let read = self
             .store
-            .read(topic, partition, offset, max_kb, wait_ms, within);
+            .read(topic, partition, offset, max_kb, wait_ms, timeout);
         let page = self.call(calls, read).await?;
         calls.count_records(page.records.iter().map(|record| &record[..]));
         Ok(page)
@@ -123,10 +123,10 @@
         partition: u32,
         offset: u64,
         max_kb: u32,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<Bytes, StoreError> {
         let page = self
-            .read(data_read(partition, offset, max_kb), within)
+            .read(data_read(partition, offset, max_kb), timeout)
             .await?;
         let first = page.records.into_iter().next();
         first.ok_or_else(|| StoreError::Malformed(format!("no record at {offset}")))
@@ -136,11 +136,11 @@
     pub async fn read_newest(
         &self,
         topic: &str,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<(Vec<KeyedRecord>, u64), StoreError> {
         let calls = self.calls.of(topic);
         calls.count_read();
-        let (records, end) = self.call(calls, self.store.newest(topic, within)).await?;
+        let (records, end) = self.call(calls, self.store.newest(topic, timeout)).await?;
         calls.count_records(records.iter().map(|record| &record.value[..]));
         Ok((records, end))
     }
@@ -153,11 +153,11 @@
         topic: &str,
         ttl_ms: u64,
         generation: u64,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<Membership, StoreError> {
         let join = self
             .store
-            .join(group, member, topic, ttl_ms, generation, within);
+            .join(group, member, topic, ttl_ms, generation, timeout);
         self.group_call(join).await
     }
 
@@ -165,18 +165,18 @@
     pub async fn read_owners(
         &self,
         group: &str,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<Vec<(u32, String)>, StoreError> {
-        self.group_call(self.store.owners(group, within)).await
+        self.group_call(self.store.owners(group, timeout)).await
     }
 
     pub async fn leave(
         &self,
         group: &str,
         member: &str,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<(), StoreError> {
-        self.group_call(self.store.leave(group, member, within))
+        self.group_call(self.store.leave(group, member, timeout))
             .await
     }
 
@@ -229,6 +229,6 @@
 
 /// Outcome of a call that was abandoned because the store recovered before answering it.
 fn abandoned<T>() -> Result<T, StoreError> {
-    let why = "call abandoned: the store recovered without answering the call";
-    Err(StoreError::OutcomeUnknown(why.to_owned()))
+    let reason = "call abandoned: the store recovered without answering the call";
+    Err(StoreError::OutcomeUnknown(reason.to_owned()))
 }
--- a/components/front/src/stream.rs
+++ b/components/front/src/stream.rs
@@ -64,7 +64,7 @@
 fn choose_untried(front: &Front, spec: &CallSpec<'_>, tried: &[ReplicaId]) -> Option<Member> {
     let table = front.replicas.load();
     let service = spec.route.pick_service(rand::random())?;
-    let typical = front.typical(&spec.route.name);
+    let typical = front.typical_duration(&spec.route.name);
     choose_in_service(front, &table, service, &typical, tried, false)
 }
 
--- a/components/front/tests/front/calls.rs
+++ b/components/front/tests/front/calls.rs
@@ -102,13 +102,13 @@
     front.store_listener.fault(Fault::new(FaultKind::Outage));
     front.store_listener.crash(0);
     let headers = [("hornbeamrock-request-id", "q-1")];
-    let (status, again, _) = front.request(Method::POST, "/calls/x", &headers, "").await;
+    let (status, retry_after, _) = front.request(Method::POST, "/calls/x", &headers, "").await;
     if status == 200 {
         // The front read the configuration before the outage began; there is nothing to check.
         return;
     }
     assert_eq!(status, 503);
-    assert!(again.is_some());
+    assert!(retry_after.is_some());
     assert!(!front.is_ready().await);
 }
 
@@ -149,7 +149,7 @@
     let front = site.front("a").await;
     site.write_heartbeat(site.replica("plain-1"), "draining", 1);
     let number = std::sync::atomic::AtomicU32::new(0);
-    // Calls may still go to the replica until the front has read the record; none may go there later.
+    // Calls may still go to the replica until the front has read the record, but not after that.
     wait_until("all calls go to the other replica", || async {
         let first = number.fetch_add(10, std::sync::atomic::Ordering::Relaxed);
         for call in first..first + 10 {
@@ -204,7 +204,7 @@
     let working = || {
         site.replicas
             .iter()
-            .map(|r| r.seen.working())
+            .map(|replica| replica.seen.working())
             .sum::<usize>()
     };
     tokio::select! {
@@ -234,8 +234,8 @@
 #[tokio::test]
 async fn stays_ready_while_the_store_refuses_all_calls() {
     // The store answers every call with an error. If no front were ready, the load balancer would
-    // use all of them, including those that leave or are gone, and calls that need no store would be
-    // lost there.
+    // use all of them, including those that leave or are gone, and calls that need no store would
+    // be lost there.
     let site = Site::start(4, 1).await;
     let front = site.front("a").await;
     front.store_listener.fault(Fault::new(FaultKind::Outage));
--- a/components/front/tests/front/customers.rs
+++ b/components/front/tests/front/customers.rs
@@ -14,7 +14,7 @@
     ("bert", &["key-bert"]),
 ];
 
-async fn site(events: u64) -> Site {
+async fn start_site(events: u64) -> Site {
     let site = Site::start(events, 1).await;
     site.store.put(
         "keyed.op",
@@ -24,7 +24,7 @@
     site
 }
 
-async fn ask(
+async fn send(
     front: &FrontHandle,
     key: &str,
     method: Method,
@@ -61,7 +61,7 @@
 
 #[tokio::test]
 async fn can_name_the_key_s_customer_to_the_replica_whatever_headers_the_client_sends() {
-    let site = site(3).await;
+    let site = start_site(3).await;
     let front = site.front("a").await;
     let headers = [
         ("hornbeamrock-request-id", "q-1"),
@@ -128,7 +128,7 @@
             status: 404,
         },
     ];
-    let site = site(3).await;
+    let site = start_site(3).await;
     let front = site.front("a").await;
     for case in cases {
         let mut headers = vec![
@@ -154,7 +154,7 @@
 async fn can_use_the_connection_after_a_refused_key() {
     // The front must read the body of the refused request. Unread bytes would reset the connection,
     // and the client would lose the answer and its next request.
-    let site = site(3).await;
+    let site = start_site(3).await;
     let front = site.front("a").await;
     let mut connection = connect(front.client_address, TEST_TIMEOUT)
         .await
@@ -189,20 +189,23 @@
 
 #[tokio::test]
 async fn a_revoked_key_is_refused_while_its_steps_continue() {
-    // The operator revokes a customer's last key while its step runs. Calls with the key must soon be
-    // refused. The step must end, its items and reward calls must still run for the customer, and a
-    // new key of the customer must be able to read the step.
+    // The operator revokes a customer's last key while its step runs. Calls with the key must soon
+    // be refused. The step's items and reward calls must still run for the customer, and a new key
+    // of the customer must be able to read the finished step.
     let site = Site::start(40, 20).await;
     let config = |version, keys: &[&str]| records::config_for(version, &[("anna", keys)]);
     site.store
         .put("keyed.op", "config", Some(&config(4, &["key-old"])));
     let front = site.front("a").await;
     let step = records::step(1, 1, 4);
-    let submitted = ask(&front, "key-old", Method::POST, "/steps/s-1", &step).await;
+    let submitted = send(&front, "key-old", Method::POST, "/steps/s-1", &step).await;
     assert_eq!(submitted.0, 202);
     site.store.put("keyed.op", "config", Some(&config(5, &[])));
     wait_until("the key is refused", async || {
-        ask(&front, "key-old", Method::POST, "/calls/x", "").await.0 == 401
+        send(&front, "key-old", Method::POST, "/calls/x", "")
+            .await
+            .0
+            == 401
     })
     .await;
     wait_until("the step has ended", async || {
@@ -213,7 +216,7 @@
         .put("keyed.op", "config", Some(&config(6, &["key-new"])));
     wait_until("the new key can read the step", async || {
         let path = "/v1/lots/s-1?After=3";
-        let (status, body) = ask(&front, "key-new", Method::GET, path, "").await;
+        let (status, body) = send(&front, "key-new", Method::GET, path, "").await;
         status == 200 && body.contains("\"NextToken\":4")
     })
     .await;
@@ -225,13 +228,13 @@
 
 #[tokio::test]
 async fn another_customer_s_step_is_not_found() {
-    let site = site(3).await;
+    let site = start_site(3).await;
     let fronts = [site.front("a").await, site.front("b").await];
     let step = records::step(1, 1, 2);
-    let submitted = ask(&fronts[0], "key-anna", Method::POST, "/steps/s-1", &step).await;
+    let submitted = send(&fronts[0], "key-anna", Method::POST, "/steps/s-1", &step).await;
     assert_eq!(submitted.0, 202);
     wait_until("the owner can read its step", async || {
-        ask(&fronts[1], "key-spare", Method::GET, "/v1/lots/s-1", "")
+        send(&fronts[1], "key-spare", Method::GET, "/v1/lots/s-1", "")
             .await
             .0
             == 200
@@ -259,7 +262,7 @@
         // 503 is allowed while the front's index is not current; the step's content never is.
         wait_until("the step is not found", async || {
             let (status, body) =
-                ask(&fronts[1], "key-bert", case.method.clone(), case.path, "").await;
+                send(&fronts[1], "key-bert", case.method.clone(), case.path, "").await;
             assert!(
                 status == 404 || status == 503,
                 "{} {status} {body}",
@@ -269,12 +272,12 @@
         })
         .await;
     }
-    let (status, body) = ask(&fronts[1], "key-anna", Method::GET, "/v1/lots/s-1", "").await;
+    let (status, body) = send(&fronts[1], "key-anna", Method::GET, "/v1/lots/s-1", "").await;
     assert_eq!(
         status, 200,
         "the owner's step must not have been ended: {body}"
     );
-    let own = ask(
+    let own = send(
         &fronts[1],
         "key-bert",
         Method::POST,
@@ -296,15 +299,18 @@
 async fn errors_as_not_run_when_a_stale_front_does_not_know_a_key() {
     // A front is cut off from the store while the operator adds a key. A 401 would be final for a
     // client with that key, so the front must answer 503: the call did not run and may be retried.
-    let site = site(3).await;
+    let site = start_site(3).await;
     let front = site.front("a").await;
     front.store_listener.fault(Fault::new(FaultKind::Outage));
     front.store_listener.crash(0);
     wait_until("the front treats its configuration as stale", async || {
-        ask(&front, "key-new", Method::POST, "/calls/x", "").await.0 == 503
+        send(&front, "key-new", Method::POST, "/calls/x", "")
+            .await
+            .0
+            == 503
     })
     .await;
-    let known = ask(&front, "key-anna", Method::POST, "/calls/x", "").await;
+    let known = send(&front, "key-anna", Method::POST, "/calls/x", "").await;
     assert_eq!(known.0, 200, "a key that the front knows must still work");
 }
 
@@ -318,7 +324,7 @@
         .put("keyed.op", "config", Some(&config(4, &["key"])));
     let runner = site.front("a").await;
     let step = records::step(1, 1, 2);
-    let submitted = ask(&runner, "key", Method::POST, "/steps/s-1", &step).await;
+    let submitted = send(&runner, "key", Method::POST, "/steps/s-1", &step).await;
     assert_eq!(submitted.0, 202);
     wait_until("the items run", async || {
         !site.runs("item-1-0").is_empty() && !site.runs("item-1-1").is_empty()
@@ -345,10 +351,10 @@
 
 #[tokio::test]
 async fn only_the_newest_keys_are_valid_after_an_outage() {
-    // A front is cut off from the store while the operator revokes and adds keys in several versions
-    // of the configuration. It may accept old keys during the outage. After it, only the newest
-    // version must be active.
-    let site = site(3).await;
+    // A front is cut off from the store while the operator revokes and adds keys in several
+    // versions of the configuration. The front may accept old keys during the outage. After the
+    // outage, only the newest version must be active.
+    let site = start_site(3).await;
     let front = site.front("a").await;
     front.store_listener.fault(Fault::new(FaultKind::Outage));
     front.store_listener.crash(0);
@@ -364,7 +370,7 @@
     }
     front.store_listener.clear_faults();
     wait_until("the newest version is active", async || {
-        let old = ask(&front, "key-anna", Method::POST, "/calls/x", "").await;
+        let old = send(&front, "key-anna", Method::POST, "/calls/x", "").await;
         old.0 == 401
     })
     .await;
@@ -392,7 +398,7 @@
     ];
     for case in cases {
         let path = format!("/calls/{}", case.key);
-        let (status, _) = ask(&front, case.key, Method::POST, &path, "").await;
+        let (status, _) = send(&front, case.key, Method::POST, &path, "").await;
         assert_eq!(status, case.status, "{}", case.key);
         let customers = named_customers(&site, case.key).concat();
         assert_eq!(customers, case.customer, "{}", case.key);
@@ -403,9 +409,9 @@
 async fn errors_as_not_run_when_a_stale_front_knows_no_route() {
     // The operator adds a route while a front is cut off from the store. A 404 would be final for
     // the route's clients, so the front must answer 503 instead.
-    let site = site(3).await;
+    let site = start_site(3).await;
     let front = site.front("a").await;
-    let (status, _) = ask(&front, "key-anna", Method::POST, "/new/x", "").await;
+    let (status, _) = send(&front, "key-anna", Method::POST, "/new/x", "").await;
     assert_eq!(
         status, 404,
         "a front with a current configuration must answer 404"
@@ -413,7 +419,7 @@
     front.store_listener.fault(Fault::new(FaultKind::Outage));
     front.store_listener.crash(0);
     wait_until("the front treats its configuration as stale", async || {
-        ask(&front, "key-anna", Method::POST, "/new/x", "").await.0 == 503
+        send(&front, "key-anna", Method::POST, "/new/x", "").await.0 == 503
     })
     .await;
 }
--- a/components/front/tests/front/orders.rs
+++ b/components/front/tests/front/orders.rs
@@ -93,8 +93,8 @@
 
 #[tokio::test]
 async fn does_not_repeat_an_order_whose_answer_was_lost() {
-    // A replica executes an order but the answer is lost. The replica's next report shows the loaded
-    // version, so the front must not send a second order.
+    // A replica executes an order but the answer is lost. The replica's next report shows the
+    // loaded version, so the front must not send a second order.
     let site = Site::start(2, 1).await;
     for id in ["engine-1", "engine-2"] {
         let lost = Fault::new(FaultKind::AnswerLost).on("/v1/order").times(1);
--- a/components/front/tests/front/usage.rs
+++ b/components/front/tests/front/usage.rs
@@ -16,8 +16,8 @@
 
 const CUSTOMERS: &[(&str, &[&str])] = &[("anna", &["key-anna"]), ("bert", &["key-bert"])];
 
-async fn site() -> (Site, Handle, Told) {
-    let (receiver, told) = duties::start(([127, 0, 0, 1], 0).into())
+async fn start_site() -> (Site, Handle, Told) {
+    let (receiver, received) = duties::start(([127, 0, 0, 1], 0).into())
         .await
         .expect("a port");
     let mut site = Site::start(2, 1).await;
@@ -29,7 +29,7 @@
     });
     let config = records::config_for(4, CUSTOMERS);
     site.store.put("keyed.op", "config", Some(&config));
-    (site, receiver, told)
+    (site, receiver, received)
 }
 
 async fn call(front: &FrontHandle, key: &str, id: &str, path: &str, body: &str) -> u16 {
@@ -63,9 +63,9 @@
     BTreeMap::from([("anna".to_owned(), anna), ("bert".to_owned(), bert)])
 }
 
-async fn reported(told: &Told, wanted: &BTreeMap<String, u64>) {
+async fn wait_until_reported(received: &Told, wanted: &BTreeMap<String, u64>) {
     wait_until("all requests are reported", async || {
-        totals(&told.reports()) == *wanted
+        totals(&received.reports()) == *wanted
     })
     .await;
 }
@@ -74,7 +74,7 @@
 async fn can_report_each_request_of_a_customer_once() {
     // Calls run through two fronts. Items and reward calls of a step, refused calls and calls
     // without a customer must not be in any report.
-    let (site, _receiver, told) = site().await;
+    let (site, _receiver, received) = start_site().await;
     let fronts = [site.front("a").await, site.front("b").await];
     for number in 0..6 {
         let front = &fronts[number % 2];
@@ -98,8 +98,8 @@
         !site.runs("score-1-3").is_empty()
     })
     .await;
-    reported(&told, &expected(6, 1)).await;
-    let holders: Vec<(String, u64)> = told
+    wait_until_reported(&received, &expected(6, 1)).await;
+    let holders: Vec<(String, u64)> = received
         .reports()
         .into_iter()
         .map(|report| (report.holder, report.fence))
@@ -114,21 +114,21 @@
 async fn can_continue_reports_when_the_lease_holder_dies() {
     // The reporting front is killed right after a report. The other front must take over, seal the
     // open windows and report them with a higher fencing token, without counting a request twice.
-    let (site, _receiver, told) = site().await;
+    let (site, _receiver, received) = start_site().await;
     let mut fronts = vec![site.front("a").await, site.front("b").await];
     for front in &fronts {
         assert_eq!(call(front, "key-anna", "a-1", "/calls/x", "").await, 200);
     }
-    reported(&told, &BTreeMap::from([("anna".to_owned(), 2)])).await;
-    let first = told.reports().pop().expect("reported");
+    wait_until_reported(&received, &BTreeMap::from([("anna".to_owned(), 2)])).await;
+    let first = received.reports().pop().expect("reported");
     let holder = usize::from(first.holder == "b");
     drop(fronts.remove(holder));
     assert_eq!(
         call(&fronts[0], "key-bert", "b-1", "/calls/x", "").await,
         200
     );
-    reported(&told, &expected(2, 1)).await;
-    let last = told.reports().pop().expect("reported");
+    wait_until_reported(&received, &expected(2, 1)).await;
+    let last = received.reports().pop().expect("reported");
     assert!(
         last.holder != first.holder && last.fence > first.fence,
         "{last:?}"
@@ -139,35 +139,35 @@
 async fn can_resend_the_same_report_until_it_is_accepted() {
     // The receiver accepts reports but its answers are lost, then it refuses reports. Each report
     // must be sent again with the same counts until the receiver accepts it.
-    let (site, receiver, told) = site().await;
+    let (site, receiver, received) = start_site().await;
     let front = site.front("a").await;
     receiver.fault(Fault::new(FaultKind::AnswerLost).times(2));
     assert_eq!(call(&front, "key-anna", "a-1", "/calls/x", "").await, 200);
     assert_eq!(call(&front, "key-bert", "b-1", "/calls/x", "").await, 200);
-    reported(&told, &expected(1, 1)).await;
+    wait_until_reported(&received, &expected(1, 1)).await;
     receiver.fault(Fault::new(FaultKind::Outage).times(3));
     assert_eq!(call(&front, "key-anna", "a-2", "/calls/x", "").await, 200);
-    reported(&told, &expected(2, 1)).await;
+    wait_until_reported(&received, &expected(2, 1)).await;
 }
 
 #[tokio::test]
 async fn can_report_requests_that_a_front_counted_before_it_left() {
     // A front gets the stop signal right after a call, before its counts are written. It must write
     // them before it exits, and the other front must report them.
-    let (site, _receiver, told) = site().await;
+    let (site, _receiver, received) = start_site().await;
     let mut leaving = site.front("a").await;
     let _other = site.front("b").await;
     assert_eq!(call(&leaving, "key-anna", "a-1", "/calls/x", "").await, 200);
     assert_eq!(call(&leaving, "key-bert", "b-1", "/calls/x", "").await, 200);
     leaving.stop();
-    reported(&told, &expected(1, 1)).await;
+    wait_until_reported(&received, &expected(1, 1)).await;
 }
 
 #[tokio::test]
 async fn can_count_requests_while_the_store_refuses_appends() {
     // The store refuses one front's appends while calls run. The counts must be written once the
     // store accepts them again, before their windows are sealed.
-    let (site, _receiver, told) = site().await;
+    let (site, _receiver, received) = start_site().await;
     let cut = site.front("a").await;
     let _other = site.front("b").await;
     let mut away = Fault::new(FaultKind::Outage).on("/v1/log-append");
@@ -175,15 +175,15 @@
     cut.store_listener.fault(away);
     assert_eq!(call(&cut, "key-anna", "a-1", "/calls/x", "").await, 200);
     assert_eq!(call(&cut, "key-bert", "b-1", "/calls/x", "").await, 200);
-    reported(&told, &expected(1, 1)).await;
+    wait_until_reported(&received, &expected(1, 1)).await;
 }
 
 #[tokio::test]
 async fn can_retry_a_seal_that_was_not_written() {
     // The store accepts the counts but refuses appends while their window is due to be sealed. The
-    // seal must be written again; if a failed seal counted as pending forever, the window's requests
-    // would be in no report.
-    let (site, _receiver, told) = site().await;
+    // seal must be written again; if a failed seal counted as pending forever, the window's
+    // requests would be in no report.
+    let (site, _receiver, received) = start_site().await;
     let front = site.front("a").await;
     assert_eq!(call(&front, "key-anna", "a-1", "/calls/x", "").await, 200);
     assert_eq!(call(&front, "key-bert", "b-1", "/calls/x", "").await, 200);
@@ -194,5 +194,5 @@
     let mut refused = Fault::new(FaultKind::Outage).on("/v1/log-append?Topic=usage");
     refused.for_ms = Some(3_000);
     front.store_listener.fault(refused);
-    reported(&told, &expected(1, 1)).await;
+    wait_until_reported(&received, &expected(1, 1)).await;
 }
