--- a/components/front/src/start.rs
+++ b/components/front/src/start.rs
@@ -46,8 +46,8 @@
 /// A front whose listeners are bound, but which serves nothing until [`Bound::run`].
 pub struct Bound {
     front: Arc<Front>,
-    clients: TcpListener,
-    ready: TcpListener,
+    client_listener: TcpListener,
+    readiness_listener: TcpListener,
 }
 
 impl Bound {
@@ -58,33 +58,36 @@
         // start at the clock, which does not go back on a VM.
         let lease = Lease::new(&settings.node, now_us(), lease_settings);
         let drain = Drain::new(leave::drain_settings(settings.bounds.grace_ms));
-        let clients = listen(settings.client_address).await?;
-        let ready = listen(settings.readiness_address).await?;
+        let client_listener = listen(settings.client_address).await?;
+        let readiness_listener = listen(settings.readiness_address).await?;
         let front = Arc::new(Front::new(settings, lease, drain, metrics::start()?));
         Ok(Self {
             front,
-            clients,
-            ready,
+            client_listener,
+            readiness_listener,
         })
     }
 
     /// Address that clients connect to, with the port that was bound if the settings ask for
     /// port 0.
-    pub fn clients(&self) -> Result<SocketAddr, FrontError> {
-        local_address(&self.clients, self.front.settings.client_address)
+    pub fn client_address(&self) -> Result<SocketAddr, FrontError> {
+        local_address(&self.client_listener, self.front.settings.client_address)
     }
 
     /// Address of the load balancer's readiness probe and of the metrics page.
-    pub fn ready(&self) -> Result<SocketAddr, FrontError> {
-        local_address(&self.ready, self.front.settings.readiness_address)
+    pub fn readiness_address(&self) -> Result<SocketAddr, FrontError> {
+        local_address(
+            &self.readiness_listener,
+            self.front.settings.readiness_address,
+        )
     }
 
     /// Serves until `stop` completes, then drains the work in progress.
     pub async fn run(self, stop: impl Future<Output = ()>) {
         let Self {
             front,
-            clients,
-            ready,
+            client_listener,
+            readiness_listener,
         } = self;
         log::info!(
             event = "started", node = front.settings.node, domain = front.settings.domain,
@@ -96,12 +99,12 @@
         let mut tasks = JoinSet::new();
         tasks.spawn(connections::accept(
             Arc::clone(&front),
-            ready,
+            readiness_listener,
             serve::serve_readiness,
         ));
         tasks.spawn(connections::accept(
             Arc::clone(&front),
-            clients,
+            client_listener,
             serve::serve_client,
         ));
         tasks.spawn(follow::follow_operator(Arc::clone(&front)));
--- a/components/front/tests/front/common.rs
+++ b/components/front/tests/front/common.rs
@@ -276,8 +276,8 @@
         };
         let bound = Bound::new(settings).await.expect("ports");
         let (client_address, readiness_address) = (
-            bound.clients().expect("bound"),
-            bound.ready().expect("bound"),
+            bound.client_address().expect("bound"),
+            bound.readiness_address().expect("bound"),
         );
         let (stop, stopped) = oneshot::channel();
         let task = tokio::spawn(bound.run(async {
