--- a/components/front/src/follow/replicas.rs
+++ b/components/front/src/follow/replicas.rs
@@ -12,7 +12,7 @@
 use crate::clock::now_ms;
 use crate::state::Front;
 
-/// Limit on the remembered ids of malformed records; a remembered id is not logged again.
+/// Limit on the number of ids whose malformed records are logged, each of them once.
 const MALFORMED_MAX: usize = 256;
 
 /// Builds the table of replicas from their records, until the process ends.
@@ -64,7 +64,7 @@
     value: Option<&[u8]>,
     now_ms: u64,
 ) -> bool {
-    let revision = match value {
+    let change = match value {
         None => {
             log::info!(event = "replica-gone", replica = id; "");
             malformed.remove(id);
@@ -86,15 +86,15 @@
             }
         },
     };
-    revision == RegistryChange::Changed
+    change == RegistryChange::Changed
 }
 
 fn put_replica(registry: &mut Registry, replica: Replica) -> RegistryChange {
     let (id, address) = (Arc::clone(&replica.id), replica.address);
     let draining = replica.draining;
-    let revision = registry.put(replica);
-    if revision == RegistryChange::Changed {
+    let change = registry.put(replica);
+    if change == RegistryChange::Changed {
         log::debug!(event = "replica-changed", replica = &*id, address:% = address, draining; "");
     }
-    revision
+    change
 }
--- a/components/front/src/peers.rs
+++ b/components/front/src/peers.rs
@@ -64,14 +64,14 @@
         None
     }
 
-    /// Returns a connection to the pool, after its last answer was read completely. `keep_ms` is
-    /// the keep-alive time that the replica stated.
-    pub fn return_connection(&self, connection: Connection, keep_ms: Option<u64>) {
+    /// Returns a connection to the pool, after its last answer was read completely.
+    /// `keep_alive_ms` is the keep-alive time that the replica stated.
+    pub fn return_connection(&self, connection: Connection, keep_alive_ms: Option<u64>) {
         let now_ms = now_ms();
-        let keep_ms = keep_ms.map_or(KEEP_ALIVE_MS, |stated| {
+        let keep_alive_ms = keep_alive_ms.map_or(KEEP_ALIVE_MS, |stated| {
             stated.saturating_sub(KEEP_ALIVE_MARGIN_MS)
         });
-        let until_ms = now_ms + keep_ms;
+        let until_ms = now_ms + keep_alive_ms;
         let mut idle = lock(&self.idle);
         if idle.len() == IDLE_MAX {
             idle.remove(0);
--- a/components/front/src/start.rs
+++ b/components/front/src/start.rs
@@ -54,8 +54,8 @@
     /// Binds the listeners to the addresses in the settings.
     pub async fn new(settings: FrontSettings) -> Result<Self, FrontError> {
         let lease_settings = LeaseSettings::with_pause(settings.bounds.holder_pause_ms);
-        // Two runs of a front on the same VM must not number their records alike, so the numbers
-        // start at the clock, which does not go back on a VM.
+        // Two processes on the same VM must not use the same record numbers. The numbers therefore
+        // start at the current time of a clock that never goes back on a VM.
         let lease = Lease::new(&settings.node, now_us(), lease_settings);
         let drain = Drain::new(leave::drain_settings(settings.bounds.grace_ms));
         let client_listener = listen(settings.client_address).await?;
--- a/components/front/src/storage.rs
+++ b/components/front/src/storage.rs
@@ -69,7 +69,7 @@
         self.reach.recoveries()
     }
 
-    /// Whether the last completed call found the store unreachable.
+    /// Whether the store was unreachable by the last call whose outcome shows its availability.
     pub fn is_unreachable(&self) -> bool {
         self.reach.is_unreachable()
     }
--- a/components/front/tests/front/calls.rs
+++ b/components/front/tests/front/calls.rs
@@ -140,7 +140,7 @@
     }
     let (status, _) = front.call("bid-1", "/bids/x").await;
     assert_eq!(status, 502);
-    assert_eq!(site.runs("bid-1"), [0], "the call ran more than once");
+    assert_eq!(site.runs("bid-1"), [0], "the call must run exactly once");
 }
 
 #[tokio::test]
