--- a/components/front/src/start.rs
+++ b/components/front/src/start.rs
@@ -46,45 +46,48 @@
 /// A front whose listeners are bound, but which serves nothing until [`Bound::run`].
 pub struct Bound {
     front: Arc<Front>,
-    clients: TcpListener,
-    ready: TcpListener,
+    client_listener: TcpListener,
+    readiness_listener: TcpListener,
 }
 
 impl Bound {
     /// Binds the listeners to the addresses in the settings.
     pub async fn new(settings: FrontSettings) -> Result<Self, FrontError> {
         let lease_settings = LeaseSettings::with_pause(settings.bounds.holder_pause_ms);
-        // Two runs of a front on the same VM must not number their records alike, so the numbers
-        // start at the clock, which does not go back on a VM.
+        // Two processes on the same VM must not use the same record numbers. The numbers therefore
+        // start at the current time of a clock that never goes back on a VM.
         let lease = Lease::new(&settings.node, now_us(), lease_settings);
         let drain = Drain::new(leave::drain_settings(settings.bounds.grace_ms));
-        let clients = listen(settings.client_address).await?;
-        let ready = listen(settings.readiness_address).await?;
+        let client_listener = listen(settings.client_address).await?;
+        let readiness_listener = listen(settings.readiness_address).await?;
         let front = Arc::new(Front::new(settings, lease, drain, metrics::start()?));
         Ok(Self {
             front,
-            clients,
-            ready,
+            client_listener,
+            readiness_listener,
         })
     }
 
     /// Address that clients connect to, with the port that was bound if the settings ask for
     /// port 0.
-    pub fn clients(&self) -> Result<SocketAddr, FrontError> {
-        local_address(&self.clients, self.front.settings.client_address)
+    pub fn client_address(&self) -> Result<SocketAddr, FrontError> {
+        local_address(&self.client_listener, self.front.settings.client_address)
     }
 
     /// Address of the load balancer's readiness probe and of the metrics page.
-    pub fn ready(&self) -> Result<SocketAddr, FrontError> {
-        local_address(&self.ready, self.front.settings.readiness_address)
+    pub fn readiness_address(&self) -> Result<SocketAddr, FrontError> {
+        local_address(
+            &self.readiness_listener,
+            self.front.settings.readiness_address,
+        )
     }
 
     /// Serves until `stop` completes, then drains the work in progress.
     pub async fn run(self, stop: impl Future<Output = ()>) {
         let Self {
             front,
-            clients,
-            ready,
+            client_listener,
+            readiness_listener,
         } = self;
         log::info!(
             event = "started", node = front.settings.node, domain = front.settings.domain,
@@ -94,15 +97,19 @@
         );
         let (ended_items, results) = mpsc::channel(runner::ENDED_QUEUE_MAX);
         let mut tasks = JoinSet::new();
-        tasks.spawn(connections::accept(Arc::clone(&front), ready, serve::ready));
         tasks.spawn(connections::accept(
             Arc::clone(&front),
-            clients,
-            serve::client,
+            readiness_listener,
+            serve::serve_readiness,
         ));
-        tasks.spawn(follow::operator(Arc::clone(&front)));
-        tasks.spawn(follow::replicas(Arc::clone(&front)));
-        tasks.spawn(follow::index(Arc::clone(&front)));
+        tasks.spawn(connections::accept(
+            Arc::clone(&front),
+            client_listener,
+            serve::serve_client,
+        ));
+        tasks.spawn(follow::follow_operator(Arc::clone(&front)));
+        tasks.spawn(follow::follow_replicas(Arc::clone(&front)));
+        tasks.spawn(follow::follow_index(Arc::clone(&front)));
         tasks.spawn(member::maintain(Arc::clone(&front)));
         tasks.spawn(reports::follow_usage(Arc::clone(&front)));
         tasks.spawn(meter::sample_clock(Arc::clone(&front)));
