--- a/components/adapters/src/engine.rs
+++ b/components/adapters/src/engine.rs
@@ -159,7 +159,7 @@
     }
 
     /// Changes of the prefix cache from the event `from` on. Not wired yet; see
-    /// `routing::Prefixes`.
+    /// `routing::PrefixTracker`.
     pub async fn cache_events(&self, from: u64) -> Result<CachePage, PlatformError> {
         let path = format!("/engine/cache-events?from={from}");
         let deadline_ms = self.client.deadline_ms();
--- a/components/gateway/src/attempt.rs
+++ b/components/gateway/src/attempt.rs
@@ -9,7 +9,7 @@
 use node::now_ms;
 use protocol::Head;
 use quarantine::Copies;
-use routing::{Ask, Choice, NoChoice, Outcome, Table};
+use routing::{Choice, ChoiceError, Outcome, Requirements, Table};
 use types::{Cause, Class, Failure, NodeId, RunState, WeightVersion};
 
 use crate::endpoint_life::EndpointLife;
@@ -90,7 +90,7 @@
             CallEvent::Accepted | CallEvent::Started => {}
             CallEvent::Head(_) | CallEvent::Chunk(_) => {
                 if let Some(held) = &self.held {
-                    held.choice.outstanding.begun();
+                    held.choice.outstanding.record_answer_start();
                 }
             }
             CallEvent::End => {
@@ -153,7 +153,7 @@
         | Cause::EndpointError
         | Cause::Internal => Outcome::Failed,
         Cause::NotHosted | Cause::QueueFull | Cause::Leaving => Outcome::Answered,
-        _ => Outcome::Unsaid,
+        _ => Outcome::Inconclusive,
     }
 }
 
@@ -236,7 +236,7 @@
 ) -> Result<Choice, Failure> {
     let both = [&place.exclude, apart].concat();
     let choice = match choose_but(gateway, job, table, place, both, now_ms) {
-        Err(NoChoice::Tried) if !place.only && !place.exclude.is_empty() => {
+        Err(ChoiceError::Tried) if !place.only && !place.exclude.is_empty() => {
             choose_but(gateway, job, table, place, apart.to_vec(), now_ms)
         }
         choice => choice,
@@ -251,16 +251,16 @@
     place: &Where,
     mut tried: Vec<NodeId>,
     now_ms: u64,
-) -> Result<Choice, NoChoice> {
+) -> Result<Choice, ChoiceError> {
     loop {
-        let ask = Ask {
+        let requirements = Requirements {
             work: job.work,
             tried: &tried,
-            at_least: place.at_least,
+            min_version: place.at_least,
             may_probe: job.idempotent,
-            ..Ask::default()
+            ..Requirements::default()
         };
-        let choice = routing::choose(table, &ask, rand::random(), now_ms)?;
+        let choice = routing::choose_replica(table, &requirements, rand::random(), now_ms)?;
         if takes_work(gateway, job, choice.node) {
             return Ok(choice);
         }
--- a/components/gateway/src/hedged.rs
+++ b/components/gateway/src/hedged.rs
@@ -14,7 +14,7 @@
 use futures_util::future::{BoxFuture, Either, FutureExt, select};
 use node::now_ms;
 use protocol::Head;
-use routing::hedge::{Due, Slow, due};
+use routing::hedge::{HedgeCandidate, HedgeDecision, decide_hedge};
 use telemetry::Label;
 use types::{Class, Failure};
 
@@ -72,16 +72,16 @@
         let settings = &self.gateway.hedging;
         loop {
             let now_ms = now_ms();
-            let slow = Slow {
+            let slow = HedgeCandidate {
                 sent_at_ms,
                 deadline_ms: self.job.deadline_at_ms,
                 may_run_twice: true,
             };
             let spend = || self.account.budget.spend(now_ms);
-            match due(slow, &state.latencies, settings, now_ms, spend) {
-                Due::Never => return Either::Left(first.await),
-                Due::Now => return Either::Right(first),
-                Due::At(at_ms) => {
+            match decide_hedge(slow, &state.latencies, settings, now_ms, spend) {
+                HedgeDecision::Never => return Either::Left(first.await),
+                HedgeDecision::Send => return Either::Right(first),
+                HedgeDecision::RecheckAt(at_ms) => {
                     let wait = Duration::from_millis(at_ms - now_ms);
                     if let Ok(answered) = tokio::time::timeout(wait, &mut first).await {
                         return Either::Left(answered);
--- a/components/gateway/src/services.rs
+++ b/components/gateway/src/services.rs
@@ -104,7 +104,7 @@
             state.gate.set_limit(limit);
         }
         let replicas = replicas.iter().map(replica).collect();
-        let table = state.table().next(replicas, &self.here, now_ms());
+        let table = state.table().rebuild(replicas, &self.here, now_ms());
         state.table.store(Arc::new(table));
     }
 }
--- a/components/gateway/src/status.rs
+++ b/components/gateway/src/status.rs
@@ -172,8 +172,8 @@
             in_progress: room.in_progress,
             waiting: state.gate.waiting(),
             slots: room.limit,
-            ejected: table.ejected(),
-            replicas: table.slots().iter().map(replica).collect(),
+            ejected: table.ejected_count(),
+            replicas: table.replica_states().iter().map(replica).collect(),
         })
     });
     let mut known: Vec<Service> = known.collect();
@@ -181,7 +181,7 @@
     known
 }
 
-fn replica(slot: &routing::Slot) -> Replica {
+fn replica(slot: &routing::ReplicaState) -> Replica {
     Replica {
         agent: slot.replica.node.to_string(),
         failure_domain: slot.replica.failure_domain.to_string(),
--- a/components/gateway/src/training/coordinator_act.rs
+++ b/components/gateway/src/training/coordinator_act.rs
@@ -42,7 +42,7 @@
 /// How many steps have each replica.
 fn users_of(tables: &[(StepKey, Arc<Table>)]) -> HashMap<SocketAddr, u32> {
     let mut users = HashMap::new();
-    let slots = tables.iter().flat_map(|(_, table)| table.slots());
+    let slots = tables.iter().flat_map(|(_, table)| table.replica_states());
     for slot in slots {
         *users.entry(slot.replica.node.address).or_default() += 1;
     }
--- a/components/gateway/src/training/room.rs
+++ b/components/gateway/src/training/room.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use routing::{Slot, Table};
+use routing::{ReplicaState, Table};
 use samples::{Replica, Room};
 
 /// Runs that this entry has at one replica at most.
@@ -20,8 +20,13 @@
     is_ejected: impl Fn(SocketAddr) -> bool,
 ) -> Room {
     let count = |counts: &HashMap<SocketAddr, u32>, address| counts.get(&address).copied();
-    let slots = || table.slots().iter().filter(|slot| !slot.replica.leaving);
-    let ejected = |slot: &&Slot| is_ejected(slot.replica.node.address);
+    let slots = || {
+        table
+            .replica_states()
+            .iter()
+            .filter(|slot| !slot.replica.leaving)
+    };
+    let ejected = |slot: &&ReplicaState| is_ejected(slot.replica.node.address);
     let all_ejected = slots().all(|slot| ejected(&slot));
     let mut in_progress_max: u32 = 0;
     let replicas = slots()
--- a/components/gateway/src/training/run.rs
+++ b/components/gateway/src/training/run.rs
@@ -140,7 +140,7 @@
     let service = &job.service;
     let state = gateway.services.get(&service.owner, &service.name);
     let table = state.map(|state| state.table());
-    let nodes = table.iter().flat_map(|table| table.slots());
+    let nodes = table.iter().flat_map(|table| table.replica_states());
     let others = nodes.map(|slot| slot.replica.node);
     Where {
         exclude: others.filter(|node| node.address != to).collect(),
--- a/components/routing/examples/choice_cost.rs
+++ b/components/routing/examples/choice_cost.rs
@@ -13,7 +13,9 @@
 use std::time::Instant;
 
 use common::{here, spread, table};
-use routing::{Ask, Draws, Outcome, Policy, Prefixes, Settings, Table, Work, choose};
+use routing::{
+    Outcome, Policy, PrefixTracker, Requirements, Settings, SplitMix64, Table, Work, choose_replica,
+};
 
 const CALLS: u64 = 200_000;
 
@@ -42,15 +44,15 @@
         let rebuilds = 200;
         let ns = timed(rebuilds, || {
             for now_ms in 0..rebuilds {
-                black_box(table.next((0..replicas).map(spread).collect(), &here(0), now_ms));
+                black_box(table.rebuild((0..replicas).map(spread).collect(), &here(0), now_ms));
             }
         });
         print!(" {:.1}", ns / 1_000.0);
     }
     println!();
-    let mut prefixes = Prefixes::new(1 << 16);
-    prefixes.follow(common::node(0));
-    let blocks = prefixes.blocks();
+    let mut prefixes = PrefixTracker::new(1 << 16);
+    prefixes.track(common::node(0));
+    let blocks = prefixes.block_table();
     let prompt: Vec<u64> = (0..32).collect();
     let ns = timed(CALLS, || {
         for _ in 0..CALLS {
@@ -69,16 +71,17 @@
 }
 
 fn run(table: &Table, calls: u64) {
-    let mut draws = Draws::new(1);
-    let ask = Ask {
+    let mut rng = SplitMix64::new(1);
+    let requirements = Requirements {
         work: Work {
             prompt_tokens: 500,
             max_new_tokens: 200,
         },
-        ..Ask::default()
+        ..Requirements::default()
     };
     for now_ms in 0..calls {
-        if let Ok(choice) = choose(black_box(table), &ask, draws.bits(), now_ms) {
+        if let Ok(choice) = choose_replica(black_box(table), &requirements, rng.next_u64(), now_ms)
+        {
             choice.finish(table, Outcome::Answered, now_ms);
         }
     }
--- a/components/routing/examples/herding.rs
+++ b/components/routing/examples/herding.rs
@@ -106,9 +106,9 @@
             };
             all.push((named(policy, suffix), aged));
         }
-        for (draws_near, draws_all) in [(2, 1), (3, 3), (0, 2), (0, 4)] {
+        for (draws_same_domain, draws_all) in [(2, 1), (3, 3), (0, 2), (0, 4)] {
             let drawn = Settings {
-                draws_near,
+                draws_same_domain,
                 draws_all,
                 ..with(policy)
             };
--- a/components/routing/examples/model/sim.rs
+++ b/components/routing/examples/model/sim.rs
@@ -4,7 +4,10 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use routing::{Ask, Choice, Draws, Outcome, Replica, Report, Settings, Table, Work, choose};
+use routing::{
+    Choice, Outcome, Replica, Report, Requirements, Settings, SplitMix64, Table, Work,
+    choose_replica,
+};
 
 use super::{here, spread};
 
@@ -115,7 +118,7 @@
                 call.prompt_left -= done;
                 units -= done * PROMPT_TOKEN_UNITS;
                 if call.prompt_left <= 0.0 {
-                    call.choice.outstanding.begun();
+                    call.choice.outstanding.record_answer_start();
                 }
             }
         }
@@ -126,14 +129,14 @@
 }
 
 /// Prompt and answer tokens of a call.
-fn size(workload: Workload, draws: &mut Draws) -> (f64, f64) {
-    let percent = |draws: &mut Draws| 0.5 + draws.below(1_000) as f64 / 1_000.0;
+fn size(workload: Workload, rng: &mut SplitMix64) -> (f64, f64) {
+    let percent = |rng: &mut SplitMix64| 0.5 + rng.below(1_000) as f64 / 1_000.0;
     if workload == Workload::Uniform {
-        return (1_200.0 * percent(draws), 290.0 * percent(draws));
+        return (1_200.0 * percent(rng), 290.0 * percent(rng));
     }
-    match draws.below(2) {
-        0 => (2_000.0 * percent(draws), 50.0 * percent(draws)),
-        _ => (100.0 * percent(draws), 600.0 * percent(draws)),
+    match rng.below(2) {
+        0 => (2_000.0 * percent(rng), 50.0 * percent(rng)),
+        _ => (100.0 * percent(rng), 600.0 * percent(rng)),
     }
 }
 
@@ -156,7 +159,7 @@
 struct Sim {
     run: Run,
     now_ms: u64,
-    draws: Draws,
+    rng: SplitMix64,
     engines: Vec<Engine>,
     entries: Vec<Table>,
     reports: VecDeque<Vec<Report>>,
@@ -172,7 +175,7 @@
         });
         Self {
             now_ms: 0,
-            draws: Draws::new(run.seed),
+            rng: SplitMix64::new(run.seed),
             engines: (0..run.replicas).map(|_| Engine::default()).collect(),
             entries: (0..run.entries)
                 .map(|_| Table::empty(Arc::clone(&settings)))
@@ -220,7 +223,7 @@
                 report: arrived.map(|reports| reports[usize::from(number)]),
                 ..spread(number)
             });
-            *table = table.next(replicas.collect(), &here(entry), now_ms);
+            *table = table.rebuild(replicas.collect(), &here(entry), now_ms);
         }
         let calls = self.engines.iter().map(|engine| engine.calls() as f64);
         let mean = calls.clone().sum::<f64>() / self.engines.len() as f64;
@@ -233,15 +236,15 @@
         let units = UNITS * self.engines.len() as f64 * self.run.load_permille as f64 / 1_000.0;
         let chance = units / MEAN_UNITS / 8.0;
         (0..8)
-            .filter(|_| (self.draws.below(1_000_000) as f64) < chance * 1e6)
+            .filter(|_| (self.rng.below(1_000_000) as f64) < chance * 1e6)
             .count()
     }
 
     fn arrive(&mut self) {
         // The balancer is not even: of three entries the first gets five ninths.
-        let mut any = || self.draws.below(self.run.entries);
+        let mut any = || self.rng.below(self.run.entries);
         let entry = any().min(any());
-        let (prompt, new) = size(self.run.workload, &mut self.draws);
+        let (prompt, new) = size(self.run.workload, &mut self.rng);
         let work = match self.run.workload {
             Workload::Plain => Work::default(),
             Workload::Mixed | Workload::Uniform => Work {
@@ -249,12 +252,13 @@
                 max_new_tokens: new as u32,
             },
         };
-        let ask = Ask {
+        let requirements = Requirements {
             work,
-            ..Ask::default()
+            ..Requirements::default()
         };
-        let random = self.draws.bits();
-        let choice = choose(&self.entries[entry], &ask, random, self.now_ms).unwrap();
+        let random = self.rng.next_u64();
+        let choice =
+            choose_replica(&self.entries[entry], &requirements, random, self.now_ms).unwrap();
         let chosen = choice.node.address.port() - super::node(0).address.port();
         self.engines[usize::from(chosen)].waiting.push_back(Call {
             entry,
--- a/components/routing/src/choose.rs
+++ b/components/routing/src/choose.rs
@@ -8,39 +8,39 @@
 use types::{Cause, Failure, NodeId, WeightVersion};
 
 use crate::counters::{Outstanding, Work};
-use crate::ejection::{self, Outcome, Standing};
-use crate::prefix::Matches;
-use crate::random::Draws;
+use crate::ejection::{self, EjectionState, Outcome};
+use crate::prefix::PrefixMatches;
+use crate::random::SplitMix64;
 use crate::score::score;
 use crate::settings::Policy;
-use crate::table::{Slot, Table};
+use crate::table::{ReplicaState, Table};
 
 /// Draws for each candidate before it is given up.
-const TRIES: usize = 3;
+const TRIES_PER_CANDIDATE: usize = 3;
 /// Most candidates that are compared.
 const CANDIDATES_MAX: usize = 12;
 /// Most replicas that are compared for their cached prefix.
-const PREFIX_CANDIDATES: usize = 2;
+const PREFIX_CANDIDATES_MAX: usize = 2;
 
 /// What a call wants of its replica.
 #[derive(Clone, Debug, Default)]
-pub struct Ask<'a> {
+pub struct Requirements<'a> {
     /// Its size.
     pub work: Work,
     /// Replicas that it has been sent to already.
     pub tried: &'a [NodeId],
     /// Lowest weight version that will do.
-    pub at_least: Option<WeightVersion>,
+    pub min_version: Option<WeightVersion>,
     /// Whether it may probe a replica that failed before: only a call that may run again.
     pub may_probe: bool,
     /// Which replicas hold its prefix.
-    pub prefix: Matches,
+    pub prefix: PrefixMatches,
 }
 
 quick_error! {
     /// Why there is no replica for a call. It was not run.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-    pub enum NoChoice {
+    pub enum ChoiceError {
         /// The service has no replica.
         Empty {
             display("the service has no replica")
@@ -60,12 +60,12 @@
     }
 }
 
-impl From<NoChoice> for Failure {
-    fn from(none: NoChoice) -> Failure {
+impl From<ChoiceError> for Failure {
+    fn from(none: ChoiceError) -> Failure {
         Failure::not_run(match none {
-            NoChoice::Empty | NoChoice::Tried => Cause::NoEndpoint,
-            NoChoice::Leaving => Cause::Leaving,
-            NoChoice::Version(_) => Cause::Stale,
+            ChoiceError::Empty | ChoiceError::Tried => Cause::NoEndpoint,
+            ChoiceError::Leaving => Cause::Leaving,
+            ChoiceError::Version(_) => Cause::Stale,
         })
     }
 }
@@ -78,7 +78,7 @@
     /// Weight version that it answered with at its last status.
     pub weights: Option<WeightVersion>,
     /// Every replica that would do is ejected; this is one of them.
-    pub last_resort: bool,
+    pub is_last_resort: bool,
     /// The call's share of the counters.
     pub outstanding: Outstanding,
 }
@@ -88,44 +88,49 @@
     pub fn finish(self, table: &Table, outcome: Outcome, now_ms: u64) {
         let probe = self.outstanding.is_probe();
         let health = &self.outstanding.counters().health;
-        ejection::settle(table, health, probe, outcome, now_ms);
+        ejection::record_outcome(table, health, probe, outcome, now_ms);
     }
 }
 
 /// Chooses a replica of `table` for a call; `random` decides between equals.
-pub fn choose(table: &Table, ask: &Ask<'_>, random: u64, now_ms: u64) -> Result<Choice, NoChoice> {
+pub fn choose_replica(
+    table: &Table,
+    requirements: &Requirements<'_>,
+    random: u64,
+    now_ms: u64,
+) -> Result<Choice, ChoiceError> {
     let mut chooser = Chooser {
         table,
-        ask,
+        requirements,
         now_ms,
-        draws: Draws::new(random),
+        rng: SplitMix64::new(random),
         candidates: [(0, 0.0); CANDIDATES_MAX],
         count: 0,
     };
-    chooser.gather();
-    if let Some(choice) = chooser.cheapest() {
+    chooser.collect_candidates();
+    if let Some(choice) = chooser.choose_cheapest() {
         return Ok(choice);
     }
-    chooser.last_resort()
+    chooser.choose_last_resort()
 }
 
 struct Chooser<'a> {
     table: &'a Table,
-    ask: &'a Ask<'a>,
+    requirements: &'a Requirements<'a>,
     now_ms: u64,
-    draws: Draws,
+    rng: SplitMix64,
     /// Position and score.
     candidates: [(usize, f64); CANDIDATES_MAX],
     count: usize,
 }
 
 impl Chooser<'_> {
-    fn gather(&mut self) {
+    fn collect_candidates(&mut self) {
         match self.table.settings().policy {
-            Policy::Random => self.draw_from_all(1),
+            Policy::Random => self.sample_all(1),
             Policy::LeastOutstanding => self.scan_for_least(),
             Policy::TwoChoices | Policy::TwoChoicesReport | Policy::ComputeMemory => {
-                self.draw_candidates();
+                self.sample_candidates();
             }
         }
         if self.count == 0 {
@@ -133,37 +138,37 @@
         }
     }
 
-    fn draw_candidates(&mut self) {
-        let near = self.table.near();
+    fn sample_candidates(&mut self) {
+        let same_domain = self.table.same_domain();
         let settings = self.table.settings();
-        let (draws_near, draws_all) = (settings.draws_near, settings.draws_all);
-        if near.is_empty() || near.len() == self.table.slots().len() {
-            self.draw_from_all(draws_near + draws_all);
+        let (draws_same_domain, draws_all) = (settings.draws_same_domain, settings.draws_all);
+        if same_domain.is_empty() || same_domain.len() == self.table.replica_states().len() {
+            self.sample_all(draws_same_domain + draws_all);
         } else {
-            self.draw(draws_near, near.len(), |drawn| {
-                near.get(drawn).map(|&at| at as usize)
+            self.sample(draws_same_domain, same_domain.len(), |index| {
+                same_domain.get(index).map(|&at| at as usize)
             });
-            self.draw_from_all(draws_all);
+            self.sample_all(draws_all);
         }
-        let holders = self.ask.prefix.iter().take(PREFIX_CANDIDATES);
+        let holders = self.requirements.prefix.iter().take(PREFIX_CANDIDATES_MAX);
         for held in holders {
-            if let Some(position) = self.table.at_prefix(held.id) {
-                self.offer(position);
+            if let Some(position) = self.table.position_of_prefix(held.id) {
+                self.add_candidate(position);
             }
         }
     }
 
-    fn draw_from_all(&mut self, wanted: usize) {
-        let slots = self.table.slots().len();
-        self.draw(wanted, slots, Some);
+    fn sample_all(&mut self, wanted: usize) {
+        let slots = self.table.replica_states().len();
+        self.sample(wanted, slots, Some);
     }
 
-    fn draw(&mut self, wanted: usize, bound: usize, position: impl Fn(usize) -> Option<usize>) {
+    fn sample(&mut self, wanted: usize, bound: usize, position: impl Fn(usize) -> Option<usize>) {
         let goal = self.count + wanted;
-        for _ in 0..wanted * TRIES {
-            let drawn = self.draws.below(bound);
-            if let Some(position) = position(drawn) {
-                self.offer(position);
+        for _ in 0..wanted * TRIES_PER_CANDIDATE {
+            let index = self.rng.below(bound);
+            if let Some(position) = position(index) {
+                self.add_candidate(position);
             }
             if self.count >= goal {
                 return;
@@ -172,10 +177,10 @@
     }
 
     fn scan(&mut self) {
-        let count = self.table.slots().len();
-        let start = self.draws.below(count);
+        let count = self.table.replica_states().len();
+        let start = self.rng.below(count);
         for step in 0..count {
-            self.offer((start + step) % count);
+            self.add_candidate((start + step) % count);
             if self.count == CANDIDATES_MAX {
                 return;
             }
@@ -183,10 +188,10 @@
     }
 
     fn scan_for_least(&mut self) {
-        let count = self.table.slots().len();
-        let start = self.draws.below(count);
+        let count = self.table.replica_states().len();
+        let start = self.rng.below(count);
         let positions = (0..count).map(|step| (start + step) % count);
-        let costs = positions.filter_map(|at| self.cost(at).map(|cost| (at, cost)));
+        let costs = positions.filter_map(|at| self.cost_at(at).map(|cost| (at, cost)));
         let least = costs.min_by(|a, b| a.1.total_cmp(&b.1));
         if let (Some(least), Some(first)) = (least, self.candidates.first_mut()) {
             *first = least;
@@ -194,12 +199,12 @@
         }
     }
 
-    fn offer(&mut self, position: usize) {
+    fn add_candidate(&mut self, position: usize) {
         let mut known = self.candidates.iter().take(self.count);
         if known.any(|&(at, _)| at == position) {
             return;
         }
-        let Some(cost) = self.cost(position) else {
+        let Some(cost) = self.cost_at(position) else {
             return;
         };
         if let Some(free) = self.candidates.get_mut(self.count) {
@@ -209,98 +214,109 @@
     }
 
     /// Score of the replica at `position`, if it will do.
-    fn cost(&self, position: usize) -> Option<f64> {
-        let slot = self.table.slots().get(position)?;
-        if !self.will_do(slot) {
+    fn cost_at(&self, position: usize) -> Option<f64> {
+        let state = self.table.replica_states().get(position)?;
+        if !self.is_eligible(state) {
             return None;
         }
-        let blocks = match slot.replica.prefix_id {
-            Some(id) => self.ask.prefix.blocks_at(id),
+        let blocks = match state.replica.prefix_id {
+            Some(id) => self.requirements.prefix.cached_blocks(id),
             None => 0,
         };
-        Some(score(self.table, slot, self.ask.work, blocks, self.now_ms))
+        Some(score(
+            self.table,
+            state,
+            self.requirements.work,
+            blocks,
+            self.now_ms,
+        ))
     }
 
-    fn will_do(&self, slot: &Slot) -> bool {
-        let standing = slot.counters.health.standing(self.now_ms);
-        let open = match standing {
-            Standing::Open => true,
-            Standing::HalfOpen => self.ask.may_probe,
-            Standing::Ejected => false,
+    fn is_eligible(&self, state: &ReplicaState) -> bool {
+        let state_now = state.counters.health.ejection_state(self.now_ms);
+        let open = match state_now {
+            EjectionState::Available => true,
+            EjectionState::HalfOpen => self.requirements.may_probe,
+            EjectionState::Ejected => false,
         };
-        open && refusal(slot, self.ask).is_none()
+        open && exclusion_reason(state, self.requirements).is_none()
     }
 
     /// The cheapest candidate that can still be taken.
-    fn cheapest(&mut self) -> Option<Choice> {
+    fn choose_cheapest(&mut self) -> Option<Choice> {
         let candidates = self.candidates.get_mut(..self.count)?;
         candidates.sort_by(|a, b| a.1.total_cmp(&b.1));
         let candidates = self.candidates.iter().take(self.count);
         candidates
-            .filter_map(|&(position, _)| self.table.slots().get(position))
-            .find_map(|slot| self.take(slot))
+            .filter_map(|&(position, _)| self.table.replica_states().get(position))
+            .find_map(|state| self.try_choose(state))
     }
 
-    fn take(&self, slot: &Slot) -> Option<Choice> {
-        let probe = slot.counters.health.is_ejected();
-        if probe && !slot.counters.health.begin_probe() {
+    fn try_choose(&self, state: &ReplicaState) -> Option<Choice> {
+        let probe = state.counters.health.is_ejected();
+        if probe && !state.counters.health.begin_probe() {
             return None;
         }
-        Some(self.choice(slot, probe, false))
+        Some(self.build_choice(state, probe, false))
     }
 
     /// Ejection is a suspicion: where all that would do are ejected, one of them is a
     /// better answer than a refusal.
-    fn last_resort(&mut self) -> Result<Choice, NoChoice> {
-        let slots = self.table.slots();
-        let start = self.draws.below(slots.len());
+    fn choose_last_resort(&mut self) -> Result<Choice, ChoiceError> {
+        let slots = self.table.replica_states();
+        let start = self.rng.below(slots.len());
         let (before, after) = slots.split_at(start);
-        let mut refused = NoChoice::Empty;
-        for slot in after.iter().chain(before) {
-            match refusal(slot, self.ask) {
-                None => return Ok(self.choice(slot, false, true)),
-                Some(reason) => refused = nearer(refused, reason),
+        let mut closest = ChoiceError::Empty;
+        for state in after.iter().chain(before) {
+            match exclusion_reason(state, self.requirements) {
+                None => return Ok(self.build_choice(state, false, true)),
+                Some(reason) => closest = closer_to_chosen(closest, reason),
             }
         }
-        Err(refused)
+        Err(closest)
     }
 
-    fn choice(&self, slot: &Slot, probe: bool, last_resort: bool) -> Choice {
+    fn build_choice(&self, state: &ReplicaState, probe: bool, is_last_resort: bool) -> Choice {
         Choice {
-            node: slot.replica.node,
-            weights: slot.replica.weights,
-            last_resort,
-            outstanding: Outstanding::new(&slot.counters, self.ask.work, probe, self.now_ms),
+            node: state.replica.node,
+            weights: state.replica.weights,
+            is_last_resort,
+            outstanding: Outstanding::new(
+                &state.counters,
+                self.requirements.work,
+                probe,
+                self.now_ms,
+            ),
         }
     }
 }
 
-fn refusal(slot: &Slot, ask: &Ask<'_>) -> Option<NoChoice> {
-    if slot.replica.leaving {
-        return Some(NoChoice::Leaving);
+fn exclusion_reason(state: &ReplicaState, requirements: &Requirements<'_>) -> Option<ChoiceError> {
+    if state.replica.leaving {
+        return Some(ChoiceError::Leaving);
     }
-    if let Some(wanted) = ask.at_least
-        && slot.replica.weights < Some(wanted)
+    if let Some(wanted) = requirements.min_version
+        && state.replica.weights < Some(wanted)
     {
-        return Some(NoChoice::Version(wanted));
+        return Some(ChoiceError::Version(wanted));
     }
-    if ask.tried.contains(&slot.replica.node) {
-        return Some(NoChoice::Tried);
+    if requirements.tried.contains(&state.replica.node) {
+        return Some(ChoiceError::Tried);
     }
     None
 }
 
 /// Of two reasons, that of the replica which came nearer to being chosen.
-fn nearer(one: NoChoice, other: NoChoice) -> NoChoice {
-    let rank = |reason: &NoChoice| match reason {
-        NoChoice::Empty => 0,
-        NoChoice::Leaving => 1,
-        NoChoice::Version(_) => 2,
-        NoChoice::Tried => 3,
+fn closer_to_chosen(first: ChoiceError, second: ChoiceError) -> ChoiceError {
+    let rank = |reason: &ChoiceError| match reason {
+        ChoiceError::Empty => 0,
+        ChoiceError::Leaving => 1,
+        ChoiceError::Version(_) => 2,
+        ChoiceError::Tried => 3,
     };
-    if rank(&other) > rank(&one) {
-        other
+    if rank(&second) > rank(&first) {
+        second
     } else {
-        one
+        first
     }
 }
--- a/components/routing/src/counters.rs
+++ b/components/routing/src/counters.rs
@@ -34,9 +34,9 @@
     /// Prompt tokens of calls whose answer has not begun.
     prompt_tokens: AtomicU32,
     tokens: AtomicU32,
-    calls_before: History,
-    prompt_tokens_before: History,
-    tokens_before: History,
+    calls_history: History,
+    prompt_tokens_history: History,
+    tokens_history: History,
     pub(crate) health: Health,
 }
 
@@ -47,9 +47,9 @@
             calls: AtomicU32::new(0),
             prompt_tokens: AtomicU32::new(0),
             tokens: AtomicU32::new(0),
-            calls_before: History::new(),
-            prompt_tokens_before: History::new(),
-            tokens_before: History::new(),
+            calls_history: History::new(),
+            prompt_tokens_history: History::new(),
+            tokens_history: History::new(),
             health: Health::new(),
         }
     }
@@ -75,18 +75,19 @@
     }
 
     /// Notes the present values, so that a report taken now can be corrected later.
-    pub(crate) fn note(&self, now_ms: u64) {
-        self.calls_before.note(now_ms, self.calls());
-        self.prompt_tokens_before.note(now_ms, self.prompt_tokens());
-        self.tokens_before.note(now_ms, self.tokens());
+    pub(crate) fn record(&self, now_ms: u64) {
+        self.calls_history.record(now_ms, self.calls());
+        self.prompt_tokens_history
+            .record(now_ms, self.prompt_tokens());
+        self.tokens_history.record(now_ms, self.tokens());
     }
 
     /// Calls, prompt tokens and tokens that were outstanding at `at_ms`.
-    pub(crate) fn before(&self, at_ms: u64) -> (u32, u32, u32) {
+    pub(crate) fn values_at(&self, at_ms: u64) -> (u32, u32, u32) {
         (
-            self.calls_before.at(at_ms),
-            self.prompt_tokens_before.at(at_ms),
-            self.tokens_before.at(at_ms),
+            self.calls_history.value_at(at_ms),
+            self.prompt_tokens_history.value_at(at_ms),
+            self.tokens_history.value_at(at_ms),
         )
     }
 }
@@ -96,7 +97,7 @@
 pub struct Outstanding {
     counters: Arc<Counters>,
     work: Work,
-    begun: AtomicBool,
+    answer_started: AtomicBool,
     probe: bool,
 }
 
@@ -107,18 +108,18 @@
             .prompt_tokens
             .fetch_add(work.prompt_tokens, Ordering::Relaxed);
         counters.tokens.fetch_add(work.tokens(), Ordering::Relaxed);
-        counters.note(now_ms);
+        counters.record(now_ms);
         Self {
             counters: Arc::clone(counters),
             work,
-            begun: AtomicBool::new(false),
+            answer_started: AtomicBool::new(false),
             probe,
         }
     }
 
     /// The answer has begun: its prompt no longer waits for compute.
-    pub fn begun(&self) {
-        if !self.begun.swap(true, Ordering::Relaxed) {
+    pub fn record_answer_start(&self) {
+        if !self.answer_started.swap(true, Ordering::Relaxed) {
             let prompt_tokens = self.work.prompt_tokens;
             self.counters
                 .prompt_tokens
@@ -138,7 +139,7 @@
 
 impl Drop for Outstanding {
     fn drop(&mut self) {
-        self.begun();
+        self.record_answer_start();
         self.counters.calls.fetch_sub(1, Ordering::Relaxed);
         self.counters
             .tokens
--- a/components/routing/src/ejection.rs
+++ b/components/routing/src/ejection.rs
@@ -20,13 +20,13 @@
     /// The replica failed: connection lost, answer cut, error of the endpoint.
     Failed,
     /// Says nothing: cancelled, or refused before it was sent.
-    Unsaid,
+    Inconclusive,
 }
 
 /// Whether a replica may be chosen.
 #[key]
-pub(crate) enum Standing {
-    Open,
+pub(crate) enum EjectionState {
+    Available,
     HalfOpen,
     Ejected,
 }
@@ -38,7 +38,7 @@
     failures: AtomicU32,
     /// [`NOT_EJECTED`], or the time from which the replica is half open.
     ejected_until_ms: AtomicU64,
-    rounds: AtomicU32,
+    ejections: AtomicU32,
     probing: AtomicBool,
 }
 
@@ -47,17 +47,17 @@
         Self {
             failures: AtomicU32::new(0),
             ejected_until_ms: AtomicU64::new(NOT_EJECTED),
-            rounds: AtomicU32::new(0),
+            ejections: AtomicU32::new(0),
             probing: AtomicBool::new(false),
         }
     }
 
-    pub(crate) fn standing(&self, now_ms: u64) -> Standing {
+    pub(crate) fn ejection_state(&self, now_ms: u64) -> EjectionState {
         match self.ejected_until_ms.load(Ordering::Relaxed) {
-            NOT_EJECTED => Standing::Open,
-            until_ms if now_ms < until_ms => Standing::Ejected,
-            _ if self.probing.load(Ordering::Relaxed) => Standing::Ejected,
-            _ => Standing::HalfOpen,
+            NOT_EJECTED => EjectionState::Available,
+            until_ms if now_ms < until_ms => EjectionState::Ejected,
+            _ if self.probing.load(Ordering::Relaxed) => EjectionState::Ejected,
+            _ => EjectionState::HalfOpen,
         }
     }
 
@@ -80,57 +80,63 @@
 
     pub(crate) fn restore(&self) {
         self.failures.store(0, Ordering::Relaxed);
-        self.rounds.store(0, Ordering::Relaxed);
+        self.ejections.store(0, Ordering::Relaxed);
         self.ejected_until_ms.store(NOT_EJECTED, Ordering::Relaxed);
     }
 
     fn eject(&self, settings: &Settings, now_ms: u64) {
         const DOUBLINGS_MAX: u32 = 16;
-        let rounds = self.rounds.fetch_add(1, Ordering::Relaxed);
-        let factor = 1 << rounds.min(DOUBLINGS_MAX);
-        let length_ms = (settings.eject_ms * factor).min(settings.eject_max_ms);
-        let until_ms = now_ms + length_ms.max(1);
+        let ejections = self.ejections.fetch_add(1, Ordering::Relaxed);
+        let factor = 1 << ejections.min(DOUBLINGS_MAX);
+        let duration_ms = (settings.eject_ms * factor).min(settings.eject_max_ms);
+        let until_ms = now_ms + duration_ms.max(1);
         self.ejected_until_ms.store(until_ms, Ordering::Relaxed);
     }
 }
 
 /// Ejections of one service; shared by its successive tables.
 #[derive(Debug, Default)]
-pub(crate) struct Ejections {
-    deciding: AtomicBool,
+pub(crate) struct EjectionLock {
+    locked: AtomicBool,
 }
 
 /// Takes the end of a call into account.
-pub(crate) fn settle(table: &Table, health: &Health, probe: bool, outcome: Outcome, now_ms: u64) {
+pub(crate) fn record_outcome(
+    table: &Table,
+    health: &Health,
+    probe: bool,
+    outcome: Outcome,
+    now_ms: u64,
+) {
     match outcome {
-        Outcome::Unsaid => {}
+        Outcome::Inconclusive => {}
         Outcome::Answered if probe || !health.is_ejected() => health.restore(),
         // An answer to a call sent before the ejection is old news.
         Outcome::Answered => {}
         // A replica restored for the floor while its probe ran counts from the start.
         Outcome::Failed if probe && health.is_ejected() => health.eject(table.settings(), now_ms),
-        Outcome::Failed => failed(table, health, now_ms),
+        Outcome::Failed => record_failure(table, health, now_ms),
     }
 }
 
-fn failed(table: &Table, health: &Health, now_ms: u64) {
+fn record_failure(table: &Table, health: &Health, now_ms: u64) {
     let failures = health.failures.fetch_add(1, Ordering::Relaxed) + 1;
     if failures < table.settings().eject_after || health.is_ejected() {
         return;
     }
     // Two threads that both counted the ejected ones would both eject and pass the
     // floor. One decides at a time; the other's replica is ejected at its next fault.
-    if table.ejections().deciding.swap(true, Ordering::Acquire) {
+    if table.ejection_lock().locked.swap(true, Ordering::Acquire) {
         return;
     }
-    if table.ejected() < ejected_max(table) {
+    if table.ejected_count() < ejected_max(table) {
         health.eject(table.settings(), now_ms);
     }
-    table.ejections().deciding.store(false, Ordering::Release);
+    table.ejection_lock().locked.store(false, Ordering::Release);
 }
 
 /// Most replicas of the table that may be ejected at a time.
 pub(crate) fn ejected_max(table: &Table) -> usize {
     const PERMILLE: usize = 1_000;
-    table.slots().len() * table.settings().eject_share_permille as usize / PERMILLE
+    table.replica_states().len() * table.settings().eject_share_permille as usize / PERMILLE
 }
--- a/components/routing/src/hedge.rs
+++ b/components/routing/src/hedge.rs
@@ -32,18 +32,18 @@
 
 /// Whether a hedge is due.
 #[key]
-pub enum Due {
+pub enum HedgeDecision {
     /// Ask again at this time, in milliseconds.
-    At(u64),
+    RecheckAt(u64),
     /// Send a second copy now; the budget is charged.
-    Now,
+    Send,
     /// Not for this call.
     Never,
 }
 
 /// A call that might be hedged.
 #[key]
-pub struct Slow {
+pub struct HedgeCandidate {
     /// When its first copy was sent, in milliseconds.
     pub sent_at_ms: u64,
     /// When its caller gives up, in milliseconds.
@@ -53,27 +53,31 @@
 }
 
 /// Decides on a hedge at `now_ms`; `spend` takes one from the budget, or says no.
-pub fn due(
-    call: Slow,
+pub fn decide_hedge(
+    call: HedgeCandidate,
     latencies: &Latencies,
     settings: &HedgeSettings,
     now_ms: u64,
     spend: impl FnOnce() -> bool,
-) -> Due {
+) -> HedgeDecision {
     if !call.may_run_twice {
-        return Due::Never;
+        return HedgeDecision::Never;
     }
-    let quantile_ms = latencies.quantile(settings.quantile_permille, settings.calls_min);
+    let quantile_ms = latencies.quantile_ms(settings.quantile_permille, settings.calls_min);
     let Some(wait_ms) = quantile_ms else {
-        return Due::Never;
+        return HedgeDecision::Never;
     };
     let due_at_ms = call.sent_at_ms + wait_ms.max(settings.wait_min_ms);
     // A copy that starts with less time than most calls need would only add load.
     if due_at_ms.max(now_ms) + wait_ms / 2 > call.deadline_ms {
-        return Due::Never;
+        return HedgeDecision::Never;
     }
     if now_ms < due_at_ms {
-        return Due::At(due_at_ms);
+        return HedgeDecision::RecheckAt(due_at_ms);
+    }
+    if spend() {
+        HedgeDecision::Send
+    } else {
+        HedgeDecision::Never
     }
-    if spend() { Due::Now } else { Due::Never }
 }
--- a/components/routing/src/history.rs
+++ b/components/routing/src/history.rs
@@ -29,7 +29,7 @@
     }
 
     /// Notes the value at `now_ms`; a later note in the same step replaces it.
-    pub(crate) fn note(&self, now_ms: u64, value: u32) {
+    pub(crate) fn record(&self, now_ms: u64, value: u32) {
         let step = now_ms / STEP_MS;
         let stored = ((step + 1) << VALUE_BITS) | u64::from(value);
         if let Some(slot) = self.slots.get(step as usize % STEPS) {
@@ -38,15 +38,15 @@
     }
 
     /// The value at `at_ms`: that of the newest step not after it, else zero.
-    pub(crate) fn at(&self, at_ms: u64) -> u32 {
-        let wanted = at_ms / STEP_MS + 1;
-        let mut best = 0;
+    pub(crate) fn value_at(&self, at_ms: u64) -> u32 {
+        let wanted_step = at_ms / STEP_MS + 1;
+        let mut newest = 0;
         for slot in &self.slots {
             let stored = slot.load(Ordering::Relaxed);
-            if stored >> VALUE_BITS <= wanted {
-                best = best.max(stored);
+            if stored >> VALUE_BITS <= wanted_step {
+                newest = newest.max(stored);
             }
         }
-        best as u32
+        newest as u32
     }
 }
--- a/components/routing/src/latency.rs
+++ b/components/routing/src/latency.rs
@@ -16,7 +16,7 @@
 pub struct Latencies {
     window_ms: u64,
     /// Number of the window that is filled now.
-    filling: AtomicU64,
+    current_window: AtomicU64,
     windows: [[AtomicU32; BUCKETS]; WINDOWS],
 }
 
@@ -25,7 +25,7 @@
     pub fn new(window_ms: u64) -> Self {
         Self {
             window_ms: window_ms.max(1),
-            filling: AtomicU64::new(0),
+            current_window: AtomicU64::new(0),
             windows: array::from_fn(|_| array::from_fn(|_| AtomicU32::new(0))),
         }
     }
@@ -33,7 +33,7 @@
     /// Counts one finished call.
     pub fn record(&self, latency_ms: u64, now_ms: u64) {
         let number = now_ms / self.window_ms;
-        self.turn_to(number);
+        self.advance_to(number);
         let window = self.windows.get(number as usize % WINDOWS);
         if let Some(count) = window.and_then(|window| window.get(bucket(latency_ms))) {
             count.fetch_add(1, Ordering::Relaxed);
@@ -42,41 +42,44 @@
 
     /// Upper bound of the latency that `permille` of the calls kept, or `None` while
     /// fewer than `calls_min` are known.
-    pub fn quantile(&self, permille: u32, calls_min: u32) -> Option<u64> {
-        let sums: [u64; BUCKETS] = array::from_fn(|at| self.sum(at));
+    pub fn quantile_ms(&self, permille: u32, calls_min: u32) -> Option<u64> {
+        let sums: [u64; BUCKETS] = array::from_fn(|index| self.sum(index));
         let total: u64 = sums.iter().sum();
         if total == 0 || total < u64::from(calls_min) {
             return None;
         }
         let wanted = (total * u64::from(permille)).div_ceil(1_000);
-        let mut seen = 0;
+        let mut counted = 0;
         let found = sums.iter().position(|count| {
-            seen += count;
-            seen >= wanted
+            counted += count;
+            counted >= wanted
         });
         found.map(bucket_end_ms)
     }
 
-    fn sum(&self, at: usize) -> u64 {
-        let counts = self.windows.iter().filter_map(|window| window.get(at));
+    fn sum(&self, index: usize) -> u64 {
+        let counts = self.windows.iter().filter_map(|window| window.get(index));
         counts
             .map(|count| u64::from(count.load(Ordering::Relaxed)))
             .sum()
     }
 
-    fn turn_to(&self, number: u64) {
-        let filling = self.filling.load(Ordering::Relaxed);
-        if number <= filling {
+    fn advance_to(&self, number: u64) {
+        let current_window = self.current_window.load(Ordering::Relaxed);
+        if number <= current_window {
             return;
         }
-        let turned =
-            self.filling
-                .compare_exchange(filling, number, Ordering::Relaxed, Ordering::Relaxed);
-        if turned.is_err() {
+        let advanced = self.current_window.compare_exchange(
+            current_window,
+            number,
+            Ordering::Relaxed,
+            Ordering::Relaxed,
+        );
+        if advanced.is_err() {
             return;
         }
         self.clear(number);
-        if number > filling + 1 {
+        if number > current_window + 1 {
             self.clear(number + 1);
         }
     }
@@ -93,13 +96,13 @@
     let value = latency_ms.max(1);
     let octave = value.ilog2();
     let within = ((value - (1 << octave)) * u64::from(STEPS_PER_OCTAVE)) >> octave;
-    let at = u64::from(octave * STEPS_PER_OCTAVE) + within;
-    (at as usize).min(BUCKETS - 1)
+    let index = u64::from(octave * STEPS_PER_OCTAVE) + within;
+    (index as usize).min(BUCKETS - 1)
 }
 
-fn bucket_end_ms(at: usize) -> u64 {
-    let octave = at as u32 / STEPS_PER_OCTAVE;
-    let within = at as u64 % u64::from(STEPS_PER_OCTAVE);
+fn bucket_end_ms(index: usize) -> u64 {
+    let octave = index as u32 / STEPS_PER_OCTAVE;
+    let within = index as u64 % u64::from(STEPS_PER_OCTAVE);
     let start = 1_u64 << octave;
     start + start * (within + 1) / u64::from(STEPS_PER_OCTAVE)
 }
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -19,13 +19,13 @@
 mod subset;
 mod table;
 
-pub use choose::{Ask, Choice, NoChoice, choose};
+pub use choose::{Choice, ChoiceError, Requirements, choose_replica};
 pub use counters::{Counters, Outstanding, Work};
 pub use ejection::Outcome;
 pub use latency::Latencies;
-pub use prefix::{BlockEvent, Blocks, Match, Matches, PrefixId, Prefixes};
-pub use random::Draws;
+pub use prefix::{BlockEvent, BlockTable, PrefixId, PrefixMatch, PrefixMatches, PrefixTracker};
+pub use random::SplitMix64;
 pub use replica::{Locality, Replica, Report};
 pub use settings::{Policy, Settings};
 pub use subset::subset;
-pub use table::{Slot, Table};
+pub use table::{ReplicaState, Table};
--- a/components/routing/src/prefix.rs
+++ b/components/routing/src/prefix.rs
@@ -41,14 +41,14 @@
     /// Its place in the engine's sequence.
     pub seq: u64,
     /// Hash of the block and all before it.
-    pub block: u64,
+    pub block_hash: u64,
     /// Stored, else removed.
     pub stored: bool,
 }
 
 /// A replica that holds the first blocks of a prompt.
 #[key]
-pub struct Match {
+pub struct PrefixMatch {
     /// The replica.
     pub id: PrefixId,
     /// How many blocks it holds.
@@ -57,18 +57,18 @@
 
 /// Holders of a prompt's prefix, the longest first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Matches {
-    found: [Option<Match>; HOLDERS_MAX],
+pub struct PrefixMatches {
+    found: [Option<PrefixMatch>; HOLDERS_MAX],
 }
 
-impl Matches {
+impl PrefixMatches {
     /// The holders, the longest first.
-    pub fn iter(&self) -> impl Iterator<Item = Match> + '_ {
+    pub fn iter(&self) -> impl Iterator<Item = PrefixMatch> + '_ {
         self.found.iter().flatten().copied()
     }
 
     /// Blocks that the replica holds.
-    pub fn blocks_at(&self, id: PrefixId) -> u32 {
+    pub fn cached_blocks(&self, id: PrefixId) -> u32 {
         let held = self.iter().find(|held| held.id == id);
         held.map_or(0, |held| held.blocks)
     }
@@ -84,25 +84,25 @@
         if let Some(held) = fewest
             && length(held) < blocks
         {
-            *held = Some(Match { id, blocks });
+            *held = Some(PrefixMatch { id, blocks });
         }
     }
 }
 
-fn length(held: &Option<Match>) -> u32 {
+fn length(held: &Option<PrefixMatch>) -> u32 {
     held.map_or(0, |held| held.blocks)
 }
 
 /// The table that requests read.
 #[derive(Debug)]
-pub struct Blocks {
+pub struct BlockTable {
     /// Tag, generation and replica of one block.
     cells: Vec<AtomicU64>,
     generations: Vec<AtomicU32>,
     buckets: usize,
 }
 
-impl Blocks {
+impl BlockTable {
     fn new(cells: usize) -> Self {
         let buckets = (cells / WAYS).max(1);
         Self {
@@ -113,17 +113,17 @@
     }
 
     /// Holders of the prompt whose block hashes these are, first block first.
-    pub fn holders(&self, prompt: &[u64]) -> Matches {
-        let mut matches = Matches::default();
+    pub fn holders(&self, prompt: &[u64]) -> PrefixMatches {
+        let mut matches = PrefixMatches::default();
         for (held, &block) in (1..).zip(prompt.iter().take(BLOCKS_MAX)) {
-            let mut known = false;
+            let mut found_holder = false;
             for cell in self.bucket(block) {
                 if let Some(id) = self.holder(cell.load(Ordering::Relaxed), block) {
                     matches.extend(id, held);
-                    known = true;
+                    found_holder = true;
                 }
             }
-            if !known {
+            if !found_holder {
                 break;
             }
         }
@@ -155,7 +155,7 @@
         let bucket = self.bucket(block);
         let free = bucket.iter().find(|cell| {
             let cell = cell.load(Ordering::Relaxed);
-            cell == packed || cell == 0 || self.is_old(cell)
+            cell == packed || cell == 0 || self.is_stale(cell)
         });
         let evicted = bucket.get((packed >> ID_BITS) as usize % WAYS);
         if let Some(cell) = free.or(evicted) {
@@ -163,7 +163,7 @@
         }
     }
 
-    fn is_old(&self, cell: u64) -> bool {
+    fn is_stale(&self, cell: u64) -> bool {
         let id = PrefixId((cell & ((1 << ID_BITS) - 1)) as u16);
         cell != self.packed(id, cell)
     }
@@ -178,7 +178,7 @@
         }
     }
 
-    fn forget(&self, id: PrefixId) {
+    fn invalidate(&self, id: PrefixId) {
         if let Some(generation) = self.generations.get(usize::from(id.0)) {
             generation.fetch_add(1, Ordering::Relaxed);
         }
@@ -186,52 +186,53 @@
 }
 
 #[derive(Debug)]
-struct Followed {
+struct TrackedReplica {
     id: PrefixId,
     next_seq: u64,
 }
 
 /// Follows the replicas' cache events; one task owns it.
 #[derive(Debug)]
-pub struct Prefixes {
-    blocks: Arc<Blocks>,
-    followed: HashMap<NodeId, Followed>,
+pub struct PrefixTracker {
+    blocks: Arc<BlockTable>,
+    tracked: HashMap<NodeId, TrackedReplica>,
     free: Vec<PrefixId>,
 }
 
-impl Prefixes {
+impl PrefixTracker {
     /// Follows no replica yet; keeps `blocks_max` blocks at 8 bytes each.
     pub fn new(blocks_max: usize) -> Self {
         Self {
-            blocks: Arc::new(Blocks::new(blocks_max)),
-            followed: HashMap::new(),
+            blocks: Arc::new(BlockTable::new(blocks_max)),
+            tracked: HashMap::new(),
             free: (0..REPLICAS_MAX as u16).rev().map(PrefixId).collect(),
         }
     }
 
     /// The table that requests read.
-    pub fn blocks(&self) -> Arc<Blocks> {
+    pub fn block_table(&self) -> Arc<BlockTable> {
         Arc::clone(&self.blocks)
     }
 
     /// The replica's number; `None` when as many replicas are followed as can be.
-    pub fn follow(&mut self, node: NodeId) -> Option<PrefixId> {
-        if let Some(followed) = self.followed.get(&node) {
-            return Some(followed.id);
+    pub fn track(&mut self, node: NodeId) -> Option<PrefixId> {
+        if let Some(tracked) = self.tracked.get(&node) {
+            return Some(tracked.id);
         }
         let id = self.free.pop()?;
-        self.followed.insert(node, Followed { id, next_seq: 0 });
+        self.tracked
+            .insert(node, TrackedReplica { id, next_seq: 0 });
         Some(id)
     }
 
     /// Forgets the replicas that are not kept.
     pub fn retain(&mut self, keep: impl Fn(&NodeId) -> bool) {
         let (blocks, free) = (&self.blocks, &mut self.free);
-        self.followed.retain(|node, followed| {
+        self.tracked.retain(|node, tracked| {
             let kept = keep(node);
             if !kept {
-                blocks.forget(followed.id);
-                free.push(followed.id);
+                blocks.invalidate(tracked.id);
+                free.push(tracked.id);
             }
             kept
         });
@@ -241,21 +242,21 @@
     /// been missed, and a prompt would be sent after blocks that are gone: all that is
     /// known of the replica is dropped. Events seen before are passed over.
     pub fn apply(&mut self, node: NodeId, events: &[BlockEvent]) {
-        let Some(followed) = self.followed.get_mut(&node) else {
+        let Some(tracked) = self.tracked.get_mut(&node) else {
             return;
         };
         for event in events {
-            if event.seq < followed.next_seq {
+            if event.seq < tracked.next_seq {
                 continue;
             }
-            if event.seq > followed.next_seq {
-                self.blocks.forget(followed.id);
+            if event.seq > tracked.next_seq {
+                self.blocks.invalidate(tracked.id);
             }
-            followed.next_seq = event.seq + 1;
+            tracked.next_seq = event.seq + 1;
             if event.stored {
-                self.blocks.store(followed.id, event.block);
+                self.blocks.store(tracked.id, event.block_hash);
             } else {
-                self.blocks.remove(followed.id, event.block);
+                self.blocks.remove(tracked.id, event.block_hash);
             }
         }
     }
--- a/components/routing/src/random.rs
+++ b/components/routing/src/random.rs
@@ -2,23 +2,23 @@
 
 /// Draws derived from one random number by splitmix64; not for secrets.
 #[derive(Clone, Debug)]
-pub struct Draws(u64);
+pub struct SplitMix64(u64);
 
-impl Draws {
+impl SplitMix64 {
     /// Draws that follow from `random`.
     pub fn new(random: u64) -> Self {
         Self(random)
     }
 
     /// The next 64 random bits.
-    pub fn bits(&mut self) -> u64 {
+    pub fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         mix(self.0)
     }
 
     /// A number below `bound`, or 0 when `bound` is 0.
     pub fn below(&mut self, bound: usize) -> usize {
-        ((u128::from(self.bits()) * bound as u128) >> u64::BITS) as usize
+        ((u128::from(self.next_u64()) * bound as u128) >> u64::BITS) as usize
     }
 }
 
--- a/components/routing/src/score.rs
+++ b/components/routing/src/score.rs
@@ -2,57 +2,70 @@
 
 use crate::counters::Work;
 use crate::settings::{Policy, Settings};
-use crate::table::{Others, Slot, Table};
+use crate::table::{OthersLoad, ReplicaState, Table};
 
 /// Share of the sum of both needs that breaks ties of the scarcer one.
-const TIE_SHARE: f64 = 0.1;
+const TIE_BREAK_WEIGHT: f64 = 0.1;
 /// Least part of its share that a new replica gets.
-const SLOW_START_MIN: f64 = 0.1;
+const SLOW_START_SHARE_MIN: f64 = 0.1;
 
 /// Cost of the call on `slot`, with `blocks` of its prompt cached there.
-pub(crate) fn score(table: &Table, slot: &Slot, work: Work, blocks: u32, now_ms: u64) -> f64 {
+pub(crate) fn score(
+    table: &Table,
+    state: &ReplicaState,
+    work: Work,
+    blocks: u32,
+    now_ms: u64,
+) -> f64 {
     let settings = table.settings();
-    let one_number = || own(slot, settings) + others_load(table, slot, now_ms);
+    let scalar_load = || own_load(state, settings) + others_load_units(table, state, now_ms);
     let load = match settings.policy {
         Policy::Random => return 0.0,
-        Policy::LeastOutstanding | Policy::TwoChoices => own(slot, settings),
-        Policy::TwoChoicesReport => one_number(),
+        Policy::LeastOutstanding | Policy::TwoChoices => own_load(state, settings),
+        Policy::TwoChoicesReport => scalar_load(),
         // A plain service has no tokens to tell replicas apart by.
-        Policy::ComputeMemory if work.tokens() == 0 => one_number(),
-        Policy::ComputeMemory => scarcer(slot, &others(table, slot, now_ms), settings, work),
+        Policy::ComputeMemory if work.tokens() == 0 => scalar_load(),
+        Policy::ComputeMemory => {
+            scarcer_resource_load(state, &damped_others(table, state, now_ms), settings, work)
+        }
     };
     // The call itself counts, else an idle replica would cost nothing however new.
-    let load = (load + 1.0) / ramp(slot, settings, now_ms);
+    let load = (load + 1.0) / slow_start_factor(state, settings, now_ms);
     let bonus = (f64::from(blocks) * settings.block_bonus).min(settings.bonus_max);
-    load + slot.penalty - bonus
+    load + state.penalty - bonus
 }
 
-fn own(slot: &Slot, settings: &Settings) -> f64 {
-    let calls = f64::from(slot.counters.calls());
-    calls + in_load(f64::from(slot.counters.tokens()), settings)
+fn own_load(state: &ReplicaState, settings: &Settings) -> f64 {
+    let calls = f64::from(state.counters.calls());
+    calls + tokens_to_load(f64::from(state.counters.tokens()), settings)
 }
 
 /// Load that others have there, its distance from the mean in whole units: where own
 /// calls are few, replicas are often equal, and a trace of the same late report would
 /// decide each of these ties alike in every entry.
-fn others_load(table: &Table, slot: &Slot, now_ms: u64) -> f64 {
+fn others_load_units(table: &Table, state: &ReplicaState, now_ms: u64) -> f64 {
     let settings = table.settings();
-    let load = |others: &Others| others.calls + in_load(others.tokens, settings);
+    let load = |others: &OthersLoad| others.calls + tokens_to_load(others.tokens, settings);
     let mean = load(table.others());
-    mean + (load(&others(table, slot, now_ms)) - mean).round()
+    mean + (load(&damped_others(table, state, now_ms)) - mean).round()
 }
 
 /// The scarcer of compute (prompt tokens that wait) and memory (KV tokens), each as a
 /// share of what the engine has, in the load of a full engine.
-fn scarcer(slot: &Slot, others: &Others, settings: &Settings, work: Work) -> f64 {
-    let prompt_tokens = f64::from(slot.counters.prompt_tokens())
+fn scarcer_resource_load(
+    state: &ReplicaState,
+    others: &OthersLoad,
+    settings: &Settings,
+    work: Work,
+) -> f64 {
+    let prompt_tokens = f64::from(state.counters.prompt_tokens())
         + f64::from(work.prompt_tokens)
         + others.prompt_tokens;
-    let tokens = f64::from(slot.counters.tokens()) + f64::from(work.tokens()) + others.tokens;
+    let tokens = f64::from(state.counters.tokens()) + f64::from(work.tokens()) + others.tokens;
     let compute = prompt_tokens / f64::from(settings.prompt_tokens_busy.max(1));
     let memory = tokens / f64::from(settings.kv_tokens.max(1));
-    let need = compute.max(memory) + TIE_SHARE * (compute + memory);
-    need * in_load(f64::from(settings.kv_tokens), settings)
+    let need = compute.max(memory) + TIE_BREAK_WEIGHT * (compute + memory);
+    need * tokens_to_load(f64::from(settings.kv_tokens), settings)
 }
 
 /// What others have there, as far as the report can be believed.
@@ -62,32 +75,32 @@
 /// other there. So each entry makes up for its own share of the imbalance, and for
 /// less of it the older the report; only a report that is nearly fresh counts in full,
 /// because the next one corrects what it led to.
-fn others(table: &Table, slot: &Slot, now_ms: u64) -> Others {
-    let Some(taken_at_ms) = slot.others.taken_at_ms else {
-        return slot.others;
+fn damped_others(table: &Table, state: &ReplicaState, now_ms: u64) -> OthersLoad {
+    let Some(taken_at_ms) = state.others.taken_at_ms else {
+        return state.others;
     };
     let settings = table.settings();
     let age_ms = now_ms.saturating_sub(taken_at_ms) as f64;
-    let fresh = half_at(settings.report_fresh_ms, age_ms).powi(2);
-    let shared = table.own_share() * half_at(settings.report_half_life_ms, age_ms);
+    let fresh = decay(settings.report_fresh_ms, age_ms).powi(2);
+    let shared = table.own_share() * decay(settings.report_half_life_ms, age_ms);
     let weight = (fresh + shared).min(1.0);
-    slot.others.damped(table.others(), weight)
+    state.others.damped(table.others(), weight)
 }
 
 /// 1 at once, a half at `half_ms`.
-fn half_at(half_ms: u64, age_ms: f64) -> f64 {
+fn decay(half_ms: u64, age_ms: f64) -> f64 {
     let half_ms = half_ms.max(1) as f64;
     half_ms / (half_ms + age_ms)
 }
 
-fn ramp(slot: &Slot, settings: &Settings, now_ms: u64) -> f64 {
-    let age_ms = now_ms.saturating_sub(slot.counters.first_seen_ms());
+fn slow_start_factor(state: &ReplicaState, settings: &Settings, now_ms: u64) -> f64 {
+    let age_ms = now_ms.saturating_sub(state.counters.first_seen_ms());
     if age_ms >= settings.slow_start_ms {
         return 1.0;
     }
-    (age_ms as f64 / settings.slow_start_ms as f64).max(SLOW_START_MIN)
+    (age_ms as f64 / settings.slow_start_ms as f64).max(SLOW_START_SHARE_MIN)
 }
 
-fn in_load(tokens: f64, settings: &Settings) -> f64 {
+fn tokens_to_load(tokens: f64, settings: &Settings) -> f64 {
     tokens / f64::from(settings.tokens_per_load.max(1))
 }
--- a/components/routing/src/settings.rs
+++ b/components/routing/src/settings.rs
@@ -56,7 +56,7 @@
     /// How replicas are compared.
     pub policy: Policy,
     /// Replicas that are drawn at random from the entry's own failure domain.
-    pub draws_near: usize,
+    pub draws_same_domain: usize,
     /// Replicas that are drawn at random from all failure domains.
     pub draws_all: usize,
     /// Tokens that weigh as much as one call.
@@ -94,7 +94,7 @@
     fn default() -> Self {
         Self {
             policy: Policy::ComputeMemory,
-            draws_near: 2,
+            draws_same_domain: 2,
             draws_all: 2,
             tokens_per_load: 1_000,
             kv_tokens: 40_000,
--- a/components/routing/src/table.rs
+++ b/components/routing/src/table.rs
@@ -10,24 +10,24 @@
 use types::NodeId;
 
 use crate::counters::Counters;
-use crate::ejection::{self, Ejections};
+use crate::ejection::{self, EjectionLock};
 use crate::prefix::PrefixId;
 use crate::replica::{Locality, Replica, Report};
 use crate::settings::Settings;
 
 /// One replica of a table.
 #[derive(Debug)]
-pub struct Slot {
+pub struct ReplicaState {
     /// What membership says of it.
     pub replica: Replica,
     pub(crate) counters: Arc<Counters>,
     /// Load that its place costs.
     pub(crate) penalty: f64,
     /// What others than this entry have there.
-    pub(crate) others: Others,
+    pub(crate) others: OthersLoad,
 }
 
-impl Slot {
+impl ReplicaState {
     /// What this entry has outstanding there.
     pub fn counters(&self) -> &Counters {
         &self.counters
@@ -37,7 +37,7 @@
 /// Work on a replica that other entries sent: its report less what this entry had
 /// outstanding when the report was taken.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Others {
+pub(crate) struct OthersLoad {
     pub(crate) calls: f64,
     pub(crate) prompt_tokens: f64,
     pub(crate) tokens: f64,
@@ -45,13 +45,13 @@
     pub(crate) taken_at_ms: Option<u64>,
 }
 
-impl Others {
-    fn of(report: &Report, counters: &Counters, settings: &Settings) -> Others {
-        let (calls, prompt_tokens, tokens) = counters.before(report.taken_at_ms);
+impl OthersLoad {
+    fn from_report(report: &Report, counters: &Counters, settings: &Settings) -> OthersLoad {
+        let (calls, prompt_tokens, tokens) = counters.values_at(report.taken_at_ms);
         let reported_calls = report.running.saturating_add(report.waiting);
         let kv_share = f64::from(report.kv_used_permille) / 1_000.0;
         let reported_tokens = kv_share * f64::from(settings.kv_tokens);
-        Others {
+        OthersLoad {
             calls: f64::from(reported_calls.saturating_sub(calls)),
             prompt_tokens: f64::from(report.prompt_tokens_queued.saturating_sub(prompt_tokens)),
             tokens: (reported_tokens - f64::from(tokens)).max(0.0),
@@ -60,9 +60,9 @@
     }
 
     /// `self` with its distance from `mean` at `weight`.
-    pub(crate) fn damped(&self, mean: &Others, weight: f64) -> Others {
+    pub(crate) fn damped(&self, mean: &OthersLoad, weight: f64) -> OthersLoad {
         let damped = |own: f64, mean: f64| mean + weight * (own - mean);
-        Others {
+        OthersLoad {
             calls: damped(self.calls, mean.calls),
             prompt_tokens: damped(self.prompt_tokens, mean.prompt_tokens),
             tokens: damped(self.tokens, mean.tokens),
@@ -70,12 +70,16 @@
         }
     }
 
-    fn mean(all: &[Slot]) -> Others {
-        let known = || all.iter().filter(|slot| slot.others.taken_at_ms.is_some());
+    fn mean(all: &[ReplicaState]) -> OthersLoad {
+        let known = || {
+            all.iter()
+                .filter(|state| state.others.taken_at_ms.is_some())
+        };
         let count = known().count().max(1) as f64;
-        let mean =
-            |of: fn(&Others) -> f64| known().map(|slot| of(&slot.others)).sum::<f64>() / count;
-        Others {
+        let mean = |of: fn(&OthersLoad) -> f64| {
+            known().map(|state| of(&state.others)).sum::<f64>() / count
+        };
+        OthersLoad {
             calls: mean(|others| others.calls),
             prompt_tokens: mean(|others| others.prompt_tokens),
             tokens: mean(|others| others.tokens),
@@ -88,15 +92,15 @@
 #[derive(Debug)]
 pub struct Table {
     settings: Arc<Settings>,
-    slots: Vec<Slot>,
+    states: Vec<ReplicaState>,
     /// Positions of the replicas in the entry's own failure domain.
-    near: Vec<u32>,
+    same_domain: Vec<u32>,
     by_prefix: HashMap<PrefixId, u32>,
     /// What others have on the mean replica.
-    others: Others,
+    others: OthersLoad,
     /// Share of the outstanding calls that is this entry's own, from 0 to 1.
     own_share: f64,
-    ejections: Arc<Ejections>,
+    ejection_lock: Arc<EjectionLock>,
 }
 
 impl Table {
@@ -104,48 +108,48 @@
     pub fn empty(settings: Arc<Settings>) -> Table {
         Table {
             settings,
-            slots: Vec::new(),
-            near: Vec::new(),
+            states: Vec::new(),
+            same_domain: Vec::new(),
             by_prefix: HashMap::new(),
-            others: Others::default(),
+            others: OthersLoad::default(),
             own_share: 1.0,
-            ejections: Arc::default(),
+            ejection_lock: Arc::default(),
         }
     }
 
     /// The next table. Counters of replicas that the present one holds by the same
     /// address and incarnation live on; another incarnation begins anew.
-    pub fn next(&self, replicas: Vec<Replica>, here: &Locality, now_ms: u64) -> Table {
+    pub fn rebuild(&self, replicas: Vec<Replica>, here: &Locality, now_ms: u64) -> Table {
         let known: HashMap<NodeId, &Arc<Counters>> = self
-            .slots
+            .states
             .iter()
-            .map(|slot| (slot.replica.node, &slot.counters))
+            .map(|state| (state.replica.node, &state.counters))
             .collect();
         let settings = Arc::clone(&self.settings);
-        let mut slots: Vec<Slot> = replicas
+        let mut states: Vec<ReplicaState> = replicas
             .into_iter()
             .map(|replica| {
                 let counters = match known.get(&replica.node) {
                     Some(counters) => Arc::clone(counters),
                     None => Arc::new(Counters::new(now_ms)),
                 };
-                slot(replica, counters, here, &settings, now_ms)
+                replica_state(replica, counters, here, &settings, now_ms)
             })
             .collect();
-        let others = Others::mean(&slots);
-        fill_unreported(&mut slots, others);
+        let others = OthersLoad::mean(&states);
+        fill_unreported(&mut states, others);
         let table = Table {
-            near: positions(&slots, |replica| {
+            same_domain: positions(&states, |replica| {
                 replica.failure_domain == here.failure_domain
             }),
-            by_prefix: by_prefix(&slots),
-            own_share: own_share(&slots, &others),
+            by_prefix: by_prefix(&states),
+            own_share: own_share(&states, &others),
             others,
             settings,
-            slots,
-            ejections: Arc::clone(&self.ejections),
+            states,
+            ejection_lock: Arc::clone(&self.ejection_lock),
         };
-        table.restore_over_floor();
+        table.restore_excess_ejected();
         table
     }
 
@@ -155,17 +159,17 @@
     }
 
     /// Its replicas, in the order given.
-    pub fn slots(&self) -> &[Slot] {
-        &self.slots
+    pub fn replica_states(&self) -> &[ReplicaState] {
+        &self.states
     }
 
     /// How many replicas are ejected or half open.
-    pub fn ejected(&self) -> usize {
-        let is_ejected = |slot: &&Slot| slot.counters.health.is_ejected();
-        self.slots.iter().filter(is_ejected).count()
+    pub fn ejected_count(&self) -> usize {
+        let is_ejected = |state: &&ReplicaState| state.counters.health.is_ejected();
+        self.states.iter().filter(is_ejected).count()
     }
 
-    pub(crate) fn others(&self) -> &Others {
+    pub(crate) fn others(&self) -> &OthersLoad {
         &self.others
     }
 
@@ -173,50 +177,52 @@
         self.own_share
     }
 
-    pub(crate) fn near(&self) -> &[u32] {
-        &self.near
+    pub(crate) fn same_domain(&self) -> &[u32] {
+        &self.same_domain
     }
 
-    pub(crate) fn at_prefix(&self, id: PrefixId) -> Option<usize> {
+    pub(crate) fn position_of_prefix(&self, id: PrefixId) -> Option<usize> {
         self.by_prefix.get(&id).map(|&position| position as usize)
     }
 
-    pub(crate) fn ejections(&self) -> &Ejections {
-        &self.ejections
+    pub(crate) fn ejection_lock(&self) -> &EjectionLock {
+        &self.ejection_lock
     }
 
     /// Restores the replicas that would be ejected beyond the floor of a service that
     /// has shrunk; those nearest to their probe first.
-    fn restore_over_floor(&self) {
-        let over = self.ejected().saturating_sub(ejection::ejected_max(self));
-        if over == 0 {
+    fn restore_excess_ejected(&self) {
+        let excess = self
+            .ejected_count()
+            .saturating_sub(ejection::ejected_max(self));
+        if excess == 0 {
             return;
         }
-        let mut ejected: Vec<&Slot> = self
-            .slots
+        let mut ejected: Vec<&ReplicaState> = self
+            .states
             .iter()
-            .filter(|slot| slot.counters.health.is_ejected())
+            .filter(|state| state.counters.health.is_ejected())
             .collect();
-        ejected.sort_by_key(|slot| slot.counters.health.ejected_until_ms());
-        for slot in ejected.into_iter().take(over) {
-            slot.counters.health.restore();
+        ejected.sort_by_key(|state| state.counters.health.ejected_until_ms());
+        for state in ejected.into_iter().take(excess) {
+            state.counters.health.restore();
         }
     }
 }
 
-fn slot(
+fn replica_state(
     replica: Replica,
     counters: Arc<Counters>,
     here: &Locality,
     settings: &Settings,
     now_ms: u64,
-) -> Slot {
-    counters.note(now_ms);
+) -> ReplicaState {
+    counters.record(now_ms);
     let others = match &replica.report {
-        Some(report) => Others::of(report, &counters, settings),
-        None => Others::default(),
+        Some(report) => OthersLoad::from_report(report, &counters, settings),
+        None => OthersLoad::default(),
     };
-    Slot {
+    ReplicaState {
         penalty: penalty(&replica, here, settings),
         replica,
         counters,
@@ -236,37 +242,37 @@
 
 /// A replica with no report would look idle and draw every call of every entry; it
 /// counts as the mean of the others instead.
-fn fill_unreported(slots: &mut [Slot], mean: Others) {
-    for slot in slots {
-        if slot.others.taken_at_ms.is_none() {
-            slot.others = mean;
+fn fill_unreported(states: &mut [ReplicaState], mean: OthersLoad) {
+    for state in states {
+        if state.others.taken_at_ms.is_none() {
+            state.others = mean;
         }
     }
 }
 
-fn own_share(slots: &[Slot], others: &Others) -> f64 {
-    let own: f64 = slots
+fn own_share(states: &[ReplicaState], others: &OthersLoad) -> f64 {
+    let own: f64 = states
         .iter()
-        .map(|slot| f64::from(slot.counters.calls()))
+        .map(|state| f64::from(state.counters.calls()))
         .sum();
-    let own_mean = own / slots.len().max(1) as f64;
+    let own_mean = own / states.len().max(1) as f64;
     match own_mean + others.calls > 0.0 {
         true => own_mean / (own_mean + others.calls),
         false => 1.0,
     }
 }
 
-fn positions(slots: &[Slot], wanted: impl Fn(&Replica) -> bool) -> Vec<u32> {
-    let numbered = (0..).zip(slots);
+fn positions(states: &[ReplicaState], wanted: impl Fn(&Replica) -> bool) -> Vec<u32> {
+    let numbered = (0..).zip(states);
     numbered
-        .filter(|(_, slot)| wanted(&slot.replica))
+        .filter(|(_, state)| wanted(&state.replica))
         .map(|(position, _)| position)
         .collect()
 }
 
-fn by_prefix(slots: &[Slot]) -> HashMap<PrefixId, u32> {
-    let numbered = (0..).zip(slots);
+fn by_prefix(states: &[ReplicaState]) -> HashMap<PrefixId, u32> {
+    let numbered = (0..).zip(states);
     numbered
-        .filter_map(|(position, slot)| slot.replica.prefix_id.map(|id| (id, position)))
+        .filter_map(|(position, state)| state.replica.prefix_id.map(|id| (id, position)))
         .collect()
 }
--- a/components/routing/tests/choose.rs
+++ b/components/routing/tests/choose.rs
@@ -7,7 +7,10 @@
 use std::sync::Arc;
 
 use common::{domain, here, node, replica, replicas, report, spread, table};
-use routing::{Ask, Choice, NoChoice, Policy, Replica, Settings, Table, Work, choose, subset};
+use routing::{
+    Choice, ChoiceError, Policy, Replica, Requirements, Settings, Table, Work, choose_replica,
+    subset,
+};
 use types::{Cause, Failure, NodeId, WeightVersion};
 
 fn version(version: u64) -> WeightVersion {
@@ -34,14 +37,14 @@
         name: &'static str,
         replicas: Vec<Replica>,
         tried: Vec<NodeId>,
-        at_least: Option<WeightVersion>,
-        expected: Result<NodeId, NoChoice>,
+        min_version: Option<WeightVersion>,
+        expected: Result<NodeId, ChoiceError>,
     }
-    let case = |name, replicas: &[Replica], tried: &[NodeId], at_least, expected| Case {
+    let case = |name, replicas: &[Replica], tried: &[NodeId], min_version, expected| Case {
         name,
         replicas: replicas.to_vec(),
         tried: tried.to_vec(),
-        at_least,
+        min_version,
         expected,
     };
     let (all_leave, one_stays) = (
@@ -49,7 +52,7 @@
         [leaving(0), replica(1), leaving(2)],
     );
     let versions = [hosting(0, 3), hosting(1, 5), hosting(2, 2)];
-    let too_old = Err(NoChoice::Version(version(4)));
+    let too_old = Err(ChoiceError::Version(version(4)));
     let wanted = Some(version(4));
     let (two, one) = ([node(0), node(2)], [node(0)]);
     let cases = [
@@ -58,7 +61,7 @@
             &[],
             &[],
             None,
-            Err(NoChoice::Empty),
+            Err(ChoiceError::Empty),
         ),
         case(
             "can take the only one that stays",
@@ -72,7 +75,7 @@
             &all_leave,
             &[],
             None,
-            Err(NoChoice::Leaving),
+            Err(ChoiceError::Leaving),
         ),
         case(
             "can take the one not yet tried",
@@ -86,7 +89,7 @@
             &[replica(0), leaving(1)],
             &one,
             None,
-            Err(NoChoice::Tried),
+            Err(ChoiceError::Tried),
         ),
         case(
             "can take a later version than wanted",
@@ -110,13 +113,14 @@
                 ..Settings::default()
             };
             let table = table(settings, case.replicas.clone());
-            let ask = Ask {
+            let requirements = Requirements {
                 tried: &case.tried,
-                at_least: case.at_least,
-                ..Ask::default()
+                min_version: case.min_version,
+                ..Requirements::default()
             };
             for random in 0..50 {
-                let chosen = choose(&table, &ask, random, 0).map(|choice| choice.node);
+                let chosen =
+                    choose_replica(&table, &requirements, random, 0).map(|choice| choice.node);
                 assert_eq!(
                     chosen,
                     case.expected,
@@ -132,10 +136,10 @@
 #[test]
 fn a_refusal_says_that_the_call_was_not_run() {
     let cases = [
-        (NoChoice::Empty, Cause::NoEndpoint),
-        (NoChoice::Tried, Cause::NoEndpoint),
-        (NoChoice::Leaving, Cause::Leaving),
-        (NoChoice::Version(version(1)), Cause::Stale),
+        (ChoiceError::Empty, Cause::NoEndpoint),
+        (ChoiceError::Tried, Cause::NoEndpoint),
+        (ChoiceError::Leaving, Cause::Leaving),
+        (ChoiceError::Version(version(1)), Cause::Stale),
     ];
     for (none, cause) in cases {
         assert_eq!(Failure::from(none), Failure::not_run(cause));
@@ -143,12 +147,12 @@
 }
 
 fn choices(table: &Table, count: u64) -> Vec<Choice> {
-    let one = |random| choose(table, &Ask::default(), random, 0).unwrap();
+    let one = |random| choose_replica(table, &Requirements::default(), random, 0).unwrap();
     (0..count).map(one).collect()
 }
 
 fn calls(table: &Table) -> Vec<u32> {
-    let slots = table.slots().iter();
+    let slots = table.replica_states().iter();
     slots.map(|slot| slot.counters().calls()).collect()
 }
 
@@ -181,15 +185,15 @@
 #[test]
 fn a_dropped_choice_gives_all_back() {
     let table = table(Settings::default(), replicas(1));
-    let ask = Ask {
+    let requirements = Requirements {
         work: Work {
             prompt_tokens: 100,
             max_new_tokens: 20,
         },
-        ..Ask::default()
+        ..Requirements::default()
     };
-    let choice = choose(&table, &ask, 0, 0).unwrap();
-    let counters = table.slots()[0].counters();
+    let choice = choose_replica(&table, &requirements, 0, 0).unwrap();
+    let counters = table.replica_states()[0].counters();
     let seen = || {
         (
             counters.calls(),
@@ -198,8 +202,8 @@
         )
     };
     assert_eq!(seen(), (1, 100, 120));
-    choice.outstanding.begun();
-    choice.outstanding.begun();
+    choice.outstanding.record_answer_start();
+    choice.outstanding.record_answer_start();
     assert_eq!(seen(), (1, 0, 120));
     drop(choice);
     assert_eq!(seen(), (0, 0, 0));
@@ -211,10 +215,10 @@
     let held = choices(&before, 10);
     let mut next = replicas(2);
     next[1].node.incarnation.0 += 1;
-    let after = before.next(next, &here(0), 100);
+    let after = before.rebuild(next, &here(0), 100);
     assert_eq!(calls(&after)[0], calls(&before)[0]);
     assert_eq!(calls(&after)[1], 0);
-    assert_eq!(after.slots()[1].counters().first_seen_ms(), 100);
+    assert_eq!(after.replica_states()[1].counters().first_seen_ms(), 100);
     drop(held);
     assert_eq!(calls(&after), [0, 0]);
 }
@@ -233,8 +237,8 @@
     let mut next = replicas(2);
     next[0].report = Some(report(8, 1_000));
     next[1].report = Some(report(12, 1_000));
-    let after = before.next(next, &here(0), 1_500);
-    let choice = choose(&after, &Ask::default(), 1, 1_500).unwrap();
+    let after = before.rebuild(next, &here(0), 1_500);
+    let choice = choose_replica(&after, &Requirements::default(), 1, 1_500).unwrap();
     assert_eq!(choice.node, node(0));
 }
 
@@ -246,11 +250,13 @@
         slow_start_ms: 10_000,
         ..Settings::default()
     });
-    let old = Table::empty(settings).next(replicas(3), &here(0), 0);
+    let old = Table::empty(settings).rebuild(replicas(3), &here(0), 0);
     let _held = choices(&old, 30);
     let share_at = |age_ms: u64| {
-        let table = old.next(replicas(4), &here(0), 100_000);
-        let one = |random| choose(&table, &Ask::default(), random, 100_000 + age_ms).unwrap();
+        let table = old.rebuild(replicas(4), &here(0), 100_000);
+        let one = |random| {
+            choose_replica(&table, &Requirements::default(), random, 100_000 + age_ms).unwrap()
+        };
         let held: Vec<Choice> = (0..40).map(one).collect();
         held.iter().filter(|choice| choice.node == node(3)).count()
     };
@@ -267,7 +273,7 @@
         let table = table(Settings::default(), (0..5).map(spread).collect());
         let mut choices: Vec<Choice> = Vec::new();
         for random in randoms {
-            choices.push(choose(&table, &Ask::default(), random, 0).unwrap());
+            choices.push(choose_replica(&table, &Requirements::default(), random, 0).unwrap());
             if choices.len() > held % 8 {
                 choices.remove(0);
             }
--- a/components/routing/tests/common/mod.rs
+++ b/components/routing/tests/common/mod.rs
@@ -71,5 +71,5 @@
         slow_start_ms: 0,
         ..settings
     };
-    Table::empty(Arc::new(settings)).next(replicas, &here(0), 0)
+    Table::empty(Arc::new(settings)).rebuild(replicas, &here(0), 0)
 }
--- a/components/routing/tests/ejection.rs
+++ b/components/routing/tests/ejection.rs
@@ -5,13 +5,13 @@
 mod common;
 
 use common::{here, node, replicas, table};
-use routing::{Ask, Choice, Draws, Outcome, Settings, Table, choose};
+use routing::{Choice, Outcome, Requirements, Settings, SplitMix64, Table, choose_replica};
 use types::NodeId;
 
-fn ask(may_probe: bool) -> Ask<'static> {
-    Ask {
+fn requirements(may_probe: bool) -> Requirements<'static> {
+    Requirements {
         may_probe,
-        ..Ask::default()
+        ..Requirements::default()
     }
 }
 
@@ -19,7 +19,7 @@
 fn fail(table: &Table, wanted: NodeId, times: u32, now_ms: u64) {
     let mut failed = 0;
     for random in 0..10_000 {
-        let choice = choose(table, &ask(false), random, now_ms).unwrap();
+        let choice = choose_replica(table, &requirements(false), random, now_ms).unwrap();
         let outcome = match choice.node == wanted {
             true => Outcome::Failed,
             false => Outcome::Answered,
@@ -34,7 +34,7 @@
 }
 
 fn hits(table: &Table, wanted: NodeId, now_ms: u64, may_probe: bool) -> usize {
-    let one = |random| choose(table, &ask(may_probe), random, now_ms).unwrap();
+    let one = |random| choose_replica(table, &requirements(may_probe), random, now_ms).unwrap();
     let held: Vec<Choice> = (0..100).map(one).collect();
     held.iter().filter(|choice| choice.node == wanted).count()
 }
@@ -43,11 +43,11 @@
 fn ejects_after_consecutive_failures_only() {
     let table = table(Settings::default(), replicas(4));
     fail(&table, node(1), 2, 0);
-    assert_eq!(table.ejected(), 0);
-    let one = choose(&table, &ask(false), 0, 0).unwrap();
-    one.finish(&table, Outcome::Unsaid, 0);
+    assert_eq!(table.ejected_count(), 0);
+    let one = choose_replica(&table, &requirements(false), 0, 0).unwrap();
+    one.finish(&table, Outcome::Inconclusive, 0);
     fail(&table, node(1), 1, 0);
-    assert_eq!(table.ejected(), 1);
+    assert_eq!(table.ejected_count(), 1);
     assert_eq!(hits(&table, node(1), 0, true), 0);
 }
 
@@ -66,16 +66,16 @@
     );
     assert_eq!(hits(&table, node(1), 2_000, true), 1);
     let probe = |now_ms| {
-        let mut draws =
-            (0..1_000).map(|random| choose(&table, &ask(true), random, now_ms).unwrap());
-        draws.find(|choice| choice.node == node(1)).unwrap()
+        let mut choices = (0..1_000)
+            .map(|random| choose_replica(&table, &requirements(true), random, now_ms).unwrap());
+        choices.find(|choice| choice.node == node(1)).unwrap()
     };
     probe(2_000).finish(&table, Outcome::Failed, 2_000);
     assert_eq!(hits(&table, node(1), 5_999, true), 0);
     drop(probe(6_000));
-    assert_eq!(table.ejected(), 1, "a cancelled probe says nothing");
+    assert_eq!(table.ejected_count(), 1, "a cancelled probe says nothing");
     probe(6_000).finish(&table, Outcome::Answered, 6_000);
-    assert_eq!(table.ejected(), 0);
+    assert_eq!(table.ejected_count(), 0);
     assert!(hits(&table, node(1), 6_000, false) > 10);
 }
 
@@ -89,14 +89,14 @@
     };
     let table = table(settings, replicas(5));
     for random in 0..1_000 {
-        let choice = choose(&table, &ask(true), random, 0).unwrap();
-        assert!(!choice.last_resort);
+        let choice = choose_replica(&table, &requirements(true), random, 0).unwrap();
+        assert!(!choice.is_last_resort);
         choice.finish(&table, Outcome::Failed, 0);
     }
-    assert_eq!(table.ejected(), 2);
-    let smaller = table.next(replicas(2), &here(0), 0);
+    assert_eq!(table.ejected_count(), 2);
+    let smaller = table.rebuild(replicas(2), &here(0), 0);
     assert!(
-        smaller.ejected() <= 1,
+        smaller.ejected_count() <= 1,
         "the floor holds when the service shrinks"
     );
 }
@@ -108,12 +108,12 @@
     let table = table(Settings::default(), replicas(2));
     fail(&table, node(1), 3, 0);
     let tried = [node(0)];
-    let ask = Ask {
+    let requirements = Requirements {
         tried: &tried,
-        ..Ask::default()
+        ..Requirements::default()
     };
-    let choice = choose(&table, &ask, 0, 0).unwrap();
-    assert_eq!((choice.node, choice.last_resort), (node(1), true));
+    let choice = choose_replica(&table, &requirements, 0, 0).unwrap();
+    assert_eq!((choice.node, choice.is_last_resort), (node(1), true));
 }
 
 checks::seeded! {
@@ -124,20 +124,20 @@
             ..Settings::default()
         };
         let mut table = table(settings, replicas(count));
-        let mut draws = Draws::new(seed);
+        let mut rng = SplitMix64::new(seed);
         let mut held = Vec::new();
         for now_ms in (0..20_000).step_by(50) {
-            held.push(choose(&table, &ask(true), draws.bits(), now_ms).unwrap());
+            held.push(choose_replica(&table, &requirements(true), rng.next_u64(), now_ms).unwrap());
             if held.len() > 4 {
-                let ended: Choice = held.remove(draws.below(4));
-                let outcomes = [Outcome::Failed, Outcome::Failed, Outcome::Answered, Outcome::Unsaid];
-                ended.finish(&table, outcomes[draws.below(4)], now_ms);
+                let ended: Choice = held.remove(rng.below(4));
+                let outcomes = [Outcome::Failed, Outcome::Failed, Outcome::Answered, Outcome::Inconclusive];
+                ended.finish(&table, outcomes[rng.below(4)], now_ms);
             }
-            if draws.below(20) == 0 {
-                let alive = 1 + draws.below(usize::from(count)) as u16;
-                table = table.next(replicas(alive), &here(0), now_ms);
+            if rng.below(20) == 0 {
+                let alive = 1 + rng.below(usize::from(count)) as u16;
+                table = table.rebuild(replicas(alive), &here(0), now_ms);
             }
-            if table.ejected() * 1_000 > table.slots().len() * share as usize {
+            if table.ejected_count() * 1_000 > table.replica_states().len() * share as usize {
                 return false;
             }
         }
--- a/components/routing/tests/hedge.rs
+++ b/components/routing/tests/hedge.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::panic, clippy::unwrap_used)]
 
 use routing::Latencies;
-use routing::hedge::{Due, HedgeSettings, Slow, due};
+use routing::hedge::{HedgeCandidate, HedgeDecision, HedgeSettings, decide_hedge};
 
 #[test]
 fn a_straggler_gets_a_second_copy_within_the_budget() {
@@ -14,7 +14,7 @@
         deadline_ms: u64,
         now_ms: u64,
         budget: bool,
-        expected: Due,
+        expected: HedgeDecision,
     }
     let usual = Case {
         name: "can be sent once the call is slower than most",
@@ -23,37 +23,37 @@
         deadline_ms: 10_000,
         now_ms: 1_200,
         budget: true,
-        expected: Due::Now,
+        expected: HedgeDecision::Send,
     };
     let cases = [
         Case {
             name: "is not due before",
             now_ms: 1_050,
-            expected: Due::At(1_112),
+            expected: HedgeDecision::RecheckAt(1_112),
             ..usual
         },
         Case {
             name: "never for a call that may run once",
             may_run_twice: false,
-            expected: Due::Never,
+            expected: HedgeDecision::Never,
             ..usual
         },
         Case {
             name: "never past the budget",
             budget: false,
-            expected: Due::Never,
+            expected: HedgeDecision::Never,
             ..usual
         },
         Case {
             name: "never on few calls",
             known: 50,
-            expected: Due::Never,
+            expected: HedgeDecision::Never,
             ..usual
         },
         Case {
             name: "never with too little time left",
             deadline_ms: 1_210,
-            expected: Due::Never,
+            expected: HedgeDecision::Never,
             ..usual
         },
         usual,
@@ -61,13 +61,13 @@
     for case in cases {
         let latencies = Latencies::new(60_000);
         (0..case.known).for_each(|_| latencies.record(100, 0));
-        let call = Slow {
+        let call = HedgeCandidate {
             sent_at_ms: 1_000,
             deadline_ms: case.deadline_ms,
             may_run_twice: case.may_run_twice,
         };
         let settings = HedgeSettings::default();
-        let found = due(call, &latencies, &settings, case.now_ms, || case.budget);
+        let found = decide_hedge(call, &latencies, &settings, case.now_ms, || case.budget);
         assert_eq!(found, case.expected, "{}", case.name);
     }
 }
@@ -77,11 +77,11 @@
     let latencies = Latencies::new(1_000);
     (0..10).for_each(|_| latencies.record(5_000, 0));
     latencies.record(10, 1_500);
-    assert!(latencies.quantile(990, 1).unwrap() >= 5_000);
+    assert!(latencies.quantile_ms(990, 1).unwrap() >= 5_000);
     latencies.record(10, 2_500);
-    assert!(latencies.quantile(990, 1).unwrap() < 20);
+    assert!(latencies.quantile_ms(990, 1).unwrap() < 20);
     latencies.record(10, 60_500);
-    assert_eq!(latencies.quantile(990, 2), None);
+    assert_eq!(latencies.quantile_ms(990, 2), None);
 }
 
 checks::seeded! {
@@ -92,7 +92,7 @@
         values.iter().for_each(|&value| latencies.record(value, 0));
         values.sort_unstable();
         let position = (values.len() * permille as usize).div_ceil(1_000).saturating_sub(1);
-        match (values.get(position), latencies.quantile(permille, 1)) {
+        match (values.get(position), latencies.quantile_ms(permille, 1)) {
             (Some(&exact), Some(found)) => found >= exact && found <= exact + exact.div_ceil(4) + 1,
             (None, None) => true,
             _ => false,
--- a/components/routing/tests/prefix.rs
+++ b/components/routing/tests/prefix.rs
@@ -7,18 +7,20 @@
 use std::collections::HashSet;
 
 use common::{node, replica, table};
-use routing::{Ask, BlockEvent, Draws, Prefixes, Replica, Settings, choose};
+use routing::{
+    BlockEvent, PrefixTracker, Replica, Requirements, Settings, SplitMix64, choose_replica,
+};
 
 fn event(seq: u64, block: u64, stored: bool) -> BlockEvent {
     BlockEvent {
         seq,
-        block: hash(block),
+        block_hash: hash(block),
         stored,
     }
 }
 
 fn hash(block: u64) -> u64 {
-    Draws::new(block).bits()
+    SplitMix64::new(block).next_u64()
 }
 
 fn stored(blocks: u64) -> Vec<BlockEvent> {
@@ -54,43 +56,49 @@
         case("what comes after a gap counts", &again, 2),
     ];
     for case in cases {
-        let mut prefixes = Prefixes::new(1_024);
-        let id = prefixes.follow(node(0)).unwrap();
+        let mut prefixes = PrefixTracker::new(1_024);
+        let id = prefixes.track(node(0)).unwrap();
         prefixes.apply(node(0), &stored(6));
         prefixes.apply(node(0), &case.later);
-        let matches = prefixes.blocks().holders(&prompt(6));
-        assert_eq!(matches.blocks_at(id), case.held, "{}", case.name);
+        let matches = prefixes.block_table().holders(&prompt(6));
+        assert_eq!(matches.cached_blocks(id), case.held, "{}", case.name);
     }
 }
 
 #[test]
 fn forgets_a_replica_that_is_gone() {
-    let mut prefixes = Prefixes::new(1_024);
-    prefixes.follow(node(0));
+    let mut prefixes = PrefixTracker::new(1_024);
+    prefixes.track(node(0));
     prefixes.apply(node(0), &stored(6));
     prefixes.retain(|_| false);
-    let next = prefixes.follow(node(1)).unwrap();
-    assert_eq!(prefixes.blocks().holders(&prompt(6)).blocks_at(next), 0);
+    let next = prefixes.track(node(1)).unwrap();
+    assert_eq!(
+        prefixes
+            .block_table()
+            .holders(&prompt(6))
+            .cached_blocks(next),
+        0
+    );
 }
 
 #[test]
 fn the_longest_prefix_goes_first_and_load_outbids_it() {
-    let mut prefixes = Prefixes::new(1_024);
+    let mut prefixes = PrefixTracker::new(1_024);
     let replicas: Vec<Replica> = (0..20)
         .map(|number| Replica {
-            prefix_id: prefixes.follow(node(number)),
+            prefix_id: prefixes.track(node(number)),
             ..replica(number)
         })
         .collect();
     prefixes.apply(node(3), &stored(2));
     prefixes.apply(node(7), &stored(8));
     let table = table(Settings::default(), replicas);
-    let ask = Ask {
-        prefix: prefixes.blocks().holders(&prompt(10)),
-        ..Ask::default()
+    let requirements = Requirements {
+        prefix: prefixes.block_table().holders(&prompt(10)),
+        ..Requirements::default()
     };
     let choices: Vec<_> = (0..60)
-        .map(|random| choose(&table, &ask, random, 0).unwrap())
+        .map(|random| choose_replica(&table, &requirements, random, 0).unwrap())
         .collect();
     assert_eq!(choices[0].node, node(7));
     let at_holder = choices
@@ -103,20 +111,20 @@
 checks::seeded! {
     // With no gap, what the table says of a replica's cache is never more than is there.
     fn never_more_than_the_cache_holds(changes: Vec<(u8, bool)>) -> bool {
-        let mut prefixes = Prefixes::new(64);
-        let id = prefixes.follow(node(0)).unwrap();
+        let mut prefixes = PrefixTracker::new(64);
+        let id = prefixes.track(node(0)).unwrap();
         let mut cached = HashSet::new();
         for (seq, (block, is_stored)) in (0..).zip(changes) {
             let block = u64::from(block);
             prefixes.apply(node(0), &[event(seq, block, is_stored)]);
             if is_stored { cached.insert(block) } else { cached.remove(&block) };
-            let matches = prefixes.blocks().holders(&[hash(block)]);
-            if matches.blocks_at(id) != u32::from(cached.contains(&block)) {
+            let matches = prefixes.block_table().holders(&[hash(block)]);
+            if matches.cached_blocks(id) != u32::from(cached.contains(&block)) {
                 return false;
             }
         }
         (0..=255).all(|block| {
-            let held = prefixes.blocks().holders(&[hash(block)]).blocks_at(id);
+            let held = prefixes.block_table().holders(&[hash(block)]).cached_blocks(id);
             held == 0 || cached.contains(&block)
         })
     }
