--- a/components/gateway/src/accounts.rs
+++ b/components/gateway/src/accounts.rs
@@ -48,7 +48,7 @@
     fn set(&self, limits: &Limits, ceilings: &Ceilings, share: f64) {
         let weight = bounded(limits.weight, ceilings.weight);
         self.weight.store(weight, Ordering::Relaxed);
-        self.customer.set(&whole(limits, ceilings), share);
+        self.customer.set_limits(&whole(limits, ceilings), share);
     }
 }
 
@@ -109,8 +109,12 @@
         let accounts = self.accounts.load();
         let named = view.customers().filter_map(|(name, customer)| {
             let account = accounts.get(name)?;
-            let asked = account.customer.take_asked();
-            let part = demand(&whole(&customer.limits, &self.ceilings), &asked, elapsed_ms);
+            let offered = account.customer.take_offered();
+            let part = demand(
+                &whole(&customer.limits, &self.ceilings),
+                &offered,
+                elapsed_ms,
+            );
             Some((name.clone(), part))
         });
         named.collect()
--- a/components/gateway/src/admission.rs
+++ b/components/gateway/src/admission.rs
@@ -25,7 +25,7 @@
 impl Admitted {
     /// Gives back the tokens that the request did not use.
     pub fn used(&mut self, tokens: u32) {
-        self.in_progress.used(tokens);
+        self.in_progress.refund_unused(tokens);
     }
 }
 
@@ -36,7 +36,7 @@
     let tokens = job.work.tokens();
     let in_progress = account
         .customer
-        .enter(job.class, tokens, now_ms(), rand::random())?;
+        .admit(job.class, tokens, now_ms(), rand::random())?;
     pass_gate(gateway, job, account, in_progress, working).await
 }
 
@@ -48,7 +48,7 @@
     let left = Duration::from_millis(job.left_ms(now_ms()));
     let turn = account
         .customer
-        .enter_in_turn(job.class, job.work.tokens(), now_ms);
+        .admit_in_turn(job.class, job.work.tokens(), now_ms);
     let entered = tokio::time::timeout(left, turn).await;
     let in_progress = entered.map_err(|_| Failure::not_run(Cause::DeadlinePassed))?;
     let working = gateway.drain.admit(now_ms())?;
@@ -71,7 +71,7 @@
     let permit = match permit(gateway, job, &account).await {
         Ok(permit) => permit,
         Err(failure) => {
-            in_progress.used(0);
+            in_progress.refund_unused(0);
             return Err(failure);
         }
     };
--- a/components/gateway/src/exchange.rs
+++ b/components/gateway/src/exchange.rs
@@ -36,7 +36,7 @@
 impl Exchange {
     /// A request that was not sent yet.
     pub fn new(gateway: Arc<Gateway>, account: Arc<Account>, job: Job, place: Where) -> Self {
-        account.budget.first_try();
+        account.budget.record_first_attempt();
         Self {
             gateway,
             account,
@@ -68,7 +68,7 @@
             endpoints: &self.endpoints,
             deadline_left_ms: self.job.left_ms(now_ms),
         };
-        let budget = || self.account.budget.spend(now_ms);
+        let budget = || self.account.budget.try_spend(now_ms);
         let settings = RetrySettings::default();
         let decision = decide(&settings, &tried, rand::random(), budget);
         self.log_failed(failure, &decision);
--- a/components/gateway/src/hedged.rs
+++ b/components/gateway/src/hedged.rs
@@ -77,7 +77,7 @@
                 deadline_ms: self.job.deadline_at_ms,
                 may_run_twice: true,
             };
-            let spend = || self.account.budget.spend(now_ms);
+            let spend = || self.account.budget.try_spend(now_ms);
             match decide_hedge(slow, &state.latencies, settings, now_ms, spend) {
                 HedgeDecision::Never => return Either::Left(first.await),
                 HedgeDecision::Send => return Either::Right(first),
--- a/components/gateway/src/incoming.rs
+++ b/components/gateway/src/incoming.rs
@@ -55,7 +55,7 @@
         }
         let unknown = Failure::not_run(Cause::NoEndpoint);
         let account = self.account.as_ref().ok_or(unknown)?;
-        let _arriving = account.customer.arrive(class, rand::random())?;
+        let _arriving = account.customer.admit_pending_body(class, rand::random())?;
         let stated = body.size_hint().exact().unwrap_or_default();
         let stated = usize::try_from(stated).unwrap_or(usize::MAX);
         if stated > BODY_BYTES_MAX {
--- a/components/gateway/src/refresh.rs
+++ b/components/gateway/src/refresh.rs
@@ -31,7 +31,7 @@
     let mut ticks: u64 = 0;
     loop {
         while let Ok((peer, demand)) = told.try_recv() {
-            shares.told(peer, &demand, now_ms());
+            shares.record_digest(peer, &demand, now_ms());
         }
         refresh(&gateway, &mut shares);
         if ticks.is_multiple_of(LEVELS_EVERY) {
@@ -47,13 +47,13 @@
     let snapshot = gateway.gossip.snapshot();
     gateway.services.refresh(&snapshot, &view);
     let now_ms = now_ms();
-    if let Some(elapsed_ms) = shares.due(now_ms) {
+    if let Some(elapsed_ms) = shares.elapsed_if_due_ms(now_ms) {
         let live = snapshot.live(ProcessRole::Entry);
         let (peers, addresses): (Vec<NodeId>, Vec<SocketAddr>) = live
             .filter_map(|entry| Some((node(entry)?, entry.address)))
             .unzip();
         let demands = gateway.accounts.demands(&view, elapsed_ms);
-        let digest = shares.round(&peers, demands, elapsed_ms, now_ms);
+        let digest = shares.run_round(&peers, demands, elapsed_ms, now_ms);
         gateway
             .gossip
             .tell_directly(addresses, News::Demand(digest));
--- a/components/gateway/src/services.rs
+++ b/components/gateway/src/services.rs
@@ -100,7 +100,7 @@
         // With no replica the choice refuses at once; a gate of no slots would let
         // requests wait for a slot that never comes.
         let limit = count.max(1).saturating_mul(slots_per_replica);
-        if state.gate.room().limit != limit {
+        if state.gate.capacity().limit != limit {
             state.gate.set_limit(limit);
         }
         let replicas = replicas.iter().map(replica).collect();
--- a/components/gateway/src/status.rs
+++ b/components/gateway/src/status.rs
@@ -165,7 +165,7 @@
     let known = view.services().filter_map(|service| {
         let state = gateway.services.get(&service.owner, &service.name)?;
         let table = state.table();
-        let room = state.gate.room();
+        let room = state.gate.capacity();
         Some(Service {
             owner: service.owner.to_string(),
             service: service.name.to_string(),
--- a/components/gateway/src/training/api.rs
+++ b/components/gateway/src/training/api.rs
@@ -74,7 +74,7 @@
     let place = account.training.take(rand::random())?;
     let entered = account
         .customer
-        .enter(Class::Background, 0, now_ms(), rand::random());
+        .admit(Class::Background, 0, now_ms(), rand::random());
     drop(entered?);
     Ok(place)
 }
--- a/components/limits/examples/admission_cost.rs
+++ b/components/limits/examples/admission_cost.rs
@@ -15,8 +15,8 @@
 
 use common::customer;
 use limits::{
-    Admission, AdmissionSettings, Arrival, Clock, Customer, CustomerLimits, Gate, Request,
-    RetryBudget, Room, Ticket,
+    Admission, AdmissionSettings, Arrival, Capacity, Clock, Customer, CustomerLimits, Gate,
+    Request, RetryBudget, Ticket,
 };
 use types::{Class, CustomerName};
 
@@ -65,7 +65,7 @@
     let all: Vec<Arc<Customer>> = (0..customers).map(one).collect();
     timed(|| {
         for (call, customer) in (0..CALLS).zip(all.iter().cycle()) {
-            let _ = black_box(customer.enter(Class::Interactive, 700, call, call));
+            let _ = black_box(customer.admit(Class::Interactive, 700, call, call));
         }
     })
 }
@@ -73,7 +73,7 @@
 fn queue(customers: u64, calls: u64) -> f64 {
     let names = names(customers);
     let mut admission = Admission::new(AdmissionSettings::default());
-    let room = Room {
+    let capacity = Capacity {
         in_progress: 0,
         limit: 64,
         hold_ms: 1,
@@ -87,13 +87,13 @@
         deadline_ms: u64::MAX,
     };
     for number in 0..customers * WAITING_EACH {
-        let _ = admission.arrive(&arrival(number), room, 0, 0);
+        let _ = admission.enqueue(&arrival(number), capacity, 0, 0);
     }
     timed(|| {
         for number in 0..calls {
             let next = arrival(customers * WAITING_EACH + number);
-            let _ = black_box(admission.arrive(&next, room, 0, 0));
-            black_box(admission.next(room, 0));
+            let _ = black_box(admission.enqueue(&next, capacity, 0, 0));
+            black_box(admission.next_action(capacity, 0));
         }
     })
 }
@@ -125,8 +125,8 @@
     let budget = RetryBudget::new(&limits::BudgetSettings::default());
     timed(|| {
         for now_ms in 0..CALLS {
-            budget.first_try();
-            black_box(budget.spend(now_ms));
+            budget.record_first_attempt();
+            black_box(budget.try_spend(now_ms));
         }
     })
 }
--- a/components/limits/examples/model/queue.rs
+++ b/components/limits/examples/model/queue.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashMap;
 
-use limits::{Action, Admission, AdmissionSettings, Arrival, Room, Ticket};
+use limits::{Action, Admission, AdmissionSettings, Arrival, Capacity, Ticket};
 use types::Class;
 
 use super::{Draws, customer};
@@ -69,10 +69,10 @@
 /// Runs the streams for `length_ms`; the same run gives the same figures.
 pub fn run(streams: &[Stream], order: Order, seed: u64, length_ms: u64) -> Vec<Tally> {
     let settings = AdmissionSettings {
-        hold_ms: HOLD_MS as u32,
-        lead_max: match order {
+        initial_hold_ms: HOLD_MS as u32,
+        lead_requests_max: match order {
             Order::PriorityOnly => u32::MAX,
-            Order::Fair | Order::Fifo => AdmissionSettings::default().lead_max,
+            Order::Fair | Order::Fifo => AdmissionSettings::default().lead_requests_max,
         },
         ..AdmissionSettings::default()
     };
@@ -122,8 +122,8 @@
 }
 
 impl Model {
-    fn room(&self) -> Room {
-        Room {
+    fn capacity(&self) -> Capacity {
+        Capacity {
             in_progress: self.ends_ms.len() as u32,
             limit: SLOTS,
             hold_ms: HOLD_MS as u32,
@@ -131,7 +131,10 @@
     }
 
     fn arrive(&mut self, stream: usize, arrival: &Arrival, now_ms: u64, random: u64) {
-        match self.admission.arrive(arrival, self.room(), now_ms, random) {
+        match self
+            .admission
+            .enqueue(arrival, self.capacity(), now_ms, random)
+        {
             Ok(()) => {
                 self.waiting.insert(arrival.ticket, (stream, now_ms));
             }
@@ -140,7 +143,7 @@
     }
 
     fn admit(&mut self, now_ms: u64, draws: &mut Draws) {
-        while let Some(action) = self.admission.next(self.room(), now_ms) {
+        while let Some(action) = self.admission.next_action(self.capacity(), now_ms) {
             match action {
                 Action::Admit(ticket) => {
                     let (stream, since_ms) = self.waiting.remove(&ticket).unwrap();
--- a/components/limits/src/admission.rs
+++ b/components/limits/src/admission.rs
@@ -11,8 +11,8 @@
 use derive::{key, value};
 use types::{Cause, Class, CustomerName, Failure};
 
-use crate::account::Accounts;
-use crate::fair::{FairQueue, Place};
+use crate::admitted_totals::AdmittedTotals;
+use crate::fair::{FairQueue, QueueKey};
 use crate::retry_after::retry_after_ms;
 use crate::settings::AdmissionSettings;
 use crate::ticket::Ticket;
@@ -36,7 +36,7 @@
 
 /// Slots of the service as they are now.
 #[key]
-pub struct Room {
+pub struct Capacity {
     /// Requests in progress.
     pub in_progress: u32,
     /// Most requests in progress.
@@ -55,42 +55,42 @@
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct QueuedTicket {
     class: Class,
-    place: Place,
+    key: QueueKey,
     deadline_ms: u64,
 }
 
 #[derive(Debug)]
-struct Line {
+struct ClassQueue {
     class: Class,
     queue: FairQueue,
     /// How often it was passed over since it was last served.
-    passed: u32,
+    skips: u32,
 }
 
 /// Requests that wait for a slot of one service.
 #[derive(Debug)]
 pub struct Admission {
     settings: AdmissionSettings,
-    lines: [Line; Class::ALL.len()],
-    accounts: Accounts,
-    waiting: HashMap<Ticket, Waiting>,
+    class_queues: [ClassQueue; Class::ALL.len()],
+    totals: AdmittedTotals,
+    waiting: HashMap<Ticket, QueuedTicket>,
     deadlines: BTreeSet<(u64, Ticket)>,
 }
 
 impl Admission {
     /// An empty queue.
     pub fn new(settings: AdmissionSettings) -> Self {
-        let line = |class| Line {
+        let class_queue = |class| ClassQueue {
             class,
             queue: FairQueue::default(),
-            passed: 0,
+            skips: 0,
         };
         Self {
             settings,
-            lines: Class::ALL.map(line),
-            accounts: Accounts::default(),
+            class_queues: Class::ALL.map(class_queue),
+            totals: AdmittedTotals::default(),
             waiting: HashMap::new(),
             deadlines: BTreeSet::new(),
         }
@@ -112,21 +112,21 @@
     }
 
     /// Queues the request, or refuses it at once.
-    pub fn arrive(
+    pub fn enqueue(
         &mut self,
         arrival: &Arrival,
-        room: Room,
+        capacity: Capacity,
         now_ms: u64,
         random: u64,
     ) -> Result<(), Failure> {
         if arrival.deadline_ms <= now_ms {
             return Err(Failure::not_run(Cause::DeadlinePassed));
         }
-        let wait_ms = self.wait_ms(arrival, room);
-        let line = self.line_mut(arrival.class);
-        let full = line.queue.waiting_of(&arrival.customer);
+        let wait_ms = self.estimated_wait_ms(arrival, capacity);
+        let class_queue = self.class_queue_mut(arrival.class);
+        let own_waiting = class_queue.queue.waiting_count(&arrival.customer);
         let too_late = now_ms.saturating_add(wait_ms) >= arrival.deadline_ms;
-        if too_late || full >= self.settings.waiting_max {
+        if too_late || own_waiting >= self.settings.waiting_max {
             let back_ms = retry_after_ms(wait_ms, random);
             return Err(Failure::not_run(Cause::QueueFull).retry_after(back_ms));
         }
@@ -136,13 +136,13 @@
 
     fn push(&mut self, arrival: &Arrival) {
         let ticket = arrival.ticket;
-        let line = self.line_mut(arrival.class);
-        let place = line
+        let class_queue = self.class_queue_mut(arrival.class);
+        let key = class_queue
             .queue
             .push(ticket, &arrival.customer, arrival.weight, arrival.cost);
-        let waiting = Waiting {
+        let waiting = QueuedTicket {
             class: arrival.class,
-            place,
+            key,
             deadline_ms: arrival.deadline_ms,
         };
         self.deadlines.insert((waiting.deadline_ms, ticket));
@@ -151,22 +151,24 @@
 
     /// Estimated wait of a request, in milliseconds: those before it, at the rate at
     /// which slots come free.
-    pub fn wait_ms(&self, arrival: &Arrival, room: Room) -> u64 {
-        let before = |line: &Line| match line.class.cmp(&arrival.class) {
-            std::cmp::Ordering::Less => line.queue.len() as u64,
-            std::cmp::Ordering::Equal => line.queue.ahead_of(&arrival.customer, arrival.weight),
+    pub fn estimated_wait_ms(&self, arrival: &Arrival, capacity: Capacity) -> u64 {
+        let before = |class_queue: &ClassQueue| match class_queue.class.cmp(&arrival.class) {
+            std::cmp::Ordering::Less => class_queue.queue.len() as u64,
+            std::cmp::Ordering::Equal => class_queue
+                .queue
+                .ahead_of(&arrival.customer, arrival.weight),
             std::cmp::Ordering::Greater => 0,
         };
-        let ahead: u64 = self.lines.iter().map(before).sum();
-        let slots = self.settings.slots(arrival.class, room.limit);
+        let ahead: u64 = self.class_queues.iter().map(before).sum();
+        let slots = self.settings.slots_for(arrival.class, capacity.limit);
         if slots == 0 {
             return u64::MAX;
         }
-        (ahead + 1) * u64::from(room.hold_ms) / u64::from(slots)
+        (ahead + 1) * u64::from(capacity.hold_ms) / u64::from(slots)
     }
 
     /// What to do next; to be asked until there is nothing.
-    pub fn next(&mut self, room: Room, now_ms: u64) -> Option<Action> {
+    pub fn next_action(&mut self, capacity: Capacity, now_ms: u64) -> Option<Action> {
         // Deadlines first: an owner that was paused must not hand over requests whose
         // callers have given up meanwhile.
         if let Some(&(deadline_ms, ticket)) = self.deadlines.first()
@@ -176,7 +178,7 @@
             let failure = Failure::not_run(Cause::DeadlinePassed);
             return Some(Action::Expire(ticket, failure));
         }
-        self.admit(room).map(Action::Admit)
+        self.admit(capacity).map(Action::Admit)
     }
 
     /// Takes out a request whose caller went away.
@@ -185,80 +187,89 @@
             return false;
         };
         self.deadlines.remove(&(waiting.deadline_ms, ticket));
-        self.line_mut(waiting.class).queue.remove(waiting.place);
-        self.even_out();
+        self.class_queue_mut(waiting.class)
+            .queue
+            .remove(waiting.key);
+        self.reset_if_empty();
         true
     }
 
-    fn admit(&mut self, room: Room) -> Option<Ticket> {
-        if room.in_progress >= room.limit {
+    fn admit(&mut self, capacity: Capacity) -> Option<Ticket> {
+        if capacity.in_progress >= capacity.limit {
             return None;
         }
-        let class = self.turn(room)?;
-        let least = self.least_given();
-        let (ticket, request) = self.line_mut(class).queue.pop()?;
-        self.accounts.give(&request, least);
-        self.count_passed(class);
+        let class = self.next_class(capacity)?;
+        let lowest_total = self.lowest_total();
+        let (ticket, request) = self.class_queue_mut(class).queue.pop()?;
+        self.totals.add(&request, lowest_total);
+        self.count_skips(class);
         if let Some(waiting) = self.waiting.remove(&ticket) {
             self.deadlines.remove(&(waiting.deadline_ms, ticket));
         }
-        self.even_out();
+        self.reset_if_empty();
         Some(ticket)
     }
 
-    fn even_out(&mut self) {
+    fn reset_if_empty(&mut self) {
         if self.waiting.is_empty() {
-            self.accounts.clear();
+            self.totals.reset();
         }
     }
 
     /// The class that goes next: one that was passed over too often, lowest first, else
     /// the highest whose next customer is not too far ahead.
-    fn turn(&self, room: Room) -> Option<Class> {
+    fn next_class(&self, capacity: Capacity) -> Option<Class> {
         let settings = &self.settings;
-        let mut waits = self.lines.iter().filter(|line| !line.queue.is_empty());
-        let is_overdue = |line: &&Line| line.passed >= settings.passed_max(line.class);
-        if let Some(overdue) = waits.clone().rev().find(is_overdue) {
+        let mut waiting = self
+            .class_queues
+            .iter()
+            .filter(|class_queue| !class_queue.queue.is_empty());
+        let is_overdue =
+            |class_queue: &&ClassQueue| class_queue.skips >= settings.skips_max(class_queue.class);
+        if let Some(overdue) = waiting.clone().rev().find(is_overdue) {
             return Some(overdue.class);
         }
-        let highest = waits.clone().next()?;
-        let least = self.least_given();
-        let next = waits.find(|line| !self.is_too_far_ahead(line, least))?;
+        let highest = waiting.clone().next()?;
+        let lowest_total = self.lowest_total();
+        let next = waiting.find(|class_queue| !self.is_too_far_ahead(class_queue, lowest_total))?;
         // The slots left free are for higher classes; not for a customer who is ahead.
-        let passes = next.class > highest.class;
-        let has_room = room.in_progress < settings.slots(next.class, room.limit);
-        (passes || has_room).then_some(next.class)
+        let overtakes = next.class > highest.class;
+        let has_room = capacity.in_progress < settings.slots_for(next.class, capacity.limit);
+        (overtakes || has_room).then_some(next.class)
     }
 
-    fn is_too_far_ahead(&self, line: &Line, least: u64) -> bool {
-        let Some(first) = line.queue.first() else {
+    fn is_too_far_ahead(&self, class_queue: &ClassQueue, lowest_total: u64) -> bool {
+        let Some(first) = class_queue.queue.peek() else {
             return false;
         };
-        let lead = self.accounts.given(&first.customer) - least;
+        let lead = self.totals.total(&first.customer) - lowest_total;
         lead > first
-            .length
-            .saturating_mul(u64::from(self.settings.lead_max))
+            .virtual_cost
+            .saturating_mul(u64::from(self.settings.lead_requests_max))
     }
 
     /// The least that a customer next in its class has been given.
-    fn least_given(&self) -> u64 {
-        let firsts = self.lines.iter().filter_map(|line| line.queue.first());
-        let given = firsts.map(|first| self.accounts.given(&first.customer));
-        given.min().unwrap_or_default()
+    fn lowest_total(&self) -> u64 {
+        let firsts = self
+            .class_queues
+            .iter()
+            .filter_map(|class_queue| class_queue.queue.peek());
+        let totals = firsts.map(|first| self.totals.total(&first.customer));
+        totals.min().unwrap_or_default()
     }
 
-    fn count_passed(&mut self, served: Class) {
-        for line in &mut self.lines {
-            if line.class == served || line.queue.is_empty() {
-                line.passed = 0;
-            } else if line.class > served {
-                line.passed += 1;
+    fn count_skips(&mut self, served: Class) {
+        for class_queue in &mut self.class_queues {
+            if class_queue.class == served || class_queue.queue.is_empty() {
+                class_queue.skips = 0;
+            } else if class_queue.class > served {
+                class_queue.skips += 1;
             }
         }
     }
 
-    fn line_mut(&mut self, class: Class) -> &mut Line {
-        let [interactive, background, sampling] = &mut self.lines;
+    fn class_queue_mut(&mut self, class: Class) -> &mut ClassQueue {
+        let [interactive, background, sampling] = &mut self.class_queues;
         match class {
             Class::Interactive => interactive,
             Class::Background => background,
--- a/components/limits/src/account.rs
+++ b/components/limits/src/admitted_totals.rs
@@ -8,33 +8,35 @@
 
 use types::CustomerName;
 
-use crate::fair::Waiting;
+use crate::fair::QueuedRequest;
 
 /// Virtual time given to customers, as in start-time fair queueing.
 #[derive(Debug, Default)]
-pub(crate) struct Accounts {
-    given: HashMap<CustomerName, u64>,
+pub(crate) struct AdmittedTotals {
+    totals: HashMap<CustomerName, u64>,
     /// The least that a waiting customer had been given; one that comes begins there.
-    clock: u64,
+    virtual_time: u64,
 }
 
-impl Accounts {
+impl AdmittedTotals {
     /// What the customer has been given.
-    pub(crate) fn given(&self, customer: &CustomerName) -> u64 {
-        let given = self.given.get(customer).copied();
-        given.unwrap_or_default().max(self.clock)
+    pub(crate) fn total(&self, customer: &CustomerName) -> u64 {
+        let total = self.totals.get(customer).copied();
+        total.unwrap_or_default().max(self.virtual_time)
     }
 
     /// Counts a request that was admitted; `least` is the least given of those waiting.
-    pub(crate) fn give(&mut self, request: &Waiting, least: u64) {
-        self.clock = self.clock.max(least);
-        let given = self.given(&request.customer).saturating_add(request.length);
-        self.given.insert(request.customer.clone(), given);
+    pub(crate) fn add(&mut self, request: &QueuedRequest, lowest_total: u64) {
+        self.virtual_time = self.virtual_time.max(lowest_total);
+        let total = self
+            .total(&request.customer)
+            .saturating_add(request.virtual_cost);
+        self.totals.insert(request.customer.clone(), total);
     }
 
     /// With nobody waiting all are even.
-    pub(crate) fn clear(&mut self) {
-        self.given.clear();
-        self.clock = 0;
+    pub(crate) fn reset(&mut self) {
+        self.totals.clear();
+        self.virtual_time = 0;
     }
 }
--- a/components/limits/src/bucket.rs
+++ b/components/limits/src/bucket.rs
@@ -11,14 +11,14 @@
 
 /// A rate with a burst, shared by threads.
 #[derive(Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     full_at_ns: AtomicU64,
     /// Time that one unit stands for; 0 is no limit.
     unit_ns: AtomicU64,
     burst_ns: u64,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full bucket of `per_s` units a second that holds `burst_ms` of them.
     pub fn new(per_s: f64, burst_ms: u64) -> Self {
         let bucket = Self {
@@ -43,13 +43,18 @@
 
     /// Takes `units`, or says in how many milliseconds they can be had. More than a
     /// whole bucket is given when it is full, and paid off afterwards.
-    pub fn take(&self, units: u32, now_ms: u64) -> Result<(), u64> {
-        self.take_leaving(units, 0, now_ms)
+    pub fn try_take(&self, units: u32, now_ms: u64) -> Result<(), u64> {
+        self.try_take_with_reserve(units, 0, now_ms)
     }
 
     /// The same, but `reserve_permille` thousandths of a full bucket stay in it. More
     /// than the rest is given when the bucket is full.
-    pub fn take_leaving(&self, units: u32, reserve_permille: u32, now_ms: u64) -> Result<(), u64> {
+    pub fn try_take_with_reserve(
+        &self,
+        units: u32,
+        reserve_permille: u32,
+        now_ms: u64,
+    ) -> Result<(), u64> {
         let reserve_ns = self.burst_ns / 1_000 * u64::from(reserve_permille.min(1_000));
         let unit_ns = self.unit_ns.load(Ordering::Relaxed);
         let cost_ns = unit_ns.saturating_mul(u64::from(units));
@@ -60,31 +65,31 @@
             let next_ns = start_ns.saturating_add(cost_ns);
             // A cost above the burst would never fit; it passes when the bucket is full.
             let room_ns = (self.burst_ns - reserve_ns).max(cost_ns);
-            let over_ns = next_ns.saturating_sub(now_ns.saturating_add(room_ns));
-            if over_ns > 0 {
-                return Err(over_ns.div_ceil(NS_PER_MS));
+            let excess_ns = next_ns.saturating_sub(now_ns.saturating_add(room_ns));
+            if excess_ns > 0 {
+                return Err(excess_ns.div_ceil(NS_PER_MS));
             }
-            let taken = self.full_at_ns.compare_exchange_weak(
+            let updated = self.full_at_ns.compare_exchange_weak(
                 full_at_ns,
                 next_ns,
                 Ordering::Relaxed,
                 Ordering::Relaxed,
             );
-            match taken {
+            match updated {
                 Ok(_) => return Ok(()),
-                Err(present_ns) => full_at_ns = present_ns,
+                Err(current_ns) => full_at_ns = current_ns,
             }
         }
     }
 
     /// Gives back units that were taken and not used.
-    pub fn give_back(&self, units: u32) {
+    pub fn refund(&self, units: u32) {
         let unit_ns = self.unit_ns.load(Ordering::Relaxed);
         let cost_ns = unit_ns.saturating_mul(u64::from(units));
-        let less = |full_at_ns: u64| Some(full_at_ns.saturating_sub(cost_ns));
+        let reduced = |full_at_ns: u64| Some(full_at_ns.saturating_sub(cost_ns));
         // The closure always gives a number, so the update cannot fail.
         let _ = self
             .full_at_ns
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, less);
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, reduced);
     }
 }
--- a/components/limits/src/budget.rs
+++ b/components/limits/src/budget.rs
@@ -8,31 +8,31 @@
 
 use derive::value;
 
-use crate::bucket::Bucket;
+use crate::bucket::TokenBucket;
 
 /// Cost of one retry in the thousandths that first tries earn.
-const RETRY: u64 = 1_000;
+const RETRY_COST: u64 = 1_000;
 
 /// Settings of a retry budget.
 #[value]
 pub struct BudgetSettings {
     /// Retries that a thousand first tries earn.
-    pub permille: u32,
+    pub earned_permille: u32,
     /// Most earned retries that are kept.
-    pub kept_max: u32,
+    pub earned_max: u32,
     /// Retries at hand with no first tries, for a customer of few calls.
-    pub constant: u32,
+    pub base_retries: u32,
     /// Time in which the constant part comes back, in milliseconds.
-    pub constant_ms: u64,
+    pub base_period_ms: u64,
 }
 
 impl Default for BudgetSettings {
     fn default() -> Self {
         Self {
-            permille: 100,
-            kept_max: 100,
-            constant: 10,
-            constant_ms: 10_000,
+            earned_permille: 100,
+            earned_max: 100,
+            base_retries: 10,
+            base_period_ms: 10_000,
         }
     }
 }
@@ -40,31 +40,31 @@
 /// Retries that a customer's calls have left; shared by threads.
 #[derive(Debug)]
 pub struct RetryBudget {
-    permille: u64,
-    kept_max: u64,
+    earned_permille: u64,
+    earned_max: u64,
     earned: AtomicU64,
-    constant: Bucket,
+    base_retries: TokenBucket,
 }
 
 impl RetryBudget {
     /// A budget with nothing earned yet.
     pub fn new(settings: &BudgetSettings) -> Self {
         const MS_PER_S: f64 = 1_000.0;
-        let constant_s = settings.constant_ms.max(1) as f64 / MS_PER_S;
-        let constant_per_s = f64::from(settings.constant) / constant_s;
+        let base_period_s = settings.base_period_ms.max(1) as f64 / MS_PER_S;
+        let base_per_s = f64::from(settings.base_retries) / base_period_s;
         Self {
-            permille: u64::from(settings.permille),
-            kept_max: u64::from(settings.kept_max) * RETRY,
+            earned_permille: u64::from(settings.earned_permille),
+            earned_max: u64::from(settings.earned_max) * RETRY_COST,
             earned: AtomicU64::new(0),
-            constant: Bucket::new(constant_per_s, settings.constant_ms),
+            base_retries: TokenBucket::new(base_per_s, settings.base_period_ms),
         }
     }
 
     /// Counts a first try.
-    pub fn first_try(&self) {
+    pub fn record_first_attempt(&self) {
         let earn = |earned: u64| {
-            let more = (earned + self.permille).min(self.kept_max);
-            (more != earned).then_some(more)
+            let increased = (earned + self.earned_permille).min(self.earned_max);
+            (increased != earned).then_some(increased)
         };
         // A full budget stays as it is.
         let _ = self
@@ -73,11 +73,11 @@
     }
 
     /// Takes one retry; false when none is left.
-    pub fn spend(&self, now_ms: u64) -> bool {
-        let pay = |earned: u64| earned.checked_sub(RETRY);
-        let paid = self
+    pub fn try_spend(&self, now_ms: u64) -> bool {
+        let deduct = |earned: u64| earned.checked_sub(RETRY_COST);
+        let deducted = self
             .earned
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, pay);
-        paid.is_ok() || self.constant.take(1, now_ms).is_ok()
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, deduct);
+        deducted.is_ok() || self.base_retries.try_take(1, now_ms).is_ok()
     }
 }
--- a/components/limits/src/customer.rs
+++ b/components/limits/src/customer.rs
@@ -13,8 +13,8 @@
 use tokio::sync::{Notify, Semaphore};
 use types::{Cause, Class, Failure};
 
-use crate::asked::{Asked, Counts};
-use crate::bucket::Bucket;
+use crate::bucket::TokenBucket;
+use crate::offered::{OfferedByClass, OfferedCounters};
 use crate::retry_after::retry_after_ms;
 
 /// Time of the rate that may be used at once, in milliseconds.
@@ -50,29 +50,29 @@
 /// One customer's use of this entry; shared by threads.
 #[derive(Debug)]
 pub struct Customer {
-    requests: Bucket,
-    tokens: Bucket,
+    requests: TokenBucket,
+    tokens: TokenBucket,
     in_progress: AtomicU32,
     in_progress_max: AtomicU32,
-    calls: Counts,
-    sampling: Counts,
+    calls: OfferedCounters,
+    sampling: OfferedCounters,
     /// Whoever waits for room stands in this line; the first of it looks for room.
-    line: Semaphore,
+    turn: Semaphore,
     waiting: AtomicU32,
     freed: Notify,
 }
 
 /// What is in the way of a request.
-enum Full {
+enum LimitReached {
     InProgress,
     Rate { wait_ms: u64 },
 }
 
-impl Full {
+impl LimitReached {
     fn wait_ms(&self) -> u64 {
         match self {
-            Full::InProgress => IN_PROGRESS_WAIT_MS,
-            Full::Rate { wait_ms } => *wait_ms,
+            LimitReached::InProgress => IN_PROGRESS_WAIT_MS,
+            LimitReached::Rate { wait_ms } => *wait_ms,
         }
     }
 }
@@ -81,36 +81,36 @@
     /// A customer that has used nothing; `share` is this entry's part of the limits.
     pub fn new(limits: &CustomerLimits, share: f64) -> Self {
         let customer = Self {
-            requests: Bucket::new(f64::INFINITY, BURST_MS),
-            tokens: Bucket::new(f64::INFINITY, BURST_MS),
+            requests: TokenBucket::new(f64::INFINITY, BURST_MS),
+            tokens: TokenBucket::new(f64::INFINITY, BURST_MS),
             in_progress: AtomicU32::new(0),
             in_progress_max: AtomicU32::new(u32::MAX),
-            calls: Counts::default(),
-            sampling: Counts::default(),
-            line: Semaphore::new(1),
+            calls: OfferedCounters::default(),
+            sampling: OfferedCounters::default(),
+            turn: Semaphore::new(1),
             waiting: AtomicU32::new(0),
             freed: Notify::new(),
         };
-        customer.set(limits, share);
+        customer.set_limits(limits, share);
         customer
     }
 
     /// Puts other limits or another share of them in force.
-    pub fn set(&self, limits: &CustomerLimits, share: f64) {
+    pub fn set_limits(&self, limits: &CustomerLimits, share: f64) {
         let rate =
             |per_s: Option<u32>| per_s.map_or(f64::INFINITY, |per_s| f64::from(per_s) * share);
         self.requests.set_rate(rate(limits.requests_per_s));
         self.tokens.set_rate(rate(limits.tokens_per_s));
         // At least one, or an entry with a small share would refuse the customer for good.
-        let part = |max: u32| (f64::from(max) * share).max(1.0) as u32;
-        let in_progress_max = limits.in_progress.map_or(u32::MAX, part);
+        let scaled = |max: u32| (f64::from(max) * share).max(1.0) as u32;
+        let in_progress_max = limits.in_progress.map_or(u32::MAX, scaled);
         self.in_progress_max
             .store(in_progress_max, Ordering::Relaxed);
     }
 
     /// What was asked for since the last call of this.
-    pub fn take_asked(&self) -> Asked {
-        Asked {
+    pub fn take_offered(&self) -> OfferedByClass {
+        OfferedByClass {
             calls: self.calls.take(),
             sampling: self.sampling.take(),
         }
@@ -128,47 +128,51 @@
 
     /// Lets in a request of `tokens` (prompt and the most that it may generate), or
     /// refuses it with the time to come back.
-    pub fn enter(
+    pub fn admit(
         self: &Arc<Self>,
         class: Class,
         tokens: u32,
         now_ms: u64,
         random: u64,
     ) -> Result<InProgress, Failure> {
-        self.counts(class).offer(tokens);
-        self.try_enter(class, tokens, now_ms).map_err(|full| {
-            let back_ms = retry_after_ms(full.wait_ms(), random);
+        self.counts(class).record(tokens);
+        self.try_admit(class, tokens, now_ms).map_err(|reached| {
+            let back_ms = retry_after_ms(reached.wait_ms(), random);
             Failure::not_run(Cause::CustomerLimit).retry_after(back_ms)
         })
     }
 
     /// Counts a request in whose body is still to be read, and which is not known in full;
     /// [`Customer::enter`] follows. Refuses it with the time to come back.
-    pub fn arrive(self: &Arc<Self>, class: Class, random: u64) -> Result<InProgress, Failure> {
+    pub fn admit_pending_body(
+        self: &Arc<Self>,
+        class: Class,
+        random: u64,
+    ) -> Result<InProgress, Failure> {
         let back_ms = retry_after_ms(IN_PROGRESS_WAIT_MS, random);
         let refused = Failure::not_run(Cause::CustomerLimit).retry_after(back_ms);
-        self.count_in(class).ok_or(refused)
+        self.try_count_in_progress(class).ok_or(refused)
     }
 
     /// Lets in a request of `tokens` when there is room for it, in the order of arrival.
-    pub async fn enter_in_turn(
+    pub async fn admit_in_turn(
         self: &Arc<Self>,
         class: Class,
         tokens: u32,
         clock: impl Fn() -> u64,
     ) -> InProgress {
         let counts = self.counts(class);
-        counts.offer(tokens);
-        let _counted = Counted::new(Arc::clone(self), class);
-        let _waiting = Waiting::new(self);
+        counts.record(tokens);
+        let _demand = DemandGuard::new(Arc::clone(self), class);
+        let _waiting = WaitGuard::new(self);
         // The semaphore is never closed; without its permit the order alone is lost.
-        let _first = self.line.acquire().await;
+        let _first = self.turn.acquire().await;
         loop {
             let freed = self.freed.notified();
-            match self.try_enter(class, tokens, clock()) {
-                Ok(entered) => return entered,
-                Err(full) => {
-                    let wait = Duration::from_millis(full.wait_ms().max(1));
+            match self.try_admit(class, tokens, clock()) {
+                Ok(admitted) => return admitted,
+                Err(reached) => {
+                    let wait = Duration::from_millis(reached.wait_ms().max(1));
                     // The time also ends a wait whose limits were changed meanwhile.
                     let _ = tokio::time::timeout(wait, freed).await;
                 }
@@ -176,42 +180,48 @@
         }
     }
 
-    fn try_enter(
+    fn try_admit(
         self: &Arc<Self>,
         class: Class,
         tokens: u32,
         now_ms: u64,
-    ) -> Result<InProgress, Full> {
+    ) -> Result<InProgress, LimitReached> {
         let reserve_permille = reserve_permille(class);
-        let mut entered = self.count_in(class).ok_or(Full::InProgress)?;
-        let full = |wait_ms| Full::Rate { wait_ms };
-        let requests = self.requests.take_leaving(1, reserve_permille, now_ms);
-        requests.map_err(full)?;
-        let taken = self.tokens.take_leaving(tokens, reserve_permille, now_ms);
+        let mut admitted = self
+            .try_count_in_progress(class)
+            .ok_or(LimitReached::InProgress)?;
+        let reached = |wait_ms| LimitReached::Rate { wait_ms };
+        let requests = self
+            .requests
+            .try_take_with_reserve(1, reserve_permille, now_ms);
+        requests.map_err(reached)?;
+        let taken = self
+            .tokens
+            .try_take_with_reserve(tokens, reserve_permille, now_ms);
         if let Err(wait_ms) = taken {
-            self.requests.give_back(1);
-            return Err(Full::Rate { wait_ms });
+            self.requests.refund(1);
+            return Err(LimitReached::Rate { wait_ms });
         }
-        entered.tokens = tokens;
-        Ok(entered)
+        admitted.tokens = tokens;
+        Ok(admitted)
     }
 
-    fn count_in(self: &Arc<Self>, class: Class) -> Option<InProgress> {
+    fn try_count_in_progress(self: &Arc<Self>, class: Class) -> Option<InProgress> {
         let max = self.in_progress_max.load(Ordering::Relaxed);
         let left_free = u64::from(max) * u64::from(reserve_permille(class)) / 1_000;
         // At least one, or a small limit would shut the class out for good.
         let max = (max - left_free as u32).max(max.min(1));
-        let more = |count: u32| (count < max).then_some(count + 1);
-        let counted = self
-            .in_progress
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, more);
+        let increment = |count: u32| (count < max).then_some(count + 1);
+        let counted =
+            self.in_progress
+                .fetch_update(Ordering::Relaxed, Ordering::Relaxed, increment);
         counted.ok().map(|_| InProgress {
-            counted: Counted::new(Arc::clone(self), class),
+            demand: DemandGuard::new(Arc::clone(self), class),
             tokens: 0,
         })
     }
 
-    fn counts(&self, class: Class) -> &Counts {
+    fn counts(&self, class: Class) -> &OfferedCounters {
         match class {
             Class::Interactive | Class::Background => &self.calls,
             Class::Sampling => &self.sampling,
@@ -220,16 +230,16 @@
 }
 
 /// A request that waits in turn while this lives.
-struct Waiting<'a>(&'a Customer);
+struct WaitGuard<'a>(&'a Customer);
 
-impl<'a> Waiting<'a> {
+impl<'a> WaitGuard<'a> {
     fn new(customer: &'a Customer) -> Self {
         customer.waiting.fetch_add(1, Ordering::Relaxed);
         Self(customer)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
         self.0.waiting.fetch_sub(1, Ordering::Relaxed);
     }
@@ -237,12 +247,12 @@
 
 /// A request that counts as demand while this lives.
 #[derive(Debug)]
-struct Counted {
+struct DemandGuard {
     customer: Arc<Customer>,
     class: Class,
 }
 
-impl Counted {
+impl DemandGuard {
     fn new(customer: Arc<Customer>, class: Class) -> Self {
         let counts = customer.counts(class);
         counts.in_progress.fetch_add(1, Ordering::Relaxed);
@@ -250,7 +260,7 @@
     }
 }
 
-impl Drop for Counted {
+impl Drop for DemandGuard {
     fn drop(&mut self) {
         let counts = self.customer.counts(self.class);
         counts.in_progress.fetch_sub(1, Ordering::Relaxed);
@@ -260,22 +270,22 @@
 /// A request of a customer that is in progress; its drop ends it.
 #[derive(Debug)]
 pub struct InProgress {
-    counted: Counted,
+    demand: DemandGuard,
     tokens: u32,
 }
 
 impl InProgress {
     /// Gives back the tokens that were taken and not used; 0 used if it was not run.
-    pub fn used(&mut self, tokens: u32) {
+    pub fn refund_unused(&mut self, tokens: u32) {
         let unused = self.tokens.saturating_sub(tokens);
         self.tokens = self.tokens.min(tokens);
-        self.counted.customer.tokens.give_back(unused);
+        self.demand.customer.tokens.refund(unused);
     }
 }
 
 impl Drop for InProgress {
     fn drop(&mut self) {
-        let customer = &self.counted.customer;
+        let customer = &self.demand.customer;
         customer.in_progress.fetch_sub(1, Ordering::Relaxed);
         // Where nobody waits, the next one to wait looks once more for nothing.
         customer.freed.notify_one();
--- a/components/limits/src/fair.rs
+++ b/components/limits/src/fair.rs
@@ -13,27 +13,27 @@
 use crate::ticket::Ticket;
 
 /// Virtual time of one unit of cost at weight 1; the weights up to 10 divide it.
-const UNIT: u64 = 5_040;
+const VIRTUAL_TIME_PER_COST: u64 = 5_040;
 
 /// Place in the queue: start tag, then order of arrival.
 #[key]
-pub(crate) struct Place {
-    start: u64,
+pub(crate) struct QueueKey {
+    start_tag: u64,
     ticket: Ticket,
 }
 
 /// One request that waits.
 #[derive(Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct QueuedRequest {
     pub(crate) customer: CustomerName,
     /// Virtual time that it takes: its cost over its customer's weight.
-    pub(crate) length: u64,
+    pub(crate) virtual_cost: u64,
 }
 
 #[derive(Debug)]
 struct Flow {
     /// Finish tag of its last request.
-    finish: u64,
+    finish_tag: u64,
     waiting: u32,
     weight: u32,
 }
@@ -41,11 +41,11 @@
 /// Requests of one class that wait.
 #[derive(Debug, Default)]
 pub(crate) struct FairQueue {
-    waiting: BTreeMap<Place, Waiting>,
+    waiting: BTreeMap<QueueKey, QueuedRequest>,
     flows: HashMap<CustomerName, Flow>,
     virtual_time: u64,
     /// Sum of the weights of customers that wait.
-    weight: u64,
+    active_weight: u64,
 }
 
 impl FairQueue {
@@ -58,7 +58,7 @@
     }
 
     /// Requests of the customer that wait.
-    pub(crate) fn waiting_of(&self, customer: &CustomerName) -> u32 {
+    pub(crate) fn waiting_count(&self, customer: &CustomerName) -> u32 {
         self.flows.get(customer).map_or(0, |flow| flow.waiting)
     }
 
@@ -66,12 +66,12 @@
     /// weight lets it overtake those of others.
     pub(crate) fn ahead_of(&self, customer: &CustomerName, weight: u32) -> u64 {
         let weight = u64::from(weight.max(1));
-        let own = u64::from(self.waiting_of(customer));
-        let active = match own {
-            0 => self.weight + weight,
-            _ => self.weight,
+        let own_waiting = u64::from(self.waiting_count(customer));
+        let active_weight = match own_waiting {
+            0 => self.active_weight + weight,
+            _ => self.active_weight,
         };
-        let by_share = (own + 1) * active / weight;
+        let by_share = (own_waiting + 1) * active_weight / weight;
         by_share.min(self.waiting.len() as u64)
     }
 
@@ -81,62 +81,62 @@
         customer: &CustomerName,
         weight: u32,
         cost: u32,
-    ) -> Place {
+    ) -> QueueKey {
         let weight = weight.max(1);
-        let length = u64::from(cost.max(1)) * UNIT / u64::from(weight);
+        let virtual_cost = u64::from(cost.max(1)) * VIRTUAL_TIME_PER_COST / u64::from(weight);
         let virtual_time = self.virtual_time;
         let flow = self.flows.entry(customer.clone()).or_insert(Flow {
-            finish: virtual_time,
+            finish_tag: virtual_time,
             waiting: 0,
             weight,
         });
         if flow.waiting == 0 {
             flow.weight = weight;
-            self.weight += u64::from(weight);
+            self.active_weight += u64::from(weight);
         }
         flow.waiting += 1;
-        let start = flow.finish.max(virtual_time);
-        flow.finish = start.saturating_add(length);
-        let place = Place { start, ticket };
-        let waiting = Waiting {
+        let start_tag = flow.finish_tag.max(virtual_time);
+        flow.finish_tag = start_tag.saturating_add(virtual_cost);
+        let key = QueueKey { start_tag, ticket };
+        let waiting = QueuedRequest {
             customer: customer.clone(),
-            length,
+            virtual_cost,
         };
-        self.waiting.insert(place, waiting);
-        place
+        self.waiting.insert(key, waiting);
+        key
     }
 
     /// The request that goes next.
-    pub(crate) fn first(&self) -> Option<&Waiting> {
+    pub(crate) fn peek(&self) -> Option<&QueuedRequest> {
         self.waiting.first_key_value().map(|(_, waiting)| waiting)
     }
 
     /// Takes the request that goes next.
-    pub(crate) fn pop(&mut self) -> Option<(Ticket, Waiting)> {
-        let (place, waiting) = self.waiting.pop_first()?;
-        self.virtual_time = self.virtual_time.max(place.start);
-        self.left(&waiting.customer);
-        Some((place.ticket, waiting))
+    pub(crate) fn pop(&mut self) -> Option<(Ticket, QueuedRequest)> {
+        let (key, waiting) = self.waiting.pop_first()?;
+        self.virtual_time = self.virtual_time.max(key.start_tag);
+        self.remove_from_flow(&waiting.customer);
+        Some((key.ticket, waiting))
     }
 
     /// Takes out a request that will not be served, and gives its cost back: else the
     /// requests that expire in a stall would put their customer behind all others for
     /// as long as the stall was, after it is over.
-    pub(crate) fn remove(&mut self, place: Place) {
-        let Some(waiting) = self.waiting.remove(&place) else {
+    pub(crate) fn remove(&mut self, key: QueueKey) {
+        let Some(waiting) = self.waiting.remove(&key) else {
             return;
         };
         if let Some(flow) = self.flows.get_mut(&waiting.customer) {
-            flow.finish = flow.finish.saturating_sub(waiting.length);
+            flow.finish_tag = flow.finish_tag.saturating_sub(waiting.virtual_cost);
         }
-        self.left(&waiting.customer);
+        self.remove_from_flow(&waiting.customer);
     }
 
-    fn left(&mut self, customer: &CustomerName) {
+    fn remove_from_flow(&mut self, customer: &CustomerName) {
         if let Some(flow) = self.flows.get_mut(customer) {
             flow.waiting -= 1;
             if flow.waiting == 0 {
-                self.weight -= u64::from(flow.weight);
+                self.active_weight -= u64::from(flow.weight);
             }
         }
         // With nobody waiting all are even; dropping the flows bounds the memory.
--- a/components/limits/src/gate.rs
+++ b/components/limits/src/gate.rs
@@ -15,8 +15,8 @@
 use tokio::sync::{Notify, mpsc, oneshot};
 use types::{Cause, Class, CustomerName, Failure};
 
-use crate::admission::{Arrival, Room};
-use crate::queue_task::{self, Event};
+use crate::admission::{Arrival, Capacity};
+use crate::queue_task::{self, QueueEvent};
 use crate::retry_after::retry_after_ms;
 use crate::settings::AdmissionSettings;
 use crate::ticket::Ticket;
@@ -24,7 +24,7 @@
 /// Arrivals on their way to the queue's task.
 const CHANNEL_MAX: usize = 1_024;
 /// Weight of the newest hold time in its mean.
-const HOLD_SHARE: u32 = 16;
+const HOLD_SAMPLES: u32 = 16;
 
 /// Tells the time of the process's monotonic clock, in milliseconds.
 pub type Clock = Arc<dyn Fn() -> u64 + Send + Sync>;
@@ -59,7 +59,7 @@
     pub(crate) settings: AdmissionSettings,
     pub(crate) clock: Clock,
     pub(crate) freed: Notify,
-    events: mpsc::Sender<Event>,
+    events: mpsc::Sender<QueueEvent>,
 }
 
 const IN_PROGRESS: u64 = 1 << 32;
@@ -85,7 +85,7 @@
         let shared = Arc::new(Shared {
             counts: AtomicU64::new(0),
             limit: AtomicU32::new(limit),
-            hold_ms: AtomicU32::new(settings.hold_ms),
+            hold_ms: AtomicU32::new(settings.initial_hold_ms),
             next_ticket: AtomicU64::new(0),
             settings,
             clock,
@@ -103,8 +103,8 @@
     }
 
     /// Slots taken and slots in all.
-    pub fn room(&self) -> Room {
-        self.shared.room()
+    pub fn capacity(&self) -> Capacity {
+        self.shared.capacity()
     }
 
     /// Requests that wait.
@@ -118,7 +118,7 @@
         if request.deadline_ms <= now_ms {
             return Err(Failure::not_run(Cause::DeadlinePassed));
         }
-        if self.shared.take_or_wait(request.class) {
+        if self.shared.take_slot_or_wait(request.class) {
             return Ok(Permit::new(&self.shared, now_ms));
         }
         self.wait(request, random).await
@@ -135,7 +135,7 @@
             cost: request.cost,
             deadline_ms: request.deadline_ms,
         };
-        let sent = self.shared.events.try_send(Event::Arrived {
+        let sent = self.shared.events.try_send(QueueEvent::Arrived {
             arrival,
             random,
             answer,
@@ -143,22 +143,22 @@
         match sent {
             Ok(()) => {}
             Err(TrySendError::Full(_)) => {
-                self.shared.left_queue();
-                let hold_ms = u64::from(self.room().hold_ms);
+                self.shared.remove_waiting();
+                let hold_ms = u64::from(self.capacity().hold_ms);
                 let back_ms = retry_after_ms(hold_ms, random);
                 return Err(Failure::not_run(Cause::QueueFull).retry_after(back_ms));
             }
             Err(TrySendError::Closed(_)) => {
-                self.shared.left_queue();
+                self.shared.remove_waiting();
                 return Err(Failure::not_run(Cause::Internal));
             }
         }
-        let mut place = PlaceInQueue {
+        let mut guard = QueueGuard {
             shared: &self.shared,
             ticket: Some(ticket),
         };
         let outcome = answered.await;
-        place.ticket = None;
+        guard.ticket = None;
         outcome.unwrap_or(Err(Failure::not_run(Cause::Internal)))
     }
 }
@@ -166,15 +166,15 @@
 impl fmt::Debug for Gate {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Gate")
-            .field("room", &self.room())
+            .field("room", &self.capacity())
             .field("waiting", &self.waiting())
             .finish_non_exhaustive()
     }
 }
 
 impl Shared {
-    pub(crate) fn room(&self) -> Room {
-        Room {
+    pub(crate) fn capacity(&self) -> Capacity {
+        Capacity {
             in_progress: in_progress(self.counts.load(Ordering::Acquire)),
             limit: self.limit.load(Ordering::Relaxed),
             hold_ms: self.hold_ms.load(Ordering::Relaxed),
@@ -183,10 +183,10 @@
 
     /// Takes a slot and says so, or counts the request among the waiting. Both in one
     /// step: a permit dropped in between would see nobody waiting and wake no one.
-    fn take_or_wait(&self, class: Class) -> bool {
+    fn take_slot_or_wait(&self, class: Class) -> bool {
         let slots = self
             .settings
-            .slots(class, self.limit.load(Ordering::Relaxed));
+            .slots_for(class, self.limit.load(Ordering::Relaxed));
         let free = |counts| waiting(counts) == 0 && in_progress(counts) < slots;
         let step = |counts| match free(counts) {
             true => Some(counts + IN_PROGRESS),
@@ -206,23 +206,23 @@
     }
 
     /// A waiting request has left without a slot.
-    pub(crate) fn left_queue(&self) {
+    pub(crate) fn remove_waiting(&self) {
         self.counts.fetch_sub(WAITING, Ordering::AcqRel);
     }
 
     fn release(&self, held_ms: u64) {
         let before = self.counts.fetch_sub(IN_PROGRESS, Ordering::AcqRel);
-        self.learn_hold(held_ms);
+        self.update_hold_ms(held_ms);
         if waiting(before) > 0 {
             self.freed.notify_one();
         }
     }
 
-    fn learn_hold(&self, held_ms: u64) {
+    fn update_hold_ms(&self, held_ms: u64) {
         // Kept above zero, or the queue would never be thought too long.
         let held_ms = held_ms.clamp(1, u64::from(u32::MAX)) as u32;
         let mean_ms = self.hold_ms.load(Ordering::Relaxed);
-        let step_ms = held_ms.abs_diff(mean_ms).div_ceil(HOLD_SHARE);
+        let step_ms = held_ms.abs_diff(mean_ms).div_ceil(HOLD_SAMPLES);
         let next_ms = match held_ms > mean_ms {
             true => mean_ms + step_ms,
             false => mean_ms - step_ms,
@@ -263,17 +263,17 @@
 }
 
 /// A place in the queue; its drop gives it up unless it was answered.
-struct PlaceInQueue<'a> {
+struct QueueGuard<'a> {
     shared: &'a Shared,
     ticket: Option<Ticket>,
 }
 
-impl Drop for PlaceInQueue<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
         if let Some(ticket) = self.ticket {
             // With the channel full the place is kept until its turn or its deadline,
             // and the slot comes straight back.
-            let _ = self.shared.events.try_send(Event::Left(ticket));
+            let _ = self.shared.events.try_send(QueueEvent::Cancelled(ticket));
         }
     }
 }
--- a/components/limits/src/lib.rs
+++ b/components/limits/src/lib.rs
@@ -6,15 +6,15 @@
 //! pure [`Admission`]: class priority, a fair queue between customers, deadlines. The
 //! path of a request takes no lock; time and random numbers are passed in.
 
-mod account;
 mod admission;
-mod asked;
+mod admitted_totals;
 mod bucket;
 mod budget;
 mod customer;
 mod demand;
 mod fair;
 mod gate;
+mod offered;
 mod queue_task;
 mod retry_after;
 mod settings;
@@ -22,15 +22,15 @@
 mod shares;
 mod ticket;
 
-pub use admission::{Action, Admission, Arrival, Room};
-pub use asked::{Asked, Offered};
-pub use bucket::Bucket;
+pub use admission::{Action, Admission, Arrival, Capacity};
+pub use bucket::TokenBucket;
 pub use budget::{BudgetSettings, RetryBudget};
 pub use customer::{Customer, CustomerLimits, InProgress};
 pub use demand::demand;
 pub use gate::{Clock, Gate, Permit, Request};
+pub use offered::{OfferedByClass, OfferedLoad};
 pub use retry_after::retry_after_ms;
 pub use settings::AdmissionSettings;
-pub use share::{Share, ShareSettings};
-pub use shares::{BYTES_PER_S_MAX, DIGEST_BYTES_MAX, Shares, period_ms};
+pub use share::{CustomerShare, ShareSettings};
+pub use shares::{DIGEST_BYTES_MAX, DIGEST_BYTES_PER_S_MAX, Shares, round_interval_ms};
 pub use ticket::Ticket;
--- a/components/limits/src/queue_task.rs
+++ b/components/limits/src/queue_task.rs
@@ -18,7 +18,7 @@
 pub(crate) type Answer = oneshot::Sender<Result<Permit, Failure>>;
 
 /// News for the queue.
-pub(crate) enum Event {
+pub(crate) enum QueueEvent {
     /// A request found no room and is counted among the waiting.
     Arrived {
         arrival: Arrival,
@@ -26,11 +26,11 @@
         answer: Answer,
     },
     /// The caller of a waiting request went away.
-    Left(Ticket),
+    Cancelled(Ticket),
 }
 
 /// Runs the queue until the gate is gone.
-pub(crate) async fn run(gate: Weak<Shared>, mut events: mpsc::Receiver<Event>) {
+pub(crate) async fn run(gate: Weak<Shared>, mut events: mpsc::Receiver<QueueEvent>) {
     let Some(mut queue) = gate.upgrade().map(|shared| Queue::new(&shared)) else {
         return;
     };
@@ -39,14 +39,14 @@
         let sleep = Duration::from_millis(queue.sleep_ms(&shared));
         tokio::select! {
             event = events.recv() => match event {
-                Some(event) => queue.take(&shared, event),
+                Some(event) => queue.handle(&shared, event),
                 None => return,
             },
             () = shared.freed.notified() => {}
             () = time::sleep(sleep) => {}
         }
         while let Ok(event) = events.try_recv() {
-            queue.take(&shared, event);
+            queue.handle(&shared, event);
         }
     }
 }
@@ -64,58 +64,58 @@
         }
     }
 
-    fn take(&mut self, shared: &Shared, event: Event) {
+    fn handle(&mut self, shared: &Shared, event: QueueEvent) {
         match event {
-            Event::Arrived {
+            QueueEvent::Arrived {
                 arrival,
                 random,
                 answer,
-            } => self.arrived(shared, &arrival, random, answer),
-            Event::Left(ticket) => self.left(shared, ticket),
+            } => self.handle_arrival(shared, &arrival, random, answer),
+            QueueEvent::Cancelled(ticket) => self.handle_cancel(shared, ticket),
         }
     }
 
-    fn arrived(&mut self, shared: &Shared, arrival: &Arrival, random: u64, answer: Answer) {
+    fn handle_arrival(&mut self, shared: &Shared, arrival: &Arrival, random: u64, answer: Answer) {
         let now_ms = (shared.clock)();
         let queued = self
             .admission
-            .arrive(arrival, shared.room(), now_ms, random);
+            .enqueue(arrival, shared.capacity(), now_ms, random);
         match queued {
             Ok(()) => {
                 self.answers.insert(arrival.ticket, answer);
             }
             Err(failure) => {
-                shared.left_queue();
+                shared.remove_waiting();
                 let _ = answer.send(Err(failure));
             }
         }
     }
 
-    fn left(&mut self, shared: &Shared, ticket: Ticket) {
+    fn handle_cancel(&mut self, shared: &Shared, ticket: Ticket) {
         if self.admission.cancel(ticket) {
             self.answers.remove(&ticket);
-            shared.left_queue();
+            shared.remove_waiting();
         }
     }
 
     fn admit(&mut self, shared: &Arc<Shared>) {
         let now_ms = (shared.clock)();
-        while let Some(action) = self.admission.next(shared.room(), now_ms) {
+        while let Some(action) = self.admission.next_action(shared.capacity(), now_ms) {
             match action {
                 Action::Admit(ticket) => {
                     let permit = shared.admit_waiting(now_ms);
-                    self.answer(ticket, Ok(permit));
+                    self.send_answer(ticket, Ok(permit));
                 }
                 Action::Expire(ticket, failure) => {
-                    shared.left_queue();
-                    self.answer(ticket, Err(failure));
+                    shared.remove_waiting();
+                    self.send_answer(ticket, Err(failure));
                 }
             }
         }
     }
 
     /// A caller that went away drops the permit unread, which frees the slot again.
-    fn answer(&mut self, ticket: Ticket, answer: Result<Permit, Failure>) {
+    fn send_answer(&mut self, ticket: Ticket, answer: Result<Permit, Failure>) {
         if let Some(waiting) = self.answers.remove(&ticket) {
             let _ = waiting.send(answer);
         }
--- a/components/limits/src/settings.rs
+++ b/components/limits/src/settings.rs
@@ -12,14 +12,14 @@
     /// that an interactive request finds one; sampling leaves twice as many.
     pub headroom_permille: u32,
     /// Times that waiting background work is passed over before one of it goes first.
-    pub background_passed_max: u32,
+    pub background_skips_max: u32,
     /// Times that waiting sampling work is passed over before one of it goes first.
-    pub sampling_passed_max: u32,
+    pub sampling_skips_max: u32,
     /// Requests by which a customer may be ahead of another that waits in a lower class
     /// before its own class gives it no priority.
-    pub lead_max: u32,
+    pub lead_requests_max: u32,
     /// How long a slot is held, before it has been measured, in milliseconds.
-    pub hold_ms: u32,
+    pub initial_hold_ms: u32,
 }
 
 impl Default for AdmissionSettings {
@@ -27,10 +27,10 @@
         Self {
             waiting_max: 64,
             headroom_permille: 50,
-            background_passed_max: 8,
-            sampling_passed_max: 16,
-            lead_max: 32,
-            hold_ms: 100,
+            background_skips_max: 8,
+            sampling_skips_max: 16,
+            lead_requests_max: 32,
+            initial_hold_ms: 100,
         }
     }
 }
@@ -38,22 +38,22 @@
 impl AdmissionSettings {
     /// Slots of `limit` that `class` may fill. At least one, or a small limit would
     /// shut the class out for good.
-    pub(crate) fn slots(&self, class: Class, limit: u32) -> u32 {
-        let parts = match class {
+    pub(crate) fn slots_for(&self, class: Class, limit: u32) -> u32 {
+        let headroom_shares = match class {
             Class::Interactive => 0,
             Class::Background => 1,
             Class::Sampling => 2,
         };
-        let headroom_permille = u64::from(self.headroom_permille) * parts;
+        let headroom_permille = u64::from(self.headroom_permille) * headroom_shares;
         let left_free = u64::from(limit) * headroom_permille / 1_000;
         limit.saturating_sub(left_free as u32).max(1).min(limit)
     }
 
-    pub(crate) fn passed_max(&self, class: Class) -> u32 {
+    pub(crate) fn skips_max(&self, class: Class) -> u32 {
         match class {
             Class::Interactive => u32::MAX,
-            Class::Background => self.background_passed_max,
-            Class::Sampling => self.sampling_passed_max,
+            Class::Background => self.background_skips_max,
+            Class::Sampling => self.sampling_skips_max,
         }
     }
 }
--- a/components/limits/src/share.rs
+++ b/components/limits/src/share.rs
@@ -83,9 +83,9 @@
 
 /// One customer's share on this entry; one task owns it and puts the result in force.
 #[derive(Debug)]
-pub struct Share {
+pub struct CustomerShare {
     settings: ShareSettings,
-    own: Window,
+    own_demand: Window,
     /// Peers that live or were told of within the window.
     peers: HashMap<NodeId, Peer>,
 }
@@ -96,19 +96,19 @@
     seen_ms: u64,
 }
 
-impl Share {
+impl CustomerShare {
     /// A share of an entry that knows no peer yet.
     pub fn new(settings: ShareSettings) -> Self {
         Self {
             settings,
-            own: Window::default(),
+            own_demand: Window::default(),
             peers: HashMap::new(),
         }
     }
 
     /// Takes in the other entries that live now; one that is missing counts on for a
     /// window.
-    pub fn live(&mut self, peers: impl IntoIterator<Item = NodeId>, now_ms: u64) {
+    pub fn set_live_peers(&mut self, peers: impl IntoIterator<Item = NodeId>, now_ms: u64) {
         for node in peers {
             self.peers.entry(node).or_default().seen_ms = now_ms;
         }
@@ -118,12 +118,12 @@
     }
 
     /// Puts another window in force, in milliseconds.
-    pub fn set_window(&mut self, window_ms: u64) {
+    pub fn set_window_ms(&mut self, window_ms: u64) {
         self.settings.window_ms = window_ms;
     }
 
     /// Takes in a peer's demand, in the unit of [`Share::offered`].
-    pub fn told(&mut self, peer: NodeId, demand: f64, now_ms: u64) {
+    pub fn record_peer_demand(&mut self, peer: NodeId, demand: f64, now_ms: u64) {
         let window_ms = self.settings.window_ms;
         if let Some(peer) = self.peers.get_mut(&peer) {
             peer.demand.push(demand, now_ms, window_ms);
@@ -132,8 +132,9 @@
 
     /// Takes in this entry's demand, refused requests included, in any unit that all
     /// entries have in common.
-    pub fn offered(&mut self, demand: f64, now_ms: u64) {
-        self.own.push(demand, now_ms, self.settings.window_ms);
+    pub fn record_demand(&mut self, demand: f64, now_ms: u64) {
+        self.own_demand
+            .push(demand, now_ms, self.settings.window_ms);
     }
 
     /// This entry's share of the limit, from 0 to 1.
@@ -147,10 +148,10 @@
     }
 
     fn by_demand(&self, even: f64, now_ms: u64) -> f64 {
-        if !self.own.covers(now_ms, self.settings.window_ms) {
+        if !self.own_demand.covers(now_ms, self.settings.window_ms) {
             return 0.0;
         }
-        let own = self.own.lowest();
+        let own = self.own_demand.lowest();
         // A peer that has told nothing yet counts as busy as this entry.
         let demand_of = |peer: &Peer| match peer.demand.values.is_empty() {
             true => own,
--- a/components/limits/src/shares.rs
+++ b/components/limits/src/shares.rs
@@ -11,10 +11,10 @@
 use protocol::DemandDigest;
 use types::{CustomerName, NodeId};
 
-use crate::share::{Share, ShareSettings};
+use crate::share::{CustomerShare, ShareSettings};
 
 /// Most bytes of digests that an entry sends in a second.
-pub const BYTES_PER_S_MAX: u64 = 5_120;
+pub const DIGEST_BYTES_PER_S_MAX: u64 = 5_120;
 /// Largest digest.
 pub const DIGEST_BYTES_MAX: usize = 512;
 /// What a digest costs beside its lines: datagram, sender, tag, lower layers.
@@ -22,19 +22,19 @@
 /// What a line costs beside the customer's name.
 const LINE_BYTES: usize = 4;
 
-const PERIOD_MS_MIN: u64 = 500;
+const ROUND_INTERVAL_MIN_MS: u64 = 500;
 /// A lost digest, and the one before it late, are not missed.
-const PERIODS_PER_WINDOW: u64 = 3;
+const ROUNDS_PER_WINDOW: u64 = 3;
 /// Time in which an arriving request counts, in milliseconds. Shorter, and the chance
 /// gaps of a few requests a second would look like no demand at all.
-const MEAN_MS: f64 = 15_000.0;
+const DEMAND_TIME_CONSTANT_MS: f64 = 15_000.0;
 
 /// Demand is told in this part of a customer's limits.
-const UNITS: f64 = 10_000.0;
+const UNITS_PER_LIMIT: f64 = 10_000.0;
 
 #[derive(Debug)]
-struct Known {
-    share: Share,
+struct CustomerState {
+    share: CustomerShare,
     mean: Option<f64>,
 }
 
@@ -42,16 +42,16 @@
 #[derive(Debug, Default)]
 pub struct Shares {
     settings: ShareSettings,
-    known: HashMap<CustomerName, Known>,
+    customers: HashMap<CustomerName, CustomerState>,
     peers: usize,
-    round_ms: Option<u64>,
+    last_round_ms: Option<u64>,
 }
 
 /// Time between two rounds of an entry among `peers` others, in milliseconds.
-pub fn period_ms(peers: usize) -> u64 {
+pub fn round_interval_ms(peers: usize) -> u64 {
     let round_bytes = peers * (DIGEST_BYTES_MAX + OVERHEAD_BYTES);
-    let period_ms = round_bytes as u64 * 1_000 / BYTES_PER_S_MAX;
-    period_ms.max(PERIOD_MS_MIN)
+    let round_interval_ms = round_bytes as u64 * 1_000 / DIGEST_BYTES_PER_S_MAX;
+    round_interval_ms.max(ROUND_INTERVAL_MIN_MS)
 }
 
 impl Shares {
@@ -64,78 +64,83 @@
     }
 
     /// Time since the last round, in milliseconds, if the next one is due.
-    pub fn due(&self, now_ms: u64) -> Option<u64> {
-        let Some(round_ms) = self.round_ms else {
-            return Some(PERIOD_MS_MIN);
+    pub fn elapsed_if_due_ms(&self, now_ms: u64) -> Option<u64> {
+        let Some(last_round_ms) = self.last_round_ms else {
+            return Some(ROUND_INTERVAL_MIN_MS);
         };
-        let elapsed_ms = now_ms.saturating_sub(round_ms);
-        (elapsed_ms >= period_ms(self.peers)).then_some(elapsed_ms)
+        let elapsed_ms = now_ms.saturating_sub(last_round_ms);
+        (elapsed_ms >= round_interval_ms(self.peers)).then_some(elapsed_ms)
     }
 
     /// One round: takes in the other entries that live and this entry's demand, each a
     /// part of the customer's limits in the `elapsed_ms` milliseconds since the last
     /// round. Customers that are not named are forgotten. Gives what is to be told.
-    pub fn round(
+    pub fn run_round(
         &mut self,
         peers: &[NodeId],
         demands: impl IntoIterator<Item = (CustomerName, f64)>,
         elapsed_ms: u64,
         now_ms: u64,
     ) -> DemandDigest {
-        self.round_ms = Some(now_ms);
+        self.last_round_ms = Some(now_ms);
         self.peers = peers.len();
-        let window_ms = period_ms(self.peers) * PERIODS_PER_WINDOW;
+        let window_ms = round_interval_ms(self.peers) * ROUNDS_PER_WINDOW;
         let mut next = HashMap::new();
         let mut lines = Vec::new();
         for (customer, demand) in demands {
-            let mut known = self.known.remove(&customer).unwrap_or_else(|| Known {
-                share: Share::new(self.settings.clone()),
-                mean: None,
-            });
-            let mean = smoothed(known.mean, demand, elapsed_ms);
-            known.mean = Some(mean);
-            let units = (mean * UNITS).round();
-            known.share.set_window(window_ms);
-            known.share.live(peers.iter().copied(), now_ms);
+            let mut state = self
+                .customers
+                .remove(&customer)
+                .unwrap_or_else(|| CustomerState {
+                    share: CustomerShare::new(self.settings.clone()),
+                    mean: None,
+                });
+            let mean = moving_average(state.mean, demand, elapsed_ms);
+            state.mean = Some(mean);
+            let units = (mean * UNITS_PER_LIMIT).round();
+            state.share.set_window_ms(window_ms);
+            state.share.set_live_peers(peers.iter().copied(), now_ms);
             // What is told and what is counted must be one number, or the sum of the
             // shares could pass the limit.
-            known.share.offered(units, now_ms);
+            state.share.record_demand(units, now_ms);
             if units > 0.0 {
                 lines.push((customer.clone(), units as u32));
             }
-            next.insert(customer, known);
+            next.insert(customer, state);
         }
-        self.known = next;
+        self.customers = next;
         digest(lines)
     }
 
     /// Takes in what another entry told.
-    pub fn told(&mut self, peer: NodeId, digest: &DemandDigest, now_ms: u64) {
+    pub fn record_digest(&mut self, peer: NodeId, digest: &DemandDigest, now_ms: u64) {
         let lines: HashMap<&CustomerName, u32> = digest
             .lines
             .iter()
             .map(|(customer, units)| (customer, *units))
             .collect();
-        for (customer, known) in &mut self.known {
+        for (customer, state) in &mut self.customers {
             let units = lines.get(customer).copied().unwrap_or(digest.rest_max);
-            known.share.told(peer, f64::from(units), now_ms);
+            state
+                .share
+                .record_peer_demand(peer, f64::from(units), now_ms);
         }
     }
 
     /// This entry's share of the customer's limits, from 0 to 1.
     pub fn share(&self, customer: &CustomerName, now_ms: u64) -> f64 {
-        match self.known.get(customer) {
-            Some(known) => known.share.share(now_ms),
+        match self.customers.get(customer) {
+            Some(state) => state.share.share(now_ms),
             None => 1.0 / (self.peers as f64 + 1.0),
         }
     }
 }
 
-fn smoothed(mean: Option<f64>, demand: f64, elapsed_ms: u64) -> f64 {
+fn moving_average(mean: Option<f64>, demand: f64, elapsed_ms: u64) -> f64 {
     let Some(mean) = mean else {
         return demand;
     };
-    let newest = 1.0 - (-(elapsed_ms as f64) / MEAN_MS).exp();
+    let newest = 1.0 - (-(elapsed_ms as f64) / DEMAND_TIME_CONSTANT_MS).exp();
     mean + (demand - mean) * newest
 }
 
--- a/components/limits/tests/admission.rs
+++ b/components/limits/tests/admission.rs
@@ -6,17 +6,17 @@
 
 use common::queue::{self, Order, Stream};
 use common::{Draws, customer};
-use limits::{Action, Admission, AdmissionSettings, Arrival, Room, Ticket, retry_after_ms};
+use limits::{Action, Admission, AdmissionSettings, Arrival, Capacity, Ticket, retry_after_ms};
 use types::{Cause, Class, Failure, RunState};
 
-const ROOM: Room = Room {
+const FREE: Capacity = Capacity {
     in_progress: 0,
     limit: 10,
     hold_ms: 100,
 };
-const FULL: Room = Room {
+const FULL: Capacity = Capacity {
     in_progress: 10,
-    ..ROOM
+    ..FREE
 };
 
 fn arrival(ticket: u64, name: &str, class: Class) -> Arrival {
@@ -36,7 +36,7 @@
 
 /// Admits `count` requests; the tickets in order.
 fn order(admission: &mut Admission, count: usize) -> Vec<u64> {
-    let one = |_| match admission.next(ROOM, 0) {
+    let one = |_| match admission.next_action(FREE, 0) {
         Some(Action::Admit(ticket)) => Some(ticket.0),
         _ => None,
     };
@@ -101,7 +101,7 @@
     for case in cases {
         let mut admission = admission();
         for arrival in &case.arrivals {
-            admission.arrive(arrival, FULL, 0, 0).unwrap();
+            admission.enqueue(arrival, FULL, 0, 0).unwrap();
         }
         assert_eq!(order(&mut admission, 20), case.expected, "{}", case.name);
     }
@@ -113,11 +113,11 @@
 fn a_waiting_class_is_passed_over_a_bounded_number_of_times() {
     let mut admission = admission();
     admission
-        .arrive(&arrival(0, "a", Class::Sampling), FULL, 0, 0)
+        .enqueue(&arrival(0, "a", Class::Sampling), FULL, 0, 0)
         .unwrap();
     for ticket in 1..=40 {
         let clerk = arrival(ticket, "a", Class::Interactive);
-        admission.arrive(&clerk, FULL, 0, 0).unwrap();
+        admission.enqueue(&clerk, FULL, 0, 0).unwrap();
     }
     let order = order(&mut admission, 41);
     assert_eq!(order.iter().position(|&ticket| ticket == 0), Some(16));
@@ -126,20 +126,26 @@
 #[test]
 fn samples_leave_slots_for_interactive_requests() {
     let mut admission = admission();
-    let room = |in_progress| Room {
+    let capacity = |in_progress| Capacity {
         in_progress,
         limit: 20,
-        ..ROOM
+        ..FREE
     };
     admission
-        .arrive(&arrival(1, "a", Class::Sampling), room(20), 0, 0)
+        .enqueue(&arrival(1, "a", Class::Sampling), capacity(20), 0, 0)
         .unwrap();
-    assert_eq!(admission.next(room(18), 0), None);
+    assert_eq!(admission.next_action(capacity(18), 0), None);
     admission
-        .arrive(&arrival(2, "a", Class::Interactive), room(20), 0, 0)
+        .enqueue(&arrival(2, "a", Class::Interactive), capacity(20), 0, 0)
         .unwrap();
-    assert_eq!(admission.next(room(18), 0), Some(Action::Admit(Ticket(2))));
-    assert_eq!(admission.next(room(17), 0), Some(Action::Admit(Ticket(1))));
+    assert_eq!(
+        admission.next_action(capacity(18), 0),
+        Some(Action::Admit(Ticket(2)))
+    );
+    assert_eq!(
+        admission.next_action(capacity(17), 0),
+        Some(Action::Admit(Ticket(1)))
+    );
 }
 
 #[test]
@@ -188,13 +194,13 @@
         let mut admission = admission();
         for ticket in 0..case.waiting {
             let before = arrival(ticket, case.of, Class::Interactive);
-            admission.arrive(&before, FULL, 100, 0).unwrap();
+            admission.enqueue(&before, FULL, 100, 0).unwrap();
         }
         let last = Arrival {
             deadline_ms: case.deadline_ms,
             ..arrival(99, "b", Class::Interactive)
         };
-        let refused = admission.arrive(&last, FULL, 100, u64::MAX).err();
+        let refused = admission.enqueue(&last, FULL, 100, u64::MAX).err();
         assert_eq!(
             refused.map(|failure| failure.cause),
             case.expected,
@@ -219,19 +225,22 @@
             deadline_ms: 1_000 * (ticket + 1),
             ..arrival(ticket, "a", Class::Interactive)
         };
-        admission.arrive(&queued, FULL, 0, 0).unwrap();
+        admission.enqueue(&queued, FULL, 0, 0).unwrap();
     }
     let expired = Failure::not_run(Cause::DeadlinePassed);
     assert_eq!(
-        admission.next(ROOM, 2_500),
+        admission.next_action(FREE, 2_500),
         Some(Action::Expire(Ticket(0), expired))
     );
     assert_eq!(
-        admission.next(ROOM, 2_500),
+        admission.next_action(FREE, 2_500),
         Some(Action::Expire(Ticket(1), expired))
     );
-    assert_eq!(admission.next(ROOM, 2_500), Some(Action::Admit(Ticket(2))));
-    assert_eq!(admission.next(ROOM, 2_500), None);
+    assert_eq!(
+        admission.next_action(FREE, 2_500),
+        Some(Action::Admit(Ticket(2)))
+    );
+    assert_eq!(admission.next_action(FREE, 2_500), None);
 }
 
 // The service stalls for minutes and A's requests expire, batch after batch, while one
@@ -241,7 +250,7 @@
 fn expired_requests_are_not_charged() {
     let mut admission = admission();
     admission
-        .arrive(&arrival(0, "c", Class::Interactive), FULL, 0, 0)
+        .enqueue(&arrival(0, "c", Class::Interactive), FULL, 0, 0)
         .unwrap();
     let mut ticket = 0;
     for round in 0..50 {
@@ -252,16 +261,16 @@
                 deadline_ms: now_ms + 500,
                 ..arrival(ticket, "a", Class::Interactive)
             };
-            admission.arrive(&queued, FULL, now_ms, 0).unwrap();
+            admission.enqueue(&queued, FULL, now_ms, 0).unwrap();
         }
-        while admission.next(FULL, now_ms + 900).is_some() {}
+        while admission.next_action(FULL, now_ms + 900).is_some() {}
     }
     admission
-        .arrive(&arrival(5_001, "a", Class::Interactive), FULL, 60_000, 0)
+        .enqueue(&arrival(5_001, "a", Class::Interactive), FULL, 60_000, 0)
         .unwrap();
     for ticket in 6_001..6_011 {
         admission
-            .arrive(&arrival(ticket, "b", Class::Interactive), FULL, 60_000, 0)
+            .enqueue(&arrival(ticket, "b", Class::Interactive), FULL, 60_000, 0)
             .unwrap();
     }
     let position = order(&mut admission, 20)
@@ -339,20 +348,20 @@
                 deadline_ms: now_ms + draws.below(3_000),
                 ..arrival(step, ["a", "b", "c"][draws.below(3) as usize], Class::Sampling)
             };
-            let room = Room { in_progress: draws.below(12) as u32, ..ROOM };
-            if admission.arrive(&queued, room, now_ms, 0).is_err() {
+            let capacity = Capacity { in_progress: draws.below(12) as u32, ..FREE };
+            if admission.enqueue(&queued, capacity, now_ms, 0).is_err() {
                 answers[step as usize] += 1;
             }
             let other = draws.below(step + 1);
             if draws.below(5) == 0 && admission.cancel(Ticket(other)) {
                 answers[other as usize] += 1;
             }
-            if draws.below(2) == 0 && let Some(action) = admission.next(room, now_ms) {
+            if draws.below(2) == 0 && let Some(action) = admission.next_action(capacity, now_ms) {
                 let (Action::Admit(ticket) | Action::Expire(ticket, _)) = action;
                 answers[ticket.0 as usize] += 1;
             }
         }
-        while let Some(action) = admission.next(ROOM, u64::MAX) {
+        while let Some(action) = admission.next_action(FREE, u64::MAX) {
             let (Action::Admit(ticket) | Action::Expire(ticket, _)) = action;
             answers[ticket.0 as usize] += 1;
         }
--- a/components/limits/tests/gate.rs
+++ b/components/limits/tests/gate.rs
@@ -21,7 +21,7 @@
 
 fn gate(limit: u32) -> Gate {
     let settings = AdmissionSettings {
-        hold_ms: 10,
+        initial_hold_ms: 10,
         ..AdmissionSettings::default()
     };
     let (gate, task) = Gate::new(settings, limit, clock());
@@ -52,12 +52,12 @@
         async move { gate.admit(usual(), 0).await }
     });
     time::sleep(Duration::from_millis(50)).await;
-    assert_eq!((gate.room().in_progress, gate.waiting()), (1, 1));
+    assert_eq!((gate.capacity().in_progress, gate.waiting()), (1, 1));
     drop(first);
     let second = waiting.await.unwrap().unwrap();
-    assert_eq!((gate.room().in_progress, gate.waiting()), (1, 0));
+    assert_eq!((gate.capacity().in_progress, gate.waiting()), (1, 0));
     drop(second);
-    assert_eq!(gate.room().in_progress, 0);
+    assert_eq!(gate.capacity().in_progress, 0);
 }
 
 #[tokio::test(start_paused = true)]
@@ -123,5 +123,5 @@
     }
     let all = time::timeout(Duration::from_secs(120), tasks.join_all()).await;
     assert!(all.is_ok(), "a request still waits: {gate:?}");
-    assert_eq!((gate.room().in_progress, gate.waiting()), (0, 0));
+    assert_eq!((gate.capacity().in_progress, gate.waiting()), (0, 0));
 }
--- a/components/limits/tests/limits.rs
+++ b/components/limits/tests/limits.rs
@@ -9,15 +9,15 @@
 use std::thread;
 
 use common::Draws;
-use limits::{Bucket, BudgetSettings, Customer, CustomerLimits, RetryBudget};
+use limits::{BudgetSettings, Customer, CustomerLimits, RetryBudget, TokenBucket};
 use tokio::sync::mpsc;
 use types::{Cause, Class};
 
 #[test]
 fn a_bucket_gives_its_burst_then_its_rate() {
-    let bucket = Bucket::new(10.0, 500);
+    let bucket = TokenBucket::new(10.0, 500);
     let times = [0, 0, 0, 0, 0, 0, 99, 100, 100, 10_000];
-    let taken: Vec<Result<(), u64>> = times.iter().map(|&at| bucket.take(1, at)).collect();
+    let taken: Vec<Result<(), u64>> = times.iter().map(|&at| bucket.try_take(1, at)).collect();
     let ok = Ok(());
     assert_eq!(
         taken,
@@ -27,18 +27,18 @@
 
 #[test]
 fn a_cost_above_the_burst_waits_for_a_full_bucket() {
-    let bucket = Bucket::new(10.0, 500);
-    assert_eq!(bucket.take(20, 0), Ok(()));
-    assert_eq!(bucket.take(20, 0), Err(2_000));
-    assert_eq!(bucket.take(20, 2_000), Ok(()));
-    bucket.give_back(20);
-    assert_eq!(bucket.take(5, 2_000), Ok(()));
+    let bucket = TokenBucket::new(10.0, 500);
+    assert_eq!(bucket.try_take(20, 0), Ok(()));
+    assert_eq!(bucket.try_take(20, 0), Err(2_000));
+    assert_eq!(bucket.try_take(20, 2_000), Ok(()));
+    bucket.refund(20);
+    assert_eq!(bucket.try_take(5, 2_000), Ok(()));
 }
 
 #[test]
 fn an_unlimited_bucket_never_refuses() {
-    let bucket = Bucket::unlimited();
-    assert!((0..1_000).all(|_| bucket.take(u32::MAX, 0).is_ok()));
+    let bucket = TokenBucket::unlimited();
+    assert!((0..1_000).all(|_| bucket.try_take(u32::MAX, 0).is_ok()));
 }
 
 fn limits() -> CustomerLimits {
@@ -87,8 +87,8 @@
         let mut held = Vec::new();
         let mut admitted = 0;
         for _ in 0..20 {
-            match customer.enter(Class::Interactive, 100, 0, 0) {
-                Ok(entered) if case.held => held.push(entered),
+            match customer.admit(Class::Interactive, 100, 0, 0) {
+                Ok(admitted) if case.held => held.push(admitted),
                 Ok(_) => {}
                 Err(failure) => {
                     assert_eq!(failure.cause, Cause::CustomerLimit);
@@ -99,7 +99,7 @@
             admitted += 1;
         }
         assert_eq!(admitted, case.admitted, "{}", case.name);
-        assert_eq!(customer.take_asked().calls.requests, 20);
+        assert_eq!(customer.take_offered().calls.requests, 20);
         drop(held);
         assert_eq!(customer.in_progress(), 0);
     }
@@ -108,10 +108,10 @@
 #[test]
 fn unused_tokens_come_back() {
     let customer = Arc::new(Customer::new(&limits(), 1.0));
-    let mut entered = customer.enter(Class::Interactive, 1_000, 0, 0).unwrap();
-    assert!(customer.enter(Class::Interactive, 900, 0, 0).is_err());
-    entered.used(100);
-    assert!(customer.enter(Class::Interactive, 900, 0, 0).is_ok());
+    let mut admitted = customer.admit(Class::Interactive, 1_000, 0, 0).unwrap();
+    assert!(customer.admit(Class::Interactive, 900, 0, 0).is_err());
+    admitted.refund_unused(100);
+    assert!(customer.admit(Class::Interactive, 900, 0, 0).is_ok());
 }
 
 // A step's runs come all at once at one entry and would hold every place of the
@@ -161,12 +161,12 @@
         let mut held = Vec::new();
         let mut fill = |class| {
             let before = held.len();
-            held.extend((0..20).filter_map(|_| customer.enter(class, 100, 0, 0).ok()));
+            held.extend((0..20).filter_map(|_| customer.admit(class, 100, 0, 0).ok()));
             held.len() - before
         };
-        let entered = [Class::Sampling, Class::Background, Class::Interactive].map(&mut fill);
+        let admitted = [Class::Sampling, Class::Background, Class::Interactive].map(&mut fill);
         let expected = [case.sampling, case.background, case.interactive];
-        assert_eq!(entered, expected, "{}", case.name);
+        assert_eq!(admitted, expected, "{}", case.name);
     }
 }
 
@@ -177,23 +177,23 @@
         ..CustomerLimits::default()
     };
     let customer = Arc::new(Customer::new(&limits, 1.0));
-    let (order, mut entered) = mpsc::unbounded_channel();
-    let first = customer.enter(Class::Sampling, 1, 0, 0).unwrap();
+    let (order, mut admitted) = mpsc::unbounded_channel();
+    let first = customer.admit(Class::Sampling, 1, 0, 0).unwrap();
     for number in 0..3 {
         let (customer, order) = (Arc::clone(&customer), order.clone());
         tokio::spawn(async move {
-            let place = customer.enter_in_turn(Class::Sampling, 1, || 0).await;
+            let place = customer.admit_in_turn(Class::Sampling, 1, || 0).await;
             let _ = order.send(number);
             drop(place);
         });
         tokio::task::yield_now().await;
     }
-    assert!(entered.try_recv().is_err());
-    assert_eq!(customer.take_asked().sampling.in_progress, 4);
+    assert!(admitted.try_recv().is_err());
+    assert_eq!(customer.take_offered().sampling.in_progress, 4);
     assert_eq!(customer.waiting(), 3);
     drop(first);
     for number in 0..3 {
-        assert_eq!(entered.recv().await, Some(number));
+        assert_eq!(admitted.recv().await, Some(number));
     }
     assert_eq!(customer.waiting(), 0);
     assert_eq!(customer.in_progress(), 0);
@@ -213,9 +213,9 @@
         for _ in 0..8 {
             scope.spawn(|| {
                 for _ in 0..5_000 {
-                    let entered = customer.enter(Class::Interactive, 1, 0, 0);
+                    let admitted = customer.admit(Class::Interactive, 1, 0, 0);
                     peak.fetch_max(customer.in_progress(), Ordering::Relaxed);
-                    drop(entered);
+                    drop(admitted);
                 }
             });
         }
@@ -235,8 +235,8 @@
     for now_ms in 0..60_000 {
         for _ in 0..2 {
             first_tries += 1;
-            budget.first_try();
-            retries += (0..4).take_while(|_| budget.spend(now_ms)).count();
+            budget.record_first_attempt();
+            retries += (0..4).take_while(|_| budget.try_spend(now_ms)).count();
         }
     }
     let factor = 1.0 + retries as f64 / f64::from(first_tries);
@@ -251,13 +251,13 @@
 checks::seeded! {
     fn a_bucket_never_gives_more_than_burst_and_rate(seed: u64, per_s: u16) -> bool {
         let per_s = f64::from(1 + per_s % 500);
-        let bucket = Bucket::new(per_s, 1_000);
+        let bucket = TokenBucket::new(per_s, 1_000);
         let mut draws = Draws(seed);
         let (mut now_ms, mut given) = (0, 0);
         for _ in 0..500 {
             now_ms += draws.below(20);
             let units = 1 + draws.below(3) as u32;
-            given += bucket.take(units, now_ms).map_or(0, |()| units);
+            given += bucket.try_take(units, now_ms).map_or(0, |()| units);
         }
         f64::from(given) <= per_s + per_s * now_ms as f64 / 1_000.0 + 3.0
     }
@@ -269,10 +269,10 @@
         for _ in 0..2_000 {
             now_ms += draws.below(10);
             if draws.below(3) > 0 {
-                budget.first_try();
+                budget.record_first_attempt();
                 tries += 1;
             } else {
-                retries += u64::from(budget.spend(now_ms));
+                retries += u64::from(budget.try_spend(now_ms));
             }
         }
         retries <= tries / 10 + 10 + now_ms / 1_000 + 1
--- a/components/limits/tests/share.rs
+++ b/components/limits/tests/share.rs
@@ -7,7 +7,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use common::Draws;
-use limits::{Share, ShareSettings};
+use limits::{CustomerShare, ShareSettings};
 use types::{Incarnation, NodeId};
 
 const TICK_MS: u64 = 500;
@@ -20,7 +20,7 @@
 }
 
 struct Entries {
-    shares: Vec<Share>,
+    shares: Vec<CustomerShare>,
     now_ms: u64,
     /// Digests on their way: arrival, sender, receiver, demand.
     sent: Vec<(u64, usize, usize, f64)>,
@@ -29,7 +29,9 @@
 impl Entries {
     fn new(count: usize, settings: &ShareSettings) -> Self {
         Self {
-            shares: (0..count).map(|_| Share::new(settings.clone())).collect(),
+            shares: (0..count)
+                .map(|_| CustomerShare::new(settings.clone()))
+                .collect(),
             now_ms: 0,
             sent: Vec::new(),
         }
@@ -46,7 +48,7 @@
     ) -> f64 {
         let count = self.shares.len();
         for (from, (share, &per_s)) in self.shares.iter_mut().zip(demand).enumerate() {
-            share.offered(per_s, self.now_ms);
+            share.record_demand(per_s, self.now_ms);
             for to in (0..count).filter(|&to| to != from) {
                 let at_ms = self.now_ms + draws.below(delay_ms + 1);
                 self.sent.push((at_ms, from, to, per_s));
@@ -56,11 +58,11 @@
         let others = |own: usize| (0..count).filter(move |&other| other != own);
         for (to, share) in self.shares.iter_mut().enumerate() {
             let live = others(to).filter(|&other| sees(to, other)).map(node);
-            share.live(live, now_ms);
+            share.set_live_peers(live, now_ms);
         }
         for (_, from, to, per_s) in self.sent.extract_if(.., |sent| sent.0 <= now_ms) {
             if sees(to, from) {
-                self.shares[to].told(node(from), per_s, now_ms);
+                self.shares[to].record_peer_demand(node(from), per_s, now_ms);
             }
         }
         let sum = self.shares.iter().map(|share| share.share(now_ms)).sum();
@@ -104,16 +106,16 @@
         digests: false,
         ..ShareSettings::default()
     };
-    let mut share = Share::new(settings);
-    share.live((1..4).map(node), 0);
+    let mut share = CustomerShare::new(settings);
+    share.set_live_peers((1..4).map(node), 0);
     assert_eq!(share.share(0), 0.25);
-    share.live((1..2).map(node), 1_000);
+    share.set_live_peers((1..2).map(node), 1_000);
     assert_eq!(
         share.share(1_000),
         0.25,
         "those that are missing count for a window"
     );
-    share.live((1..2).map(node), 5_000);
+    share.set_live_peers((1..2).map(node), 5_000);
     assert_eq!(share.share(5_000), 0.5);
 }
 
@@ -127,7 +129,9 @@
     for _ in 0..20 {
         entries.tick(&[100.0; 3], 100, &mut draws, |_, _| true);
     }
-    entries.shares.push(Share::new(ShareSettings::default()));
+    entries
+        .shares
+        .push(CustomerShare::new(ShareSettings::default()));
     let sees = |to: usize, from: usize| to == 3 || from != 3;
     let mut peak = 0.0_f64;
     for _ in 0..5 {
--- a/components/limits/tests/shares.rs
+++ b/components/limits/tests/shares.rs
@@ -8,8 +8,8 @@
 
 use common::{Draws, customer};
 use limits::{
-    Asked, BYTES_PER_S_MAX, CustomerLimits, DIGEST_BYTES_MAX, Offered, ShareSettings, Shares,
-    demand, period_ms,
+    CustomerLimits, DIGEST_BYTES_MAX, DIGEST_BYTES_PER_S_MAX, OfferedByClass, OfferedLoad,
+    ShareSettings, Shares, demand, round_interval_ms,
 };
 use protocol::{Datagram, DemandDigest, Key, Keys, News, ProcessRole, write_datagram};
 use types::{CustomerName, Incarnation, NodeId};
@@ -36,11 +36,11 @@
     for (own, shares) in entries.iter_mut().enumerate() {
         let peers: Vec<NodeId> = (0..count).filter(|&other| other != own).map(node).collect();
         let demands = names.iter().cloned().zip(demand[own].iter().copied());
-        told.push(shares.round(&peers, demands, period_ms(count - 1), now_ms));
+        told.push(shares.run_round(&peers, demands, round_interval_ms(count - 1), now_ms));
     }
     for (own, shares) in entries.iter_mut().enumerate() {
         let others = told.iter().enumerate().filter(|&(other, _)| other != own);
-        others.for_each(|(other, digest)| shares.told(node(other), digest, now_ms));
+        others.for_each(|(other, digest)| shares.record_digest(node(other), digest, now_ms));
     }
 }
 
@@ -58,7 +58,7 @@
     let names = names(1);
     let mut shares = Vec::new();
     for number in 0..40 {
-        let now_ms = number * period_ms(2);
+        let now_ms = number * round_interval_ms(2);
         round(
             &mut entries,
             &names,
@@ -75,37 +75,37 @@
 fn can_count_sampling_as_a_part_and_calls_in_full() {
     struct Case {
         name: &'static str,
-        asked: Asked,
+        offered: OfferedByClass,
         demand: f64,
     }
-    let offered = |requests, tokens, in_progress| Offered {
+    let offered = |requests, tokens, in_progress| OfferedLoad {
         requests,
         tokens,
         in_progress,
     };
-    let calls = |calls| Asked {
+    let calls = |calls| OfferedByClass {
         calls,
-        ..Asked::default()
+        ..OfferedByClass::default()
     };
     let cases = [
         Case {
             name: "by the scarcest limit",
-            asked: calls(offered(20, 1_000, 1)),
+            offered: calls(offered(20, 1_000, 1)),
             demand: 0.5,
         },
         Case {
             name: "by requests in progress",
-            asked: calls(offered(0, 0, 30)),
+            offered: calls(offered(0, 0, 30)),
             demand: 0.75,
         },
         Case {
             name: "beyond the limit",
-            asked: calls(offered(200, 0, 0)),
+            offered: calls(offered(200, 0, 0)),
             demand: 5.0,
         },
         Case {
             name: "sampling no more than a quarter",
-            asked: Asked {
+            offered: OfferedByClass {
                 calls: offered(4, 0, 0),
                 sampling: offered(900, 90_000, 40),
             },
@@ -118,7 +118,7 @@
         tokens_per_s: Some(1_000),
     };
     for case in cases {
-        let found = demand(&limits, &case.asked, 2_000);
+        let found = demand(&limits, &case.offered, 2_000);
         let demand = case.demand;
         assert!((found - demand).abs() < 1e-9, "{}: {found}", case.name);
     }
@@ -133,7 +133,7 @@
         let nodes: Vec<NodeId> = (1..=peers).map(node).collect();
         let mut shares = Shares::new(ShareSettings::default());
         let demands = names.iter().cloned().map(|name| (name, 0.9));
-        let digest = shares.round(&nodes, demands, period_ms(peers), 0);
+        let digest = shares.run_round(&nodes, demands, round_interval_ms(peers), 0);
         let lines = digest.lines.len();
         let datagram = Datagram {
             from: node(0),
@@ -146,12 +146,12 @@
         assert_eq!(packets.len(), 1);
         let sent_bytes = packets[0].len() + IP_AND_UDP_BYTES;
         assert!(sent_bytes <= DIGEST_BYTES_MAX + 120, "{sent_bytes}");
-        let bytes_per_s = (peers * sent_bytes) as u64 * 1_000 / period_ms(peers);
+        let bytes_per_s = (peers * sent_bytes) as u64 * 1_000 / round_interval_ms(peers);
         println!(
             "{peers} peers: {lines} customers, {sent_bytes} bytes each {} ms, {bytes_per_s} bytes/s",
-            period_ms(peers)
+            round_interval_ms(peers)
         );
-        assert!(bytes_per_s <= BYTES_PER_S_MAX);
+        assert!(bytes_per_s <= DIGEST_BYTES_PER_S_MAX);
     }
 }
 
@@ -169,7 +169,7 @@
                     *part = draws.unit() * 2.0;
                 }
             }
-            let now_ms = number * period_ms(entries.len() - 1);
+            let now_ms = number * round_interval_ms(entries.len() - 1);
             round(&mut entries, &names, &demand, now_ms);
             let sum = |name| entries.iter().map(|one| one.share(name, now_ms)).sum::<f64>();
             names.iter().all(|name| sum(name) <= 1.0 + 1e-9)
--- a/components/routing/examples/herding.rs
+++ b/components/routing/examples/herding.rs
@@ -113,7 +113,7 @@
                 ..with(policy)
             };
             all.push((
-                named(policy, &format!("-draws-{draws_near}-{draws_all}")),
+                named(policy, &format!("-draws-{draws_same_domain}-{draws_all}")),
                 drawn,
             ));
         }
