--- a/components/gateway/src/attempt.rs
+++ b/components/gateway/src/attempt.rs
@@ -8,7 +8,7 @@
 use link::{Call, CallEvent};
 use node::now_ms;
 use protocol::Head;
-use quarantine::Copies;
+use quarantine::CopyPlacement;
 use routing::{Choice, ChoiceError, Outcome, Requirements, Table};
 use types::{Cause, Class, Failure, NodeId, RunState, WeightVersion};
 
@@ -204,10 +204,10 @@
 }
 
 /// The samples of one group are copies of one call and have to spread.
-fn copies(job: &Job) -> Copies {
+fn copies(job: &Job) -> CopyPlacement {
     match job.class {
-        Class::Sampling => Copies::Apart,
-        _ => Copies::Together,
+        Class::Sampling => CopyPlacement::Unlimited,
+        _ => CopyPlacement::Limited,
     }
 }
 
--- a/components/gateway/src/news.rs
+++ b/components/gateway/src/news.rs
@@ -5,7 +5,7 @@
 use node::GossipHooks;
 use node::leave::Leaving;
 use protocol::{CrashReport, DemandDigest, News};
-use quarantine::{CallDigest, Crashed};
+use quarantine::{CallDigest, EndpointCrash};
 use tokio::sync::mpsc;
 use types::NodeId;
 use weights::{ModelKey, Target};
@@ -55,7 +55,7 @@
     }
 }
 
-fn tell_crashed(gateway: &Gateway, crashed: &Crashed) {
+fn tell_crashed(gateway: &Gateway, crashed: &EndpointCrash) {
     for digests in crashed.in_flight.chunks(DIGESTS_MAX) {
         let report = CrashReport {
             entry: gateway.identity.node().address,
@@ -98,7 +98,7 @@
                     entry:% = report.entry, in_flight = report.digests.len(); ""
                 );
                 let in_flight = report.digests.iter().copied().map(CallDigest);
-                let crashed = Crashed {
+                let crashed = EndpointCrash {
                     endpoint: report.endpoint,
                     in_flight: in_flight.collect(),
                 };
--- a/components/gateway/src/suspects.rs
+++ b/components/gateway/src/suspects.rs
@@ -5,8 +5,8 @@
 
 use node::now_ms;
 use quarantine::{
-    CallDigest, Condemned, Copies, Crashed, Entry, RunId, Standing, SuspectSettings, Suspects,
-    Verdict,
+    AttemptId, CallDigest, CondemnedCall, CopyPlacement, DigestStatus, EndpointCrash,
+    StartDecision, SuspectSettings, Suspects, Verdict,
 };
 use tokio::sync::{mpsc, oneshot};
 use types::{Cause, Failure};
@@ -15,21 +15,26 @@
 const EXPIRE_EVERY_MS: u64 = 10_000;
 
 enum Order {
-    Enter(CallDigest, SocketAddr, Copies, oneshot::Sender<Entry>),
-    Complete(RunId),
-    Leave(RunId),
-    Lost(RunId, oneshot::Sender<Verdict>),
+    Enter(
+        CallDigest,
+        SocketAddr,
+        CopyPlacement,
+        oneshot::Sender<StartDecision>,
+    ),
+    Complete(AttemptId),
+    Leave(AttemptId),
+    Lost(AttemptId, oneshot::Sender<Verdict>),
     Heard(CallDigest, u32),
-    HeardCrash(SocketAddr, Crashed),
-    Standing(CallDigest, oneshot::Sender<Standing>),
+    HeardCrash(SocketAddr, EndpointCrash),
+    Standing(CallDigest, oneshot::Sender<DigestStatus>),
 }
 
 /// What came up here and the other processes are to know.
 pub enum Found {
     /// A call is condemned.
-    Condemned(Condemned),
+    Condemned(CondemnedCall),
     /// An endpoint crashed.
-    Crashed(Crashed),
+    Crashed(EndpointCrash),
 }
 
 /// Handle to the record; clones share one state.
@@ -59,7 +64,7 @@
 
 /// An attempt that the record knows as in flight; dropped, it is known to have ended.
 pub struct InFlight {
-    run: Option<RunId>,
+    run: Option<AttemptId>,
     orders: mpsc::UnboundedSender<Order>,
 }
 
@@ -72,7 +77,12 @@
     }
 
     /// Asks for an endpoint.
-    pub async fn enter(&self, digest: CallDigest, endpoint: SocketAddr, copies: Copies) -> Entered {
+    pub async fn enter(
+        &self,
+        digest: CallDigest,
+        endpoint: SocketAddr,
+        copies: CopyPlacement,
+    ) -> Entered {
         let (answer, answered) = oneshot::channel();
         let internal = Entered::Refused(Failure::not_run(Cause::Internal));
         let order = Order::Enter(digest, endpoint, copies, answer);
@@ -80,13 +90,13 @@
             return internal;
         }
         match answered.await {
-            Ok(Entry::Run(run)) => Entered::Run(InFlight {
+            Ok(StartDecision::Start(run)) => Entered::Run(InFlight {
                 run: Some(run),
                 orders: self.orders.clone(),
             }),
-            Ok(Entry::Elsewhere) => Entered::Elsewhere,
-            Ok(Entry::Wait { wait_ms }) => Entered::Wait { wait_ms },
-            Ok(Entry::Refuse(failure)) => Entered::Refused(failure),
+            Ok(StartDecision::OtherEndpoint) => Entered::Elsewhere,
+            Ok(StartDecision::Wait { wait_ms }) => Entered::Wait { wait_ms },
+            Ok(StartDecision::Refuse(failure)) => Entered::Refused(failure),
             Err(_) => internal,
         }
     }
@@ -96,10 +106,10 @@
         let (answer, answered) = oneshot::channel();
         self.orders.send(Order::Standing(digest, answer)).ok()?;
         match answered.await.ok()? {
-            Standing::Condemned { left_ms } => {
+            DigestStatus::Condemned { left_ms } => {
                 Some(Failure::not_run(Cause::Quarantined).retry_after(left_ms))
             }
-            Standing::Clear | Standing::Suspect { .. } => None,
+            DigestStatus::Clear | DigestStatus::Suspect { .. } => None,
         }
     }
 
@@ -110,7 +120,7 @@
     }
 
     /// Another entry had these calls in flight at a crash.
-    pub fn heard_crash(&self, entry: SocketAddr, crashed: Crashed) {
+    pub fn heard_crash(&self, entry: SocketAddr, crashed: EndpointCrash) {
         // The owner is gone only when the process ends.
         let _ = self.orders.send(Order::HeardCrash(entry, crashed));
     }
@@ -155,7 +165,7 @@
             // The reader is gone only when the process ends.
             let _ = found.send(Found::Condemned(told));
         }
-        for crashed in suspects.take_crashed() {
+        for crashed in suspects.take_crashes() {
             log::info!(
                 event = "endpoint-crashed", agent:% = crashed.endpoint,
                 in_flight = crashed.in_flight.len(); ""
@@ -172,22 +182,22 @@
 fn take(suspects: &mut Suspects, order: Order, now_ms: u64) {
     match order {
         Order::Enter(digest, endpoint, copies, answer) => {
-            let entry = suspects.enter(digest, endpoint, copies, now_ms);
+            let entry = suspects.try_start(digest, endpoint, copies, now_ms);
             // The one who asked may have gone; then its run never began.
-            if let Err(Entry::Run(run)) = answer.send(entry) {
-                suspects.leave(run, now_ms);
+            if let Err(StartDecision::Start(run)) = answer.send(entry) {
+                suspects.record_end(run, now_ms);
             }
         }
-        Order::Complete(run) => suspects.complete(run),
-        Order::Leave(run) => suspects.leave(run, now_ms),
+        Order::Complete(run) => suspects.record_success(run),
+        Order::Leave(run) => suspects.record_end(run, now_ms),
         Order::Lost(run, answer) => {
-            let _ = answer.send(suspects.lost(run, now_ms));
+            let _ = answer.send(suspects.record_crash(run, now_ms));
         }
         Order::Standing(digest, answer) => {
-            suspects.judge(digest, now_ms);
-            let _ = answer.send(suspects.standing(digest, now_ms));
+            suspects.condemn_if_sole_cause(digest, now_ms);
+            let _ = answer.send(suspects.status(digest, now_ms));
         }
-        Order::Heard(digest, left_ms) => suspects.hear(digest, left_ms, now_ms),
-        Order::HeardCrash(entry, crashed) => suspects.hear_crash(entry, &crashed, now_ms),
+        Order::Heard(digest, left_ms) => suspects.record_peer_verdict(digest, left_ms, now_ms),
+        Order::HeardCrash(entry, crashed) => suspects.record_peer_crash(entry, &crashed, now_ms),
     }
 }
--- a/components/quarantine/src/crashes.rs
+++ b/components/quarantine/src/crashes.rs
@@ -19,7 +19,7 @@
     at_ms: u64,
     in_flight: BTreeSet<CallDigest>,
     /// Processes whose calls are counted in it.
-    told_by: BTreeSet<Option<SocketAddr>>,
+    reported_by: BTreeSet<Option<SocketAddr>>,
 }
 
 /// The crashes known.
@@ -38,17 +38,19 @@
     /// Which of two crashes of an endpoint within that time a report is of can't be told,
     /// so such crashes share all that was in flight at either. That can hold up a verdict,
     /// and leaves no cause out.
-    pub fn report(
+    pub fn record(
         &mut self,
-        told_by: Option<SocketAddr>,
+        reported_by: Option<SocketAddr>,
         endpoint: SocketAddr,
         in_flight: impl IntoIterator<Item = CallDigest>,
         now_ms: u64,
-        same_ms: u64,
+        same_crash_window_ms: u64,
     ) -> u64 {
-        let is_near = |crash: &Crash| crash.endpoint == endpoint && crash.at_ms + same_ms > now_ms;
+        let is_near = |crash: &Crash| {
+            crash.endpoint == endpoint && crash.at_ms + same_crash_window_ms > now_ms
+        };
         let mut near = self.crashes.iter().rev().filter(|(_, c)| is_near(c));
-        let known = near.find(|(_, crash)| !crash.told_by.contains(&told_by));
+        let known = near.find(|(_, crash)| !crash.reported_by.contains(&reported_by));
         let number = known.map_or(self.next_number, |(&number, _)| number);
         self.next_number = self.next_number.max(number + 1);
         let near = self.crashes.values().filter(|crash| is_near(crash));
@@ -58,9 +60,9 @@
             endpoint,
             at_ms: now_ms,
             in_flight: BTreeSet::new(),
-            told_by: BTreeSet::new(),
+            reported_by: BTreeSet::new(),
         });
-        crash.told_by.insert(told_by);
+        crash.reported_by.insert(reported_by);
         // The other reports of what this one may be of are looked for from now on.
         crash.at_ms = now_ms;
         for crash in self.crashes.values_mut().filter(|crash| is_near(crash)) {
@@ -73,9 +75,9 @@
     }
 
     /// Whether this process has told what it had in flight at a crash.
-    pub fn is_told_here(&self, number: u64) -> bool {
+    pub fn is_reported_locally(&self, number: u64) -> bool {
         let crash = self.crashes.get(&number);
-        crash.is_some_and(|crash| crash.told_by.contains(&None))
+        crash.is_some_and(|crash| crash.reported_by.contains(&None))
     }
 
     /// Whether each of these crashes is so old that all have told of it.
@@ -87,7 +89,7 @@
 
     /// Whether some other call was in flight at every one of these crashes, and may be the
     /// cause of all.
-    pub fn have_another(&self, numbers: &BTreeSet<u64>, digest: CallDigest) -> bool {
+    pub fn have_other_common_call(&self, numbers: &BTreeSet<u64>, digest: CallDigest) -> bool {
         let known = numbers.iter().filter_map(|number| self.crashes.get(number));
         let common = known
             .map(|crash| crash.in_flight.clone())
@@ -96,15 +98,15 @@
     }
 
     /// A call has shown that it crashes nothing.
-    pub fn clear(&mut self, digest: CallDigest) {
+    pub fn remove_call(&mut self, digest: CallDigest) {
         for crash in self.crashes.values_mut() {
             crash.in_flight.remove(&digest);
         }
     }
 
     /// Forgets crashes older than this.
-    pub fn expire(&mut self, now_ms: u64, kept_ms: u64) {
+    pub fn expire(&mut self, now_ms: u64, retention_ms: u64) {
         self.crashes
-            .retain(|_, crash| crash.at_ms + kept_ms > now_ms);
+            .retain(|_, crash| crash.at_ms + retention_ms > now_ms);
     }
 }
--- a/components/quarantine/src/lib.rs
+++ b/components/quarantine/src/lib.rs
@@ -11,4 +11,6 @@
 pub use digest::CallDigest;
 pub use settings::SuspectSettings;
 pub use suspects::Suspects;
-pub use verdict::{Condemned, Copies, Crashed, Entry, RunId, Standing, Verdict};
+pub use verdict::{
+    AttemptId, CondemnedCall, CopyPlacement, DigestStatus, EndpointCrash, StartDecision, Verdict,
+};
--- a/components/quarantine/src/suspects.rs
+++ b/components/quarantine/src/suspects.rs
@@ -38,7 +38,8 @@
 use crate::crashes::Crashes;
 use crate::in_flight::InFlight;
 use crate::{
-    CallDigest, Condemned, Copies, Crashed, Entry, RunId, Standing, SuspectSettings, Verdict,
+    AttemptId, CallDigest, CondemnedCall, CopyPlacement, DigestStatus, EndpointCrash,
+    StartDecision, SuspectSettings, Verdict,
 };
 
 /// What is held against one digest.
@@ -49,7 +50,7 @@
     crashes: BTreeSet<u64>,
     condemned_until_ms: Option<u64>,
     /// Condemned by a rumour; stands whatever is known here.
-    told: bool,
+    from_peer: bool,
     last_ms: u64,
 }
 
@@ -60,8 +61,8 @@
     in_flight: InFlight,
     records: BTreeMap<CallDigest, Record>,
     crashes: Crashes,
-    to_tell: Vec<Condemned>,
-    to_report: Vec<Crashed>,
+    condemned_to_send: Vec<CondemnedCall>,
+    crashes_to_send: Vec<EndpointCrash>,
 }
 
 impl Suspects {
@@ -69,74 +70,77 @@
     pub fn new(settings: SuspectSettings) -> Self {
         Self {
             settings,
-            in_flight: InFlight::new(settings.same_crash_ms),
+            in_flight: InFlight::new(settings.same_crash_window_ms),
             records: BTreeMap::new(),
             crashes: Crashes::default(),
-            to_tell: Vec::new(),
-            to_report: Vec::new(),
+            condemned_to_send: Vec::new(),
+            crashes_to_send: Vec::new(),
         }
     }
 
     /// What is held against a digest now.
-    pub fn standing(&self, digest: CallDigest, now_ms: u64) -> Standing {
+    pub fn status(&self, digest: CallDigest, now_ms: u64) -> DigestStatus {
         let Some(record) = self.records.get(&digest) else {
-            return Standing::Clear;
+            return DigestStatus::Clear;
         };
         if let Some(until_ms) = record.condemned_until_ms
             && until_ms > now_ms
         {
             let left_ms = u32::try_from(until_ms - now_ms).unwrap_or(u32::MAX);
-            return Standing::Condemned { left_ms };
+            return DigestStatus::Condemned { left_ms };
         }
-        let old = record.last_ms + self.settings.suspect_ms <= now_ms;
-        if old || record.crashes.is_empty() {
-            return Standing::Clear;
+        let is_expired = record.last_ms + self.settings.suspect_retention_ms <= now_ms;
+        if is_expired || record.crashes.is_empty() {
+            return DigestStatus::Clear;
         }
         let crashes = record.crashes.len();
-        Standing::Suspect { crashes }
+        DigestStatus::Suspect { crashes }
     }
 
     /// Asks for an endpoint right before the hand-over. Every call asks, so that those
     /// in flight at a crash are known.
-    pub fn enter(
+    pub fn try_start(
         &mut self,
         digest: CallDigest,
         endpoint: SocketAddr,
-        copies: Copies,
+        copies: CopyPlacement,
         now_ms: u64,
-    ) -> Entry {
-        self.judge(digest, now_ms);
-        match self.standing(digest, now_ms) {
-            Standing::Condemned { left_ms } => Entry::Refuse(refusal(left_ms)),
-            Standing::Suspect { crashes }
-                if self.in_flight.has(digest) || self.is_unsettled(digest, crashes, now_ms) =>
+    ) -> StartDecision {
+        self.condemn_if_sole_cause(digest, now_ms);
+        match self.status(digest, now_ms) {
+            DigestStatus::Condemned { left_ms } => StartDecision::Refuse(refusal(left_ms)),
+            DigestStatus::Suspect { crashes }
+                if self.in_flight.is_running(digest)
+                    || self.awaits_reports(digest, crashes, now_ms) =>
             {
-                Entry::Wait {
-                    wait_ms: self.settings.wait_ms,
+                StartDecision::Wait {
+                    wait_ms: self.settings.retry_wait_ms,
                 }
             }
-            _ if self.has_suspect(endpoint, now_ms) => Entry::Elsewhere,
-            _ if copies == Copies::Together && self.spreads(digest, endpoint, now_ms) => {
-                Entry::Elsewhere
+            _ if self.runs_suspect(endpoint, now_ms) => StartDecision::OtherEndpoint,
+            _ if copies == CopyPlacement::Limited
+                && self.exceeds_copy_limit(digest, endpoint, now_ms) =>
+            {
+                StartDecision::OtherEndpoint
             }
-            _ => Entry::Run(self.in_flight.start(digest, endpoint)),
+            _ => StartDecision::Start(self.in_flight.start(digest, endpoint)),
         }
     }
 
     /// Whether a call may run beside those that the endpoint has in flight; for a
     /// process that queues before it enters.
-    pub fn may_run_with(&self, endpoint: SocketAddr, now_ms: u64) -> bool {
-        !self.has_suspect(endpoint, now_ms)
+    pub fn accepts_new_calls(&self, endpoint: SocketAddr, now_ms: u64) -> bool {
+        !self.runs_suspect(endpoint, now_ms)
     }
 
     /// The call's whole answer came: nothing is held against it any longer.
-    pub fn complete(&mut self, run: RunId) {
-        let Some(digest) = self.in_flight.complete(run) else {
+    pub fn record_success(&mut self, attempt: AttemptId) {
+        let Some(digest) = self.in_flight.record_success(attempt) else {
             return;
         };
-        self.crashes.clear(digest);
-        let told = self.records.get(&digest).is_some_and(|r| r.told);
-        if !told {
+        self.crashes.remove_call(digest);
+        let from_peer = self.records.get(&digest).is_some_and(|r| r.from_peer);
+        if !from_peer {
             self.records.remove(&digest);
         }
     }
@@ -144,79 +148,85 @@
     /// The call ended in another way than by a crash that is known of: cancelled, refused,
     /// failed. For a moment it still counts as there: word of a crash may come late, and
     /// with its cause left out a bystander would be the only one that was in flight.
-    pub fn leave(&mut self, run: RunId, now_ms: u64) {
-        self.in_flight.leave(run, now_ms);
+    pub fn record_end(&mut self, attempt: AttemptId, now_ms: u64) {
+        self.in_flight.record_end(attempt, now_ms);
     }
 
     /// The call ended because the endpoint crashed.
-    pub fn lost(&mut self, run: RunId, now_ms: u64) -> Verdict {
-        let Some(ended) = self.in_flight.run(run).cloned() else {
+    pub fn record_crash(&mut self, attempt: AttemptId, now_ms: u64) -> Verdict {
+        let Some(ended) = self.in_flight.attempt(attempt).cloned() else {
             return Verdict::Retry;
         };
         if ended.crash.is_none() {
-            self.crash(ended.endpoint, now_ms);
+            self.record_local_crash(ended.endpoint, now_ms);
         }
-        self.in_flight.remove(run);
+        self.in_flight.remove(attempt);
         self.verdict(ended.digest, now_ms)
     }
 
     /// Takes in a rumour of a condemned digest.
-    pub fn hear(&mut self, digest: CallDigest, left_ms: u32, now_ms: u64) {
+    pub fn record_peer_verdict(&mut self, digest: CallDigest, left_ms: u32, now_ms: u64) {
         let until_ms = now_ms + u64::from(left_ms.min(self.settings.condemned_ms));
         let record = self.records.entry(digest).or_default();
-        record.told = true;
+        record.from_peer = true;
         record.last_ms = record.last_ms.max(now_ms);
         record.condemned_until_ms = record.condemned_until_ms.max(Some(until_ms));
-        self.explain(digest);
+        self.clear_explained_crashes(digest);
         self.evict(now_ms);
     }
 
     /// Another entry tells what it had in flight at a crash.
-    pub fn hear_crash(&mut self, from: SocketAddr, crashed: &Crashed, now_ms: u64) {
-        let Crashed {
+    pub fn record_peer_crash(&mut self, from: SocketAddr, crashed: &EndpointCrash, now_ms: u64) {
+        let EndpointCrash {
             endpoint,
             in_flight,
         } = crashed;
-        let known = in_flight.iter().copied();
-        let same_ms = self.settings.same_crash_ms;
+        let digests = in_flight.iter().copied();
+        let same_ms = self.settings.same_crash_window_ms;
         let crash = self
             .crashes
-            .report(Some(from), *endpoint, known, now_ms, same_ms);
+            .record(Some(from), *endpoint, digests, now_ms, same_ms);
         for &digest in in_flight {
-            self.accuse(digest, crash, now_ms);
+            self.add_crash(digest, crash, now_ms);
         }
         // What was there from here may not know of the crash yet, or never will.
-        if !self.crashes.is_told_here(crash)
-            && !self.in_flight.known_at(*endpoint, now_ms).is_empty()
+        if !self.crashes.is_reported_locally(crash)
+            && !self
+                .in_flight
+                .running_or_recent_at(*endpoint, now_ms)
+                .is_empty()
         {
-            self.crash(*endpoint, now_ms);
+            self.record_local_crash(*endpoint, now_ms);
         }
         self.evict(now_ms);
     }
 
     /// Crashes reported here since the last call, to be told to the other entries.
-    pub fn take_crashed(&mut self) -> Vec<Crashed> {
-        std::mem::take(&mut self.to_report)
+    pub fn take_crashes(&mut self) -> Vec<EndpointCrash> {
+        std::mem::take(&mut self.crashes_to_send)
     }
 
     /// Condemns a call if it alone can have caused its crashes.
-    pub fn judge(&mut self, digest: CallDigest, now_ms: u64) {
-        let Standing::Suspect { crashes } = self.standing(digest, now_ms) else {
+    pub fn condemn_if_sole_cause(&mut self, digest: CallDigest, now_ms: u64) {
+        let DigestStatus::Suspect { crashes } = self.status(digest, now_ms) else {
             return;
         };
-        if crashes < self.settings.crashes_max || self.is_unsettled(digest, crashes, now_ms) {
+        if crashes < self.settings.condemn_after_crashes
+            || self.awaits_reports(digest, crashes, now_ms)
+        {
             return;
         }
         let record = self.records.get(&digest);
-        let alone = record.is_some_and(|r| !self.crashes.have_another(&r.crashes, digest));
-        if alone {
+        let sole_cause =
+            record.is_some_and(|r| !self.crashes.have_other_common_call(&r.crashes, digest));
+        if sole_cause {
             self.condemn(digest, now_ms);
         }
     }
 
     /// Digests condemned here since the last call, to be spread as rumours.
-    pub fn take_condemned(&mut self) -> Vec<Condemned> {
-        std::mem::take(&mut self.to_tell)
+    pub fn take_condemned(&mut self) -> Vec<CondemnedCall> {
+        std::mem::take(&mut self.condemned_to_send)
     }
 
     /// Digests that have a record now.
@@ -231,59 +241,63 @@
 
     /// Drops records whose time is over; to be called now and then.
     pub fn expire(&mut self, now_ms: u64) {
-        let suspect_ms = self.settings.suspect_ms;
-        self.crashes.expire(now_ms, suspect_ms);
+        let suspect_retention_ms = self.settings.suspect_retention_ms;
+        self.crashes.expire(now_ms, suspect_retention_ms);
         self.records.retain(|_, record| {
             let condemned = record
                 .condemned_until_ms
                 .is_some_and(|until| until > now_ms);
-            let suspect = !record.crashes.is_empty() && record.last_ms + suspect_ms > now_ms;
+            let suspect =
+                !record.crashes.is_empty() && record.last_ms + suspect_retention_ms > now_ms;
             condemned || suspect
         });
     }
 
-    fn has_suspect(&self, endpoint: SocketAddr, now_ms: u64) -> bool {
+    fn runs_suspect(&self, endpoint: SocketAddr, now_ms: u64) -> bool {
         let mut running = self.in_flight.running_at(endpoint);
-        running.any(|digest| self.standing(digest, now_ms) != Standing::Clear)
+        running.any(|digest| self.status(digest, now_ms) != DigestStatus::Clear)
     }
 
     /// Whether one more copy at this endpoint would put more endpoints at risk at once than
     /// the crashes that condemn a call. Copies submitted before the first crash is known
     /// would otherwise lose one endpoint each.
-    fn spreads(&self, digest: CallDigest, endpoint: SocketAddr, now_ms: u64) -> bool {
-        let at_risk = self.in_flight.at_risk(digest, now_ms);
-        at_risk.len() >= self.settings.crashes_max && !at_risk.contains(&endpoint)
+    fn exceeds_copy_limit(&self, digest: CallDigest, endpoint: SocketAddr, now_ms: u64) -> bool {
+        let endpoints_at_risk = self.in_flight.endpoints_at_risk(digest, now_ms);
+        endpoints_at_risk.len() >= self.settings.condemn_after_crashes
+            && !endpoints_at_risk.contains(&endpoint)
     }
 
     /// All in flight at the endpoint share the crash. Their own reports come one by one
     /// and must not count as crashes of their own.
-    fn crash(&mut self, endpoint: SocketAddr, now_ms: u64) {
-        let in_flight = self.in_flight.known_at(endpoint, now_ms);
-        let known = in_flight.iter().copied();
-        let same_ms = self.settings.same_crash_ms;
-        let crash = self.crashes.report(None, endpoint, known, now_ms, same_ms);
-        self.in_flight.crashed(endpoint, crash);
+    fn record_local_crash(&mut self, endpoint: SocketAddr, now_ms: u64) {
+        let in_flight = self.in_flight.running_or_recent_at(endpoint, now_ms);
+        let digests = in_flight.iter().copied();
+        let same_ms = self.settings.same_crash_window_ms;
+        let crash = self
+            .crashes
+            .record(None, endpoint, digests, now_ms, same_ms);
+        self.in_flight.mark_crashed(endpoint, crash);
         for &digest in &in_flight {
-            self.accuse(digest, crash, now_ms);
+            self.add_crash(digest, crash, now_ms);
         }
-        self.to_report.push(Crashed {
+        self.crashes_to_send.push(EndpointCrash {
             endpoint,
             in_flight: in_flight.into_iter().collect(),
         });
         self.evict(now_ms);
     }
 
-    fn is_unsettled(&self, digest: CallDigest, crashes: usize, now_ms: u64) -> bool {
+    fn awaits_reports(&self, digest: CallDigest, crashes: usize, now_ms: u64) -> bool {
         let settle_ms = self.settings.settle_ms;
         let record = self.records.get(&digest);
-        crashes >= self.settings.crashes_max
+        crashes >= self.settings.condemn_after_crashes
             && record.is_some_and(|r| !self.crashes.are_settled(&r.crashes, now_ms, settle_ms))
     }
 
-    fn accuse(&mut self, digest: CallDigest, crash: u64, now_ms: u64) {
-        let old = self.standing(digest, now_ms) == Standing::Clear;
+    fn add_crash(&mut self, digest: CallDigest, crash: u64, now_ms: u64) {
+        let is_expired = self.status(digest, now_ms) == DigestStatus::Clear;
         let record = self.records.entry(digest).or_default();
-        if old {
+        if is_expired {
             record.crashes.clear();
         }
         record.crashes.insert(crash);
@@ -297,29 +311,30 @@
         let condemned = record
             .condemned_until_ms
             .is_some_and(|until| until > now_ms);
-        if condemned || record.crashes.len() < self.settings.crashes_max {
+        if condemned || record.crashes.len() < self.settings.condemn_after_crashes {
             return;
         }
         let left_ms = self.settings.condemned_ms;
         record.condemned_until_ms = Some(now_ms + u64::from(left_ms));
-        self.to_tell.push(Condemned { digest, left_ms });
-        self.explain(digest);
+        self.condemned_to_send
+            .push(CondemnedCall { digest, left_ms });
+        self.clear_explained_crashes(digest);
     }
 
     /// Takes the crashes of a condemned digest off all others, and lifts what was
     /// inferred from them here alone.
-    fn explain(&mut self, condemned: CallDigest) {
+    fn clear_explained_crashes(&mut self, condemned: CallDigest) {
         let Some(record) = self.records.get(&condemned) else {
             return;
         };
         let explained = record.crashes.clone();
-        let crashes_max = self.settings.crashes_max;
+        let condemn_after_crashes = self.settings.condemn_after_crashes;
         for (&digest, record) in &mut self.records {
             if digest == condemned {
                 continue;
             }
             record.crashes.retain(|crash| !explained.contains(crash));
-            if !record.told && record.crashes.len() < crashes_max {
+            if !record.from_peer && record.crashes.len() < condemn_after_crashes {
                 record.condemned_until_ms = None;
             }
         }
@@ -328,19 +343,19 @@
     }
 
     fn verdict(&self, digest: CallDigest, now_ms: u64) -> Verdict {
-        match self.standing(digest, now_ms) {
-            Standing::Condemned { .. } => {
+        match self.status(digest, now_ms) {
+            DigestStatus::Condemned { .. } => {
                 Verdict::Final(Failure::new(RunState::Failed, Cause::Quarantined))
             }
-            Standing::Clear | Standing::Suspect { .. } => Verdict::Retry,
+            DigestStatus::Clear | DigestStatus::Suspect { .. } => Verdict::Retry,
         }
     }
 
     fn evict(&mut self, now_ms: u64) {
-        if self.records.len() > self.settings.digests_max {
+        if self.records.len() > self.settings.records_max {
             self.expire(now_ms);
         }
-        while self.records.len() > self.settings.digests_max {
+        while self.records.len() > self.settings.records_max {
             let oldest = self
                 .records
                 .iter()
--- a/components/quarantine/src/verdict.rs
+++ b/components/quarantine/src/verdict.rs
@@ -9,11 +9,11 @@
 
 /// One attempt of one call at one endpoint.
 #[key]
-pub struct RunId(pub(crate) u64);
+pub struct AttemptId(pub(crate) u64);
 
 /// What is held against a digest.
 #[key]
-pub enum Standing {
+pub enum DigestStatus {
     /// Nothing.
     Clear,
     /// It was in flight at crashes.
@@ -30,20 +30,20 @@
 
 /// Where copies of one call may run at once.
 #[key]
-pub enum Copies {
+pub enum CopyPlacement {
     /// At a few endpoints, until one of them came whole.
-    Together,
+    Limited,
     /// Anywhere, as the samples of one group.
-    Apart,
+    Unlimited,
 }
 
 /// Whether a call may go to an endpoint now.
 #[value]
-pub enum Entry {
+pub enum StartDecision {
     /// Hand it over; report the end under this id.
-    Run(RunId),
+    Start(AttemptId),
     /// Not to this endpoint now; another one may do.
-    Elsewhere,
+    OtherEndpoint,
     /// The same call is being tried apart already; ask again later.
     Wait {
         /// When, in milliseconds from now.
@@ -65,7 +65,7 @@
 
 /// What this process had in flight at a crash, for the other entries.
 #[value]
-pub struct Crashed {
+pub struct EndpointCrash {
     /// The endpoint's agent.
     pub endpoint: SocketAddr,
     /// The calls.
@@ -74,7 +74,7 @@
 
 /// A condemned digest, for the rumour about it.
 #[value]
-pub struct Condemned {
+pub struct CondemnedCall {
     /// The call.
     pub digest: CallDigest,
     /// How long it is refused, in milliseconds.
--- a/components/quarantine/tests/suspects.rs
+++ b/components/quarantine/tests/suspects.rs
@@ -3,7 +3,10 @@
 
 use std::net::SocketAddr;
 
-use quarantine::{CallDigest, Copies, Entry, RunId, Standing, SuspectSettings, Suspects, Verdict};
+use quarantine::{
+    AttemptId, CallDigest, CopyPlacement, DigestStatus, StartDecision, SuspectSettings, Suspects,
+    Verdict,
+};
 use types::{Cause, CustomerName, RunState, ServiceName};
 
 const BAD: u8 = 0;
@@ -20,15 +23,15 @@
     endpoint(200 + entry as u8)
 }
 
-fn run(suspects: &mut Suspects, digest: u8, at: u8, now_ms: u64) -> Option<RunId> {
+fn run(suspects: &mut Suspects, digest: u8, at: u8, now_ms: u64) -> Option<AttemptId> {
     match enter(suspects, digest, at, now_ms) {
-        Entry::Run(run) => Some(run),
+        StartDecision::Start(run) => Some(run),
         _ => None,
     }
 }
 
-fn enter(suspects: &mut Suspects, digest: u8, at: u8, now_ms: u64) -> Entry {
-    suspects.enter(call(digest), endpoint(at), Copies::Together, now_ms)
+fn enter(suspects: &mut Suspects, digest: u8, at: u8, now_ms: u64) -> StartDecision {
+    suspects.try_start(call(digest), endpoint(at), CopyPlacement::Limited, now_ms)
 }
 
 /// The caller of the bad call gets a final answer after two crashes, all others theirs.
@@ -39,26 +42,34 @@
     let mut suspects = Suspects::new(SuspectSettings::default());
     let runs = [BAD, 1, 2].map(|digest| run(&mut suspects, digest, 1, 0).unwrap());
     for run in runs {
-        assert_eq!(suspects.lost(run, 10), Verdict::Retry);
+        assert_eq!(suspects.record_crash(run, 10), Verdict::Retry);
     }
     let older = run(&mut suspects, 3, 2, 20).unwrap();
     let bad = run(&mut suspects, BAD, 2, 20).unwrap();
     let apart = enter(&mut suspects, 1, 2, 20);
-    assert_eq!(apart, Entry::Elsewhere, "two suspects at one endpoint");
+    assert_eq!(
+        apart,
+        StartDecision::OtherEndpoint,
+        "two suspects at one endpoint"
+    );
     assert!(
-        !suspects.may_run_with(endpoint(2), 20),
+        !suspects.accepts_new_calls(endpoint(2), 20),
         "a new call beside a suspect"
     );
     let copy = enter(&mut suspects, BAD, 3, 20);
-    assert_eq!(copy, Entry::Wait { wait_ms: 100 }, "a copy of a suspect");
+    assert_eq!(
+        copy,
+        StartDecision::Wait { wait_ms: 100 },
+        "a copy of a suspect"
+    );
     let near = run(&mut suspects, 1, 3, 20).unwrap();
-    suspects.complete(near);
-    assert_eq!(suspects.standing(call(1), 21), Standing::Clear);
-    assert_eq!(suspects.lost(older, 30), Verdict::Retry);
-    assert_eq!(suspects.lost(bad, 30), Verdict::Retry);
+    suspects.record_success(near);
+    assert_eq!(suspects.status(call(1), 21), DigestStatus::Clear);
+    assert_eq!(suspects.record_crash(older, 30), Verdict::Retry);
+    assert_eq!(suspects.record_crash(bad, 30), Verdict::Retry);
     let early = enter(&mut suspects, BAD, 4, 629);
-    assert_eq!(early, Entry::Wait { wait_ms: 100 }, "a third try");
-    let Entry::Refuse(failure) = enter(&mut suspects, BAD, 4, 630) else {
+    assert_eq!(early, StartDecision::Wait { wait_ms: 100 }, "a third try");
+    let StartDecision::Refuse(failure) = enter(&mut suspects, BAD, 4, 630) else {
         panic!("a third try");
     };
     assert_eq!(
@@ -66,16 +77,16 @@
         (RunState::NotRun, Cause::Quarantined)
     );
     assert_eq!(
-        suspects.standing(call(2), 631),
-        Standing::Clear,
+        suspects.status(call(2), 631),
+        DigestStatus::Clear,
         "its crash is explained"
     );
     assert_eq!(
-        suspects.standing(call(3), 631),
-        Standing::Clear,
+        suspects.status(call(3), 631),
+        DigestStatus::Clear,
         "its crash is explained"
     );
-    let Entry::Refuse(refusal) = enter(&mut suspects, BAD, 4, 100_030) else {
+    let StartDecision::Refuse(refusal) = enter(&mut suspects, BAD, 4, 100_030) else {
         panic!("a repeat was let in");
     };
     assert_eq!(refusal.run, RunState::NotRun);
@@ -98,16 +109,16 @@
             let at_ms = u64::from(submission) * 100;
             let [own, other] = if submission % 2 == 0 { [0, 1] } else { [1, 0] };
             if let Some(run) = run(&mut entries[own], BAD, submission, at_ms) {
-                entries[own].lost(run, at_ms);
+                entries[own].record_crash(run, at_ms);
                 lost += 1;
             }
-            for crashed in entries[own].take_crashed().iter().filter(|_| reports) {
-                entries[other].hear_crash(address(own), crashed, at_ms);
+            for crashed in entries[own].take_crashes().iter().filter(|_| reports) {
+                entries[other].record_peer_crash(address(own), crashed, at_ms);
             }
             let condemned = entries[own].take_condemned().into_iter();
             told.extend(condemned.map(|c| (submission + rumour_after, other, c)));
             for (_, entry, c) in told.iter().filter(|(at, ..)| *at == submission) {
-                entries[*entry].hear(c.digest, c.left_ms, at_ms);
+                entries[*entry].record_peer_verdict(c.digest, c.left_ms, at_ms);
             }
         }
         println!("reports {reports}, rumour after {rumour_after} more submissions: {lost} lost");
@@ -124,24 +135,31 @@
     let first = run(&mut suspects, BAD, 1, 0).unwrap();
     let second = run(&mut suspects, BAD, 2, 0).unwrap();
     let third = enter(&mut suspects, BAD, 3, 0);
-    assert_eq!(third, Entry::Elsewhere, "a third endpoint");
+    assert_eq!(third, StartDecision::OtherEndpoint, "a third endpoint");
     let beside = run(&mut suspects, BAD, 1, 0).unwrap();
     assert!(run(&mut suspects, 1, 3, 0).is_some(), "another call");
-    suspects.leave(second, 10);
+    suspects.record_end(second, 10);
     let left = enter(&mut suspects, BAD, 3, 20);
-    assert_eq!(left, Entry::Elsewhere, "its crash may not be known yet");
+    assert_eq!(
+        left,
+        StartDecision::OtherEndpoint,
+        "its crash may not be known yet"
+    );
     assert!(
         run(&mut suspects, BAD, 3, 1_010).is_some(),
         "it left long ago"
     );
-    let apart = suspects.enter(call(BAD), endpoint(4), Copies::Apart, 1_010);
-    assert!(matches!(apart, Entry::Run(_)), "a sample of a group");
-    suspects.complete(beside);
+    let apart = suspects.try_start(call(BAD), endpoint(4), CopyPlacement::Unlimited, 1_010);
+    assert!(
+        matches!(apart, StartDecision::Start(_)),
+        "a sample of a group"
+    );
+    suspects.record_success(beside);
     assert!(
         run(&mut suspects, BAD, 4, 1_020).is_some(),
         "a copy came whole"
     );
-    assert_eq!(suspects.lost(first, 1_030), Verdict::Retry);
+    assert_eq!(suspects.record_crash(first, 1_030), Verdict::Retry);
 }
 
 // A bystander is answered though the word of a crash never came to the entry whose call
@@ -154,40 +172,43 @@
         let now_ms = u64::from(at) * 5_000;
         let bystander = run(&mut entries[0], 1, at, now_ms).unwrap();
         let cause = run(&mut entries[1], BAD, at, now_ms).unwrap();
-        assert_eq!(entries[0].lost(bystander, now_ms + 50), Verdict::Retry);
-        entries[1].leave(cause, now_ms + 100);
-        for crashed in entries[0].take_crashed() {
-            entries[1].hear_crash(address(0), &crashed, now_ms + 110);
+        assert_eq!(
+            entries[0].record_crash(bystander, now_ms + 50),
+            Verdict::Retry
+        );
+        entries[1].record_end(cause, now_ms + 100);
+        for crashed in entries[0].take_crashes() {
+            entries[1].record_peer_crash(address(0), &crashed, now_ms + 110);
         }
-        for crashed in entries[1].take_crashed() {
-            entries[0].hear_crash(address(1), &crashed, now_ms + 120);
+        for crashed in entries[1].take_crashes() {
+            entries[0].record_peer_crash(address(1), &crashed, now_ms + 120);
         }
     }
     for entry in &mut entries {
-        entry.judge(call(1), 10_000);
-        let standing = entry.standing(call(1), 10_000);
-        assert_eq!(standing, Standing::Suspect { crashes: 2 });
+        entry.condemn_if_sole_cause(call(1), 10_000);
+        let status = entry.status(call(1), 10_000);
+        assert_eq!(status, DigestStatus::Suspect { crashes: 2 });
     }
 }
 
 #[test]
 fn can_bound_the_table_and_keep_condemned_calls_longest() {
-    let digests_max = 8;
+    let records_max = 8;
     let settings = SuspectSettings {
-        digests_max,
+        records_max,
         ..SuspectSettings::default()
     };
     let mut suspects = Suspects::new(settings);
-    suspects.hear(call(BAD), 60_000, 0);
+    suspects.record_peer_verdict(call(BAD), 60_000, 0);
     for number in 1..100 {
         let run = run(&mut suspects, number, number, 1).unwrap();
-        suspects.lost(run, u64::from(number));
+        suspects.record_crash(run, u64::from(number));
     }
-    assert_eq!(suspects.len(), digests_max);
+    assert_eq!(suspects.len(), records_max);
     let left_ms = 59_900;
     assert_eq!(
-        suspects.standing(call(BAD), 100),
-        Standing::Condemned { left_ms }
+        suspects.status(call(BAD), 100),
+        DigestStatus::Condemned { left_ms }
     );
 }
 
@@ -208,7 +229,7 @@
     /// it; a bystander may be there each time.
     fn never_condemns_a_bystander_of_another_entry(steps: Vec<(u8, u8, u8)>) -> bool {
         let mut entries = [(); 2].map(|()| Suspects::new(SuspectSettings::default()));
-        let mut runs: Vec<(usize, u8, u8, RunId)> = Vec::new();
+        let mut runs: Vec<(usize, u8, u8, AttemptId)> = Vec::new();
         for (step, (digest, at, what)) in (0_u64..).zip(steps) {
             let (digest, at, own, now_ms) = (digest % 4, at % 3, usize::from(what % 2), step * 150);
             if what % 8 < 5 {
@@ -217,23 +238,23 @@
                 continue;
             }
             let crashes = runs.iter().any(|&(_, d, e, _)| d == BAD && e == at);
-            let ends = |&mut (_, d, e, _): &mut (usize, u8, u8, RunId)| e == at && (crashes || d == digest);
+            let ends = |&mut (_, d, e, _): &mut (usize, u8, u8, AttemptId)| e == at && (crashes || d == digest);
             for (entry, _, _, run) in runs.extract_if(.., ends).collect::<Vec<_>>() {
                 if crashes {
-                    entries[entry].lost(run, now_ms);
+                    entries[entry].record_crash(run, now_ms);
                 } else {
-                    entries[entry].complete(run);
+                    entries[entry].record_success(run);
                 }
             }
             for (from, to) in [(0, 1), (1, 0)] {
-                for crashed in entries[from].take_crashed() {
-                    entries[to].hear_crash(address(from), &crashed, now_ms + 100);
+                for crashed in entries[from].take_crashes() {
+                    entries[to].record_peer_crash(address(from), &crashed, now_ms + 100);
                 }
             }
             let later_ms = now_ms + 10_000;
             for entry in &entries {
                 let mut judged = entry.clone();
-                (1..4).for_each(|digest| judged.judge(call(digest), later_ms));
+                (1..4).for_each(|digest| judged.condemn_if_sole_cause(call(digest), later_ms));
                 if judged.take_condemned().iter().any(|c| c.digest != call(BAD)) {
                     return false;
                 }
@@ -246,7 +267,7 @@
     /// that start and end in any order.
     fn never_condemns_a_bystander(steps: Vec<(u8, u8, bool)>) -> bool {
         let mut suspects = Suspects::new(SuspectSettings::default());
-        let mut runs: Vec<(u8, u8, RunId)> = Vec::new();
+        let mut runs: Vec<(u8, u8, AttemptId)> = Vec::new();
         for (now_ms, (digest, at, starts)) in (0..).zip(steps) {
             let (digest, at) = (digest % 6, at % 4);
             if starts {
@@ -256,12 +277,12 @@
             let crashes = runs.iter().any(|&(d, e, _)| d == BAD && e == at);
             for (_, _, run) in runs.extract_if(.., |&mut (d, e, _)| e == at && (crashes || d == digest)) {
                 if crashes {
-                    suspects.lost(run, now_ms);
+                    suspects.record_crash(run, now_ms);
                 } else {
-                    suspects.complete(run);
+                    suspects.record_success(run);
                 }
             }
-            let condemned = |d| matches!(suspects.standing(call(d), now_ms), Standing::Condemned { .. });
+            let condemned = |d| matches!(suspects.status(call(d), now_ms), DigestStatus::Condemned { .. });
             if (1..6).any(condemned) {
                 return false;
             }
