--- a/components/routing/examples/choice_cost.rs
+++ b/components/routing/examples/choice_cost.rs
@@ -1,9 +1,9 @@
-//! Prints the cost of a choice against the number of replicas. Run:
+//! Prints how long a choice takes for different numbers of replicas. Run:
 //! `cargo run --release -p routing --example choice_cost`.
 //!
-//! Nanoseconds are of this machine and this run; compare only within one run. To count
-//! instructions instead, give one number of replicas and one policy as arguments and run
-//! it under a counter, with and without calls: `choice_cost 32 compute-memory 1000000`.
+//! The times depend on the machine; compare only times of one run. To count instructions instead,
+//! pass a number of replicas, a policy and a number of calls, and run the program under an
+//! instruction counter with and without calls: `choice_cost 32 compute-memory 1000000`.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
--- a/components/routing/examples/herding.rs
+++ b/components/routing/examples/herding.rs
@@ -1,5 +1,5 @@
-//! Prints how evenly each policy spreads the load of several entries that read the same
-//! late reports. Run: `cargo run --release -p routing --example herding`.
+//! Prints how evenly each policy distributes the load of several entries that read the same late
+//! load reports. Run: `cargo run --release -p routing --example herding`.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -82,7 +82,7 @@
     }
 }
 
-/// The policies, and variants of the settings that were tried.
+/// All policies with their default settings, and variants with other settings to compare.
 fn variants() -> Vec<(String, Settings)> {
     let named = |policy: Policy, suffix: &str| format!("{}{suffix}", policy.as_str());
     let with = |policy| Settings {
--- a/components/routing/examples/model/sim.rs
+++ b/components/routing/examples/model/sim.rs
@@ -1,5 +1,5 @@
-//! A model of one service in memory: entries that choose by the code under test, and
-//! engines that batch continuously within a compute budget and a KV cache.
+//! Simulation of one service: entries that choose replicas by the code under test, and engines
+//! with continuous batching, limited by a compute budget and a KV cache.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -12,21 +12,21 @@
 use super::{here, spread};
 
 const STEP_MS: u64 = 10;
-/// Compute units of a step; a generated token costs one, a prompt token a quarter.
+/// Compute units of an engine per step; a generated token takes one, a prompt token a quarter.
 const UNITS: f64 = 40.0;
 const PROMPT_TOKEN_UNITS: f64 = 0.25;
-/// Most tokens that one call generates in a step.
+/// Maximum number of tokens that one call generates per step.
 const TOKENS_PER_STEP: f64 = 0.5;
 const KV_TOKENS: f64 = 40_000.0;
 const REFRESH_MS: u64 = 100;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Workload {
-    /// Sizes that the entry doesn't see.
+    /// Sizes as of [`Workload::Mixed`], which the entry does not know.
     Plain,
     /// Half long prompts with short answers, half short prompts with long answers.
     Mixed,
-    /// All of one kind: middling prompts and answers.
+    /// All calls of one kind: prompts and answers of medium length.
     Uniform,
 }
 
@@ -37,16 +37,16 @@
     pub entries: usize,
     pub replicas: u16,
     pub lag_ms: u64,
-    /// Offered load in thousandths of what the engines can compute.
+    /// Offered load in thousandths of the engines' compute capacity.
     pub load_permille: u64,
     pub seed: u64,
     pub length_ms: u64,
 }
 
 pub struct Figures {
-    /// Mean over time of the busiest replica's calls over the mean replica's.
+    /// Calls of the busiest replica divided by the mean of all replicas, averaged over time.
     pub peak_over_mean: f64,
-    /// Latency over that of an idle engine, in thousandths.
+    /// Latency divided by the latency on an idle engine, in thousandths.
     pub p50_slowdown: u64,
     pub p99_slowdown: u64,
     pub calls: usize,
@@ -77,7 +77,7 @@
         self.running.iter().map(|call| call.kv).sum()
     }
 
-    /// A plain service has neither prompts nor a KV cache to report of.
+    /// Load report of the engine. A plain service reports neither prompt tokens nor KV cache use.
     fn report(&self, taken_at_ms: u64, workload: Workload) -> Report {
         let tokens = if workload == Workload::Plain {
             0.0
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Runs one step: answers first, the rest of the compute goes to prompts.
+    /// Runs one step: answers are generated first, and prompts get the rest of the compute.
     fn step(&mut self) -> Vec<Call> {
         let mut kv = self.kv();
         while let Some(call) = self.waiting.front()
@@ -128,7 +128,7 @@
     }
 }
 
-/// Prompt and answer tokens of a call.
+/// Random number of prompt and answer tokens of a call.
 fn size(workload: Workload, rng: &mut SplitMix64) -> (f64, f64) {
     let percent = |rng: &mut SplitMix64| 0.5 + rng.below(1_000) as f64 / 1_000.0;
     if workload == Workload::Uniform {
@@ -147,7 +147,7 @@
 
 const MEAN_UNITS: f64 = (2_000.0 * 0.25 + 50.0 + 100.0 * 0.25 + 600.0) / 2.0;
 
-/// Runs the model; the same run gives the same figures.
+/// Runs the simulation; deterministic for a given `run`.
 pub fn run(run: Run) -> Figures {
     let mut sim = Sim::new(run);
     while sim.now_ms < sim.run.length_ms {
@@ -241,7 +241,7 @@
     }
 
     fn arrive(&mut self) {
-        // The balancer is not even: of three entries the first gets five ninths.
+        // Clients are not balanced evenly over the entries: of three, the first gets five ninths.
         let mut any = || self.rng.below(self.run.entries);
         let entry = any().min(any());
         let (prompt, new) = size(self.run.workload, &mut self.rng);
--- a/components/routing/src/choose.rs
+++ b/components/routing/src/choose.rs
@@ -1,8 +1,10 @@
-//! The choice itself: a few random candidates, the cheapest wins.
+//! Choice of a replica for one call: samples a few candidates at random and takes the one with
+//! the lowest score.
 //!
-//! Candidates are a few draws from the entry's own failure domain, a few from all
-//! replicas, and up to two replicas that hold the prompt's prefix. That is a constant number of scores, whatever the
-//! number of replicas. Only when draws keep hitting excluded replicas are all scanned.
+//! Candidates are a few random replicas of the entry's own failure domain, a few random replicas
+//! of all failure domains, and up to two replicas that cache the prompt's prefix. The number of
+//! scores is therefore constant, however many replicas the service has. All replicas are scanned
+//! only if sampling finds no eligible one.
 
 use quick_error::quick_error;
 use types::{Cause, Failure, NodeId, WeightVersion};
@@ -15,45 +17,47 @@
 use crate::settings::Policy;
 use crate::table::{ReplicaState, Table};
 
-/// Draws for each candidate before it is given up.
+/// Random draws per wanted candidate; a draw that hits an excluded replica or a candidate that
+/// was already drawn is wasted.
 const TRIES_PER_CANDIDATE: usize = 3;
-/// Most candidates that are compared.
+/// Maximum number of candidates that are compared for one call.
 const CANDIDATES_MAX: usize = 12;
-/// Most replicas that are compared for their cached prefix.
+/// Maximum number of candidates that are added because they cache the prompt's prefix.
 const PREFIX_CANDIDATES_MAX: usize = 2;
 
-/// What a call wants of its replica.
+/// What a call requires of its replica.
 #[derive(Clone, Debug, Default)]
 pub struct Requirements<'a> {
-    /// Its size.
+    /// Size of the call in tokens.
     pub work: Work,
-    /// Replicas that it has been sent to already.
+    /// Replicas that are excluded because the call was already sent to them.
     pub tried: &'a [NodeId],
-    /// Lowest weight version that will do.
+    /// Lowest weight version that may answer the call; `None` accepts every version.
     pub min_version: Option<WeightVersion>,
-    /// Whether it may probe a replica that failed before: only a call that may run again.
+    /// Whether the call may probe a half-open replica. Set only for calls that may be retried,
+    /// because the probe may fail.
     pub may_probe: bool,
-    /// Which replicas hold its prefix.
+    /// Replicas that cache a prefix of the call's prompt.
     pub prefix: PrefixMatches,
 }
 
 quick_error! {
-    /// Why there is no replica for a call. It was not run.
+    /// Why no replica could be chosen for a call. The call was not run.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum ChoiceError {
         /// The service has no replica.
         Empty {
             display("the service has no replica")
         }
-        /// Every replica is leaving.
+        /// Every replica is draining.
         Leaving {
             display("every replica is leaving")
         }
-        /// No replica has the wanted weight version.
+        /// No replica has the required weight version or a later one.
         Version(wanted: WeightVersion) {
             display("no replica has weight version {} or later", wanted)
         }
-        /// Every other replica has been tried.
+        /// The call was already sent to every replica that meets its other requirements.
         Tried {
             display("every replica has been tried")
         }
@@ -61,8 +65,8 @@
 }
 
 impl From<ChoiceError> for Failure {
-    fn from(none: ChoiceError) -> Failure {
-        Failure::not_run(match none {
+    fn from(error: ChoiceError) -> Failure {
+        Failure::not_run(match error {
             ChoiceError::Empty | ChoiceError::Tried => Cause::NoEndpoint,
             ChoiceError::Leaving => Cause::Leaving,
             ChoiceError::Version(_) => Cause::Stale,
@@ -70,21 +74,22 @@
     }
 }
 
-/// A replica for one call; holds the call's outstanding count until it is dropped.
+/// The replica chosen for one call. The call counts as outstanding there until this is dropped.
 #[derive(Debug)]
 pub struct Choice {
-    /// The replica.
+    /// Address and incarnation of the replica's agent.
     pub node: NodeId,
-    /// Weight version that it answered with at its last status.
+    /// Weight version in the replica's last status; `None` for a plain service.
     pub weights: Option<WeightVersion>,
-    /// Every replica that would do is ejected; this is one of them.
+    /// Whether the replica is ejected and was chosen because every eligible replica is.
     pub is_last_resort: bool,
-    /// The call's share of the counters.
+    /// Guard of the call's outstanding work on the replica's counters.
     pub outstanding: Outstanding,
 }
 
 impl Choice {
-    /// Ends the call and tells the present table what it says about the replica.
+    /// Ends the call and records its outcome for the ejection of the replica. `table` is the
+    /// current table of the service, not necessarily the one the replica was chosen from.
     pub fn finish(self, table: &Table, outcome: Outcome, now_ms: u64) {
         let probe = self.outstanding.is_probe();
         let health = &self.outstanding.counters().health;
@@ -92,7 +97,7 @@
     }
 }
 
-/// Chooses a replica of `table` for a call; `random` decides between equals.
+/// Chooses a replica of `table` for a call. `random` seeds the sampling of candidates.
 pub fn choose_replica(
     table: &Table,
     requirements: &Requirements<'_>,
@@ -119,7 +124,7 @@
     requirements: &'a Requirements<'a>,
     now_ms: u64,
     rng: SplitMix64,
-    /// Position and score.
+    /// Position in the table and score.
     candidates: [(usize, f64); CANDIDATES_MAX],
     count: usize,
 }
@@ -159,8 +164,8 @@
     }
 
     fn sample_all(&mut self, wanted: usize) {
-        let slots = self.table.replica_states().len();
-        self.sample(wanted, slots, Some);
+        let count = self.table.replica_states().len();
+        self.sample(wanted, count, Some);
     }
 
     fn sample(&mut self, wanted: usize, bound: usize, position: impl Fn(usize) -> Option<usize>) {
@@ -213,7 +218,7 @@
         }
     }
 
-    /// Score of the replica at `position`, if it will do.
+    /// Score of the replica at `position`; `None` if the replica is not eligible.
     fn cost_at(&self, position: usize) -> Option<f64> {
         let state = self.table.replica_states().get(position)?;
         if !self.is_eligible(state) {
@@ -233,16 +238,17 @@
     }
 
     fn is_eligible(&self, state: &ReplicaState) -> bool {
-        let state_now = state.counters.health.ejection_state(self.now_ms);
-        let open = match state_now {
+        let ejection_state = state.counters.health.ejection_state(self.now_ms);
+        let available = match ejection_state {
             EjectionState::Available => true,
             EjectionState::HalfOpen => self.requirements.may_probe,
             EjectionState::Ejected => false,
         };
-        open && exclusion_reason(state, self.requirements).is_none()
+        available && exclusion_reason(state, self.requirements).is_none()
     }
 
-    /// The cheapest candidate that can still be taken.
+    /// Chooses the candidate with the lowest score. A half-open candidate is skipped if another
+    /// call has begun to probe it in the meantime.
     fn choose_cheapest(&mut self) -> Option<Choice> {
         let candidates = self.candidates.get_mut(..self.count)?;
         candidates.sort_by(|a, b| a.1.total_cmp(&b.1));
@@ -260,12 +266,12 @@
         Some(self.build_choice(state, probe, false))
     }
 
-    /// Ejection is a suspicion: where all that would do are ejected, one of them is a
-    /// better answer than a refusal.
+    /// Chooses an ejected replica if all replicas that meet the requirements are ejected.
+    /// Ejection is only a suspicion, so an attempt there is better than a certain failure.
     fn choose_last_resort(&mut self) -> Result<Choice, ChoiceError> {
-        let slots = self.table.replica_states();
-        let start = self.rng.below(slots.len());
-        let (before, after) = slots.split_at(start);
+        let states = self.table.replica_states();
+        let start = self.rng.below(states.len());
+        let (before, after) = states.split_at(start);
         let mut closest = ChoiceError::Empty;
         for state in after.iter().chain(before) {
             match exclusion_reason(state, self.requirements) {
@@ -306,7 +312,8 @@
     None
 }
 
-/// Of two reasons, that of the replica which came nearer to being chosen.
+/// The reason that excluded a replica at the later check, so that the error names the last
+/// requirement that no replica met.
 fn closer_to_chosen(first: ChoiceError, second: ChoiceError) -> ChoiceError {
     let rank = |reason: &ChoiceError| match reason {
         ChoiceError::Empty => 0,
--- a/components/routing/src/counters.rs
+++ b/components/routing/src/counters.rs
@@ -1,5 +1,5 @@
-//! Work that this entry has outstanding on one replica. The counters outlive the
-//! tables that refer to them.
+//! Work that this entry has outstanding on one replica. The counters are shared by successive
+//! tables, since calls outlive the table that their replica was chosen from.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -9,29 +9,29 @@
 use crate::ejection::Health;
 use crate::history::History;
 
-/// Size of a call, as far as it is known when it is sent.
+/// Size of a call, as far as it is known when the call is sent.
 #[key]
 #[derive(Default)]
 pub struct Work {
     /// Tokens of the prompt; 0 for a plain service.
     pub prompt_tokens: u32,
-    /// Most tokens that may be generated; 0 for a plain service.
+    /// Maximum number of tokens that the engine may generate; 0 for a plain service.
     pub max_new_tokens: u32,
 }
 
 impl Work {
-    /// Tokens that the call may hold in the KV cache.
+    /// Maximum number of tokens that the call holds in the KV cache.
     pub fn tokens(self) -> u32 {
         self.prompt_tokens.saturating_add(self.max_new_tokens)
     }
 }
 
-/// Outstanding work of this entry on one life of one replica.
+/// Outstanding work of this entry on one incarnation of a replica.
 #[derive(Debug)]
 pub struct Counters {
     first_seen_ms: u64,
     calls: AtomicU32,
-    /// Prompt tokens of calls whose answer has not begun.
+    /// Prompt tokens of the calls whose answer has not started.
     prompt_tokens: AtomicU32,
     tokens: AtomicU32,
     calls_history: History,
@@ -54,27 +54,27 @@
         }
     }
 
-    /// When this entry first saw the replica, in milliseconds.
+    /// Time at which this entry first saw the replica, in milliseconds; its slow start begins then.
     pub fn first_seen_ms(&self) -> u64 {
         self.first_seen_ms
     }
 
-    /// Calls outstanding.
+    /// Number of outstanding calls.
     pub fn calls(&self) -> u32 {
         self.calls.load(Ordering::Relaxed)
     }
 
-    /// Prompt tokens of outstanding calls whose answer has not begun.
+    /// Prompt tokens of the outstanding calls whose answer has not started.
     pub fn prompt_tokens(&self) -> u32 {
         self.prompt_tokens.load(Ordering::Relaxed)
     }
 
-    /// Tokens of outstanding calls, generated ones at their most.
+    /// Tokens of the outstanding calls: prompt tokens and the maximum of generated tokens.
     pub fn tokens(&self) -> u32 {
         self.tokens.load(Ordering::Relaxed)
     }
 
-    /// Notes the present values, so that a report taken now can be corrected later.
+    /// Records the current values, so that a report taken now can be corrected when it arrives.
     pub(crate) fn record(&self, now_ms: u64) {
         self.calls_history.record(now_ms, self.calls());
         self.prompt_tokens_history
@@ -82,7 +82,7 @@
         self.tokens_history.record(now_ms, self.tokens());
     }
 
-    /// Calls, prompt tokens and tokens that were outstanding at `at_ms`.
+    /// Calls, prompt tokens and all tokens that were outstanding at `at_ms`.
     pub(crate) fn values_at(&self, at_ms: u64) -> (u32, u32, u32) {
         (
             self.calls_history.value_at(at_ms),
@@ -92,7 +92,7 @@
     }
 }
 
-/// Holds one call's share of the counters; its drop gives it back.
+/// Guard of one call's outstanding work; subtracts it from the counters when dropped.
 #[derive(Debug)]
 pub struct Outstanding {
     counters: Arc<Counters>,
@@ -117,7 +117,8 @@
         }
     }
 
-    /// The answer has begun: its prompt no longer waits for compute.
+    /// Records that the answer has started: the prompt has been processed and no longer waits for
+    /// compute. Only the first call has an effect.
     pub fn record_answer_start(&self) {
         if !self.answer_started.swap(true, Ordering::Relaxed) {
             let prompt_tokens = self.work.prompt_tokens;
--- a/components/routing/src/ejection.rs
+++ b/components/routing/src/ejection.rs
@@ -1,9 +1,9 @@
-//! Ejection of replicas that fail call after call.
+//! Ejection of replicas that fail consecutive calls (outlier detection).
 //!
-//! Ejection is this entry's own suspicion, so it has a floor: a fault of the network
-//! beside this entry, or a whole-service outage, would otherwise take every replica
-//! away and turn an outage of some into an outage of all. When its time is over a
-//! replica is half open: one call at a time probes it.
+//! An ejection is based only on what this entry observes, so the share of ejected replicas is
+//! limited. Otherwise a network fault near this entry, or an outage of the whole service, would
+//! eject every replica and turn a partial outage into a complete one. When the ejection time is
+//! over, the replica becomes half-open: one call at a time probes it.
 
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 
@@ -12,14 +12,16 @@
 use crate::settings::Settings;
 use crate::table::Table;
 
-/// What a call's end says about its replica.
+/// What the end of a call says about the health of its replica.
 #[key]
 pub enum Outcome {
-    /// The replica answered, be it with a refusal of its own.
+    /// The replica answered; a refusal by the replica is an answer too.
     Answered,
-    /// The replica failed: connection lost, answer cut, error of the endpoint.
+    /// The replica failed: the connection was lost, the answer was truncated, or the endpoint
+    /// returned an error.
     Failed,
-    /// Says nothing: cancelled, or refused before it was sent.
+    /// The end says nothing about the replica: the call was cancelled, or refused before it was
+    /// sent.
     Inconclusive,
 }
 
@@ -36,8 +38,9 @@
 #[derive(Debug)]
 pub(crate) struct Health {
     failures: AtomicU32,
-    /// [`NOT_EJECTED`], or the time from which the replica is half open.
+    /// [`NOT_EJECTED`], or the time from which the replica is half-open.
     ejected_until_ms: AtomicU64,
+    /// Consecutive ejections; each doubles the duration of the next one.
     ejections: AtomicU32,
     probing: AtomicBool,
 }
@@ -69,7 +72,7 @@
         self.ejected_until_ms.load(Ordering::Relaxed)
     }
 
-    /// Takes the one probe; false when another call has it.
+    /// Claims the single probe of a half-open replica; false if another call is probing it.
     pub(crate) fn begin_probe(&self) -> bool {
         !self.probing.swap(true, Ordering::Relaxed)
     }
@@ -94,13 +97,14 @@
     }
 }
 
-/// Ejections of one service; shared by its successive tables.
+/// Lock held while a replica of the service is being ejected; shared by successive tables.
 #[derive(Debug, Default)]
 pub(crate) struct EjectionLock {
     locked: AtomicBool,
 }
 
-/// Takes the end of a call into account.
+/// Updates the health of a replica after a call. `probe` tells whether the call was the probe of a
+/// half-open replica.
 pub(crate) fn record_outcome(
     table: &Table,
     health: &Health,
@@ -111,9 +115,10 @@
     match outcome {
         Outcome::Inconclusive => {}
         Outcome::Answered if probe || !health.is_ejected() => health.restore(),
-        // An answer to a call sent before the ejection is old news.
+        // The call was sent before the ejection, so its answer does not show a recovery.
         Outcome::Answered => {}
-        // A replica restored for the floor while its probe ran counts from the start.
+        // If the replica was restored during the probe because the service shrank, the failure
+        // counts as the first of a new series.
         Outcome::Failed if probe && health.is_ejected() => health.eject(table.settings(), now_ms),
         Outcome::Failed => record_failure(table, health, now_ms),
     }
@@ -124,8 +129,9 @@
     if failures < table.settings().eject_after || health.is_ejected() {
         return;
     }
-    // Two threads that both counted the ejected ones would both eject and pass the
-    // floor. One decides at a time; the other's replica is ejected at its next fault.
+    // Two threads that count the ejected replicas at the same time could both eject one and exceed
+    // the maximum share. Only one thread decides at a time; a replica that is skipped because of
+    // that is ejected at its next failure.
     if table.ejection_lock().locked.swap(true, Ordering::Acquire) {
         return;
     }
@@ -135,7 +141,7 @@
     table.ejection_lock().locked.store(false, Ordering::Release);
 }
 
-/// Most replicas of the table that may be ejected at a time.
+/// Maximum number of replicas of the table that may be ejected at a time.
 pub(crate) fn ejected_max(table: &Table) -> usize {
     const PERMILLE: usize = 1_000;
     table.replica_states().len() * table.settings().eject_share_permille as usize / PERMILLE
--- a/components/routing/src/hedge.rs
+++ b/components/routing/src/hedge.rs
@@ -1,22 +1,22 @@
-//! When a second copy of a slow call is sent.
+//! Hedged requests: decides when a second copy of a slow call is sent.
 //!
-//! Only calls that may run twice are hedged. The first copy to answer wins and the
-//! other is cancelled. A hedge is due when the call is slower than a quantile of its
-//! service's recent calls; a budget keeps hedges from doubling the load when all calls
-//! are slow, which is when a second copy helps least.
+//! Only idempotent calls are hedged. The copy that answers first is used and the other copy is
+//! cancelled. A hedge is due when the call has taken longer than a quantile of the recent calls of
+//! its service. Each hedge is charged to a budget, which prevents hedges from doubling the load
+//! when all calls are slow; that is also when a second copy helps least.
 
 use derive::{key, value};
 
 use crate::latency::Latencies;
 
-/// Settings of hedging.
+/// Settings of hedged requests.
 #[value]
 pub struct HedgeSettings {
-    /// Quantile of recent latencies after which a call is a straggler, in thousandths.
+    /// Quantile of the recent latencies after which a call counts as a straggler, in thousandths.
     pub quantile_permille: u32,
-    /// Calls that must be known before the quantile is trusted.
+    /// Number of recent calls below which the quantile is not used and no call is hedged.
     pub calls_min: u32,
-    /// Least wait before a hedge, in milliseconds.
+    /// Minimum delay before a hedge, in milliseconds.
     pub wait_min_ms: u64,
 }
 
@@ -30,29 +30,30 @@
     }
 }
 
-/// Whether a hedge is due.
+/// Whether a second copy of a call is sent now.
 #[key]
 pub enum HedgeDecision {
-    /// Ask again at this time, in milliseconds.
+    /// Not yet; decide again at this time, in milliseconds.
     RecheckAt(u64),
-    /// Send a second copy now; the budget is charged.
+    /// Send a second copy now; the budget has been charged.
     Send,
-    /// Not for this call.
+    /// The call gets no second copy.
     Never,
 }
 
-/// A call that might be hedged.
+/// A call that may be hedged.
 #[key]
 pub struct HedgeCandidate {
-    /// When its first copy was sent, in milliseconds.
+    /// Time at which the first copy was sent, in milliseconds.
     pub sent_at_ms: u64,
-    /// When its caller gives up, in milliseconds.
+    /// Deadline of the call, in milliseconds.
     pub deadline_ms: u64,
-    /// May run twice and has one copy out.
+    /// Whether the call is idempotent and only one copy of it is in flight.
     pub may_run_twice: bool,
 }
 
-/// Decides on a hedge at `now_ms`; `spend` takes one from the budget, or says no.
+/// Decides whether a second copy of `call` is sent at `now_ms`. `spend` charges one hedge to the
+/// budget and returns false if the budget is exhausted; it is called only when the hedge is due.
 pub fn decide_hedge(
     call: HedgeCandidate,
     latencies: &Latencies,
@@ -68,7 +69,8 @@
         return HedgeDecision::Never;
     };
     let due_at_ms = call.sent_at_ms + wait_ms.max(settings.wait_min_ms);
-    // A copy that starts with less time than most calls need would only add load.
+    // A second copy with less than half the quantile left before the deadline would most likely
+    // time out and only add load.
     if due_at_ms.max(now_ms) + wait_ms / 2 > call.deadline_ms {
         return HedgeDecision::Never;
     }
--- a/components/routing/src/history.rs
+++ b/components/routing/src/history.rs
@@ -1,23 +1,23 @@
-//! Recent values of a counter, so that a late report can be compared with what this
-//! entry itself had outstanding when the report was taken.
+//! Recent values of a counter. They tell how much work this entry itself had outstanding at the
+//! time when a load report was taken, which arrives later.
 //!
-//! The first change in each step of time writes that step's slot; a step with no
-//! change has the value of the step before it. Slots are atomics: a torn view costs
-//! one estimate, never a promise.
+//! Time is divided into steps and each step has a slot in a ring buffer. A slot holds the last
+//! value recorded in its step; a step without a change has the value of the step before it. The
+//! slots are atomics, and a reader may see some of them before and some after an update; that
+//! makes one load estimate inaccurate and has no effect on correctness.
 
 use std::array;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Length of a step, in milliseconds.
 const STEP_MS: u64 = 128;
-/// Steps that are kept: about eight seconds.
+/// Steps in the ring buffer: about eight seconds.
 const STEPS: usize = 64;
 const VALUE_BITS: u32 = 32;
 
-/// Values of one counter over the last steps.
+/// Values of one counter over the last [`STEPS`] steps.
 #[derive(Debug)]
 pub(crate) struct History {
-    /// Step number plus one in the upper half, value in the lower; zero is unwritten.
+    /// Step number plus one in the upper half, value in the lower half; zero if never written.
     slots: [AtomicU64; STEPS],
 }
 
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Notes the value at `now_ms`; a later note in the same step replaces it.
+    /// Records the value at `now_ms`, replacing an earlier value of the same step.
     pub(crate) fn record(&self, now_ms: u64, value: u32) {
         let step = now_ms / STEP_MS;
         let stored = ((step + 1) << VALUE_BITS) | u64::from(value);
@@ -37,7 +37,8 @@
         }
     }
 
-    /// The value at `at_ms`: that of the newest step not after it, else zero.
+    /// The value at `at_ms`, taken from the newest recorded step that is not later; zero if there
+    /// is none.
     pub(crate) fn value_at(&self, at_ms: u64) -> u32 {
         let wanted_step = at_ms / STEP_MS + 1;
         let mut newest = 0;
--- a/components/routing/src/latency.rs
+++ b/components/routing/src/latency.rs
@@ -1,8 +1,9 @@
-//! Latencies of finished calls, for the time at which a call counts as a straggler.
+//! Histogram of the latencies of finished calls. Hedging takes the latency from it after which a
+//! call counts as a straggler.
 //!
-//! Buckets grow by a quarter of a power of two, so a quantile is at most a quarter too
-//! high. All counters are atomics. Two windows alternate: the older is cleared when its
-//! time comes round again, so a quantile follows a change within two windows.
+//! Each power of two is divided into four buckets, so a quantile is at most a quarter too high.
+//! All counters are atomics. Two time windows alternate, and the older one is cleared before it is
+//! reused, so a quantile reflects a change in latency within two windows.
 
 use std::array;
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
@@ -15,13 +16,13 @@
 #[derive(Debug)]
 pub struct Latencies {
     window_ms: u64,
-    /// Number of the window that is filled now.
+    /// Number of the window that new latencies are counted in.
     current_window: AtomicU64,
     windows: [[AtomicU32; BUCKETS]; WINDOWS],
 }
 
 impl Latencies {
-    /// No latencies yet; those older than two windows are forgotten.
+    /// An empty histogram. Latencies older than two windows of `window_ms` are dropped.
     pub fn new(window_ms: u64) -> Self {
         Self {
             window_ms: window_ms.max(1),
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Counts one finished call.
+    /// Counts a call that finished at `now_ms` after `latency_ms`.
     pub fn record(&self, latency_ms: u64, now_ms: u64) {
         let number = now_ms / self.window_ms;
         self.advance_to(number);
@@ -40,8 +41,8 @@
         }
     }
 
-    /// Upper bound of the latency that `permille` of the calls kept, or `None` while
-    /// fewer than `calls_min` are known.
+    /// Upper bound of the latency within which `permille` thousandths of the calls finished;
+    /// `None` if fewer than `calls_min` calls are counted.
     pub fn quantile_ms(&self, permille: u32, calls_min: u32) -> Option<u64> {
         let sums: [u64; BUCKETS] = array::from_fn(|index| self.sum(index));
         let total: u64 = sums.iter().sum();
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -1,9 +1,8 @@
-//! Choice of the replica that runs a call.
+//! Load balancing: the choice of the replica that runs a call.
 //!
-//! An entry keeps one immutable [`Table`] for each service and swaps it when
-//! membership or a load report changes. Counters that a request changes are atomics
-//! shared by successive tables, so the path of a request takes no lock. Time and
-//! random numbers are passed in.
+//! An entry keeps one immutable [`Table`] per service and replaces it when the membership or a
+//! load report changes. The counters that requests update are atomics shared by successive
+//! tables, so a request takes no lock. Callers pass in the time and the random numbers.
 
 mod choose;
 mod counters;
--- a/components/routing/src/prefix.rs
+++ b/components/routing/src/prefix.rs
@@ -1,15 +1,16 @@
-//! Which replicas cache which blocks of a prompt, learnt from cache events that come
-//! late and with gaps.
+//! Tracks which replicas cache which blocks of a prompt, from cache events of the engines that
+//! arrive late and with gaps.
 //!
-//! A block's hash covers all blocks before it, so a replica that holds block `i` of a
-//! prompt holds its prefix. The table is a fixed array of atomics: readers on the path
-//! of a request take no lock, and new blocks overwrite older ones of the same bucket.
-//! A replica's knowledge carries a generation; a gap in its events raises it, which
-//! drops all that was known of the replica in one step. A wrong entry costs one bonus.
+//! The hash of a block covers all blocks before it, so a replica that caches block `i` of a
+//! prompt caches the whole prefix up to it. The table is a fixed array of atomics: requests read
+//! it without a lock, and new blocks overwrite older blocks of the same bucket. Each cell carries
+//! the generation of its replica; a gap in the replica's events increments the generation, which
+//! invalidates all cells of the replica in one step. A wrong cell only gives one replica an
+//! undeserved prefix bonus.
 //!
-//! Not wired yet: no process reads engines' cache events, so replicas have no `prefix_id`
-//! and [`crate::choose`] is asked without matches. The reading of events by the agent and
-//! their way to the entries are missing.
+//! Not in use yet: no process reads the engines' cache events, so replicas have no `prefix_id`
+//! and [`crate::choose_replica`] gets no matches. Agents do not read the events yet, and there is
+//! no protocol to send them to the entries.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -20,60 +21,63 @@
 
 use crate::random::mix;
 
+/// Cells per bucket, as in a set-associative cache.
 const WAYS: usize = 8;
 const ID_BITS: u32 = 12;
 const GENERATION_BITS: u32 = 12;
+/// Bits of a cell below the tag, which is the upper part of the block's hash.
 const LOW_BITS: u32 = ID_BITS + GENERATION_BITS;
-/// Most replicas whose caches are followed.
+/// Maximum number of replicas whose caches are tracked.
 const REPLICAS_MAX: usize = 1 << ID_BITS;
-/// Most blocks of a prompt that are looked up.
+/// Maximum number of blocks of a prompt that are looked up.
 const BLOCKS_MAX: usize = 64;
-/// Most holders of a prefix that are found.
+/// Maximum number of replicas that a look-up returns.
 const HOLDERS_MAX: usize = 4;
 
-/// Number of a replica in the table of blocks.
+/// Number of a replica in the [`BlockTable`].
 #[key]
 pub struct PrefixId(u16);
 
 /// One cache event of an engine.
 #[value]
 pub struct BlockEvent {
-    /// Its place in the engine's sequence.
+    /// Sequence number, counted per engine; a missing number is a gap.
     pub seq: u64,
-    /// Hash of the block and all before it.
+    /// Hash of the block and of all blocks before it in the prompt.
     pub block_hash: u64,
-    /// Stored, else removed.
+    /// Whether the engine stored the block in its cache; otherwise it removed the block.
     pub stored: bool,
 }
 
-/// A replica that holds the first blocks of a prompt.
+/// A replica that caches a prefix of a prompt.
 #[key]
 pub struct PrefixMatch {
-    /// The replica.
+    /// Number of the replica in the [`BlockTable`].
     pub id: PrefixId,
-    /// How many blocks it holds.
+    /// Length of the cached prefix, in blocks.
     pub blocks: u32,
 }
 
-/// Holders of a prompt's prefix, the longest first.
+/// Replicas that cache a prefix of one prompt, longest prefix first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PrefixMatches {
     found: [Option<PrefixMatch>; HOLDERS_MAX],
 }
 
 impl PrefixMatches {
-    /// The holders, the longest first.
+    /// Iterates over the replicas, longest prefix first.
     pub fn iter(&self) -> impl Iterator<Item = PrefixMatch> + '_ {
         self.found.iter().flatten().copied()
     }
 
-    /// Blocks that the replica holds.
+    /// Length of the prefix that the replica caches, in blocks; 0 if it is not among the matches.
     pub fn cached_blocks(&self, id: PrefixId) -> u32 {
         let held = self.iter().find(|held| held.id == id);
         held.map_or(0, |held| held.blocks)
     }
 
-    /// The replica holds `blocks` blocks. One that holds fewer makes room for it.
+    /// Records that the replica caches `blocks` blocks. A new match replaces the shortest one,
+    /// unless that is as long.
     fn extend(&mut self, id: PrefixId, blocks: u32) {
         let known = self.found.iter_mut().flatten().find(|held| held.id == id);
         if let Some(held) = known {
@@ -93,11 +97,12 @@
     held.map_or(0, |held| held.blocks)
 }
 
-/// The table that requests read.
+/// Lock-free look-up table of cached blocks, shared between requests and one [`PrefixTracker`].
 #[derive(Debug)]
 pub struct BlockTable {
-    /// Tag, generation and replica of one block.
+    /// Tag, generation and replica of one block, from the high to the low bits; 0 is empty.
     cells: Vec<AtomicU64>,
+    /// Current generation by replica; cells of another generation are invalid.
     generations: Vec<AtomicU32>,
     buckets: usize,
 }
@@ -112,7 +117,8 @@
         }
     }
 
-    /// Holders of the prompt whose block hashes these are, first block first.
+    /// Finds the replicas that cache a prefix of a prompt, given the prompt's block hashes in
+    /// order.
     pub fn holders(&self, prompt: &[u64]) -> PrefixMatches {
         let mut matches = PrefixMatches::default();
         for (held, &block) in (1..).zip(prompt.iter().take(BLOCKS_MAX)) {
@@ -171,7 +177,7 @@
     fn remove(&self, id: PrefixId, block: u64) {
         let packed = self.packed(id, block);
         for cell in self.bucket(block) {
-            // Only the writer stores, so a plain store cannot lose another's block.
+            // The tracker is the only writer, so a plain store cannot overwrite a concurrent one.
             if cell.load(Ordering::Relaxed) == packed {
                 cell.store(0, Ordering::Relaxed);
             }
@@ -191,7 +197,7 @@
     next_seq: u64,
 }
 
-/// Follows the replicas' cache events; one task owns it.
+/// Applies the replicas' cache events to a [`BlockTable`]. Owned by one task.
 #[derive(Debug)]
 pub struct PrefixTracker {
     blocks: Arc<BlockTable>,
@@ -200,7 +206,7 @@
 }
 
 impl PrefixTracker {
-    /// Follows no replica yet; keeps `blocks_max` blocks at 8 bytes each.
+    /// A tracker of no replicas, with room for `blocks_max` blocks at 8 bytes each.
     pub fn new(blocks_max: usize) -> Self {
         Self {
             blocks: Arc::new(BlockTable::new(blocks_max)),
@@ -209,12 +215,13 @@
         }
     }
 
-    /// The table that requests read.
+    /// The look-up table, to be shared with the requests.
     pub fn block_table(&self) -> Arc<BlockTable> {
         Arc::clone(&self.blocks)
     }
 
-    /// The replica's number; `None` when as many replicas are followed as can be.
+    /// Starts to track a replica and returns its number; `None` if the maximum number of replicas
+    /// is tracked already.
     pub fn track(&mut self, node: NodeId) -> Option<PrefixId> {
         if let Some(tracked) = self.tracked.get(&node) {
             return Some(tracked.id);
@@ -225,7 +232,7 @@
         Some(id)
     }
 
-    /// Forgets the replicas that are not kept.
+    /// Stops tracking the replicas for which `keep` is false and drops their blocks.
     pub fn retain(&mut self, keep: impl Fn(&NodeId) -> bool) {
         let (blocks, free) = (&self.blocks, &mut self.free);
         self.tracked.retain(|node, tracked| {
@@ -238,9 +245,10 @@
         });
     }
 
-    /// Takes events in the order of their sequence. A gap means that removals may have
-    /// been missed, and a prompt would be sent after blocks that are gone: all that is
-    /// known of the replica is dropped. Events seen before are passed over.
+    /// Applies cache events of a replica, which must be sorted by sequence number. After a gap all
+    /// blocks of the replica are dropped: removals may have been missed, and prompts would be
+    /// routed to blocks that the engine no longer caches. Events that were applied before are
+    /// skipped.
     pub fn apply(&mut self, node: NodeId, events: &[BlockEvent]) {
         let Some(tracked) = self.tracked.get_mut(&node) else {
             return;
--- a/components/routing/src/random.rs
+++ b/components/routing/src/random.rs
@@ -1,11 +1,11 @@
-//! A short run of draws from one random number.
+//! A small pseudorandom number generator, seeded with one random number per call.
 
-/// Draws derived from one random number by splitmix64; not for secrets.
+/// SplitMix64 generator; not cryptographically secure.
 #[derive(Clone, Debug)]
 pub struct SplitMix64(u64);
 
 impl SplitMix64 {
-    /// Draws that follow from `random`.
+    /// A generator with `random` as its seed.
     pub fn new(random: u64) -> Self {
         Self(random)
     }
@@ -16,13 +16,13 @@
         mix(self.0)
     }
 
-    /// A number below `bound`, or 0 when `bound` is 0.
+    /// A random number below `bound`; 0 if `bound` is 0.
     pub fn below(&mut self, bound: usize) -> usize {
         ((u128::from(self.next_u64()) * bound as u128) >> u64::BITS) as usize
     }
 }
 
-/// Spreads the bits of a number over all of the result.
+/// SplitMix64's finalizer: every bit of `number` affects all bits of the result.
 pub(crate) fn mix(number: u64) -> u64 {
     let number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let number = (number ^ (number >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/components/routing/src/replica.rs
+++ b/components/routing/src/replica.rs
@@ -1,50 +1,50 @@
-//! One replica of a service, as membership knows it.
+//! The description of a replica that the membership provides.
 
 use derive::{key, value};
 use types::{FailureDomain, NodeId, Region, WeightVersion};
 
 use crate::prefix::PrefixId;
 
-/// Load of an endpoint as its agent reported it, with its age.
+/// Load of an endpoint at some past time, as reported by its agent.
 #[key]
 pub struct Report {
-    /// Calls in progress.
+    /// Calls that the engine is running.
     pub running: u32,
-    /// Calls that wait in the engine.
+    /// Calls that wait in the engine's queue.
     pub waiting: u32,
-    /// Prompt tokens that wait in the engine.
+    /// Prompt tokens of the calls that wait in the engine's queue.
     pub prompt_tokens_queued: u32,
-    /// KV cache in use, in thousandths.
+    /// Used part of the engine's KV cache, in thousandths.
     pub kv_used_permille: u16,
-    /// When the engine took the report: this process's clock at its arrival less the
-    /// stated age, in milliseconds.
+    /// Time at which the engine's load was measured, in milliseconds of this process's clock: the
+    /// arrival of the report minus the age that the report states.
     pub taken_at_ms: u64,
 }
 
-/// One life of one endpoint that hosts the service.
+/// An endpoint that hosts the service, for the lifetime of one incarnation of its agent.
 #[value]
 pub struct Replica {
-    /// Address and incarnation of its agent.
+    /// Address and incarnation of the replica's agent.
     pub node: NodeId,
-    /// Its failure domain.
+    /// Failure domain that the endpoint runs in.
     pub failure_domain: FailureDomain,
-    /// Its region.
+    /// Region of the failure domain.
     pub region: Region,
-    /// Takes no new work.
+    /// Whether the replica is draining and accepts no new calls.
     pub leaving: bool,
-    /// Version that it answers with; `None` for a plain service.
+    /// Weight version that answers calls; `None` for a plain service.
     pub weights: Option<WeightVersion>,
-    /// Its newest load report.
+    /// Newest load report; `None` until the first one arrives.
     pub report: Option<Report>,
-    /// Where [`crate::Prefixes`] keeps what it caches.
+    /// Number of the replica in a [`crate::BlockTable`]; `None` if its cache is not tracked.
     pub prefix_id: Option<PrefixId>,
 }
 
-/// Where the entry itself stands.
+/// Location of the entry that chooses replicas; replicas close to it are preferred.
 #[value]
 pub struct Locality {
-    /// Its failure domain.
+    /// Failure domain that the entry runs in.
     pub failure_domain: FailureDomain,
-    /// Its region.
+    /// Region of the failure domain.
     pub region: Region,
 }
--- a/components/routing/src/score.rs
+++ b/components/routing/src/score.rs
@@ -1,15 +1,17 @@
-//! What it costs to send a call to a replica, in units of load; the lowest wins.
+//! Score of sending a call to a replica, in units of load; the replica with the lowest score is
+//! chosen.
 
 use crate::counters::Work;
 use crate::settings::{Policy, Settings};
 use crate::table::{OthersLoad, ReplicaState, Table};
 
-/// Share of the sum of both needs that breaks ties of the scarcer one.
+/// Weight of the sum of compute and memory use, which breaks ties between replicas whose scarcer
+/// resource is equally used.
 const TIE_BREAK_WEIGHT: f64 = 0.1;
-/// Least part of its share that a new replica gets.
+/// Share of its full load that a replica gets at the beginning of its slow start.
 const SLOW_START_SHARE_MIN: f64 = 0.1;
 
-/// Cost of the call on `slot`, with `blocks` of its prompt cached there.
+/// Score of the call on the replica of `state`, which caches `blocks` blocks of the prompt.
 pub(crate) fn score(
     table: &Table,
     state: &ReplicaState,
@@ -23,13 +25,13 @@
         Policy::Random => return 0.0,
         Policy::LeastOutstanding | Policy::TwoChoices => own_load(state, settings),
         Policy::TwoChoicesReport => scalar_load(),
-        // A plain service has no tokens to tell replicas apart by.
+        // Calls of a plain service have no tokens, so neither resource would differ.
         Policy::ComputeMemory if work.tokens() == 0 => scalar_load(),
         Policy::ComputeMemory => {
             scarcer_resource_load(state, &damped_others(table, state, now_ms), settings, work)
         }
     };
-    // The call itself counts, else an idle replica would cost nothing however new.
+    // The call itself is added; otherwise an idle replica would score 0 during its slow start too.
     let load = (load + 1.0) / slow_start_factor(state, settings, now_ms);
     let bonus = (f64::from(blocks) * settings.block_bonus).min(settings.bonus_max);
     load + state.penalty - bonus
@@ -40,9 +42,9 @@
     calls + tokens_to_load(f64::from(state.counters.tokens()), settings)
 }
 
-/// Load that others have there, its distance from the mean in whole units: where own
-/// calls are few, replicas are often equal, and a trace of the same late report would
-/// decide each of these ties alike in every entry.
+/// Load from other entries. Its difference from the mean is rounded to whole units: with few own
+/// calls replicas are often tied, and a small difference in the same late report would make every
+/// entry resolve each tie in favour of the same replica.
 fn others_load_units(table: &Table, state: &ReplicaState, now_ms: u64) -> f64 {
     let settings = table.settings();
     let load = |others: &OthersLoad| others.calls + tokens_to_load(others.tokens, settings);
@@ -50,8 +52,9 @@
     mean + (load(&damped_others(table, state, now_ms)) - mean).round()
 }
 
-/// The scarcer of compute (prompt tokens that wait) and memory (KV tokens), each as a
-/// share of what the engine has, in the load of a full engine.
+/// Load of the scarcer resource of an engine: compute, measured by waiting prompt tokens, or
+/// memory, measured by tokens in the KV cache. Each is a share of the engine's capacity, converted
+/// to the load of an engine whose KV cache is full.
 fn scarcer_resource_load(
     state: &ReplicaState,
     others: &OthersLoad,
@@ -68,13 +71,14 @@
     need * tokens_to_load(f64::from(settings.kv_tokens), settings)
 }
 
-/// What others have there, as far as the report can be believed.
+/// Load from other entries on the replica, pulled towards the mean of all replicas the older the
+/// report is.
 ///
-/// All entries read the same late report. If each acted on all of it, a replica that was
-/// idle then would draw the calls of every entry, and callers would wait behind each
-/// other there. So each entry makes up for its own share of the imbalance, and for
-/// less of it the older the report; only a report that is nearly fresh counts in full,
-/// because the next one corrects what it led to.
+/// All entries read the same late report. If each entry acted on the whole imbalance in it, every
+/// entry would send its calls to the replica that was idle when the report was taken, and the
+/// calls would queue there (herding). Each entry therefore corrects only its own share of the
+/// imbalance, and less of that the older the report is. Only an almost fresh report counts in
+/// full, because the next report soon corrects the decisions based on it.
 fn damped_others(table: &Table, state: &ReplicaState, now_ms: u64) -> OthersLoad {
     let Some(taken_at_ms) = state.others.taken_at_ms else {
         return state.others;
@@ -87,7 +91,7 @@
     state.others.damped(table.others(), weight)
 }
 
-/// 1 at once, a half at `half_ms`.
+/// Hyperbolic decay: 1 at age 0, one half at `half_ms`.
 fn decay(half_ms: u64, age_ms: f64) -> f64 {
     let half_ms = half_ms.max(1) as f64;
     half_ms / (half_ms + age_ms)
--- a/components/routing/src/settings.rs
+++ b/components/routing/src/settings.rs
@@ -1,27 +1,29 @@
-//! What can be set about routing.
+//! Settings of the choice of replicas.
 
 use derive::key;
 
-/// How replicas are compared.
+/// Load-balancing policy: how replicas are sampled and compared.
 #[key]
 pub enum Policy {
-    /// One uniform draw: the naive baseline.
+    /// One replica, drawn uniformly at random; a baseline for comparisons.
     Random,
-    /// The least outstanding work of this entry, over all replicas.
+    /// The replica with the least outstanding work of this entry, out of all replicas.
     LeastOutstanding,
-    /// A few draws, compared by the outstanding work of this entry.
+    /// Of a few random replicas, the one with the least outstanding work of this entry.
     TwoChoices,
-    /// A few draws, compared by own outstanding work and the corrected load report.
+    /// Of a few random replicas, the one with the least outstanding work of this entry and, by the
+    /// corrected load reports, of the other entries.
     TwoChoicesReport,
-    /// A few draws, compared by the scarcer of compute and KV memory, after the idea of
-    /// USHER (Shubha, Shen and Iyer, OSDI 2024) that unlike work should share an
-    /// accelerator. Adopted on docs/measurements/routing-limits.md; where a call has no
-    /// tokens it is [`Policy::TwoChoicesReport`].
+    /// Of a few random replicas, the one whose scarcer resource, compute or KV memory, is used
+    /// least. Based on the idea of USHER (Shubha, Shen and Iyer, OSDI 2024) that work with
+    /// different resource needs should share an accelerator; docs/measurements/routing-limits.md
+    /// has the comparison with the other policies. Calls without tokens are routed as by
+    /// [`Policy::TwoChoicesReport`].
     ComputeMemory,
 }
 
 impl Policy {
-    /// Every policy, the baseline first.
+    /// All policies, the baseline first.
     pub const ALL: [Policy; 5] = [
         Policy::Random,
         Policy::LeastOutstanding,
@@ -30,7 +32,7 @@
         Policy::ComputeMemory,
     ];
 
-    /// The policy as it stands in a flag and a table of figures.
+    /// Name of the policy in command line flags and benchmark output.
     pub fn as_str(self) -> &'static str {
         match self {
             Policy::Random => "random",
@@ -41,7 +43,7 @@
         }
     }
 
-    /// The policy with this word, if there is one.
+    /// Parses the name of a policy; `None` if it is unknown.
     pub fn parse(text: &str) -> Option<Policy> {
         Policy::ALL
             .into_iter()
@@ -49,44 +51,44 @@
     }
 }
 
-/// Settings of routing. Penalties and bonuses are in units of load: one unit is one
-/// outstanding call with no tokens.
+/// Settings of routing. Penalties and bonuses are in units of load: one unit is one outstanding
+/// call without tokens.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How replicas are compared.
+    /// Load-balancing policy.
     pub policy: Policy,
-    /// Replicas that are drawn at random from the entry's own failure domain.
+    /// Number of candidates that are sampled from the entry's own failure domain.
     pub draws_same_domain: usize,
-    /// Replicas that are drawn at random from all failure domains.
+    /// Number of candidates that are sampled from all failure domains.
     pub draws_all: usize,
-    /// Tokens that weigh as much as one call.
+    /// Number of tokens that count as much as one call.
     pub tokens_per_load: u32,
-    /// Tokens that an engine's KV cache holds.
+    /// Capacity of an engine's KV cache, in tokens.
     pub kv_tokens: u32,
-    /// Prompt tokens in an engine's queue that count as fully busy compute.
+    /// Number of prompt tokens in an engine's queue at which its compute counts as fully used.
     pub prompt_tokens_busy: u32,
-    /// Age up to which a report counts nearly in full, in milliseconds.
+    /// Age up to which a load report counts almost in full, in milliseconds.
     pub report_fresh_ms: u64,
-    /// Age at which an older report counts for half of this entry's share of the traffic,
-    /// in milliseconds.
+    /// Age at which a load report counts for half of this entry's share of the traffic, in
+    /// milliseconds.
     pub report_half_life_ms: u64,
-    /// Load that another failure domain of the same region costs.
+    /// Penalty of a replica in another failure domain of the same region.
     pub domain_penalty: f64,
-    /// Load that another region costs.
+    /// Penalty of a replica in another region.
     pub region_penalty: f64,
-    /// Load that one cached prompt block saves.
+    /// Bonus of a replica for each block of the prompt that it caches.
     pub block_bonus: f64,
-    /// Highest sum of the prefix bonus, in load.
+    /// Maximum bonus of a replica for cached blocks.
     pub bonus_max: f64,
-    /// Time over which a new replica comes up to its full share, in milliseconds.
+    /// Time over which the load of a new replica grows to its full share, in milliseconds.
     pub slow_start_ms: u64,
-    /// Consecutive faults after which a replica is ejected.
+    /// Number of consecutive failures after which a replica is ejected.
     pub eject_after: u32,
-    /// Time of the first ejection, in milliseconds; doubled by each failed probe.
+    /// Duration of the first ejection, in milliseconds; doubled after each failed probe.
     pub eject_ms: u64,
-    /// Longest ejection, in milliseconds.
+    /// Maximum duration of an ejection, in milliseconds.
     pub eject_max_ms: u64,
-    /// Highest share of a service's replicas that may be ejected, in thousandths.
+    /// Maximum share of a service's replicas that may be ejected at a time, in thousandths.
     pub eject_share_permille: u32,
 }
 
--- a/components/routing/src/subset.rs
+++ b/components/routing/src/subset.rs
@@ -1,8 +1,8 @@
-//! The part of a large service's replicas that one entry talks to.
+//! Subsetting: the part of a large service's replicas that one entry connects to.
 //!
-//! Connections and probes cost entries × replicas; with a subset they cost entries ×
-//! subset. Rendezvous hashing keeps the subset nearly unchanged when replicas come
-//! and go, and spreads subsets of different entries evenly.
+//! Without it the number of connections and probes is entries × replicas; with it, entries ×
+//! subset size. Rendezvous hashing keeps the subset almost unchanged when replicas are added or
+//! removed, and distributes the subsets of different entries evenly over the replicas.
 
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 
@@ -10,7 +10,7 @@
 
 use crate::replica::Replica;
 
-/// Keeps the `size` replicas that rank highest for `entry`, in the order given.
+/// Returns the `size` replicas with the highest rendezvous hash for `entry`, in their given order.
 pub fn subset(entry: NodeId, replicas: Vec<Replica>, size: usize) -> Vec<Replica> {
     if replicas.len() <= size {
         return replicas;
@@ -23,6 +23,6 @@
         Some(position) => ranks.get(position).copied(),
         None => return Vec::new(),
     };
-    let kept = |replica: &Replica| Some(rank(replica)) >= last;
-    replicas.into_iter().filter(kept).collect()
+    let is_in_subset = |replica: &Replica| Some(rank(replica)) >= last;
+    replicas.into_iter().filter(is_in_subset).collect()
 }
--- a/components/routing/src/table.rs
+++ b/components/routing/src/table.rs
@@ -1,8 +1,8 @@
 //! Immutable snapshot of a service's replicas.
 //!
-//! Building costs O(replicas · log replicas) and happens when membership changes or
-//! reports come in; the gateway does it on a tick, not for each datagram. A replica
-//! costs about 1.7 KB, nearly all of it the history of its counters.
+//! A table is rebuilt when the membership changes or load reports arrive, in O(replicas · log
+//! replicas). The gateway rebuilds it on a tick, not for each datagram. A replica takes about
+//! 1.7 KB of memory, almost all of it the history of its counters.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,33 +15,34 @@
 use crate::replica::{Locality, Replica, Report};
 use crate::settings::Settings;
 
-/// One replica of a table.
+/// A replica and what this entry knows about its load.
 #[derive(Debug)]
 pub struct ReplicaState {
-    /// What membership says of it.
+    /// The replica as described by the membership.
     pub replica: Replica,
     pub(crate) counters: Arc<Counters>,
-    /// Load that its place costs.
+    /// Penalty for a location in another failure domain or region, in units of load.
     pub(crate) penalty: f64,
-    /// What others than this entry have there.
+    /// Load from other entries.
     pub(crate) others: OthersLoad,
 }
 
 impl ReplicaState {
-    /// What this entry has outstanding there.
+    /// Work that this entry has outstanding on the replica.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 }
 
-/// Work on a replica that other entries sent: its report less what this entry had
-/// outstanding when the report was taken.
+/// Work on a replica that other entries sent: the replica's load report minus the work that this
+/// entry had outstanding when the report was taken.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct OthersLoad {
     pub(crate) calls: f64,
     pub(crate) prompt_tokens: f64,
     pub(crate) tokens: f64,
-    /// When the report was taken; `None` if the figures are the mean of the table.
+    /// Time at which the report was taken; `None` if the replica has no report and the values are
+    /// the mean of the table.
     pub(crate) taken_at_ms: Option<u64>,
 }
 
@@ -59,7 +60,7 @@
         }
     }
 
-    /// `self` with its distance from `mean` at `weight`.
+    /// Interpolates between `mean` (weight 0) and `self` (weight 1).
     pub(crate) fn damped(&self, mean: &OthersLoad, weight: f64) -> OthersLoad {
         let damped = |own: f64, mean: f64| mean + weight * (own - mean);
         OthersLoad {
@@ -88,7 +89,7 @@
     }
 }
 
-/// Replicas of one service.
+/// Replicas of one service at one time.
 #[derive(Debug)]
 pub struct Table {
     settings: Arc<Settings>,
@@ -96,15 +97,15 @@
     /// Positions of the replicas in the entry's own failure domain.
     same_domain: Vec<u32>,
     by_prefix: HashMap<PrefixId, u32>,
-    /// What others have on the mean replica.
+    /// Mean load from other entries over the replicas that have a report.
     others: OthersLoad,
-    /// Share of the outstanding calls that is this entry's own, from 0 to 1.
+    /// Estimated share of this entry in all outstanding calls of the service, from 0 to 1.
     own_share: f64,
     ejection_lock: Arc<EjectionLock>,
 }
 
 impl Table {
-    /// A table of no replicas.
+    /// A table without replicas.
     pub fn empty(settings: Arc<Settings>) -> Table {
         Table {
             settings,
@@ -117,8 +118,8 @@
         }
     }
 
-    /// The next table. Counters of replicas that the present one holds by the same
-    /// address and incarnation live on; another incarnation begins anew.
+    /// Builds the table that replaces this one. A replica with the same address and incarnation
+    /// keeps its counters; a new incarnation starts with new counters.
     pub fn rebuild(&self, replicas: Vec<Replica>, here: &Locality, now_ms: u64) -> Table {
         let known: HashMap<NodeId, &Arc<Counters>> = self
             .states
@@ -153,17 +154,17 @@
         table
     }
 
-    /// Its settings.
+    /// Settings of routing for the service.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Its replicas, in the order given.
+    /// The replicas, in the order in which they were passed to [`Table::rebuild`].
     pub fn replica_states(&self) -> &[ReplicaState] {
         &self.states
     }
 
-    /// How many replicas are ejected or half open.
+    /// Number of replicas that are ejected or half-open.
     pub fn ejected_count(&self) -> usize {
         let is_ejected = |state: &&ReplicaState| state.counters.health.is_ejected();
         self.states.iter().filter(is_ejected).count()
@@ -189,8 +190,8 @@
         &self.ejection_lock
     }
 
-    /// Restores the replicas that would be ejected beyond the floor of a service that
-    /// has shrunk; those nearest to their probe first.
+    /// Restores ejected replicas if the service has shrunk and more of them are ejected than the
+    /// maximum share allows. Replicas whose ejection ends soonest are restored first.
     fn restore_excess_ejected(&self) {
         let excess = self
             .ejected_count()
@@ -240,8 +241,8 @@
     }
 }
 
-/// A replica with no report would look idle and draw every call of every entry; it
-/// counts as the mean of the others instead.
+/// Gives replicas without a load report the mean load of those with one. Without that they would
+/// look idle and attract all calls of every entry.
 fn fill_unreported(states: &mut [ReplicaState], mean: OthersLoad) {
     for state in states {
         if state.others.taken_at_ms.is_none() {
--- a/components/routing/tests/choose.rs
+++ b/components/routing/tests/choose.rs
@@ -1,4 +1,4 @@
-//! Which replica a call goes to, and what its guard holds.
+//! Which replica is chosen for a call, and how its outstanding work is counted.
 
 #![allow(clippy::panic, clippy::unwrap_used)]
 
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn takes_only_replicas_that_will_do() {
+fn chooses_only_replicas_that_meet_the_requirements() {
     struct Case {
         name: &'static str,
         replicas: Vec<Replica>,
@@ -57,14 +57,14 @@
     let (two, one) = ([node(0), node(2)], [node(0)]);
     let cases = [
         case(
-            "errors with no replica",
+            "errors without replicas",
             &[],
             &[],
             None,
             Err(ChoiceError::Empty),
         ),
         case(
-            "can take the only one that stays",
+            "can choose the only replica that is not leaving",
             &one_stays,
             &[],
             None,
@@ -78,28 +78,28 @@
             Err(ChoiceError::Leaving),
         ),
         case(
-            "can take the one not yet tried",
+            "can choose the replica not tried yet",
             &replicas(3),
             &two,
             None,
             Ok(node(1)),
         ),
         case(
-            "errors when all others leave",
+            "errors when all untried replicas are leaving",
             &[replica(0), leaving(1)],
             &one,
             None,
             Err(ChoiceError::Tried),
         ),
         case(
-            "can take a later version than wanted",
+            "can choose a later version than required",
             &versions,
             &[],
             wanted,
             Ok(node(1)),
         ),
         case(
-            "errors when all are too old",
+            "errors when all versions are too old",
             &[hosting(0, 3), replica(1)],
             &[],
             wanted,
@@ -134,15 +134,15 @@
 }
 
 #[test]
-fn a_refusal_says_that_the_call_was_not_run() {
+fn a_choice_error_means_that_the_call_was_not_run() {
     let cases = [
         (ChoiceError::Empty, Cause::NoEndpoint),
         (ChoiceError::Tried, Cause::NoEndpoint),
         (ChoiceError::Leaving, Cause::Leaving),
         (ChoiceError::Version(version(1)), Cause::Stale),
     ];
-    for (none, cause) in cases {
-        assert_eq!(Failure::from(none), Failure::not_run(cause));
+    for (error, cause) in cases {
+        assert_eq!(Failure::from(error), Failure::not_run(cause));
     }
 }
 
@@ -157,11 +157,14 @@
 }
 
 #[test]
-fn load_outbids_the_preference_for_the_own_failure_domain() {
+fn load_outweighs_the_preference_for_the_own_failure_domain() {
     let table = table(Settings::default(), (0..6).map(spread).collect());
     let few = choices(&table, 2);
-    let near = |choice: &Choice| [node(0), node(3)].contains(&choice.node);
-    assert!(few.iter().all(near), "an idle near replica goes first");
+    let same_domain = |choice: &Choice| [node(0), node(3)].contains(&choice.node);
+    assert!(
+        few.iter().all(same_domain),
+        "idle replicas of the own failure domain must be chosen first"
+    );
     let _many = choices(&table, 60);
     let calls = calls(&table);
     assert!(calls.iter().all(|&calls| calls >= 7), "{calls:?}");
@@ -183,7 +186,7 @@
 }
 
 #[test]
-fn a_dropped_choice_gives_all_back() {
+fn dropping_a_choice_resets_the_counters() {
     let table = table(Settings::default(), replicas(1));
     let requirements = Requirements {
         work: Work {
@@ -223,9 +226,9 @@
     assert_eq!(calls(&after), [0, 0]);
 }
 
-// This entry sent 8 calls to the first replica, then a report arrives that was taken
-// while they ran there. Counting them again from the report would drive the next call
-// to the second replica, which others keep busier.
+// Guards against counting own calls twice. This entry has 8 calls at the first replica, and the
+// report of that replica includes them. If both counted, the next call would go to the second
+// replica, which is busier with calls of other entries.
 #[test]
 fn a_report_does_not_count_own_calls_twice() {
     let settings = Settings {
@@ -242,10 +245,10 @@
     assert_eq!(choice.node, node(0));
 }
 
-// A replica that has just come answers nothing yet from its caches. With its idle
-// counters it would draw every call until it is as busy as the others.
+// Guards against sending all calls to a new replica. Its counters are idle, so without slow start
+// it would get every call until it is as busy as the others, although its caches are empty.
 #[test]
-fn a_new_replica_comes_up_slowly() {
+fn a_new_replica_gets_its_share_gradually() {
     let settings = Arc::new(Settings {
         slow_start_ms: 10_000,
         ..Settings::default()
@@ -269,7 +272,7 @@
 }
 
 checks::seeded! {
-    fn every_permit_comes_back(randoms: Vec<u64>, held: usize) -> bool {
+    fn outstanding_calls_equal_the_choices_held(randoms: Vec<u64>, held: usize) -> bool {
         let table = table(Settings::default(), (0..5).map(spread).collect());
         let mut choices: Vec<Choice> = Vec::new();
         for random in randoms {
@@ -284,7 +287,7 @@
         matches && calls(&table) == [0; 5]
     }
 
-    fn a_subset_changes_by_at_most_one_with_one_replica(entry: u16, count: u16) -> bool {
+    fn a_new_replica_changes_at_most_one_member_of_a_subset(entry: u16, count: u16) -> bool {
         let (entry, count) = (node(entry % 100), 20 + count % 100);
         let of = |count| subset(entry, replicas(count), 16);
         let (before, after) = (of(count), of(count + 1));
--- a/components/routing/tests/common/mod.rs
+++ b/components/routing/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Replicas and tables for the tests, and a small model of a service in memory.
+//! Replicas and tables for the tests, and a simulation of a service.
 #![allow(dead_code, clippy::unwrap_used)]
 
 use std::net::{Ipv4Addr, SocketAddr};
@@ -30,7 +30,7 @@
     }
 }
 
-/// A replica of the first failure domain with no report.
+/// A replica in the first failure domain, without a load report.
 pub fn replica(number: u16) -> Replica {
     Replica {
         node: node(number),
@@ -47,6 +47,7 @@
     (0..count).map(replica).collect()
 }
 
+/// A replica without a load report, in the failure domain of its number modulo three.
 pub fn spread(number: u16) -> Replica {
     let name = DOMAINS[usize::from(number) % DOMAINS.len()];
     Replica {
@@ -65,7 +66,7 @@
     }
 }
 
-/// A table whose replicas are past their slow start at `now_ms` = 0.
+/// A table without slow start, whose replicas get their full share at once.
 pub fn table(settings: Settings, replicas: Vec<Replica>) -> Table {
     let settings = Settings {
         slow_start_ms: 0,
--- a/components/routing/tests/ejection.rs
+++ b/components/routing/tests/ejection.rs
@@ -1,4 +1,4 @@
-//! Ejection of replicas that fail, its floor, and probing.
+//! Ejection of failing replicas, the maximum share of ejected replicas, and probing.
 
 #![allow(clippy::panic, clippy::unwrap_used)]
 
@@ -15,7 +15,8 @@
     }
 }
 
-/// Sends calls until `wanted` has failed `times`; all others answer.
+/// Sends calls until those to `wanted` have failed `times` times; calls to other replicas are
+/// answered.
 fn fail(table: &Table, wanted: NodeId, times: u32, now_ms: u64) {
     let mut failed = 0;
     for random in 0..10_000 {
@@ -51,18 +52,18 @@
     assert_eq!(hits(&table, node(1), 0, true), 0);
 }
 
-// The caller sees nothing: the replica fails three times, is ejected for 2 s, then one
-// call that may run again probes it. The probe fails and the time doubles; the next
-// probe answers and the replica is back.
+// Guards against sending more than one call to a replica that may still be failing. A replica is
+// ejected for 2 s after three failures. One idempotent call probes it and fails, so the ejection
+// time doubles; the next probe is answered and the replica is restored.
 #[test]
-fn one_call_at_a_time_probes_and_the_time_doubles() {
+fn one_call_at_a_time_probes_and_a_failed_probe_doubles_the_time() {
     let table = table(Settings::default(), replicas(4));
     fail(&table, node(1), 3, 0);
     assert_eq!(hits(&table, node(1), 1_999, true), 0);
     assert_eq!(
         hits(&table, node(1), 2_000, false),
         0,
-        "a call that may run once only"
+        "a call that may not be retried must not probe"
     );
     assert_eq!(hits(&table, node(1), 2_000, true), 1);
     let probe = |now_ms| {
@@ -73,16 +74,21 @@
     probe(2_000).finish(&table, Outcome::Failed, 2_000);
     assert_eq!(hits(&table, node(1), 5_999, true), 0);
     drop(probe(6_000));
-    assert_eq!(table.ejected_count(), 1, "a cancelled probe says nothing");
+    assert_eq!(
+        table.ejected_count(),
+        1,
+        "a cancelled probe must not restore the replica"
+    );
     probe(6_000).finish(&table, Outcome::Answered, 6_000);
     assert_eq!(table.ejected_count(), 0);
     assert!(hits(&table, node(1), 6_000, false) > 10);
 }
 
-// Every replica of the service fails. Half of them are ejected, no more, and calls still
-// go out: with all ejected, callers would be refused although one may have recovered.
+// Guards against refusing all calls in an outage of the whole service. Every replica fails, but
+// only half of them may be ejected; with all ejected, calls would be refused although some
+// replicas may have recovered.
 #[test]
-fn an_outage_of_all_ejects_no_more_than_the_stated_share() {
+fn an_outage_of_all_replicas_ejects_at_most_the_configured_share() {
     let settings = Settings {
         eject_share_permille: 500,
         ..Settings::default()
@@ -97,12 +103,12 @@
     let smaller = table.rebuild(replicas(2), &here(0), 0);
     assert!(
         smaller.ejected_count() <= 1,
-        "the floor holds when the service shrinks"
+        "the maximum share must also hold after the service shrinks"
     );
 }
 
-// The only replica not yet tried is ejected. Refusing would be certain failure, the
-// ejected one may answer.
+// Guards against a needless refusal. The only replica that was not tried is ejected; it may answer
+// nevertheless, whereas a refusal is a certain failure.
 #[test]
 fn an_ejected_replica_is_the_last_resort() {
     let table = table(Settings::default(), replicas(2));
@@ -117,7 +123,7 @@
 }
 
 checks::seeded! {
-    fn never_more_than_the_share_is_ejected(seed: u64, count: u16, share: u32) -> bool {
+    fn ejected_replicas_never_exceed_the_configured_share(seed: u64, count: u16, share: u32) -> bool {
         let (count, share) = (1 + count % 12, share % 1_001);
         let settings = Settings {
             eject_share_permille: share,
--- a/components/routing/tests/hedge.rs
+++ b/components/routing/tests/hedge.rs
@@ -1,4 +1,4 @@
-//! When a second copy of a slow call is due.
+//! When a second copy of a slow call is sent.
 
 #![allow(clippy::panic, clippy::unwrap_used)]
 
@@ -6,7 +6,7 @@
 use routing::hedge::{HedgeCandidate, HedgeDecision, HedgeSettings, decide_hedge};
 
 #[test]
-fn a_straggler_gets_a_second_copy_within_the_budget() {
+fn hedges_a_straggler_within_the_budget() {
     struct Case {
         name: &'static str,
         known: u32,
@@ -17,7 +17,7 @@
         expected: HedgeDecision,
     }
     let usual = Case {
-        name: "can be sent once the call is slower than most",
+        name: "can be sent once the call is slower than the quantile",
         known: 200,
         may_run_twice: true,
         deadline_ms: 10_000,
@@ -27,31 +27,31 @@
     };
     let cases = [
         Case {
-            name: "is not due before",
+            name: "is not sent before",
             now_ms: 1_050,
             expected: HedgeDecision::RecheckAt(1_112),
             ..usual
         },
         Case {
-            name: "never for a call that may run once",
+            name: "never for a call that is not idempotent",
             may_run_twice: false,
             expected: HedgeDecision::Never,
             ..usual
         },
         Case {
-            name: "never past the budget",
+            name: "never when the budget is exhausted",
             budget: false,
             expected: HedgeDecision::Never,
             ..usual
         },
         Case {
-            name: "never on few calls",
+            name: "never with fewer recent calls than the minimum",
             known: 50,
             expected: HedgeDecision::Never,
             ..usual
         },
         Case {
-            name: "never with too little time left",
+            name: "never with too little time before the deadline",
             deadline_ms: 1_210,
             expected: HedgeDecision::Never,
             ..usual
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn old_latencies_are_forgotten() {
+fn old_latencies_are_dropped() {
     let latencies = Latencies::new(1_000);
     (0..10).for_each(|_| latencies.record(5_000, 0));
     latencies.record(10, 1_500);
--- a/components/routing/tests/herding.rs
+++ b/components/routing/tests/herding.rs
@@ -1,4 +1,4 @@
-//! Several entries that read the same late reports do not herd.
+//! Simulations of several entries that balance load by the same late load reports.
 
 mod common;
 
@@ -21,10 +21,11 @@
     })
 }
 
-// Three or thirty entries see reports that are 0, 1 and 5 s old. If all believed them, all
-// would send to the replica that was idle then, and its callers would wait behind each other.
+// Guards against herding. Three or thirty entries see load reports that are 0, 1 and 5 s old. If
+// all trusted them in full, all would send their calls to the replica that was idle at the time of
+// the report, and the calls would queue there.
 #[test]
-fn late_reports_do_not_gather_the_load_on_one_replica() {
+fn late_reports_do_not_cause_herding() {
     for entries in [3, 30] {
         let peak = |policy: Policy, lag_ms| {
             let figures = model(policy, Workload::Plain, entries, lag_ms);
@@ -51,10 +52,11 @@
     }
 }
 
-// Half the calls need compute, half need KV memory. One number sends a long prompt to
-// an engine whose compute is taken; two numbers send it where only memory is.
+// Guards against a policy that sees load as one number. Half the calls need compute, half need KV
+// memory. One number sends a long prompt to an engine whose compute is in use; two numbers send it
+// to an engine of which only the memory is in use.
 #[test]
-fn unlike_work_shares_an_engine() {
+fn calls_with_different_resource_needs_share_an_engine() {
     for lag_ms in [0, 1_000, 5_000] {
         let p99 = |policy| model(policy, Workload::Mixed, 3, lag_ms).p99_slowdown;
         let ratio = p99(Policy::ComputeMemory) as f64 / p99(Policy::TwoChoicesReport) as f64;
--- a/components/routing/tests/prefix.rs
+++ b/components/routing/tests/prefix.rs
@@ -1,4 +1,4 @@
-//! Prefix affinity from late, gapped cache events.
+//! Prefix affinity from cache events that arrive late and with gaps.
 
 #![allow(clippy::panic, clippy::unwrap_used)]
 
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn follows_events_and_forgets_at_a_gap() {
+fn applies_events_and_drops_all_blocks_at_a_gap() {
     struct Case {
         name: &'static str,
         later: Vec<BlockEvent>,
@@ -45,15 +45,15 @@
     };
     let again = [event(8, 0, true), event(9, 1, true)];
     let cases = [
-        case("can find what was stored", &[], 6),
+        case("can find stored blocks", &[], 6),
         case("a removal ends the prefix", &[event(6, 4, false)], 4),
         case(
-            "an event seen before is passed over",
+            "an event that was applied before is skipped",
             &[event(3, 3, false)],
             6,
         ),
-        case("a gap drops all that was known", &[event(8, 99, true)], 0),
-        case("what comes after a gap counts", &again, 2),
+        case("a gap drops all blocks", &[event(8, 99, true)], 0),
+        case("events after a gap are applied", &again, 2),
     ];
     for case in cases {
         let mut prefixes = PrefixTracker::new(1_024);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn forgets_a_replica_that_is_gone() {
+fn drops_the_blocks_of_a_removed_replica() {
     let mut prefixes = PrefixTracker::new(1_024);
     prefixes.track(node(0));
     prefixes.apply(node(0), &stored(6));
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn the_longest_prefix_goes_first_and_load_outbids_it() {
+fn prefers_the_longest_prefix_until_load_outweighs_it() {
     let mut prefixes = PrefixTracker::new(1_024);
     let replicas: Vec<Replica> = (0..20)
         .map(|number| Replica {
@@ -109,8 +109,8 @@
 }
 
 checks::seeded! {
-    // With no gap, what the table says of a replica's cache is never more than is there.
-    fn never_more_than_the_cache_holds(changes: Vec<(u8, bool)>) -> bool {
+    // Without gaps the table never lists a block that the replica no longer caches.
+    fn never_lists_a_block_that_is_not_cached(changes: Vec<(u8, bool)>) -> bool {
         let mut prefixes = PrefixTracker::new(64);
         let id = prefixes.track(node(0)).unwrap();
         let mut cached = HashSet::new();
