--- a/components/limits/examples/admission_cost.rs
+++ b/components/limits/examples/admission_cost.rs
@@ -1,9 +1,9 @@
-//! Prints the cost of admission against the number of customers. Run:
+//! Prints how long admission takes for different numbers of customers. Run:
 //! `cargo run --release -p limits --example admission_cost`.
 //!
-//! Nanoseconds are of this machine and this run; compare only within one run. To count
-//! instructions instead, give a number of customers and of calls and run it under a
-//! counter, for two numbers of calls: `admission_cost 100 20000`.
+//! The times depend on the machine; compare only times of one run. To count instructions instead,
+//! pass a number of customers and a number of calls, and run the program under an instruction
+//! counter for two numbers of calls: `admission_cost 100 20000`.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
--- a/components/limits/examples/isolation.rs
+++ b/components/limits/examples/isolation.rs
@@ -1,5 +1,5 @@
-//! Prints what a customer at ten times its share does to another one, with the fair
-//! queue on and off. Run: `cargo run --release -p limits --example isolation`.
+//! Prints how a customer at ten times its share affects the waits of another customer, with and
+//! without fair queueing. Run: `cargo run --release -p limits --example isolation`.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -55,7 +55,8 @@
     }
 }
 
-/// B's p50, p99 and admitted share, and A's admitted share.
+/// p50 and p99 of B's waits in milliseconds, B's admitted share and A's admitted share; means over
+/// the seeds.
 fn mean(streams: &[Stream], order: Order) -> [f64; 4] {
     let mut sums = [0.0; 4];
     for seed in SEEDS {
--- a/components/limits/examples/model/queue.rs
+++ b/components/limits/examples/model/queue.rs
@@ -1,16 +1,16 @@
-//! One service with a number of slots, fed by customers through [`Admission`], in
-//! simulated time.
+//! Simulation of one service with a number of slots, whose customers' requests pass through
+//! [`Admission`].
 
 use std::collections::HashMap;
 
 use limits::{Action, Admission, AdmissionSettings, Arrival, Capacity, Ticket};
 use types::Class;
 
-use super::{Draws, customer};
+use super::{SplitMix64, customer};
 
 pub const SLOTS: u32 = 16;
 const HOLD_MS: u64 = 80;
-/// Requests a millisecond that the service can end.
+/// Requests per millisecond that the service can complete.
 pub const CAPACITY: f64 = SLOTS as f64 / HOLD_MS as f64;
 
 /// One stream of requests.
@@ -18,22 +18,22 @@
 pub struct Stream {
     pub name: &'static str,
     pub class: Class,
-    /// Offered load as a part of the service's capacity.
+    /// Offered load as a fraction of the service's capacity.
     pub load: f64,
     pub deadline_ms: u64,
 }
 
 #[derive(Clone, Copy, PartialEq)]
 pub enum Order {
-    /// Customers and classes as they are.
+    /// Fair queueing between customers and bounded class priority.
     Fair,
-    /// The same, but class priority whoever it is and however far ahead.
+    /// Class priority applies however far ahead a customer is.
     PriorityOnly,
-    /// All requests in one line, as if of one customer and class.
+    /// One queue: all requests count as of one customer and one class.
     Fifo,
 }
 
-/// What became of a stream's requests.
+/// Outcomes of a stream's requests.
 #[derive(Clone, Default)]
 pub struct Tally {
     pub waits_ms: Vec<u64>,
@@ -62,11 +62,11 @@
     admission: Admission,
     tallies: Vec<Tally>,
     waiting: HashMap<Ticket, (usize, u64)>,
-    /// Ends of the requests in progress.
+    /// Times at which the requests in progress end.
     ends_ms: Vec<u64>,
 }
 
-/// Runs the streams for `length_ms`; the same run gives the same figures.
+/// Simulates the streams for `length_ms`; deterministic for a given `seed`.
 pub fn run(streams: &[Stream], order: Order, seed: u64, length_ms: u64) -> Vec<Tally> {
     let settings = AdmissionSettings {
         initial_hold_ms: HOLD_MS as u32,
@@ -82,27 +82,27 @@
         waiting: HashMap::new(),
         ends_ms: Vec::new(),
     };
-    let mut draws = Draws(seed);
+    let mut rng = SplitMix64(seed);
     let mut next = 0;
     for now_ms in 0..length_ms {
         model.ends_ms.retain(|&end_ms| end_ms > now_ms);
         for (position, stream) in streams.iter().enumerate() {
-            for _ in 0..arrivals(stream.load * CAPACITY, &mut draws) {
+            for _ in 0..arrivals(stream.load * CAPACITY, &mut rng) {
                 next += 1;
                 let arrival = arrival(stream, order, Ticket(next), now_ms);
-                model.arrive(position, &arrival, now_ms, draws.bits());
+                model.arrive(position, &arrival, now_ms, rng.next_u64());
             }
         }
-        model.admit(now_ms, &mut draws);
+        model.admit(now_ms, &mut rng);
     }
     model.tallies
 }
 
-/// Arrivals of one millisecond, nearly Poisson.
-fn arrivals(mean: f64, draws: &mut Draws) -> usize {
+/// Number of arrivals in one millisecond, approximately Poisson distributed.
+fn arrivals(mean: f64, rng: &mut SplitMix64) -> usize {
     const PARTS: usize = 8;
     (0..PARTS)
-        .filter(|_| draws.unit() < mean / PARTS as f64)
+        .filter(|_| rng.unit() < mean / PARTS as f64)
         .count()
 }
 
@@ -142,13 +142,13 @@
         }
     }
 
-    fn admit(&mut self, now_ms: u64, draws: &mut Draws) {
+    fn admit(&mut self, now_ms: u64, rng: &mut SplitMix64) {
         while let Some(action) = self.admission.next_action(self.capacity(), now_ms) {
             match action {
                 Action::Admit(ticket) => {
                     let (stream, since_ms) = self.waiting.remove(&ticket).unwrap();
                     self.tallies[stream].waits_ms.push(now_ms - since_ms);
-                    self.ends_ms.push(now_ms + 1 + draws.below(2 * HOLD_MS - 1));
+                    self.ends_ms.push(now_ms + 1 + rng.below(2 * HOLD_MS - 1));
                 }
                 Action::Expire(ticket, _) => {
                     let (stream, _) = self.waiting.remove(&ticket).unwrap();
--- a/components/limits/src/admission.rs
+++ b/components/limits/src/admission.rs
@@ -1,10 +1,11 @@
-//! The queue of one service: pure, owned by one task.
+//! The admission queue of one service: a state machine without I/O, owned by one task.
 //!
-//! Class priority first, then the fair queue between customers. Strict priority alone
-//! would let a stream of interactive requests hold up samples for ever, so a class that
-//! waits is passed over a bounded number of times, and a customer who is far ahead of
-//! one that waits in a lower class has no priority over it. A queued request has an answer by
-//! its deadline, and is refused at once when the estimated wait is past it.
+//! Requests are ordered by class priority first, then by fair queueing between customers. Strict
+//! priority alone would let a stream of interactive requests starve samples. A waiting class is
+//! therefore skipped a limited number of times, and a customer that has been admitted far more
+//! work than a customer waiting in a lower class has no priority over that customer. Every queued
+//! request is admitted or expires by its deadline; a request whose estimated wait ends after its
+//! deadline is refused at once.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -17,40 +18,40 @@
 use crate::settings::AdmissionSettings;
 use crate::ticket::Ticket;
 
-/// A request that finds no room.
+/// A request that found no free slot.
 #[value]
 pub struct Arrival {
-    /// Its number.
+    /// Number that identifies the request in the queue.
     pub ticket: Ticket,
-    /// Who pays for it.
+    /// Customer whose limits the request counts against.
     pub customer: CustomerName,
-    /// The customer's share in the fair queue.
+    /// Weight of the customer in the fair queue; 0 counts as 1.
     pub weight: u32,
-    /// Its class.
+    /// Priority class of the request.
     pub class: Class,
-    /// Its size in the fair queue: tokens for a model, 1 for a plain service.
+    /// Size of the request in the fair queue: tokens for a model, 1 for a plain service.
     pub cost: u32,
-    /// When its caller gives up, in milliseconds.
+    /// Time at which the request expires, in milliseconds.
     pub deadline_ms: u64,
 }
 
-/// Slots of the service as they are now.
+/// Use of the service's slots at the present time.
 #[key]
 pub struct Capacity {
-    /// Requests in progress.
+    /// Number of slots in use, one per request in progress.
     pub in_progress: u32,
-    /// Most requests in progress.
+    /// Total number of slots. May be less than `in_progress` after it was lowered.
     pub limit: u32,
-    /// How long a request holds its slot, in milliseconds.
+    /// Mean time for which a request holds its slot, in milliseconds.
     pub hold_ms: u32,
 }
 
-/// What the owner of the queue does next.
+/// What the owner of the queue has to do next.
 #[value]
 pub enum Action {
-    /// The request goes; it takes a slot.
+    /// Admit the request; it takes a slot.
     Admit(Ticket),
-    /// The request has waited too long; it was not run.
+    /// Answer the request with this failure: its deadline passed before it was run.
     Expire(Ticket, Failure),
 }
 
@@ -65,7 +66,8 @@
 struct ClassQueue {
     class: Class,
     queue: FairQueue,
-    /// How often it was passed over since it was last served.
+    /// Number of requests of higher classes that were admitted while this class waited, since it
+    /// was last served.
     skips: u32,
 }
 
@@ -96,22 +98,24 @@
         }
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether nobody waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// The nearest deadline of a waiting request, in milliseconds.
+    /// Earliest deadline of a waiting request, in milliseconds.
     pub fn next_deadline_ms(&self) -> Option<u64> {
         self.deadlines.first().map(|&(deadline_ms, _)| deadline_ms)
     }
 
-    /// Queues the request, or refuses it at once.
+    /// Queues a request. Refuses it if its deadline has passed or would pass during the estimated
+    /// wait, or if its customer has the maximum number of requests waiting in the class. `random`
+    /// spreads the time after which the caller may retry.
     pub fn enqueue(
         &mut self,
         arrival: &Arrival,
@@ -127,8 +131,8 @@
         let own_waiting = class_queue.queue.waiting_count(&arrival.customer);
         let too_late = now_ms.saturating_add(wait_ms) >= arrival.deadline_ms;
         if too_late || own_waiting >= self.settings.waiting_max {
-            let back_ms = retry_after_ms(wait_ms, random);
-            return Err(Failure::not_run(Cause::QueueFull).retry_after(back_ms));
+            let retry_ms = retry_after_ms(wait_ms, random);
+            return Err(Failure::not_run(Cause::QueueFull).retry_after(retry_ms));
         }
         self.push(arrival);
         Ok(())
@@ -149,8 +153,8 @@
         self.waiting.insert(ticket, waiting);
     }
 
-    /// Estimated wait of a request, in milliseconds: those before it, at the rate at
-    /// which slots come free.
+    /// Estimated wait of a request, in milliseconds: the number of requests ahead of it, divided
+    /// by the rate at which slots become free.
     pub fn estimated_wait_ms(&self, arrival: &Arrival, capacity: Capacity) -> u64 {
         let before = |class_queue: &ClassQueue| match class_queue.class.cmp(&arrival.class) {
             std::cmp::Ordering::Less => class_queue.queue.len() as u64,
@@ -167,10 +171,10 @@
         (ahead + 1) * u64::from(capacity.hold_ms) / u64::from(slots)
     }
 
-    /// What to do next; to be asked until there is nothing.
+    /// The next action for the owner of the queue; to be called until it returns `None`.
     pub fn next_action(&mut self, capacity: Capacity, now_ms: u64) -> Option<Action> {
-        // Deadlines first: an owner that was paused must not hand over requests whose
-        // callers have given up meanwhile.
+        // Deadlines come first: after a pause of the process, requests that expired during the
+        // pause must not be run.
         if let Some(&(deadline_ms, ticket)) = self.deadlines.first()
             && deadline_ms <= now_ms
         {
@@ -181,7 +185,7 @@
         self.admit(capacity).map(Action::Admit)
     }
 
-    /// Takes out a request whose caller went away.
+    /// Removes a request whose caller has disconnected; false if it is no longer queued.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
         let Some(waiting) = self.waiting.remove(&ticket) else {
             return false;
@@ -216,8 +220,8 @@
         }
     }
 
-    /// The class that goes next: one that was passed over too often, lowest first, else
-    /// the highest whose next customer is not too far ahead.
+    /// The class whose request is admitted next: the lowest class that was skipped too often, else
+    /// the highest class whose next customer is not too far ahead of the other customers.
     fn next_class(&self, capacity: Capacity) -> Option<Class> {
         let settings = &self.settings;
         let mut waiting = self
@@ -232,7 +236,8 @@
         let highest = waiting.clone().next()?;
         let lowest_total = self.lowest_total();
         let next = waiting.find(|class_queue| !self.is_too_far_ahead(class_queue, lowest_total))?;
-        // The slots left free are for higher classes; not for a customer who is ahead.
+        // A lower class leaves some slots free for higher classes. It may fill them when the
+        // waiting customer of the higher class is too far ahead to be admitted.
         let overtakes = next.class > highest.class;
         let has_room = capacity.in_progress < settings.slots_for(next.class, capacity.limit);
         (overtakes || has_room).then_some(next.class)
@@ -248,7 +253,7 @@
             .saturating_mul(u64::from(self.settings.lead_requests_max))
     }
 
-    /// The least that a customer next in its class has been given.
+    /// Lowest total of the customers whose requests are next in their class.
     fn lowest_total(&self) -> u64 {
         let firsts = self
             .class_queues
--- a/components/limits/src/admitted_totals.rs
+++ b/components/limits/src/admitted_totals.rs
@@ -1,8 +1,9 @@
-//! What each customer has been given over all classes while work waits.
+//! Work of each customer that was admitted, over all classes, since the queue was last empty.
 //!
-//! Class priority knows no customers: one who calls all its work interactive would keep
-//! another's samples waiting, however small the other's use. Priority therefore holds
-//! only as long as the customer is not far ahead of those that wait behind it.
+//! Class priority alone ignores customers: one that submits all its work as interactive would keep
+//! the samples of another waiting, however little the other uses. A customer's requests therefore
+//! have priority only as long as its total is not far above that of the customers waiting in lower
+//! classes.
 
 use std::collections::HashMap;
 
@@ -10,22 +11,24 @@
 
 use crate::fair::QueuedRequest;
 
-/// Virtual time given to customers, as in start-time fair queueing.
+/// Virtual time that was spent on each customer's requests, as in start-time fair queueing.
 #[derive(Debug, Default)]
 pub(crate) struct AdmittedTotals {
     totals: HashMap<CustomerName, u64>,
-    /// The least that a waiting customer had been given; one that comes begins there.
+    /// Lowest total of a waiting customer at the last admission. Totals below it count as equal to
+    /// it, so a customer that has been idle gains no credit.
     virtual_time: u64,
 }
 
 impl AdmittedTotals {
-    /// What the customer has been given.
+    /// Virtual time that was spent on the customer's requests.
     pub(crate) fn total(&self, customer: &CustomerName) -> u64 {
         let total = self.totals.get(customer).copied();
         total.unwrap_or_default().max(self.virtual_time)
     }
 
-    /// Counts a request that was admitted; `least` is the least given of those waiting.
+    /// Adds an admitted request. `lowest_total` is the lowest total of the customers that waited
+    /// when it was admitted.
     pub(crate) fn add(&mut self, request: &QueuedRequest, lowest_total: u64) {
         self.virtual_time = self.virtual_time.max(lowest_total);
         let total = self
@@ -34,7 +37,7 @@
         self.totals.insert(request.customer.clone(), total);
     }
 
-    /// With nobody waiting all are even.
+    /// Sets all totals to zero; called when no request waits.
     pub(crate) fn reset(&mut self) {
         self.totals.clear();
         self.virtual_time = 0;
--- a/components/limits/src/budget.rs
+++ b/components/limits/src/budget.rs
@@ -1,8 +1,8 @@
 //! Retry budget of one customer.
 //!
-//! Retries are a share of first tries and a small constant, so a whole-service outage
-//! multiplies the offered load by at most one plus the share, whatever each call may
-//! still have left of its deadline.
+//! The number of retries is limited to a share of the first attempts plus a small constant rate.
+//! An outage of a whole service therefore multiplies the offered load by at most one plus the
+//! share, however much time the calls have left until their deadlines.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -10,19 +10,19 @@
 
 use crate::bucket::TokenBucket;
 
-/// Cost of one retry in the thousandths that first tries earn.
+/// Cost of one retry, in the thousandths of a retry that first attempts earn.
 const RETRY_COST: u64 = 1_000;
 
 /// Settings of a retry budget.
 #[value]
 pub struct BudgetSettings {
-    /// Retries that a thousand first tries earn.
+    /// Number of retries that a thousand first attempts earn.
     pub earned_permille: u32,
-    /// Most earned retries that are kept.
+    /// Maximum number of earned retries that are accumulated.
     pub earned_max: u32,
-    /// Retries at hand with no first tries, for a customer of few calls.
+    /// Number of retries that are available without first attempts, for customers with few calls.
     pub base_retries: u32,
-    /// Time in which the constant part comes back, in milliseconds.
+    /// Time in which `base_retries` are refilled, in milliseconds.
     pub base_period_ms: u64,
 }
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// Retries that a customer's calls have left; shared by threads.
+/// Retries that are available to a customer's calls; shared by threads.
 #[derive(Debug)]
 pub struct RetryBudget {
     earned_permille: u64,
@@ -47,7 +47,7 @@
 }
 
 impl RetryBudget {
-    /// A budget with nothing earned yet.
+    /// A budget without earned retries.
     pub fn new(settings: &BudgetSettings) -> Self {
         const MS_PER_S: f64 = 1_000.0;
         let base_period_s = settings.base_period_ms.max(1) as f64 / MS_PER_S;
@@ -60,19 +60,19 @@
         }
     }
 
-    /// Counts a first try.
+    /// Counts the first attempt of a call, which earns a part of a retry.
     pub fn record_first_attempt(&self) {
         let earn = |earned: u64| {
             let increased = (earned + self.earned_permille).min(self.earned_max);
             (increased != earned).then_some(increased)
         };
-        // A full budget stays as it is.
+        // The closure returns `None` when the budget is full, and the value stays unchanged.
         let _ = self
             .earned
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, earn);
     }
 
-    /// Takes one retry; false when none is left.
+    /// Takes one retry from the budget; false if the budget is exhausted.
     pub fn try_spend(&self, now_ms: u64) -> bool {
         let deduct = |earned: u64| earned.checked_sub(RETRY_COST);
         let deducted = self
--- a/components/limits/src/customer.rs
+++ b/components/limits/src/customer.rs
@@ -1,9 +1,10 @@
-//! Limits of one customer on this entry: its share of what the customer was promised.
+//! Limits of one customer at this entry: the entry's share of the customer's limits.
 //!
-//! Background and sampling leave a part of it free. Without that a step's runs, which
-//! all begin at once, use the share up, and the clerks of the same customer are refused
-//! although it is far below its limits. Of a rate only the burst is kept back: what
-//! interactive requests do not use goes to the other classes in full.
+//! The classes background and sampling leave a part of the share free. Otherwise the runs of a
+//! training step, which all start at the same time, would use up the share of this entry, and
+//! interactive requests of the same customer would be refused although the customer is far below
+//! its limits. Of a rate limit only a part of the burst is reserved, so background and sampling
+//! can use the full rate when there are no interactive requests.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -17,14 +18,15 @@
 use crate::offered::{OfferedByClass, OfferedCounters};
 use crate::retry_after::retry_after_ms;
 
-/// Time of the rate that may be used at once, in milliseconds.
+/// Burst of the rate limits: the time whose units may be used at once.
 const BURST_MS: u64 = 1_000;
-/// When to come back after too many calls in progress: when one ends is not known.
+/// Time to retry after a refusal for too many requests in progress. It is fixed because the time
+/// at which a request ends is unknown.
 const IN_PROGRESS_WAIT_MS: u64 = 500;
 
-/// Part of the share that background leaves free, in thousandths.
+/// Part of the share that background requests leave free, in thousandths.
 const BACKGROUND_RESERVE_PERMILLE: u32 = 100;
-/// The same for sampling.
+/// Part of the share that sampling requests leave free, in thousandths.
 const SAMPLING_RESERVE_PERMILLE: u32 = 300;
 
 fn reserve_permille(class: Class) -> u32 {
@@ -35,19 +37,19 @@
     }
 }
 
-/// What a customer may use; `None` is no limit.
+/// Limits of a customer over all entries; `None` means no limit.
 #[key]
 #[derive(Default)]
 pub struct CustomerLimits {
-    /// Requests a second.
+    /// Maximum number of requests per second.
     pub requests_per_s: Option<u32>,
-    /// Requests in progress.
+    /// Maximum number of requests in progress.
     pub in_progress: Option<u32>,
-    /// Prompt and generated tokens a second.
+    /// Maximum number of prompt and generated tokens per second.
     pub tokens_per_s: Option<u32>,
 }
 
-/// One customer's use of this entry; shared by threads.
+/// Limits of one customer at this entry and their current use; shared by threads.
 #[derive(Debug)]
 pub struct Customer {
     requests: TokenBucket,
@@ -56,13 +58,13 @@
     in_progress_max: AtomicU32,
     calls: OfferedCounters,
     sampling: OfferedCounters,
-    /// Whoever waits for room stands in this line; the first of it looks for room.
+    /// Held by the first of the waiting requests; the others wait for it in order of arrival.
     turn: Semaphore,
     waiting: AtomicU32,
     freed: Notify,
 }
 
-/// What is in the way of a request.
+/// Limit that a request exceeds.
 enum LimitReached {
     InProgress,
     Rate { wait_ms: u64 },
@@ -78,7 +80,7 @@
 }
 
 impl Customer {
-    /// A customer that has used nothing; `share` is this entry's part of the limits.
+    /// A customer without requests. `share` is this entry's share of the limits, from 0 to 1.
     pub fn new(limits: &CustomerLimits, share: f64) -> Self {
         let customer = Self {
             requests: TokenBucket::new(f64::INFINITY, BURST_MS),
@@ -95,20 +97,20 @@
         customer
     }
 
-    /// Puts other limits or another share of them in force.
+    /// Changes the limits or this entry's share of them.
     pub fn set_limits(&self, limits: &CustomerLimits, share: f64) {
         let rate =
             |per_s: Option<u32>| per_s.map_or(f64::INFINITY, |per_s| f64::from(per_s) * share);
         self.requests.set_rate(rate(limits.requests_per_s));
         self.tokens.set_rate(rate(limits.tokens_per_s));
-        // At least one, or an entry with a small share would refuse the customer for good.
+        // At least one, or an entry with a small share would refuse every request of the customer.
         let scaled = |max: u32| (f64::from(max) * share).max(1.0) as u32;
         let in_progress_max = limits.in_progress.map_or(u32::MAX, scaled);
         self.in_progress_max
             .store(in_progress_max, Ordering::Relaxed);
     }
 
-    /// What was asked for since the last call of this.
+    /// The load that was offered since the last call of this method.
     pub fn take_offered(&self) -> OfferedByClass {
         OfferedByClass {
             calls: self.calls.take(),
@@ -116,18 +118,18 @@
         }
     }
 
-    /// Requests in progress now.
+    /// Number of requests in progress.
     pub fn in_progress(&self) -> u32 {
         self.in_progress.load(Ordering::Relaxed)
     }
 
-    /// Requests that wait in turn now.
+    /// Number of requests that wait in [`Customer::admit_in_turn`].
     pub fn waiting(&self) -> u32 {
         self.waiting.load(Ordering::Relaxed)
     }
 
-    /// Lets in a request of `tokens` (prompt and the most that it may generate), or
-    /// refuses it with the time to come back.
+    /// Admits a request of `tokens` tokens (prompt and the maximum of generated tokens), or
+    /// refuses it with a time to retry after. `random` spreads that time.
     pub fn admit(
         self: &Arc<Self>,
         class: Class,
@@ -137,24 +139,26 @@
     ) -> Result<InProgress, Failure> {
         self.counts(class).record(tokens);
         self.try_admit(class, tokens, now_ms).map_err(|reached| {
-            let back_ms = retry_after_ms(reached.wait_ms(), random);
-            Failure::not_run(Cause::CustomerLimit).retry_after(back_ms)
+            let retry_ms = retry_after_ms(reached.wait_ms(), random);
+            Failure::not_run(Cause::CustomerLimit).retry_after(retry_ms)
         })
     }
 
-    /// Counts a request in whose body is still to be read, and which is not known in full;
-    /// [`Customer::enter`] follows. Refuses it with the time to come back.
+    /// Counts a request as in progress whose body has not been read yet, so that its tokens are
+    /// unknown; [`Customer::admit`] follows when they are known. Refuses the request with a time to
+    /// retry after if too many are in progress.
     pub fn admit_pending_body(
         self: &Arc<Self>,
         class: Class,
         random: u64,
     ) -> Result<InProgress, Failure> {
-        let back_ms = retry_after_ms(IN_PROGRESS_WAIT_MS, random);
-        let refused = Failure::not_run(Cause::CustomerLimit).retry_after(back_ms);
+        let retry_ms = retry_after_ms(IN_PROGRESS_WAIT_MS, random);
+        let refused = Failure::not_run(Cause::CustomerLimit).retry_after(retry_ms);
         self.try_count_in_progress(class).ok_or(refused)
     }
 
-    /// Lets in a request of `tokens` when there is room for it, in the order of arrival.
+    /// Waits until the limits allow a request of `tokens` tokens and admits it. Requests are
+    /// admitted in order of arrival.
     pub async fn admit_in_turn(
         self: &Arc<Self>,
         class: Class,
@@ -165,7 +169,7 @@
         counts.record(tokens);
         let _demand = DemandGuard::new(Arc::clone(self), class);
         let _waiting = WaitGuard::new(self);
-        // The semaphore is never closed; without its permit the order alone is lost.
+        // The semaphore is never closed. If it were, requests would only lose their order.
         let _first = self.turn.acquire().await;
         loop {
             let freed = self.freed.notified();
@@ -173,7 +177,7 @@
                 Ok(admitted) => return admitted,
                 Err(reached) => {
                     let wait = Duration::from_millis(reached.wait_ms().max(1));
-                    // The time also ends a wait whose limits were changed meanwhile.
+                    // The timeout is also needed because a change of the limits does not notify.
                     let _ = tokio::time::timeout(wait, freed).await;
                 }
             }
@@ -209,7 +213,7 @@
     fn try_count_in_progress(self: &Arc<Self>, class: Class) -> Option<InProgress> {
         let max = self.in_progress_max.load(Ordering::Relaxed);
         let left_free = u64::from(max) * u64::from(reserve_permille(class)) / 1_000;
-        // At least one, or a small limit would shut the class out for good.
+        // At least one, or a small limit would exclude the class entirely.
         let max = (max - left_free as u32).max(max.min(1));
         let increment = |count: u32| (count < max).then_some(count + 1);
         let counted =
@@ -229,7 +233,7 @@
     }
 }
 
-/// A request that waits in turn while this lives.
+/// Guard that counts a request as waiting until it is dropped.
 struct WaitGuard<'a>(&'a Customer);
 
 impl<'a> WaitGuard<'a> {
@@ -245,7 +249,7 @@
     }
 }
 
-/// A request that counts as demand while this lives.
+/// Guard that counts a request in the offered load of its class until it is dropped.
 #[derive(Debug)]
 struct DemandGuard {
     customer: Arc<Customer>,
@@ -267,7 +271,7 @@
     }
 }
 
-/// A request of a customer that is in progress; its drop ends it.
+/// Guard of a customer's request in progress; the request ends when it is dropped.
 #[derive(Debug)]
 pub struct InProgress {
     demand: DemandGuard,
@@ -275,10 +279,11 @@
 }
 
 impl InProgress {
-    /// Gives back the tokens that were taken and not used; 0 used if it was not run.
-    pub fn refund_unused(&mut self, tokens: u32) {
-        let unused = self.tokens.saturating_sub(tokens);
-        self.tokens = self.tokens.min(tokens);
+    /// Returns the tokens that were reserved and not used to the customer's rate limit.
+    /// `used_tokens` is 0 if the request was not run.
+    pub fn refund_unused(&mut self, used_tokens: u32) {
+        let unused = self.tokens.saturating_sub(used_tokens);
+        self.tokens = self.tokens.min(used_tokens);
         self.demand.customer.tokens.refund(unused);
     }
 }
@@ -287,7 +292,7 @@
     fn drop(&mut self) {
         let customer = &self.demand.customer;
         customer.in_progress.fetch_sub(1, Ordering::Relaxed);
-        // Where nobody waits, the next one to wait looks once more for nothing.
+        // If no request waits, the stored notification costs the next one a superfluous check.
         customer.freed.notify_one();
     }
 }
--- a/components/limits/src/demand.rs
+++ b/components/limits/src/demand.rs
@@ -1,17 +1,17 @@
-//! How much of its limits a customer asks of one entry.
+//! Demand of a customer at one entry, relative to the customer's limits.
 
 use crate::customer::CustomerLimits;
 use crate::offered::{OfferedByClass, OfferedLoad};
 
-/// Most that sampling counts for on one entry, as a part of the limits. It takes what is
-/// there and waits for the rest; counted in full, a step at one entry would draw the
-/// share away from the clerks at the others.
+/// Maximum demand that sampling counts for at one entry, as a fraction of the limits. Sampling uses
+/// the available capacity and waits for more. If it counted in full, a training step at one entry
+/// would take the share of interactive requests at the other entries.
 const SAMPLING_DEMAND_MAX: f64 = 0.25;
 
 const MS_PER_S: f64 = 1_000.0;
 
-/// Demand of one entry as a part of the customer's whole limits: 1 uses up the scarcest
-/// of them. `asked` is what came within `elapsed_ms` milliseconds.
+/// Demand at one entry as a fraction of the customer's limits over all entries: 1 uses up one of
+/// the limits. `offered` is the load of the last `elapsed_ms` milliseconds.
 pub fn demand(limits: &CustomerLimits, offered: &OfferedByClass, elapsed_ms: u64) -> f64 {
     let seconds = elapsed_ms.max(1) as f64 / MS_PER_S;
     let sampling = fraction_of_limits(limits, &offered.sampling, seconds).min(SAMPLING_DEMAND_MAX);
--- a/components/limits/src/fair.rs
+++ b/components/limits/src/fair.rs
@@ -1,9 +1,10 @@
-//! Fair queue between the customers of one class: start-time fair queueing (Goyal, Vin
-//! and Cheng, 1996).
+//! Fair queue between the customers of one class: start-time fair queueing (Goyal, Vin and Cheng,
+//! 1996).
 //!
-//! Each request gets a start tag: the later of the virtual time and the finish tag of
-//! its customer's request before it. The lowest start tag goes first. A customer with
-//! ten times the backlog only pushes its own tags on. Every step is O(log waiting).
+//! Each request gets a start tag: the later of the current virtual time and the finish tag of the
+//! customer's previous request. The request with the lowest start tag is served first. A large
+//! backlog of a customer only raises the tags of that customer's own requests. Every operation
+//! takes O(log n) for n waiting requests.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -12,39 +13,40 @@
 
 use crate::ticket::Ticket;
 
-/// Virtual time of one unit of cost at weight 1; the weights up to 10 divide it.
+/// Virtual time of one unit of cost at weight 1. It is divisible by all weights up to 10, so these
+/// do not round.
 const VIRTUAL_TIME_PER_COST: u64 = 5_040;
 
-/// Place in the queue: start tag, then order of arrival.
+/// Sort key of the queue: start tag, then order of arrival.
 #[key]
 pub(crate) struct QueueKey {
     start_tag: u64,
     ticket: Ticket,
 }
 
-/// One request that waits.
+/// A waiting request.
 #[derive(Debug)]
 pub(crate) struct QueuedRequest {
     pub(crate) customer: CustomerName,
-    /// Virtual time that it takes: its cost over its customer's weight.
+    /// Virtual time that the request takes: its cost divided by its customer's weight.
     pub(crate) virtual_cost: u64,
 }
 
 #[derive(Debug)]
 struct Flow {
-    /// Finish tag of its last request.
+    /// Finish tag of the customer's last request.
     finish_tag: u64,
     waiting: u32,
     weight: u32,
 }
 
-/// Requests of one class that wait.
+/// Waiting requests of one class.
 #[derive(Debug, Default)]
 pub(crate) struct FairQueue {
     waiting: BTreeMap<QueueKey, QueuedRequest>,
     flows: HashMap<CustomerName, Flow>,
     virtual_time: u64,
-    /// Sum of the weights of customers that wait.
+    /// Sum of the weights of the customers with waiting requests.
     active_weight: u64,
 }
 
@@ -57,13 +59,13 @@
         self.waiting.is_empty()
     }
 
-    /// Requests of the customer that wait.
+    /// Number of the customer's waiting requests.
     pub(crate) fn waiting_count(&self, customer: &CustomerName) -> u32 {
         self.flows.get(customer).map_or(0, |flow| flow.waiting)
     }
 
-    /// Requests that go before the customer's next one: all that wait, or fewer when its
-    /// weight lets it overtake those of others.
+    /// Estimated number of requests that are served before a new request of the customer: all
+    /// waiting requests, or fewer if the customer's weight lets its request overtake some.
     pub(crate) fn ahead_of(&self, customer: &CustomerName, weight: u32) -> u64 {
         let weight = u64::from(weight.max(1));
         let own_waiting = u64::from(self.waiting_count(customer));
@@ -106,12 +108,12 @@
         key
     }
 
-    /// The request that goes next.
+    /// The request that is served next.
     pub(crate) fn peek(&self) -> Option<&QueuedRequest> {
         self.waiting.first_key_value().map(|(_, waiting)| waiting)
     }
 
-    /// Takes the request that goes next.
+    /// Removes the request that is served next.
     pub(crate) fn pop(&mut self) -> Option<(Ticket, QueuedRequest)> {
         let (key, waiting) = self.waiting.pop_first()?;
         self.virtual_time = self.virtual_time.max(key.start_tag);
@@ -119,9 +121,9 @@
         Some((key.ticket, waiting))
     }
 
-    /// Takes out a request that will not be served, and gives its cost back: else the
-    /// requests that expire in a stall would put their customer behind all others for
-    /// as long as the stall was, after it is over.
+    /// Removes a request that will not be served and refunds its cost. Otherwise requests that
+    /// expired while the service was stalled would put their customer behind all others for as
+    /// long as the stall lasted.
     pub(crate) fn remove(&mut self, key: QueueKey) {
         let Some(waiting) = self.waiting.remove(&key) else {
             return;
@@ -139,7 +141,7 @@
                 self.active_weight -= u64::from(flow.weight);
             }
         }
-        // With nobody waiting all are even; dropping the flows bounds the memory.
+        // Without waiting requests all customers are equal; removing the flows bounds the memory.
         if self.waiting.is_empty() {
             self.flows.clear();
             self.virtual_time = 0;
--- a/components/limits/src/gate.rs
+++ b/components/limits/src/gate.rs
@@ -1,10 +1,10 @@
 //! Admission to one service from several threads.
 //!
-//! In-progress and waiting counts stand in one atomic number. While nobody waits and
-//! there is room, admission is one compare-and-swap. Else the request goes through a
-//! bounded channel to the queue's task and waits for a oneshot; only that task admits
-//! while somebody waits, so nobody overtakes the queue. A [`Permit`] gives its slot back
-//! when it is dropped and wakes the task if somebody waits.
+//! The numbers of requests in progress and of waiting requests share one atomic integer. While no
+//! request waits and a slot is free, admission is one compare-and-swap. Otherwise the request is
+//! sent through a bounded channel to the queue's task and waits for the answer on a oneshot
+//! channel. While requests wait, only that task admits requests, so none overtakes the queue. A
+//! dropped [`Permit`] frees its slot and wakes the task if requests wait.
 
 use std::fmt;
 use std::sync::Arc;
@@ -21,37 +21,37 @@
 use crate::settings::AdmissionSettings;
 use crate::ticket::Ticket;
 
-/// Arrivals on their way to the queue's task.
+/// Capacity of the channel to the queue's task. A request that finds it full is refused.
 const CHANNEL_MAX: usize = 1_024;
-/// Weight of the newest hold time in its mean.
-const HOLD_SAMPLES: u32 = 16;
+/// The newest hold time has a weight of 1/16 in the exponentially weighted moving average.
+const HOLD_WEIGHT_DIVISOR: u32 = 16;
 
-/// Tells the time of the process's monotonic clock, in milliseconds.
+/// Monotonic clock of the process, in milliseconds.
 pub type Clock = Arc<dyn Fn() -> u64 + Send + Sync>;
 
 /// A request that asks for a slot.
 #[value]
 pub struct Request {
-    /// Who pays for it.
+    /// Customer whose limits the request counts against.
     pub customer: CustomerName,
-    /// The customer's share in the fair queue.
+    /// Weight of the customer in the fair queue; 0 counts as 1.
     pub weight: u32,
-    /// Its class.
+    /// Priority class of the request.
     pub class: Class,
-    /// Its size in the fair queue: tokens for a model, 1 for a plain service.
+    /// Size of the request in the fair queue: tokens for a model, 1 for a plain service.
     pub cost: u32,
-    /// When its caller gives up, in milliseconds.
+    /// Time at which the request expires, in milliseconds of the gate's clock.
     pub deadline_ms: u64,
 }
 
-/// Slots of one service on this entry; a cheap clone.
+/// Slots of one service at this entry. Clones share the same slots.
 #[derive(Clone)]
 pub struct Gate {
     pub(crate) shared: Arc<Shared>,
 }
 
 pub(crate) struct Shared {
-    /// Requests in progress in the upper half, waiting ones in the lower.
+    /// Number of requests in progress in the upper half, of waiting requests in the lower half.
     counts: AtomicU64,
     limit: AtomicU32,
     hold_ms: AtomicU32,
@@ -74,8 +74,9 @@
 }
 
 impl Gate {
-    /// A gate with `limit` slots, and its queue's task: spawn it, or nobody who has to
-    /// wait is ever admitted. The task ends when the gate and all permits are gone.
+    /// Creates a gate with `limit` slots and the task of its queue. The caller must spawn the task,
+    /// or requests that have to wait are never admitted. The task ends when the gate and all
+    /// permits are dropped.
     pub fn new(
         settings: AdmissionSettings,
         limit: u32,
@@ -96,23 +97,24 @@
         (Gate { shared }, task)
     }
 
-    /// Changes the number of slots; requests in progress above it run on.
+    /// Changes the number of slots. If more requests are in progress, they continue.
     pub fn set_limit(&self, limit: u32) {
         self.shared.limit.store(limit, Ordering::Relaxed);
         self.shared.freed.notify_one();
     }
 
-    /// Slots taken and slots in all.
+    /// Current use of the slots.
     pub fn capacity(&self) -> Capacity {
         self.shared.capacity()
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub fn waiting(&self) -> u32 {
         waiting(self.shared.counts.load(Ordering::Acquire))
     }
 
-    /// Waits for a slot, or is refused. To drop the future gives the place up.
+    /// Waits for a slot. Fails if the deadline passes or the queue refuses the request. Dropping
+    /// the future removes the request from the queue.
     pub async fn admit(&self, request: Request, random: u64) -> Result<Permit, Failure> {
         let now_ms = (self.shared.clock)();
         if request.deadline_ms <= now_ms {
@@ -145,8 +147,8 @@
             Err(TrySendError::Full(_)) => {
                 self.shared.remove_waiting();
                 let hold_ms = u64::from(self.capacity().hold_ms);
-                let back_ms = retry_after_ms(hold_ms, random);
-                return Err(Failure::not_run(Cause::QueueFull).retry_after(back_ms));
+                let retry_ms = retry_after_ms(hold_ms, random);
+                return Err(Failure::not_run(Cause::QueueFull).retry_after(retry_ms));
             }
             Err(TrySendError::Closed(_)) => {
                 self.shared.remove_waiting();
@@ -181,8 +183,9 @@
         }
     }
 
-    /// Takes a slot and says so, or counts the request among the waiting. Both in one
-    /// step: a permit dropped in between would see nobody waiting and wake no one.
+    /// Takes a slot and returns true, or counts the request as waiting and returns false. Both are
+    /// one atomic update: a permit that is dropped between two separate ones would see no waiting
+    /// request and would not wake the task.
     fn take_slot_or_wait(&self, class: Class) -> bool {
         let slots = self
             .settings
@@ -198,14 +201,14 @@
         before.is_ok_and(free)
     }
 
-    /// Turns a waiting request into one in progress.
+    /// Counts a waiting request as in progress.
     pub(crate) fn admit_waiting(self: &Arc<Self>, now_ms: u64) -> Permit {
         self.counts
             .fetch_add(IN_PROGRESS - WAITING, Ordering::AcqRel);
         Permit::new(self, now_ms)
     }
 
-    /// A waiting request has left without a slot.
+    /// Stops counting a request as waiting that gets no slot.
     pub(crate) fn remove_waiting(&self) {
         self.counts.fetch_sub(WAITING, Ordering::AcqRel);
     }
@@ -219,20 +222,21 @@
     }
 
     fn update_hold_ms(&self, held_ms: u64) {
-        // Kept above zero, or the queue would never be thought too long.
+        // At least 1 ms: with a mean of zero every estimated wait would be zero, and no request
+        // would be refused for a long queue.
         let held_ms = held_ms.clamp(1, u64::from(u32::MAX)) as u32;
         let mean_ms = self.hold_ms.load(Ordering::Relaxed);
-        let step_ms = held_ms.abs_diff(mean_ms).div_ceil(HOLD_SAMPLES);
+        let step_ms = held_ms.abs_diff(mean_ms).div_ceil(HOLD_WEIGHT_DIVISOR);
         let next_ms = match held_ms > mean_ms {
             true => mean_ms + step_ms,
             false => mean_ms - step_ms,
         };
-        // Two threads may overwrite each other: the mean loses one sample.
+        // Two concurrent updates may overwrite each other; the mean then misses one sample.
         self.hold_ms.store(next_ms, Ordering::Relaxed);
     }
 }
 
-/// A slot of a service; its drop gives it back.
+/// Guard of a slot of a service; frees the slot when dropped.
 pub struct Permit {
     shared: Arc<Shared>,
     since_ms: u64,
@@ -262,7 +266,7 @@
     }
 }
 
-/// A place in the queue; its drop gives it up unless it was answered.
+/// Guard of a queued request; dropped before the answer, it removes the request from the queue.
 struct QueueGuard<'a> {
     shared: &'a Shared,
     ticket: Option<Ticket>,
@@ -271,8 +275,8 @@
 impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
         if let Some(ticket) = self.ticket {
-            // With the channel full the place is kept until its turn or its deadline,
-            // and the slot comes straight back.
+            // If the channel is full, the request stays queued until it is admitted or expires. The
+            // permit is then dropped unread, which frees the slot at once.
             let _ = self.shared.events.try_send(QueueEvent::Cancelled(ticket));
         }
     }
--- a/components/limits/src/lib.rs
+++ b/components/limits/src/lib.rs
@@ -1,10 +1,10 @@
-//! Who may send work now: customers' limits, the order of admission, retry budgets.
+//! Admission control: customers' limits, the admission queue of a service, and retry budgets.
 //!
-//! A request passes, in this order, its customer's limits ([`Customer`], atomics only),
-//! then the service's [`Gate`]: one compare-and-swap while there is room and nobody
-//! waits. Only where there is no room does it go to the queue's task, which owns the
-//! pure [`Admission`]: class priority, a fair queue between customers, deadlines. The
-//! path of a request takes no lock; time and random numbers are passed in.
+//! A request first passes the limits of its customer ([`Customer`], atomics only), then the
+//! [`Gate`] of the service, which is one compare-and-swap while a slot is free and no request
+//! waits. Otherwise the request goes to the queue's task. The task owns an [`Admission`], a state
+//! machine without I/O that implements class priority, fair queueing between customers, and
+//! deadlines. Requests take no lock. Callers pass in the time and the random numbers.
 
 mod admission;
 mod admitted_totals;
--- a/components/limits/src/offered.rs
+++ b/components/limits/src/offered.rs
@@ -1,32 +1,34 @@
-//! What a customer asks an entry for, counted over a time.
+//! Offered load: the requests and tokens that a customer asks an entry for, counted between two
+//! reads of the counters.
 
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 
 use derive::key;
 
-/// Requests and tokens that were asked for in some time, refused ones too.
+/// Offered load of one interval, including refused requests.
 #[key]
 #[derive(Default)]
 pub struct OfferedLoad {
-    /// Requests.
+    /// Number of requests that arrived in the interval.
     pub requests: u32,
-    /// Prompt tokens and the most that may be generated.
+    /// Tokens of these requests: prompt tokens and the maximum of generated tokens.
     pub tokens: u64,
-    /// Requests in progress or waiting at the end of the time.
+    /// Requests in progress or waiting at the end of the interval.
     pub in_progress: u32,
 }
 
-/// What a customer asked this entry for.
+/// Offered load of one customer at this entry. Sampling is counted apart because it waits for
+/// capacity instead of being refused.
 #[key]
 #[derive(Default)]
 pub struct OfferedByClass {
-    /// Interactive and background.
+    /// Load of the classes interactive and background.
     pub calls: OfferedLoad,
-    /// Sampling, which waits for room.
+    /// Load of the class sampling.
     pub sampling: OfferedLoad,
 }
 
-/// Counters behind an [`Offered`]; threads share them.
+/// Atomic counters of an [`OfferedLoad`].
 #[derive(Debug, Default)]
 pub(crate) struct OfferedCounters {
     requests: AtomicU32,
@@ -35,13 +37,13 @@
 }
 
 impl OfferedCounters {
-    /// Counts a request that may take so many tokens.
+    /// Counts a request of at most `tokens` tokens.
     pub(crate) fn record(&self, tokens: u32) {
         self.requests.fetch_add(1, Ordering::Relaxed);
         self.tokens.fetch_add(u64::from(tokens), Ordering::Relaxed);
     }
 
-    /// What was counted since the last call.
+    /// Returns the load since the last call of this method and starts a new interval.
     pub(crate) fn take(&self) -> OfferedLoad {
         OfferedLoad {
             requests: self.requests.swap(0, Ordering::Relaxed),
--- a/components/limits/src/queue_task.rs
+++ b/components/limits/src/queue_task.rs
@@ -12,24 +12,24 @@
 use crate::gate::{Permit, Shared};
 use crate::ticket::Ticket;
 
-/// Longest sleep, so that the task finds out when its gate is gone.
+/// Maximum sleep, after which the task checks whether its gate was dropped.
 const SLEEP_MAX_MS: u64 = 1_000;
 
 pub(crate) type Answer = oneshot::Sender<Result<Permit, Failure>>;
 
-/// News for the queue.
+/// Message from the gate to the queue's task.
 pub(crate) enum QueueEvent {
-    /// A request found no room and is counted among the waiting.
+    /// A request found no free slot and is counted as waiting.
     Arrived {
         arrival: Arrival,
         random: u64,
         answer: Answer,
     },
-    /// The caller of a waiting request went away.
+    /// The caller of a waiting request has disconnected.
     Cancelled(Ticket),
 }
 
-/// Runs the queue until the gate is gone.
+/// Runs the queue until the gate and all its permits are dropped.
 pub(crate) async fn run(gate: Weak<Shared>, mut events: mpsc::Receiver<QueueEvent>) {
     let Some(mut queue) = gate.upgrade().map(|shared| Queue::new(&shared)) else {
         return;
@@ -114,7 +114,8 @@
         }
     }
 
-    /// A caller that went away drops the permit unread, which frees the slot again.
+    /// Sends the answer to a request. If the caller has disconnected, the permit is dropped unread,
+    /// which frees the slot.
     fn send_answer(&mut self, ticket: Ticket, answer: Result<Permit, Failure>) {
         if let Some(waiting) = self.answers.remove(&ticket) {
             let _ = waiting.send(answer);
--- a/components/limits/src/retry_after.rs
+++ b/components/limits/src/retry_after.rs
@@ -1,13 +1,14 @@
-//! When a refused caller may come back.
+//! Time after which a refused caller may retry.
 
-/// Least spread, in milliseconds.
+/// Minimum spread of the retries.
 const SPREAD_MIN_MS: u64 = 250;
 const WAIT_MAX_MS: u64 = 60_000;
 
-/// `wait_ms` and up to half as much again, at least [`SPREAD_MIN_MS`], by chance.
+/// Adds random jitter to a wait: up to half of `wait_ms` or [`SPREAD_MIN_MS`], whichever is more.
 ///
-/// Callers refused together would otherwise come back together and be refused again;
-/// the spread grows with the wait because more of them gather in a longer one.
+/// Without jitter, callers that were refused at the same time would retry at the same time and be
+/// refused again. The spread grows with the wait because more callers are refused during a longer
+/// wait.
 pub fn retry_after_ms(wait_ms: u64, random: u64) -> u32 {
     let wait_ms = wait_ms.min(WAIT_MAX_MS);
     let spread_ms = (wait_ms / 2).max(SPREAD_MIN_MS);
--- a/components/limits/src/settings.rs
+++ b/components/limits/src/settings.rs
@@ -1,4 +1,4 @@
-//! What can be set about admission to a service.
+//! Settings of the admission to a service.
 
 use derive::value;
 use types::Class;
@@ -6,19 +6,20 @@
 /// Settings of admission to one service.
 #[value]
 pub struct AdmissionSettings {
-    /// Most requests of one customer that wait in one class.
+    /// Maximum number of waiting requests of one customer in one class.
     pub waiting_max: u32,
-    /// Slots that background and sampling leave free, in thousandths of the limit, so
-    /// that an interactive request finds one; sampling leaves twice as many.
+    /// Slots that background requests leave free for interactive ones, in thousandths of the limit.
+    /// Sampling requests leave twice as many free.
     pub headroom_permille: u32,
-    /// Times that waiting background work is passed over before one of it goes first.
+    /// Number of higher-class requests that are admitted before a waiting background request.
     pub background_skips_max: u32,
-    /// Times that waiting sampling work is passed over before one of it goes first.
+    /// Number of higher-class requests that are admitted before a waiting sampling request.
     pub sampling_skips_max: u32,
-    /// Requests by which a customer may be ahead of another that waits in a lower class
-    /// before its own class gives it no priority.
+    /// Number of requests by which a customer may be ahead of a customer waiting in a lower class.
+    /// Beyond it the class gives the customer no priority.
     pub lead_requests_max: u32,
-    /// How long a slot is held, before it has been measured, in milliseconds.
+    /// Assumed time for which a request holds its slot until requests have been measured, in
+    /// milliseconds.
     pub initial_hold_ms: u32,
 }
 
@@ -36,8 +37,8 @@
 }
 
 impl AdmissionSettings {
-    /// Slots of `limit` that `class` may fill. At least one, or a small limit would
-    /// shut the class out for good.
+    /// Number of slots, out of `limit`, that `class` may fill. At least one, or a small limit would
+    /// exclude the class entirely.
     pub(crate) fn slots_for(&self, class: Class, limit: u32) -> u32 {
         let headroom_shares = match class {
             Class::Interactive => 0,
--- a/components/limits/src/share.rs
+++ b/components/limits/src/share.rs
@@ -1,22 +1,22 @@
-//! This entry's share of a customer's limit, agreed with no coordinator.
+//! This entry's share of a customer's limits, computed without a coordinator.
 //!
-//! Each entry computes its own share from the entries that live, its own demand and,
-//! where digests are sent, the demand that its peers last told. A small part is split
-//! evenly, so that a customer who turns to another entry is served there at once; the
-//! rest goes by demand.
+//! Each entry computes its own share from the list of live entries, its own demand and, if digests
+//! are in use, the last demand that each peer sent. A small part of the limits is split evenly, so
+//! that a customer that switches to another entry is served there at once. The rest is split in
+//! proportion to demand.
 //!
-//! Own demand counts at its lowest of the last window, a peer's at its highest. Where
-//! every digest arrives within the window and all see the same entries, the highest
-//! that a peer saw of an entry is never below the lowest that this entry counts, so the
-//! shares add up to at most one however demand moves. What is left over:
+//! An entry counts its own demand at the minimum of the last window, and the demand of a peer at
+//! the maximum. If every digest arrives within the window and all entries see the same members,
+//! the maximum that a peer saw of an entry is never below the minimum that the entry itself
+//! counts. The shares then add up to at most one, however demand changes. Two exceptions remain:
 //!
-//! - An entry that starts counts nothing by demand for its first window. Until its
-//!   peers see it, the sum is over by at most its even part: `equal / (n + 1)`.
-//! - Groups of entries that cannot see one another each use up to the whole limit: the
-//!   sum is at most the number of groups. An entry that lost sight of its peers goes on
-//!   counting them for a window, so a short cut costs nothing.
+//! - An entry that starts has no share by demand during its first window. Until its peers see it,
+//!   the sum exceeds one by at most the entry's even part, `equal / (n + 1)`.
+//! - In a network partition, each group of entries that see one another uses up to the whole
+//!   limit, so the sum is at most the number of groups. An entry continues to count lost peers for
+//!   one window, so a partition shorter than that has no effect.
 //!
-//! Cost: customers with traffic × entries × about 100 bytes, and the digests of
+//! Memory: about 100 bytes per entry and customer with traffic, plus the digests of
 //! [`crate::Shares`].
 
 use std::collections::{HashMap, VecDeque};
@@ -27,11 +27,12 @@
 /// Settings of the shares.
 #[value]
 pub struct ShareSettings {
-    /// Longer than a digest takes, a lost one or two included, in milliseconds.
+    /// Length of the window, in milliseconds. Must be longer than the delivery of a digest takes
+    /// when one or two digests are lost.
     pub window_ms: u64,
-    /// Part of the limit that is split evenly, in thousandths.
+    /// Part of the limits that is split evenly, in thousandths.
     pub equal_permille: u32,
-    /// Whether peers send digests; without them the whole limit is split evenly.
+    /// Whether peers send digests; without them the limits are split evenly in full.
     pub digests: bool,
 }
 
@@ -45,10 +46,10 @@
     }
 }
 
-/// Values of the last window.
+/// Values of the last window, with their times.
 #[derive(Clone, Debug, Default)]
 struct Window {
-    /// The first may be older than the window: it was in force when the window began.
+    /// The first value may be older than the window: it was the current one when the window began.
     values: VecDeque<(u64, f64)>,
 }
 
@@ -81,12 +82,13 @@
     }
 }
 
-/// One customer's share on this entry; one task owns it and puts the result in force.
+/// One customer's share at this entry; owned by one task, which applies the result to
+/// [`crate::Customer`].
 #[derive(Debug)]
 pub struct CustomerShare {
     settings: ShareSettings,
     own_demand: Window,
-    /// Peers that live or were told of within the window.
+    /// Peers that were live within the last window.
     peers: HashMap<NodeId, Peer>,
 }
 
@@ -97,7 +99,7 @@
 }
 
 impl CustomerShare {
-    /// A share of an entry that knows no peer yet.
+    /// A share without known peers or demand.
     pub fn new(settings: ShareSettings) -> Self {
         Self {
             settings,
@@ -106,8 +108,8 @@
         }
     }
 
-    /// Takes in the other entries that live now; one that is missing counts on for a
-    /// window.
+    /// Updates the list of the other live entries. A peer that is missing from it still counts
+    /// for one window.
     pub fn set_live_peers(&mut self, peers: impl IntoIterator<Item = NodeId>, now_ms: u64) {
         for node in peers {
             self.peers.entry(node).or_default().seen_ms = now_ms;
@@ -117,12 +119,13 @@
             .retain(|_, peer| peer.seen_ms + window_ms >= now_ms);
     }
 
-    /// Puts another window in force, in milliseconds.
+    /// Changes the length of the window, in milliseconds.
     pub fn set_window_ms(&mut self, window_ms: u64) {
         self.settings.window_ms = window_ms;
     }
 
-    /// Takes in a peer's demand, in the unit of [`Share::offered`].
+    /// Records a peer's demand, in the unit of [`CustomerShare::record_demand`]. Ignored if the
+    /// peer is not known.
     pub fn record_peer_demand(&mut self, peer: NodeId, demand: f64, now_ms: u64) {
         let window_ms = self.settings.window_ms;
         if let Some(peer) = self.peers.get_mut(&peer) {
@@ -130,14 +133,14 @@
         }
     }
 
-    /// Takes in this entry's demand, refused requests included, in any unit that all
-    /// entries have in common.
+    /// Records this entry's demand, including refused requests, in any unit that is the same at all
+    /// entries.
     pub fn record_demand(&mut self, demand: f64, now_ms: u64) {
         self.own_demand
             .push(demand, now_ms, self.settings.window_ms);
     }
 
-    /// This entry's share of the limit, from 0 to 1.
+    /// This entry's share of the limits, from 0 to 1.
     pub fn share(&self, now_ms: u64) -> f64 {
         let even = 1.0 / (self.peers.len() as f64 + 1.0);
         if !self.settings.digests {
@@ -152,7 +155,7 @@
             return 0.0;
         }
         let own = self.own_demand.lowest();
-        // A peer that has told nothing yet counts as busy as this entry.
+        // A peer that has sent no digest yet counts with the same demand as this entry.
         let demand_of = |peer: &Peer| match peer.demand.values.is_empty() {
             true => own,
             false => peer.demand.highest(),
--- a/components/limits/src/shares.rs
+++ b/components/limits/src/shares.rs
@@ -1,10 +1,10 @@
-//! The shares of all customers on this entry, and what it tells the other entries.
+//! The shares of all customers at this entry, and the digests of demand for the other entries.
 //!
-//! Each entry tells each other one its demand of the customers that ask most of it. The
-//! time between two rounds grows with the number of entries, so that an entry sends no
-//! more than [`BYTES_PER_S_MAX`] for this, however many there are: two rounds a second
-//! up to five entries, one in 48 s at 390. Until a customer's demand has lasted for a
-//! window of three rounds, its share at an entry is the even part alone.
+//! In each round an entry sends every other entry a digest of the demand of its busiest customers.
+//! The interval between rounds grows with the number of entries, so that an entry sends at most
+//! [`DIGEST_BYTES_PER_S_MAX`]: two rounds per second up to five entries, one in 48 s with 390.
+//! Until a customer's demand has lasted for a window of three rounds, its share at an entry is the
+//! even part alone.
 
 use std::collections::HashMap;
 
@@ -13,23 +13,23 @@
 
 use crate::share::{CustomerShare, ShareSettings};
 
-/// Most bytes of digests that an entry sends in a second.
+/// Maximum number of bytes of digests that an entry sends per second.
 pub const DIGEST_BYTES_PER_S_MAX: u64 = 5_120;
-/// Largest digest.
+/// Maximum size of the lines of a digest, in bytes.
 pub const DIGEST_BYTES_MAX: usize = 512;
-/// What a digest costs beside its lines: datagram, sender, tag, lower layers.
+/// Bytes of a digest besides its lines: datagram, sender, authentication tag, lower layers.
 const OVERHEAD_BYTES: usize = 120;
-/// What a line costs beside the customer's name.
+/// Bytes of a line besides the customer's name.
 const LINE_BYTES: usize = 4;
 
 const ROUND_INTERVAL_MIN_MS: u64 = 500;
-/// A lost digest, and the one before it late, are not missed.
+/// Three rounds, so that one lost digest and the late delivery of the one before it have no effect.
 const ROUNDS_PER_WINDOW: u64 = 3;
-/// Time in which an arriving request counts, in milliseconds. Shorter, and the chance
-/// gaps of a few requests a second would look like no demand at all.
+/// Time constant of the moving average of demand. With a shorter one, random gaps between a few
+/// requests per second would look like no demand at all.
 const DEMAND_TIME_CONSTANT_MS: f64 = 15_000.0;
 
-/// Demand is told in this part of a customer's limits.
+/// Digests state demand in units of 1/10,000 of a customer's limits.
 const UNITS_PER_LIMIT: f64 = 10_000.0;
 
 #[derive(Debug)]
@@ -38,7 +38,7 @@
     mean: Option<f64>,
 }
 
-/// Shares of all customers; owned by one task.
+/// Shares of all customers at this entry; owned by one task.
 #[derive(Debug, Default)]
 pub struct Shares {
     settings: ShareSettings,
@@ -47,7 +47,7 @@
     last_round_ms: Option<u64>,
 }
 
-/// Time between two rounds of an entry among `peers` others, in milliseconds.
+/// Interval between two rounds of an entry with `peers` other entries, in milliseconds.
 pub fn round_interval_ms(peers: usize) -> u64 {
     let round_bytes = peers * (DIGEST_BYTES_MAX + OVERHEAD_BYTES);
     let round_interval_ms = round_bytes as u64 * 1_000 / DIGEST_BYTES_PER_S_MAX;
@@ -55,7 +55,7 @@
 }
 
 impl Shares {
-    /// Knows no customer yet.
+    /// Shares without customers or peers.
     pub fn new(settings: ShareSettings) -> Self {
         Self {
             settings,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Time since the last round, in milliseconds, if the next one is due.
+    /// Time since the last round, in milliseconds; `None` if the next round is not due yet.
     pub fn elapsed_if_due_ms(&self, now_ms: u64) -> Option<u64> {
         let Some(last_round_ms) = self.last_round_ms else {
             return Some(ROUND_INTERVAL_MIN_MS);
@@ -72,9 +72,10 @@
         (elapsed_ms >= round_interval_ms(self.peers)).then_some(elapsed_ms)
     }
 
-    /// One round: takes in the other entries that live and this entry's demand, each a
-    /// part of the customer's limits in the `elapsed_ms` milliseconds since the last
-    /// round. Customers that are not named are forgotten. Gives what is to be told.
+    /// Runs one round and returns the digest for the other entries. `peers` are the other live
+    /// entries. `demands` are the customers' demands at this entry in the `elapsed_ms` milliseconds
+    /// since the last round, as fractions of their limits. Customers that are not in `demands` are
+    /// removed.
     pub fn run_round(
         &mut self,
         peers: &[NodeId],
@@ -100,8 +101,8 @@
             let units = (mean * UNITS_PER_LIMIT).round();
             state.share.set_window_ms(window_ms);
             state.share.set_live_peers(peers.iter().copied(), now_ms);
-            // What is told and what is counted must be one number, or the sum of the
-            // shares could pass the limit.
+            // The entry must count the same rounded number that it sends, or the sum of the shares
+            // could exceed one.
             state.share.record_demand(units, now_ms);
             if units > 0.0 {
                 lines.push((customer.clone(), units as u32));
@@ -112,7 +113,8 @@
         digest(lines)
     }
 
-    /// Takes in what another entry told.
+    /// Records the digest of another entry. Customers without a line count with `rest_max`, the
+    /// highest demand that was left out of the digest.
     pub fn record_digest(&mut self, peer: NodeId, digest: &DemandDigest, now_ms: u64) {
         let lines: HashMap<&CustomerName, u32> = digest
             .lines
@@ -127,7 +129,8 @@
         }
     }
 
-    /// This entry's share of the customer's limits, from 0 to 1.
+    /// This entry's share of the customer's limits, from 0 to 1; the even part for a customer that
+    /// no round has covered yet.
     pub fn share(&self, customer: &CustomerName, now_ms: u64) -> f64 {
         match self.customers.get(customer) {
             Some(state) => state.share.share(now_ms),
@@ -144,7 +147,7 @@
     mean + (demand - mean) * newest
 }
 
-/// The highest demands, as many as fit.
+/// Builds a digest of the highest demands, as many as fit.
 fn digest(mut lines: Vec<(CustomerName, u32)>) -> DemandDigest {
     lines.sort_by(|a, b| b.1.cmp(&a.1).then_with(|| a.0.cmp(&b.0)));
     let mut bytes = 0;
--- a/components/limits/src/ticket.rs
+++ b/components/limits/src/ticket.rs
@@ -1,7 +1,7 @@
-//! Names of waiting requests.
+//! Identifiers of waiting requests.
 
 use derive::key;
 
-/// Number of a waiting request, given by the queue's owner in the order of arrival.
+/// Number of a waiting request, assigned in order of arrival; unique per gate.
 #[key]
 pub struct Ticket(pub u64);
--- a/components/limits/tests/admission.rs
+++ b/components/limits/tests/admission.rs
@@ -1,11 +1,11 @@
-//! The order in which waiting requests go, and what those that can't go are told.
+//! The order in which waiting requests are admitted, and the answers to refused requests.
 
 #![allow(clippy::unwrap_used)]
 
 mod common;
 
 use common::queue::{self, Order, Stream};
-use common::{Draws, customer};
+use common::{SplitMix64, customer};
 use limits::{Action, Admission, AdmissionSettings, Arrival, Capacity, Ticket, retry_after_ms};
 use types::{Cause, Class, Failure, RunState};
 
@@ -34,7 +34,7 @@
     Admission::new(AdmissionSettings::default())
 }
 
-/// Admits `count` requests; the tickets in order.
+/// Admits up to `count` requests and returns their tickets in order.
 fn order(admission: &mut Admission, count: usize) -> Vec<u64> {
     let one = |_| match admission.next_action(FREE, 0) {
         Some(Action::Admit(ticket)) => Some(ticket.0),
@@ -61,7 +61,7 @@
     };
     let cases = [
         Case {
-            name: "an interactive request goes before samples",
+            name: "an interactive request is admitted before samples",
             arrivals: vec![
                 arrival(1, "a", sampling),
                 arrival(2, "a", Class::Background),
@@ -70,7 +70,7 @@
             expected: vec![3, 2, 1],
         },
         Case {
-            name: "one request of b goes after one of a's many",
+            name: "a single request of b is admitted after one of a's many",
             arrivals: vec![
                 arrival(1, "a", interactive),
                 arrival(2, "a", interactive),
@@ -80,7 +80,7 @@
             expected: vec![1, 4, 2, 3],
         },
         Case {
-            name: "weight 3 gets three turns for one",
+            name: "weight 3 gets three admissions for one of weight 1",
             arrivals: [1, 2, 3, 4]
                 .map(|ticket| arrival(ticket, "a", interactive))
                 .into_iter()
@@ -89,7 +89,7 @@
             expected: vec![1, 5, 6, 7, 2, 8, 3, 4],
         },
         Case {
-            name: "large requests get fewer turns",
+            name: "large requests get fewer admissions",
             arrivals: [1, 2]
                 .map(|ticket| large(ticket, "a"))
                 .into_iter()
@@ -107,17 +107,17 @@
     }
 }
 
-// A trainer's sample waits while clerks keep the service full. Priority alone would let
-// it wait until their offices close; it goes after 16 of them.
+// Guards against starvation of samples. A sample waits while interactive requests keep the service
+// full; strict priority would never admit the sample. It is admitted after 16 of them.
 #[test]
-fn a_waiting_class_is_passed_over_a_bounded_number_of_times() {
+fn a_waiting_class_is_skipped_a_bounded_number_of_times() {
     let mut admission = admission();
     admission
         .enqueue(&arrival(0, "a", Class::Sampling), FULL, 0, 0)
         .unwrap();
     for ticket in 1..=40 {
-        let clerk = arrival(ticket, "a", Class::Interactive);
-        admission.enqueue(&clerk, FULL, 0, 0).unwrap();
+        let interactive = arrival(ticket, "a", Class::Interactive);
+        admission.enqueue(&interactive, FULL, 0, 0).unwrap();
     }
     let order = order(&mut admission, 41);
     assert_eq!(order.iter().position(|&ticket| ticket == 0), Some(16));
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn refuses_at_once_what_cannot_go_in_time() {
+fn refuses_at_once_requests_that_would_expire() {
     struct Case {
         name: &'static str,
         waiting: u64,
@@ -182,13 +182,13 @@
             None,
         ),
         case(
-            "errors when its own places are taken",
+            "errors when the customer has the maximum of waiting requests",
             64,
             "b",
             900_000,
             full,
         ),
-        case("errors when the deadline is over", 0, "b", 100, passed),
+        case("errors when the deadline has passed", 0, "b", 100, passed),
     ];
     for case in cases {
         let mut admission = admission();
@@ -215,8 +215,8 @@
     }
 }
 
-// The process was paused for a minute with requests queued. Their callers have given
-// up; handing them over now would run work that nobody waits for.
+// Guards against running work whose callers have timed out. The process was paused with requests
+// queued, and the deadlines of some passed during the pause.
 #[test]
 fn a_paused_owner_expires_before_it_admits() {
     let mut admission = admission();
@@ -243,9 +243,9 @@
     assert_eq!(admission.next_action(FREE, 2_500), None);
 }
 
-// The service stalls for minutes and A's requests expire, batch after batch, while one
-// of C keeps the queue from ever being empty. If A had paid for them, B, who comes when
-// the stall is over, would go before A for as long as the stall was.
+// Guards against charging a customer for expired requests. During a stall A's requests expire while
+// a request of C keeps the queue from becoming empty. If A were charged, B, which arrives after the
+// stall, would precede A for as long as the stall lasted.
 #[test]
 fn expired_requests_are_not_charged() {
     let mut admission = admission();
@@ -288,9 +288,9 @@
     }
 }
 
-// A sends ten times its share, B stays below its own. B's waits may grow by the time
-// that A's requests in progress take to end, and B is never refused; with one line for
-// all, B waits behind A's queue and most of its requests are refused.
+// Guards against harm by an overloading customer. A sends ten times its share, B stays below its
+// share. B's waits may grow by the time that A's requests in progress take, and B is not refused;
+// with one FIFO queue, B would wait behind A and most of its requests would be refused.
 #[test]
 fn a_customer_at_ten_times_its_share_does_not_harm_another() {
     const FACTOR_MAX: f64 = 2.0;
@@ -334,29 +334,30 @@
 }
 
 checks::seeded! {
-    // Whatever comes: each request has exactly one answer, the queue ends empty.
+    // For random arrivals and cancellations each request is answered exactly once, and the queue is
+    // empty in the end.
     fn every_request_has_one_answer(seed: u64) -> bool {
-        let mut draws = Draws(seed);
+        let mut rng = SplitMix64(seed);
         let mut admission = admission();
         let mut answers = vec![0_u32; 400];
         for step in 0..400_u64 {
             let now_ms = step * 10;
             let queued = Arrival {
-                class: Class::ALL[draws.below(3) as usize],
-                cost: draws.below(5) as u32,
-                weight: draws.below(4) as u32,
-                deadline_ms: now_ms + draws.below(3_000),
-                ..arrival(step, ["a", "b", "c"][draws.below(3) as usize], Class::Sampling)
+                class: Class::ALL[rng.below(3) as usize],
+                cost: rng.below(5) as u32,
+                weight: rng.below(4) as u32,
+                deadline_ms: now_ms + rng.below(3_000),
+                ..arrival(step, ["a", "b", "c"][rng.below(3) as usize], Class::Sampling)
             };
-            let capacity = Capacity { in_progress: draws.below(12) as u32, ..FREE };
+            let capacity = Capacity { in_progress: rng.below(12) as u32, ..FREE };
             if admission.enqueue(&queued, capacity, now_ms, 0).is_err() {
                 answers[step as usize] += 1;
             }
-            let other = draws.below(step + 1);
-            if draws.below(5) == 0 && admission.cancel(Ticket(other)) {
+            let other = rng.below(step + 1);
+            if rng.below(5) == 0 && admission.cancel(Ticket(other)) {
                 answers[other as usize] += 1;
             }
-            if draws.below(2) == 0 && let Some(action) = admission.next_action(capacity, now_ms) {
+            if rng.below(2) == 0 && let Some(action) = admission.next_action(capacity, now_ms) {
                 let (Action::Admit(ticket) | Action::Expire(ticket, _)) = action;
                 answers[ticket.0 as usize] += 1;
             }
@@ -368,7 +369,7 @@
         admission.is_empty() && answers.iter().all(|&count| count == 1)
     }
 
-    fn the_time_to_come_back_is_the_wait_and_up_to_half_more(wait_ms: u64, random: u64) -> bool {
+    fn retry_after_is_the_wait_and_up_to_half_more(wait_ms: u64, random: u64) -> bool {
         let wait_ms = wait_ms % 50_000;
         let back_ms = u64::from(retry_after_ms(wait_ms, random));
         back_ms >= wait_ms && back_ms <= wait_ms + (wait_ms / 2).max(250)
--- a/components/limits/tests/common/mod.rs
+++ b/components/limits/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Names and a model of one service in memory for the tests.
+//! Helpers of the tests and a simulation of one service.
 #![allow(dead_code, clippy::unwrap_used)]
 
 use types::CustomerName;
@@ -6,10 +6,10 @@
 #[path = "../../examples/model/queue.rs"]
 pub mod queue;
 
-#[path = "../../examples/model/draws.rs"]
-mod draws;
+#[path = "../../examples/model/split_mix64.rs"]
+mod split_mix64;
 
-pub use draws::Draws;
+pub use split_mix64::SplitMix64;
 
 pub fn customer(name: &str) -> CustomerName {
     CustomerName::new(name).unwrap()
--- a/components/limits/tests/gate.rs
+++ b/components/limits/tests/gate.rs
@@ -1,4 +1,4 @@
-//! The gate from several tasks and threads.
+//! The gate, used by several tasks and threads.
 
 #![allow(clippy::unwrap_used)]
 
@@ -44,7 +44,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_dropped_permit_admits_the_next() {
+async fn a_dropped_permit_admits_the_next_request() {
     let gate = gate(1);
     let first = gate.admit(usual(), 0).await.unwrap();
     let waiting = tokio::spawn({
@@ -70,10 +70,10 @@
     assert_eq!(gate.waiting(), 0);
 }
 
-// The caller goes away while it waits. Its place is given up, so the next slot goes to
-// one who still waits, and no slot is lost.
+// Guards against a lost slot. A caller disconnects while its request waits; the request must be
+// removed from the queue, so that the next free slot goes to a request that still waits.
 #[tokio::test(start_paused = true)]
-async fn a_caller_that_goes_away_leaves_no_slot_behind() {
+async fn a_caller_that_disconnects_holds_no_slot() {
     let gate = gate(1);
     let held = gate.admit(usual(), 0).await.unwrap();
     let gone = time::timeout(Duration::from_millis(20), gate.admit(usual(), 0)).await;
@@ -86,7 +86,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn more_slots_let_the_waiting_in() {
+async fn more_slots_admit_waiting_requests() {
     let gate = gate(1);
     let _held = gate.admit(usual(), 0).await.unwrap();
     let waiting = tokio::spawn({
@@ -98,11 +98,11 @@
     assert_eq!(waiting.await.unwrap(), Ok(()));
 }
 
-// Four threads race on a gate of three slots. A wake-up lost between a permit's drop
-// and a request's turn to the queue would leave a request waiting for ever; the test
-// then runs into its timeout.
+// Guards against a lost wake-up. Four threads compete for three slots. If a permit is dropped while
+// a request is being queued and the task is not woken, the request waits forever and the test
+// times out.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn threads_never_pass_the_limit_or_lose_a_wake_up() {
+async fn threads_never_exceed_the_limit_or_lose_a_wake_up() {
     const TASKS: usize = 32;
     let gate = gate(3);
     let running = Arc::new(AtomicU32::new(0));
--- a/components/limits/tests/limits.rs
+++ b/components/limits/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Buckets, customers' limits and retry budgets.
+//! Token buckets, customers' limits and retry budgets.
 
 #![allow(clippy::unwrap_used)]
 
@@ -8,13 +8,13 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::thread;
 
-use common::Draws;
+use common::SplitMix64;
 use limits::{BudgetSettings, Customer, CustomerLimits, RetryBudget, TokenBucket};
 use tokio::sync::mpsc;
 use types::{Cause, Class};
 
 #[test]
-fn a_bucket_gives_its_burst_then_its_rate() {
+fn a_bucket_allows_its_burst_then_its_rate() {
     let bucket = TokenBucket::new(10.0, 500);
     let times = [0, 0, 0, 0, 0, 0, 99, 100, 100, 10_000];
     let taken: Vec<Result<(), u64>> = times.iter().map(|&at| bucket.try_take(1, at)).collect();
@@ -75,12 +75,12 @@
         admitted,
     };
     let cases = [
-        case("can go without a limit", none, 1.0, false, 20),
-        case("by requests a second", by_requests, 1.0, false, 8),
-        case("by tokens a second", by_tokens, 1.0, false, 10),
+        case("is not refused without a limit", none, 1.0, false, 20),
+        case("by requests per second", by_requests, 1.0, false, 8),
+        case("by tokens per second", by_tokens, 1.0, false, 10),
         case("by requests in progress", limits(), 1.0, true, 4),
         case("by this entry's share", limits(), 0.5, true, 2),
-        case("with one in progress at least", limits(), 0.01, true, 1),
+        case("with at least one in progress", limits(), 0.01, true, 1),
     ];
     for case in cases {
         let customer = Arc::new(Customer::new(&case.limits, case.share));
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn unused_tokens_come_back() {
+fn unused_tokens_are_refunded() {
     let customer = Arc::new(Customer::new(&limits(), 1.0));
     let mut admitted = customer.admit(Class::Interactive, 1_000, 0, 0).unwrap();
     assert!(customer.admit(Class::Interactive, 900, 0, 0).is_err());
@@ -114,11 +114,11 @@
     assert!(customer.admit(Class::Interactive, 900, 0, 0).is_ok());
 }
 
-// A step's runs come all at once at one entry and would hold every place of the
-// customer there. A clerk of the same customer comes next and would be refused, although
-// the customer as a whole is far below its limits. The part left free lets her in.
+// Guards against sampling that uses up the customer's share at one entry. The runs of a training
+// step all arrive there at once; without the reserve an interactive request of the same customer
+// would be refused, although the customer is far below its limits.
 #[test]
-fn can_let_a_clerk_in_beside_the_customers_own_sampling() {
+fn admits_interactive_requests_beside_the_customers_own_sampling() {
     struct Case {
         name: &'static str,
         limits: CustomerLimits,
@@ -152,9 +152,9 @@
     };
     let cases = [
         case("in progress", in_progress, [7, 2, 1]),
-        case("requests a second", requests, [7, 2, 1]),
-        case("tokens a second", tokens, [7, 2, 1]),
-        case("a limit of one shuts nobody out", one, [1, 0, 0]),
+        case("requests per second", requests, [7, 2, 1]),
+        case("tokens per second", tokens, [7, 2, 1]),
+        case("a limit of one excludes no class", one, [1, 0, 0]),
     ];
     for case in cases {
         let customer = Arc::new(Customer::new(&case.limits, 1.0));
@@ -171,7 +171,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn can_wait_in_turn_for_room() {
+async fn waiting_requests_are_admitted_in_order_of_arrival() {
     let limits = CustomerLimits {
         in_progress: Some(1),
         ..CustomerLimits::default()
@@ -199,10 +199,10 @@
     assert_eq!(customer.in_progress(), 0);
 }
 
-// Eight threads enter and leave at once. A lost update would leave a count behind, and
-// the customer would be refused for good.
+// Guards against lost updates of the counter. Eight threads admit and end requests concurrently;
+// a request that stays counted would cause refusals for good.
 #[test]
-fn threads_never_pass_the_limit_or_leave_a_count_behind() {
+fn threads_never_exceed_the_limit_or_leave_a_request_counted() {
     let limits = CustomerLimits {
         in_progress: Some(3),
         ..CustomerLimits::default()
@@ -224,9 +224,9 @@
     assert_eq!(customer.in_progress(), 0);
 }
 
-// The whole service is down for a minute and every call fails. Each caller would try
-// four times more; the budget lets through a tenth of the first tries and ten in ten
-// seconds, so the service gets no storm on top of its outage.
+// Guards against a retry storm. A whole service is down for a minute, every call fails, and each
+// caller would retry four times. The budget allows a tenth of the first attempts plus ten retries
+// in ten seconds.
 #[test]
 fn an_outage_multiplies_the_load_by_no_more_than_the_budget() {
     let settings = BudgetSettings::default();
@@ -249,26 +249,26 @@
 }
 
 checks::seeded! {
-    fn a_bucket_never_gives_more_than_burst_and_rate(seed: u64, per_s: u16) -> bool {
+    fn a_bucket_never_allows_more_than_burst_and_rate(seed: u64, per_s: u16) -> bool {
         let per_s = f64::from(1 + per_s % 500);
         let bucket = TokenBucket::new(per_s, 1_000);
-        let mut draws = Draws(seed);
+        let mut rng = SplitMix64(seed);
         let (mut now_ms, mut given) = (0, 0);
         for _ in 0..500 {
-            now_ms += draws.below(20);
-            let units = 1 + draws.below(3) as u32;
+            now_ms += rng.below(20);
+            let units = 1 + rng.below(3) as u32;
             given += bucket.try_take(units, now_ms).map_or(0, |()| units);
         }
         f64::from(given) <= per_s + per_s * now_ms as f64 / 1_000.0 + 3.0
     }
 
-    fn retries_never_pass_the_share_and_the_constant(seed: u64) -> bool {
+    fn retries_never_exceed_the_share_and_the_base(seed: u64) -> bool {
         let budget = RetryBudget::new(&BudgetSettings::default());
-        let mut draws = Draws(seed);
+        let mut rng = SplitMix64(seed);
         let (mut tries, mut retries, mut now_ms) = (0, 0, 0);
         for _ in 0..2_000 {
-            now_ms += draws.below(10);
-            if draws.below(3) > 0 {
+            now_ms += rng.below(10);
+            if rng.below(3) > 0 {
                 budget.record_first_attempt();
                 tries += 1;
             } else {
--- a/components/limits/tests/share.rs
+++ b/components/limits/tests/share.rs
@@ -1,4 +1,4 @@
-//! How far the shares of several entries add up to more than the limit.
+//! By how much the sum of the shares of several entries can exceed the limit.
 
 #![allow(clippy::unwrap_used)]
 
@@ -6,7 +6,7 @@
 
 use std::net::{Ipv4Addr, SocketAddr};
 
-use common::Draws;
+use common::SplitMix64;
 use limits::{CustomerShare, ShareSettings};
 use types::{Incarnation, NodeId};
 
@@ -22,7 +22,7 @@
 struct Entries {
     shares: Vec<CustomerShare>,
     now_ms: u64,
-    /// Digests on their way: arrival, sender, receiver, demand.
+    /// Digests in transit: time of arrival, sender, receiver, demand.
     sent: Vec<(u64, usize, usize, f64)>,
 }
 
@@ -37,20 +37,20 @@
         }
     }
 
-    /// One tick: demand is seen and told, digests take up to `delay_ms`; entries see
-    /// those for which `sees` holds. The sum of the shares.
+    /// Runs one tick and returns the sum of the shares. Every entry records and sends its demand;
+    /// digests take up to `delay_ms`. An entry sees the peers for which `sees` returns true.
     fn tick(
         &mut self,
         demand: &[f64],
         delay_ms: u64,
-        draws: &mut Draws,
+        rng: &mut SplitMix64,
         sees: impl Fn(usize, usize) -> bool,
     ) -> f64 {
         let count = self.shares.len();
         for (from, (share, &per_s)) in self.shares.iter_mut().zip(demand).enumerate() {
             share.record_demand(per_s, self.now_ms);
             for to in (0..count).filter(|&to| to != from) {
-                let at_ms = self.now_ms + draws.below(delay_ms + 1);
+                let at_ms = self.now_ms + rng.below(delay_ms + 1);
                 self.sent.push((at_ms, from, to, per_s));
             }
         }
@@ -71,10 +71,10 @@
     }
 }
 
-fn wander(demand: &mut [f64], draws: &mut Draws) {
+fn wander(demand: &mut [f64], rng: &mut SplitMix64) {
     for per_s in demand {
-        match draws.below(6) {
-            0 => *per_s = draws.below(1_000) as f64,
+        match rng.below(6) {
+            0 => *per_s = rng.below(1_000) as f64,
             1 => *per_s = 0.0,
             _ => {}
         }
@@ -83,10 +83,10 @@
 
 #[test]
 fn shares_follow_demand() {
-    let mut draws = Draws(1);
+    let mut rng = SplitMix64(1);
     let mut entries = Entries::new(3, &ShareSettings::default());
     for _ in 0..20 {
-        entries.tick(&[80.0, 20.0, 0.0], 100, &mut draws, |_, _| true);
+        entries.tick(&[80.0, 20.0, 0.0], 100, &mut rng, |_, _| true);
     }
     let now_ms = entries.now_ms;
     let shares: Vec<f64> = entries
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn without_digests_each_takes_an_even_part() {
+fn without_digests_each_entry_has_an_even_share() {
     let settings = ShareSettings {
         digests: false,
         ..ShareSettings::default()
@@ -113,21 +113,21 @@
     assert_eq!(
         share.share(1_000),
         0.25,
-        "those that are missing count for a window"
+        "missing peers must count for one window"
     );
     share.set_live_peers((1..2).map(node), 5_000);
     assert_eq!(share.share(5_000), 0.5);
 }
 
-// A fourth entry starts and is seen by the others only after five seconds. It has an
-// even part at once and nothing by demand for a window; without that wait, two
-// entries that do not yet know each other would both take what they see.
+// Guards against a new entry that takes too large a share before its peers see it. A fourth entry
+// starts and is not seen for a while; it has its even part at once, and nothing by demand for a
+// window.
 #[test]
-fn an_entry_that_starts_puts_the_sum_over_by_its_even_part() {
-    let mut draws = Draws(1);
+fn a_new_entry_raises_the_sum_by_at_most_its_even_part() {
+    let mut rng = SplitMix64(1);
     let mut entries = Entries::new(3, &ShareSettings::default());
     for _ in 0..20 {
-        entries.tick(&[100.0; 3], 100, &mut draws, |_, _| true);
+        entries.tick(&[100.0; 3], 100, &mut rng, |_, _| true);
     }
     entries
         .shares
@@ -135,24 +135,24 @@
     let sees = |to: usize, from: usize| to == 3 || from != 3;
     let mut peak = 0.0_f64;
     for _ in 0..5 {
-        peak = peak.max(entries.tick(&[100.0; 4], 100, &mut draws, sees));
+        peak = peak.max(entries.tick(&[100.0; 4], 100, &mut rng, sees));
     }
     println!("an unseen fourth entry: sum of shares {peak:.4}");
     assert!(peak <= 1.0 + 0.25 / 4.0 + 1e-9, "{peak}");
 }
 
-// The network splits two entries from the third. Within the window all count each
-// other still; after it each group uses the whole limit, and no group more.
+// A network partition separates two entries from the third. Within the window all entries still
+// count one another; after it each group may use the whole limit, but not more.
 #[test]
-fn a_split_multiplies_the_limit_by_no_more_than_the_groups() {
-    let mut draws = Draws(1);
+fn a_partition_multiplies_the_limit_by_at_most_the_number_of_groups() {
+    let mut rng = SplitMix64(1);
     let mut entries = Entries::new(3, &ShareSettings::default());
     for _ in 0..20 {
-        entries.tick(&[100.0; 3], 100, &mut draws, |_, _| true);
+        entries.tick(&[100.0; 3], 100, &mut rng, |_, _| true);
     }
     let sees = |a: usize, b: usize| (a == 2) == (b == 2);
     let sums: Vec<f64> = (0..40)
-        .map(|_| entries.tick(&[100.0; 3], 100, &mut draws, sees))
+        .map(|_| entries.tick(&[100.0; 3], 100, &mut rng, sees))
         .collect();
     println!(
         "a split in two groups: sum of shares {:.3} at 2.5 s, {:.3} at 20 s",
@@ -163,9 +163,9 @@
 }
 
 #[test]
-fn what_windows_cost_and_save() {
+fn windows_keep_the_sum_within_the_limit_under_changing_demand() {
     for count in [3, 8] {
-        let mut draws = Draws(5);
+        let mut rng = SplitMix64(5);
         let mut entries = Entries::new(count, &ShareSettings::default());
         let mut demand = vec![100.0; count];
         let mut told = demand.clone();
@@ -173,9 +173,9 @@
         for tick in 0..2_000 {
             let before = demand.clone();
             if tick % 8 == 0 {
-                wander(&mut demand, &mut draws);
+                wander(&mut demand, &mut rng);
             }
-            let shares = entries.tick(&demand, 1_000, &mut draws, |_, _| true);
+            let shares = entries.tick(&demand, 1_000, &mut rng, |_, _| true);
             (peak, sum) = (peak.max(shares), sum + shares);
             simple_peak = simple_peak.max(simple_sum(&demand, &told));
             told = before;
@@ -189,7 +189,8 @@
     }
 }
 
-/// Shares by own demand and the peers' last told one, with no windows.
+/// Sum of the shares if they were computed without windows, from the own demand and the last demand
+/// that the peers sent.
 fn simple_sum(demand: &[f64], told: &[f64]) -> f64 {
     let all: f64 = told.iter().sum();
     let share = |(own, own_told): (&f64, &f64)| own / (own + all - own_told).max(1e-9);
@@ -197,15 +198,15 @@
 }
 
 checks::seeded! {
-    // With digests that arrive within the window the sum never passes the limit.
+    // If all digests arrive within the window, the sum never exceeds the limit.
     fn shares_add_up_to_at_most_one(seed: u64, count: usize) -> bool {
-        let mut draws = Draws(seed);
+        let mut rng = SplitMix64(seed);
         let count = 1 + count % 7;
         let mut entries = Entries::new(count, &ShareSettings::default());
         let mut demand = vec![0.0; count];
         (0..100).all(|_| {
-            wander(&mut demand, &mut draws);
-            entries.tick(&demand, 2_500, &mut draws, |_, _| true) <= 1.0 + 1e-9
+            wander(&mut demand, &mut rng);
+            entries.tick(&demand, 2_500, &mut rng, |_, _| true) <= 1.0 + 1e-9
         })
     }
 }
--- a/components/limits/tests/shares.rs
+++ b/components/limits/tests/shares.rs
@@ -1,4 +1,4 @@
-//! Shares of all customers by digests of bounded size.
+//! Shares of all customers, computed from digests of bounded size.
 
 #![allow(clippy::unwrap_used)]
 
@@ -6,7 +6,7 @@
 
 use std::net::{Ipv4Addr, SocketAddr};
 
-use common::{Draws, customer};
+use common::{SplitMix64, customer};
 use limits::{
     CustomerLimits, DIGEST_BYTES_MAX, DIGEST_BYTES_PER_S_MAX, OfferedByClass, OfferedLoad,
     ShareSettings, Shares, demand, round_interval_ms,
@@ -14,7 +14,7 @@
 use protocol::{Datagram, DemandDigest, Key, Keys, News, ProcessRole, write_datagram};
 use types::{CustomerName, Incarnation, NodeId};
 
-/// What lower layers add to a datagram.
+/// Bytes that the IP and UDP headers add to a datagram.
 const IP_AND_UDP_BYTES: usize = 28;
 
 fn node(number: usize) -> NodeId {
@@ -29,7 +29,7 @@
     (0..count).map(name).collect()
 }
 
-/// One round of all entries; digests arrive at once. `demand` by entry and customer.
+/// Runs one round of all entries; digests arrive at once. `demand` is by entry, then by customer.
 fn round(entries: &mut [Shares], names: &[CustomerName], demand: &[Vec<f64>], now_ms: u64) {
     let count = entries.len();
     let mut told: Vec<DemandDigest> = Vec::new();
@@ -49,11 +49,11 @@
     (0..count).map(|_| new()).collect()
 }
 
-// All of a customer's requests come through one of three entries, since its clients keep
-// their connections. With a third of the limit there it is refused at a third of its
-// limit; by demand that entry gets all but the even parts of the others.
+// Guards against refusals far below the limit. All requests of a customer come through one of three
+// entries, because its clients keep their connections. With an even split the customer would be
+// refused at a third of its limit.
 #[test]
-fn can_use_most_of_a_limit_at_one_entry() {
+fn a_customer_can_use_most_of_its_limit_at_one_entry() {
     let mut entries = entries(3);
     let names = names(1);
     let mut shares = Vec::new();
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn can_count_sampling_as_a_part_and_calls_in_full() {
+fn demand_counts_calls_in_full_and_sampling_in_part() {
     struct Case {
         name: &'static str,
         offered: OfferedByClass,
@@ -104,7 +104,7 @@
             demand: 5.0,
         },
         Case {
-            name: "sampling no more than a quarter",
+            name: "sampling at most a quarter",
             offered: OfferedByClass {
                 calls: offered(4, 0, 0),
                 sampling: offered(900, 90_000, 40),
@@ -124,10 +124,11 @@
     }
 }
 
-// 390 entries and 300 customers with demand at each: a digest that named them all would
-// be several datagrams to each of 389 peers. It is cut, and rounds come less often.
+// Guards against digest traffic that grows with the number of entries and customers. With 300
+// customers a full digest would be several datagrams to each of 389 peers; it is truncated, and
+// rounds become less frequent.
 #[test]
-fn can_stay_within_the_bytes_at_any_size() {
+fn digests_stay_within_the_byte_limits_at_any_size() {
     let names = names(300);
     for peers in [1, 2, 5, 29, 389] {
         let nodes: Vec<NodeId> = (1..=peers).map(node).collect();
@@ -156,17 +157,18 @@
 }
 
 checks::seeded! {
-    // More customers than a digest has room for, demand that jumps: those that are left
-    // out count at the most that they can have, so no customer's sum passes its limit.
+    // Guards against a sum of shares above the limit when a digest does not list all customers.
+    // Demand changes at random; a customer that is not listed counts with the highest demand that
+    // it may have.
     fn shares_of_each_customer_add_up_to_at_most_one(seed: u64, count: usize) -> bool {
-        let mut draws = Draws(seed);
+        let mut rng = SplitMix64(seed);
         let mut entries = entries(1 + count % 5);
         let names = names(60);
         let mut demand = vec![vec![0.0; names.len()]; entries.len()];
         (0..30).all(|number| {
             for part in demand.iter_mut().flatten() {
-                if draws.below(4) == 0 {
-                    *part = draws.unit() * 2.0;
+                if rng.below(4) == 0 {
+                    *part = rng.unit() * 2.0;
                 }
             }
             let now_ms = number * round_interval_ms(entries.len() - 1);
