--- a/components/quarantine/src/crashes.rs
+++ b/components/quarantine/src/crashes.rs
@@ -1,7 +1,7 @@
-//! Crashes of endpoints and who was in flight at each, as far as is known.
+//! Crashes of endpoints and the calls that were in flight at each of them.
 //!
-//! Each process knows its own calls only. Told of the others' calls at the same crash, it
-//! knows all that may have caused it.
+//! A process sees only its own calls. Together with the reports of the other entries about the
+//! same crash it knows every call that may have caused the crash.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 
 use crate::CallDigest;
 
-/// Crashes kept at most; the oldest go first.
+/// Maximum number of crashes that are stored; the oldest are evicted first.
 const CRASHES_MAX: usize = 4_096;
 
 #[value]
@@ -18,11 +18,11 @@
     endpoint: SocketAddr,
     at_ms: u64,
     in_flight: BTreeSet<CallDigest>,
-    /// Processes whose calls are counted in it.
+    /// Processes whose calls are in `in_flight`; `None` is this process.
     reported_by: BTreeSet<Option<SocketAddr>>,
 }
 
-/// The crashes known.
+/// Recent crashes by number; numbers increase.
 #[value]
 #[derive(Default)]
 pub(crate) struct Crashes {
@@ -31,13 +31,13 @@
 }
 
 impl Crashes {
-    /// Counts what one process had in flight at a crash; `None` is this process. Reports of
-    /// one endpoint within `same_ms` are of one crash, unless they are of one process. Gives
-    /// the crash's number.
+    /// Records the calls that one process had in flight at a crash, and returns the number of the
+    /// crash. `reported_by` is `None` for this process. Reports about one endpoint within
+    /// `same_crash_window_ms` are about the same crash, unless they come from the same process.
     ///
-    /// Which of two crashes of an endpoint within that time a report is of can't be told,
-    /// so such crashes share all that was in flight at either. That can hold up a verdict,
-    /// and leaves no cause out.
+    /// If an endpoint crashes twice within that time, it is unknown which crash a report is about.
+    /// Such crashes therefore share the calls in flight at either of them. This can delay a
+    /// verdict, but never misses the cause.
     pub fn record(
         &mut self,
         reported_by: Option<SocketAddr>,
@@ -63,7 +63,7 @@
             reported_by: BTreeSet::new(),
         });
         crash.reported_by.insert(reported_by);
-        // The other reports of what this one may be of are looked for from now on.
+        // The window for further reports about the same crash starts anew with each report.
         crash.at_ms = now_ms;
         for crash in self.crashes.values_mut().filter(|crash| is_near(crash)) {
             crash.in_flight.extend(&shared);
@@ -74,21 +74,21 @@
         number
     }
 
-    /// Whether this process has told what it had in flight at a crash.
+    /// Whether this process has reported its calls in flight at the crash.
     pub fn is_reported_locally(&self, number: u64) -> bool {
         let crash = self.crashes.get(&number);
         crash.is_some_and(|crash| crash.reported_by.contains(&None))
     }
 
-    /// Whether each of these crashes is so old that all have told of it.
+    /// Whether all of the crashes are so old that every process has reported them.
     pub fn are_settled(&self, numbers: &BTreeSet<u64>, now_ms: u64, settle_ms: u64) -> bool {
         let settled = |crash: &Crash| crash.at_ms + settle_ms <= now_ms;
         let known = numbers.iter().filter_map(|number| self.crashes.get(number));
         known.into_iter().all(settled)
     }
 
-    /// Whether some other call was in flight at every one of these crashes, and may be the
-    /// cause of all.
+    /// Whether another call than `digest` was in flight at all of the crashes and may have caused
+    /// them.
     pub fn have_other_common_call(&self, numbers: &BTreeSet<u64>, digest: CallDigest) -> bool {
         let known = numbers.iter().filter_map(|number| self.crashes.get(number));
         let common = known
@@ -97,14 +97,14 @@
         common.is_some_and(|common| common.iter().any(|&other| other != digest))
     }
 
-    /// A call has shown that it crashes nothing.
+    /// Removes a call from all crashes, after it completed and is therefore not their cause.
     pub fn remove_call(&mut self, digest: CallDigest) {
         for crash in self.crashes.values_mut() {
             crash.in_flight.remove(&digest);
         }
     }
 
-    /// Forgets crashes older than this.
+    /// Removes crashes that are older than `retention_ms`.
     pub fn expire(&mut self, now_ms: u64, retention_ms: u64) {
         self.crashes
             .retain(|_, crash| crash.at_ms + retention_ms > now_ms);
--- a/components/quarantine/src/digest.rs
+++ b/components/quarantine/src/digest.rs
@@ -1,4 +1,4 @@
-//! Digest that names a call by its customer and content.
+//! Digest that identifies a call by its customer, service and content.
 
 use derive::key;
 use sha2::{Digest, Sha256};
@@ -6,14 +6,14 @@
 
 const DIGEST_BYTES: usize = 16;
 
-/// First 16 bytes of the SHA-256 over customer, service and content. One customer's
-/// calls never have another customer's digests, so nobody can have another's refused.
+/// First 16 bytes of the SHA-256 of customer, service and content. The customer is part of the
+/// digest so that no customer can cause the calls of another one to be refused.
 #[key]
 pub struct CallDigest(pub [u8; DIGEST_BYTES]);
 
 impl CallDigest {
-    /// Digest of a call; `content` is what the endpoint gets: method, path and body, but
-    /// not the ids that each submission has anew.
+    /// Computes the digest of a call. `content` is the part of the request that is the same for
+    /// each submission of the call: method, path and body, but not its request ids.
     pub fn of(customer: &CustomerName, service: &ServiceName, content: &[&[u8]]) -> Self {
         let names = [customer.as_str().as_bytes(), service.as_str().as_bytes()];
         let mut hash = Sha256::new();
--- a/components/quarantine/src/in_flight.rs
+++ b/components/quarantine/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! The calls that this process has at endpoints, now or a moment ago.
+//! The calls that this process has at endpoints, or had there shortly before.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -7,12 +7,12 @@
 
 use crate::{AttemptId, CallDigest};
 
-/// One attempt of one call.
+/// An attempt of a call at an endpoint.
 #[value]
 pub(crate) struct Attempt {
     pub(crate) digest: CallDigest,
     pub(crate) endpoint: SocketAddr,
-    /// The crash that ended it, once that is known.
+    /// Number of the crash that ended the attempt; `None` while it runs.
     pub(crate) crash: Option<u64>,
 }
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// A run that ended without an answer and without a crash that was known of.
+/// An attempt that ended without an answer and without a known crash.
 #[value]
 struct RecentAttempt {
     digest: CallDigest,
@@ -30,20 +30,20 @@
     at_ms: u64,
 }
 
-/// Runs of one call at once.
+/// Attempts of one call that run at the same time.
 #[value]
 #[derive(Default)]
 struct RunningCopies {
-    /// One for each run.
+    /// Endpoint of each attempt; an endpoint with several attempts is listed several times.
     endpoints: Vec<SocketAddr>,
-    /// One of them came whole.
+    /// Whether an attempt has succeeded since the first of them started.
     any_succeeded: bool,
 }
 
-/// The runs of this process.
+/// The attempts of this process.
 #[derive(Clone, Debug)]
 pub(crate) struct InFlight {
-    /// How long a run that left counts as there, in milliseconds.
+    /// How long an ended attempt still counts as present at its endpoint, in milliseconds.
     recent_ms: u64,
     attempts: HashMap<AttemptId, Attempt>,
     copies: HashMap<CallDigest, RunningCopies>,
@@ -52,7 +52,7 @@
 }
 
 impl InFlight {
-    /// Nothing is in flight; a run that left counts as there for `left_ms`.
+    /// No attempts. An attempt that ends still counts as present for `recent_ms`.
     pub(crate) fn new(recent_ms: u64) -> Self {
         Self {
             recent_ms,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// A call goes to an endpoint.
+    /// Records an attempt that is sent to an endpoint.
     pub(crate) fn start(&mut self, digest: CallDigest, endpoint: SocketAddr) -> AttemptId {
         self.next_number += 1;
         let attempt = AttemptId(self.next_number);
@@ -82,7 +82,7 @@
         self.attempts.get(&attempt)
     }
 
-    /// A run is over.
+    /// Removes an attempt that has ended, and returns it.
     pub(crate) fn remove(&mut self, attempt: AttemptId) -> Option<Attempt> {
         let ended = self.attempts.remove(&attempt)?;
         if let Some(copies) = self.copies.get_mut(&ended.digest) {
@@ -95,7 +95,8 @@
         Some(ended)
     }
 
-    /// A run had its whole answer; gives its digest, whose earlier runs are forgotten.
+    /// Records that an attempt got its complete answer. Removes the call's recent attempts and
+    /// returns its digest.
     pub(crate) fn record_success(&mut self, attempt: AttemptId) -> Option<CallDigest> {
         let digest = self.remove(attempt)?.digest;
         self.recent.retain(|recent| recent.digest != digest);
@@ -105,8 +106,8 @@
         Some(digest)
     }
 
-    /// A run ended without an answer; it counts as there for a moment more, unless a crash
-    /// ended it.
+    /// Records that an attempt ended without an answer. It still counts as present for
+    /// `recent_ms`, unless a crash ended it.
     pub(crate) fn record_end(&mut self, attempt: AttemptId, now_ms: u64) {
         self.remove_expired(now_ms);
         let ended = self
@@ -119,7 +120,7 @@
         }));
     }
 
-    /// All runs at the endpoint ended with this crash.
+    /// Records that a crash ended all attempts at the endpoint.
     pub(crate) fn mark_crashed(&mut self, endpoint: SocketAddr, crash: u64) {
         self.recent.retain(|recent| recent.endpoint != endpoint);
         let attempts = self.attempts.values_mut();
@@ -128,15 +129,15 @@
         }
     }
 
-    /// Whether a call runs at any endpoint.
+    /// Whether the call runs at any endpoint.
     pub(crate) fn is_running(&self, digest: CallDigest) -> bool {
         self.attempts
             .values()
             .any(|attempt| attempt.digest == digest && attempt.crash.is_none())
     }
 
-    /// Endpoints that a call may be about to crash: those where it runs, or which it left a
-    /// moment ago. None once one of the runs that are left came whole.
+    /// Endpoints that a call may crash: those where it runs or ran shortly before. Empty if one of
+    /// the concurrent attempts has succeeded.
     pub(crate) fn endpoints_at_risk(
         &self,
         digest: CallDigest,
@@ -154,14 +155,14 @@
             .collect()
     }
 
-    /// Calls that run at an endpoint.
+    /// Calls that run at the endpoint.
     pub(crate) fn running_at(&self, endpoint: SocketAddr) -> impl Iterator<Item = CallDigest> {
         let attempts = self.attempts.values();
         let running = attempts.filter(move |attempt| attempt.is_running_at(endpoint));
         running.map(|attempt| attempt.digest)
     }
 
-    /// Calls that run at an endpoint or left it a moment ago.
+    /// Calls that run at the endpoint or ran there shortly before.
     pub(crate) fn running_or_recent_at(
         &self,
         endpoint: SocketAddr,
--- a/components/quarantine/src/lib.rs
+++ b/components/quarantine/src/lib.rs
@@ -1,5 +1,7 @@
-//! Calls that crash the endpoints that run them. Pure: events and `now_ms` of the
-//! process's monotonic clock go in, verdicts come out.
+//! Quarantine of calls that crash the endpoints that run them.
+//!
+//! The crate does no I/O: the caller passes in events with the time `now_ms` of the process's
+//! monotonic clock, and gets verdicts about the calls.
 
 mod crashes;
 mod digest;
--- a/components/quarantine/src/settings.rs
+++ b/components/quarantine/src/settings.rs
@@ -6,20 +6,22 @@
 #[value]
 #[derive(Copy)]
 pub struct SuspectSettings {
-    /// Crashes after which a call is condemned.
+    /// Number of crashes after which a call is condemned.
     pub condemn_after_crashes: usize,
-    /// How long other processes may take to tell what they had in flight at a crash, in
-    /// milliseconds. Until then nobody is condemned for it.
+    /// Time within which the reports of the other entries about a crash arrive, in milliseconds.
+    /// No call is condemned for the crash before that.
     pub settle_ms: u64,
-    /// Reports of one endpoint's crash by several processes come within this time.
+    /// Reports of several processes about one endpoint within this time are about the same crash,
+    /// in milliseconds. An attempt that ended also counts as present at its endpoint for this time.
     pub same_crash_window_ms: u64,
-    /// How long a crash counts against the calls in flight, in milliseconds.
+    /// How long a crash counts against the calls that were in flight, in milliseconds.
     pub suspect_retention_ms: u64,
     /// How long a condemned call is refused, in milliseconds.
     pub condemned_ms: u32,
-    /// When a call that must wait for its turn apart may ask again, in milliseconds.
+    /// Time after which a suspect that has to wait may try again, in milliseconds.
     pub retry_wait_ms: u32,
-    /// Most digests kept; suspects go before condemned ones, the oldest first.
+    /// Maximum number of digests with a record. Suspects are evicted before condemned calls, the
+    /// oldest first.
     pub records_max: usize,
 }
 
--- a/components/quarantine/src/suspects.rs
+++ b/components/quarantine/src/suspects.rs
@@ -1,33 +1,38 @@
-//! Which calls are held to have crashed endpoints.
+//! Finds the calls that crash endpoints.
 //!
-//! When an endpoint crashes, every call that was in flight there becomes a suspect: this
-//! process's own, and those of the other entries, which tell each other what they had
-//! there. Suspects are tried again apart: at most one suspect of this process at an
-//! endpoint, no new call beside it, and one attempt of each digest at a time. Whoever
-//! completes whole is cleared. A call with `crashes_max` crashes is condemned when no
-//! other call was in flight at all of them: it and its repeats get a final answer for
-//! `condemned_ms`, here and, through rumours, at every other process. A crash is then
-//! explained and counts no longer against the others that were in flight. It is judged
-//! `settle_ms` after its last crash, when the others have told; until then it waits.
+//! When an endpoint crashes, every call that was in flight there becomes a suspect: the calls of
+//! this process, and those that the other entries report. A suspect is retried in isolation: an
+//! endpoint runs at most one suspect of this process, gets no new call of this process meanwhile,
+//! and only one attempt of each suspect runs at a time. A call that completes is cleared.
 //!
-//! Only crashes count that a living agent reports. A VM or failure domain that is lost
-//! makes nobody a suspect.
+//! A call with `condemn_after_crashes` crashes is condemned if no other call was in flight at all
+//! of them. The decision is made `settle_ms` after the last of its crashes, when the reports of
+//! the other entries have arrived; until then the call has to wait. A condemned call and its
+//! repeats are refused for `condemned_ms`, by this process and, through gossip, by every other
+//! one. Its crashes no longer count against the other calls that were in flight.
 //!
-//! Bounds. A call whose caller sends it again and again, one after the other, costs
-//! `crashes_max` endpoints through any number of entries that hear of each other's crashes
-//! in time, and one more for each crash in which one and the same other call was beside it
-//! in all. With every report lost it costs `crashes_max` for each entry that it reaches
-//! before the rumour does, so four through two entries. Copies that are in flight at once
-//! before the first crash share `crashes_max` endpoints of each entry, so they cost no
-//! more; the samples of one group are copies that have to spread, and can cost one endpoint
-//! each. A crash that no process hears of while its calls are known as there, or a moment
-//! after, counts against nobody and is outside of the bound.
+//! Only crashes that a live agent reports count. The loss of a VM or of a failure domain makes no
+//! call a suspect.
 //!
-//! A bystander is never condemned for the crashes of one other call, through whatever
-//! entries that came, as long as reports arrive: the cause was in flight at each of the
-//! bystander's crashes. It can be when a report is lost or comes too late, or when crashes
-//! with other causes hit it; that ends with `condemned_ms` or when the true cause is
-//! condemned here.
+//! Bounds on lost endpoints:
+//!
+//! - A call that is submitted repeatedly, one submission after the other, crashes
+//!   `condemn_after_crashes` endpoints, through any number of entries that receive one another's
+//!   crash reports in time. While one and the same other call was in flight at all of its crashes
+//!   too, the call is not condemned, and each such crash costs one more endpoint.
+//! - If every report is lost, the call crashes `condemn_after_crashes` endpoints per entry that it
+//!   reaches before the gossip about its condemnation does, so four through two entries.
+//! - Copies that are in flight at the same time before the first crash share
+//!   `condemn_after_crashes` endpoints of each entry, so they crash no more. The samples of one
+//!   group are copies that have to run at many endpoints, and can crash one endpoint each.
+//! - A crash that no process learns of while it has calls there, or shortly after, counts against
+//!   no call and is not covered by these bounds.
+//!
+//! As long as reports arrive, an innocent call is never condemned for the crashes of one other
+//! call, through whichever entries that call came: the other call was in flight at each of the
+//! innocent call's crashes. An innocent call can be condemned if a report is lost or late, or if
+//! it is hit by crashes with different causes. That condemnation ends after `condemned_ms`, or when
+//! the true cause is condemned by this process.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -42,19 +47,19 @@
     StartDecision, SuspectSettings, Verdict,
 };
 
-/// What is held against one digest.
+/// Crashes and condemnation of one digest.
 #[value]
 #[derive(Default)]
 struct Record {
-    /// Crashes not explained by another call.
+    /// Numbers of the crashes that no other call has been condemned for.
     crashes: BTreeSet<u64>,
     condemned_until_ms: Option<u64>,
-    /// Condemned by a rumour; stands whatever is known here.
+    /// Whether another process has condemned the call; that holds whatever this process observes.
     from_peer: bool,
     last_ms: u64,
 }
 
-/// The calls in flight and the records against them.
+/// The calls in flight and the records of suspected and condemned calls.
 #[derive(Clone, Debug)]
 pub struct Suspects {
     settings: SuspectSettings,
@@ -66,7 +71,7 @@
 }
 
 impl Suspects {
-    /// No call is in flight and nothing is held against any.
+    /// No calls in flight and no suspects.
     pub fn new(settings: SuspectSettings) -> Self {
         Self {
             settings,
@@ -78,7 +83,7 @@
         }
     }
 
-    /// What is held against a digest now.
+    /// Status of a digest at `now_ms`.
     pub fn status(&self, digest: CallDigest, now_ms: u64) -> DigestStatus {
         let Some(record) = self.records.get(&digest) else {
             return DigestStatus::Clear;
@@ -97,8 +102,8 @@
         DigestStatus::Suspect { crashes }
     }
 
-    /// Asks for an endpoint right before the hand-over. Every call asks, so that those
-    /// in flight at a crash are known.
+    /// Decides whether a call may be sent to an endpoint, right before it is sent. Every attempt
+    /// has to pass here, so that the calls in flight at a crash are known.
     pub fn try_start(
         &mut self,
         digest: CallDigest,
@@ -127,13 +132,14 @@
         }
     }
 
-    /// Whether a call may run beside those that the endpoint has in flight; for a
-    /// process that queues before it enters.
+    /// Whether the endpoint runs no suspect and may get new calls. For processes that queue calls
+    /// before [`Suspects::try_start`].
     pub fn accepts_new_calls(&self, endpoint: SocketAddr, now_ms: u64) -> bool {
         !self.runs_suspect(endpoint, now_ms)
     }
 
-    /// The call's whole answer came: nothing is held against it any longer.
+    /// Records that an attempt got its complete answer. The call is cleared, unless another process
+    /// has condemned it.
     pub fn record_success(&mut self, attempt: AttemptId) {
         let Some(digest) = self.in_flight.record_success(attempt) else {
             return;
@@ -145,14 +151,14 @@
         }
     }
 
-    /// The call ended in another way than by a crash that is known of: cancelled, refused,
-    /// failed. For a moment it still counts as there: word of a crash may come late, and
-    /// with its cause left out a bystander would be the only one that was in flight.
+    /// Records that an attempt was cancelled, refused, or failed without a known crash. It still
+    /// counts as in flight for `same_crash_window_ms`, because the report of a crash may be late:
+    /// without the call that caused the crash, an innocent call could be the only one in flight.
     pub fn record_end(&mut self, attempt: AttemptId, now_ms: u64) {
         self.in_flight.record_end(attempt, now_ms);
     }
 
-    /// The call ended because the endpoint crashed.
+    /// Records that an attempt ended because its endpoint crashed.
     pub fn record_crash(&mut self, attempt: AttemptId, now_ms: u64) -> Verdict {
         let Some(ended) = self.in_flight.attempt(attempt).cloned() else {
             return Verdict::Retry;
@@ -164,7 +170,7 @@
         self.verdict(ended.digest, now_ms)
     }
 
-    /// Takes in a rumour of a condemned digest.
+    /// Records that another process has condemned a digest.
     pub fn record_peer_verdict(&mut self, digest: CallDigest, left_ms: u32, now_ms: u64) {
         let until_ms = now_ms + u64::from(left_ms.min(self.settings.condemned_ms));
         let record = self.records.entry(digest).or_default();
@@ -175,7 +181,8 @@
         self.evict(now_ms);
     }
 
-    /// Another entry tells what it had in flight at a crash.
+    /// Records the calls that the entry `from` had in flight at a crash. If this process has calls
+    /// at the endpoint too, it records the crash for them and reports them.
     pub fn record_peer_crash(&mut self, from: SocketAddr, crashed: &EndpointCrash, now_ms: u64) {
         let EndpointCrash {
             endpoint,
@@ -189,7 +196,7 @@
         for &digest in in_flight {
             self.add_crash(digest, crash, now_ms);
         }
-        // What was there from here may not know of the crash yet, or never will.
+        // The attempts of this process may end later, or without any sign of the crash.
         if !self.crashes.is_reported_locally(crash)
             && !self
                 .in_flight
@@ -201,12 +208,14 @@
         self.evict(now_ms);
     }
 
-    /// Crashes reported here since the last call, to be told to the other entries.
+    /// Returns the crashes recorded since the last call of this method, to be sent to the other
+    /// entries.
     pub fn take_crashes(&mut self) -> Vec<EndpointCrash> {
         std::mem::take(&mut self.crashes_to_send)
     }
 
-    /// Condemns a call if it alone can have caused its crashes.
+    /// Condemns a call if it has enough crashes, their reports have arrived, and no other call was
+    /// in flight at all of them.
     pub fn condemn_if_sole_cause(&mut self, digest: CallDigest, now_ms: u64) {
         let DigestStatus::Suspect { crashes } = self.status(digest, now_ms) else {
             return;
@@ -224,22 +233,23 @@
         }
     }
 
-    /// Digests condemned here since the last call, to be spread as rumours.
+    /// Returns the digests condemned since the last call of this method, to be sent to the other
+    /// processes.
     pub fn take_condemned(&mut self) -> Vec<CondemnedCall> {
         std::mem::take(&mut self.condemned_to_send)
     }
 
-    /// Digests that have a record now.
+    /// Number of digests with a record.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether nothing is held against any call, as is usual.
+    /// Whether no call is suspected or condemned.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Drops records whose time is over; to be called now and then.
+    /// Removes expired records and crashes; to be called periodically.
     pub fn expire(&mut self, now_ms: u64) {
         let suspect_retention_ms = self.settings.suspect_retention_ms;
         self.crashes.expire(now_ms, suspect_retention_ms);
@@ -258,17 +268,17 @@
         running.any(|digest| self.status(digest, now_ms) != DigestStatus::Clear)
     }
 
-    /// Whether one more copy at this endpoint would put more endpoints at risk at once than
-    /// the crashes that condemn a call. Copies submitted before the first crash is known
-    /// would otherwise lose one endpoint each.
+    /// Whether a copy at this endpoint would put more endpoints at risk than the number of crashes
+    /// that condemns a call. Without this limit, copies that are submitted before the first crash
+    /// is known could crash one endpoint each.
     fn exceeds_copy_limit(&self, digest: CallDigest, endpoint: SocketAddr, now_ms: u64) -> bool {
         let endpoints_at_risk = self.in_flight.endpoints_at_risk(digest, now_ms);
         endpoints_at_risk.len() >= self.settings.condemn_after_crashes
             && !endpoints_at_risk.contains(&endpoint)
     }
 
-    /// All in flight at the endpoint share the crash. Their own reports come one by one
-    /// and must not count as crashes of their own.
+    /// Records one crash for all attempts in flight at the endpoint. The attempts report their ends
+    /// one by one, and these reports must not count as separate crashes.
     fn record_local_crash(&mut self, endpoint: SocketAddr, now_ms: u64) {
         let in_flight = self.in_flight.running_or_recent_at(endpoint, now_ms);
         let digests = in_flight.iter().copied();
@@ -321,8 +331,8 @@
         self.clear_explained_crashes(digest);
     }
 
-    /// Takes the crashes of a condemned digest off all others, and lifts what was
-    /// inferred from them here alone.
+    /// Removes the crashes of a condemned digest from all other records, and lifts condemnations
+    /// by this process that were based on them.
     fn clear_explained_crashes(&mut self, condemned: CallDigest) {
         let Some(record) = self.records.get(&condemned) else {
             return;
@@ -368,7 +378,8 @@
     }
 }
 
-/// Answer to a repeat of a condemned call: this submission never reached an endpoint.
+/// Answer to a repeat of a condemned call. It is "not run", because this submission never reached
+/// an endpoint.
 fn refusal(left_ms: u32) -> Failure {
     Failure::not_run(Cause::Quarantined).retry_after(left_ms)
 }
--- a/components/quarantine/src/verdict.rs
+++ b/components/quarantine/src/verdict.rs
@@ -1,4 +1,4 @@
-//! Answers of the quarantine.
+//! Results and events of the quarantine.
 
 use std::net::SocketAddr;
 
@@ -7,76 +7,78 @@
 
 use crate::CallDigest;
 
-/// One attempt of one call at one endpoint.
+/// Identifies an attempt of a call at an endpoint.
 #[key]
 pub struct AttemptId(pub(crate) u64);
 
-/// What is held against a digest.
+/// Whether a call is suspected of crashing endpoints.
 #[key]
 pub enum DigestStatus {
-    /// Nothing.
+    /// The call is not suspected.
     Clear,
-    /// It was in flight at crashes.
+    /// The call was in flight at crashes that no other call has been condemned for.
     Suspect {
-        /// How many.
+        /// Number of these crashes.
         crashes: usize,
     },
-    /// It is refused.
+    /// The call is refused.
     Condemned {
-        /// For how long yet, in milliseconds.
+        /// Time for which the call is still refused, in milliseconds.
         left_ms: u32,
     },
 }
 
-/// Where copies of one call may run at once.
+/// At how many endpoints copies of one call may run at the same time.
 #[key]
 pub enum CopyPlacement {
-    /// At a few endpoints, until one of them came whole.
+    /// At no more endpoints than the number of crashes that condemns a call, until one of the
+    /// copies succeeds.
     Limited,
-    /// Anywhere, as the samples of one group.
+    /// At any number of endpoints, for the samples of one group.
     Unlimited,
 }
 
-/// Whether a call may go to an endpoint now.
+/// Whether a call may be sent to an endpoint now.
 #[value]
 pub enum StartDecision {
-    /// Hand it over; report the end under this id.
+    /// Send the call, and report the end of the attempt under this id.
     Start(AttemptId),
-    /// Not to this endpoint now; another one may do.
+    /// Do not send the call to this endpoint now; another endpoint may be allowed.
     OtherEndpoint,
-    /// The same call is being tried apart already; ask again later.
+    /// Try again later: the call is a suspect, and either another attempt of it is running or
+    /// reports about its crashes are still awaited.
     Wait {
-        /// When, in milliseconds from now.
+        /// Time to wait, in milliseconds.
         wait_ms: u32,
     },
-    /// Final answer.
+    /// Answer the call with this failure; it is condemned.
     Refuse(Failure),
 }
 
-/// What a call gets that was in flight at a crash.
+/// What happens to a call whose attempt was ended by a crash.
 #[value]
 pub enum Verdict {
-    /// It may be tried again where that is allowed at all, through
-    /// [`crate::Suspects::enter`].
+    /// The call may be retried if it is allowed to be retried at all, through
+    /// [`crate::Suspects::try_start`].
     Retry,
-    /// Final answer.
+    /// Answer the call with this failure; it is condemned.
     Final(Failure),
 }
 
-/// What this process had in flight at a crash, for the other entries.
+/// The calls that one process had in flight at a crash; sent to the other entries.
 #[value]
 pub struct EndpointCrash {
-    /// The endpoint's agent.
+    /// Address of the endpoint's agent.
     pub endpoint: SocketAddr,
-    /// The calls.
+    /// Calls of the process that ran at the endpoint at the crash or shortly before.
     pub in_flight: Vec<CallDigest>,
 }
 
-/// A condemned digest, for the rumour about it.
+/// A call that was condemned here; sent to the other processes.
 #[value]
 pub struct CondemnedCall {
-    /// The call.
+    /// Digest of the call.
     pub digest: CallDigest,
-    /// How long it is refused, in milliseconds.
+    /// Time for which the call is refused, in milliseconds.
     pub left_ms: u32,
 }
--- a/components/quarantine/tests/suspects.rs
+++ b/components/quarantine/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! Calls that crash endpoints, and calls that were only near.
+//! Calls that crash endpoints, and innocent calls that ran at the same endpoints.
 #![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
 
 use std::net::SocketAddr;
@@ -23,54 +23,58 @@
     endpoint(200 + entry as u8)
 }
 
-fn run(suspects: &mut Suspects, digest: u8, at: u8, now_ms: u64) -> Option<AttemptId> {
-    match enter(suspects, digest, at, now_ms) {
+fn start(suspects: &mut Suspects, digest: u8, at: u8, now_ms: u64) -> Option<AttemptId> {
+    match try_start(suspects, digest, at, now_ms) {
         StartDecision::Start(run) => Some(run),
         _ => None,
     }
 }
 
-fn enter(suspects: &mut Suspects, digest: u8, at: u8, now_ms: u64) -> StartDecision {
+fn try_start(suspects: &mut Suspects, digest: u8, at: u8, now_ms: u64) -> StartDecision {
     suspects.try_start(call(digest), endpoint(at), CopyPlacement::Limited, now_ms)
 }
 
-/// The caller of the bad call gets a final answer after two crashes, all others theirs.
-/// A call crashes an endpoint beside two others; all three are tried apart, the two
-/// complete, the bad one crashes its second endpoint beside an older call and is refused.
+/// Guards against condemning innocent calls. A bad call crashes an endpoint that runs two others.
+/// All three are retried in isolation; the two complete, and the bad one crashes a second endpoint,
+/// which runs an older call, and is refused.
 #[test]
-fn can_condemn_the_call_that_crashes_endpoints_and_clear_the_others() {
+fn condemns_the_call_that_crashes_endpoints_and_clears_the_others() {
     let mut suspects = Suspects::new(SuspectSettings::default());
-    let runs = [BAD, 1, 2].map(|digest| run(&mut suspects, digest, 1, 0).unwrap());
+    let runs = [BAD, 1, 2].map(|digest| start(&mut suspects, digest, 1, 0).unwrap());
     for run in runs {
         assert_eq!(suspects.record_crash(run, 10), Verdict::Retry);
     }
-    let older = run(&mut suspects, 3, 2, 20).unwrap();
-    let bad = run(&mut suspects, BAD, 2, 20).unwrap();
-    let apart = enter(&mut suspects, 1, 2, 20);
+    let older = start(&mut suspects, 3, 2, 20).unwrap();
+    let bad = start(&mut suspects, BAD, 2, 20).unwrap();
+    let isolated = try_start(&mut suspects, 1, 2, 20);
     assert_eq!(
-        apart,
+        isolated,
         StartDecision::OtherEndpoint,
-        "two suspects at one endpoint"
+        "an endpoint must not run two suspects"
     );
     assert!(
         !suspects.accepts_new_calls(endpoint(2), 20),
-        "a new call beside a suspect"
+        "an endpoint that runs a suspect must not get a new call"
     );
-    let copy = enter(&mut suspects, BAD, 3, 20);
+    let copy = try_start(&mut suspects, BAD, 3, 20);
     assert_eq!(
         copy,
         StartDecision::Wait { wait_ms: 100 },
-        "a copy of a suspect"
+        "a suspect must not run twice at a time"
     );
-    let near = run(&mut suspects, 1, 3, 20).unwrap();
-    suspects.record_success(near);
+    let innocent = start(&mut suspects, 1, 3, 20).unwrap();
+    suspects.record_success(innocent);
     assert_eq!(suspects.status(call(1), 21), DigestStatus::Clear);
     assert_eq!(suspects.record_crash(older, 30), Verdict::Retry);
     assert_eq!(suspects.record_crash(bad, 30), Verdict::Retry);
-    let early = enter(&mut suspects, BAD, 4, 629);
-    assert_eq!(early, StartDecision::Wait { wait_ms: 100 }, "a third try");
-    let StartDecision::Refuse(failure) = enter(&mut suspects, BAD, 4, 630) else {
-        panic!("a third try");
+    let early = try_start(&mut suspects, BAD, 4, 629);
+    assert_eq!(
+        early,
+        StartDecision::Wait { wait_ms: 100 },
+        "the third attempt must wait for reports"
+    );
+    let StartDecision::Refuse(failure) = try_start(&mut suspects, BAD, 4, 630) else {
+        panic!("the third attempt was not refused");
     };
     assert_eq!(
         (failure.run, failure.cause),
@@ -79,15 +83,15 @@
     assert_eq!(
         suspects.status(call(2), 631),
         DigestStatus::Clear,
-        "its crash is explained"
+        "its crash must count against the condemned call alone"
     );
     assert_eq!(
         suspects.status(call(3), 631),
         DigestStatus::Clear,
-        "its crash is explained"
+        "its crash must count against the condemned call alone"
     );
-    let StartDecision::Refuse(refusal) = enter(&mut suspects, BAD, 4, 100_030) else {
-        panic!("a repeat was let in");
+    let StartDecision::Refuse(refusal) = try_start(&mut suspects, BAD, 4, 100_030) else {
+        panic!("a repeat of the condemned call was not refused");
     };
     assert_eq!(refusal.run, RunState::NotRun);
     assert_eq!(refusal.retry_after_ms, Some(500_600));
@@ -95,20 +99,20 @@
     assert!(suspects.is_empty());
 }
 
-/// The operator loses two endpoints to one call that its caller sends again and again
-/// through two entries that hear of each other's crashes, and at most four if every report
-/// is lost. Each entry then learns from its own crashes until it hears the other's verdict.
+/// Guards against losing more endpoints through several entries. A caller submits one call
+/// repeatedly through two entries. With crash reports two endpoints crash; without them each entry
+/// learns from its own crashes until it receives the verdict of the other, so at most four do.
 #[test]
-fn can_bound_the_endpoints_lost_through_two_entries() {
-    for (reports, rumour_after, most) in
+fn bounds_the_endpoints_that_a_call_crashes_through_two_entries() {
+    for (reports, verdict_delay, lost_max) in
         [(true, 40, 2), (false, 0, 4), (false, 1, 4), (false, 40, 4)]
     {
         let mut entries = [(); 2].map(|()| Suspects::new(SuspectSettings::default()));
-        let (mut lost, mut told) = (0, Vec::new());
+        let (mut lost, mut verdicts) = (0, Vec::new());
         for submission in 0..40_u8 {
             let at_ms = u64::from(submission) * 100;
             let [own, other] = if submission % 2 == 0 { [0, 1] } else { [1, 0] };
-            if let Some(run) = run(&mut entries[own], BAD, submission, at_ms) {
+            if let Some(run) = start(&mut entries[own], BAD, submission, at_ms) {
                 entries[own].record_crash(run, at_ms);
                 lost += 1;
             }
@@ -116,64 +120,71 @@
                 entries[other].record_peer_crash(address(own), crashed, at_ms);
             }
             let condemned = entries[own].take_condemned().into_iter();
-            told.extend(condemned.map(|c| (submission + rumour_after, other, c)));
-            for (_, entry, c) in told.iter().filter(|(at, ..)| *at == submission) {
+            verdicts.extend(condemned.map(|c| (submission + verdict_delay, other, c)));
+            for (_, entry, c) in verdicts.iter().filter(|(at, ..)| *at == submission) {
                 entries[*entry].record_peer_verdict(c.digest, c.left_ms, at_ms);
             }
         }
-        println!("reports {reports}, rumour after {rumour_after} more submissions: {lost} lost");
-        assert!(lost <= most, "{lost}");
+        println!("reports {reports}, verdict after {verdict_delay} more submissions: {lost} lost");
+        assert!(lost <= lost_max, "{lost}");
     }
 }
 
-/// A caller submits one call many times at once, before anything is known of it. Its copies
-/// share as many endpoints as two crashes condemn it, so no more are lost to it; once one
-/// copy came whole, or all have ended, others may spread.
+/// Guards against losing an endpoint per copy. A caller submits one call many times at once, before
+/// its first crash. The copies must share two endpoints, as many as the crashes that condemn it;
+/// after one copy has succeeded, or all have ended, others may run elsewhere.
 #[test]
-fn can_bound_the_endpoints_lost_to_copies_submitted_at_once() {
+fn bounds_the_endpoints_that_copies_submitted_at_once_crash() {
     let mut suspects = Suspects::new(SuspectSettings::default());
-    let first = run(&mut suspects, BAD, 1, 0).unwrap();
-    let second = run(&mut suspects, BAD, 2, 0).unwrap();
-    let third = enter(&mut suspects, BAD, 3, 0);
-    assert_eq!(third, StartDecision::OtherEndpoint, "a third endpoint");
-    let beside = run(&mut suspects, BAD, 1, 0).unwrap();
-    assert!(run(&mut suspects, 1, 3, 0).is_some(), "another call");
+    let first = start(&mut suspects, BAD, 1, 0).unwrap();
+    let second = start(&mut suspects, BAD, 2, 0).unwrap();
+    let third = try_start(&mut suspects, BAD, 3, 0);
+    assert_eq!(
+        third,
+        StartDecision::OtherEndpoint,
+        "copies must not run at a third endpoint"
+    );
+    let beside = start(&mut suspects, BAD, 1, 0).unwrap();
+    assert!(
+        start(&mut suspects, 1, 3, 0).is_some(),
+        "another call must not be limited"
+    );
     suspects.record_end(second, 10);
-    let left = enter(&mut suspects, BAD, 3, 20);
+    let left = try_start(&mut suspects, BAD, 3, 20);
     assert_eq!(
         left,
         StartDecision::OtherEndpoint,
-        "its crash may not be known yet"
+        "an attempt that just ended must still count"
     );
     assert!(
-        run(&mut suspects, BAD, 3, 1_010).is_some(),
-        "it left long ago"
+        start(&mut suspects, BAD, 3, 1_010).is_some(),
+        "an attempt that ended long ago must not count"
     );
-    let apart = suspects.try_start(call(BAD), endpoint(4), CopyPlacement::Unlimited, 1_010);
+    let isolated = suspects.try_start(call(BAD), endpoint(4), CopyPlacement::Unlimited, 1_010);
     assert!(
-        matches!(apart, StartDecision::Start(_)),
-        "a sample of a group"
+        matches!(isolated, StartDecision::Start(_)),
+        "samples of a group must not be limited"
     );
     suspects.record_success(beside);
     assert!(
-        run(&mut suspects, BAD, 4, 1_020).is_some(),
-        "a copy came whole"
+        start(&mut suspects, BAD, 4, 1_020).is_some(),
+        "copies must not be limited after one has succeeded"
     );
     assert_eq!(suspects.record_crash(first, 1_030), Verdict::Retry);
 }
 
-// A bystander is answered though the word of a crash never came to the entry whose call
-// caused it: that call has ended there as any other. Told by the other entry that the
-// endpoint crashed, the entry names what it had there a moment ago.
+// Guards against condemning an innocent call when the entry of the causing call did not see the
+// crash and recorded a normal end. On the report of the other entry, it must report the calls
+// that it had at the endpoint shortly before.
 #[test]
-fn can_name_a_cause_whose_entry_did_not_see_the_crash() {
+fn reports_the_cause_of_a_crash_that_its_entry_did_not_see() {
     let mut entries = [(); 2].map(|()| Suspects::new(SuspectSettings::default()));
     for at in 0..2_u8 {
         let now_ms = u64::from(at) * 5_000;
-        let bystander = run(&mut entries[0], 1, at, now_ms).unwrap();
-        let cause = run(&mut entries[1], BAD, at, now_ms).unwrap();
+        let innocent = start(&mut entries[0], 1, at, now_ms).unwrap();
+        let cause = start(&mut entries[1], BAD, at, now_ms).unwrap();
         assert_eq!(
-            entries[0].record_crash(bystander, now_ms + 50),
+            entries[0].record_crash(innocent, now_ms + 50),
             Verdict::Retry
         );
         entries[1].record_end(cause, now_ms + 100);
@@ -192,7 +203,7 @@
 }
 
 #[test]
-fn can_bound_the_table_and_keep_condemned_calls_longest() {
+fn bounds_the_records_and_evicts_condemned_calls_last() {
     let records_max = 8;
     let settings = SuspectSettings {
         records_max,
@@ -201,7 +212,7 @@
     let mut suspects = Suspects::new(settings);
     suspects.record_peer_verdict(call(BAD), 60_000, 0);
     for number in 1..100 {
-        let run = run(&mut suspects, number, number, 1).unwrap();
+        let run = start(&mut suspects, number, number, 1).unwrap();
         suspects.record_crash(run, u64::from(number));
     }
     assert_eq!(suspects.len(), records_max);
@@ -213,7 +224,7 @@
 }
 
 #[test]
-fn can_tell_customers_and_contents_apart() {
+fn digests_differ_by_customer_and_content() {
     let of = |customer: &str, content: &[&[u8]]| {
         let service = ServiceName::new("guichet").unwrap();
         CallDigest::of(&CustomerName::new(customer).unwrap(), &service, content)
@@ -224,16 +235,16 @@
 }
 
 checks::seeded! {
-    /// Two entries know their own calls only and tell each other what they had in flight at a
-    /// crash, before its verdict. One call, through either, crashes each endpoint that runs
-    /// it; a bystander may be there each time.
-    fn never_condemns_a_bystander_of_another_entry(steps: Vec<(u8, u8, u8)>) -> bool {
+    /// Guards against condemning an innocent call that runs through another entry than the cause.
+    /// Two entries know only their own calls and report those in flight at a crash to each other
+    /// before the verdict. One call, through either, crashes each endpoint that runs it.
+    fn never_condemns_an_innocent_call_of_another_entry(steps: Vec<(u8, u8, u8)>) -> bool {
         let mut entries = [(); 2].map(|()| Suspects::new(SuspectSettings::default()));
         let mut runs: Vec<(usize, u8, u8, AttemptId)> = Vec::new();
         for (step, (digest, at, what)) in (0_u64..).zip(steps) {
             let (digest, at, own, now_ms) = (digest % 4, at % 3, usize::from(what % 2), step * 150);
             if what % 8 < 5 {
-                let started = run(&mut entries[own], digest, at, now_ms);
+                let started = start(&mut entries[own], digest, at, now_ms);
                 runs.extend(started.map(|run| (own, digest, at, run)));
                 continue;
             }
@@ -263,15 +274,15 @@
         true
     }
 
-    /// One call crashes each endpoint that runs it, in any number of copies, among others
-    /// that start and end in any order.
-    fn never_condemns_a_bystander(steps: Vec<(u8, u8, bool)>) -> bool {
+    /// Guards against condemning an innocent call at the same entry. One call, in any number of
+    /// copies, crashes each endpoint that runs it; others start and end in any order.
+    fn never_condemns_an_innocent_call(steps: Vec<(u8, u8, bool)>) -> bool {
         let mut suspects = Suspects::new(SuspectSettings::default());
         let mut runs: Vec<(u8, u8, AttemptId)> = Vec::new();
         for (now_ms, (digest, at, starts)) in (0..).zip(steps) {
             let (digest, at) = (digest % 6, at % 4);
             if starts {
-                runs.extend(run(&mut suspects, digest, at, now_ms).map(|run| (digest, at, run)));
+                runs.extend(start(&mut suspects, digest, at, now_ms).map(|run| (digest, at, run)));
                 continue;
             }
             let crashes = runs.iter().any(|&(d, e, _)| d == BAD && e == at);
