--- a/components/limits/examples/model/queue.rs
+++ b/components/limits/examples/model/queue.rs
@@ -27,7 +27,7 @@
 pub enum Order {
     /// Fair queueing between customers and bounded class priority.
     Fair,
-    /// Class priority applies however far ahead a customer is.
+    /// As [`Order::Fair`], but class priority applies however far ahead a customer is.
     PriorityOnly,
     /// One queue: all requests count as of one customer and one class.
     Fifo,
--- a/components/limits/src/admission.rs
+++ b/components/limits/src/admission.rs
@@ -239,8 +239,8 @@
         // A lower class leaves some slots free for higher classes. It may fill them when the
         // waiting customer of the higher class is too far ahead to be admitted.
         let overtakes = next.class > highest.class;
-        let has_room = capacity.in_progress < settings.slots_for(next.class, capacity.limit);
-        (overtakes || has_room).then_some(next.class)
+        let has_free_slot = capacity.in_progress < settings.slots_for(next.class, capacity.limit);
+        (overtakes || has_free_slot).then_some(next.class)
     }
 
     fn is_too_far_ahead(&self, class_queue: &ClassQueue, lowest_total: u64) -> bool {
--- a/components/limits/src/admitted_totals.rs
+++ b/components/limits/src/admitted_totals.rs
@@ -1,4 +1,4 @@
-//! Work of each customer that was admitted, over all classes, since the queue was last empty.
+//! Admitted work of each customer over all classes, counted since the queue was last empty.
 //!
 //! Class priority alone ignores customers: one that submits all its work as interactive would keep
 //! the samples of another waiting, however little the other uses. A customer's requests therefore
@@ -11,7 +11,7 @@
 
 use crate::fair::QueuedRequest;
 
-/// Virtual time that was spent on each customer's requests, as in start-time fair queueing.
+/// Virtual time of the admitted requests of each customer, as in start-time fair queueing.
 #[derive(Debug, Default)]
 pub(crate) struct AdmittedTotals {
     totals: HashMap<CustomerName, u64>,
@@ -21,7 +21,7 @@
 }
 
 impl AdmittedTotals {
-    /// Virtual time that was spent on the customer's requests.
+    /// Virtual time of the customer's admitted requests; at least `virtual_time`.
     pub(crate) fn total(&self, customer: &CustomerName) -> u64 {
         let total = self.totals.get(customer).copied();
         total.unwrap_or_default().max(self.virtual_time)
--- a/components/limits/src/customer.rs
+++ b/components/limits/src/customer.rs
@@ -279,7 +279,7 @@
 }
 
 impl InProgress {
-    /// Returns the tokens that were reserved and not used to the customer's rate limit.
+    /// Refunds to the customer's rate limit the tokens that the request took and did not use.
     /// `used_tokens` is 0 if the request was not run.
     pub fn refund_unused(&mut self, used_tokens: u32) {
         let unused = self.tokens.saturating_sub(used_tokens);
--- a/components/limits/src/shares.rs
+++ b/components/limits/src/shares.rs
@@ -129,8 +129,8 @@
         }
     }
 
-    /// This entry's share of the customer's limits, from 0 to 1; the even part for a customer that
-    /// no round has covered yet.
+    /// This entry's share of the customer's limits, from 0 to 1. A customer that was not in the
+    /// last round is split evenly between the entries.
     pub fn share(&self, customer: &CustomerName, now_ms: u64) -> f64 {
         match self.customers.get(customer) {
             Some(state) => state.share.share(now_ms),
--- a/components/limits/tests/admission.rs
+++ b/components/limits/tests/admission.rs
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn refuses_at_once_requests_that_would_expire() {
+fn refuses_at_once_requests_that_cannot_be_admitted_in_time() {
     struct Case {
         name: &'static str,
         waiting: u64,
--- a/components/limits/tests/share.rs
+++ b/components/limits/tests/share.rs
@@ -119,9 +119,9 @@
     assert_eq!(share.share(5_000), 0.5);
 }
 
-// Guards against a new entry that takes too large a share before its peers see it. A fourth entry
-// starts and is not seen for a while; it has its even part at once, and nothing by demand for a
-// window.
+// Guards against a new entry that takes a share by demand before its peers see it; entries that do
+// not know each other would each take what they see as free. A fourth entry starts, is not seen
+// yet, and has its even part at once, but nothing by demand for a window.
 #[test]
 fn a_new_entry_raises_the_sum_by_at_most_its_even_part() {
     let mut rng = SplitMix64(1);
--- a/components/quarantine/src/crashes.rs
+++ b/components/quarantine/src/crashes.rs
@@ -46,16 +46,16 @@
         now_ms: u64,
         same_crash_window_ms: u64,
     ) -> u64 {
-        let is_near = |crash: &Crash| {
+        let is_in_window = |crash: &Crash| {
             crash.endpoint == endpoint && crash.at_ms + same_crash_window_ms > now_ms
         };
-        let mut near = self.crashes.iter().rev().filter(|(_, c)| is_near(c));
-        let known = near.find(|(_, crash)| !crash.reported_by.contains(&reported_by));
+        let mut in_window = self.crashes.iter().rev().filter(|(_, c)| is_in_window(c));
+        let known = in_window.find(|(_, crash)| !crash.reported_by.contains(&reported_by));
         let number = known.map_or(self.next_number, |(&number, _)| number);
         self.next_number = self.next_number.max(number + 1);
-        let near = self.crashes.values().filter(|crash| is_near(crash));
+        let in_window = self.crashes.values().filter(|crash| is_in_window(crash));
         let mut shared: BTreeSet<CallDigest> = in_flight.into_iter().collect();
-        shared.extend(near.flat_map(|crash| &crash.in_flight));
+        shared.extend(in_window.flat_map(|crash| &crash.in_flight));
         let crash = self.crashes.entry(number).or_insert_with(|| Crash {
             endpoint,
             at_ms: now_ms,
@@ -65,7 +65,11 @@
         crash.reported_by.insert(reported_by);
         // The window for further reports about the same crash starts anew with each report.
         crash.at_ms = now_ms;
-        for crash in self.crashes.values_mut().filter(|crash| is_near(crash)) {
+        for crash in self
+            .crashes
+            .values_mut()
+            .filter(|crash| is_in_window(crash))
+        {
             crash.in_flight.extend(&shared);
         }
         if self.crashes.len() > CRASHES_MAX {
--- a/components/routing/src/choose.rs
+++ b/components/routing/src/choose.rs
@@ -196,8 +196,11 @@
         let count = self.table.replica_states().len();
         let start = self.rng.below(count);
         let positions = (0..count).map(|step| (start + step) % count);
-        let costs = positions.filter_map(|at| self.cost_at(at).map(|cost| (at, cost)));
-        let least = costs.min_by(|a, b| a.1.total_cmp(&b.1));
+        let scores = positions.filter_map(|at| {
+            self.score_at(at)
+                .map(|candidate_score| (at, candidate_score))
+        });
+        let least = scores.min_by(|a, b| a.1.total_cmp(&b.1));
         if let (Some(least), Some(first)) = (least, self.candidates.first_mut()) {
             *first = least;
             self.count = 1;
@@ -209,17 +212,17 @@
         if known.any(|&(at, _)| at == position) {
             return;
         }
-        let Some(cost) = self.cost_at(position) else {
+        let Some(candidate_score) = self.score_at(position) else {
             return;
         };
         if let Some(free) = self.candidates.get_mut(self.count) {
-            *free = (position, cost);
+            *free = (position, candidate_score);
             self.count += 1;
         }
     }
 
     /// Score of the replica at `position`; `None` if the replica is not eligible.
-    fn cost_at(&self, position: usize) -> Option<f64> {
+    fn score_at(&self, position: usize) -> Option<f64> {
         let state = self.table.replica_states().get(position)?;
         if !self.is_eligible(state) {
             return None;
--- a/components/routing/src/score.rs
+++ b/components/routing/src/score.rs
@@ -25,7 +25,7 @@
         Policy::Random => return 0.0,
         Policy::LeastOutstanding | Policy::TwoChoices => own_load(state, settings),
         Policy::TwoChoicesReport => scalar_load(),
-        // Calls of a plain service have no tokens, so neither resource would differ.
+        // Calls of a plain service have no tokens to compare the use of resources by.
         Policy::ComputeMemory if work.tokens() == 0 => scalar_load(),
         Policy::ComputeMemory => {
             scarcer_resource_load(state, &damped_others(table, state, now_ms), settings, work)
