--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -26,5 +26,5 @@
 pub use random::SplitMix64;
 pub use replica::{Locality, Replica, Report};
 pub use settings::{Policy, Settings};
-pub use subset::subset;
+pub use subset::choose_subset;
 pub use table::{ReplicaState, Table};
--- a/components/routing/src/subset.rs
+++ b/components/routing/src/subset.rs
@@ -11,7 +11,7 @@
 use crate::replica::Replica;
 
 /// Returns the `size` replicas with the highest rendezvous hash for `entry`, in their given order.
-pub fn subset(entry: NodeId, replicas: Vec<Replica>, size: usize) -> Vec<Replica> {
+pub fn choose_subset(entry: NodeId, replicas: Vec<Replica>, size: usize) -> Vec<Replica> {
     if replicas.len() <= size {
         return replicas;
     }
--- a/components/routing/tests/choose.rs
+++ b/components/routing/tests/choose.rs
@@ -9,7 +9,7 @@
 use common::{domain, here, node, replica, replicas, report, spread, table};
 use routing::{
     Choice, ChoiceError, Policy, Replica, Requirements, Settings, Table, Work, choose_replica,
-    subset,
+    choose_subset,
 };
 use types::{Cause, Failure, NodeId, WeightVersion};
 
@@ -289,7 +289,7 @@
 
     fn a_new_replica_changes_at_most_one_member_of_a_subset(entry: u16, count: u16) -> bool {
         let (entry, count) = (node(entry % 100), 20 + count % 100);
-        let of = |count| subset(entry, replicas(count), 16);
+        let of = |count| choose_subset(entry, replicas(count), 16);
         let (before, after) = (of(count), of(count + 1));
         let kept = before.iter().filter(|replica| after.contains(replica)).count();
         before.len() == 16 && after.len() == 16 && kept >= 15
