--- a/components/limits/tests/admission.rs
+++ b/components/limits/tests/admission.rs
@@ -1,22 +1,22 @@
-//! The order in which waiting requests go, and what those that can't go are told.
+//! The order in which waiting requests are admitted, and the answers to refused requests.
 
 #![allow(clippy::unwrap_used)]
 
 mod common;
 
 use common::queue::{self, Order, Stream};
-use common::{Draws, customer};
-use limits::{Action, Admission, AdmissionSettings, Arrival, Room, Ticket, retry_after_ms};
+use common::{SplitMix64, customer};
+use limits::{Action, Admission, AdmissionSettings, Arrival, Capacity, Ticket, retry_after_ms};
 use types::{Cause, Class, Failure, RunState};
 
-const ROOM: Room = Room {
+const FREE: Capacity = Capacity {
     in_progress: 0,
     limit: 10,
     hold_ms: 100,
 };
-const FULL: Room = Room {
+const FULL: Capacity = Capacity {
     in_progress: 10,
-    ..ROOM
+    ..FREE
 };
 
 fn arrival(ticket: u64, name: &str, class: Class) -> Arrival {
@@ -34,9 +34,9 @@
     Admission::new(AdmissionSettings::default())
 }
 
-/// Admits `count` requests; the tickets in order.
+/// Admits up to `count` requests and returns their tickets in order.
 fn order(admission: &mut Admission, count: usize) -> Vec<u64> {
-    let one = |_| match admission.next(ROOM, 0) {
+    let one = |_| match admission.next_action(FREE, 0) {
         Some(Action::Admit(ticket)) => Some(ticket.0),
         _ => None,
     };
@@ -61,7 +61,7 @@
     };
     let cases = [
         Case {
-            name: "an interactive request goes before samples",
+            name: "an interactive request is admitted before samples",
             arrivals: vec![
                 arrival(1, "a", sampling),
                 arrival(2, "a", Class::Background),
@@ -70,7 +70,7 @@
             expected: vec![3, 2, 1],
         },
         Case {
-            name: "one request of b goes after one of a's many",
+            name: "a single request of b is admitted after one of a's many",
             arrivals: vec![
                 arrival(1, "a", interactive),
                 arrival(2, "a", interactive),
@@ -80,7 +80,7 @@
             expected: vec![1, 4, 2, 3],
         },
         Case {
-            name: "weight 3 gets three turns for one",
+            name: "weight 3 gets three admissions for one of weight 1",
             arrivals: [1, 2, 3, 4]
                 .map(|ticket| arrival(ticket, "a", interactive))
                 .into_iter()
@@ -89,7 +89,7 @@
             expected: vec![1, 5, 6, 7, 2, 8, 3, 4],
         },
         Case {
-            name: "large requests get fewer turns",
+            name: "large requests get fewer admissions",
             arrivals: [1, 2]
                 .map(|ticket| large(ticket, "a"))
                 .into_iter()
@@ -101,23 +101,23 @@
     for case in cases {
         let mut admission = admission();
         for arrival in &case.arrivals {
-            admission.arrive(arrival, FULL, 0, 0).unwrap();
+            admission.enqueue(arrival, FULL, 0, 0).unwrap();
         }
         assert_eq!(order(&mut admission, 20), case.expected, "{}", case.name);
     }
 }
 
-// A trainer's sample waits while clerks keep the service full. Priority alone would let
-// it wait until their offices close; it goes after 16 of them.
+// Guards against starvation of samples. A sample waits while interactive requests keep the service
+// full; strict priority would never admit the sample. It is admitted after 16 of them.
 #[test]
-fn a_waiting_class_is_passed_over_a_bounded_number_of_times() {
+fn a_waiting_class_is_skipped_a_bounded_number_of_times() {
     let mut admission = admission();
     admission
-        .arrive(&arrival(0, "a", Class::Sampling), FULL, 0, 0)
+        .enqueue(&arrival(0, "a", Class::Sampling), FULL, 0, 0)
         .unwrap();
     for ticket in 1..=40 {
-        let clerk = arrival(ticket, "a", Class::Interactive);
-        admission.arrive(&clerk, FULL, 0, 0).unwrap();
+        let interactive = arrival(ticket, "a", Class::Interactive);
+        admission.enqueue(&interactive, FULL, 0, 0).unwrap();
     }
     let order = order(&mut admission, 41);
     assert_eq!(order.iter().position(|&ticket| ticket == 0), Some(16));
@@ -126,24 +126,30 @@
 #[test]
 fn samples_leave_slots_for_interactive_requests() {
     let mut admission = admission();
-    let room = |in_progress| Room {
+    let capacity = |in_progress| Capacity {
         in_progress,
         limit: 20,
-        ..ROOM
+        ..FREE
     };
     admission
-        .arrive(&arrival(1, "a", Class::Sampling), room(20), 0, 0)
+        .enqueue(&arrival(1, "a", Class::Sampling), capacity(20), 0, 0)
         .unwrap();
-    assert_eq!(admission.next(room(18), 0), None);
+    assert_eq!(admission.next_action(capacity(18), 0), None);
     admission
-        .arrive(&arrival(2, "a", Class::Interactive), room(20), 0, 0)
+        .enqueue(&arrival(2, "a", Class::Interactive), capacity(20), 0, 0)
         .unwrap();
-    assert_eq!(admission.next(room(18), 0), Some(Action::Admit(Ticket(2))));
-    assert_eq!(admission.next(room(17), 0), Some(Action::Admit(Ticket(1))));
+    assert_eq!(
+        admission.next_action(capacity(18), 0),
+        Some(Action::Admit(Ticket(2)))
+    );
+    assert_eq!(
+        admission.next_action(capacity(17), 0),
+        Some(Action::Admit(Ticket(1)))
+    );
 }
 
 #[test]
-fn refuses_at_once_what_cannot_go_in_time() {
+fn refuses_at_once_requests_that_cannot_be_admitted_in_time() {
     struct Case {
         name: &'static str,
         waiting: u64,
@@ -176,25 +182,25 @@
             None,
         ),
         case(
-            "errors when its own places are taken",
+            "errors when the customer has the maximum of waiting requests",
             64,
             "b",
             900_000,
             full,
         ),
-        case("errors when the deadline is over", 0, "b", 100, passed),
+        case("errors when the deadline has passed", 0, "b", 100, passed),
     ];
     for case in cases {
         let mut admission = admission();
         for ticket in 0..case.waiting {
             let before = arrival(ticket, case.of, Class::Interactive);
-            admission.arrive(&before, FULL, 100, 0).unwrap();
+            admission.enqueue(&before, FULL, 100, 0).unwrap();
         }
         let last = Arrival {
             deadline_ms: case.deadline_ms,
             ..arrival(99, "b", Class::Interactive)
         };
-        let refused = admission.arrive(&last, FULL, 100, u64::MAX).err();
+        let refused = admission.enqueue(&last, FULL, 100, u64::MAX).err();
         assert_eq!(
             refused.map(|failure| failure.cause),
             case.expected,
@@ -209,8 +215,8 @@
     }
 }
 
-// The process was paused for a minute with requests queued. Their callers have given
-// up; handing them over now would run work that nobody waits for.
+// Guards against running work whose callers have timed out. The process was paused with requests
+// queued, and the deadlines of some passed during the pause.
 #[test]
 fn a_paused_owner_expires_before_it_admits() {
     let mut admission = admission();
@@ -219,29 +225,32 @@
             deadline_ms: 1_000 * (ticket + 1),
             ..arrival(ticket, "a", Class::Interactive)
         };
-        admission.arrive(&queued, FULL, 0, 0).unwrap();
+        admission.enqueue(&queued, FULL, 0, 0).unwrap();
     }
     let expired = Failure::not_run(Cause::DeadlinePassed);
     assert_eq!(
-        admission.next(ROOM, 2_500),
+        admission.next_action(FREE, 2_500),
         Some(Action::Expire(Ticket(0), expired))
     );
     assert_eq!(
-        admission.next(ROOM, 2_500),
+        admission.next_action(FREE, 2_500),
         Some(Action::Expire(Ticket(1), expired))
     );
-    assert_eq!(admission.next(ROOM, 2_500), Some(Action::Admit(Ticket(2))));
-    assert_eq!(admission.next(ROOM, 2_500), None);
+    assert_eq!(
+        admission.next_action(FREE, 2_500),
+        Some(Action::Admit(Ticket(2)))
+    );
+    assert_eq!(admission.next_action(FREE, 2_500), None);
 }
 
-// The service stalls for minutes and A's requests expire, batch after batch, while one
-// of C keeps the queue from ever being empty. If A had paid for them, B, who comes when
-// the stall is over, would go before A for as long as the stall was.
+// Guards against charging a customer for expired requests. During a stall A's requests expire while
+// a request of C keeps the queue from becoming empty. If A were charged, B, which arrives after the
+// stall, would precede A for as long as the stall lasted.
 #[test]
 fn expired_requests_are_not_charged() {
     let mut admission = admission();
     admission
-        .arrive(&arrival(0, "c", Class::Interactive), FULL, 0, 0)
+        .enqueue(&arrival(0, "c", Class::Interactive), FULL, 0, 0)
         .unwrap();
     let mut ticket = 0;
     for round in 0..50 {
@@ -252,16 +261,16 @@
                 deadline_ms: now_ms + 500,
                 ..arrival(ticket, "a", Class::Interactive)
             };
-            admission.arrive(&queued, FULL, now_ms, 0).unwrap();
+            admission.enqueue(&queued, FULL, now_ms, 0).unwrap();
         }
-        while admission.next(FULL, now_ms + 900).is_some() {}
+        while admission.next_action(FULL, now_ms + 900).is_some() {}
     }
     admission
-        .arrive(&arrival(5_001, "a", Class::Interactive), FULL, 60_000, 0)
+        .enqueue(&arrival(5_001, "a", Class::Interactive), FULL, 60_000, 0)
         .unwrap();
     for ticket in 6_001..6_011 {
         admission
-            .arrive(&arrival(ticket, "b", Class::Interactive), FULL, 60_000, 0)
+            .enqueue(&arrival(ticket, "b", Class::Interactive), FULL, 60_000, 0)
             .unwrap();
     }
     let position = order(&mut admission, 20)
@@ -279,9 +288,9 @@
     }
 }
 
-// A sends ten times its share, B stays below its own. B's waits may grow by the time
-// that A's requests in progress take to end, and B is never refused; with one line for
-// all, B waits behind A's queue and most of its requests are refused.
+// Guards against harm by an overloading customer. A sends ten times its share, B stays below its
+// share. B's waits may grow by the time that A's requests in progress take, and B is not refused;
+// with one FIFO queue, B would wait behind A and most of its requests would be refused.
 #[test]
 fn a_customer_at_ten_times_its_share_does_not_harm_another() {
     const FACTOR_MAX: f64 = 2.0;
@@ -325,41 +334,42 @@
 }
 
 checks::seeded! {
-    // Whatever comes: each request has exactly one answer, the queue ends empty.
+    // For random arrivals and cancellations each request is answered exactly once, and the queue is
+    // empty in the end.
     fn every_request_has_one_answer(seed: u64) -> bool {
-        let mut draws = Draws(seed);
+        let mut rng = SplitMix64(seed);
         let mut admission = admission();
         let mut answers = vec![0_u32; 400];
         for step in 0..400_u64 {
             let now_ms = step * 10;
             let queued = Arrival {
-                class: Class::ALL[draws.below(3) as usize],
-                cost: draws.below(5) as u32,
-                weight: draws.below(4) as u32,
-                deadline_ms: now_ms + draws.below(3_000),
-                ..arrival(step, ["a", "b", "c"][draws.below(3) as usize], Class::Sampling)
+                class: Class::ALL[rng.below(3) as usize],
+                cost: rng.below(5) as u32,
+                weight: rng.below(4) as u32,
+                deadline_ms: now_ms + rng.below(3_000),
+                ..arrival(step, ["a", "b", "c"][rng.below(3) as usize], Class::Sampling)
             };
-            let room = Room { in_progress: draws.below(12) as u32, ..ROOM };
-            if admission.arrive(&queued, room, now_ms, 0).is_err() {
+            let capacity = Capacity { in_progress: rng.below(12) as u32, ..FREE };
+            if admission.enqueue(&queued, capacity, now_ms, 0).is_err() {
                 answers[step as usize] += 1;
             }
-            let other = draws.below(step + 1);
-            if draws.below(5) == 0 && admission.cancel(Ticket(other)) {
+            let other = rng.below(step + 1);
+            if rng.below(5) == 0 && admission.cancel(Ticket(other)) {
                 answers[other as usize] += 1;
             }
-            if draws.below(2) == 0 && let Some(action) = admission.next(room, now_ms) {
+            if rng.below(2) == 0 && let Some(action) = admission.next_action(capacity, now_ms) {
                 let (Action::Admit(ticket) | Action::Expire(ticket, _)) = action;
                 answers[ticket.0 as usize] += 1;
             }
         }
-        while let Some(action) = admission.next(ROOM, u64::MAX) {
+        while let Some(action) = admission.next_action(FREE, u64::MAX) {
             let (Action::Admit(ticket) | Action::Expire(ticket, _)) = action;
             answers[ticket.0 as usize] += 1;
         }
         admission.is_empty() && answers.iter().all(|&count| count == 1)
     }
 
-    fn the_time_to_come_back_is_the_wait_and_up_to_half_more(wait_ms: u64, random: u64) -> bool {
+    fn retry_after_is_the_wait_and_up_to_half_more(wait_ms: u64, random: u64) -> bool {
         let wait_ms = wait_ms % 50_000;
         let back_ms = u64::from(retry_after_ms(wait_ms, random));
         back_ms >= wait_ms && back_ms <= wait_ms + (wait_ms / 2).max(250)
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -1,9 +1,8 @@
-//! Choice of the replica that runs a call.
+//! Load balancing: the choice of the replica that runs a call.
 //!
-//! An entry keeps one immutable [`Table`] for each service and swaps it when
-//! membership or a load report changes. Counters that a request changes are atomics
-//! shared by successive tables, so the path of a request takes no lock. Time and
-//! random numbers are passed in.
+//! An entry keeps one immutable [`Table`] per service and replaces it when the membership or a
+//! load report changes. The counters that requests update are atomics shared by successive
+//! tables, so a request takes no lock. Callers pass in the time and the random numbers.
 
 mod choose;
 mod counters;
@@ -19,13 +18,13 @@
 mod subset;
 mod table;
 
-pub use choose::{Ask, Choice, NoChoice, choose};
+pub use choose::{Choice, ChoiceError, Requirements, choose_replica};
 pub use counters::{Counters, Outstanding, Work};
 pub use ejection::Outcome;
 pub use latency::Latencies;
-pub use prefix::{BlockEvent, Blocks, Match, Matches, PrefixId, Prefixes};
-pub use random::Draws;
+pub use prefix::{BlockEvent, BlockTable, PrefixId, PrefixMatch, PrefixMatches, PrefixTracker};
+pub use random::SplitMix64;
 pub use replica::{Locality, Replica, Report};
 pub use settings::{Policy, Settings};
-pub use subset::subset;
-pub use table::{Slot, Table};
+pub use subset::choose_subset;
+pub use table::{ReplicaState, Table};
