--- a/components/gateway/src/answer.rs
+++ b/components/gateway/src/answer.rs
@@ -9,7 +9,7 @@
 use http::{Response, StatusCode};
 use link::CallEvent;
 use protocol::Head;
-use recovery::Flowed;
+use recovery::Delivered;
 use types::{Cause, Failure, RunState};
 
 use crate::admission::{Admitted, admit};
@@ -102,7 +102,7 @@
             match whole(&mut attempt).await {
                 Ok(bytes) => return Ok((head, Content::Whole(bytes))),
                 // The caller has seen nothing of it yet.
-                Err(failure) => self.exchange.again(failure, Flowed::Nothing).await?,
+                Err(failure) => self.exchange.again(failure, Delivered::Nothing).await?,
             };
         }
     }
--- a/components/gateway/src/completion_stream.rs
+++ b/components/gateway/src/completion_stream.rs
@@ -13,7 +13,7 @@
 use http::header::{CONTENT_LENGTH, HeaderName};
 use link::CallEvent;
 use protocol::Head;
-use recovery::{Flowed, Resume};
+use recovery::{Delivered, Resume};
 use types::{Cause, Failure, RunState};
 
 use crate::answer::{Answering, response};
@@ -80,11 +80,11 @@
         self.rest.clear();
     }
 
-    fn flowed(&self) -> Flowed {
+    fn flowed(&self) -> Delivered {
         match (self.sent, self.unnamed) {
-            (false, _) => Flowed::Nothing,
-            (true, false) => Flowed::Tokens,
-            (true, true) => Flowed::Bytes,
+            (false, _) => Delivered::Nothing,
+            (true, false) => Delivered::Tokens,
+            (true, true) => Delivered::Bytes,
         }
     }
 }
@@ -204,7 +204,7 @@
             let flowed = self.said.flowed();
             let resume = self.answering.exchange.again(failure, flowed).await?;
             let tokens: &[u32] = match resume {
-                Resume::Afresh => &[],
+                Resume::FromStart => &[],
                 Resume::FromTokens => &self.said.token_ids,
             };
             self.said.begun.tokens = tokens.len() as u64;
--- a/components/gateway/src/exchange.rs
+++ b/components/gateway/src/exchange.rs
@@ -9,7 +9,7 @@
 use limits::retry_after_ms;
 use node::now_ms;
 use protocol::Head;
-use recovery::{Decision, Flowed, Resume, RetrySettings, Tried, decide};
+use recovery::{Delivered, FailedAttempt, Resume, RetryDecision, RetrySettings, decide_retry};
 use types::{Cause, Failure, NodeId, RunState};
 
 use crate::accounts::Account;
@@ -58,23 +58,23 @@
     }
 
     /// Decides on a failed attempt; waits out the pause before the next one.
-    pub async fn again(&mut self, failure: Failure, flowed: Flowed) -> Result<Resume, Failure> {
+    pub async fn again(&mut self, failure: Failure, flowed: Delivered) -> Result<Resume, Failure> {
         let now_ms = now_ms();
         self.run = self.run.max(failure.run);
-        let tried = Tried {
+        let tried = FailedAttempt {
             failure,
             idempotent: self.job.idempotent,
-            flowed,
+            delivered: flowed,
             endpoints: &self.endpoints,
             deadline_left_ms: self.job.left_ms(now_ms),
         };
         let budget = || self.account.budget.spend(now_ms);
         let settings = RetrySettings::default();
-        let decision = decide(&settings, &tried, rand::random(), budget);
+        let decision = decide_retry(&settings, &tried, rand::random(), budget);
         self.log_failed(failure, &decision);
         match decision {
-            Decision::Final(failure) => Err(self.last(failure)),
-            Decision::Again {
+            RetryDecision::Final(failure) => Err(self.last(failure)),
+            RetryDecision::Retry {
                 after_ms, resume, ..
             } => {
                 self.place.exclude.clone_from(&self.nodes);
@@ -91,7 +91,7 @@
             match self.first_head(attempt, body).await {
                 Ok(answered) => return Ok(answered),
                 Err(failure) => {
-                    self.again(failure, Flowed::Nothing).await?;
+                    self.again(failure, Delivered::Nothing).await?;
                 }
             }
         }
@@ -105,12 +105,12 @@
         with_time_to_come_back(Failure { run, ..failure })
     }
 
-    fn log_failed(&self, failure: Failure, decision: &Decision) {
+    fn log_failed(&self, failure: Failure, decision: &RetryDecision) {
         log::info!(
             event = "attempt-failed", request_id = self.job.request_id.as_str(),
             attempt = self.endpoints.len(), outcome = failure.run.as_str(),
             cause = failure.cause.as_str(),
-            again = matches!(decision, Decision::Again { .. }); ""
+            again = matches!(decision, RetryDecision::Retry { .. }); ""
         );
     }
 }
--- a/components/gateway/src/training/api.rs
+++ b/components/gateway/src/training/api.rs
@@ -9,7 +9,7 @@
 use samples::StepKey;
 use serde_json::to_vec;
 use types::{Cause, Class, Failure, ServiceName};
-use weights::{Announcement, ModelKey};
+use weights::{AnnounceOutcome, ModelKey};
 
 use super::bodies::{InForce, StepBody, Version, parse};
 use super::forward::to_home;
@@ -103,7 +103,7 @@
         version,
     };
     let announcement = gateway.weights.announce(announced).await?;
-    let (Announcement::Changed(target) | Announcement::Known(target)) = announcement;
+    let (AnnounceOutcome::Changed(target) | AnnounceOutcome::Known(target)) = announcement;
     log::info!(
         event = "weights-announced", request_id = intake.request_id.as_str(),
         customer = model.owner.as_str(), service = model.name.as_str(),
--- a/components/gateway/src/training/score.rs
+++ b/components/gateway/src/training/score.rs
@@ -7,7 +7,7 @@
 use link::CallEvent;
 use node::now_ms;
 use quarantine::CallDigest;
-use recovery::Flowed;
+use recovery::Delivered;
 use routing::Work;
 use samples::{RunId, Sample, Score, Step};
 use serde::{Deserialize, Serialize};
@@ -79,7 +79,7 @@
             let (head, attempt) = exchange.head(&body).await?;
             match whole(attempt, head.status).await {
                 Ok(score) => return Ok(score),
-                Err(failure) => exchange.again(failure, Flowed::Nothing).await?,
+                Err(failure) => exchange.again(failure, Delivered::Nothing).await?,
             };
         }
     }
--- a/components/gateway/src/weight_news.rs
+++ b/components/gateway/src/weight_news.rs
@@ -7,7 +7,7 @@
 use arc_swap::ArcSwap;
 use tokio::sync::{mpsc, oneshot};
 use types::{Cause, CustomerName, Failure, Role, WeightVersion};
-use weights::{AnnounceError, Announcement, Announcer, Authority, ModelKey, Target};
+use weights::{AnnounceError, AnnounceOutcome, Announcer, Authority, ModelKey, Target};
 
 use crate::rejection::Rejection;
 
@@ -40,7 +40,7 @@
     pub version: WeightVersion,
 }
 
-type Answer = oneshot::Sender<Result<Announcement, AnnounceError>>;
+type Answer = oneshot::Sender<Result<AnnounceOutcome, AnnounceError>>;
 
 enum Order {
     Announce(Announced, Answer),
@@ -71,7 +71,7 @@
     }
 
     /// Takes an announcement in, or says why not.
-    pub async fn announce(&self, announced: Announced) -> Result<Announcement, Rejection> {
+    pub async fn announce(&self, announced: Announced) -> Result<AnnounceOutcome, Rejection> {
         let internal = || Rejection::Call(Failure::not_run(Cause::Internal));
         let (answer, answered) = oneshot::channel();
         let order = Order::Announce(announced, answer);
@@ -97,7 +97,7 @@
         let changed_model = match order {
             Order::Announce(announced, answer) => {
                 let outcome = announce(&mut authority, &announced);
-                let news = matches!(outcome, Ok(Announcement::Changed(_)));
+                let news = matches!(outcome, Ok(AnnounceOutcome::Changed(_)));
                 publish(&authority, &targets);
                 // The one who asked may have gone; the announcement stands.
                 let _ = answer.send(outcome);
@@ -121,7 +121,7 @@
 fn announce(
     authority: &mut Authority,
     announced: &Announced,
-) -> Result<Announcement, AnnounceError> {
+) -> Result<AnnounceOutcome, AnnounceError> {
     let by = Announcer {
         customer: &announced.customer,
         role: announced.role,
--- a/components/link/src/outgoing.rs
+++ b/components/link/src/outgoing.rs
@@ -144,7 +144,7 @@
                 break;
             }
             let withdrawn = self.withdraw(id);
-            moving &= self.on(id, AttemptEvent::Time { withdrawn }, connection, now_ms);
+            moving &= self.on(id, AttemptEvent::Timer { withdrawn }, connection, now_ms);
         }
         moving
     }
@@ -198,7 +198,7 @@
             return true;
         };
         let mut actions = Vec::new();
-        call.attempt.on(event, now_ms, &mut actions);
+        call.attempt.handle(event, now_ms, &mut actions);
         let mut moving = true;
         for action in actions {
             moving &= call.apply(action, connection);
--- a/components/link/src/peer.rs
+++ b/components/link/src/peer.rs
@@ -5,7 +5,7 @@
 use std::pin::Pin;
 
 use protocol::Frame;
-use recovery::{Silence, Watch, reconnect_after_ms};
+use recovery::{SilenceAction, SilenceDetector, reconnect_after_ms};
 use tokio::sync::mpsc;
 use tokio::time::sleep_until;
 
@@ -49,7 +49,7 @@
 struct Live {
     connection: Connection,
     frames: mpsc::Receiver<Arrived>,
-    silence: Silence,
+    silence: SilenceDetector,
     watch_at_ms: Option<u64>,
 }
 
@@ -208,7 +208,8 @@
         };
         let wrap = |arrived| arrived;
         let connection = Connection::start(greeted, self.clock, counters, frames_in, wrap, closed);
-        let silence = Silence::new(self.settings.ping_after_ms, self.settings.ping_deadline_ms);
+        let silence =
+            SilenceDetector::new(self.settings.ping_after_ms, self.settings.ping_deadline_ms);
         let moving = self.calls.connected(&connection, self.clock.now_ms());
         let live = Live {
             connection,
@@ -245,13 +246,13 @@
         let heard_at_ms = live.connection.heard_at_ms();
         let watch = live.silence.check(outstanding, heard_at_ms, now_ms);
         live.watch_at_ms = match watch {
-            Watch::Idle => None,
-            Watch::Until { at_ms } => Some(at_ms),
-            Watch::Ping { number } => {
+            SilenceAction::Idle => None,
+            SilenceAction::CheckAt { at_ms } => Some(at_ms),
+            SilenceAction::Ping { number } => {
                 let _ = live.connection.send(Frame::Ping { number });
                 Some(now_ms + self.settings.ping_deadline_ms)
             }
-            Watch::Dead => {
+            SilenceAction::Dead => {
                 log::info!(event = "link-silent", peer:% = self.to; "");
                 self.lose().await;
                 return;
--- a/components/link/src/server.rs
+++ b/components/link/src/server.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use protocol::{Frame, Open};
-use recovery::{CallTable, Silence, TableAction, Watch};
+use recovery::{CallTable, SilenceAction, SilenceDetector, TableAction};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use tokio::time::{MissedTickBehavior, interval};
@@ -49,7 +49,7 @@
 
 struct Taken {
     connection: Connection,
-    silence: Silence,
+    silence: SilenceDetector,
 }
 
 struct Server<H> {
@@ -106,7 +106,7 @@
                 _ = ticks.tick(), if holds_calls => self.tick(),
                 () = &mut stop, if !stopping => {
                     stopping = true;
-                    self.table.leave();
+                    self.table.start_draining();
                 }
             }
         }
@@ -122,7 +122,7 @@
         let taken = self.start(connection, greeted);
         self.connections.insert(connection, taken);
         let now_ms = self.clock.now_ms();
-        self.change(|table, actions| table.connected(connection, boot, now_ms, actions));
+        self.change(|table, actions| table.add_connection(connection, boot, now_ms, actions));
     }
 
     fn start(&self, connection: u64, greeted: Greeted) -> Taken {
@@ -141,7 +141,8 @@
         let counters = self.settings.counters.clone();
         let frames = self.arrived_in.clone();
         let running = Connection::start(greeted, self.clock, counters, frames, wrap, closed);
-        let silence = Silence::new(self.settings.ping_after_ms, self.settings.ping_deadline_ms);
+        let silence =
+            SilenceDetector::new(self.settings.ping_after_ms, self.settings.ping_deadline_ms);
         Taken {
             connection: running,
             silence,
@@ -159,36 +160,36 @@
             return;
         }
         let now_ms = self.clock.now_ms();
-        self.change(|table, actions| table.frame(connection, frame, at_ms, now_ms, actions));
+        self.change(|table, actions| table.handle_frame(connection, frame, at_ms, now_ms, actions));
     }
 
     fn said(&mut self, id: CallId, said: Said) {
         let now_ms = self.clock.now_ms();
         self.change(|table, actions| match said {
-            Said::Accepted => table.accepted(id, actions),
-            Said::Started => table.started(id, actions),
-            Said::Head(head) => table.head(id, head, actions),
-            Said::Chunk(bytes) => table.chunk(id, bytes, actions),
-            Said::End => table.end(id, now_ms, actions),
+            Said::Accepted => table.mark_accepted(id, actions),
+            Said::Started => table.mark_started(id, actions),
+            Said::Head(head) => table.send_head(id, head, actions),
+            Said::Chunk(bytes) => table.send_chunk(id, bytes, actions),
+            Said::End => table.finish(id, now_ms, actions),
             Said::Fail(failure) => table.fail(id, failure, now_ms, actions),
-            Said::Dropped => table.abandoned(id, now_ms, actions),
+            Said::Dropped => table.abandon(id, now_ms, actions),
         });
     }
 
     fn tick(&mut self) {
         let now_ms = self.clock.now_ms();
         self.change(|table, actions| table.tick(now_ms, actions));
-        let outstanding = self.table.outstanding();
+        let outstanding = self.table.active_connections();
         let mut dead = Vec::new();
         for (&number, taken) in &mut self.connections {
             let outstanding = outstanding.contains(&number);
             let heard_at_ms = taken.connection.heard_at_ms();
             match taken.silence.check(outstanding, heard_at_ms, now_ms) {
-                Watch::Idle | Watch::Until { .. } => {}
-                Watch::Ping { number: ping } => {
+                SilenceAction::Idle | SilenceAction::CheckAt { .. } => {}
+                SilenceAction::Ping { number: ping } => {
                     let _ = taken.connection.send(Frame::Ping { number: ping });
                 }
-                Watch::Dead => dead.push(number),
+                SilenceAction::Dead => dead.push(number),
             }
         }
         for number in dead {
@@ -260,7 +261,8 @@
 
     fn close(&mut self, connection: u64) {
         if self.connections.remove(&connection).is_some() {
-            self.table.disconnected(connection, self.clock.now_ms());
+            self.table
+                .remove_connection(connection, self.clock.now_ms());
         }
     }
 }
--- a/components/link/src/settings.rs
+++ b/components/link/src/settings.rs
@@ -69,7 +69,7 @@
     pub(crate) fn table(&self) -> TableSettings {
         TableSettings {
             grace_ms: self.grace_ms,
-            keep_ms: self.keep_ms,
+            retention_ms: self.keep_ms,
             calls_max: self.calls_max,
             held_bytes_max: self.held_bytes_max,
         }
--- a/components/recovery/src/attempt.rs
+++ b/components/recovery/src/attempt.rs
@@ -84,14 +84,14 @@
         self.next_part
     }
 
-    /// When [`AttemptEvent::Time`] is due.
+    /// When [`AttemptEvent::Timer`] is due.
     pub fn wake_at_ms(&self) -> u64 {
         let lost = self.lost_at_ms.map(|at_ms| at_ms + self.reattach_for_ms);
         lost.map_or(self.deadline_at_ms, |at_ms| at_ms.min(self.deadline_at_ms))
     }
 
     /// Takes one event and appends what is to be done.
-    pub fn on(&mut self, event: AttemptEvent, now_ms: u64, actions: &mut Vec<AttemptAction>) {
+    pub fn handle(&mut self, event: AttemptEvent, now_ms: u64, actions: &mut Vec<AttemptAction>) {
         if self.is_ended() {
             return;
         }
@@ -102,7 +102,7 @@
             AttemptEvent::WriteFailed => self.write_failed(now_ms),
             AttemptEvent::LinkLost => self.link_lost(now_ms),
             AttemptEvent::Frame(frame) => self.frame(frame, now_ms, actions),
-            AttemptEvent::Time { withdrawn } => self.time(withdrawn, now_ms, actions),
+            AttemptEvent::Timer { withdrawn } => self.time(withdrawn, now_ms, actions),
             AttemptEvent::Cancel { withdrawn } => {
                 self.give_up(withdrawn, Cause::Cancelled, actions);
             }
--- a/components/recovery/src/attempt_event.rs
+++ b/components/recovery/src/attempt_event.rs
@@ -24,7 +24,7 @@
     /// A frame of the current connection.
     Frame(Frame),
     /// The time of [`crate::Attempt::wake_at_ms`] has come.
-    Time {
+    Timer {
         /// The `Open` was taken back before its first byte left.
         withdrawn: bool,
     },
--- a/components/recovery/src/retry.rs
+++ b/components/recovery/src/retry.rs
@@ -15,24 +15,24 @@
     pub attempts_max: u32,
     /// Pause before the second attempt when the first may have run, in milliseconds;
     /// doubles with each further one.
-    pub pause_ms: u64,
+    pub first_backoff_ms: u64,
     /// Time that must be left for an attempt to make sense, in milliseconds.
-    pub useful_ms: u64,
+    pub attempt_ms_min: u64,
 }
 
 impl Default for RetrySettings {
     fn default() -> Self {
         Self {
             attempts_max: 3,
-            pause_ms: 20,
-            useful_ms: 10,
+            first_backoff_ms: 20,
+            attempt_ms_min: 10,
         }
     }
 }
 
 /// What the caller has of the answer.
 #[key]
-pub enum Flowed {
+pub enum Delivered {
     /// Nothing.
     Nothing,
     /// Tokens of a completion, which another engine can go on from.
@@ -43,13 +43,13 @@
 
 /// An attempt that failed.
 #[derive(Clone, Copy, Debug)]
-pub struct Tried<'a> {
+pub struct FailedAttempt<'a> {
     /// How it failed.
     pub failure: Failure,
     /// Whether the request may run more than once.
     pub idempotent: bool,
     /// What the caller has of the answer, from all attempts.
-    pub flowed: Flowed,
+    pub delivered: Delivered,
     /// Endpoints tried so far, this one included, one an attempt.
     pub endpoints: &'a [SocketAddr],
     /// Time until the caller's deadline, in milliseconds.
@@ -60,16 +60,16 @@
 #[key]
 pub enum Resume {
     /// At the beginning.
-    Afresh,
+    FromStart,
     /// After the tokens that the caller has.
     FromTokens,
 }
 
 /// What becomes of the request.
 #[value]
-pub enum Decision {
+pub enum RetryDecision {
     /// Try it once more.
-    Again {
+    Retry {
         /// Pause before it, in milliseconds.
         after_ms: u64,
         /// Endpoints not to be taken, unless there is no other.
@@ -83,33 +83,33 @@
 
 /// Decides on a failed attempt. `budget` takes one retry out of the customer's budget and
 /// is asked last, only for a retry that would be made. `random` spreads the pause.
-pub fn decide(
+pub fn decide_retry(
     settings: &RetrySettings,
-    tried: &Tried<'_>,
+    tried: &FailedAttempt<'_>,
     random: u64,
     budget: impl FnOnce() -> bool,
-) -> Decision {
+) -> RetryDecision {
     let failure = honest(tried);
     let attempts = u32::try_from(tried.endpoints.len()).unwrap_or(u32::MAX);
-    let after_ms = pause_ms(settings, failure.run, attempts, random);
+    let after_ms = backoff_ms(settings, failure.run, attempts, random);
     let allowed = may_run_again(tried.idempotent, failure.run)
         && may_help(failure.cause)
-        && tried.flowed != Flowed::Bytes
+        && tried.delivered != Delivered::Bytes
         && attempts < settings.attempts_max
-        && after_ms + settings.useful_ms <= tried.deadline_left_ms;
+        && after_ms + settings.attempt_ms_min <= tried.deadline_left_ms;
     if !allowed {
-        return Decision::Final(failure);
+        return RetryDecision::Final(failure);
     }
     if !budget() {
         let cause = Cause::BudgetSpent;
-        return Decision::Final(Failure { cause, ..failure });
+        return RetryDecision::Final(Failure { cause, ..failure });
     }
-    let resume = match tried.flowed {
-        Flowed::Tokens => Resume::FromTokens,
-        Flowed::Nothing | Flowed::Bytes => Resume::Afresh,
+    let resume = match tried.delivered {
+        Delivered::Tokens => Resume::FromTokens,
+        Delivered::Nothing | Delivered::Bytes => Resume::FromStart,
     };
     let exclude = tried.endpoints.to_vec();
-    Decision::Again {
+    RetryDecision::Retry {
         after_ms,
         exclude,
         resume,
@@ -117,9 +117,9 @@
 }
 
 /// A request of which part of an answer came cannot be "not run".
-fn honest(tried: &Tried<'_>) -> Failure {
+fn honest(tried: &FailedAttempt<'_>) -> Failure {
     let failure = tried.failure;
-    if failure.run == RunState::NotRun && tried.flowed != Flowed::Nothing {
+    if failure.run == RunState::NotRun && tried.delivered != Delivered::Nothing {
         return Failure {
             run: RunState::Failed,
             ..failure
@@ -163,12 +163,12 @@
 
 /// A refused call goes to another endpoint at once. One that may have run met a fault, and
 /// waits a little so that an outage is not answered with a storm.
-fn pause_ms(settings: &RetrySettings, run: RunState, attempts: u32, random: u64) -> u64 {
+fn backoff_ms(settings: &RetrySettings, run: RunState, attempts: u32, random: u64) -> u64 {
     if run == RunState::NotRun {
         return 0;
     }
     let doublings = attempts.saturating_sub(1).min(8);
-    let full_ms = settings.pause_ms << doublings;
+    let full_ms = settings.first_backoff_ms << doublings;
     let half_ms = full_ms / 2;
     half_ms + random % (full_ms - half_ms + 1)
 }
--- a/components/recovery/src/silence.rs
+++ b/components/recovery/src/silence.rs
@@ -10,7 +10,7 @@
 
 /// Watches one connection.
 #[derive(Clone, Debug)]
-pub struct Silence {
+pub struct SilenceDetector {
     ping_after_ms: u64,
     ping_deadline_ms: u64,
     pinged_at_ms: Option<u64>,
@@ -19,11 +19,11 @@
 
 /// What is to be done about a connection.
 #[key]
-pub enum Watch {
+pub enum SilenceAction {
     /// Nothing outstanding, nothing to watch.
     Idle,
     /// Look again then.
-    Until {
+    CheckAt {
         /// Time of the next look, in milliseconds.
         at_ms: u64,
     },
@@ -36,7 +36,7 @@
     Dead,
 }
 
-impl Silence {
+impl SilenceDetector {
     /// Pings after `ping_after_ms` of silence and waits `ping_deadline_ms` for any byte.
     pub fn new(ping_after_ms: u64, ping_deadline_ms: u64) -> Self {
         Self {
@@ -48,10 +48,10 @@
     }
 
     /// Looks at the connection. `heard_at_ms` is when the last byte came from the peer.
-    pub fn check(&mut self, outstanding: bool, heard_at_ms: u64, now_ms: u64) -> Watch {
+    pub fn check(&mut self, outstanding: bool, heard_at_ms: u64, now_ms: u64) -> SilenceAction {
         if !outstanding {
             self.pinged_at_ms = None;
-            return Watch::Idle;
+            return SilenceAction::Idle;
         }
         self.pinged_at_ms = self.pinged_at_ms.filter(|&at_ms| heard_at_ms < at_ms);
         if let Some(pinged_at_ms) = self.pinged_at_ms {
@@ -59,21 +59,21 @@
         }
         let ping_at_ms = heard_at_ms + self.ping_after_ms;
         if now_ms < ping_at_ms {
-            return Watch::Until { at_ms: ping_at_ms };
+            return SilenceAction::CheckAt { at_ms: ping_at_ms };
         }
         self.pinged_at_ms = Some(now_ms);
         self.number += 1;
-        Watch::Ping {
+        SilenceAction::Ping {
             number: self.number,
         }
     }
 
-    fn answer_due(&self, pinged_at_ms: u64, now_ms: u64) -> Watch {
+    fn answer_due(&self, pinged_at_ms: u64, now_ms: u64) -> SilenceAction {
         let at_ms = pinged_at_ms + self.ping_deadline_ms;
         if now_ms < at_ms {
-            Watch::Until { at_ms }
+            SilenceAction::CheckAt { at_ms }
         } else {
-            Watch::Dead
+            SilenceAction::Dead
         }
     }
 }
--- a/components/recovery/src/table.rs
+++ b/components/recovery/src/table.rs
@@ -31,7 +31,7 @@
     /// How long an idempotent call runs on without its caller, in milliseconds.
     pub grace_ms: u64,
     /// How long an answer that nobody acknowledged is kept, in milliseconds.
-    pub keep_ms: u64,
+    pub retention_ms: u64,
     /// Most calls at a time, kept answers included.
     pub calls_max: usize,
     /// Bytes of requests and kept answers beyond which calls are refused.
@@ -84,18 +84,18 @@
     }
 
     /// Connections with calls that have not ended.
-    pub fn outstanding(&self) -> HashSet<u64> {
+    pub fn active_connections(&self) -> HashSet<u64> {
         let running = self.calls.values().filter(|call| !call.is_ended());
         running.filter_map(|call| call.connection).collect()
     }
 
     /// From now on new calls are refused.
-    pub fn leave(&mut self) {
+    pub fn start_draining(&mut self) {
         self.leaving = true;
     }
 
     /// A connection was greeted; `boot` is the number of the caller's life.
-    pub fn connected(
+    pub fn add_connection(
         &mut self,
         connection: u64,
         boot: u64,
@@ -111,7 +111,7 @@
     }
 
     /// A connection was closed.
-    pub fn disconnected(&mut self, connection: u64, now_ms: u64) {
+    pub fn remove_connection(&mut self, connection: u64, now_ms: u64) {
         if let Some(boot) = self.callers.remove(&connection) {
             self.current.remove(&boot);
         }
@@ -119,7 +119,7 @@
     }
 
     /// A frame came on `connection`; `arrived_at_ms` is when it was read.
-    pub fn frame(
+    pub fn handle_frame(
         &mut self,
         connection: u64,
         frame: Frame,
@@ -140,27 +140,27 @@
     }
 
     /// The handler has taken the call in.
-    pub fn accepted(&mut self, id: CallId, actions: &mut Vec<TableAction>) {
+    pub fn mark_accepted(&mut self, id: CallId, actions: &mut Vec<TableAction>) {
         self.answer(id, actions, |call| call.advance(Stage::Accepted));
     }
 
     /// The handler hands the call to the endpoint.
-    pub fn started(&mut self, id: CallId, actions: &mut Vec<TableAction>) {
+    pub fn mark_started(&mut self, id: CallId, actions: &mut Vec<TableAction>) {
         self.answer(id, actions, |call| call.advance(Stage::Started));
     }
 
     /// Status and headers of the answer.
-    pub fn head(&mut self, id: CallId, head: Head, actions: &mut Vec<TableAction>) {
+    pub fn send_head(&mut self, id: CallId, head: Head, actions: &mut Vec<TableAction>) {
         self.answer(id, actions, |call| call.head(head));
     }
 
     /// The next bytes of the answer.
-    pub fn chunk(&mut self, id: CallId, bytes: Bytes, actions: &mut Vec<TableAction>) {
+    pub fn send_chunk(&mut self, id: CallId, bytes: Bytes, actions: &mut Vec<TableAction>) {
         self.answer(id, actions, |call| call.chunk(bytes));
     }
 
     /// The answer is whole.
-    pub fn end(&mut self, id: CallId, now_ms: u64, actions: &mut Vec<TableAction>) {
+    pub fn finish(&mut self, id: CallId, now_ms: u64, actions: &mut Vec<TableAction>) {
         self.answer(id, actions, |call| call.end(now_ms));
     }
 
@@ -176,7 +176,7 @@
     }
 
     /// The handler is gone; does nothing after an end.
-    pub fn abandoned(&mut self, id: CallId, now_ms: u64, actions: &mut Vec<TableAction>) {
+    pub fn abandon(&mut self, id: CallId, now_ms: u64, actions: &mut Vec<TableAction>) {
         self.answer(id, actions, |call| call.abandon(now_ms));
     }
 
@@ -187,7 +187,7 @@
         let mut unwanted = Vec::new();
         for call in self.calls.values_mut() {
             if let Some(ended_at_ms) = call.ended_at_ms {
-                if now_ms >= ended_at_ms + settings.keep_ms {
+                if now_ms >= ended_at_ms + settings.retention_ms {
                     expired.push(call.id);
                 }
                 continue;
--- a/components/recovery/tests/attempt.rs
+++ b/components/recovery/tests/attempt.rs
@@ -23,8 +23,8 @@
         "written" => return AttemptEvent::Written,
         "half-written" => return AttemptEvent::WriteFailed,
         "lost" => return AttemptEvent::LinkLost,
-        "due" => return AttemptEvent::Time { withdrawn: false },
-        "due-withdrawn" => return AttemptEvent::Time { withdrawn: true },
+        "due" => return AttemptEvent::Timer { withdrawn: false },
+        "due-withdrawn" => return AttemptEvent::Timer { withdrawn: true },
         "cancel" => return AttemptEvent::Cancel { withdrawn: false },
         "accepted" => Frame::Accepted { id },
         "started" => Frame::Started { id },
@@ -53,7 +53,7 @@
         } else {
             0
         };
-        attempt.on(event(word), due_ms.max(10 * index as u64), &mut actions);
+        attempt.handle(event(word), due_ms.max(10 * index as u64), &mut actions);
     }
     actions
 }
@@ -284,7 +284,7 @@
 fn can_send_the_time_that_is_left() {
     let mut attempt = Attempt::new(ID, 0, DEADLINE_MS, REATTACH_FOR_MS);
     let mut actions = Vec::new();
-    attempt.on(event("connected"), 4_000, &mut actions);
+    attempt.handle(event("connected"), 4_000, &mut actions);
     assert_eq!(
         actions,
         [AttemptAction::SendOpen {
--- a/components/recovery/tests/common/mod.rs
+++ b/components/recovery/tests/common/mod.rs
@@ -70,7 +70,7 @@
 pub fn limits() -> TableSettings {
     TableSettings {
         grace_ms: 1_000,
-        keep_ms: 5_000,
+        retention_ms: 5_000,
         calls_max: 4,
         held_bytes_max: 10_000,
     }
--- a/components/recovery/tests/joined.rs
+++ b/components/recovery/tests/joined.rs
@@ -119,7 +119,7 @@
             Step::WriteHalf => self.write(false),
             Step::Cut => self.cut(),
             Step::CalleeSeesCut if !self.linked => {
-                self.table.disconnected(self.connection, self.now_ms);
+                self.table.remove_connection(self.connection, self.now_ms);
             }
             Step::CalleeRestarts => self.restart(),
             Step::ToCallee(fate, at) => self.bring_to_callee(fate, usize::from(at)),
@@ -127,7 +127,7 @@
             Step::Work => self.work(),
             Step::HandlerDies if self.handler.take().is_some() => {
                 let now_ms = self.now_ms;
-                self.serve(|table, actions| table.abandoned(ID, now_ms, actions));
+                self.serve(|table, actions| table.abandon(ID, now_ms, actions));
             }
             Step::Pass(passed_ms) => self.pass(u64::from(passed_ms)),
             Step::GiveUp => {
@@ -145,7 +145,7 @@
         self.linked = true;
         self.connection += 1;
         let (connection, now_ms, life) = (self.connection, self.now_ms, self.life);
-        self.serve(|table, actions| table.connected(connection, CALLER, now_ms, actions));
+        self.serve(|table, actions| table.add_connection(connection, CALLER, now_ms, actions));
         self.tell(AttemptEvent::Connected { life });
     }
 
@@ -189,7 +189,9 @@
     fn bring_to_callee(&mut self, fate: Fate, at: usize) {
         if let Some((connection, frame)) = picked(&mut self.to_callee, fate, at) {
             let now_ms = self.now_ms;
-            self.serve(|table, actions| table.frame(connection, frame, now_ms, now_ms, actions));
+            self.serve(|table, actions| {
+                table.handle_frame(connection, frame, now_ms, now_ms, actions)
+            });
         }
     }
 
@@ -207,19 +209,19 @@
         let (step, now_ms) = (handler.step, self.now_ms);
         handler.step += 1;
         match step {
-            0 => self.serve(|table, actions| table.accepted(ID, actions)),
+            0 => self.serve(|table, actions| table.mark_accepted(ID, actions)),
             1 => {
                 self.started += 1;
-                self.serve(|table, actions| table.started(ID, actions));
+                self.serve(|table, actions| table.mark_started(ID, actions));
             }
-            2 => self.serve(|table, actions| table.head(ID, head(), actions)),
+            2 => self.serve(|table, actions| table.send_head(ID, head(), actions)),
             3..=5 => {
                 let bytes = Bytes::from_static(CHUNKS[step - 3]);
-                self.serve(|table, actions| table.chunk(ID, bytes, actions));
+                self.serve(|table, actions| table.send_chunk(ID, bytes, actions));
             }
             _ => {
                 self.handler = None;
-                self.serve(|table, actions| table.end(ID, now_ms, actions));
+                self.serve(|table, actions| table.finish(ID, now_ms, actions));
             }
         }
     }
@@ -230,13 +232,13 @@
         self.serve(|table, actions| table.tick(now_ms, actions));
         if !self.attempt.is_ended() && now_ms >= self.attempt.wake_at_ms() {
             let withdrawn = self.attempt.is_queued() && self.to_write.take().is_some();
-            self.tell(AttemptEvent::Time { withdrawn });
+            self.tell(AttemptEvent::Timer { withdrawn });
         }
     }
 
     fn tell(&mut self, event: AttemptEvent) {
         let mut actions = Vec::new();
-        self.attempt.on(event, self.now_ms, &mut actions);
+        self.attempt.handle(event, self.now_ms, &mut actions);
         for action in actions {
             match action {
                 AttemptAction::Deliver(event) => self.events.push(event),
--- a/components/recovery/tests/retry.rs
+++ b/components/recovery/tests/retry.rs
@@ -3,7 +3,8 @@
 use std::net::SocketAddr;
 
 use recovery::{
-    Decision, Flowed, Resume, RetrySettings, Silence, Tried, Watch, decide, reconnect_after_ms,
+    Delivered, FailedAttempt, Resume, RetryDecision, RetrySettings, SilenceAction, SilenceDetector,
+    decide_retry, reconnect_after_ms,
 };
 use types::{Cause, Failure, RunState};
 
@@ -11,7 +12,7 @@
     name: &'static str,
     failure: Failure,
     idempotent: bool,
-    flowed: Flowed,
+    delivered: Delivered,
     attempts: usize,
     deadline_left_ms: u64,
     budget: bool,
@@ -28,22 +29,22 @@
         name,
         failure: failure(RunState::Unknown),
         idempotent: true,
-        flowed: Flowed::Nothing,
+        delivered: Delivered::Nothing,
         attempts: 1,
         deadline_left_ms: 1_000,
         budget: true,
-        expected: Ok(Resume::Afresh),
+        expected: Ok(Resume::FromStart),
     };
     change(&mut case);
     case
 }
 
 /// A request that may run once only and is not tried again.
-fn once(name: &'static str, run: RunState, flowed: Flowed, expected: RunState) -> Case {
+fn once(name: &'static str, run: RunState, delivered: Delivered, expected: RunState) -> Case {
     case(name, |case| {
         case.idempotent = false;
         case.failure = failure(run);
-        case.flowed = flowed;
+        case.delivered = delivered;
         case.expected = Err(failure(expected));
     })
 }
@@ -57,7 +58,7 @@
 }
 
 fn cases() -> Vec<Case> {
-    use Flowed::{Bytes, Nothing, Tokens};
+    use Delivered::{Bytes, Nothing, Tokens};
     use RunState::{Failed, NotRun, Unknown};
     vec![
         case("idempotent, unknown", |_| {}),
@@ -70,12 +71,12 @@
         once("once only, failed", Failed, Nothing, Failed),
         once("once only, not run but tokens", NotRun, Tokens, Failed),
         once("once only, not run but bytes", NotRun, Bytes, Failed),
-        case("tokens have flowed", |case| {
-            case.flowed = Tokens;
+        case("tokens were delivered", |case| {
+            case.delivered = Tokens;
             case.expected = Ok(Resume::FromTokens);
         }),
-        case("bytes have flowed", |case| {
-            case.flowed = Bytes;
+        case("bytes were delivered", |case| {
+            case.delivered = Bytes;
             case.expected = Err(case.failure);
         }),
         case("last attempt", |case| {
@@ -103,11 +104,11 @@
 }
 
 /// The decision, and whether the budget was asked.
-fn decided(case: &Case, random: u64) -> (Decision, bool) {
-    let tried = Tried {
+fn decided(case: &Case, random: u64) -> (RetryDecision, bool) {
+    let tried = FailedAttempt {
         failure: case.failure,
         idempotent: case.idempotent,
-        flowed: case.flowed,
+        delivered: case.delivered,
         endpoints: &endpoints(case.attempts),
         deadline_left_ms: case.deadline_left_ms,
     };
@@ -117,7 +118,7 @@
         case.budget
     };
     (
-        decide(&RetrySettings::default(), &tried, random, budget),
+        decide_retry(&RetrySettings::default(), &tried, random, budget),
         asked,
     )
 }
@@ -127,13 +128,13 @@
     for case in cases() {
         let (decision, asked) = decided(&case, 0);
         let got = match decision {
-            Decision::Again {
+            RetryDecision::Retry {
                 exclude, resume, ..
             } => {
                 assert_eq!(exclude, endpoints(case.attempts), "{}", case.name);
                 Ok(resume)
             }
-            Decision::Final(failure) => Err(failure),
+            RetryDecision::Final(failure) => Err(failure),
         };
         assert_eq!(got, case.expected, "{}", case.name);
         assert_eq!(asked, got.is_ok() || !case.budget, "{}: budget", case.name);
@@ -147,8 +148,8 @@
             case.deadline_left_ms = deadline_left_ms;
         });
         match decided(&case, random).0 {
-            Decision::Again { after_ms, .. } => after_ms < deadline_left_ms,
-            Decision::Final(_) => true,
+            RetryDecision::Retry { after_ms, .. } => after_ms < deadline_left_ms,
+            RetryDecision::Final(_) => true,
         }
     }
 
@@ -162,7 +163,7 @@
     outstanding: bool,
     heard_at_ms: u64,
     now_ms: u64,
-    expected: Watch,
+    expected: SilenceAction,
 }
 
 // The peer answers a first ping and stays silent after a second one. Nothing is sent
@@ -177,39 +178,45 @@
         expected,
     };
     let looks = [
-        look("no calls", false, 0, 5_000, Watch::Idle),
+        look("no calls", false, 0, 5_000, SilenceAction::Idle),
         look(
             "first call after a silence",
             true,
             0,
             5_000,
-            Watch::Ping { number: 1 },
+            SilenceAction::Ping { number: 1 },
         ),
         look(
             "waits for the answer",
             true,
             0,
             5_010,
-            Watch::Until { at_ms: 5_100 },
+            SilenceAction::CheckAt { at_ms: 5_100 },
         ),
         look(
             "answered",
             true,
             5_020,
             5_020,
-            Watch::Until { at_ms: 5_220 },
+            SilenceAction::CheckAt { at_ms: 5_220 },
+        ),
+        look(
+            "silent",
+            true,
+            5_020,
+            5_220,
+            SilenceAction::Ping { number: 2 },
         ),
-        look("silent", true, 5_020, 5_220, Watch::Ping { number: 2 }),
         look(
             "still silent",
             true,
             5_020,
             5_319,
-            Watch::Until { at_ms: 5_320 },
+            SilenceAction::CheckAt { at_ms: 5_320 },
         ),
-        look("too late", true, 5_020, 5_320, Watch::Dead),
+        look("too late", true, 5_020, 5_320, SilenceAction::Dead),
     ];
-    let mut silence = Silence::new(200, 100);
+    let mut silence = SilenceDetector::new(200, 100);
     for case in looks {
         let got = silence.check(case.outstanding, case.heard_at_ms, case.now_ms);
         assert_eq!(got, case.expected, "{}", case.name);
--- a/components/recovery/tests/table.rs
+++ b/components/recovery/tests/table.rs
@@ -32,12 +32,12 @@
 
     fn connect(&mut self, connection: u64) -> Vec<TableAction> {
         let now_ms = self.now_ms;
-        self.act(|table, actions| table.connected(connection, CALLER, now_ms, actions))
+        self.act(|table, actions| table.add_connection(connection, CALLER, now_ms, actions))
     }
 
     fn get(&mut self, connection: u64, frame: Frame) -> Vec<TableAction> {
         let now_ms = self.now_ms;
-        self.act(|table, actions| table.frame(connection, frame, now_ms, now_ms, actions))
+        self.act(|table, actions| table.handle_frame(connection, frame, now_ms, now_ms, actions))
     }
 
     fn after(&mut self, passed_ms: u64) -> Vec<TableAction> {
@@ -48,15 +48,15 @@
 
     fn answer(&mut self) {
         self.act(|table, actions| {
-            table.started(ID, actions);
-            table.head(ID, head(), actions);
-            table.chunk(ID, Bytes::from_static(b"ab"), actions);
+            table.mark_started(ID, actions);
+            table.send_head(ID, head(), actions);
+            table.send_chunk(ID, Bytes::from_static(b"ab"), actions);
         });
     }
 
     fn end(&mut self) -> Vec<TableAction> {
         let now_ms = self.now_ms;
-        self.act(|table, actions| table.end(ID, now_ms, actions))
+        self.act(|table, actions| table.finish(ID, now_ms, actions))
     }
 
     fn act(&mut self, act: impl FnOnce(&mut CallTable, &mut Vec<TableAction>)) -> Vec<TableAction> {
@@ -105,7 +105,7 @@
         let mut world = World::new(limits());
         world.get(1, open_frame(false));
         world.answer();
-        world.table.disconnected(1, 0);
+        world.table.remove_connection(1, 0);
         assert_eq!(world.end(), []);
         world.connect(2);
         let more_than_there_is = [fail(GONE)];
@@ -129,7 +129,7 @@
     world.get(1, open_frame(false));
     world.answer();
     world.end();
-    let dropped = world.after(limits().keep_ms);
+    let dropped = world.after(limits().retention_ms);
     assert_eq!(dropped, [TableAction::Drop { id: ID }]);
     let id_at = |counter| CallId { counter, ..ID };
     let gone = |id| Frame::Fail { id, failure: GONE };
@@ -149,7 +149,7 @@
 fn can_leave_out_not_run_once_a_call_was_started() {
     let mut world = World::new(limits());
     world.get(1, open_frame(false));
-    world.act(|table, actions| table.started(ID, actions));
+    world.act(|table, actions| table.mark_started(ID, actions));
     let refused = Failure::not_run(Cause::Leaving);
     let failed = world.act(|table, actions| table.fail(ID, refused, 0, actions));
     let expected = Failure::new(RunState::Unknown, Cause::Leaving);
@@ -193,7 +193,9 @@
         case("late", Cause::DeadlinePassed, |_, open| {
             open.deadline_left_ms = 0
         }),
-        case("leaving", Cause::Leaving, |world, _| world.table.leave()),
+        case("leaving", Cause::Leaving, |world, _| {
+            world.table.start_draining()
+        }),
         case("too many calls", Cause::QueueFull, fill),
         case("too many bytes", Cause::QueueFull, |_, open| {
             open.body = vec![0; 20_000].into()
@@ -229,7 +231,8 @@
 #[test]
 fn errors_as_not_run_when_a_call_waited_too_long() {
     let mut world = World::new(limits());
-    let late = world.act(|table, actions| table.frame(1, open_frame(false), 0, 20_000, actions));
+    let late =
+        world.act(|table, actions| table.handle_frame(1, open_frame(false), 0, 20_000, actions));
     assert_eq!(
         late,
         [send(1, fail(Failure::not_run(Cause::DeadlinePassed)))]
@@ -258,7 +261,7 @@
         let mut world = World::new(limits());
         world.get(1, open_frame(case.idempotent));
         world.answer();
-        world.table.disconnected(1, 0);
+        world.table.remove_connection(1, 0);
         assert_eq!(world.after(limits().grace_ms - 1), [], "{}", case.name);
         assert_eq!(world.after(1), [case.expected], "{}", case.name);
         assert_eq!(world.after(1), [], "{}", case.name);
@@ -277,11 +280,11 @@
     let mut world = World::new(limits());
     world.get(1, open_frame(false));
     world.answer();
-    world.table.disconnected(1, 0);
+    world.table.remove_connection(1, 0);
     world.after(limits().grace_ms);
     for _ in 0..20 {
         let bytes = Bytes::from(vec![0; 1_000]);
-        world.act(|table, actions| table.chunk(ID, bytes, actions));
+        world.act(|table, actions| table.send_chunk(ID, bytes, actions));
         assert!(world.table.held_bytes() <= limits().held_bytes_max);
     }
     world.end();
@@ -318,7 +321,7 @@
         [TableAction::Cancel { id: ID }]
     );
     assert_eq!(world.get(1, Frame::Cancel { id: ID }), []);
-    let ended = world.act(|table, actions| table.abandoned(ID, 0, actions));
+    let ended = world.act(|table, actions| table.abandon(ID, 0, actions));
     assert_eq!(ended.last(), Some(&TableAction::Drop { id: ID }));
     assert!(world.table.is_empty());
     assert_eq!(world.table.held_bytes(), 0);
--- a/components/sidecar/src/start.rs
+++ b/components/sidecar/src/start.rs
@@ -139,7 +139,7 @@
 fn reconcile(fencing: Fencing, settings: ReconcileSettings) -> ReconcileSettings {
     match fencing {
         Fencing::Checked => ReconcileSettings {
-            doubt_watch_ms: settings.watch_ms,
+            uncertain_check_interval_ms: settings.check_interval_ms,
             ..settings
         },
         Fencing::Ignored => settings,
--- a/components/sidecar/src/status.rs
+++ b/components/sidecar/src/status.rs
@@ -179,7 +179,7 @@
         serving: row.status.serving.map(|version| version.to_string()),
         load: row.status.load.map(|version| version.to_string()),
         loaded: row.status.loaded,
-        behind: row.status.behind,
+        behind: row.status.versions_behind,
         failures: row.status.failures,
     }
 }
--- a/components/sidecar/src/weights_task.rs
+++ b/components/sidecar/src/weights_task.rs
@@ -1,5 +1,5 @@
 //! Brings the models on the engine to the wanted versions: carries out what
-//! `weights::Reconcile` decides, one order at a time for each model.
+//! `weights::Reconciler` decides, one order at a time for each model.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,7 +9,9 @@
 use node::now_ms;
 use tokio::sync::{mpsc, watch};
 use types::{CustomerName, ServiceName};
-use weights::{Authority, ModelKey, Reconcile, ReconcileSettings, Target, Turns, turn_ms};
+use weights::{
+    Authority, LoadDelays, ModelKey, ReconcileSettings, Reconciler, Target, preload_delay_ms,
+};
 
 use crate::agent::Agent;
 use crate::orders::{Ended, carry_out};
@@ -98,7 +100,7 @@
     watch: Watch,
     pace: Pace,
     authority: Authority,
-    models: BTreeMap<ModelKey, Reconcile>,
+    models: BTreeMap<ModelKey, Reconciler>,
     ends: mpsc::Sender<Ended>,
     publish: watch::Sender<Vec<ModelStatus>>,
 }
@@ -150,7 +152,7 @@
                 staleness_bound,
                 ..self.pace.reconcile.clone()
             };
-            self.models.insert(model.clone(), Reconcile::new(settings));
+            self.models.insert(model.clone(), Reconciler::new(settings));
             self.aim(&model);
         }
     }
@@ -174,16 +176,16 @@
             version:% = target.serve, load:% = target.load; ""
         );
         let own = self.agent.identity.node().address;
-        let turns = Turns {
+        let turns = LoadDelays {
             serve_ms: 0,
-            ahead_ms: turn_ms(own, model, target.load, self.pace.load_window_ms),
+            preload_ms: preload_delay_ms(own, model, target.load, self.pace.load_window_ms),
         };
-        machine.want(target, turns, now_ms());
+        machine.set_target(target, turns, now_ms());
     }
 
     fn take_end(&mut self, end: Ended) {
         if let Some(machine) = self.models.get_mut(&end.model) {
-            machine.ended(end.order.id, end.outcome, now_ms(), random_permille());
+            machine.finish_order(end.order.id, end.outcome, now_ms(), random_permille());
         }
     }
 
@@ -202,7 +204,7 @@
                 tokio::spawn(carried);
             }
         }
-        let status_of = |(model, machine): (&ModelKey, &Reconcile)| ModelStatus {
+        let status_of = |(model, machine): (&ModelKey, &Reconciler)| ModelStatus {
             model: model.clone(),
             status: machine.status(now_ms),
         };
--- a/components/weights/examples/cost.rs
+++ b/components/weights/examples/cost.rs
@@ -8,8 +8,8 @@
 
 use types::WeightVersion;
 use weights::{
-    Authority, EngineState, ModelKey, OrderKind, OrderOutcome, Reconcile, ReconcileSettings,
-    Target, Turns, store_rate_needed_bytes_per_s,
+    Authority, EngineState, LoadDelays, ModelKey, OrderKind, OrderOutcome, ReconcileSettings,
+    Reconciler, Target, store_rate_needed_bytes_per_s,
 };
 
 const MODELS: [u32; 3] = [10, 100, 1_000];
@@ -50,7 +50,7 @@
 
 /// One swap: load, read, switch, read, and the orders that it takes.
 fn reconcile() {
-    let mut agent = Reconcile::new(ReconcileSettings::default());
+    let mut agent = Reconciler::new(ReconcileSettings::default());
     let mut state = EngineState {
         life: 1,
         version: None,
@@ -60,7 +60,7 @@
     let mut now_ms = 0;
     let began = Instant::now();
     for round in 1..=ROUNDS {
-        agent.want(Target::serve(version(round)), Turns::default(), now_ms);
+        agent.set_target(Target::serve(version(round)), LoadDelays::default(), now_ms);
         while state.version != Some(version(round)) {
             now_ms = agent.next_due_ms(now_ms);
             let Some(order) = agent.poll(now_ms, 500) else {
@@ -68,7 +68,7 @@
             };
             orders += 1;
             let outcome = obey(&mut state, order.kind);
-            agent.ended(order.id, outcome, now_ms, 500);
+            agent.finish_order(order.id, outcome, now_ms, 500);
         }
     }
     let swap_ns = began.elapsed().as_nanos() as u64 / ROUNDS;
--- a/components/weights/examples/turns.rs
+++ b/components/weights/examples/turns.rs
@@ -8,8 +8,8 @@
 
 use types::WeightVersion;
 use weights::{
-    EngineState, ModelKey, Order, OrderKind, OrderOutcome, Reconcile, ReconcileSettings, Target,
-    Turns, turn_ms,
+    EngineState, LoadDelays, ModelKey, Order, OrderKind, OrderOutcome, ReconcileSettings,
+    Reconciler, Target, preload_delay_ms,
 };
 
 const STEP_MS: u64 = 10;
@@ -29,7 +29,7 @@
 }
 
 struct Replica {
-    agent: Reconcile,
+    agent: Reconciler,
     engine: EngineState,
     /// A load on its way: its end, and whether the store gave the weights.
     loading: Option<(Order, u64, OrderOutcome)>,
@@ -137,18 +137,20 @@
     for (rank, replica) in (0..).zip(&mut replicas) {
         let port = u16::try_from(7_000 + rank)?;
         let own = SocketAddr::from(([10, 0, 0, 1], port));
-        let ahead_ms = match way {
+        let preload_ms = match way {
             Way::AtOnce => 0,
             Way::Rank => rank * SECOND_MS / per_s,
             Way::Share { window_percent } => {
-                turn_ms(own, &model, load, store_ms * window_percent / 100)
+                preload_delay_ms(own, &model, load, store_ms * window_percent / 100)
             }
         };
-        let turns = Turns {
+        let turns = LoadDelays {
             serve_ms: 0,
-            ahead_ms,
+            preload_ms,
         };
-        replica.agent.want(Target { serve: OLD, load }, turns, 0);
+        replica
+            .agent
+            .set_target(Target { serve: OLD, load }, turns, 0);
     }
     let mut now_ms = 0;
     while replicas.iter().any(|replica| !replica.engine.holds(load)) {
@@ -165,7 +167,7 @@
 
 fn replica() -> Replica {
     Replica {
-        agent: Reconcile::new(ReconcileSettings::default()),
+        agent: Reconciler::new(ReconcileSettings::default()),
         engine: EngineState {
             life: 1,
             version: Some(OLD),
@@ -183,7 +185,7 @@
                 self.engine.loaded.insert(version);
             }
             self.agent
-                .ended(order.id, outcome, now_ms, random.permille());
+                .finish_order(order.id, outcome, now_ms, random.permille());
         }
         while let Some(order) = self.agent.poll(now_ms, random.permille()) {
             let outcome = match order.kind {
@@ -201,7 +203,7 @@
                 OrderKind::CancelEarlier | OrderKind::Switch(_) => OrderOutcome::Done,
             };
             self.agent
-                .ended(order.id, outcome, now_ms, random.permille());
+                .finish_order(order.id, outcome, now_ms, random.permille());
         }
     }
 }
--- a/components/weights/src/authority.rs
+++ b/components/weights/src/authority.rs
@@ -23,7 +23,7 @@
             display("only the model's own trainer announces versions, only its operators roll back")
         }
         /// Below the version in force.
-        Old(current: WeightVersion) {
+        Outdated(current: WeightVersion) {
             display("version {} is in force already", current)
         }
         /// A trainer named an epoch that no operator has begun.
@@ -58,7 +58,7 @@
 
 /// What an accepted announcement did.
 #[wire_key]
-pub enum Announcement {
+pub enum AnnounceOutcome {
     /// It is news: pass it on.
     Changed(Target),
     /// It was known.
@@ -97,12 +97,12 @@
         by: &Announcer<'_>,
         model: &ModelKey,
         version: WeightVersion,
-    ) -> Result<Announcement, AnnounceError> {
+    ) -> Result<AnnounceOutcome, AnnounceError> {
         self.check_trainer(by, model, version)?;
         if let Some(current) = self.target(model)
             && version < current.serve
         {
-            return Err(AnnounceError::Old(current.serve));
+            return Err(AnnounceError::Outdated(current.serve));
         }
         Ok(self.adopt(model, Target::serve(version)))
     }
@@ -113,13 +113,13 @@
         by: &Announcer<'_>,
         model: &ModelKey,
         version: WeightVersion,
-    ) -> Result<Announcement, AnnounceError> {
+    ) -> Result<AnnounceOutcome, AnnounceError> {
         self.check_trainer(by, model, version)?;
         let Some(current) = self.target(model) else {
             return Ok(self.adopt(model, Target::serve(version)));
         };
         if version < current.load {
-            return Err(AnnounceError::Old(current.load));
+            return Err(AnnounceError::Outdated(current.load));
         }
         let target = Target {
             serve: current.serve,
@@ -134,14 +134,14 @@
         by: &Announcer<'_>,
         model: &ModelKey,
         version: WeightVersion,
-    ) -> Result<Announcement, AnnounceError> {
+    ) -> Result<AnnounceOutcome, AnnounceError> {
         if by.role != Role::Operator || *by.customer != model.customer {
             return Err(AnnounceError::Forbidden);
         }
         if let Some(current) = self.target(model) {
             // The operator's repeat after a lost answer is no second roll-back.
             if version == current.serve {
-                return Ok(Announcement::Known(current));
+                return Ok(AnnounceOutcome::Known(current));
             }
             if version.epoch <= current.serve.epoch {
                 return Err(AnnounceError::EpochNotRaised(current.serve));
@@ -152,7 +152,7 @@
 
     /// News from another process; true if it is news here as well.
     pub fn merge(&mut self, model: &ModelKey, target: Target) -> bool {
-        matches!(self.adopt(model, target), Announcement::Changed(_))
+        matches!(self.adopt(model, target), AnnounceOutcome::Changed(_))
     }
 
     /// Forgets models that no accepted configuration names any more.
@@ -178,17 +178,17 @@
         Ok(())
     }
 
-    fn adopt(&mut self, model: &ModelKey, news: Target) -> Announcement {
+    fn adopt(&mut self, model: &ModelKey, news: Target) -> AnnounceOutcome {
         let Some(known) = self.targets.get_mut(model) else {
             let target = news.merge(news);
             self.targets.insert(model.clone(), target);
-            return Announcement::Changed(target);
+            return AnnounceOutcome::Changed(target);
         };
         let merged = known.merge(news);
         if merged == *known {
-            return Announcement::Known(merged);
+            return AnnounceOutcome::Known(merged);
         }
         *known = merged;
-        Announcement::Changed(merged)
+        AnnounceOutcome::Changed(merged)
     }
 }
--- a/components/weights/src/lib.rs
+++ b/components/weights/src/lib.rs
@@ -4,16 +4,16 @@
 mod authority;
 mod backoff;
 mod order;
+mod preload;
 mod reconcile;
 mod settings;
 mod status;
-mod turn;
 
-pub use authority::{AnnounceError, Announcement, Announcer, Authority, ModelKey};
+pub use authority::{AnnounceError, AnnounceOutcome, Announcer, Authority, ModelKey};
 pub use backoff::Backoff;
 pub use order::{EngineState, Order, OrderId, OrderKind, OrderOutcome};
-pub use reconcile::{Reconcile, Turns};
+pub use preload::{preload_delay_ms, store_rate_needed_bytes_per_s};
+pub use reconcile::{LoadDelays, Reconciler};
 pub use settings::ReconcileSettings;
 pub use status::Status;
-pub use turn::{store_rate_needed_bytes_per_s, turn_ms};
 pub use types::WeightTarget as Target;
--- a/components/weights/src/turn.rs
+++ b/components/weights/src/preload.rs
@@ -18,7 +18,12 @@
 
 /// Wait of the replica whose agent has this address before it loads the version, below
 /// `window_ms`.
-pub fn turn_ms(own: SocketAddr, model: &ModelKey, version: WeightVersion, window_ms: u64) -> u64 {
+pub fn preload_delay_ms(
+    own: SocketAddr,
+    model: &ModelKey,
+    version: WeightVersion,
+    window_ms: u64,
+) -> u64 {
     let key = format!("{}/{}/{version}", model.customer, model.service);
     rendezvous::weight(key.as_bytes(), own) % window_ms.max(1)
 }
--- a/components/weights/src/reconcile.rs
+++ b/components/weights/src/reconcile.rs
@@ -40,16 +40,16 @@
 /// This replica's waits at the store, from the news on.
 #[value]
 #[derive(Copy, Default)]
-pub struct Turns {
+pub struct LoadDelays {
     /// Before it loads the version to serve, in milliseconds.
     pub serve_ms: u64,
     /// Before it loads a version that is named ahead of time, in milliseconds.
-    pub ahead_ms: u64,
+    pub preload_ms: u64,
 }
 
 /// State machine of one model at one engine.
 #[derive(Clone, Debug)]
-pub struct Reconcile {
+pub struct Reconciler {
     settings: ReconcileSettings,
     target: Option<Target>,
     /// Earliest time to load the version to serve: the replica's turn at the store.
@@ -73,7 +73,7 @@
     next_id: u64,
 }
 
-impl Reconcile {
+impl Reconciler {
     /// An agent that has just started beside an engine that may have lived on.
     pub fn new(settings: ReconcileSettings) -> Self {
         Self {
@@ -96,7 +96,7 @@
     }
 
     /// The target is news.
-    pub fn want(&mut self, target: Target, turns: Turns, now_ms: u64) {
+    pub fn set_target(&mut self, target: Target, turns: LoadDelays, now_ms: u64) {
         if self.target == Some(target) {
             return;
         }
@@ -106,7 +106,7 @@
             self.serve_after_ms = now_ms + turns.serve_ms;
         }
         if self.target.is_none_or(|old| old.load != target.load) {
-            self.ahead_after_ms = now_ms + turns.ahead_ms;
+            self.ahead_after_ms = now_ms + turns.preload_ms;
         }
         self.target = Some(target);
         self.fence_refused = false;
@@ -136,21 +136,27 @@
         let Some(belief) = self.belief.as_ref().filter(|_| !self.belief_open) else {
             return self.read_after_ms.max(now_ms);
         };
-        let watch_ms = self.watch_due_ms(belief.read_ms, now_ms);
+        let check_interval_ms = self.watch_due_ms(belief.read_ms, now_ms);
         let Some(change) = self.wanted_order(&belief.state) else {
-            return watch_ms.max(now_ms);
+            return check_interval_ms.max(now_ms);
         };
         let mut change_ms = self.due_ms(change).max(now_ms);
-        let is_old = change_ms.saturating_sub(belief.read_ms) > self.settings.belief_ms;
+        let is_old = change_ms.saturating_sub(belief.read_ms) > self.settings.state_age_ms_max;
         if is_old {
             change_ms = change_ms.max(self.read_after_ms);
         }
-        change_ms.min(watch_ms.max(now_ms))
+        change_ms.min(check_interval_ms.max(now_ms))
     }
 
     /// An order ended. An id that is not in flight belongs to an order given up on and
     /// is ignored: the read after it already tells the truth.
-    pub fn ended(&mut self, id: OrderId, outcome: OrderOutcome, now_ms: u64, random_permille: u64) {
+    pub fn finish_order(
+        &mut self,
+        id: OrderId,
+        outcome: OrderOutcome,
+        now_ms: u64,
+        random_permille: u64,
+    ) {
         let Some(in_flight) = self.in_flight.take_if(|f| f.order.id == id) else {
             return;
         };
@@ -178,11 +184,11 @@
                 .belief
                 .as_ref()
                 .map(|b| now_ms.saturating_sub(b.read_ms)),
-            behind,
+            versions_behind: behind,
             too_old: judged && behind.is_none_or(|lag| lag > self.settings.staleness_bound),
-            news_missing: self.fence_refused || serving > wanted,
+            target_outdated: self.fence_refused || serving > wanted,
             failures: self.failures,
-            ordering: self.in_flight.is_some(),
+            order_in_flight: self.in_flight.is_some(),
         }
     }
 
@@ -200,9 +206,9 @@
         match change.filter(|&kind| now_ms >= self.due_ms(kind)) {
             // A frozen process wakes with an old belief: another life of the engine or a
             // switch may have come since. Read first, then decide again.
-            Some(_) if age_ms > self.settings.belief_ms => read,
+            Some(_) if age_ms > self.settings.state_age_ms_max => read,
             Some(kind) => Some(kind),
-            None => read.filter(|_| age_ms >= self.watch_ms(now_ms)),
+            None => read.filter(|_| age_ms >= self.current_check_interval_ms(now_ms)),
         }
     }
 
@@ -231,14 +237,14 @@
     /// that does not check the fencing number then serves an old version again, and
     /// samples grow stale until the next look. While that can happen the looks come
     /// more often.
-    fn watch_ms(&self, now_ms: u64) -> u64 {
+    fn current_check_interval_ms(&self, now_ms: u64) -> u64 {
         if self
             .doubt_until_ms
             .is_some_and(|until_ms| now_ms < until_ms)
         {
-            self.settings.doubt_watch_ms
+            self.settings.uncertain_check_interval_ms
         } else {
-            self.settings.watch_ms
+            self.settings.check_interval_ms
         }
     }
 
@@ -248,10 +254,10 @@
     /// and waking for it would do nothing.
     fn watch_due_ms(&self, read_ms: u64, now_ms: u64) -> u64 {
         let earliest_ms = self.read_after_ms.max(now_ms);
-        let early_ms = earliest_ms.max(read_ms + self.settings.doubt_watch_ms);
+        let early_ms = earliest_ms.max(read_ms + self.settings.uncertain_check_interval_ms);
         match self.doubt_until_ms {
             Some(until_ms) if early_ms < until_ms => early_ms,
-            _ => earliest_ms.max(read_ms + self.settings.watch_ms),
+            _ => earliest_ms.max(read_ms + self.settings.check_interval_ms),
         }
     }
 
@@ -280,7 +286,7 @@
             fence: self
                 .target
                 .map_or(0, |target| target.serve.fencing_number()),
-            send_before_ms: now_ms + self.settings.belief_ms,
+            send_before_ms: now_ms + self.settings.state_age_ms_max,
         };
         self.next_id += 1;
         self.in_flight = Some(InFlight {
@@ -299,7 +305,7 @@
             .filter(|f| overdue(f))
             .map(|f| f.order.id)
         {
-            self.ended(id, OrderOutcome::Unknown, now_ms, random_permille);
+            self.finish_order(id, OrderOutcome::Unknown, now_ms, random_permille);
         }
     }
 
--- a/components/weights/src/settings.rs
+++ b/components/weights/src/settings.rs
@@ -8,12 +8,12 @@
 #[value]
 pub struct ReconcileSettings {
     /// Between two looks at an engine that is as wanted.
-    pub watch_ms: u64,
+    pub check_interval_ms: u64,
     /// The same while an order of unknown outcome, or one of the agent's earlier life, may
     /// still be on its way to an engine that does not check fencing numbers.
-    pub doubt_watch_ms: u64,
+    pub uncertain_check_interval_ms: u64,
     /// A state read longer ago than this is read again before any order.
-    pub belief_ms: u64,
+    pub state_age_ms_max: u64,
     /// An order without an answer for this long is over, its outcome unknown.
     pub order_timeout_ms: u64,
     /// After a failed order or read.
@@ -25,9 +25,9 @@
 impl Default for ReconcileSettings {
     fn default() -> Self {
         Self {
-            watch_ms: 1_000,
-            doubt_watch_ms: 200,
-            belief_ms: 500,
+            check_interval_ms: 1_000,
+            uncertain_check_interval_ms: 200,
+            state_age_ms_max: 500,
             order_timeout_ms: 60_000,
             backoff: Backoff {
                 first_ms: 200,
--- a/components/weights/src/status.rs
+++ b/components/weights/src/status.rs
@@ -17,13 +17,13 @@
     /// That version is in memory.
     pub loaded: bool,
     /// Versions between serving and wanted; `None` across epochs or when unknown.
-    pub behind: Option<u64>,
+    pub versions_behind: Option<u64>,
     /// The engine's version is too old for samples.
     pub too_old: bool,
     /// The engine knows something newer than this agent: ask the peers.
-    pub news_missing: bool,
+    pub target_outdated: bool,
     /// Failures in a row.
     pub failures: u32,
     /// Whether an order is in flight.
-    pub ordering: bool,
+    pub order_in_flight: bool,
 }
--- a/components/weights/tests/authority.rs
+++ b/components/weights/tests/authority.rs
@@ -3,8 +3,8 @@
 
 use types::{CustomerName, Role, WeightVersion};
 use weights::{
-    AnnounceError, Announcement, Announcer, Authority, ModelKey, Target,
-    store_rate_needed_bytes_per_s, turn_ms,
+    AnnounceError, AnnounceOutcome, Announcer, Authority, ModelKey, Target, preload_delay_ms,
+    store_rate_needed_bytes_per_s,
 };
 
 fn model() -> ModelKey {
@@ -78,7 +78,7 @@
             Trainer,
             Say::Announce,
             at(2, 4),
-            Err(AnnounceError::Old(current)),
+            Err(AnnounceError::Outdated(current)),
         ),
         case(
             "paused trainer of the epoch before",
@@ -86,7 +86,7 @@
             Trainer,
             Say::Announce,
             at(1, 9),
-            Err(AnnounceError::Old(current)),
+            Err(AnnounceError::Outdated(current)),
         ),
         case(
             "trainer, epoch of its own",
@@ -168,7 +168,7 @@
             Say::RollBack => authority.roll_back(&by, &model(), case.version),
         };
         let serve = |said| match said {
-            Announcement::Changed(target) | Announcement::Known(target) => target.serve,
+            AnnounceOutcome::Changed(target) | AnnounceOutcome::Known(target) => target.serve,
         };
         assert_eq!(said.map(serve), case.outcome, "{}", case.name);
         let after = authority.target(&model()).unwrap().serve;
@@ -223,7 +223,7 @@
     let waits = |version| -> Vec<u64> {
         let address = |number: u16| std::net::SocketAddr::from(([10, 0, 0, 1], number));
         (1..=600)
-            .map(|number| turn_ms(address(number), &model(), at(1, version), window_ms))
+            .map(|number| preload_delay_ms(address(number), &model(), at(1, version), window_ms))
             .collect()
     };
     let (first, second) = (waits(1), waits(2));
@@ -239,7 +239,10 @@
     let both = first.iter().zip(&second);
     let always_late = both.filter(|(a, b)| late(a) && late(b)).count();
     assert!(always_late < 20, "{always_late} of 600 are late twice");
-    assert_eq!(turn_ms(([10, 0, 0, 1], 1).into(), &model(), at(1, 1), 0), 0);
+    assert_eq!(
+        preload_delay_ms(([10, 0, 0, 1], 1).into(), &model(), at(1, 1), 0),
+        0
+    );
 }
 
 #[test]
--- a/components/weights/tests/reconcile.rs
+++ b/components/weights/tests/reconcile.rs
@@ -5,7 +5,7 @@
 use quickcheck::{Arbitrary, Gen};
 use types::WeightVersion;
 use weights::{
-    EngineState, Order, OrderKind, OrderOutcome, Reconcile, ReconcileSettings, Target, Turns,
+    EngineState, LoadDelays, Order, OrderKind, OrderOutcome, ReconcileSettings, Reconciler, Target,
 };
 
 fn at(epoch: u32, version: u64) -> WeightVersion {
@@ -98,7 +98,7 @@
 }
 
 struct World {
-    agent: Reconcile,
+    agent: Reconciler,
     engine: Engine,
     target: Target,
     now_ms: u64,
@@ -109,7 +109,7 @@
     fn new(checks_fence: bool) -> Self {
         let target = Target::serve(at(1, 1));
         let mut world = Self {
-            agent: Reconcile::new(ReconcileSettings::default()),
+            agent: Reconciler::new(ReconcileSettings::default()),
             engine: Engine::new(target.serve, checks_fence),
             target,
             now_ms: 0,
@@ -120,7 +120,8 @@
     }
 
     fn want(&mut self) {
-        self.agent.want(self.target, Turns::default(), self.now_ms);
+        self.agent
+            .set_target(self.target, LoadDelays::default(), self.now_ms);
     }
 
     fn announce(&mut self, version: WeightVersion) {
@@ -166,7 +167,7 @@
             }
             Event::EngineCrash => self.engine.crash(),
             Event::AgentRestart => {
-                self.agent = Reconcile::new(ReconcileSettings::default());
+                self.agent = Reconciler::new(ReconcileSettings::default());
                 self.want();
             }
             Event::Frozen => self.now_ms += 600_000,
@@ -213,7 +214,7 @@
             _ => self.engine.obey(order.kind, order.fence),
         };
         self.now_ms += 5;
-        self.agent.ended(order.id, outcome, self.now_ms, 500);
+        self.agent.finish_order(order.id, outcome, self.now_ms, 500);
     }
 }
 
@@ -301,15 +302,17 @@
             break order;
         }
         let outcome = world.engine.obey(order.kind, order.fence);
-        world.agent.ended(order.id, outcome, world.now_ms, 500);
+        world
+            .agent
+            .finish_order(order.id, outcome, world.now_ms, 500);
     };
     world.now_ms += 60_000;
     let second = world.order().unwrap();
     assert_ne!(first.id, second.id);
     world
         .agent
-        .ended(first.id, OrderOutcome::Failed, world.now_ms, 500);
-    assert!(world.agent.status(world.now_ms).ordering);
+        .finish_order(first.id, OrderOutcome::Failed, world.now_ms, 500);
+    assert!(world.agent.status(world.now_ms).order_in_flight);
 }
 
 #[test]
@@ -320,7 +323,7 @@
     world.engine = Engine::new(at(2, 1), false);
     (0..6).for_each(|_| world.exchange(&Event::Obeyed));
     assert_eq!(world.engine.state.version, Some(at(2, 1)));
-    assert!(world.agent.status(world.now_ms).news_missing);
+    assert!(world.agent.status(world.now_ms).target_outdated);
 }
 
 #[test]
@@ -343,11 +346,11 @@
     (0..2).for_each(|_| world.exchange(&Event::Obeyed));
     let began_ms = world.now_ms;
     world.target = Target::serve(at(1, 2));
-    let turns = Turns {
+    let turns = LoadDelays {
         serve_ms: 30_000,
-        ahead_ms: 0,
+        preload_ms: 0,
     };
-    world.agent.want(world.target, turns, began_ms);
+    world.agent.set_target(world.target, turns, began_ms);
     while world.engine.state.version != Some(at(1, 2)) {
         assert!(world.agent.status(world.now_ms).too_old);
         world.exchange(&Event::Obeyed);
@@ -369,11 +372,11 @@
         serve: old,
         load: next,
     };
-    let turns = Turns {
+    let turns = LoadDelays {
         serve_ms: 0,
-        ahead_ms: 30_000,
+        preload_ms: 30_000,
     };
-    world.agent.want(world.target, turns, began_ms);
+    world.agent.set_target(world.target, turns, began_ms);
     while !world.engine.state.holds(next) {
         world.exchange(&Event::Obeyed);
     }
@@ -397,12 +400,12 @@
     let mut world = World::new(true);
     (0..3).for_each(|_| world.exchange(&Event::Obeyed));
     let (old, next) = (at(1, 1), at(1, 2));
-    let turns = Turns {
+    let turns = LoadDelays {
         serve_ms: 0,
-        ahead_ms: 30_000,
+        preload_ms: 30_000,
     };
     let began_ms = world.now_ms;
-    world.agent.want(
+    world.agent.set_target(
         Target {
             serve: old,
             load: next,
@@ -411,7 +414,7 @@
         began_ms,
     );
     world.target = Target::serve(next);
-    world.agent.want(world.target, turns, began_ms);
+    world.agent.set_target(world.target, turns, began_ms);
     while world.engine.state.version != Some(next) {
         world.exchange(&Event::Obeyed);
     }
@@ -449,7 +452,9 @@
             kind if kind == switch => OrderOutcome::Unknown,
             kind => world.engine.obey(kind, order.fence),
         };
-        world.agent.ended(order.id, outcome, world.now_ms, 500);
+        world
+            .agent
+            .finish_order(order.id, outcome, world.now_ms, 500);
     }
     world.apply(&Event::Announce);
     (0..20).for_each(|_| world.exchange(&Event::Obeyed));
--- a/dev/proof/tests/traces.rs
+++ b/dev/proof/tests/traces.rs
@@ -171,7 +171,7 @@
         "connect-failed" => return AttemptEvent::ConnectFailed,
         "written" => return AttemptEvent::Written,
         "lost" => return AttemptEvent::LinkLost,
-        "time" => return AttemptEvent::Time { withdrawn: false },
+        "time" => return AttemptEvent::Timer { withdrawn: false },
         "accepted" => Frame::Accepted { id },
         "started" => Frame::Started { id },
         "head" => Frame::Head {
@@ -207,7 +207,7 @@
         for line in trace.all("at") {
             let (now_ms, rest) = numbered(line);
             let words: Vec<&str> = rest.split(' ').collect();
-            call.on(call_event(&words), now_ms, &mut actions);
+            call.handle(call_event(&words), now_ms, &mut actions);
         }
         let ends: Vec<String> = actions
             .iter()
