--- a/components/recovery/src/attempt.rs
+++ b/components/recovery/src/attempt.rs
@@ -1,17 +1,17 @@
-//! Caller side of one call, over as many connections as it takes.
+//! Caller side of one call, which may span several connections.
 //!
-//! The machine says [`RunState::NotRun`] in two cases only:
+//! The state machine reports [`RunState::NotRun`] in two cases only:
 //!
-//! * The callee refused the call and never said that it had started it.
-//! * No connection ever took the whole `Open` frame. Nothing of it, or a part only, left
-//!   this process, and the connection was closed before the rest could follow. A callee
-//!   acts on a frame only when its length and its authentication code are complete, so a
-//!   part that still arrives later does nothing.
+//! * The callee refused the call and never reported that it had started it.
+//! * The `Open` frame was never written completely to any connection: at most a part of the
+//!   frame left this process before the connection was closed. A callee acts on a frame only
+//!   when its length and its authentication code are complete, so a partial frame has no
+//!   effect even if it arrives later.
 //!
-//! When the callee does not know the call although the `Open` was written whole, the frame
-//! was lost on its way: the callee is the same life that the frame was sent to, and it
-//! closed the connection that the frame could still come on when it greeted the new one.
-//! The `Open` may then be written again.
+//! If the callee does not know a call whose `Open` was written completely, the frame was lost
+//! in transit: the callee has not restarted since the frame was sent, and it closed the older
+//! connection, on which the frame could still have arrived, when it greeted the new
+//! connection. The `Open` may then be written again.
 
 use protocol::Frame;
 use types::{CallId, Cause, Failure, RunState};
@@ -21,39 +21,39 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Phase {
-    /// No living connection has any byte of the call.
+    /// No open connection has received any byte of the call.
     Waiting,
-    /// The current connection's writer has the `Open`; how much of it left is not known.
+    /// The connection's writer has the `Open`; how many of its bytes were sent is unknown.
     Queued,
-    /// Written whole.
+    /// The `Open` was written completely.
     Sent,
     Accepted,
     Started,
-    /// Parts of the answer are here.
-    Answering,
+    /// Parts of the response were received.
+    Responding,
     Ended,
 }
 
-/// One call, as its caller sees it.
+/// State machine of one call on the caller's side.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     id: CallId,
     phase: Phase,
     deadline_at_ms: u64,
     reattach_for_ms: u64,
-    /// Life of the callee that the `Open` was written to.
+    /// Boot number of the callee that the `Open` was written to.
     life: Option<u64>,
     connected: bool,
     lost_at_ms: Option<u64>,
-    /// An `Attach` is on its way on this connection and has had no answer.
+    /// An `Attach` was sent on this connection and has not been answered.
     attach_pending: bool,
     next_part: u32,
     body_bytes: u64,
 }
 
 impl Attempt {
-    /// A call that has `deadline_left_ms` from now on and, after a lost connection, waits
-    /// `reattach_for_ms` for another one.
+    /// Creates a call whose deadline is `deadline_left_ms` from now. After its connection is
+    /// lost, the call waits up to `reattach_for_ms` for another connection before it fails.
     pub fn new(id: CallId, now_ms: u64, deadline_left_ms: u32, reattach_for_ms: u64) -> Self {
         Self {
             id,
@@ -69,47 +69,48 @@
         }
     }
 
-    /// Whether the call has had its last event.
+    /// Whether the caller received the last event of the call.
     pub fn is_ended(&self) -> bool {
         self.phase == Phase::Ended
     }
 
-    /// Whether the writer has the `Open` and has not said yet that it wrote it.
+    /// Whether the `Open` was passed to the connection's writer, which has not reported the
+    /// result yet.
     pub fn is_queued(&self) -> bool {
         self.phase == Phase::Queued
     }
 
-    /// First part of the answer that is not here.
+    /// Number of the first part of the response that was not received yet.
     pub fn next_part(&self) -> u32 {
         self.next_part
     }
 
-    /// When [`AttemptEvent::Timer`] is due.
+    /// Time at which the driver must pass [`AttemptEvent::Timer`].
     pub fn wake_at_ms(&self) -> u64 {
         let lost = self.lost_at_ms.map(|at_ms| at_ms + self.reattach_for_ms);
         lost.map_or(self.deadline_at_ms, |at_ms| at_ms.min(self.deadline_at_ms))
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Processes one event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, event: AttemptEvent, now_ms: u64, actions: &mut Vec<AttemptAction>) {
         if self.is_ended() {
             return;
         }
         match event {
-            AttemptEvent::Connected { life } => self.connected(life, now_ms, actions),
-            AttemptEvent::ConnectFailed => self.connect_failed(actions),
-            AttemptEvent::Written => self.written(),
-            AttemptEvent::WriteFailed => self.write_failed(now_ms),
-            AttemptEvent::LinkLost => self.link_lost(now_ms),
-            AttemptEvent::Frame(frame) => self.frame(frame, now_ms, actions),
-            AttemptEvent::Timer { withdrawn } => self.time(withdrawn, now_ms, actions),
+            AttemptEvent::Connected { life } => self.on_connected(life, now_ms, actions),
+            AttemptEvent::ConnectFailed => self.on_connect_failed(actions),
+            AttemptEvent::Written => self.mark_written(),
+            AttemptEvent::WriteFailed => self.on_write_failed(now_ms),
+            AttemptEvent::LinkLost => self.on_link_lost(now_ms),
+            AttemptEvent::Frame(frame) => self.on_frame(frame, now_ms, actions),
+            AttemptEvent::Timer { withdrawn } => self.on_timer(withdrawn, now_ms, actions),
             AttemptEvent::Cancel { withdrawn } => {
-                self.give_up(withdrawn, Cause::Cancelled, actions);
+                self.abandon(withdrawn, Cause::Cancelled, actions);
             }
         }
     }
 
-    fn connected(&mut self, life: u64, now_ms: u64, actions: &mut Vec<AttemptAction>) {
+    fn on_connected(&mut self, life: u64, now_ms: u64, actions: &mut Vec<AttemptAction>) {
         self.connected = true;
         self.lost_at_ms = None;
         if self.phase == Phase::Waiting {
@@ -119,36 +120,36 @@
             self.attach_pending = true;
             self.send_attach(actions);
         } else {
-            // The life that had the call is gone with all it knew. Its endpoint may still
-            // run the call, so nothing better than "unknown" is true.
+            // The callee restarted and lost its record of the call. The endpoint may still
+            // run the call, so the outcome is unknown.
             self.fail(RunState::Unknown, Cause::LinkLost, actions);
         }
     }
 
-    fn connect_failed(&mut self, actions: &mut Vec<AttemptAction>) {
+    fn on_connect_failed(&mut self, actions: &mut Vec<AttemptAction>) {
         if self.phase == Phase::Waiting {
             self.fail(RunState::NotRun, Cause::LinkLost, actions);
         }
     }
 
-    fn written(&mut self) {
+    fn mark_written(&mut self) {
         if self.phase == Phase::Queued {
             self.phase = Phase::Sent;
         }
     }
 
-    fn write_failed(&mut self, now_ms: u64) {
+    fn on_write_failed(&mut self, now_ms: u64) {
         if self.phase == Phase::Queued {
             self.phase = Phase::Waiting;
             self.connected = false;
         } else {
-            self.link_lost(now_ms);
+            self.on_link_lost(now_ms);
         }
     }
 
-    fn link_lost(&mut self, now_ms: u64) {
-        // Without word of the write the worst is assumed.
-        self.written();
+    fn on_link_lost(&mut self, now_ms: u64) {
+        // If the writer reported no result, the `Open` may have reached the callee.
+        self.mark_written();
         self.connected = false;
         self.attach_pending = false;
         if self.phase != Phase::Waiting {
@@ -156,17 +157,17 @@
         }
     }
 
-    fn time(&mut self, withdrawn: bool, now_ms: u64, actions: &mut Vec<AttemptAction>) {
+    fn on_timer(&mut self, withdrawn: bool, now_ms: u64, actions: &mut Vec<AttemptAction>) {
         if now_ms >= self.deadline_at_ms {
-            self.give_up(withdrawn, Cause::DeadlinePassed, actions);
+            self.abandon(withdrawn, Cause::DeadlinePassed, actions);
         } else if now_ms >= self.wake_at_ms() {
             self.fail(RunState::Unknown, Cause::LinkLost, actions);
         }
     }
 
-    fn give_up(&mut self, withdrawn: bool, cause: Cause, actions: &mut Vec<AttemptAction>) {
-        let never_left = self.phase == Phase::Waiting || (self.is_queued() && withdrawn);
-        if never_left {
+    fn abandon(&mut self, withdrawn: bool, cause: Cause, actions: &mut Vec<AttemptAction>) {
+        let was_not_sent = self.phase == Phase::Waiting || (self.is_queued() && withdrawn);
+        if was_not_sent {
             self.fail(RunState::NotRun, cause, actions);
             return;
         }
@@ -176,29 +177,30 @@
         self.fail(RunState::Unknown, cause, actions);
     }
 
-    fn frame(&mut self, frame: Frame, now_ms: u64, actions: &mut Vec<AttemptAction>) {
+    fn on_frame(&mut self, frame: Frame, now_ms: u64, actions: &mut Vec<AttemptAction>) {
         if !self.connected || frame.id() != Some(self.id) {
             return;
         }
-        // An answer proves that the whole `Open` arrived, before the writer says so.
+        // Any reply except `Unattached` proves that the callee received the whole `Open`, even
+        // if the writer has not reported the write yet.
         if !matches!(frame, Frame::Unattached { .. }) {
-            self.written();
+            self.mark_written();
         }
         match frame {
             Frame::Accepted { .. } => {
                 self.advance(Phase::Accepted, CallEvent::Accepted, actions);
             }
             Frame::Started { .. } => self.advance(Phase::Started, CallEvent::Started, actions),
-            Frame::Head { head, .. } => self.part(0, CallEvent::Head(head), 0, actions),
+            Frame::Head { head, .. } => self.on_part(0, CallEvent::Head(head), 0, actions),
             Frame::Chunk { part, bytes, .. } if part > 0 => {
                 let size_bytes = bytes.len() as u64;
-                self.part(part, CallEvent::Chunk(bytes), size_bytes, actions);
+                self.on_part(part, CallEvent::Chunk(bytes), size_bytes, actions);
             }
             Frame::End {
                 parts, body_bytes, ..
-            } => self.end(parts, body_bytes, actions),
-            Frame::Fail { failure, .. } => self.refused(failure, actions),
-            Frame::Unattached { .. } => self.unattached(now_ms, actions),
+            } => self.on_end(parts, body_bytes, actions),
+            Frame::Fail { failure, .. } => self.on_refused(failure, actions),
+            Frame::Unattached { .. } => self.on_unattached(now_ms, actions),
             _ => {}
         }
     }
@@ -210,7 +212,7 @@
         }
     }
 
-    fn part(
+    fn on_part(
         &mut self,
         number: u32,
         event: CallEvent,
@@ -221,27 +223,27 @@
             return;
         }
         if number > self.next_part {
-            self.ask_again(actions);
+            self.request_missing_parts(actions);
             return;
         }
         self.advance(Phase::Started, CallEvent::Started, actions);
-        self.phase = Phase::Answering;
+        self.phase = Phase::Responding;
         self.attach_pending = false;
         self.next_part += 1;
         self.body_bytes += size_bytes;
         actions.push(AttemptAction::Deliver(event));
     }
 
-    fn end(&mut self, parts: u32, body_bytes: u64, actions: &mut Vec<AttemptAction>) {
+    fn on_end(&mut self, parts: u32, body_bytes: u64, actions: &mut Vec<AttemptAction>) {
         if parts > self.next_part {
-            self.ask_again(actions);
+            self.request_missing_parts(actions);
             return;
         }
         actions.push(AttemptAction::Send(Frame::Forget { id: self.id }));
-        // A stream may close properly after its source died in the middle: only matching
-        // counts make the answer whole. A shorter one must be an error to the caller.
-        let whole = parts > 0 && parts == self.next_part && body_bytes == self.body_bytes;
-        if whole {
+        // A stream may be closed cleanly although its source died half-way, so the response is
+        // complete only if both counts match. The caller must get an error for a shorter one.
+        let complete = parts > 0 && parts == self.next_part && body_bytes == self.body_bytes;
+        if complete {
             self.phase = Phase::Ended;
             actions.push(AttemptAction::Deliver(CallEvent::End));
         } else {
@@ -249,10 +251,10 @@
         }
     }
 
-    fn refused(&mut self, failure: Failure, actions: &mut Vec<AttemptAction>) {
+    fn on_refused(&mut self, failure: Failure, actions: &mut Vec<AttemptAction>) {
         actions.push(AttemptAction::Send(Frame::Forget { id: self.id }));
-        let contradicts = failure.run == RunState::NotRun && self.phase >= Phase::Started;
-        let run = if contradicts {
+        let contradicts_start = failure.run == RunState::NotRun && self.phase >= Phase::Started;
+        let run = if contradicts_start {
             RunState::Unknown
         } else {
             failure.run
@@ -260,9 +262,9 @@
         self.end_with(Failure { run, ..failure }, actions);
     }
 
-    fn unattached(&mut self, now_ms: u64, actions: &mut Vec<AttemptAction>) {
-        // Only the first answer to an `Attach` counts: a doubled one must not take back
-        // the `Open` that was written since.
+    fn on_unattached(&mut self, now_ms: u64, actions: &mut Vec<AttemptAction>) {
+        // Only the first reply to an `Attach` counts. A duplicate must not cause the `Open`,
+        // which was written again after the first reply, to be sent another time.
         if !std::mem::take(&mut self.attach_pending) {
             return;
         }
@@ -273,8 +275,8 @@
         }
     }
 
-    /// Asks once for the parts from the first missing one on.
-    fn ask_again(&mut self, actions: &mut Vec<AttemptAction>) {
+    /// Requests the parts from the first missing one on, unless a request is pending.
+    fn request_missing_parts(&mut self, actions: &mut Vec<AttemptAction>) {
         if !self.attach_pending {
             self.attach_pending = true;
             self.send_attach(actions);
--- a/components/recovery/src/attempt_event.rs
+++ b/components/recovery/src/attempt_event.rs
@@ -1,50 +1,51 @@
-//! What goes into the caller's state machine of a call, and what comes out.
+//! Input events and output actions of [`crate::Attempt`].
 
 use derive::value;
 use protocol::Frame;
 
 use crate::CallEvent;
 
-/// What happens to a call.
+/// Event that the driver passes to [`crate::Attempt::handle`].
 #[value]
 pub enum AttemptEvent {
-    /// A connection is there; `life` is the boot number in the callee's greeting.
+    /// A connection to the callee was established.
     Connected {
-        /// Which life of the callee answered.
+        /// Boot number in the callee's greeting; changes when the callee restarts.
         life: u64,
     },
-    /// No connection could be made.
+    /// The attempt to connect failed.
     ConnectFailed,
-    /// The `Open` was handed to the network whole.
+    /// The whole `Open` was written to the socket.
     Written,
-    /// The connection is closed, and not the whole `Open` had been handed to the network.
+    /// The connection was closed before the whole `Open` was written to the socket.
     WriteFailed,
-    /// The connection is closed or has missed its deadline and was closed.
+    /// The connection was closed, by the peer or because the peer did not answer a ping in
+    /// time.
     LinkLost,
-    /// A frame of the current connection.
+    /// A frame was received on the current connection.
     Frame(Frame),
-    /// The time of [`crate::Attempt::wake_at_ms`] has come.
+    /// The time given by [`crate::Attempt::wake_at_ms`] was reached.
     Timer {
-        /// The `Open` was taken back before its first byte left.
+        /// The `Open` was removed from the write queue before its first byte was written.
         withdrawn: bool,
     },
-    /// Nobody wants the answer any more.
+    /// The caller no longer needs the response.
     Cancel {
-        /// The `Open` was taken back before its first byte left.
+        /// The `Open` was removed from the write queue before its first byte was written.
         withdrawn: bool,
     },
 }
 
-/// What is to be done for a call.
+/// Action that the driver must carry out for a call.
 #[value]
 pub enum AttemptAction {
-    /// Write the `Open` frame, with this time left.
+    /// Write the `Open` frame.
     SendOpen {
-        /// Time left until the deadline, in milliseconds.
+        /// Value of the frame's `deadline_left_ms`: time left until the call's deadline.
         deadline_left_ms: u32,
     },
-    /// Write this frame.
+    /// Write this frame on the current connection.
     Send(Frame),
-    /// Tell the caller.
+    /// Pass the event to the caller.
     Deliver(CallEvent),
 }
--- a/components/recovery/src/backoff.rs
+++ b/components/recovery/src/backoff.rs
@@ -1,13 +1,14 @@
-//! Time between attempts to connect.
+//! Delay between attempts to connect.
 
-const FIRST_MS: u64 = 20;
-const LONGEST_MS: u64 = 1_000;
+const FIRST_DELAY_MS: u64 = 20;
+const DELAY_MS_MAX: u64 = 1_000;
 
-/// Pause before the next attempt after `failures` failed ones: doubles up to a second,
-/// spread by `random` over its upper half so that many callers do not come back at once.
+/// Delay before the next attempt to connect after `failures` consecutive failures.
+/// The delay doubles with each failure, up to a second. `random` adds jitter over the upper
+/// half of the delay, so that many callers do not reconnect at the same time.
 pub fn reconnect_after_ms(failures: u32, random: u64) -> u64 {
     let doublings = failures.saturating_sub(1).min(16);
-    let full_ms = (FIRST_MS << doublings).min(LONGEST_MS);
+    let full_ms = (FIRST_DELAY_MS << doublings).min(DELAY_MS_MAX);
     let half_ms = full_ms / 2;
     half_ms + random % (full_ms - half_ms + 1)
 }
--- a/components/recovery/src/event.rs
+++ b/components/recovery/src/event.rs
@@ -1,29 +1,30 @@
-//! What the caller of a call learns.
+//! Events of a call that are delivered to its caller.
 
 use bytes::Bytes;
 use derive::value;
 use protocol::Head;
 use types::Failure;
 
-/// What the caller of a call learns, in order; parts are never doubled and never missing.
+/// Event of a call, delivered to the caller in this order. Parts of the response are
+/// delivered without duplicates and without gaps.
 #[value]
 pub enum CallEvent {
-    /// The callee has taken the call in.
+    /// The callee accepted the call.
     Accepted,
-    /// The callee hands the call to its endpoint; from here on it may have run.
+    /// The callee passes the call to its endpoint; from now on the call may have run.
     Started,
-    /// Status and headers of the answer.
+    /// Status and headers of the response.
     Head(Head),
-    /// The next bytes of the answer.
+    /// The next bytes of the response's body.
     Chunk(Bytes),
-    /// The answer is whole. Last event.
+    /// The response is complete. Last event.
     End,
-    /// There is no whole answer. Last event.
+    /// The call failed without a complete response. Last event.
     Failed(Failure),
 }
 
 impl CallEvent {
-    /// Whether nothing comes after it.
+    /// Whether no event follows this one.
     pub fn is_last(&self) -> bool {
         matches!(self, CallEvent::End | CallEvent::Failed(_))
     }
--- a/components/recovery/src/lib.rs
+++ b/components/recovery/src/lib.rs
@@ -1,12 +1,13 @@
-//! What to do about lost connections, late and doubled frames, and failed attempts. Pure
-//! state machines: events and the time go in, actions come out. No socket, no clock, no
-//! random source.
+//! Recovery of calls from lost connections, late and duplicate frames, and failed attempts.
+//!
+//! The state machines do no I/O: they take events and the current time and return actions.
+//! They use no socket, no clock and no random source, so tests can run every order of events.
 
 mod attempt;
 mod attempt_event;
 mod backoff;
 mod event;
-mod forgotten;
+mod removed_calls;
 mod retry;
 mod served;
 mod shares;
--- a/components/recovery/src/retry.rs
+++ b/components/recovery/src/retry.rs
@@ -1,7 +1,8 @@
-//! The one place that decides whether a failed attempt is tried again.
+//! Decides whether a failed attempt is retried.
 //!
-//! No adapter, client or layer repeats anything by itself: two layers that retry turn one
-//! outage into a storm and run a call twice that may run once.
+//! This is the only place that decides on retries; no adapter, client or other layer retries
+//! by itself. Two layers that both retry multiply the load during an outage (a retry storm),
+//! and may run a call twice that must run at most once.
 
 use std::net::SocketAddr;
 
@@ -11,12 +12,12 @@
 /// Limits of retries.
 #[derive(Clone, Copy, Debug)]
 pub struct RetrySettings {
-    /// Most attempts for one request, the first one included.
+    /// Maximum number of attempts for one request, including the first.
     pub attempts_max: u32,
-    /// Pause before the second attempt when the first may have run, in milliseconds;
-    /// doubles with each further one.
+    /// Delay before the second attempt if the first may have run, in milliseconds. Doubles
+    /// with each further attempt.
     pub first_backoff_ms: u64,
-    /// Time that must be left for an attempt to make sense, in milliseconds.
+    /// Time that must be left until the deadline when an attempt starts, in milliseconds.
     pub attempt_ms_min: u64,
 }
 
@@ -30,73 +31,76 @@
     }
 }
 
-/// What the caller has of the answer.
+/// Content of the response that the caller has received.
 #[key]
 pub enum Delivered {
-    /// Nothing.
+    /// No content, so another attempt can start from the beginning.
     Nothing,
-    /// Tokens of a completion, which another engine can go on from.
+    /// Tokens of a completion, which another engine can continue.
     Tokens,
-    /// Bytes that no other endpoint can go on from.
+    /// Bytes of a response that no other endpoint can continue.
     Bytes,
 }
 
-/// An attempt that failed.
+/// An attempt that failed, and the state of its request.
 #[derive(Clone, Copy, Debug)]
 pub struct FailedAttempt<'a> {
-    /// How it failed.
+    /// Failure of this attempt.
     pub failure: Failure,
     /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// What the caller has of the answer, from all attempts.
+    /// Content that the caller has received from all attempts so far.
     pub delivered: Delivered,
-    /// Endpoints tried so far, this one included, one an attempt.
+    /// Endpoint of each attempt so far, including this one.
     pub endpoints: &'a [SocketAddr],
     /// Time until the caller's deadline, in milliseconds.
     pub deadline_left_ms: u64,
 }
 
-/// Where the next attempt begins.
+/// Position in the response at which the next attempt starts.
 #[key]
 pub enum Resume {
-    /// At the beginning.
+    /// At the beginning of the response.
     FromStart,
-    /// After the tokens that the caller has.
+    /// After the tokens that the caller has received.
     FromTokens,
 }
 
-/// What becomes of the request.
+/// Decision on a request whose attempt failed.
 #[value]
 pub enum RetryDecision {
-    /// Try it once more.
+    /// Send another attempt.
     Retry {
-        /// Pause before it, in milliseconds.
+        /// Delay before the next attempt, in milliseconds.
         after_ms: u64,
-        /// Endpoints not to be taken, unless there is no other.
+        /// Endpoints that were already used; they are chosen only if there is no other.
         exclude: Vec<SocketAddr>,
-        /// Where it begins.
+        /// Position at which the next attempt starts.
         resume: Resume,
     },
-    /// The caller gets this.
+    /// The request has failed; the caller receives this failure.
     Final(Failure),
 }
 
-/// Decides on a failed attempt. `budget` takes one retry out of the customer's budget and
-/// is asked last, only for a retry that would be made. `random` spreads the pause.
+/// Decides whether a failed attempt is retried.
+///
+/// `budget` takes one retry from the customer's retry budget and returns whether one was left.
+/// It is called last, and only if all other conditions allow the retry. `random` adds jitter
+/// to the delay.
 pub fn decide_retry(
     settings: &RetrySettings,
-    tried: &FailedAttempt<'_>,
+    attempt: &FailedAttempt<'_>,
     random: u64,
     budget: impl FnOnce() -> bool,
 ) -> RetryDecision {
-    let failure = honest(tried);
-    let attempts = u32::try_from(tried.endpoints.len()).unwrap_or(u32::MAX);
+    let failure = consistent_failure(attempt);
+    let attempts = u32::try_from(attempt.endpoints.len()).unwrap_or(u32::MAX);
     let after_ms = backoff_ms(settings, failure.run, attempts, random);
-    let allowed = may_run_again(tried.idempotent, failure.run)
-        && may_help(failure.cause)
-        && tried.delivered != Delivered::Bytes
+    let allowed = may_run_again(attempt.idempotent, failure.run)
+        && is_retriable(failure.cause)
+        && attempt.delivered != Delivered::Bytes
         && attempts < settings.attempts_max
-        && after_ms + settings.attempt_ms_min <= tried.deadline_left_ms;
+        && after_ms + settings.attempt_ms_min <= attempt.deadline_left_ms;
     if !allowed {
         return RetryDecision::Final(failure);
     }
@@ -104,11 +108,11 @@
         let cause = Cause::BudgetSpent;
         return RetryDecision::Final(Failure { cause, ..failure });
     }
-    let resume = match tried.delivered {
+    let resume = match attempt.delivered {
         Delivered::Tokens => Resume::FromTokens,
         Delivered::Nothing | Delivered::Bytes => Resume::FromStart,
     };
-    let exclude = tried.endpoints.to_vec();
+    let exclude = attempt.endpoints.to_vec();
     RetryDecision::Retry {
         after_ms,
         exclude,
@@ -116,10 +120,11 @@
     }
 }
 
-/// A request of which part of an answer came cannot be "not run".
-fn honest(tried: &FailedAttempt<'_>) -> Failure {
-    let failure = tried.failure;
-    if failure.run == RunState::NotRun && tried.delivered != Delivered::Nothing {
+/// The attempt's failure, with `NotRun` replaced by `Failed` if the caller has received a part
+/// of the response.
+fn consistent_failure(attempt: &FailedAttempt<'_>) -> Failure {
+    let failure = attempt.failure;
+    if failure.run == RunState::NotRun && attempt.delivered != Delivered::Nothing {
         return Failure {
             run: RunState::Failed,
             ..failure
@@ -132,8 +137,8 @@
     idempotent || run == RunState::NotRun
 }
 
-/// Whether another attempt can end otherwise.
-fn may_help(cause: Cause) -> bool {
+/// Whether another attempt can succeed after a failure with this cause.
+fn is_retriable(cause: Cause) -> bool {
     match cause {
         Cause::QueueFull
         | Cause::Leaving
@@ -161,8 +166,8 @@
     }
 }
 
-/// A refused call goes to another endpoint at once. One that may have run met a fault, and
-/// waits a little so that an outage is not answered with a storm.
+/// Delay before the next attempt. A call that did not run is sent to another endpoint at once.
+/// After any other failure the retry is delayed, so that an outage does not cause a retry storm.
 fn backoff_ms(settings: &RetrySettings, run: RunState, attempts: u32, random: u64) -> u64 {
     if run == RunState::NotRun {
         return 0;
--- a/components/recovery/src/silence.rs
+++ b/components/recovery/src/silence.rs
@@ -1,74 +1,77 @@
-//! Finds out that a connection has gone silent for good.
+//! Detects connections whose peer no longer responds.
 //!
-//! Something between the two ends may lose track of an open connection: writes succeed,
-//! nothing arrives, and TCP itself notices after many minutes only. A ping that stays
-//! without any sign of life is enough to close the connection, as its calls are taken up
-//! again on the next one. Without outstanding calls nothing is sent; the first call after
-//! a long silence is followed by a ping at once.
+//! A device between the two ends may drop its state of an open connection: writes succeed,
+//! no data arrives, and TCP reports the loss only after many minutes. If no byte arrives in
+//! time after a ping, the connection is closed. A single unanswered ping is enough, because
+//! the calls continue on the next connection. Without outstanding calls no ping is sent; the
+//! first call after a long silence is followed by a ping at once.
 
 use derive::key;
 
-/// Watches one connection.
+/// Ping state of one connection.
 #[derive(Clone, Debug)]
 pub struct SilenceDetector {
     ping_after_ms: u64,
     ping_deadline_ms: u64,
+    /// Time of the ping that is not answered yet.
     pinged_at_ms: Option<u64>,
-    number: u64,
+    ping_number: u64,
 }
 
-/// What is to be done about a connection.
+/// Action that the driver must carry out for a connection.
 #[key]
 pub enum SilenceAction {
-    /// Nothing outstanding, nothing to watch.
+    /// No call is outstanding, so the connection needs no check.
     Idle,
-    /// Look again then.
+    /// Check again later.
     CheckAt {
-        /// Time of the next look, in milliseconds.
+        /// Time of the next check, in milliseconds.
         at_ms: u64,
     },
-    /// Send a ping and look again.
+    /// Send a ping, and check again when the ping deadline has passed.
     Ping {
-        /// Number of the ping.
+        /// Number of the ping, counted from 1 for each connection.
         number: u64,
     },
-    /// The peer has missed its deadline: close the connection.
+    /// No byte arrived before the ping deadline: close the connection.
     Dead,
 }
 
 impl SilenceDetector {
-    /// Pings after `ping_after_ms` of silence and waits `ping_deadline_ms` for any byte.
+    /// Creates a detector that pings after `ping_after_ms` without data from the peer and then
+    /// waits up to `ping_deadline_ms` for any byte.
     pub fn new(ping_after_ms: u64, ping_deadline_ms: u64) -> Self {
         Self {
             ping_after_ms,
             ping_deadline_ms,
             pinged_at_ms: None,
-            number: 0,
+            ping_number: 0,
         }
     }
 
-    /// Looks at the connection. `heard_at_ms` is when the last byte came from the peer.
-    pub fn check(&mut self, outstanding: bool, heard_at_ms: u64, now_ms: u64) -> SilenceAction {
+    /// Checks the connection. `received_at_ms` is the time when the last byte arrived from the
+    /// peer; `outstanding` tells whether any call waits for the peer.
+    pub fn check(&mut self, outstanding: bool, received_at_ms: u64, now_ms: u64) -> SilenceAction {
         if !outstanding {
             self.pinged_at_ms = None;
             return SilenceAction::Idle;
         }
-        self.pinged_at_ms = self.pinged_at_ms.filter(|&at_ms| heard_at_ms < at_ms);
+        self.pinged_at_ms = self.pinged_at_ms.filter(|&at_ms| received_at_ms < at_ms);
         if let Some(pinged_at_ms) = self.pinged_at_ms {
-            return self.answer_due(pinged_at_ms, now_ms);
+            return self.check_ping_deadline(pinged_at_ms, now_ms);
         }
-        let ping_at_ms = heard_at_ms + self.ping_after_ms;
+        let ping_at_ms = received_at_ms + self.ping_after_ms;
         if now_ms < ping_at_ms {
             return SilenceAction::CheckAt { at_ms: ping_at_ms };
         }
         self.pinged_at_ms = Some(now_ms);
-        self.number += 1;
+        self.ping_number += 1;
         SilenceAction::Ping {
-            number: self.number,
+            number: self.ping_number,
         }
     }
 
-    fn answer_due(&self, pinged_at_ms: u64, now_ms: u64) -> SilenceAction {
+    fn check_ping_deadline(&self, pinged_at_ms: u64, now_ms: u64) -> SilenceAction {
         let at_ms = pinged_at_ms + self.ping_deadline_ms;
         if now_ms < at_ms {
             SilenceAction::CheckAt { at_ms }
--- a/components/recovery/src/table.rs
+++ b/components/recovery/src/table.rs
@@ -1,15 +1,17 @@
-//! Callee side: all calls of one life of a process.
+//! Callee side: all calls that a process has received since it started.
 //!
-//! A call runs once, however often its `Open` arrives. Its answer is kept until the caller
-//! says that it has it, or for a stated time, so that a caller whose connection died can
-//! take the call up again on another. A caller has one connection at a time: when a new
-//! one is greeted, the older one is closed and nothing that still comes on it counts. That
-//! is why "not known here" proves to the caller that the call never ran.
+//! A call runs at most once, however often its `Open` arrives. Its response is stored until
+//! the caller confirms that it received it, or until the retention time ends, so a caller that
+//! lost its connection can continue the call on another connection. A caller has one
+//! connection at a time: when a new connection is greeted, the older one is closed and frames
+//! that still arrive on it are ignored. Therefore the reply `Unattached` (call not known here)
+//! proves to the caller that the call never ran.
 //!
-//! Memory: `calls_max` calls; requests are refused as not run while requests and kept
-//! parts hold more than `held_bytes_max`, and those of one customer earlier, so that the
-//! others find room; each answer holds at most the send window,
-//! except those that run on without their caller, which are dropped beyond the bound.
+//! Memory: the table holds at most `calls_max` calls. While requests and stored parts exceed
+//! `held_bytes_max`, further requests are refused as not run; a customer that uses a large
+//! share is refused earlier, so that other customers' calls still fit. Each response stores at
+//! most the send window. A call that continues without its caller is not limited by the
+//! window; its parts are discarded when the table exceeds `held_bytes_max`.
 
 use std::collections::{HashMap, HashSet};
 
@@ -17,84 +19,87 @@
 use protocol::{Frame, Head, Open};
 use types::{CallId, Cause, Failure};
 
-use crate::forgotten::Forgotten;
-use crate::served::{Served, Stage, Wanted};
-use crate::shares::{Free, Shares};
+use crate::removed_calls::RemovedCalls;
+use crate::served::{Retention, ServedCall, Stage};
+use crate::shares::{FreeCapacity, Shares};
 use crate::table_action::TableAction;
 
-/// When a caller that was refused for want of room may come back, in milliseconds.
+/// Retry time given to a caller that was refused because the table is full.
 const FULL_RETRY_AFTER_MS: u32 = 1_000;
 
-/// Limits and times of a [`CallTable`].
+/// Limits and timeouts of a [`CallTable`].
 #[derive(Clone, Copy, Debug)]
 pub struct TableSettings {
-    /// How long an idempotent call runs on without its caller, in milliseconds.
+    /// How long a call may run while its caller is disconnected, in milliseconds. After that an
+    /// idempotent call is cancelled; any other call continues without its caller.
     pub grace_ms: u64,
-    /// How long an answer that nobody acknowledged is kept, in milliseconds.
+    /// How long the response of an ended call is stored if the caller does not confirm it, in
+    /// milliseconds.
     pub retention_ms: u64,
-    /// Most calls at a time, kept answers included.
+    /// Maximum number of calls at a time, including ended calls whose response is stored.
     pub calls_max: usize,
-    /// Bytes of requests and kept answers beyond which calls are refused.
+    /// Bytes of requests and stored responses above which calls are refused.
     pub held_bytes_max: usize,
 }
 
-/// All calls that a callee has taken and not forgotten.
+/// All calls that a callee has received and not removed.
 #[derive(Debug)]
 pub struct CallTable {
     settings: TableSettings,
-    calls: HashMap<CallId, Served>,
-    forgotten: Forgotten,
-    /// The caller of each connection.
+    calls: HashMap<CallId, ServedCall>,
+    removed: RemovedCalls,
+    /// Boot number of the caller, by connection.
     callers: HashMap<u64, u64>,
-    /// The one connection of each caller.
-    current: HashMap<u64, u64>,
+    /// Connection of each caller, by the caller's boot number.
+    connections: HashMap<u64, u64>,
     held_bytes: usize,
     shares: Shares,
-    leaving: bool,
+    draining: bool,
 }
 
 impl CallTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(settings: TableSettings) -> Self {
         Self {
             settings,
             calls: HashMap::new(),
-            forgotten: Forgotten::default(),
+            removed: RemovedCalls::default(),
             callers: HashMap::new(),
-            current: HashMap::new(),
+            connections: HashMap::new(),
             held_bytes: 0,
             shares: Shares::default(),
-            leaving: false,
+            draining: false,
         }
     }
 
-    /// Whether no call is held.
+    /// Whether the table holds no call, not even an ended one with a stored response.
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
     }
 
-    /// Calls that are held, kept answers included.
+    /// Number of calls, including ended calls whose response is stored.
     pub fn len(&self) -> usize {
         self.calls.len()
     }
 
-    /// Bytes of requests and kept answers that are held.
+    /// Bytes of all requests and stored responses.
     pub fn held_bytes(&self) -> usize {
         self.held_bytes
     }
 
-    /// Connections with calls that have not ended.
+    /// Connections that have calls which have not ended.
     pub fn active_connections(&self) -> HashSet<u64> {
         let running = self.calls.values().filter(|call| !call.is_ended());
         running.filter_map(|call| call.connection).collect()
     }
 
-    /// From now on new calls are refused.
+    /// Refuses new calls from now on; calls in progress continue.
     pub fn start_draining(&mut self) {
-        self.leaving = true;
+        self.draining = true;
     }
 
-    /// A connection was greeted; `boot` is the number of the caller's life.
+    /// Adds a connection whose greeting is complete. `boot` is the caller's boot number, which
+    /// changes when the caller restarts. An older connection of the same caller is closed.
     pub fn add_connection(
         &mut self,
         connection: u64,
@@ -103,22 +108,23 @@
         actions: &mut Vec<TableAction>,
     ) {
         self.callers.insert(connection, boot);
-        if let Some(older) = self.current.insert(boot, connection) {
+        if let Some(older) = self.connections.insert(boot, connection) {
             self.callers.remove(&older);
             self.mark_lost(older, now_ms);
             actions.push(TableAction::Close { connection: older });
         }
     }
 
-    /// A connection was closed.
+    /// Removes a closed connection; its calls wait for the caller's next connection.
     pub fn remove_connection(&mut self, connection: u64, now_ms: u64) {
         if let Some(boot) = self.callers.remove(&connection) {
-            self.current.remove(&boot);
+            self.connections.remove(&boot);
         }
         self.mark_lost(connection, now_ms);
     }
 
-    /// A frame came on `connection`; `arrived_at_ms` is when it was read.
+    /// Processes a frame that was received on `connection`. `arrived_at_ms` is the time when
+    /// the frame was read from the socket.
     pub fn handle_frame(
         &mut self,
         connection: u64,
@@ -131,40 +137,40 @@
             return;
         }
         match frame {
-            Frame::Open(open) => self.open(connection, open, arrived_at_ms, now_ms, actions),
+            Frame::Open(open) => self.open_call(connection, open, arrived_at_ms, now_ms, actions),
             Frame::Attach { id, next_part } => self.attach(connection, id, next_part, actions),
-            Frame::Received { id, next_part } => self.received(id, next_part, actions),
-            Frame::Forget { id } | Frame::Cancel { id } => self.give_up(id, actions),
+            Frame::Received { id, next_part } => self.acknowledge(id, next_part, actions),
+            Frame::Forget { id } | Frame::Cancel { id } => self.release(id, actions),
             _ => {}
         }
     }
 
-    /// The handler has taken the call in.
+    /// Records that the handler accepted the call.
     pub fn mark_accepted(&mut self, id: CallId, actions: &mut Vec<TableAction>) {
-        self.answer(id, actions, |call| call.advance(Stage::Accepted));
+        self.update_call(id, actions, |call| call.advance(Stage::Accepted));
     }
 
-    /// The handler hands the call to the endpoint.
+    /// Records that the handler passes the call to the endpoint.
     pub fn mark_started(&mut self, id: CallId, actions: &mut Vec<TableAction>) {
-        self.answer(id, actions, |call| call.advance(Stage::Started));
+        self.update_call(id, actions, |call| call.advance(Stage::Started));
     }
 
-    /// Status and headers of the answer.
+    /// Sends status and headers of the response.
     pub fn send_head(&mut self, id: CallId, head: Head, actions: &mut Vec<TableAction>) {
-        self.answer(id, actions, |call| call.head(head));
+        self.update_call(id, actions, |call| call.add_head(head));
     }
 
-    /// The next bytes of the answer.
+    /// Sends the next bytes of the response's body.
     pub fn send_chunk(&mut self, id: CallId, bytes: Bytes, actions: &mut Vec<TableAction>) {
-        self.answer(id, actions, |call| call.chunk(bytes));
+        self.update_call(id, actions, |call| call.add_chunk(bytes));
     }
 
-    /// The answer is whole.
+    /// Ends the call with a complete response.
     pub fn finish(&mut self, id: CallId, now_ms: u64, actions: &mut Vec<TableAction>) {
-        self.answer(id, actions, |call| call.end(now_ms));
+        self.update_call(id, actions, |call| call.finish(now_ms));
     }
 
-    /// There is no whole answer.
+    /// Ends the call without a complete response.
     pub fn fail(
         &mut self,
         id: CallId,
@@ -172,19 +178,19 @@
         now_ms: u64,
         actions: &mut Vec<TableAction>,
     ) {
-        self.answer(id, actions, |call| call.fail(failure, now_ms));
+        self.update_call(id, actions, |call| call.fail(failure, now_ms));
     }
 
-    /// The handler is gone; does nothing after an end.
+    /// Ends the call after its handler was dropped. Does nothing if the call has ended.
     pub fn abandon(&mut self, id: CallId, now_ms: u64, actions: &mut Vec<TableAction>) {
-        self.answer(id, actions, |call| call.abandon(now_ms));
+        self.update_call(id, actions, |call| call.abandon(now_ms));
     }
 
-    /// Looks at all times; wanted every 100 ms or so.
+    /// Applies the timeouts of all calls. To be called about every 100 ms.
     pub fn tick(&mut self, now_ms: u64, actions: &mut Vec<TableAction>) {
         let settings = self.settings;
         let mut expired = Vec::new();
-        let mut unwanted = Vec::new();
+        let mut to_cancel = Vec::new();
         for call in self.calls.values_mut() {
             if let Some(ended_at_ms) = call.ended_at_ms {
                 if now_ms >= ended_at_ms + settings.retention_ms {
@@ -192,29 +198,29 @@
                 }
                 continue;
             }
-            if call.wanted != Wanted::Yes {
+            if call.retention != Retention::Keep {
                 continue;
             }
-            let away = call
+            let grace_over = call
                 .lost_at_ms
                 .is_some_and(|at_ms| now_ms >= at_ms + settings.grace_ms);
-            if call.idempotent && (away || now_ms >= call.deadline_at_ms) {
-                unwanted.push(call.id);
-            } else if away {
-                call.wanted = Wanted::Unattended;
+            if call.idempotent && (grace_over || now_ms >= call.deadline_at_ms) {
+                to_cancel.push(call.id);
+            } else if grace_over {
+                call.retention = Retention::Bounded;
                 actions.push(TableAction::Unblock { id: call.id });
             }
         }
         for id in expired {
-            self.forgotten.expired(id);
+            self.removed.record_expiry(id);
             self.remove(id, actions);
         }
-        for id in unwanted {
-            self.unwant(id, actions);
+        for id in to_cancel {
+            self.cancel(id, actions);
         }
     }
 
-    fn open(
+    fn open_call(
         &mut self,
         connection: u64,
         open: Box<Open>,
@@ -229,7 +235,7 @@
             }
             return;
         }
-        if let Some(failure) = self.forgotten.recent(id) {
+        if let Some(failure) = self.removed.find_recent(id) {
             actions.push(TableAction::Send {
                 connection,
                 frame: Frame::Fail { id, failure },
@@ -238,30 +244,30 @@
         }
         let deadline_at_ms = arrived_at_ms + u64::from(open.deadline_left_ms);
         if let Some(failure) = self.refusal(&open, deadline_at_ms, now_ms) {
-            self.forgotten.refused(id, failure);
+            self.removed.record_refusal(id, failure);
             actions.push(TableAction::Send {
                 connection,
                 frame: Frame::Fail { id, failure },
             });
             return;
         }
-        let call = Served::new(&open, connection, deadline_at_ms);
+        let call = ServedCall::new(&open, connection, deadline_at_ms);
         self.held_bytes += call.held_bytes();
-        self.shares.take(&open.customer, open.body.len());
+        self.shares.add_call(&open.customer, open.body.len());
         self.calls.insert(id, call);
         actions.push(TableAction::Run { connection, open });
     }
 
     fn refusal(&self, open: &Open, deadline_at_ms: u64, now_ms: u64) -> Option<Failure> {
         let settings = self.settings;
-        let free = Free {
+        let free = FreeCapacity {
             calls: settings.calls_max.saturating_sub(self.calls.len()),
             bytes: settings.held_bytes_max.saturating_sub(self.held_bytes),
         };
         let full = !self.shares.fits(&open.customer, open.body.len(), free);
         if now_ms >= deadline_at_ms {
             Some(Failure::not_run(Cause::DeadlinePassed))
-        } else if self.leaving {
+        } else if self.draining {
             Some(Failure::not_run(Cause::Leaving))
         } else if full {
             Some(Failure::not_run(Cause::QueueFull).retry_after(FULL_RETRY_AFTER_MS))
@@ -281,18 +287,18 @@
         if let Some(call) = self.calls.get_mut(&id) {
             call.connection = Some(connection);
             call.lost_at_ms = None;
-            if call.wanted == Wanted::Unattended {
-                call.wanted = Wanted::Yes;
+            if call.retention == Retention::Bounded {
+                call.retention = Retention::Keep;
             }
             actions.extend(call.resend(next_part).into_iter().map(send));
-        } else if let Some(failure) = self.forgotten.find(id) {
+        } else if let Some(failure) = self.removed.find(id) {
             actions.push(send(Frame::Fail { id, failure }));
         } else {
             actions.push(send(Frame::Unattached { id }));
         }
     }
 
-    fn received(&mut self, id: CallId, next_part: u32, actions: &mut Vec<TableAction>) {
+    fn acknowledge(&mut self, id: CallId, next_part: u32, actions: &mut Vec<TableAction>) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
@@ -303,41 +309,41 @@
         }
     }
 
-    /// The caller has the final answer or wants none.
-    fn give_up(&mut self, id: CallId, actions: &mut Vec<TableAction>) {
+    /// Handles a caller that received the final response or no longer needs any.
+    fn release(&mut self, id: CallId, actions: &mut Vec<TableAction>) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
         if call.is_ended() {
-            self.forgotten.released(id);
+            self.removed.record_release(id);
             self.remove(id, actions);
-        } else if call.wanted != Wanted::No {
-            self.unwant(id, actions);
+        } else if call.retention != Retention::Discard {
+            self.cancel(id, actions);
         }
     }
 
-    fn unwant(&mut self, id: CallId, actions: &mut Vec<TableAction>) {
-        self.spill(id);
+    fn cancel(&mut self, id: CallId, actions: &mut Vec<TableAction>) {
+        self.discard_parts(id);
         if let Some(call) = self.calls.get_mut(&id) {
-            call.wanted = Wanted::No;
+            call.retention = Retention::Discard;
             actions.push(TableAction::Cancel { id });
         }
     }
 
-    fn spill(&mut self, id: CallId) {
+    fn discard_parts(&mut self, id: CallId) {
         if let Some(call) = self.calls.get_mut(&id) {
             let before_bytes = call.held_bytes();
-            call.spill();
+            call.discard_parts();
             self.held_bytes -= before_bytes - call.held_bytes();
         }
     }
 
-    /// Changes a call and sends what the change gives to its caller, if that is there.
-    fn answer(
+    /// Applies `change` to a call, and sends the resulting frame if the caller is connected.
+    fn update_call(
         &mut self,
         id: CallId,
         actions: &mut Vec<TableAction>,
-        change: impl FnOnce(&mut Served) -> Option<Frame>,
+        change: impl FnOnce(&mut ServedCall) -> Option<Frame>,
     ) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -348,19 +354,21 @@
         if let (Some(connection), Some(frame)) = (call.connection, frame) {
             actions.push(TableAction::Send { connection, frame });
         }
-        let (wanted, ended) = (call.wanted, call.is_ended());
-        if wanted == Wanted::No && ended {
-            self.forgotten.expired(id);
+        let (retention, ended) = (call.retention, call.is_ended());
+        if retention == Retention::Discard && ended {
+            self.removed.record_expiry(id);
             self.remove(id, actions);
-        } else if wanted == Wanted::Unattended && self.held_bytes > self.settings.held_bytes_max {
-            self.spill(id);
+        } else if retention == Retention::Bounded && self.held_bytes > self.settings.held_bytes_max
+        {
+            self.discard_parts(id);
         }
     }
 
     fn remove(&mut self, id: CallId, actions: &mut Vec<TableAction>) {
         if let Some(call) = self.calls.remove(&id) {
             self.held_bytes -= call.held_bytes();
-            self.shares.give_back(&call.customer, call.request_bytes());
+            self.shares
+                .remove_call(&call.customer, call.request_bytes());
             actions.push(TableAction::Drop { id });
         }
     }
--- a/components/recovery/src/table_action.rs
+++ b/components/recovery/src/table_action.rs
@@ -1,51 +1,52 @@
-//! What a callee has to do for its calls.
+//! Output actions of [`crate::CallTable`].
 
 use derive::value;
 use protocol::{Frame, Open};
 use types::CallId;
 
-/// What is to be done for the calls.
+/// Action that the driver of a [`crate::CallTable`] must carry out.
 #[value]
 pub enum TableAction {
-    /// Write the frame on this connection.
+    /// Write a frame to a connection.
     Send {
-        /// The connection.
+        /// Connection of the call's caller.
         connection: u64,
-        /// The frame.
+        /// Frame to write.
         frame: Frame,
     },
-    /// Close the connection; another one of the same caller took its place.
+    /// Close a connection, because the same caller opened a newer one.
     Close {
-        /// The connection.
+        /// The older connection.
         connection: u64,
     },
-    /// Hand the call to its handler.
+    /// Pass a new call to its handler.
     Run {
-        /// The connection that it came on.
+        /// Connection on which the call was received.
         connection: u64,
-        /// The call.
+        /// The call with its request.
         open: Box<Open>,
     },
-    /// The caller has taken parts: as many bytes more may be sent.
+    /// Enlarge the call's send window, because the caller acknowledged parts.
     Credit {
-        /// The call.
+        /// Call whose window grows.
         id: CallId,
-        /// Bytes, counted by [`crate::part_cost_bytes`].
+        /// Bytes by which the window grows, as counted by [`crate::part_cost_bytes`].
         bytes: usize,
     },
-    /// The caller stays away and the call runs on: it must not wait for the window.
+    /// Stop limiting the call by its send window, because the call continues without its
+    /// caller and nobody acknowledges parts.
     Unblock {
-        /// The call.
+        /// Call that continues.
         id: CallId,
     },
-    /// Nobody wants the answer: tell the handler.
+    /// Notify the handler that the response is no longer needed.
     Cancel {
-        /// The call.
+        /// Call to cancel.
         id: CallId,
     },
-    /// The call is dropped.
+    /// Free the resources of a call that was removed from the table.
     Drop {
-        /// The call.
+        /// The removed call.
         id: CallId,
     },
 }
