--- a/components/recovery/src/removed_calls.rs
+++ b/components/recovery/src/removed_calls.rs
@@ -10,9 +10,9 @@
 
 use types::{CallId, Cause, Failure, RunState};
 
-/// Refused or removed calls that are stored by id.
+/// Maximum number of calls in [`RemovedCalls::recent`].
 const RECENT_MAX: usize = 4_096;
-/// Callers whose highest removed call is stored.
+/// Maximum number of callers in [`RemovedCalls::expired_up_to`].
 const CALLERS_MAX: usize = 4_096;
 
 /// Failure sent to a caller that asks for a call whose response was discarded.
--- a/components/recovery/tests/attempt.rs
+++ b/components/recovery/tests/attempt.rs
@@ -1,5 +1,5 @@
-//! The caller's side of a call, step by step.
-#![allow(clippy::panic)] // The exemption of clippy.toml ends at helpers of tests.
+//! Caller side of a call: the outcome after each sequence of events.
+#![allow(clippy::panic)] // clippy.toml exempts only test functions, not their helpers.
 
 mod common;
 
@@ -11,12 +11,12 @@
 const DEADLINE_MS: u32 = 10_000;
 const REATTACH_FOR_MS: u64 = 1_000;
 
-/// The event that a word of a case stands for. The answer has a head, the chunks "a" and
-/// "bc", and an end.
-fn event(word: &str) -> AttemptEvent {
+/// The event with this name in a test case. The response consists of a head, the chunks "a"
+/// and "bc", and an end.
+fn event(name: &str) -> AttemptEvent {
     let id = ID;
     let failed = Failure::new(RunState::Failed, Cause::Internal);
-    let frame = match word {
+    let frame = match name {
         "connected" => return AttemptEvent::Connected { life: 1 },
         "replaced" => return AttemptEvent::Connected { life: 2 },
         "connect-failed" => return AttemptEvent::ConnectFailed,
@@ -38,22 +38,22 @@
         "end-short" => end(2, 2),
         "end-long" => end(3, 4),
         "end-empty" => end(0, 0),
-        other => panic!("no event is called {other}"),
+        other => panic!("unknown event name in a test case: {other}"),
     };
     AttemptEvent::Frame(frame)
 }
 
-/// Runs the events, 10 ms apart, and gives all actions.
-fn run(words: &str) -> Vec<AttemptAction> {
+/// Passes the named events to a new call, 10 ms apart, and returns all actions.
+fn run(names: &str) -> Vec<AttemptAction> {
     let mut attempt = Attempt::new(ID, 0, DEADLINE_MS, REATTACH_FOR_MS);
     let mut actions = Vec::new();
-    for (index, word) in words.split(' ').enumerate() {
-        let due_ms = if word.starts_with("due") {
+    for (index, name) in names.split(' ').enumerate() {
+        let due_ms = if name.starts_with("due") {
             attempt.wake_at_ms()
         } else {
             0
         };
-        attempt.handle(event(word), due_ms.max(10 * index as u64), &mut actions);
+        attempt.handle(event(name), due_ms.max(10 * index as u64), &mut actions);
     }
     actions
 }
@@ -66,20 +66,21 @@
     actions.iter().filter_map(event).collect()
 }
 
-struct Ending {
+struct FailureCase {
     name: &'static str,
     events: &'static str,
     run: RunState,
     cause: Cause,
 }
 
-// The caller sees how a call ended that met a fault at each of its steps. "Not run" comes
-// only where the callee cannot have had the whole request, or refused it.
+// A fault at each step of a call. If the caller got `NotRun` for a call that may have run, it
+// would send the call again and the call would run twice. `NotRun` is correct only if the
+// callee refused the call or cannot have received the whole request.
 #[test]
-fn errors_with_the_state_that_is_proved() {
+fn errors_with_the_run_state_that_is_proven() {
     use Cause::{Cancelled, DeadlinePassed, Internal, Leaving, LinkLost, Truncated};
     use RunState::{Failed, NotRun, Unknown};
-    let case = |name, events, run, cause| Ending {
+    let case = |name, events, run, cause| FailureCase {
         name,
         events,
         run,
@@ -93,96 +94,111 @@
             NotRun,
             DeadlinePassed,
         ),
-        case("cancelled before", "cancel", NotRun, Cancelled),
+        case("cancelled before a connection", "cancel", NotRun, Cancelled),
         case(
-            "taken back",
+            "withdrawn before the write",
             "connected due-withdrawn",
             NotRun,
             DeadlinePassed,
         ),
-        case("not taken back", "connected due", Unknown, DeadlinePassed),
         case(
-            "half a frame",
+            "deadline while the write is in progress",
+            "connected due",
+            Unknown,
+            DeadlinePassed,
+        ),
+        case(
+            "partial write, then no connection",
             "connected half-written connect-failed",
             NotRun,
             LinkLost,
         ),
         case(
-            "half a frame, late",
+            "partial write, then the deadline",
             "connected half-written due",
             NotRun,
             DeadlinePassed,
         ),
         case(
-            "no word of the write",
+            "lost before the writer reported",
             "connected lost due",
             Unknown,
             LinkLost,
         ),
-        case("sent", "connected written lost due", Unknown, LinkLost),
         case(
-            "sent, replaced",
+            "sent, then no connection",
+            "connected written lost due",
+            Unknown,
+            LinkLost,
+        ),
+        case(
+            "sent, then the callee restarted",
             "connected written lost replaced",
             Unknown,
             LinkLost,
         ),
         case(
-            "accepted",
+            "accepted, then no connection",
             "connected accepted lost connect-failed due",
             Unknown,
             LinkLost,
         ),
         case(
-            "answer first",
+            "accepted before the writer reported",
             "connected accepted half-written due",
             Unknown,
             LinkLost,
         ),
-        case("refused", "connected written refused", NotRun, Leaving),
         case(
-            "refused late",
+            "refused before acceptance",
+            "connected written refused",
+            NotRun,
+            Leaving,
+        ),
+        case(
+            "refused after acceptance",
             "connected accepted refused",
             NotRun,
             Leaving,
         ),
         case(
-            "refused too late",
+            "refused after the start",
             "connected started refused",
             Unknown,
             Leaving,
         ),
         case(
-            "not known, and no connection again",
+            "call unknown to the callee, then no connection",
             "connected written lost connected unattached half-written connect-failed",
             NotRun,
             LinkLost,
         ),
         case(
-            "not known, said twice",
+            "duplicate reply that the call is unknown",
             "connected written lost connected unattached written unattached half-written due",
             Unknown,
             LinkLost,
         ),
         case(
-            "not known any more",
+            "accepted, then unknown to the callee",
             "connected accepted lost connected unattached",
             Unknown,
             LinkLost,
         ),
         case(
-            "not asked for",
+            "unsolicited reply that the call is unknown",
             "connected written unattached due",
             Unknown,
             DeadlinePassed,
         ),
         case(
-            "a gap before the write's word",
+            "a later part before the writer reported",
             "connected two half-written connect-failed due",
             Unknown,
             LinkLost,
         ),
         case(
-            "half an answer",
+            "lost during the response",
             "connected head lost due",
             Unknown,
             LinkLost,
@@ -194,14 +210,19 @@
             Truncated,
         ),
         case(
-            "parts too many",
+            "more parts than stated",
             "connected head one two end-short",
             Failed,
             Truncated,
         ),
-        case("no head", "connected end-empty", Failed, Truncated),
         case(
-            "failed after running",
+            "end without a head",
+            "connected end-empty",
+            Failed,
+            Truncated,
+        ),
+        case(
+            "failed after the start",
             "connected started failed",
             Failed,
             Internal,
@@ -220,27 +241,34 @@
     }
 }
 
-struct Whole {
+struct CompleteCase {
     name: &'static str,
     events: &'static str,
 }
 
-// The caller sees a whole answer once, whatever order or number the parts come in.
+// Parts arrive late, in the wrong order or as duplicates, also after a reconnect. The caller
+// must receive each part of the response once and in order.
 #[test]
-fn can_put_a_whole_answer_together() {
-    let case = |name, events| Whole { name, events };
+fn can_assemble_a_complete_response() {
+    let case = |name, events| CompleteCase { name, events };
     let cases = [
         case("in order", "connected head one two end"),
-        case("doubled", "connected head head one one two one end end"),
-        case("a gap", "connected head two one two end"),
-        case("an early end", "connected head one end two end"),
         case(
-            "no word",
+            "duplicate parts",
+            "connected head head one one two one end end",
+        ),
+        case("a part missing at first", "connected head two one two end"),
+        case("end before the last part", "connected head one end two end"),
+        case(
+            "lost before the writer reported",
             "connected lost connected unattached written head one two end",
         ),
-        case("a late acceptance", "connected head accepted one two end"),
         case(
-            "lost in the middle",
+            "acceptance after the head",
+            "connected head accepted one two end",
+        ),
+        case(
+            "lost during the response",
             "connected head one lost connected one two end",
         ),
         case(
@@ -248,11 +276,11 @@
             "connected head one two lost connected started end",
         ),
         case(
-            "frames of no connection",
+            "a frame received after the connection was lost",
             "connected head lost one connected one two end",
         ),
         case(
-            "lost",
+            "lost after the write",
             "connected written lost connected unattached written head one two end",
         ),
     ];
@@ -272,7 +300,7 @@
 }
 
 #[test]
-fn can_ask_again_from_the_first_missing_part() {
+fn can_request_parts_again_from_the_first_missing_one() {
     let attach = |next_part| AttemptAction::Send(Frame::Attach { id: ID, next_part });
     let gap = run("connected head two two");
     assert_eq!(gap.iter().filter(|&action| *action == attach(1)).count(), 1);
@@ -281,7 +309,7 @@
 }
 
 #[test]
-fn can_send_the_time_that_is_left() {
+fn can_send_the_time_left_until_the_deadline() {
     let mut attempt = Attempt::new(ID, 0, DEADLINE_MS, REATTACH_FOR_MS);
     let mut actions = Vec::new();
     attempt.handle(event("connected"), 4_000, &mut actions);
--- a/components/recovery/tests/common/mod.rs
+++ b/components/recovery/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests of several files need.
-#![allow(dead_code, clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+//! Frames, settings and ids that several test files use.
+#![allow(dead_code, clippy::unwrap_used)] // clippy.toml exempts only test functions, not their helpers.
 
 use bytes::Bytes;
 use protocol::{Frame, Head, Open};
@@ -10,7 +10,7 @@
     boot: 7,
     counter: 3,
 };
-pub const CALLER: u64 = 7;
+pub const CALLER_BOOT: u64 = 7;
 
 pub fn open(idempotent: bool) -> Open {
     Open {
@@ -67,7 +67,7 @@
     Frame::Fail { id: ID, failure }
 }
 
-pub fn limits() -> TableSettings {
+pub fn settings() -> TableSettings {
     TableSettings {
         grace_ms: 1_000,
         retention_ms: 5_000,
--- a/components/recovery/tests/joined.rs
+++ b/components/recovery/tests/joined.rs
@@ -1,10 +1,10 @@
-//! Both sides of a call, joined by pipes that lose, double, reorder and cut, under random
-//! orders of events.
+//! Caller and callee side of a call, connected by pipes that lose, duplicate and reorder frames
+//! and cut connections, under random sequences of events.
 
 mod common;
 
 use bytes::Bytes;
-use common::{CALLER, ID, head, limits, open};
+use common::{CALLER_BOOT, ID, head, open, settings};
 use protocol::{Frame, Open};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use recovery::{Attempt, AttemptAction, AttemptEvent, CallEvent, CallTable, TableAction};
@@ -17,58 +17,58 @@
 enum Step {
     Connect,
     ConnectFails,
-    WriteWhole,
-    WriteHalf,
+    WriteComplete,
+    WritePartial,
     Cut,
     CalleeSeesCut,
     CalleeRestarts,
     ToCallee(Fate, u8),
     ToCaller(Fate, u8),
-    Work,
-    HandlerDies,
-    Pass(u16),
-    GiveUp,
+    RunHandler,
+    HandlerDropped,
+    AdvanceTime(u16),
+    Cancel,
 }
 
-/// What the pipe does with one of its frames.
+/// What happens to one frame of a pipe.
 #[derive(Clone, Copy, Debug)]
 enum Fate {
-    Arrives,
-    ArrivesAndStays,
-    Vanishes,
+    Delivered,
+    Duplicated,
+    Lost,
 }
 
 const FATES: [Fate; 4] = [
-    Fate::Arrives,
-    Fate::Arrives,
-    Fate::ArrivesAndStays,
-    Fate::Vanishes,
+    Fate::Delivered,
+    Fate::Delivered,
+    Fate::Duplicated,
+    Fate::Lost,
 ];
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
         let at = u8::arbitrary(g) % 4;
         let fate = g.choose(&FATES).copied();
-        let fate = fate.unwrap_or(Fate::Arrives);
+        let fate = fate.unwrap_or(Fate::Delivered);
         match u8::arbitrary(g) % 32 {
             0..=3 => Step::Connect,
             4 => Step::ConnectFails,
-            5..=8 => Step::WriteWhole,
-            9 => Step::WriteHalf,
+            5..=8 => Step::WriteComplete,
+            9 => Step::WritePartial,
             10 | 11 => Step::Cut,
             12 => Step::CalleeSeesCut,
             13 if at == 0 => Step::CalleeRestarts,
             14..=19 => Step::ToCallee(fate, at),
             20..=24 => Step::ToCaller(fate, at),
-            25..=29 => Step::Work,
-            30 if at == 0 => Step::HandlerDies,
-            31 if at == 0 => Step::GiveUp,
-            _ => Step::Pass(u16::arbitrary(g) % 1_500),
+            25..=29 => Step::RunHandler,
+            30 if at == 0 => Step::HandlerDropped,
+            31 if at == 0 => Step::Cancel,
+            _ => Step::AdvanceTime(u16::arbitrary(g) % 1_500),
         }
     }
 }
 
-/// The endpoint's side of a call that was handed over.
+/// Handler of the call at the callee.
 #[derive(Clone, Copy, Debug, Default)]
 struct Handler {
     step: usize,
@@ -86,7 +86,7 @@
     to_callee: Vec<(u64, Frame)>,
     to_caller: Vec<Frame>,
     handler: Option<Handler>,
-    taken: usize,
+    runs: usize,
     started: usize,
     events: Vec<CallEvent>,
 }
@@ -97,7 +97,7 @@
             now_ms: 0,
             idempotent,
             attempt: Attempt::new(ID, 0, DEADLINE_MS as u32, 2_000),
-            table: CallTable::new(limits()),
+            table: CallTable::new(settings()),
             life: 1,
             connection: 0,
             linked: false,
@@ -105,34 +105,34 @@
             to_callee: Vec::new(),
             to_caller: Vec::new(),
             handler: None,
-            taken: 0,
+            runs: 0,
             started: 0,
             events: Vec::new(),
         }
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::Connect => self.connect(),
-            Step::ConnectFails if !self.linked => self.tell(AttemptEvent::ConnectFailed),
-            Step::WriteWhole => self.write(true),
-            Step::WriteHalf => self.write(false),
+            Step::ConnectFails if !self.linked => self.notify_caller(AttemptEvent::ConnectFailed),
+            Step::WriteComplete => self.write(true),
+            Step::WritePartial => self.write(false),
             Step::Cut => self.cut(),
             Step::CalleeSeesCut if !self.linked => {
                 self.table.remove_connection(self.connection, self.now_ms);
             }
             Step::CalleeRestarts => self.restart(),
-            Step::ToCallee(fate, at) => self.bring_to_callee(fate, usize::from(at)),
-            Step::ToCaller(fate, at) => self.bring_to_caller(fate, usize::from(at)),
-            Step::Work => self.work(),
-            Step::HandlerDies if self.handler.take().is_some() => {
+            Step::ToCallee(fate, at) => self.deliver_to_callee(fate, usize::from(at)),
+            Step::ToCaller(fate, at) => self.deliver_to_caller(fate, usize::from(at)),
+            Step::RunHandler => self.run_handler(),
+            Step::HandlerDropped if self.handler.take().is_some() => {
                 let now_ms = self.now_ms;
-                self.serve(|table, actions| table.abandon(ID, now_ms, actions));
+                self.update_table(|table, actions| table.abandon(ID, now_ms, actions));
             }
-            Step::Pass(passed_ms) => self.pass(u64::from(passed_ms)),
-            Step::GiveUp => {
+            Step::AdvanceTime(passed_ms) => self.advance_time(u64::from(passed_ms)),
+            Step::Cancel => {
                 let withdrawn = self.to_write.take().is_some();
-                self.tell(AttemptEvent::Cancel { withdrawn });
+                self.notify_caller(AttemptEvent::Cancel { withdrawn });
             }
             _ => {}
         }
@@ -145,33 +145,36 @@
         self.linked = true;
         self.connection += 1;
         let (connection, now_ms, life) = (self.connection, self.now_ms, self.life);
-        self.serve(|table, actions| table.add_connection(connection, CALLER, now_ms, actions));
-        self.tell(AttemptEvent::Connected { life });
+        self.update_table(|table, actions| {
+            table.add_connection(connection, CALLER_BOOT, now_ms, actions)
+        });
+        self.notify_caller(AttemptEvent::Connected { life });
     }
 
-    /// The writer comes to the `Open`, and gets it out whole or not.
-    fn write(&mut self, whole: bool) {
+    /// The writer writes the `Open`, completely or only in part.
+    fn write(&mut self, complete: bool) {
         let Some(wanted) = self.to_write.take() else {
             return;
         };
-        if whole {
+        if complete {
             self.to_callee
                 .push((self.connection, Frame::Open(Box::new(wanted))));
-            self.tell(AttemptEvent::Written);
+            self.notify_caller(AttemptEvent::Written);
         } else {
             self.to_write = Some(wanted);
             self.cut();
         }
     }
 
-    /// What was written may still arrive; what the caller has not read is gone.
+    /// Cuts the connection: frames that the caller wrote may still arrive at the callee, frames
+    /// that the caller has not read are lost.
     fn cut(&mut self) {
         if !std::mem::take(&mut self.linked) {
             return;
         }
         self.to_caller.clear();
         let unwritten = self.to_write.take().is_some();
-        self.tell(if unwritten {
+        self.notify_caller(if unwritten {
             AttemptEvent::WriteFailed
         } else {
             AttemptEvent::LinkLost
@@ -180,63 +183,63 @@
 
     fn restart(&mut self) {
         self.life += 1;
-        self.table = CallTable::new(limits());
+        self.table = CallTable::new(settings());
         self.to_callee.clear();
         self.handler = None;
         self.cut();
     }
 
-    fn bring_to_callee(&mut self, fate: Fate, at: usize) {
-        if let Some((connection, frame)) = picked(&mut self.to_callee, fate, at) {
+    fn deliver_to_callee(&mut self, fate: Fate, at: usize) {
+        if let Some((connection, frame)) = take_frame(&mut self.to_callee, fate, at) {
             let now_ms = self.now_ms;
-            self.serve(|table, actions| {
+            self.update_table(|table, actions| {
                 table.handle_frame(connection, frame, now_ms, now_ms, actions)
             });
         }
     }
 
-    fn bring_to_caller(&mut self, fate: Fate, at: usize) {
-        if let Some(frame) = picked(&mut self.to_caller, fate, at) {
-            self.tell(AttemptEvent::Frame(frame));
+    fn deliver_to_caller(&mut self, fate: Fate, at: usize) {
+        if let Some(frame) = take_frame(&mut self.to_caller, fate, at) {
+            self.notify_caller(AttemptEvent::Frame(frame));
         }
     }
 
-    /// The handler does its next piece of work.
-    fn work(&mut self) {
+    /// Runs the next step of the handler.
+    fn run_handler(&mut self) {
         let Some(handler) = &mut self.handler else {
             return;
         };
         let (step, now_ms) = (handler.step, self.now_ms);
         handler.step += 1;
         match step {
-            0 => self.serve(|table, actions| table.mark_accepted(ID, actions)),
+            0 => self.update_table(|table, actions| table.mark_accepted(ID, actions)),
             1 => {
                 self.started += 1;
-                self.serve(|table, actions| table.mark_started(ID, actions));
+                self.update_table(|table, actions| table.mark_started(ID, actions));
             }
-            2 => self.serve(|table, actions| table.send_head(ID, head(), actions)),
+            2 => self.update_table(|table, actions| table.send_head(ID, head(), actions)),
             3..=5 => {
                 let bytes = Bytes::from_static(CHUNKS[step - 3]);
-                self.serve(|table, actions| table.send_chunk(ID, bytes, actions));
+                self.update_table(|table, actions| table.send_chunk(ID, bytes, actions));
             }
             _ => {
                 self.handler = None;
-                self.serve(|table, actions| table.finish(ID, now_ms, actions));
+                self.update_table(|table, actions| table.finish(ID, now_ms, actions));
             }
         }
     }
 
-    fn pass(&mut self, passed_ms: u64) {
+    fn advance_time(&mut self, passed_ms: u64) {
         self.now_ms += passed_ms;
         let now_ms = self.now_ms;
-        self.serve(|table, actions| table.tick(now_ms, actions));
+        self.update_table(|table, actions| table.tick(now_ms, actions));
         if !self.attempt.is_ended() && now_ms >= self.attempt.wake_at_ms() {
             let withdrawn = self.attempt.is_queued() && self.to_write.take().is_some();
-            self.tell(AttemptEvent::Timer { withdrawn });
+            self.notify_caller(AttemptEvent::Timer { withdrawn });
         }
     }
 
-    fn tell(&mut self, event: AttemptEvent) {
+    fn notify_caller(&mut self, event: AttemptEvent) {
         let mut actions = Vec::new();
         self.attempt.handle(event, self.now_ms, &mut actions);
         for action in actions {
@@ -253,9 +256,9 @@
         }
     }
 
-    fn serve(&mut self, serve: impl FnOnce(&mut CallTable, &mut Vec<TableAction>)) {
+    fn update_table(&mut self, change: impl FnOnce(&mut CallTable, &mut Vec<TableAction>)) {
         let mut actions = Vec::new();
-        serve(&mut self.table, &mut actions);
+        change(&mut self.table, &mut actions);
         for action in actions {
             match action {
                 TableAction::Send { connection, frame }
@@ -264,7 +267,7 @@
                     self.to_caller.push(frame);
                 }
                 TableAction::Run { .. } => {
-                    self.taken += 1;
+                    self.runs += 1;
                     self.handler = Some(Handler::default());
                 }
                 _ => {}
@@ -272,80 +275,83 @@
         }
     }
 
-    /// Lets all that is still on its way arrive and all work be done, and the time run out.
+    /// Delivers all frames in transit, finishes the handler's work, and lets the deadline
+    /// pass.
     fn settle(&mut self) {
         for _ in 0..100 {
             self.write(true);
-            self.bring_to_callee(Fate::Arrives, 0);
-            self.bring_to_caller(Fate::Arrives, 0);
-            self.work();
+            self.deliver_to_callee(Fate::Delivered, 0);
+            self.deliver_to_caller(Fate::Delivered, 0);
+            self.run_handler();
         }
-        self.pass(2 * DEADLINE_MS);
+        self.advance_time(2 * DEADLINE_MS);
     }
 }
 
-fn picked<T: Clone>(pipe: &mut Vec<T>, fate: Fate, at: usize) -> Option<T> {
+fn take_frame<T: Clone>(pipe: &mut Vec<T>, fate: Fate, at: usize) -> Option<T> {
     if pipe.is_empty() {
         return None;
     }
     let at = at % pipe.len();
     match fate {
-        Fate::Arrives => Some(pipe.remove(at)),
-        Fate::ArrivesAndStays => Some(pipe[at].clone()),
-        Fate::Vanishes => {
+        Fate::Delivered => Some(pipe.remove(at)),
+        Fate::Duplicated => Some(pipe[at].clone()),
+        Fate::Lost => {
             pipe.remove(at);
             None
         }
     }
 }
 
-/// What the caller was told holds against what the callee did.
-fn holds(world: &World) -> Result<(), &'static str> {
-    if world.taken > 1 || world.started > 1 {
-        return Err("ran more than once");
+/// Checks the caller's events against the work that the callee did.
+fn check_outcome(world: &World) -> Result<(), &'static str> {
+    if world.runs > 1 || world.started > 1 {
+        return Err("the call ran more than once");
     }
-    let lasts = world.events.iter().filter(|event| event.is_last()).count();
+    let last_events = world.events.iter().filter(|event| event.is_last()).count();
     match world.events.last() {
         Some(CallEvent::Failed(failure))
             if failure.run == RunState::NotRun && world.started > 0 =>
         {
-            return Err("said not run, and it ran");
+            return Err("the caller got `NotRun` although the call ran");
+        }
+        Some(CallEvent::End) if !is_complete(&world.events) => {
+            return Err("the response is not the one that the handler sent");
         }
-        Some(CallEvent::End) if !is_whole(&world.events) => return Err("a wrong answer"),
-        Some(last) if !last.is_last() => return Err("no visible end"),
-        None => return Err("no event at all"),
+        Some(last) if !last.is_last() => return Err("the caller got no last event"),
+        None => return Err("the caller got no event"),
         _ => {}
     }
-    if lasts == 1 {
+    if last_events == 1 {
         Ok(())
     } else {
-        Err("more than one end")
+        Err("the caller got more than one last event")
     }
 }
 
-fn is_whole(events: &[CallEvent]) -> bool {
+fn is_complete(events: &[CallEvent]) -> bool {
     let chunks = CHUNKS.map(|bytes| CallEvent::Chunk(Bytes::from_static(bytes)));
-    let mut whole = vec![CallEvent::Head(head())];
-    whole.extend(chunks);
-    whole.push(CallEvent::End);
+    let mut expected = vec![CallEvent::Head(head())];
+    expected.extend(chunks);
+    expected.push(CallEvent::End);
     let parts = events.iter();
     let parts = parts.filter(|event| !matches!(event, CallEvent::Accepted | CallEvent::Started));
-    parts.eq(whole.iter())
+    parts.eq(expected.iter())
 }
 
 fn check(steps: Vec<Step>, idempotent: bool) -> bool {
     let mut world = World::new(idempotent);
     for step in steps {
-        world.take(step);
+        world.apply(step);
     }
     world.settle();
-    holds(&world).is_ok()
+    check_outcome(&world).is_ok()
 }
 
-// The caller sees a whole answer or a failure that is true, in any order of faults, and
-// the call runs at most once.
+// Faults in any order could run a call twice, or report `NotRun` for a call that ran. The
+// caller must get the complete response or a correct failure, and the call runs at most once.
 #[test]
-fn can_hold_in_any_order_of_events() {
+fn can_end_a_call_correctly_in_any_order_of_events() {
     let check = check as fn(Vec<Step>, bool) -> bool;
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(200, checks::seed()))
@@ -353,7 +359,7 @@
         .quickcheck(check);
 }
 
-/// A fault at one step of a call that is otherwise without faults.
+/// Steps that are inserted into a call without faults.
 struct Fault {
     name: &'static str,
     steps: &'static [Step],
@@ -361,30 +367,30 @@
 
 const FAULTS: [Fault; 6] = [
     Fault {
-        name: "cut and connected anew",
+        name: "cut and reconnected",
         steps: &[Step::Cut, Step::Connect],
     },
     Fault {
-        name: "cut for good",
+        name: "cut, and the reconnect fails",
         steps: &[Step::Cut, Step::ConnectFails],
     },
     Fault {
-        name: "half a write",
-        steps: &[Step::WriteHalf, Step::Connect],
+        name: "partial write",
+        steps: &[Step::WritePartial, Step::Connect],
     },
     Fault {
-        name: "callee replaced",
+        name: "callee restarted",
         steps: &[Step::CalleeRestarts, Step::Connect],
     },
     Fault {
-        name: "handler died",
-        steps: &[Step::HandlerDies],
+        name: "handler dropped",
+        steps: &[Step::HandlerDropped],
     },
     Fault {
-        name: "lost on both ways",
+        name: "frames lost in both directions",
         steps: &[
-            Step::ToCallee(Fate::Vanishes, 0),
-            Step::ToCaller(Fate::Vanishes, 0),
+            Step::ToCallee(Fate::Lost, 0),
+            Step::ToCaller(Fate::Lost, 0),
             Step::Cut,
             Step::CalleeSeesCut,
             Step::Connect,
@@ -392,35 +398,36 @@
     },
 ];
 
-/// A call from its beginning to its end: written, taken, answered part by part, forgotten.
-fn smooth() -> Vec<Step> {
+/// Steps of a call without faults, from the connection to the caller's `Forget`.
+fn faultless_steps() -> Vec<Step> {
     let mut steps = vec![
         Step::Connect,
-        Step::WriteWhole,
-        Step::ToCallee(Fate::Arrives, 0),
+        Step::WriteComplete,
+        Step::ToCallee(Fate::Delivered, 0),
     ];
     for _ in 0..7 {
-        steps.extend([Step::Work, Step::ToCaller(Fate::Arrives, 0)]);
+        steps.extend([Step::RunHandler, Step::ToCaller(Fate::Delivered, 0)]);
     }
-    steps.push(Step::ToCallee(Fate::Arrives, 0));
+    steps.push(Step::ToCallee(Fate::Delivered, 0));
     steps
 }
 
-// Every fault at every step of a call, and every pair of faults.
+// Every pair of faults at every two steps of a call. Random sequences may miss a pair that
+// breaks the guarantees only at one step.
 #[test]
-fn can_hold_with_every_fault_at_every_step() {
+fn can_end_a_call_correctly_with_any_two_faults_at_any_step() {
     for first in &FAULTS {
         for second in &FAULTS {
-            for at in 0..=smooth().len() {
-                for later in at..=smooth().len() {
-                    let mut steps = smooth();
+            for at in 0..=faultless_steps().len() {
+                for later in at..=faultless_steps().len() {
+                    let mut steps = faultless_steps();
                     steps.splice(later..later, second.steps.iter().copied());
                     steps.splice(at..at, first.steps.iter().copied());
                     let mut world = World::new(false);
-                    steps.into_iter().for_each(|step| world.take(step));
+                    steps.into_iter().for_each(|step| world.apply(step));
                     world.settle();
                     let name = format!("{} at {at}, {} at {later}", first.name, second.name);
-                    assert_eq!(holds(&world), Ok(()), "{name}: {:?}", world.events);
+                    assert_eq!(check_outcome(&world), Ok(()), "{name}: {:?}", world.events);
                 }
             }
         }
@@ -428,10 +435,12 @@
 }
 
 #[test]
-fn can_answer_without_faults() {
+fn can_complete_a_call_without_faults() {
     let mut world = World::new(false);
-    smooth().into_iter().for_each(|step| world.take(step));
+    faultless_steps()
+        .into_iter()
+        .for_each(|step| world.apply(step));
     assert_eq!(world.events.last(), Some(&CallEvent::End));
-    assert!(is_whole(&world.events));
+    assert!(is_complete(&world.events));
     assert!(world.table.is_empty());
 }
--- a/components/recovery/tests/retry.rs
+++ b/components/recovery/tests/retry.rs
@@ -1,4 +1,4 @@
-//! The decision on another attempt, and the times of connections.
+//! Retry decisions, reconnect delays and the detection of silent connections.
 
 use std::net::SocketAddr;
 
@@ -23,7 +23,7 @@
     Failure::new(run, Cause::EndpointLost)
 }
 
-/// An idempotent request that is tried again, changed by `change`.
+/// An idempotent request that is retried, modified by `change`.
 fn case(name: &'static str, change: impl FnOnce(&mut Case)) -> Case {
     let mut case = Case {
         name,
@@ -39,8 +39,13 @@
     case
 }
 
-/// A request that may run once only and is not tried again.
-fn once(name: &'static str, run: RunState, delivered: Delivered, expected: RunState) -> Case {
+/// A request that is not idempotent and must not be retried.
+fn non_idempotent(
+    name: &'static str,
+    run: RunState,
+    delivered: Delivered,
+    expected: RunState,
+) -> Case {
     case(name, |case| {
         case.idempotent = false;
         case.failure = failure(run);
@@ -49,8 +54,8 @@
     })
 }
 
-/// A request that would end in the same way again.
-fn settled(name: &'static str, cause: Cause) -> Case {
+/// A failure that another attempt cannot avoid.
+fn not_retriable(name: &'static str, cause: Cause) -> Case {
     case(name, |case| {
         case.failure = Failure::not_run(cause);
         case.expected = Err(case.failure);
@@ -63,14 +68,24 @@
     vec![
         case("idempotent, unknown", |_| {}),
         case("idempotent, failed", |case| case.failure = failure(Failed)),
-        case("once only, not run", |case| {
+        case("not idempotent, not run", |case| {
             case.idempotent = false;
             case.failure = failure(NotRun);
         }),
-        once("once only, unknown", Unknown, Nothing, Unknown),
-        once("once only, failed", Failed, Nothing, Failed),
-        once("once only, not run but tokens", NotRun, Tokens, Failed),
-        once("once only, not run but bytes", NotRun, Bytes, Failed),
+        non_idempotent("not idempotent, unknown", Unknown, Nothing, Unknown),
+        non_idempotent("not idempotent, failed", Failed, Nothing, Failed),
+        non_idempotent(
+            "not idempotent, not run but tokens received",
+            NotRun,
+            Tokens,
+            Failed,
+        ),
+        non_idempotent(
+            "not idempotent, not run but bytes received",
+            NotRun,
+            Bytes,
+            Failed,
+        ),
         case("tokens were delivered", |case| {
             case.delivered = Tokens;
             case.expected = Ok(Resume::FromTokens);
@@ -83,17 +98,17 @@
             case.attempts = 3;
             case.expected = Err(case.failure);
         }),
-        case("no time", |case| {
+        case("too little time left", |case| {
             case.deadline_left_ms = 9;
             case.expected = Err(case.failure);
         }),
-        case("no budget", |case| {
+        case("retry budget used up", |case| {
             case.budget = false;
             case.expected = Err(Failure::new(Unknown, Cause::BudgetSpent));
         }),
-        settled("forbidden", Cause::Forbidden),
-        settled("quarantined", Cause::Quarantined),
-        settled("late", Cause::DeadlinePassed),
+        not_retriable("forbidden", Cause::Forbidden),
+        not_retriable("quarantined", Cause::Quarantined),
+        not_retriable("deadline passed", Cause::DeadlinePassed),
     ]
 }
 
@@ -103,8 +118,8 @@
         .collect()
 }
 
-/// The decision, and whether the budget was asked.
-fn decided(case: &Case, random: u64) -> (RetryDecision, bool) {
+/// The decision, and whether the retry budget was used.
+fn decision_of(case: &Case, random: u64) -> (RetryDecision, bool) {
     let tried = FailedAttempt {
         failure: case.failure,
         idempotent: case.idempotent,
@@ -112,21 +127,21 @@
         endpoints: &endpoints(case.attempts),
         deadline_left_ms: case.deadline_left_ms,
     };
-    let mut asked = false;
+    let mut budget_used = false;
     let budget = || {
-        asked = true;
+        budget_used = true;
         case.budget
     };
     (
         decide_retry(&RetrySettings::default(), &tried, random, budget),
-        asked,
+        budget_used,
     )
 }
 
 #[test]
-fn can_decide_on_another_attempt() {
+fn can_decide_whether_to_retry() {
     for case in cases() {
-        let (decision, asked) = decided(&case, 0);
+        let (decision, budget_used) = decision_of(&case, 0);
         let got = match decision {
             RetryDecision::Retry {
                 exclude, resume, ..
@@ -137,88 +152,100 @@
             RetryDecision::Final(failure) => Err(failure),
         };
         assert_eq!(got, case.expected, "{}", case.name);
-        assert_eq!(asked, got.is_ok() || !case.budget, "{}: budget", case.name);
+        assert_eq!(
+            budget_used,
+            got.is_ok() || !case.budget,
+            "{}: use of the budget",
+            case.name
+        );
     }
 }
 
 checks::seeded! {
-    fn can_pause_within_the_deadline(attempts: u8, random: u64, deadline_left_ms: u64) -> bool {
+    fn can_back_off_within_the_deadline(attempts: u8, random: u64, deadline_left_ms: u64) -> bool {
         let case = case("", |case| {
             case.attempts = usize::from(attempts % 4) + 1;
             case.deadline_left_ms = deadline_left_ms;
         });
-        match decided(&case, random).0 {
+        match decision_of(&case, random).0 {
             RetryDecision::Retry { after_ms, .. } => after_ms < deadline_left_ms,
             RetryDecision::Final(_) => true,
         }
     }
 
-    fn can_cap_the_pause_between_connections(failures: u32, random: u64) -> bool {
+    fn can_limit_the_reconnect_delay(failures: u32, random: u64) -> bool {
         (10..=1_000).contains(&reconnect_after_ms(failures, random))
     }
 }
 
-struct Look {
+struct Check {
     name: &'static str,
     outstanding: bool,
-    heard_at_ms: u64,
+    received_at_ms: u64,
     now_ms: u64,
     expected: SilenceAction,
 }
 
-// The peer answers a first ping and stays silent after a second one. Nothing is sent
-// without outstanding calls, and the first call after a long silence is pinged at once.
+// The peer answers the first ping and does not answer the second. Undetected, the outstanding
+// calls would wait until TCP reports the loss after many minutes. Without outstanding calls no
+// ping is sent.
 #[test]
-fn can_find_a_silent_connection() {
-    let look = |name, outstanding, heard_at_ms, now_ms, expected| Look {
+fn can_detect_a_silent_connection() {
+    let check = |name, outstanding, received_at_ms, now_ms, expected| Check {
         name,
         outstanding,
-        heard_at_ms,
+        received_at_ms,
         now_ms,
         expected,
     };
-    let looks = [
-        look("no calls", false, 0, 5_000, SilenceAction::Idle),
-        look(
+    let checks = [
+        check("no outstanding calls", false, 0, 5_000, SilenceAction::Idle),
+        check(
             "first call after a silence",
             true,
             0,
             5_000,
             SilenceAction::Ping { number: 1 },
         ),
-        look(
-            "waits for the answer",
+        check(
+            "first ping not answered yet",
             true,
             0,
             5_010,
             SilenceAction::CheckAt { at_ms: 5_100 },
         ),
-        look(
-            "answered",
+        check(
+            "first ping answered",
             true,
             5_020,
             5_020,
             SilenceAction::CheckAt { at_ms: 5_220 },
         ),
-        look(
-            "silent",
+        check(
+            "silent again",
             true,
             5_020,
             5_220,
             SilenceAction::Ping { number: 2 },
         ),
-        look(
-            "still silent",
+        check(
+            "second ping not answered yet",
             true,
             5_020,
             5_319,
             SilenceAction::CheckAt { at_ms: 5_320 },
         ),
-        look("too late", true, 5_020, 5_320, SilenceAction::Dead),
+        check(
+            "ping deadline passed",
+            true,
+            5_020,
+            5_320,
+            SilenceAction::Dead,
+        ),
     ];
     let mut silence = SilenceDetector::new(200, 100);
-    for case in looks {
-        let got = silence.check(case.outstanding, case.heard_at_ms, case.now_ms);
+    for case in checks {
+        let got = silence.check(case.outstanding, case.received_at_ms, case.now_ms);
         assert_eq!(got, case.expected, "{}", case.name);
     }
 }
--- a/components/recovery/tests/table.rs
+++ b/components/recovery/tests/table.rs
@@ -1,15 +1,15 @@
-//! The callee's side of calls, step by step.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+//! Callee side of calls: the table's actions after each event.
+#![allow(clippy::unwrap_used)] // clippy.toml exempts only test functions, not their helpers.
 
 mod common;
 
 use bytes::Bytes;
-use common::{CALLER, ID, chunk, end, fail, head, head_frame, limits, open, open_frame};
+use common::{CALLER_BOOT, ID, chunk, end, fail, head, head_frame, open, open_frame, settings};
 use protocol::{Frame, Open};
 use recovery::{CallTable, TableAction, TableSettings, part_cost_bytes};
 use types::{CallId, Cause, CustomerName, Failure, RunState};
 
-const GONE: Failure = Failure {
+const RESPONSE_DISCARDED: Failure = Failure {
     run: RunState::Unknown,
     cause: Cause::LinkLost,
     retry_after_ms: None,
@@ -21,9 +21,9 @@
 }
 
 impl World {
-    fn new(settings: TableSettings) -> Self {
+    fn new(table_settings: TableSettings) -> Self {
         let mut world = Self {
-            table: CallTable::new(settings),
+            table: CallTable::new(table_settings),
             now_ms: 0,
         };
         world.connect(1);
@@ -32,21 +32,21 @@
 
     fn connect(&mut self, connection: u64) -> Vec<TableAction> {
         let now_ms = self.now_ms;
-        self.act(|table, actions| table.add_connection(connection, CALLER, now_ms, actions))
+        self.act(|table, actions| table.add_connection(connection, CALLER_BOOT, now_ms, actions))
     }
 
-    fn get(&mut self, connection: u64, frame: Frame) -> Vec<TableAction> {
+    fn receive(&mut self, connection: u64, frame: Frame) -> Vec<TableAction> {
         let now_ms = self.now_ms;
         self.act(|table, actions| table.handle_frame(connection, frame, now_ms, now_ms, actions))
     }
 
-    fn after(&mut self, passed_ms: u64) -> Vec<TableAction> {
+    fn advance(&mut self, passed_ms: u64) -> Vec<TableAction> {
         self.now_ms += passed_ms;
         let now_ms = self.now_ms;
         self.act(|table, actions| table.tick(now_ms, actions))
     }
 
-    fn answer(&mut self) {
+    fn start_response(&mut self) {
         self.act(|table, actions| {
             table.mark_started(ID, actions);
             table.send_head(ID, head(), actions);
@@ -54,7 +54,7 @@
         });
     }
 
-    fn end(&mut self) -> Vec<TableAction> {
+    fn finish(&mut self) -> Vec<TableAction> {
         let now_ms = self.now_ms;
         self.act(|table, actions| table.finish(ID, now_ms, actions))
     }
@@ -82,57 +82,63 @@
 }
 
 #[test]
-fn can_run_a_call_once_however_often_it_comes() {
-    let mut world = World::new(limits());
-    assert_eq!(runs(&world.get(1, open_frame(false))), 1);
-    assert_eq!(runs(&world.get(1, open_frame(false))), 0);
+fn can_run_a_call_once_when_its_open_is_duplicated() {
+    let mut world = World::new(settings());
+    assert_eq!(runs(&world.receive(1, open_frame(false))), 1);
+    assert_eq!(runs(&world.receive(1, open_frame(false))), 0);
     world.connect(2);
-    assert_eq!(runs(&world.get(2, open_frame(false))), 0);
-    world.answer();
-    world.end();
-    assert_eq!(runs(&world.get(2, open_frame(false))), 0);
-    world.get(2, Frame::Forget { id: ID });
+    assert_eq!(runs(&world.receive(2, open_frame(false))), 0);
+    world.start_response();
+    world.finish();
+    assert_eq!(runs(&world.receive(2, open_frame(false))), 0);
+    world.receive(2, Frame::Forget { id: ID });
     assert!(world.table.is_empty());
-    assert_eq!(world.get(2, open_frame(false)), [send(2, fail(GONE))]);
+    assert_eq!(
+        world.receive(2, open_frame(false)),
+        [send(2, fail(RESPONSE_DISCARDED))]
+    );
 }
 
-// The caller comes back on another connection and gets what it misses, from the part it
-// asks for to the end.
+// The caller reconnects during the response. A part that is not sent again would leave a gap
+// in the response, so the callee sends all parts from the requested one on.
 #[test]
-fn can_give_the_rest_of_an_answer() {
+fn can_resend_the_rest_of_a_response() {
     let whole = [head_frame(), chunk(1, b"ab"), end(2, 2)];
     for next_part in 0..=3 {
-        let mut world = World::new(limits());
-        world.get(1, open_frame(false));
-        world.answer();
+        let mut world = World::new(settings());
+        world.receive(1, open_frame(false));
+        world.start_response();
         world.table.remove_connection(1, 0);
-        assert_eq!(world.end(), []);
+        assert_eq!(world.finish(), []);
         world.connect(2);
-        let more_than_there_is = [fail(GONE)];
+        let beyond_the_end = [fail(RESPONSE_DISCARDED)];
         let rest = whole.get(next_part..).filter(|rest| !rest.is_empty());
-        let rest = rest.unwrap_or(&more_than_there_is).iter().cloned();
+        let rest = rest.unwrap_or(&beyond_the_end).iter().cloned();
         let expected = [Frame::Started { id: ID }].into_iter().chain(rest);
         let expected: Vec<_> = expected.map(|frame| send(2, frame)).collect();
         assert_eq!(
-            world.get(2, attach(next_part as u32)),
+            world.receive(2, attach(next_part as u32)),
             expected,
-            "from {next_part}"
+            "from part {next_part}"
         );
     }
 }
 
 #[test]
-fn can_tell_a_call_it_never_had_from_one_it_dropped() {
-    let mut world = World::new(limits());
+fn can_distinguish_a_removed_call_from_one_never_received() {
+    let mut world = World::new(settings());
     let unattached = |id| Frame::Unattached { id };
-    assert_eq!(world.get(1, attach(0)), [send(1, unattached(ID))]);
-    world.get(1, open_frame(false));
-    world.answer();
-    world.end();
-    let dropped = world.after(limits().retention_ms);
+    assert_eq!(world.receive(1, attach(0)), [send(1, unattached(ID))]);
+    world.receive(1, open_frame(false));
+    world.start_response();
+    world.finish();
+    let dropped = world.advance(settings().retention_ms);
     assert_eq!(dropped, [TableAction::Drop { id: ID }]);
     let id_at = |counter| CallId { counter, ..ID };
-    let gone = |id| Frame::Fail { id, failure: GONE };
+    let gone = |id| Frame::Fail {
+        id,
+        failure: RESPONSE_DISCARDED,
+    };
     let later = id_at(ID.counter + 1);
     let earlier = id_at(ID.counter - 1);
     for (id, expected) in [
@@ -140,15 +146,15 @@
         (earlier, gone(earlier)),
         (later, unattached(later)),
     ] {
-        let asked = world.get(1, Frame::Attach { id, next_part: 0 });
+        let asked = world.receive(1, Frame::Attach { id, next_part: 0 });
         assert_eq!(asked, [send(1, expected)]);
     }
 }
 
 #[test]
-fn can_leave_out_not_run_once_a_call_was_started() {
-    let mut world = World::new(limits());
-    world.get(1, open_frame(false));
+fn can_replace_not_run_by_unknown_once_a_call_has_started() {
+    let mut world = World::new(settings());
+    world.receive(1, open_frame(false));
     world.act(|table, actions| table.mark_started(ID, actions));
     let refused = Failure::not_run(Cause::Leaving);
     let failed = world.act(|table, actions| table.fail(ID, refused, 0, actions));
@@ -156,13 +162,13 @@
     assert_eq!(failed, [send(1, fail(expected))]);
 }
 
-// The caller has a new connection; what still comes on the older one, which may have been
-// held up somewhere, must not start anything.
+// A delayed `Open` arrives on the older connection after the caller reconnected. The callee
+// may have replied since that the call is unknown, so it must not start the call.
 #[test]
-fn can_leave_out_what_comes_on_an_older_connection() {
-    let mut world = World::new(limits());
+fn can_ignore_frames_on_an_older_connection() {
+    let mut world = World::new(settings());
     assert_eq!(world.connect(2), [TableAction::Close { connection: 1 }]);
-    assert_eq!(world.get(1, open_frame(false)), []);
+    assert_eq!(world.receive(1, open_frame(false)), []);
     assert!(world.table.is_empty());
 }
 
@@ -173,7 +179,7 @@
 }
 
 #[test]
-fn errors_as_not_run_when_a_call_cannot_be_taken() {
+fn errors_with_not_run_when_a_call_is_refused() {
     fn fill(world: &mut World, wanted: &mut Open) {
         for counter in 100..104 {
             let id = CallId { counter, ..ID };
@@ -181,7 +187,7 @@
                 id,
                 ..wanted.clone()
             };
-            world.get(1, Frame::Open(Box::new(other)));
+            world.receive(1, Frame::Open(Box::new(other)));
         }
     }
     let case = |name, cause, prepare| Refusal {
@@ -190,10 +196,10 @@
         prepare,
     };
     let cases = [
-        case("late", Cause::DeadlinePassed, |_, open| {
+        case("deadline passed", Cause::DeadlinePassed, |_, open| {
             open.deadline_left_ms = 0
         }),
-        case("leaving", Cause::Leaving, |world, _| {
+        case("draining", Cause::Leaving, |world, _| {
             world.table.start_draining()
         }),
         case("too many calls", Cause::QueueFull, fill),
@@ -202,10 +208,10 @@
         }),
     ];
     for case in cases {
-        let mut world = World::new(limits());
+        let mut world = World::new(settings());
         let mut wanted = open(true);
         (case.prepare)(&mut world, &mut wanted);
-        let refused = world.get(1, Frame::Open(Box::new(wanted)));
+        let refused = world.receive(1, Frame::Open(Box::new(wanted)));
         let retry_after_ms = (case.cause == Cause::QueueFull).then_some(1_000);
         let failure = Failure {
             retry_after_ms,
@@ -213,24 +219,25 @@
         };
         assert_eq!(refused, [send(1, fail(failure))], "{}", case.name);
         assert_eq!(
-            world.get(1, attach(0)),
+            world.receive(1, attach(0)),
             refused,
-            "{}: asked again",
+            "{}: attached",
             case.name
         );
         assert_eq!(
-            world.get(1, open_frame(true)),
+            world.receive(1, open_frame(true)),
             refused,
-            "{}: doubled",
+            "{}: duplicate open",
             case.name
         );
     }
 }
 
-// A call waited in the callee longer than its caller does, because the process was frozen.
+// The callee's process was frozen between reading a call and processing it, and the call's
+// deadline has passed. If the call still started, it would run although its caller no longer waits.
 #[test]
-fn errors_as_not_run_when_a_call_waited_too_long() {
-    let mut world = World::new(limits());
+fn errors_with_not_run_when_the_deadline_passed_before_processing() {
+    let mut world = World::new(settings());
     let late =
         world.act(|table, actions| table.handle_frame(1, open_frame(false), 0, 20_000, actions));
     assert_eq!(
@@ -239,95 +246,98 @@
     );
 }
 
-struct Away {
+struct GraceCase {
     name: &'static str,
     idempotent: bool,
     expected: TableAction,
 }
 
-// The caller's connection is gone for longer than the grace time.
+// The caller stays disconnected for longer than the grace period. An idempotent call is
+// cancelled, because the caller can repeat it; any other call must run to its end and must not
+// wait for a send window that nobody enlarges.
 #[test]
-fn can_end_what_nobody_waits_for() {
-    let case = |name, idempotent, expected| Away {
+fn can_cancel_or_unblock_calls_after_the_grace_period() {
+    let case = |name, idempotent, expected| GraceCase {
         name,
         idempotent,
         expected,
     };
     let cases = [
         case("idempotent", true, TableAction::Cancel { id: ID }),
-        case("once only", false, TableAction::Unblock { id: ID }),
+        case("not idempotent", false, TableAction::Unblock { id: ID }),
     ];
     for case in cases {
-        let mut world = World::new(limits());
-        world.get(1, open_frame(case.idempotent));
-        world.answer();
+        let mut world = World::new(settings());
+        world.receive(1, open_frame(case.idempotent));
+        world.start_response();
         world.table.remove_connection(1, 0);
-        assert_eq!(world.after(limits().grace_ms - 1), [], "{}", case.name);
-        assert_eq!(world.after(1), [case.expected], "{}", case.name);
-        assert_eq!(world.after(1), [], "{}", case.name);
-        world.end();
+        assert_eq!(world.advance(settings().grace_ms - 1), [], "{}", case.name);
+        assert_eq!(world.advance(1), [case.expected], "{}", case.name);
+        assert_eq!(world.advance(1), [], "{}", case.name);
+        world.finish();
         world.connect(2);
-        let answer = world.get(2, attach(2));
+        let answer = world.receive(2, attach(2));
         let ended = answer.contains(&send(2, end(2, 2)));
         assert_eq!(ended, !case.idempotent, "{}: {answer:?}", case.name);
     }
 }
 
-// An answer that nobody fetches must not fill the memory: it is dropped beyond the bound,
-// and the caller that comes back hears so.
+// A call continues without its caller, and nobody acknowledges its response. The stored parts
+// would fill the memory, so they are discarded above the limit, and a caller that reconnects
+// receives a failure.
 #[test]
-fn can_drop_the_answer_that_nobody_fetches() {
-    let mut world = World::new(limits());
-    world.get(1, open_frame(false));
-    world.answer();
+fn can_discard_a_response_that_no_caller_acknowledges() {
+    let mut world = World::new(settings());
+    world.receive(1, open_frame(false));
+    world.start_response();
     world.table.remove_connection(1, 0);
-    world.after(limits().grace_ms);
+    world.advance(settings().grace_ms);
     for _ in 0..20 {
         let bytes = Bytes::from(vec![0; 1_000]);
         world.act(|table, actions| table.send_chunk(ID, bytes, actions));
-        assert!(world.table.held_bytes() <= limits().held_bytes_max);
+        assert!(world.table.held_bytes() <= settings().held_bytes_max);
     }
-    world.end();
+    world.finish();
     world.connect(2);
-    let last = world.get(2, attach(2)).pop();
-    assert_eq!(last, Some(send(2, fail(GONE))));
+    let last = world.receive(2, attach(2)).pop();
+    assert_eq!(last, Some(send(2, fail(RESPONSE_DISCARDED))));
 }
 
 #[test]
-fn can_open_the_window_and_free_the_memory() {
-    let mut world = World::new(limits());
-    world.get(1, open_frame(false));
-    world.answer();
+fn can_enlarge_the_window_and_free_memory_on_acknowledgement() {
+    let mut world = World::new(settings());
+    world.receive(1, open_frame(false));
+    world.start_response();
     let received = Frame::Received {
         id: ID,
         next_part: 2,
     };
     let bytes = part_cost_bytes(0) + part_cost_bytes(2);
     assert_eq!(
-        world.get(1, received.clone()),
+        world.receive(1, received.clone()),
         [TableAction::Credit { id: ID, bytes }]
     );
-    assert_eq!(world.get(1, received), []);
-    world.end();
+    assert_eq!(world.receive(1, received), []);
+    world.finish();
     assert_eq!(world.table.held_bytes(), 0);
 }
 
 #[test]
-fn can_cancel_and_forget() {
-    let mut world = World::new(limits());
-    world.get(1, open_frame(false));
+fn can_cancel_and_remove_a_call() {
+    let mut world = World::new(settings());
+    world.receive(1, open_frame(false));
     assert_eq!(
-        world.get(1, Frame::Cancel { id: ID }),
+        world.receive(1, Frame::Cancel { id: ID }),
         [TableAction::Cancel { id: ID }]
     );
-    assert_eq!(world.get(1, Frame::Cancel { id: ID }), []);
+    assert_eq!(world.receive(1, Frame::Cancel { id: ID }), []);
     let ended = world.act(|table, actions| table.abandon(ID, 0, actions));
     assert_eq!(ended.last(), Some(&TableAction::Drop { id: ID }));
     assert!(world.table.is_empty());
     assert_eq!(world.table.held_bytes(), 0);
 }
 
-struct Crowd {
+struct LoadCase {
     name: &'static str,
     body_bytes: usize,
 }
@@ -341,32 +351,32 @@
     }))
 }
 
-// One customer sends calls that take long, many of them or with large bodies, until it is
-// refused. The next customer's call must still be taken: without a share for each customer
-// the first one fills the table, and everybody else hears `queue-full` from this process.
+// One customer sends slow calls, many of them or with large bodies, until it is refused.
+// Without a limit for each customer it would fill the table, and this process would refuse
+// every other customer with `queue-full`. A call of the next customer must still be accepted.
 #[test]
-fn can_take_a_call_of_the_next_customer_when_one_has_all_it_may_hold() {
+fn can_accept_a_call_of_another_customer_when_one_has_used_its_share() {
     let cases = [
-        Crowd {
+        LoadCase {
             name: "many calls",
             body_bytes: 0,
         },
-        Crowd {
+        LoadCase {
             name: "large bodies",
-            body_bytes: limits().held_bytes_max / 16,
+            body_bytes: settings().held_bytes_max / 16,
         },
     ];
     for case in cases {
         let mut world = World::new(TableSettings {
             calls_max: 64,
-            ..limits()
+            ..settings()
         });
-        let mut taken = 0;
-        while runs(&world.get(1, open_of("collective", taken, case.body_bytes))) == 1 {
-            taken += 1;
+        let mut accepted = 0;
+        while runs(&world.receive(1, open_of("collective", accepted, case.body_bytes))) == 1 {
+            accepted += 1;
         }
-        assert!(taken >= 8, "{}: {taken}", case.name);
-        let next = world.get(1, open_of("office", 1_000, case.body_bytes));
+        assert!(accepted >= 8, "{}: {accepted} calls accepted", case.name);
+        let next = world.receive(1, open_of("office", 1_000, case.body_bytes));
         assert_eq!(runs(&next), 1, "{}", case.name);
     }
 }
