--- a/components/recovery/tests/common/mod.rs
+++ b/components/recovery/tests/common/mod.rs
@@ -1,5 +1,6 @@
 //! Frames, settings and ids that several test files use.
-#![allow(dead_code, clippy::unwrap_used)] // clippy.toml exempts only test functions, not their helpers.
+// clippy.toml exempts only test functions, not their helpers.
+#![allow(dead_code, clippy::unwrap_used)]
 
 use bytes::Bytes;
 use protocol::{Frame, Head, Open};
--- a/components/weights/examples/cost.rs
+++ b/components/weights/examples/cost.rs
@@ -1,4 +1,4 @@
-//! What news and reconciliation cost, and what the store has to give.
+//! CPU time of merging targets and of reconciliation, and the rate that the store must provide.
 //!
 //! `cargo run --release -p weights --example cost`
 
@@ -15,28 +15,29 @@
 const MODELS: [u32; 3] = [10, 100, 1_000];
 const ROUNDS: u64 = 100_000;
 const GB: u64 = 1_000_000_000;
-/// Spread of the news and switch of an engine, of the 6 s.
+/// Times for the announcement to reach every agent and for an engine's switch. Both are part of
+/// the 6 s that are allowed for a version change.
 const SPREAD_MS: u64 = 1_500;
 const SWITCH_MS: u64 = 1_500;
 
 fn main() -> Result<(), Box<dyn Error>> {
-    merges()?;
-    reconcile();
-    store();
+    measure_merges()?;
+    measure_reconciliation();
+    print_store_rates();
     Ok(())
 }
 
-fn merges() -> Result<(), Box<dyn Error>> {
+fn measure_merges() -> Result<(), Box<dyn Error>> {
     println!("models merge_ns");
     for models in MODELS {
         let keys: Vec<ModelKey> = (0..models).map(model).collect::<Result<_, _>>()?;
         let mut authority = Authority::new();
-        let began = Instant::now();
+        let started = Instant::now();
         for round in 0..ROUNDS {
             let key = &keys[round as usize % keys.len()];
             black_box(authority.merge(key, Target::serve(version(round))));
         }
-        println!("{models} {}", began.elapsed().as_nanos() as u64 / ROUNDS);
+        println!("{models} {}", started.elapsed().as_nanos() as u64 / ROUNDS);
     }
     Ok(())
 }
@@ -48,8 +49,8 @@
     })
 }
 
-/// One swap: load, read, switch, read, and the orders that it takes.
-fn reconcile() {
+/// Measures one version change (load, read, switch, read) and counts its orders.
+fn measure_reconciliation() {
     let mut agent = Reconciler::new(ReconcileSettings::default());
     let mut state = EngineState {
         life: 1,
@@ -58,7 +59,7 @@
     };
     let mut orders = 0;
     let mut now_ms = 0;
-    let began = Instant::now();
+    let started = Instant::now();
     for round in 1..=ROUNDS {
         agent.set_target(Target::serve(version(round)), LoadDelays::default(), now_ms);
         while state.version != Some(version(round)) {
@@ -67,11 +68,11 @@
                 continue;
             };
             orders += 1;
-            let outcome = obey(&mut state, order.kind);
+            let outcome = execute(&mut state, order.kind);
             agent.finish_order(order.id, outcome, now_ms, 500);
         }
     }
-    let swap_ns = began.elapsed().as_nanos() as u64 / ROUNDS;
+    let swap_ns = started.elapsed().as_nanos() as u64 / ROUNDS;
     println!("swaps orders_per_swap swap_ns");
     println!(
         "{ROUNDS} {:.2} {swap_ns}",
@@ -79,7 +80,7 @@
     );
 }
 
-fn obey(state: &mut EngineState, kind: OrderKind) -> OrderOutcome {
+fn execute(state: &mut EngineState, kind: OrderKind) -> OrderOutcome {
     match kind {
         OrderKind::CancelEarlier => {}
         OrderKind::Read => return OrderOutcome::State(state.clone()),
@@ -89,8 +90,8 @@
     OrderOutcome::Done
 }
 
-/// The formula at the size to design for; the sizes of weights are examples.
-fn store() {
+/// Prints the required store rate for 600 replicas and example sizes of weights.
+fn print_store_rates() {
     println!("replicas weights_gb window_ms store_gb_per_s");
     for (weights_gb, window_ms) in [(2, 6_000), (16, 6_000), (16, 60_000), (16, 480_000)] {
         let weights_bytes = weights_gb * GB;
--- a/components/weights/examples/turns.rs
+++ b/components/weights/examples/turns.rs
@@ -1,5 +1,6 @@
-//! Replicas and a store that gives so many answers a second: loads at once, in turn by rank,
-//! and in turn by a share of the window that each replica computes by itself.
+//! Simulates replicas that load a version from a rate-limited store. Compares three policies: all
+//! load at once, each waits according to its rank, or each waits for a part of a window that it
+//! computes by itself.
 //!
 //! `cargo run --release -p weights --example turns`
 
@@ -15,14 +16,14 @@
 const STEP_MS: u64 = 10;
 const LOAD_MS: u64 = 400;
 const SECOND_MS: u64 = 1_000;
-const GIVE_UP_MS: u64 = 3_600_000;
+const RUN_MS_MAX: u64 = 3_600_000;
 const OLD: WeightVersion = WeightVersion {
     epoch: 0,
     version: 1,
 };
 
 #[derive(Clone, Copy)]
-enum Way {
+enum LoadPolicy {
     AtOnce,
     Rank,
     Share { window_percent: u64 },
@@ -31,25 +32,25 @@
 struct Replica {
     agent: Reconciler,
     engine: EngineState,
-    /// A load on its way: its end, and whether the store gave the weights.
+    /// Load in progress: the order, the time when it ends, and its outcome.
     loading: Option<(Order, u64, OrderOutcome)>,
 }
 
 struct Store {
     per_s: u64,
     window_ms: u64,
-    taken: u64,
+    requests: u64,
     refused: u64,
 }
 
 impl Store {
-    fn ask(&mut self, now_ms: u64) -> OrderOutcome {
+    fn request(&mut self, now_ms: u64) -> OrderOutcome {
         if now_ms >= self.window_ms + SECOND_MS {
             self.window_ms = now_ms;
-            self.taken = 0;
+            self.requests = 0;
         }
-        self.taken += 1;
-        if self.taken <= self.per_s {
+        self.requests += 1;
+        if self.requests <= self.per_s {
             return OrderOutcome::Done;
         }
         self.refused += 1;
@@ -72,51 +73,57 @@
 
 fn main() -> Result<(), Box<dyn Error>> {
     println!("replicas store_per_s way mean_ms worst_ms over_store refused_per_replica");
-    let ways = [
-        Way::AtOnce,
-        Way::Rank,
-        Way::Share {
+    let policies = [
+        LoadPolicy::AtOnce,
+        LoadPolicy::Rank,
+        LoadPolicy::Share {
             window_percent: 100,
         },
-        Way::Share {
+        LoadPolicy::Share {
             window_percent: 150,
         },
-        Way::Share {
+        LoadPolicy::Share {
             window_percent: 200,
         },
     ];
     for (replicas, per_s) in [(24, 4), (600, 10), (600, 100)] {
-        for way in ways {
-            report(replicas, per_s, way)?;
+        for policy in policies {
+            report(replicas, per_s, policy)?;
         }
     }
     Ok(())
 }
 
-fn report(replicas: u64, per_s: u64, way: Way) -> Result<(), Box<dyn Error>> {
+fn report(replicas: u64, per_s: u64, policy: LoadPolicy) -> Result<(), Box<dyn Error>> {
     const RUNS: u64 = 20;
     let (mut sum_ms, mut worst_ms, mut refused) = (0, 0, 0);
     for run in 1..=RUNS {
-        let (all_ms, no) = until_all(replicas, per_s, way, run)?;
+        let (all_ms, refusals) = simulate(replicas, per_s, policy, run)?;
         sum_ms += all_ms;
         worst_ms = worst_ms.max(all_ms);
-        refused += no;
+        refused += refusals;
     }
     let mean_ms = sum_ms / RUNS;
     let store_ms = replicas * SECOND_MS / per_s;
     let over = mean_ms as f64 / store_ms as f64;
     let each = refused as f64 / (RUNS * replicas) as f64;
-    let name = match way {
-        Way::AtOnce => "at-once".to_owned(),
-        Way::Rank => "rank".to_owned(),
-        Way::Share { window_percent } => format!("share-of-{window_percent}%"),
+    let name = match policy {
+        LoadPolicy::AtOnce => "at-once".to_owned(),
+        LoadPolicy::Rank => "rank".to_owned(),
+        LoadPolicy::Share { window_percent } => format!("share-of-{window_percent}%"),
     };
     println!("{replicas} {per_s} {name} {mean_ms} {worst_ms} {over:.2} {each:.2}");
     Ok(())
 }
 
-/// Time until all hold the version, and refusals of the store.
-fn until_all(count: u64, per_s: u64, way: Way, run: u64) -> Result<(u64, u64), Box<dyn Error>> {
+/// Runs one simulation. Returns the time until all replicas hold the version, and the number of
+/// loads that the store refused.
+fn simulate(
+    count: u64,
+    per_s: u64,
+    policy: LoadPolicy,
+    run: u64,
+) -> Result<(u64, u64), Box<dyn Error>> {
     let model = ModelKey {
         customer: "office".parse()?,
         service: "redacteurs".parse()?,
@@ -129,7 +136,7 @@
     let mut store = Store {
         per_s,
         window_ms: 0,
-        taken: 0,
+        requests: 0,
         refused: 0,
     };
     let store_ms = count * SECOND_MS / per_s;
@@ -137,26 +144,26 @@
     for (rank, replica) in (0..).zip(&mut replicas) {
         let port = u16::try_from(7_000 + rank)?;
         let own = SocketAddr::from(([10, 0, 0, 1], port));
-        let preload_ms = match way {
-            Way::AtOnce => 0,
-            Way::Rank => rank * SECOND_MS / per_s,
-            Way::Share { window_percent } => {
+        let preload_ms = match policy {
+            LoadPolicy::AtOnce => 0,
+            LoadPolicy::Rank => rank * SECOND_MS / per_s,
+            LoadPolicy::Share { window_percent } => {
                 preload_delay_ms(own, &model, load, store_ms * window_percent / 100)
             }
         };
-        let turns = LoadDelays {
+        let delays = LoadDelays {
             serve_ms: 0,
             preload_ms,
         };
         replica
             .agent
-            .set_target(Target { serve: OLD, load }, turns, 0);
+            .set_target(Target { serve: OLD, load }, delays, 0);
     }
     let mut now_ms = 0;
     while replicas.iter().any(|replica| !replica.engine.holds(load)) {
         now_ms += STEP_MS;
-        if now_ms > GIVE_UP_MS {
-            return Err("the replicas never hold the version".into());
+        if now_ms > RUN_MS_MAX {
+            return Err("some replicas did not load the version within an hour".into());
         }
         for replica in &mut replicas {
             replica.step(&mut store, &mut random, now_ms);
@@ -190,7 +197,7 @@
         while let Some(order) = self.agent.poll(now_ms, random.permille()) {
             let outcome = match order.kind {
                 OrderKind::Load(_) => {
-                    let outcome = store.ask(now_ms);
+                    let outcome = store.request(now_ms);
                     let takes_ms = if outcome == OrderOutcome::Done {
                         LOAD_MS
                     } else {
--- a/components/weights/src/authority.rs
+++ b/components/weights/src/authority.rs
@@ -1,12 +1,12 @@
-//! Which weight version of each model is in force.
+//! The active weight version of each model.
 //!
-//! The trainer of a model is the only authority for its versions; an operator's
-//! roll-back raises the epoch. Processes tell each other their highest (epoch, version),
-//! and the highest wins, whatever the order of the news. A late or repeated announcement
-//! therefore changes nothing anywhere, without a coordinator.
+//! Only the trainer of a model announces its versions; an operator's roll-back raises the
+//! epoch. Processes exchange their highest (epoch, version), and the highest wins in whatever
+//! order the messages arrive. A late or repeated announcement therefore changes nothing in any
+//! process, and no coordinator is needed.
 //!
-//! A trainer may name a version ahead of time (`load`), so that engines fetch it in turn
-//! and the switch of all replicas costs no transfer.
+//! A trainer may announce a version ahead of time (`load`). Engines then fetch it at different
+//! times, and the later switch of all replicas needs no transfer.
 
 use std::collections::BTreeMap;
 
@@ -15,90 +15,91 @@
 use types::{CustomerName, Role, ServiceName, WeightTarget as Target, WeightVersion};
 
 quick_error! {
-    /// Why an announcement is refused.
+    /// Reason for the refusal of an announcement or a roll-back.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum AnnounceError {
-        /// Neither the trainer (announcement) nor an operator (roll-back) of the customer.
+        /// The token's role or customer does not allow the request: announcements need the trainer
+        /// of the model's customer, roll-backs its operator.
         Forbidden {
             display("only the model's own trainer announces versions, only its operators roll back")
         }
-        /// Below the version in force.
+        /// The version is below the known one, which is given.
         Outdated(current: WeightVersion) {
             display("version {} is in force already", current)
         }
-        /// A trainer named an epoch that no operator has begun.
+        /// The trainer used an epoch that no operator has begun by a roll-back.
         EpochNotBegun(current: WeightVersion) {
             display("epoch {} is in force; only a roll-back begins another", current.epoch)
         }
-        /// A roll-back that does not raise the epoch.
+        /// The roll-back does not raise the epoch.
         EpochNotRaised(current: WeightVersion) {
             display("a roll-back needs an epoch above {}", current.epoch)
         }
     }
 }
 
-/// Name of a model.
+/// Identity of a model.
 #[wire]
 #[derive(Hash, PartialOrd, Ord)]
 pub struct ModelKey {
-    /// Customer that owns it.
+    /// Customer that owns the model.
     pub customer: CustomerName,
-    /// Its service.
+    /// Service that hosts the model.
     pub service: ServiceName,
 }
 
-/// Who speaks.
+/// Sender of an announcement or a roll-back, as its token states.
 #[value]
 pub struct Announcer<'a> {
-    /// Customer of the token.
+    /// Customer that the token belongs to.
     pub customer: &'a CustomerName,
-    /// Role of the token.
+    /// Role that the token grants.
     pub role: Role,
 }
 
-/// What an accepted announcement did.
+/// Effect of an accepted announcement, with the target that is valid afterwards.
 #[wire_key]
 pub enum AnnounceOutcome {
-    /// It is news: pass it on.
+    /// The target changed and must be sent to the other processes.
     Changed(Target),
-    /// It was known.
+    /// The target was known already.
     Known(Target),
 }
 
-/// Highest known version of each model.
+/// Highest known versions of each model.
 #[derive(Clone, Debug, Default)]
 pub struct Authority {
     targets: BTreeMap<ModelKey, Target>,
 }
 
 impl Authority {
-    /// Nothing known.
+    /// Creates a table without any model.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// What engines of the model should do, if anything is known.
+    /// Versions that the engines of the model should serve and load, if known.
     pub fn target(&self, model: &ModelKey) -> Option<Target> {
         self.targets.get(model).copied()
     }
 
-    /// Every known model.
+    /// All known models with their targets.
     pub fn iter(&self) -> impl Iterator<Item = (&ModelKey, Target)> {
         self.targets.iter().map(|(model, &target)| (model, target))
     }
 
-    /// The trainer puts `version` in force.
+    /// Makes `version` the active version, as announced by the trainer.
     ///
-    /// A process that knows nothing of the model takes any epoch: after the loss of every
-    /// process the trainer is the only one left to ask, and where a higher epoch is
-    /// known elsewhere the merge lets it win.
+    /// A process that knows no version of the model accepts any epoch. After all processes were
+    /// lost, the trainer is the only remaining source of the epoch; if another process knows a
+    /// higher epoch, that epoch wins in [`Self::merge`].
     pub fn announce(
         &mut self,
-        by: &Announcer<'_>,
+        sender: &Announcer<'_>,
         model: &ModelKey,
         version: WeightVersion,
     ) -> Result<AnnounceOutcome, AnnounceError> {
-        self.check_trainer(by, model, version)?;
+        self.check_trainer(sender, model, version)?;
         if let Some(current) = self.target(model)
             && version < current.serve
         {
@@ -107,14 +108,14 @@
         Ok(self.adopt(model, Target::serve(version)))
     }
 
-    /// The trainer will put `version` in force soon: engines may load it now.
+    /// Lets engines load `version` now, which the trainer will announce soon.
     pub fn prepare(
         &mut self,
-        by: &Announcer<'_>,
+        sender: &Announcer<'_>,
         model: &ModelKey,
         version: WeightVersion,
     ) -> Result<AnnounceOutcome, AnnounceError> {
-        self.check_trainer(by, model, version)?;
+        self.check_trainer(sender, model, version)?;
         let Some(current) = self.target(model) else {
             return Ok(self.adopt(model, Target::serve(version)));
         };
@@ -128,18 +129,18 @@
         Ok(self.adopt(model, target))
     }
 
-    /// An operator goes back: `version` names a raised epoch.
+    /// Rolls the model back to `version`, which must have a higher epoch than the active one.
     pub fn roll_back(
         &mut self,
-        by: &Announcer<'_>,
+        sender: &Announcer<'_>,
         model: &ModelKey,
         version: WeightVersion,
     ) -> Result<AnnounceOutcome, AnnounceError> {
-        if by.role != Role::Operator || *by.customer != model.customer {
+        if sender.role != Role::Operator || *sender.customer != model.customer {
             return Err(AnnounceError::Forbidden);
         }
         if let Some(current) = self.target(model) {
-            // The operator's repeat after a lost answer is no second roll-back.
+            // The operator repeats a roll-back whose response was lost; this must succeed.
             if version == current.serve {
                 return Ok(AnnounceOutcome::Known(current));
             }
@@ -150,23 +151,24 @@
         Ok(self.adopt(model, Target::serve(version)))
     }
 
-    /// News from another process; true if it is news here as well.
+    /// Merges a target that another process sent. Returns whether it changed the local target.
     pub fn merge(&mut self, model: &ModelKey, target: Target) -> bool {
         matches!(self.adopt(model, target), AnnounceOutcome::Changed(_))
     }
 
-    /// Forgets models that no accepted configuration names any more.
+    /// Removes the models for which `keep` returns false. Used for models that no accepted
+    /// configuration contains any more.
     pub fn retain(&mut self, mut keep: impl FnMut(&ModelKey) -> bool) {
         self.targets.retain(|model, _| keep(model));
     }
 
     fn check_trainer(
         &self,
-        by: &Announcer<'_>,
+        sender: &Announcer<'_>,
         model: &ModelKey,
         version: WeightVersion,
     ) -> Result<(), AnnounceError> {
-        if by.role != Role::Trainer || *by.customer != model.customer {
+        if sender.role != Role::Trainer || *sender.customer != model.customer {
             return Err(AnnounceError::Forbidden);
         }
         let Some(current) = self.target(model) else {
@@ -178,13 +180,13 @@
         Ok(())
     }
 
-    fn adopt(&mut self, model: &ModelKey, news: Target) -> AnnounceOutcome {
+    fn adopt(&mut self, model: &ModelKey, received: Target) -> AnnounceOutcome {
         let Some(known) = self.targets.get_mut(model) else {
-            let target = news.merge(news);
+            let target = received.merge(received);
             self.targets.insert(model.clone(), target);
             return AnnounceOutcome::Changed(target);
         };
-        let merged = known.merge(news);
+        let merged = known.merge(received);
         if merged == *known {
             return AnnounceOutcome::Known(merged);
         }
--- a/components/weights/src/backoff.rs
+++ b/components/weights/src/backoff.rs
@@ -1,23 +1,26 @@
-//! Waiting longer after each failure in a row.
+//! Delay after consecutive failures.
 
 use derive::key;
 
+/// Maximum number of doublings; keeps the shift below the width of a `u64`.
 const DOUBLINGS_MAX: u32 = 16;
-/// Random numbers are given in thousandths.
+/// Callers pass random numbers in thousandths.
 pub(crate) const PERMILLE: u64 = 1_000;
 
 /// Exponential backoff with jitter.
 #[key]
 pub struct Backoff {
-    /// Longest wait after the first failure.
+    /// Upper bound of the delay after the first failure, in milliseconds. Doubles with each
+    /// further failure.
     pub first_ms: u64,
-    /// Longest wait at all.
+    /// Upper bound of every delay, in milliseconds.
     pub max_ms: u64,
 }
 
 impl Backoff {
-    /// Wait after `failures` in a row, between half and the whole of the bound.
-    /// `random_permille` (0 to 999) spreads replicas that failed at the same time.
+    /// Delay after `failures` consecutive failures, between half of the bound and the bound.
+    /// `random_permille` (0 to 999) selects the delay in that range, so that replicas that failed
+    /// at the same time do not retry at the same time.
     pub fn wait_ms(&self, failures: u32, random_permille: u64) -> u64 {
         if failures == 0 {
             return 0;
--- a/components/weights/src/lib.rs
+++ b/components/weights/src/lib.rs
@@ -1,5 +1,6 @@
-//! Weight versions: which one is in force, and how each agent brings its own engine
-//! there. Events and the time go in, actions come out.
+//! Weight versions of models: which version is active, and how each agent moves its own engine
+//! to that version. The state machines do no I/O: they take events and the current time and
+//! return orders.
 
 mod authority;
 mod backoff;
--- a/components/weights/src/order.rs
+++ b/components/weights/src/order.rs
@@ -1,47 +1,48 @@
-//! Orders from an agent to its engine, and what comes back.
+//! Orders from an agent to its engine, and their outcomes.
 
 use std::collections::BTreeSet;
 
 use derive::{key, value};
 use types::WeightVersion;
 
-/// What the engine says of one model.
+/// State of one model, as read from the engine.
 #[value]
 pub struct EngineState {
-    /// Which life of the engine; another one after a crash.
+    /// Number of the engine's incarnation; changes when the engine restarts after a crash.
     pub life: u64,
-    /// Version that it serves.
+    /// Version that the engine serves; `None` if it serves none.
     pub version: Option<WeightVersion>,
-    /// Versions in its memory.
+    /// Versions in the engine's memory.
     pub loaded: BTreeSet<WeightVersion>,
 }
 
 impl EngineState {
-    /// Whether the version needs no load before it can serve.
+    /// Whether the engine can serve the version without loading it first.
     pub fn holds(&self, version: WeightVersion) -> bool {
         self.version == Some(version) || self.loaded.contains(&version)
     }
 }
 
-/// Number of an order of this agent.
+/// Number of an order, unique since the agent's process started.
 #[key]
 pub struct OrderId(pub u64);
 
-/// What to do at the engine.
+/// Operation that an order requests from the engine.
 #[key]
 pub enum OrderKind {
-    /// Cancel every earlier call that can be named; the first order of an agent's life.
+    /// Cancel the calls that an earlier process of the agent left at the engine, as far as they
+    /// can be identified. The first order after the agent's start.
     CancelEarlier,
-    /// Read the state.
+    /// Read the engine's state of the model.
     Read,
-    /// Fetch a version into memory; the engine keeps serving.
+    /// Fetch a version into memory. The engine continues to serve its current version.
     Load(WeightVersion),
-    /// Serve a loaded version.
+    /// Switch to a version that is in memory.
     Switch(WeightVersion),
 }
 
 impl OrderKind {
-    /// Whether the order changes anything at the engine.
+    /// Whether the order changes the versions in the engine.
     pub fn is_change(self) -> bool {
         matches!(self, OrderKind::Load(_) | OrderKind::Switch(_))
     }
@@ -50,33 +51,34 @@
 /// One order to the engine.
 #[key]
 pub struct Order {
-    /// Number, to come back with its end.
+    /// Number by which the driver reports the outcome.
     pub id: OrderId,
-    /// What to do.
+    /// Requested operation.
     pub kind: OrderKind,
-    /// Fencing number that goes with a change.
+    /// Fencing number sent with a change.
     pub fence: u64,
-    /// The driver drops the order unsent after this time and reports [`OrderOutcome::Unknown`]:
-    /// a process frozen between the decision and the send would act on an old belief.
+    /// After this time the driver must not send the order, and reports
+    /// [`OrderOutcome::Unknown`]. A process that was frozen between the decision and the send
+    /// would otherwise act on an outdated engine state.
     pub send_before_ms: u64,
 }
 
-/// How an order ended, as far as the agent can tell.
+/// Outcome of an order, as far as the agent knows.
 #[value]
 pub enum OrderOutcome {
-    /// The engine said that it is done.
+    /// The engine reported success.
     Done,
-    /// The state, for [`OrderKind::Read`].
+    /// Result of [`OrderKind::Read`].
     State(EngineState),
-    /// The engine has seen a higher fencing number.
+    /// The engine refused the order, because it has seen a higher fencing number.
     OldFence,
-    /// The weight store has no room now; come back after the stated time, if any.
+    /// The weight store is at its rate limit.
     StoreBusy {
-        /// From the store's answer.
+        /// Time to wait before the next attempt, if the store stated one.
         retry_after_ms: Option<u64>,
     },
-    /// The engine said that it failed.
+    /// The engine reported a failure.
     Failed,
-    /// No answer, or not sent.
+    /// The engine did not respond, or the order was not sent.
     Unknown,
 }
--- a/components/weights/src/preload.rs
+++ b/components/weights/src/preload.rs
@@ -1,12 +1,14 @@
-//! Turns at the rate-limited weight store, taken without asking anyone.
+//! Delays that spread the replicas' loads from the rate-limited weight store, without
+//! coordination between the replicas.
 //!
-//! A version that is named ahead of time is not urgent, so the replicas spread their loads
-//! over a window: each waits for a share of it that follows from its address and the
-//! version. The share is new with each version, so that nobody is always the last. A rank
-//! among the replicas would spread them without any collision, but an agent doesn't know
-//! which others stand beside the same model: the VM list names no pools, and to be told
-//! would cost every agent messages that grow with the replicas. Where two collide the
-//! store answers that it is busy, and the one that was refused comes back.
+//! A version that is announced ahead of time is not urgent, so the replicas spread their loads
+//! over a window: each replica waits for a part of the window that is computed from a hash of
+//! its address and the version. The delay differs from version to version, so no replica is
+//! always the last. A delay by rank among the replicas would avoid all collisions, but an agent
+//! does not know which other replicas serve the same model: the VM list contains no pools, and
+//! distributing that information would cost each agent messages in proportion to the number of
+//! replicas. If too many replicas load at the same time, the store reports that it is busy, and
+//! the refused replicas retry.
 
 use std::net::SocketAddr;
 
@@ -16,8 +18,8 @@
 
 const MS_PER_S: u64 = 1_000;
 
-/// Wait of the replica whose agent has this address before it loads the version, below
-/// `window_ms`.
+/// Delay before the replica whose agent has the address `own` loads the version, in
+/// milliseconds. Always less than `window_ms`, or 0 if that is 0.
 pub fn preload_delay_ms(
     own: SocketAddr,
     model: &ModelKey,
@@ -28,14 +30,17 @@
     rendezvous::weight(key.as_bytes(), own) % window_ms.max(1)
 }
 
-/// Rate that the store needs for all replicas to hold new weights in time, bytes a second:
+/// Rate in bytes per second that the store must provide so that all replicas have new weights in
+/// time:
 ///
 /// `replicas * weights_bytes / (window - spread - switch)`
 ///
-/// where `window_ms` runs from the news to the last replica, `spread_ms` is the time
-/// for the news to reach every agent and `switch_ms` an engine's time to switch to loaded
-/// weights. With weights named ahead of time the window is that lead; the 6 s then hold
-/// only spread and switch. `None` when spread and switch leave no time.
+/// `window_ms` is the time from the announcement until the last replica serves the version,
+/// `spread_ms` the time until the announcement has reached every agent, and `switch_ms` the time
+/// that an engine needs to switch to loaded weights. For a version that is announced ahead of
+/// time, `window_ms` is the lead time; the 6 s that are allowed for the change to the active
+/// version then include only the spread and the switch. Returns `None` if spread and switch
+/// leave no time for the load.
 pub fn store_rate_needed_bytes_per_s(
     replicas: u32,
     weights_bytes: u64,
--- a/components/weights/src/reconcile.rs
+++ b/components/weights/src/reconcile.rs
@@ -1,15 +1,16 @@
-//! An agent brings its own engine to the wanted version.
+//! Moves the agent's own engine to the target version.
 //!
-//! One order is in flight at most: load first, then switch. After each order the state
-//! is read back, whatever the engine answered, and only what was read counts. So a lost
-//! answer, a failed swap, a refused fencing number and an old order that slips in at an
-//! engine that ignores the number are all the same case: the state differs from the
-//! wanted one, and the next order follows. No lease is needed, because nobody else
-//! orders this engine, and an order carries a number that grows with (epoch, version).
+//! At most one order is in flight: first the load, then the switch. After each change the agent
+//! reads the engine's state, whatever the engine reported, and decides only on the state it
+//! read. A lost response, a failed switch, a refused fencing number, and an old order that is
+//! carried out late by an engine that ignores fencing numbers are therefore handled alike: the
+//! state differs from the target, and the next order follows. No lease is needed, because no
+//! other process sends orders to this engine, and each order carries a fencing number that
+//! grows with (epoch, version).
 //!
-//! The engine serves its old version while it loads, so every replica of a service may
-//! be behind its turn at the store and the service still answers. How old that version
-//! is stands in [`Status`].
+//! The engine serves its old version while it loads, so the service remains available even if
+//! all its replicas still wait to load from the store. [`Status`] shows how old the served
+//! version is.
 
 use derive::value;
 use types::{WeightTarget as Target, WeightVersion};
@@ -19,16 +20,18 @@
 use crate::status::Status;
 
 #[value]
-struct Belief {
+struct ObservedState {
     state: EngineState,
+    /// Time at which the read order was sent.
     read_ms: u64,
 }
 
+/// A change of which no later read has shown whether it took effect.
 #[value]
-struct Unproved {
+struct UnverifiedChange {
     kind: OrderKind,
-    /// Its failure has been counted already.
-    counted: bool,
+    /// The outcome of the order was already counted as a failure.
+    failure_counted: bool,
 }
 
 #[value]
@@ -37,13 +40,13 @@
     sent_ms: u64,
 }
 
-/// This replica's waits at the store, from the news on.
+/// Delays before this replica loads weights from the store, counted from the new target.
 #[value]
 #[derive(Copy, Default)]
 pub struct LoadDelays {
-    /// Before it loads the version to serve, in milliseconds.
+    /// Delay before the load of the version to serve, in milliseconds.
     pub serve_ms: u64,
-    /// Before it loads a version that is named ahead of time, in milliseconds.
+    /// Delay before the load of a version that is announced ahead of time, in milliseconds.
     pub preload_ms: u64,
 }
 
@@ -52,104 +55,106 @@
 pub struct Reconciler {
     settings: ReconcileSettings,
     target: Option<Target>,
-    /// Earliest time to load the version to serve: the replica's turn at the store.
+    /// Earliest time to load the version to serve.
     serve_after_ms: u64,
-    /// Earliest time to load a version ahead of time.
-    ahead_after_ms: u64,
-    belief: Option<Belief>,
-    /// The belief may have been overtaken by an order; read before the next one.
-    belief_open: bool,
+    /// Earliest time to load a version that is announced ahead of time.
+    preload_after_ms: u64,
+    observed: Option<ObservedState>,
+    /// A change was sent since the last read, so the state must be read before the next order.
+    read_required: bool,
     in_flight: Option<InFlight>,
-    /// The last change; the next read says whether it took effect.
-    unproved: Option<Unproved>,
+    /// The last change, until the next read shows whether it took effect.
+    unverified: Option<UnverifiedChange>,
     read_after_ms: u64,
     change_after_ms: u64,
     failures: u32,
     fence_refused: bool,
-    earlier_cancelled: bool,
-    /// Until when an order that was given up on may still take effect; `None` before the
-    /// first look at the time.
-    doubt_until_ms: Option<u64>,
+    earlier_calls_cancelled: bool,
+    /// Time until which an order without a response may still take effect; `None` before the
+    /// first call of [`Self::poll`].
+    uncertain_until_ms: Option<u64>,
     next_id: u64,
 }
 
 impl Reconciler {
-    /// An agent that has just started beside an engine that may have lived on.
+    /// Creates the state machine of an agent that has just started. The engine may have been
+    /// running before, with orders of an earlier process of the agent.
     pub fn new(settings: ReconcileSettings) -> Self {
         Self {
             settings,
             target: None,
             serve_after_ms: 0,
-            ahead_after_ms: 0,
-            belief: None,
-            belief_open: true,
+            preload_after_ms: 0,
+            observed: None,
+            read_required: true,
             in_flight: None,
-            unproved: None,
+            unverified: None,
             read_after_ms: 0,
             change_after_ms: 0,
             failures: 0,
             fence_refused: false,
-            earlier_cancelled: false,
-            doubt_until_ms: None,
+            earlier_calls_cancelled: false,
+            uncertain_until_ms: None,
             next_id: 1,
         }
     }
 
-    /// The target is news.
-    pub fn set_target(&mut self, target: Target, turns: LoadDelays, now_ms: u64) {
+    /// Sets a new target. `delays` count from `now_ms`. Does nothing if the target is unchanged.
+    pub fn set_target(&mut self, target: Target, delays: LoadDelays, now_ms: u64) {
         if self.target == Some(target) {
             return;
         }
-        // A version that comes in force before its turn to be loaded ahead waits no longer
-        // than one that was never named before.
+        // A version that becomes active before its preload delay has passed waits no longer than a
+        // version that was never announced ahead of time.
         if self.target.is_none_or(|old| old.serve != target.serve) {
-            self.serve_after_ms = now_ms + turns.serve_ms;
+            self.serve_after_ms = now_ms + delays.serve_ms;
         }
         if self.target.is_none_or(|old| old.load != target.load) {
-            self.ahead_after_ms = now_ms + turns.preload_ms;
+            self.preload_after_ms = now_ms + delays.preload_ms;
         }
         self.target = Some(target);
         self.fence_refused = false;
-        // Failures with an older version say nothing of this one.
+        // Failures of an older target do not delay the new one.
         self.failures = 0;
         self.change_after_ms = now_ms;
     }
 
-    /// The next order, if one is due. `random_permille` is 0 to 999.
+    /// Returns the next order, if one is due. `random_permille` (0 to 999) adds jitter to the
+    /// backoff.
     pub fn poll(&mut self, now_ms: u64, random_permille: u64) -> Option<Order> {
-        // An earlier life of this agent may have left an order behind.
+        // An order of an earlier process of this agent may still take effect.
         let timeout_ms = self.settings.order_timeout_ms;
-        self.doubt_until_ms.get_or_insert(now_ms + timeout_ms);
-        self.drop_overdue(now_ms, random_permille);
+        self.uncertain_until_ms.get_or_insert(now_ms + timeout_ms);
+        self.expire_overdue_order(now_ms, random_permille);
         if self.in_flight.is_some() {
             return None;
         }
-        let kind = self.next_kind(now_ms)?;
-        Some(self.send(kind, now_ms))
+        let kind = self.next_order_kind(now_ms)?;
+        Some(self.create_order(kind, now_ms))
     }
 
-    /// When `poll` is next worth a call, if nothing else happens.
+    /// Time at which [`Self::poll`] must be called next if no other event occurs before.
     pub fn next_due_ms(&self, now_ms: u64) -> u64 {
         if let Some(in_flight) = &self.in_flight {
             return in_flight.sent_ms + self.settings.order_timeout_ms;
         }
-        let Some(belief) = self.belief.as_ref().filter(|_| !self.belief_open) else {
+        let Some(observed) = self.observed.as_ref().filter(|_| !self.read_required) else {
             return self.read_after_ms.max(now_ms);
         };
-        let check_interval_ms = self.watch_due_ms(belief.read_ms, now_ms);
-        let Some(change) = self.wanted_order(&belief.state) else {
-            return check_interval_ms.max(now_ms);
+        let check_ms = self.next_check_ms(observed.read_ms, now_ms);
+        let Some(change) = self.next_change(&observed.state) else {
+            return check_ms.max(now_ms);
         };
-        let mut change_ms = self.due_ms(change).max(now_ms);
-        let is_old = change_ms.saturating_sub(belief.read_ms) > self.settings.state_age_ms_max;
+        let mut change_ms = self.change_due_ms(change).max(now_ms);
+        let is_old = change_ms.saturating_sub(observed.read_ms) > self.settings.state_age_ms_max;
         if is_old {
             change_ms = change_ms.max(self.read_after_ms);
         }
-        change_ms.min(check_interval_ms.max(now_ms))
+        change_ms.min(check_ms.max(now_ms))
     }
 
-    /// An order ended. An id that is not in flight belongs to an order given up on and
-    /// is ignored: the read after it already tells the truth.
+    /// Processes the outcome of an order. An id that is not in flight belongs to an order that
+    /// timed out and is ignored, because the read after the timeout shows the engine's state.
     pub fn finish_order(
         &mut self,
         id: OrderId,
@@ -161,62 +166,72 @@
             return;
         };
         match in_flight.order.kind {
-            OrderKind::CancelEarlier => self.earlier_cancelled = true,
-            OrderKind::Read => self.read_ended(outcome, in_flight.sent_ms, now_ms, random_permille),
-            kind => self.change_ended(kind, outcome, now_ms, random_permille),
+            OrderKind::CancelEarlier => self.earlier_calls_cancelled = true,
+            OrderKind::Read => {
+                self.finish_read(outcome, in_flight.sent_ms, now_ms, random_permille)
+            }
+            kind => self.finish_change(kind, outcome, now_ms, random_permille),
         }
     }
 
-    /// State for people and peers.
+    /// Current status, for the status page and for peers.
     pub fn status(&self, now_ms: u64) -> Status {
-        let serving = self.belief.as_ref().and_then(|belief| belief.state.version);
+        let serving = self
+            .observed
+            .as_ref()
+            .and_then(|observed| observed.state.version);
         let wanted = self.target.map(|target| target.serve);
-        let behind = serving.zip(wanted).and_then(|(s, w)| behind(s, w));
+        let versions_behind = serving.zip(wanted).and_then(|(s, w)| version_lag(s, w));
         let load = self.target.map(|target| target.load);
-        let holds = |version| self.belief.as_ref().is_some_and(|b| b.state.holds(version));
-        let judged = serving.is_some() && wanted.is_some();
+        let holds = |version| {
+            self.observed
+                .as_ref()
+                .is_some_and(|observed| observed.state.holds(version))
+        };
+        let versions_known = serving.is_some() && wanted.is_some();
         Status {
             serving,
             wanted,
             load,
             loaded: load.is_some_and(holds),
             read_age_ms: self
-                .belief
+                .observed
                 .as_ref()
-                .map(|b| now_ms.saturating_sub(b.read_ms)),
-            versions_behind: behind,
-            too_old: judged && behind.is_none_or(|lag| lag > self.settings.staleness_bound),
+                .map(|observed| now_ms.saturating_sub(observed.read_ms)),
+            versions_behind,
+            too_old: versions_known
+                && versions_behind.is_none_or(|lag| lag > self.settings.staleness_bound),
             target_outdated: self.fence_refused || serving > wanted,
             failures: self.failures,
             order_in_flight: self.in_flight.is_some(),
         }
     }
 
-    fn next_kind(&self, now_ms: u64) -> Option<OrderKind> {
-        if !self.earlier_cancelled {
+    fn next_order_kind(&self, now_ms: u64) -> Option<OrderKind> {
+        if !self.earlier_calls_cancelled {
             return Some(OrderKind::CancelEarlier);
         }
         let may_read = now_ms >= self.read_after_ms;
         let read = may_read.then_some(OrderKind::Read);
-        let Some(belief) = self.belief.as_ref().filter(|_| !self.belief_open) else {
+        let Some(observed) = self.observed.as_ref().filter(|_| !self.read_required) else {
             return read;
         };
-        let age_ms = now_ms.saturating_sub(belief.read_ms);
-        let change = self.wanted_order(&belief.state);
-        match change.filter(|&kind| now_ms >= self.due_ms(kind)) {
-            // A frozen process wakes with an old belief: another life of the engine or a
-            // switch may have come since. Read first, then decide again.
+        let age_ms = now_ms.saturating_sub(observed.read_ms);
+        let change = self.next_change(&observed.state);
+        match change.filter(|&kind| now_ms >= self.change_due_ms(kind)) {
+            // The process was frozen and its last read is too old: the engine may have restarted
+            // or switched since. Read the state again before the next decision.
             Some(_) if age_ms > self.settings.state_age_ms_max => read,
             Some(kind) => Some(kind),
             None => read.filter(|_| age_ms >= self.current_check_interval_ms(now_ms)),
         }
     }
 
-    /// What brings the engine nearer to the target, whenever its time is.
-    fn wanted_order(&self, state: &EngineState) -> Option<OrderKind> {
+    /// Change that moves the engine towards the target, whether or not it is due yet.
+    fn next_change(&self, state: &EngineState) -> Option<OrderKind> {
         let target = self.target?;
-        // Serving something newer means that this agent has missed news. Versions only
-        // go up; going back here would undo a roll-back.
+        // If the engine serves a newer version, this agent has missed an announcement. Versions
+        // only grow, and an order to serve the older version would undo a roll-back.
         if state.version > Some(target.serve) {
             return None;
         }
@@ -231,15 +246,14 @@
         (!prepared).then_some(OrderKind::Load(target.load))
     }
 
-    /// Time between two looks at an engine that is as wanted.
+    /// Interval between reads of an engine whose state equals the target.
     ///
-    /// An order that got no answer may be carried out late, after newer ones: an engine
-    /// that does not check the fencing number then serves an old version again, and
-    /// samples grow stale until the next look. While that can happen the looks come
-    /// more often.
+    /// An order without a response may be carried out late, after newer orders. An engine that
+    /// does not check fencing numbers then serves an old version again, and its samples are too
+    /// old until the next read. While that is possible, the state is read more often.
     fn current_check_interval_ms(&self, now_ms: u64) -> u64 {
         if self
-            .doubt_until_ms
+            .uncertain_until_ms
             .is_some_and(|until_ms| now_ms < until_ms)
         {
             self.settings.uncertain_check_interval_ms
@@ -248,41 +262,41 @@
         }
     }
 
-    /// When the engine is looked at next, if nothing is ordered before.
+    /// Time of the next read if no change is ordered before.
     ///
-    /// Doubt may end before the early look would come. Then the look is not due at that time,
-    /// and waking for it would do nothing.
-    fn watch_due_ms(&self, read_ms: u64, now_ms: u64) -> u64 {
+    /// The period in which a late order may take effect can end before the shorter interval has
+    /// passed. Then no read is due after that interval, and a wake-up would have no effect.
+    fn next_check_ms(&self, read_ms: u64, now_ms: u64) -> u64 {
         let earliest_ms = self.read_after_ms.max(now_ms);
         let early_ms = earliest_ms.max(read_ms + self.settings.uncertain_check_interval_ms);
-        match self.doubt_until_ms {
+        match self.uncertain_until_ms {
             Some(until_ms) if early_ms < until_ms => early_ms,
             _ => earliest_ms.max(read_ms + self.settings.check_interval_ms),
         }
     }
 
-    /// When this change may be ordered.
-    fn due_ms(&self, kind: OrderKind) -> u64 {
+    /// Earliest time at which this change may be ordered.
+    fn change_due_ms(&self, kind: OrderKind) -> u64 {
         match kind {
-            OrderKind::Load(version) if self.is_wanted_now(version) => {
+            OrderKind::Load(version) if self.is_version_to_serve(version) => {
                 self.change_after_ms.max(self.serve_after_ms)
             }
-            OrderKind::Load(_) => self.change_after_ms.max(self.ahead_after_ms),
+            OrderKind::Load(_) => self.change_after_ms.max(self.preload_after_ms),
             _ => self.change_after_ms,
         }
     }
 
-    fn is_wanted_now(&self, version: WeightVersion) -> bool {
+    fn is_version_to_serve(&self, version: WeightVersion) -> bool {
         self.target.is_some_and(|target| target.serve == version)
     }
 
-    fn send(&mut self, kind: OrderKind, now_ms: u64) -> Order {
+    fn create_order(&mut self, kind: OrderKind, now_ms: u64) -> Order {
         let order = Order {
             id: OrderId(self.next_id),
             kind,
-            // Of the version to serve also where another one is ordered: an engine that has
-            // loaded version 7 ahead of time under its own number would refuse the switch to
-            // version 6, and stay behind until 7 comes in force.
+            // The number of the version to serve is used even if another version is loaded. An
+            // engine that loaded version 7 ahead of time with the number of version 7 would
+            // refuse the switch to version 6, and stay behind until version 7 becomes active.
             fence: self
                 .target
                 .map_or(0, |target| target.serve.fencing_number()),
@@ -296,7 +310,7 @@
         order
     }
 
-    fn drop_overdue(&mut self, now_ms: u64, random_permille: u64) {
+    fn expire_overdue_order(&mut self, now_ms: u64, random_permille: u64) {
         let timeout_ms = self.settings.order_timeout_ms;
         let overdue = |f: &InFlight| now_ms.saturating_sub(f.sent_ms) >= timeout_ms;
         if let Some(id) = self
@@ -309,66 +323,66 @@
         }
     }
 
-    fn read_ended(&mut self, outcome: OrderOutcome, sent_ms: u64, now_ms: u64, random: u64) {
+    fn finish_read(&mut self, outcome: OrderOutcome, sent_ms: u64, now_ms: u64, random: u64) {
         let OrderOutcome::State(state) = outcome else {
             self.failures = self.failures.saturating_add(1);
             self.read_after_ms = now_ms + self.settings.backoff.wait_ms(self.failures, random);
             return;
         };
-        self.prove_last_change(&state, now_ms, random);
-        // The age counts from the question: the answer may have been long on its way.
-        self.belief = Some(Belief {
+        self.verify_last_change(&state, now_ms, random);
+        // The age counts from the request, because the response may have been delayed.
+        self.observed = Some(ObservedState {
             state,
             read_ms: sent_ms,
         });
-        self.belief_open = false;
+        self.read_required = false;
     }
 
-    /// Only the state says whether a change took effect. An engine that answers "done"
-    /// and does nothing is backed off from like one that fails; a change whose answer was
-    /// lost counts as done if it shows.
-    fn prove_last_change(&mut self, state: &EngineState, now_ms: u64, random_permille: u64) {
-        let Some(unproved) = self.unproved.take() else {
+    /// Checks in the state that was read whether the last change took effect. If it did not, the
+    /// backoff applies even if the engine reported success. If it did, the change counts as
+    /// successful even if the response was lost.
+    fn verify_last_change(&mut self, state: &EngineState, now_ms: u64, random_permille: u64) {
+        let Some(unverified) = self.unverified.take() else {
             return;
         };
-        let shows = match unproved.kind {
+        let took_effect = match unverified.kind {
             OrderKind::Load(version) => state.holds(version),
             OrderKind::Switch(version) => state.version == Some(version),
             OrderKind::CancelEarlier | OrderKind::Read => true,
         };
-        if shows {
+        if took_effect {
             self.failures = 0;
             self.change_after_ms = now_ms;
-        } else if !unproved.counted {
-            self.change_failed(now_ms, random_permille);
+        } else if !unverified.failure_counted {
+            self.record_change_failure(now_ms, random_permille);
         }
     }
 
-    fn change_ended(&mut self, kind: OrderKind, outcome: OrderOutcome, now_ms: u64, random: u64) {
-        self.belief_open = true;
-        // The read that follows an order is never put off.
+    fn finish_change(&mut self, kind: OrderKind, outcome: OrderOutcome, now_ms: u64, random: u64) {
+        self.read_required = true;
+        // The read that follows a change is never delayed by the backoff.
         self.read_after_ms = now_ms;
         let done = outcome == OrderOutcome::Done;
-        self.unproved = Some(Unproved {
+        self.unverified = Some(UnverifiedChange {
             kind,
-            counted: !done,
+            failure_counted: !done,
         });
         self.fence_refused = outcome == OrderOutcome::OldFence;
         if outcome == OrderOutcome::Unknown {
-            self.doubt_until_ms = Some(now_ms + self.settings.order_timeout_ms);
+            self.uncertain_until_ms = Some(now_ms + self.settings.order_timeout_ms);
         }
         if !done {
-            self.change_failed(now_ms, random);
+            self.record_change_failure(now_ms, random);
         }
         if let OrderOutcome::StoreBusy {
-            retry_after_ms: Some(asked_ms),
+            retry_after_ms: Some(store_wait_ms),
         } = outcome
         {
-            self.change_after_ms = self.change_after_ms.max(now_ms + asked_ms);
+            self.change_after_ms = self.change_after_ms.max(now_ms + store_wait_ms);
         }
     }
 
-    fn change_failed(&mut self, now_ms: u64, random_permille: u64) {
+    fn record_change_failure(&mut self, now_ms: u64, random_permille: u64) {
         self.failures = self.failures.saturating_add(1);
         let wait_ms = self
             .settings
@@ -378,7 +392,7 @@
     }
 }
 
-fn behind(serving: WeightVersion, wanted: WeightVersion) -> Option<u64> {
+fn version_lag(serving: WeightVersion, wanted: WeightVersion) -> Option<u64> {
     let same_epoch = serving.epoch == wanted.epoch;
     same_epoch.then(|| wanted.version.saturating_sub(serving.version))
 }
--- a/components/weights/src/settings.rs
+++ b/components/weights/src/settings.rs
@@ -1,24 +1,26 @@
-//! Settings of an agent's reconciliation of its engine.
+//! Settings of [`crate::Reconciler`].
 
 use derive::value;
 
 use crate::backoff::Backoff;
 
-/// How the agent paces itself.
+/// Intervals, timeouts and limits of the reconciliation of one engine.
 #[value]
 pub struct ReconcileSettings {
-    /// Between two looks at an engine that is as wanted.
+    /// Interval between reads of an engine whose state equals the target, in milliseconds.
     pub check_interval_ms: u64,
-    /// The same while an order of unknown outcome, or one of the agent's earlier life, may
-    /// still be on its way to an engine that does not check fencing numbers.
+    /// The same interval while a delayed order may still take effect: an order whose outcome is
+    /// unknown, or an order of an earlier process of the agent. An engine that does not check
+    /// fencing numbers would carry out such an order.
     pub uncertain_check_interval_ms: u64,
-    /// A state read longer ago than this is read again before any order.
+    /// Maximum age of the engine state on which an order may be based, in milliseconds. An older
+    /// state is read again first.
     pub state_age_ms_max: u64,
-    /// An order without an answer for this long is over, its outcome unknown.
+    /// Time after which an order without a response counts as ended with an unknown outcome.
     pub order_timeout_ms: u64,
-    /// After a failed order or read.
+    /// Delays after failed orders and reads.
     pub backoff: Backoff,
-    /// Versions that samples may lag behind.
+    /// Maximum number of versions by which samples may lag behind the active version.
     pub staleness_bound: u64,
 }
 
--- a/components/weights/tests/authority.rs
+++ b/components/weights/tests/authority.rs
@@ -1,5 +1,5 @@
-//! Who may say which version is in force, and what late news does.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+//! Permission to change the active version, and the effect of late messages.
+#![allow(clippy::unwrap_used)] // clippy.toml exempts only test functions, not their helpers.
 
 use types::{CustomerName, Role, WeightVersion};
 use weights::{
@@ -19,27 +19,27 @@
 }
 
 #[derive(Clone, Copy)]
-enum Say {
+enum Request {
     Announce,
     Prepare,
     RollBack,
 }
 
 #[test]
-fn can_tell_who_may_move_the_version() {
+fn can_accept_versions_only_from_the_trainer_and_roll_backs_only_from_operators() {
     struct Case {
         name: &'static str,
         customer: &'static str,
         role: Role,
-        say: Say,
+        request: Request,
         version: WeightVersion,
         outcome: Result<WeightVersion, AnnounceError>,
     }
-    let case = |name, customer, role, say, version, outcome| Case {
+    let case = |name, customer, role, request, version, outcome| Case {
         name,
         customer,
         role,
-        say,
+        request,
         version,
         outcome,
     };
@@ -49,99 +49,106 @@
     let forbidden = Err(AnnounceError::Forbidden);
     let cases = [
         case(
-            "trainer, next",
+            "trainer announces the next version",
             office,
             Trainer,
-            Say::Announce,
+            Request::Announce,
             at(2, 6),
             Ok(at(2, 6)),
         ),
         case(
-            "trainer, again",
+            "trainer repeats the announcement",
             office,
             Trainer,
-            Say::Announce,
+            Request::Announce,
             current,
             Ok(current),
         ),
         case(
-            "trainer, ahead of time",
+            "trainer announces ahead of time",
             office,
             Trainer,
-            Say::Prepare,
+            Request::Prepare,
             at(2, 6),
             Ok(current),
         ),
         case(
-            "trainer, late",
+            "late announcement",
             office,
             Trainer,
-            Say::Announce,
+            Request::Announce,
             at(2, 4),
             Err(AnnounceError::Outdated(current)),
         ),
         case(
-            "paused trainer of the epoch before",
+            "paused trainer of the previous epoch",
             office,
             Trainer,
-            Say::Announce,
+            Request::Announce,
             at(1, 9),
             Err(AnnounceError::Outdated(current)),
         ),
         case(
-            "trainer, epoch of its own",
+            "trainer uses an epoch that was not begun",
             office,
             Trainer,
-            Say::Announce,
+            Request::Announce,
             at(3, 1),
             Err(AnnounceError::EpochNotBegun(current)),
         ),
         case(
-            "another trainer",
+            "trainer of another customer",
             rival,
             Trainer,
-            Say::Announce,
+            Request::Announce,
+            at(2, 6),
+            forbidden,
+        ),
+        case(
+            "caller announces",
+            office,
+            Caller,
+            Request::Announce,
             at(2, 6),
             forbidden,
         ),
-        case("caller", office, Caller, Say::Announce, at(2, 6), forbidden),
         case(
             "operator announces",
             office,
             Operator,
-            Say::Announce,
+            Request::Announce,
             at(2, 6),
             forbidden,
         ),
         case(
-            "operator",
+            "operator rolls back",
             office,
             Operator,
-            Say::RollBack,
+            Request::RollBack,
             at(3, 4),
             Ok(at(3, 4)),
         ),
         case(
-            "operator, again",
+            "operator repeats the roll-back",
             office,
             Operator,
-            Say::RollBack,
+            Request::RollBack,
             current,
             Ok(current),
         ),
         case(
-            "operator in the same epoch",
+            "operator rolls back in the same epoch",
             office,
             Operator,
-            Say::RollBack,
+            Request::RollBack,
             at(2, 4),
             Err(AnnounceError::EpochNotRaised(current)),
         ),
         case(
-            "another operator",
+            "operator of another customer",
             rival,
             Operator,
-            Say::RollBack,
+            Request::RollBack,
             at(3, 4),
             forbidden,
         ),
@@ -149,7 +156,7 @@
             "trainer rolls back",
             office,
             Trainer,
-            Say::RollBack,
+            Request::RollBack,
             at(3, 4),
             forbidden,
         ),
@@ -158,26 +165,26 @@
         let mut authority = Authority::new();
         authority.merge(&model(), Target::serve(current));
         let customer: CustomerName = case.customer.parse().unwrap();
-        let by = Announcer {
+        let sender = Announcer {
             customer: &customer,
             role: case.role,
         };
-        let said = match case.say {
-            Say::Announce => authority.announce(&by, &model(), case.version),
-            Say::Prepare => authority.prepare(&by, &model(), case.version),
-            Say::RollBack => authority.roll_back(&by, &model(), case.version),
+        let result = match case.request {
+            Request::Announce => authority.announce(&sender, &model(), case.version),
+            Request::Prepare => authority.prepare(&sender, &model(), case.version),
+            Request::RollBack => authority.roll_back(&sender, &model(), case.version),
         };
-        let serve = |said| match said {
+        let serve = |outcome| match outcome {
             AnnounceOutcome::Changed(target) | AnnounceOutcome::Known(target) => target.serve,
         };
-        assert_eq!(said.map(serve), case.outcome, "{}", case.name);
+        assert_eq!(result.map(serve), case.outcome, "{}", case.name);
         let after = authority.target(&model()).unwrap().serve;
         assert_eq!(after, case.outcome.unwrap_or(current), "{}", case.name);
     }
 }
 
 #[test]
-fn can_drop_what_was_prepared_before_a_roll_back() {
+fn can_discard_a_prepared_version_on_a_roll_back() {
     let mut authority = Authority::new();
     let prepared = Target {
         serve: at(1, 5),
@@ -190,8 +197,9 @@
 }
 
 checks::seeded! {
-    // Rumours arrive in any order, doubled, at any process: all end with the same target.
-    fn can_agree_whatever_the_order_of_rumours(rumours: Vec<(u8, u8, u8)>, shift: usize) -> bool {
+    // Processes receive the same gossip in different orders and with duplicates. If the result
+    // depended on the order, processes would keep different targets for the same model.
+    fn can_converge_in_any_order_of_gossip(gossip: Vec<(u8, u8, u8)>, shift: usize) -> bool {
         let target = |&(epoch, serve, ahead): &(u8, u8, u8)| {
             let epoch = u32::from(epoch % 3);
             Target {
@@ -199,46 +207,50 @@
                 load: at(epoch, u64::from(serve) + u64::from(ahead % 3)),
             }
         };
-        let targets: Vec<Target> = rumours.iter().map(target).collect();
-        let mut turned = targets.clone();
-        turned.rotate_left(shift % targets.len().max(1));
-        turned.extend(&targets);
-        let end = |news: &[Target]| {
+        let targets: Vec<Target> = gossip.iter().map(target).collect();
+        let mut rotated = targets.clone();
+        rotated.rotate_left(shift % targets.len().max(1));
+        rotated.extend(&targets);
+        let end = |received: &[Target]| {
             let mut authority = Authority::new();
-            news.iter().for_each(|&target| {
+            received.iter().for_each(|&target| {
                 authority.merge(&model(), target);
             });
             authority.target(&model())
         };
         let reversed: Vec<Target> = targets.iter().rev().copied().collect();
-        end(&targets) == end(&turned) && end(&targets) == end(&reversed)
+        end(&targets) == end(&rotated) && end(&targets) == end(&reversed)
     }
 }
 
-// Replicas load a version that is named ahead of time. Each computes its own wait; together
-// they ask the store evenly over the window, and another version has another order.
+// Replicas load a version that is announced ahead of time, each after a delay that it computes
+// by itself. Uneven delays would overload the store, and equal delays for each version would
+// make the same replicas last every time.
 #[test]
 fn can_spread_loads_over_the_window() {
     let window_ms = 60_000;
-    let waits = |version| -> Vec<u64> {
+    let delays = |version| -> Vec<u64> {
         let address = |number: u16| std::net::SocketAddr::from(([10, 0, 0, 1], number));
         (1..=600)
             .map(|number| preload_delay_ms(address(number), &model(), at(1, version), window_ms))
             .collect()
     };
-    let (first, second) = (waits(1), waits(2));
+    let (first, second) = (delays(1), delays(2));
     for tenth in 0..10 {
-        let is_in = |wait_ms: &&u64| **wait_ms / (window_ms / 10) == tenth;
+        let is_in = |delay_ms: &&u64| **delay_ms / (window_ms / 10) == tenth;
         let loads = first.iter().filter(is_in).count();
         assert!(
             (35..=85).contains(&loads),
-            "{loads} of 600 in tenth {tenth}"
+            "{loads} of 600 loads are in tenth {tenth} of the window"
         );
     }
-    let late = |wait_ms: &u64| *wait_ms > window_ms * 9 / 10;
+    let late = |delay_ms: &u64| *delay_ms > window_ms * 9 / 10;
     let both = first.iter().zip(&second);
     let always_late = both.filter(|(a, b)| late(a) && late(b)).count();
-    assert!(always_late < 20, "{always_late} of 600 are late twice");
+    assert!(
+        always_late < 20,
+        "{always_late} of 600 replicas are in the last tenth for both versions"
+    );
     assert_eq!(
         preload_delay_ms(([10, 0, 0, 1], 1).into(), &model(), at(1, 1), 0),
         0
@@ -246,7 +258,7 @@
 }
 
 #[test]
-fn can_state_the_rate_that_a_window_needs() {
+fn can_compute_the_store_rate_that_a_window_needs() {
     let needed = store_rate_needed_bytes_per_s(600, 1_000, 6_000, 1_000, 2_000);
     assert_eq!(needed, Some(200_000));
     assert_eq!(
