--- a/components/recovery/tests/joined.rs
+++ b/components/recovery/tests/joined.rs
@@ -153,15 +153,15 @@
 
     /// The writer writes the `Open`, completely or only in part.
     fn write(&mut self, complete: bool) {
-        let Some(wanted) = self.to_write.take() else {
+        let Some(pending) = self.to_write.take() else {
             return;
         };
         if complete {
             self.to_callee
-                .push((self.connection, Frame::Open(Box::new(wanted))));
+                .push((self.connection, Frame::Open(Box::new(pending))));
             self.notify_caller(AttemptEvent::Written);
         } else {
-            self.to_write = Some(wanted);
+            self.to_write = Some(pending);
             self.cut();
         }
     }
--- a/components/recovery/tests/table.rs
+++ b/components/recovery/tests/table.rs
@@ -103,7 +103,7 @@
 // in the response, so the callee sends all parts from the requested one on.
 #[test]
 fn can_resend_the_rest_of_a_response() {
-    let whole = [head_frame(), chunk(1, b"ab"), end(2, 2)];
+    let frames = [head_frame(), chunk(1, b"ab"), end(2, 2)];
     for next_part in 0..=3 {
         let mut world = World::new(settings());
         world.receive(1, open_frame(false));
@@ -112,7 +112,7 @@
         assert_eq!(world.finish(), []);
         world.connect(2);
         let beyond_the_end = [fail(RESPONSE_DISCARDED)];
-        let rest = whole.get(next_part..).filter(|rest| !rest.is_empty());
+        let rest = frames.get(next_part..).filter(|rest| !rest.is_empty());
         let rest = rest.unwrap_or(&beyond_the_end).iter().cloned();
         let expected = [Frame::Started { id: ID }].into_iter().chain(rest);
         let expected: Vec<_> = expected.map(|frame| send(2, frame)).collect();
@@ -180,12 +180,12 @@
 
 #[test]
 fn errors_with_not_run_when_a_call_is_refused() {
-    fn fill(world: &mut World, wanted: &mut Open) {
+    fn fill(world: &mut World, refused_open: &mut Open) {
         for counter in 100..104 {
             let id = CallId { counter, ..ID };
             let other = Open {
                 id,
-                ..wanted.clone()
+                ..refused_open.clone()
             };
             world.receive(1, Frame::Open(Box::new(other)));
         }
@@ -209,9 +209,9 @@
     ];
     for case in cases {
         let mut world = World::new(settings());
-        let mut wanted = open(true);
-        (case.prepare)(&mut world, &mut wanted);
-        let refused = world.receive(1, Frame::Open(Box::new(wanted)));
+        let mut refused_open = open(true);
+        (case.prepare)(&mut world, &mut refused_open);
+        let refused = world.receive(1, Frame::Open(Box::new(refused_open)));
         let retry_after_ms = (case.cause == Cause::QueueFull).then_some(1_000);
         let failure = Failure {
             retry_after_ms,
--- a/components/weights/src/authority.rs
+++ b/components/weights/src/authority.rs
@@ -23,7 +23,7 @@
         Forbidden {
             display("only the model's own trainer announces versions, only its operators roll back")
         }
-        /// The version is below the known one, which is given.
+        /// The version is below the current version, which the error contains.
         Outdated(current: WeightVersion) {
             display("version {} is in force already", current)
         }
--- a/components/weights/tests/reconcile.rs
+++ b/components/weights/tests/reconcile.rs
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug)]
 enum Event {
     CarriedOut,
-    AnswerLost,
+    ResponseLost,
     NotSent,
     Refused,
     FalseSuccess,
@@ -81,7 +81,7 @@
         let back = u64::arbitrary(g) % 3 + 1;
         match u8::arbitrary(g) % 18 {
             0..5 => Event::CarriedOut,
-            5 => Event::AnswerLost,
+            5 => Event::ResponseLost,
             6 => Event::NotSent,
             7 => Event::Refused,
             8 => Event::FalseSuccess,
@@ -209,7 +209,7 @@
             Event::Refused => OrderOutcome::Failed,
             Event::StoreBusy => busy,
             Event::FalseSuccess if order.kind.is_change() => OrderOutcome::Done,
-            Event::AnswerLost => {
+            Event::ResponseLost => {
                 self.engine.execute(order.kind, order.fence);
                 OrderOutcome::Unknown
             }
@@ -248,7 +248,7 @@
         Event::Refused,
         Event::StoreBusy,
         Event::Refused,
-        Event::AnswerLost,
+        Event::ResponseLost,
         Event::StoreBusy,
         Event::Refused,
         Event::Refused,
@@ -265,7 +265,7 @@
     world.apply(&Event::Announce);
     (0..5).for_each(|_| world.exchange(&Event::CarriedOut));
     let next = at(1, 2);
-    let wanted = [
+    let expected = [
         OrderKind::CancelEarlier,
         OrderKind::Read,
         OrderKind::Read,
@@ -275,7 +275,7 @@
         OrderKind::Read,
         OrderKind::Read,
     ];
-    assert_eq!(world.orders, wanted);
+    assert_eq!(world.orders, expected);
 }
 
 #[test]
