--- a/components/recovery/src/retry.rs
+++ b/components/recovery/src/retry.rs
@@ -1,7 +1,8 @@
-//! The one place that decides whether a failed attempt is tried again.
+//! Decides whether a failed attempt is retried.
 //!
-//! No adapter, client or layer repeats anything by itself: two layers that retry turn one
-//! outage into a storm and run a call twice that may run once.
+//! This is the only place that decides on retries; no adapter, client or other layer retries
+//! by itself. Two layers that both retry multiply the load during an outage (a retry storm),
+//! and may run a call twice that must run at most once.
 
 use std::net::SocketAddr;
 
@@ -11,115 +12,119 @@
 /// Limits of retries.
 #[derive(Clone, Copy, Debug)]
 pub struct RetrySettings {
-    /// Most attempts for one request, the first one included.
+    /// Maximum number of attempts for one request, including the first.
     pub attempts_max: u32,
-    /// Pause before the second attempt when the first may have run, in milliseconds;
-    /// doubles with each further one.
-    pub pause_ms: u64,
-    /// Time that must be left for an attempt to make sense, in milliseconds.
-    pub useful_ms: u64,
+    /// Delay before the second attempt if the first may have run, in milliseconds. Doubles
+    /// with each further attempt.
+    pub first_backoff_ms: u64,
+    /// Time that must be left until the deadline when an attempt starts, in milliseconds.
+    pub attempt_ms_min: u64,
 }
 
 impl Default for RetrySettings {
     fn default() -> Self {
         Self {
             attempts_max: 3,
-            pause_ms: 20,
-            useful_ms: 10,
+            first_backoff_ms: 20,
+            attempt_ms_min: 10,
         }
     }
 }
 
-/// What the caller has of the answer.
+/// Content of the response that the caller has received.
 #[key]
-pub enum Flowed {
-    /// Nothing.
+pub enum Delivered {
+    /// No content, so another attempt can start from the beginning.
     Nothing,
-    /// Tokens of a completion, which another engine can go on from.
+    /// Tokens of a completion, which another engine can continue.
     Tokens,
-    /// Bytes that no other endpoint can go on from.
+    /// Bytes of a response that no other endpoint can continue.
     Bytes,
 }
 
-/// An attempt that failed.
+/// An attempt that failed, and the state of its request.
 #[derive(Clone, Copy, Debug)]
-pub struct Tried<'a> {
-    /// How it failed.
+pub struct FailedAttempt<'a> {
+    /// Failure of this attempt.
     pub failure: Failure,
     /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// What the caller has of the answer, from all attempts.
-    pub flowed: Flowed,
-    /// Endpoints tried so far, this one included, one an attempt.
+    /// Content that the caller has received from all attempts so far.
+    pub delivered: Delivered,
+    /// Endpoint of each attempt so far, including this one.
     pub endpoints: &'a [SocketAddr],
     /// Time until the caller's deadline, in milliseconds.
     pub deadline_left_ms: u64,
 }
 
-/// Where the next attempt begins.
+/// Position in the response at which the next attempt starts.
 #[key]
 pub enum Resume {
-    /// At the beginning.
-    Afresh,
-    /// After the tokens that the caller has.
+    /// At the beginning of the response.
+    FromStart,
+    /// After the tokens that the caller has received.
     FromTokens,
 }
 
-/// What becomes of the request.
+/// Decision on a request whose attempt failed.
 #[value]
-pub enum Decision {
-    /// Try it once more.
-    Again {
-        /// Pause before it, in milliseconds.
+pub enum RetryDecision {
+    /// Send another attempt.
+    Retry {
+        /// Delay before the next attempt, in milliseconds.
         after_ms: u64,
-        /// Endpoints not to be taken, unless there is no other.
+        /// Endpoints that were already used; they are chosen only if there is no other.
         exclude: Vec<SocketAddr>,
-        /// Where it begins.
+        /// Position at which the next attempt starts.
         resume: Resume,
     },
-    /// The caller gets this.
+    /// The request has failed; the caller receives this failure.
     Final(Failure),
 }
 
-/// Decides on a failed attempt. `budget` takes one retry out of the customer's budget and
-/// is asked last, only for a retry that would be made. `random` spreads the pause.
-pub fn decide(
+/// Decides whether a failed attempt is retried.
+///
+/// `budget` takes one retry from the customer's retry budget and returns whether one was left.
+/// It is called last, and only if all other conditions allow the retry. `random` adds jitter
+/// to the delay.
+pub fn decide_retry(
     settings: &RetrySettings,
-    tried: &Tried<'_>,
+    attempt: &FailedAttempt<'_>,
     random: u64,
     budget: impl FnOnce() -> bool,
-) -> Decision {
-    let failure = honest(tried);
-    let attempts = u32::try_from(tried.endpoints.len()).unwrap_or(u32::MAX);
-    let after_ms = pause_ms(settings, failure.run, attempts, random);
-    let allowed = may_run_again(tried.idempotent, failure.run)
-        && may_help(failure.cause)
-        && tried.flowed != Flowed::Bytes
+) -> RetryDecision {
+    let failure = consistent_failure(attempt);
+    let attempts = u32::try_from(attempt.endpoints.len()).unwrap_or(u32::MAX);
+    let after_ms = backoff_ms(settings, failure.run, attempts, random);
+    let allowed = may_run_again(attempt.idempotent, failure.run)
+        && is_retriable(failure.cause)
+        && attempt.delivered != Delivered::Bytes
         && attempts < settings.attempts_max
-        && after_ms + settings.useful_ms <= tried.deadline_left_ms;
+        && after_ms + settings.attempt_ms_min <= attempt.deadline_left_ms;
     if !allowed {
-        return Decision::Final(failure);
+        return RetryDecision::Final(failure);
     }
     if !budget() {
         let cause = Cause::BudgetSpent;
-        return Decision::Final(Failure { cause, ..failure });
+        return RetryDecision::Final(Failure { cause, ..failure });
     }
-    let resume = match tried.flowed {
-        Flowed::Tokens => Resume::FromTokens,
-        Flowed::Nothing | Flowed::Bytes => Resume::Afresh,
+    let resume = match attempt.delivered {
+        Delivered::Tokens => Resume::FromTokens,
+        Delivered::Nothing | Delivered::Bytes => Resume::FromStart,
     };
-    let exclude = tried.endpoints.to_vec();
-    Decision::Again {
+    let exclude = attempt.endpoints.to_vec();
+    RetryDecision::Retry {
         after_ms,
         exclude,
         resume,
     }
 }
 
-/// A request of which part of an answer came cannot be "not run".
-fn honest(tried: &Tried<'_>) -> Failure {
-    let failure = tried.failure;
-    if failure.run == RunState::NotRun && tried.flowed != Flowed::Nothing {
+/// The attempt's failure, with `NotRun` replaced by `Failed` if the caller has received a part
+/// of the response.
+fn consistent_failure(attempt: &FailedAttempt<'_>) -> Failure {
+    let failure = attempt.failure;
+    if failure.run == RunState::NotRun && attempt.delivered != Delivered::Nothing {
         return Failure {
             run: RunState::Failed,
             ..failure
@@ -132,8 +137,8 @@
     idempotent || run == RunState::NotRun
 }
 
-/// Whether another attempt can end otherwise.
-fn may_help(cause: Cause) -> bool {
+/// Whether another attempt can succeed after a failure with this cause.
+fn is_retriable(cause: Cause) -> bool {
     match cause {
         Cause::QueueFull
         | Cause::Leaving
@@ -161,14 +166,14 @@
     }
 }
 
-/// A refused call goes to another endpoint at once. One that may have run met a fault, and
-/// waits a little so that an outage is not answered with a storm.
-fn pause_ms(settings: &RetrySettings, run: RunState, attempts: u32, random: u64) -> u64 {
+/// Delay before the next attempt. A call that did not run is sent to another endpoint at once.
+/// After any other failure the retry is delayed, so that an outage does not cause a retry storm.
+fn backoff_ms(settings: &RetrySettings, run: RunState, attempts: u32, random: u64) -> u64 {
     if run == RunState::NotRun {
         return 0;
     }
     let doublings = attempts.saturating_sub(1).min(8);
-    let full_ms = settings.pause_ms << doublings;
+    let full_ms = settings.first_backoff_ms << doublings;
     let half_ms = full_ms / 2;
     half_ms + random % (full_ms - half_ms + 1)
 }
