--- a/components/gateway/src/rejection.rs
+++ b/components/gateway/src/rejection.rs
@@ -156,7 +156,7 @@
             Rejection::Announcement(AnnounceError::Forbidden) => Cause::Forbidden,
             Rejection::Announcement(_)
             | Rejection::NothingInForce(_)
-            | Rejection::Fetch(FetchError::EpochOver(_)) => Cause::Stale,
+            | Rejection::Fetch(FetchError::StaleEpoch(_)) => Cause::Stale,
             Rejection::NotInForce(..) => {
                 return Failure::not_run(Cause::Stale).retry_after(NEWS_BACK_MS);
             }
--- a/components/gateway/src/training/coordinator.rs
+++ b/components/gateway/src/training/coordinator.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use samples::{Copy, StepKey};
+use samples::{CopyMessage, StepKey};
 use tokio::sync::{mpsc, oneshot};
 use types::{Cause, Failure, WeightVersion};
 use weights::ModelKey;
@@ -52,7 +52,7 @@
     }
 
     /// Takes what the other home sends.
-    pub(super) async fn copies(&self, copies: Vec<Copy>) -> Result<(), Rejection> {
+    pub(super) async fn copies(&self, copies: Vec<CopyMessage>) -> Result<(), Rejection> {
         self.order(Order::Copies(copies)).await
     }
 
--- a/components/gateway/src/training/coordinator_act.rs
+++ b/components/gateway/src/training/coordinator_act.rs
@@ -35,7 +35,7 @@
     Todo {
         key: key.clone(),
         step: Arc::clone(ledger.step()),
-        actions: ledger.drain(),
+        actions: ledger.take_actions(),
     }
 }
 
--- a/components/gateway/src/training/coordinator_copies.rs
+++ b/components/gateway/src/training/coordinator_copies.rs
@@ -3,15 +3,15 @@
 use std::net::SocketAddr;
 
 use node::now_ms;
-use samples::{Copy, Cursor, Ledger, Posted, StepKey};
+use samples::{CopyMessage, Cursor, Ledger, PostOutcome, StepKey};
 
 use super::coordinator_task::{CoordinatorTask, settings_of};
 
 impl CoordinatorTask {
     /// What the step's other home sends. A post of a step that this process knows no model
     /// for yet is dropped; the trainer's next post brings it.
-    pub(super) fn copy(&mut self, copy: Copy) {
-        let Copy::Post {
+    pub(super) fn copy(&mut self, copy: CopyMessage) {
+        let CopyMessage::Post {
             step,
             cursor,
             trainer_version,
@@ -19,7 +19,7 @@
         } = &copy
         else {
             self.steps.apply(&copy, now_ms());
-            if let Copy::Finished { key, .. } = copy {
+            if let CopyMessage::Finished { key, .. } = copy {
                 self.ready.insert(key);
             }
             return;
@@ -42,7 +42,7 @@
         let steps = &mut self.steps;
         let held = steps.post_copy(step, &settings, &cursor, version, used_ms, now_ms);
         match held {
-            Ok(Posted::TooOld) => {}
+            Ok(PostOutcome::Expired) => {}
             Ok(_) => {
                 self.untold.insert(step.key.clone());
                 self.announce_in_force(&step.key, now_ms);
@@ -80,7 +80,7 @@
         let cursor = received(ledger).seal(&keys);
         for copy in ledger.copies(Some(cursor), unused_ms) {
             for &to in &new {
-                let is_post = matches!(copy, Copy::Post { .. });
+                let is_post = matches!(copy, CopyMessage::Post { .. });
                 if !self.copier.send(to, key, copy.clone()) && is_post {
                     self.told.lost(key, to);
                     self.missed.insert(key.clone());
@@ -92,5 +92,5 @@
 
 /// The cursor of what the trainer is known to have.
 fn received(ledger: &Ledger) -> Cursor {
-    Cursor::start(ledger.step()).after(ledger.received().iter())
+    Cursor::start(ledger.step()).with_received(ledger.received().iter())
 }
--- a/components/gateway/src/training/coordinator_fetch.rs
+++ b/components/gateway/src/training/coordinator_fetch.rs
@@ -24,7 +24,7 @@
     ) {
         let now_ms = now_ms();
         let clock = self.idle.entry(fetch.key.clone()).or_default();
-        clock.fetch_began(now_ms);
+        clock.begin_fetch(now_ms);
         self.stand_in(&fetch.key);
         self.end_older(&fetch, now_ms);
         self.end_surplus(&fetch.key, now_ms);
@@ -126,7 +126,7 @@
 
     fn fetch_ended(&mut self, key: &StepKey, now_ms: u64) {
         if let Some(clock) = self.idle.get_mut(key) {
-            clock.fetch_ended(now_ms);
+            clock.end_fetch(now_ms);
         }
     }
 
--- a/components/gateway/src/training/coordinator_task.rs
+++ b/components/gateway/src/training/coordinator_task.rs
@@ -158,8 +158,8 @@
                 let now_ms = now_ms();
                 if let Some(ledger) = self.steps.find_mut(&key) {
                     match score {
-                        Some(score) => ledger.scored(run, score),
-                        None => ledger.score_failed(run, now_ms),
+                        Some(score) => ledger.record_score(run, score),
+                        None => ledger.record_score_failure(run, now_ms),
                     }
                     self.ready.insert(key);
                 }
@@ -232,9 +232,13 @@
             return;
         };
         match news {
-            RunNews::Progress { tokens, stamp } => ledger.progress(run, tokens, stamp, now_ms),
-            RunNews::Finished(completion) => ledger.finished(run, completion, now_ms),
-            RunNews::Failed(failed, partial) => ledger.failed(run, failed.fault, partial, now_ms),
+            RunNews::Progress { tokens, stamp } => {
+                ledger.record_progress(run, tokens, stamp, now_ms)
+            }
+            RunNews::Finished(completion) => ledger.record_completion(run, completion, now_ms),
+            RunNews::Failed(failed, partial) => {
+                ledger.record_failure(run, failed.fault, partial, now_ms)
+            }
         }
     }
 
--- a/components/gateway/src/training/coordinator_tick.rs
+++ b/components/gateway/src/training/coordinator_tick.rs
@@ -16,7 +16,7 @@
     /// One look at all steps.
     pub(super) fn tick(&mut self) {
         let now_ms = now_ms();
-        for action in self.steps.retire(now_ms) {
+        for action in self.steps.remove_idle(now_ms) {
             if let Action::Cancel { run } = action {
                 // The retired step's key is not told; its runs are those of no held step.
                 log::debug!(event = "retired-run", run = run.0; "");
--- a/components/gateway/src/training/copies.rs
+++ b/components/gateway/src/training/copies.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use samples::{Copy, StepKey, batches};
+use samples::{CopyMessage, StepKey, split_batches};
 use tokio::sync::mpsc;
 
 use crate::gateway::Gateway;
@@ -32,12 +32,12 @@
 struct Addressed {
     to: SocketAddr,
     key: StepKey,
-    copy: Copy,
+    copy: CopyMessage,
 }
 
 impl Addressed {
     fn is_post(&self) -> bool {
-        matches!(self.copy, Copy::Post { .. })
+        matches!(self.copy, CopyMessage::Post { .. })
     }
 }
 
@@ -56,7 +56,7 @@
     }
 
     /// Queues a copy; false if there is no place for it.
-    pub fn send(&self, to: SocketAddr, key: &StepKey, copy: Copy) -> bool {
+    pub fn send(&self, to: SocketAddr, key: &StepKey, copy: CopyMessage) -> bool {
         let addressed = Addressed {
             to,
             key: key.clone(),
@@ -79,7 +79,7 @@
         }
         for (to, copies) in by_home {
             let bytes_of = |copy: &Addressed| copy.copy.text_bytes();
-            for copies in batches(copies, bytes_of, BATCH_BYTES_MAX) {
+            for copies in split_batches(copies, bytes_of, BATCH_BYTES_MAX) {
                 send_to(&gateway, to, &copies).await;
             }
         }
@@ -102,7 +102,7 @@
     let Some(first) = copies.first() else {
         return true;
     };
-    let list: Vec<&Copy> = copies.iter().map(|addressed| &addressed.copy).collect();
+    let list: Vec<&CopyMessage> = copies.iter().map(|addressed| &addressed.copy).collect();
     let Ok(body) = serde_json::to_vec(&list) else {
         return false;
     };
@@ -118,7 +118,7 @@
 }
 
 /// Reads the body of a call that brings copies.
-pub fn parse(body: &[u8]) -> Option<Vec<Copy>> {
+pub fn parse(body: &[u8]) -> Option<Vec<CopyMessage>> {
     serde_json::from_slice(body).ok()
 }
 
@@ -156,8 +156,8 @@
     step: &Arc<samples::Step>,
     cursor: Option<String>,
     trainer_version: types::WeightVersion,
-) -> Copy {
-    Copy::Post {
+) -> CopyMessage {
+    CopyMessage::Post {
         step: Arc::clone(step),
         cursor,
         trainer_version,
--- a/components/gateway/src/training/forward.rs
+++ b/components/gateway/src/training/forward.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use node::now_ms;
 use protocol::{Head, ProcessRole};
-use samples::{Entry, Homes, StepKey, homes};
+use samples::{Entry, Homes, StepKey, choose_homes};
 use types::{Cause, Failure};
 
 use super::inner::{HomeCall, at_home};
@@ -19,7 +19,7 @@
 
 /// Homes of a step by the present view; none when every entry is leaving.
 fn homes_of(gateway: &Gateway, key: &StepKey) -> Option<Homes> {
-    homes(key, &live_entries(gateway))
+    choose_homes(key, &live_entries(gateway))
 }
 
 /// Entries that may be homes by the present view.
--- a/components/gateway/src/training/home_map.rs
+++ b/components/gateway/src/training/home_map.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use samples::{Entry, Homes, StepKey, homes};
+use samples::{Entry, Homes, StepKey, choose_homes};
 
 /// Homes of steps.
 pub struct HomeMap {
@@ -61,7 +61,8 @@
 
     fn of(&mut self, key: &StepKey) -> Option<&Homes> {
         if !self.homes.contains_key(key) {
-            self.homes.insert(key.clone(), homes(key, &self.entries));
+            self.homes
+                .insert(key.clone(), choose_homes(key, &self.entries));
         }
         self.homes.get(key)?.as_ref()
     }
--- a/components/gateway/src/training/listening.rs
+++ b/components/gateway/src/training/listening.rs
@@ -5,7 +5,7 @@
 
 use adapters::sse::{Parser, Piece, Transcript};
 use link::CallEvent;
-use samples::{Completion, Fault, Partial, Provenance, RunId, Stamps, StepKey};
+use samples::{Completion, Fault, PartialSample, Provenance, RunId, Stamps, StepKey};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 use types::WeightVersion;
@@ -33,7 +33,7 @@
 /// What was heard of a run so far, the tokens that it went on from included.
 pub struct Listening {
     parser: Parser,
-    before: Option<Partial>,
+    before: Option<PartialSample>,
     said: Transcript,
     stamps: Stamps,
     stamped: BTreeSet<WeightVersion>,
@@ -42,7 +42,7 @@
 
 impl Listening {
     /// Nothing heard yet of a run that goes on from `before`.
-    pub fn new(before: Option<&Partial>) -> Self {
+    pub fn new(before: Option<&PartialSample>) -> Self {
         let stamps = match before {
             Some(partial) => Stamps::resumed_from(&partial.provenance),
             None => Stamps::new(),
@@ -99,7 +99,7 @@
         let pushed = self.parser.push(bytes, |piece: Piece| {
             said.add(&piece, TEXT_BYTES_MAX)?;
             if !piece.text.is_empty() || !piece.token_ids.is_empty() {
-                stamps.chunk(piece.version);
+                stamps.record_chunk(piece.version);
                 latest = piece.version.or(latest);
             } else if let Some(version) = piece.version
                 && piece.finish.is_some()
@@ -107,7 +107,7 @@
             {
                 // An empty completion: the version that ended it made it. Unnamed, its
                 // origin would be unknown and the slot run again for ever.
-                stamps.chunk(Some(version));
+                stamps.record_chunk(Some(version));
             }
             Ok(())
         });
@@ -149,7 +149,7 @@
     }
 
     /// What the next run can go on from; nothing where the tokens have no ids.
-    pub fn partial(self) -> Option<Partial> {
+    pub fn partial(self) -> Option<PartialSample> {
         let unnamed = self.said.token_ids.is_empty() && !self.said.text.is_empty();
         if unnamed {
             return self.before;
@@ -162,7 +162,7 @@
         }
         match self.stamps.finish() {
             Provenance::NotKnown => None,
-            provenance => Some(Partial {
+            provenance => Some(PartialSample {
                 text,
                 tokens,
                 provenance,
--- a/components/gateway/src/training/orders.rs
+++ b/components/gateway/src/training/orders.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use config::Service;
-use samples::{Completion, Copy, Fault, Partial, RunId, Score, Step, StepKey};
+use samples::{Completion, CopyMessage, Fault, PartialSample, RunId, Score, Step, StepKey};
 use tokio::sync::oneshot;
 use types::WeightVersion;
 use weights::ModelKey;
@@ -64,7 +64,7 @@
     /// It has its whole result.
     Finished(Completion),
     /// It ended without.
-    Failed(RunFault, Option<Partial>),
+    Failed(RunFault, Option<PartialSample>),
 }
 
 /// Why a run failed.
@@ -93,7 +93,7 @@
     /// Give samples.
     Fetch(Fetch, oneshot::Sender<Result<Reply, Rejection>>),
     /// Take what the other home sends.
-    Copies(Vec<Copy>),
+    Copies(Vec<CopyMessage>),
     /// A run reports.
     Run(StepKey, RunId, RunNews),
     /// The scorer answered, or failed.
--- a/components/gateway/src/training/room.rs
+++ b/components/gateway/src/training/room.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use routing::{Slot, Table};
-use samples::{Replica, Room};
+use samples::{Replica, RunCapacity};
 
 /// Runs that this entry has at one replica at most.
 const RUNS_PER_REPLICA: u32 = 16;
@@ -18,7 +18,7 @@
     runs: &HashMap<SocketAddr, u32>,
     users: &HashMap<SocketAddr, u32>,
     is_ejected: impl Fn(SocketAddr) -> bool,
-) -> Room {
+) -> RunCapacity {
     let count = |counts: &HashMap<SocketAddr, u32>, address| counts.get(&address).copied();
     let slots = || table.slots().iter().filter(|slot| !slot.replica.leaving);
     let ejected = |slot: &&Slot| is_ejected(slot.replica.node.address);
@@ -34,12 +34,12 @@
             let outstanding = slot.counters().calls().max(own_runs);
             Replica {
                 address,
-                room: RUNS_PER_REPLICA.saturating_sub(outstanding),
+                free_runs: RUNS_PER_REPLICA.saturating_sub(outstanding),
                 version: slot.replica.weights,
             }
         })
         .collect();
-    Room {
+    RunCapacity {
         in_progress_max,
         replicas,
     }
--- a/components/gateway/src/training/run.rs
+++ b/components/gateway/src/training/run.rs
@@ -6,7 +6,7 @@
 use config::Service;
 use node::now_ms;
 use quarantine::CallDigest;
-use samples::{Completion, Fault, Partial, RunId, Start, Step, StepKey};
+use samples::{Completion, Fault, PartialSample, RunId, Start, Step, StepKey};
 use serde::Serialize;
 use tokio::sync::{mpsc, oneshot};
 use types::{Cause, Class, Failure, RunState};
@@ -61,7 +61,7 @@
         let _ = orders.send(Order::Run(key, run, news)).await;
     }
 
-    async fn run(self, gateway: &Gateway) -> Result<Completion, (RunFault, Option<Partial>)> {
+    async fn run(self, gateway: &Gateway) -> Result<Completion, (RunFault, Option<PartialSample>)> {
         let (job, body) = self.job();
         let refused = |failure| (fault(failure), self.start.resume.clone());
         let mut admitted = admit_in_turn(gateway, &job).await.map_err(refused)?;
--- a/components/gateway/tests/training.rs
+++ b/components/gateway/tests/training.rs
@@ -129,7 +129,7 @@
         step: 8,
     };
     let step = Step::new(key, vec![group("a"), group("b")], 16).unwrap();
-    let newer = Cursor::start(&step).after([0]);
+    let newer = Cursor::start(&step).with_received([0]);
     let newer = newer.seal(&CursorKeys::new([7; 32], None));
     let (older, address) = (fetch(8, &start, 2), site.entries[0].address);
     let older = tokio::spawn(async move { older.send(address).await });
--- a/components/samples/examples/cost.rs
+++ b/components/samples/examples/cost.rs
@@ -12,7 +12,7 @@
 
 use samples::{
     Action, Completion, Cursor, CursorError, CursorKeys, FetchLog, Group, Ledger, LedgerSettings,
-    Provenance, Replica, Room, SlotSet, Start, Step, StepKey,
+    Provenance, Replica, RunCapacity, SlotSet, Start, Step, StepKey,
 };
 use types::WeightVersion;
 
@@ -55,7 +55,7 @@
     for slots in SIZES {
         let step = step(slots)?;
         for (name, places) in patterns(slots) {
-            let cursor = Cursor::start(&step).after(places);
+            let cursor = Cursor::start(&step).with_received(places);
             let text = cursor.seal(&keys);
             let seal = median(|| Ok::<_, CursorError>(cursor.seal(&keys)))?;
             let open = median(|| Cursor::open(&text, &keys, &step))?;
@@ -134,7 +134,7 @@
     let runs = starts(&mut ledger);
     let dispatch_none = time(|| ledger.dispatch(&room(0), 100));
     let finish = time(|| finish_all(&mut ledger, &runs)) / slots;
-    drop(ledger.drain());
+    drop(ledger.take_actions());
     let full = IN_USE.load(Ordering::Relaxed) - before;
     let announce = time(|| ledger.announce(version(2), None, 200));
     let began = Instant::now();
@@ -161,7 +161,7 @@
             tokens: 1_024,
             provenance: Provenance::Known([version(1)].into()),
         };
-        ledger.finished(start.run, completion, 150);
+        ledger.record_completion(start.run, completion, 150);
     }
 }
 
@@ -170,16 +170,20 @@
         Action::Start(start) => Some(start),
         _ => None,
     };
-    ledger.drain().into_iter().filter_map(start).collect()
+    ledger
+        .take_actions()
+        .into_iter()
+        .filter_map(start)
+        .collect()
 }
 
-fn room(in_progress_max: u32) -> Room {
+fn room(in_progress_max: u32) -> RunCapacity {
     let replica = |number| Replica {
         address: SocketAddr::from(([127, 0, 0, 1], number)),
-        room: 128,
+        free_runs: 128,
         version: Some(version(1)),
     };
-    Room {
+    RunCapacity {
         in_progress_max,
         replicas: (0..REPLICAS).map(replica).collect(),
     }
--- a/components/samples/src/copy.rs
+++ b/components/samples/src/copy.rs
@@ -10,7 +10,11 @@
 use crate::step::{Step, StepDigest, StepKey};
 
 /// Cuts a queue into parts of at most `bytes_max` each; what is larger goes alone.
-pub fn batches<T>(items: Vec<T>, bytes_of: impl Fn(&T) -> usize, bytes_max: usize) -> Vec<Vec<T>> {
+pub fn split_batches<T>(
+    items: Vec<T>,
+    bytes_of: impl Fn(&T) -> usize,
+    bytes_max: usize,
+) -> Vec<Vec<T>> {
     let mut batches: Vec<Vec<T>> = Vec::new();
     let mut bytes = 0;
     for item in items {
@@ -31,7 +35,7 @@
 
 /// One message from home to second home.
 #[wire]
-pub enum Copy {
+pub enum CopyMessage {
     /// The post, with the trainer's cursor as it came.
     Post {
         /// The step with its prompts.
@@ -64,13 +68,13 @@
     },
 }
 
-impl Copy {
+impl CopyMessage {
     /// Bytes of the texts in it.
     pub fn text_bytes(&self) -> usize {
         match self {
-            Copy::Post { step, .. } => step.prompt_bytes(),
-            Copy::Finished { sample, .. } => sample.text.len(),
-            Copy::Fetched { .. } => 0,
+            CopyMessage::Post { step, .. } => step.prompt_bytes(),
+            CopyMessage::Finished { sample, .. } => sample.text.len(),
+            CopyMessage::Fetched { .. } => 0,
         }
     }
 }
--- a/components/samples/src/cursor.rs
+++ b/components/samples/src/cursor.rs
@@ -158,7 +158,7 @@
     }
 
     /// The cursor of a trainer that also takes `places`; the same when there are none.
-    pub fn after(&self, places: impl IntoIterator<Item = u32>) -> Self {
+    pub fn with_received(&self, places: impl IntoIterator<Item = u32>) -> Self {
         let mut next = self.clone();
         let mut grown = false;
         for place in places {
--- a/components/samples/src/fetch_log.rs
+++ b/components/samples/src/fetch_log.rs
@@ -46,23 +46,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantVerdict {
     /// It answers its fetch.
-    Counts,
+    Applied,
     /// Its fetch is answered by an earlier record, or it is of no use here.
     Ignored,
 }
 
 /// What a fetch may do now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum FetchState {
     /// Its answer is fixed: exactly these slots, whenever they are ready.
-    Fixed {
+    Granted {
         /// What the trainer has already.
         base: Cursor,
         /// What the reply holds.
         slots: SlotSet,
     },
     /// It is the next one: fetch from the ledger with this cursor, append the grant.
-    Open {
+    Next {
         /// What the trainer has already.
         base: Cursor,
     },
@@ -108,22 +108,22 @@
             return GrantVerdict::Ignored;
         }
         self.granted.insert(grant.fetch, slots);
-        GrantVerdict::Counts
+        GrantVerdict::Applied
     }
 
     /// What fetch number `fetch` may do.
-    pub fn turn(&self, fetch: u64) -> Turn {
+    pub fn fetch_state(&self, fetch: u64) -> FetchState {
         let next = self.next();
         if fetch > next || fetch == 0 {
-            return Turn::Ahead { next };
+            return FetchState::Ahead { next };
         }
         let base = self.base(fetch);
         match self.granted.get(&fetch) {
-            Some(slots) => Turn::Fixed {
+            Some(slots) => FetchState::Granted {
                 base,
                 slots: slots.clone(),
             },
-            None => Turn::Open { base },
+            None => FetchState::Next { base },
         }
     }
 
@@ -146,7 +146,7 @@
     fn base(&self, fetch: u64) -> Cursor {
         let earlier = self.granted.range(..fetch);
         earlier.fold(self.start.clone(), |base, (_, slots)| {
-            base.after(slots.iter())
+            base.with_received(slots.iter())
         })
     }
 }
--- a/components/samples/src/holdings.rs
+++ b/components/samples/src/holdings.rs
@@ -12,16 +12,16 @@
 #[value]
 pub struct StepBounds {
     /// Steps.
-    pub steps: u32,
+    pub steps_max: u32,
     /// Their prompts together, in bytes.
-    pub prompt_bytes: usize,
+    pub prompt_bytes_max: usize,
 }
 
 impl Default for StepBounds {
     fn default() -> Self {
         Self {
-            steps: 64,
-            prompt_bytes: 64 << 20,
+            steps_max: 64,
+            prompt_bytes_max: 64 << 20,
         }
     }
 }
@@ -56,7 +56,7 @@
         let held = self.held.get(&step.key.customer);
         let (steps, bytes) = held.map_or((0, 0), |held| (held.steps, held.prompt_bytes));
         let bytes = bytes.saturating_add(step.prompt_bytes());
-        steps < self.bounds.steps && bytes <= self.bounds.prompt_bytes
+        steps < self.bounds.steps_max && bytes <= self.bounds.prompt_bytes_max
     }
 
     pub fn add(&mut self, step: &Step) {
--- a/components/samples/src/home.rs
+++ b/components/samples/src/home.rs
@@ -36,7 +36,7 @@
 }
 
 /// Homes of a step; `None` without live entries.
-pub fn homes(key: &StepKey, live: &[Entry]) -> Option<Homes> {
+pub fn choose_homes(key: &StepKey, live: &[Entry]) -> Option<Homes> {
     let first = best(key, live.iter())?;
     let others = || live.iter().filter(|entry| entry.address != first.address);
     let elsewhere = others().filter(|entry| entry.failure_domain != first.failure_domain);
--- a/components/samples/src/ledger.rs
+++ b/components/samples/src/ledger.rs
@@ -22,18 +22,19 @@
 
 use types::WeightVersion;
 
-use crate::copy::Copy;
+use crate::copy::CopyMessage;
 use crate::cursor::Cursor;
 use crate::sample::{Sample, staleness};
 use crate::slots::SlotSet;
 use crate::step::Step;
-use crate::straggler::Pace;
+use crate::straggler::RunTimings;
 use crate::tally::Tally;
 use state::{Phase, Run, ScoreWait, SlotState};
 
 pub use fetch::{FetchError, Offer, Reply};
 pub use state::{
-    Action, Completion, Fault, LedgerSettings, Partial, Replica, RetryPace, Room, RunId, Start,
+    Action, Completion, Fault, LedgerSettings, PartialSample, Replica, RetryBackoff, RunCapacity,
+    RunId, Start,
 };
 
 /// State of one step.
@@ -52,7 +53,7 @@
     /// When its next announcement is expected.
     next_news_ms: Option<u64>,
     received: SlotSet,
-    pace: Pace,
+    pace: RunTimings,
     tally: Tally,
     actions: Vec<Action>,
     next_run: u64,
@@ -94,7 +95,7 @@
             newest: trainer_version,
             next_news_ms: None,
             received,
-            pace: Pace::default(),
+            pace: RunTimings::default(),
             tally: Tally::default(),
             actions: Vec::new(),
             next_run: 1,
@@ -107,7 +108,7 @@
     /// Gives the ledger a range of run numbers of its own. A step that is dropped and posted
     /// again in one process gets another ledger; a late result or score of the first one
     /// would else be taken for that of a run of the second, for another prompt.
-    pub fn numbered(mut self, ledger: u32) -> Self {
+    pub fn with_number_range(mut self, ledger: u32) -> Self {
         self.next_run = u64::from(ledger) << RUN_BITS | 1;
         self
     }
@@ -115,8 +116,8 @@
     /// Takes the place of the ledger of another post: what that one has in progress is
     /// cancelled with this one's actions.
     pub(crate) fn replace(&mut self, mut old: Ledger) {
-        old.give_up();
-        self.actions.extend(old.drain());
+        old.cancel_all();
+        self.actions.extend(old.take_actions());
     }
 
     /// When the trainer last fetched from this ledger.
@@ -172,7 +173,7 @@
     }
 
     /// Takes the actions that events have brought about since the last call.
-    pub fn drain(&mut self) -> Vec<Action> {
+    pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
@@ -190,8 +191,8 @@
 
     /// Everything that a new second home needs; the cursor is passed on as it came.
     /// `unused_ms` is how long ago the trainer last asked for the step.
-    pub fn copies(&self, cursor: Option<String>, unused_ms: u64) -> Vec<Copy> {
-        let post = Copy::Post {
+    pub fn copies(&self, cursor: Option<String>, unused_ms: u64) -> Vec<CopyMessage> {
+        let post = CopyMessage::Post {
             step: Arc::clone(&self.step),
             cursor,
             trainer_version: self.newest,
@@ -205,7 +206,7 @@
     /// Takes a sample that the other home finished. One's own finished sample stays,
     /// since it may have been offered; what was in progress here is cancelled.
     pub fn adopt(&mut self, sample: &Arc<Sample>) {
-        let Some(place) = self.step.place(sample.slot) else {
+        let Some(place) = self.step.position(sample.slot) else {
             return;
         };
         let settled = matches!(self.phase(place), Phase::Finished(_) | Phase::Idle);
@@ -218,7 +219,7 @@
     }
 
     /// The step is dropped: cancels what is in progress.
-    pub fn give_up(&mut self) {
+    pub fn cancel_all(&mut self) {
         for place in 0..self.step.total() {
             self.release(place);
             let slot = self.slot_mut(place);
@@ -242,8 +243,8 @@
         lag.is_some_and(|lag| lag <= self.settings.staleness_bound)
     }
 
-    fn copy_of(&self, sample: &Arc<Sample>) -> Copy {
-        Copy::Finished {
+    fn copy_of(&self, sample: &Arc<Sample>) -> CopyMessage {
+        CopyMessage::Finished {
             key: self.step.key.clone(),
             digest: self.step.digest(),
             sample: Arc::clone(sample),
--- a/components/samples/src/ledger/dispatch.rs
+++ b/components/samples/src/ledger/dispatch.rs
@@ -9,16 +9,16 @@
 use std::net::SocketAddr;
 
 use super::Ledger;
-use super::state::{Action, Partial, Phase, Replica, Room, Run, RunId, Start, mix};
+use super::state::{Action, PartialSample, Phase, Replica, Run, RunCapacity, RunId, Start, mix};
 use crate::sample::staleness;
-use crate::straggler::{Budget, Decision, RunView, due};
+use crate::straggler::{Decision, HedgeBudget, RunView, assess};
 
 /// Pause between two looks at the runs in progress.
 const LOOK_MS: u64 = 500;
 
 impl Ledger {
     /// Starts what may start now; asks for scores again; looks for late runs.
-    pub fn dispatch(&mut self, room: &Room, now_ms: u64) {
+    pub fn dispatch(&mut self, room: &RunCapacity, now_ms: u64) {
         // What a second home misses of such a step is missed by nobody else.
         if self.offered_whole {
             return;
@@ -71,7 +71,7 @@
         self.pending.len() as u32
     }
 
-    fn usable(&self, room: &Room) -> Vec<Replica> {
+    fn usable(&self, room: &RunCapacity) -> Vec<Replica> {
         let young = |replica: &&Replica| {
             let Some(version) = replica.version else {
                 return true;
@@ -94,7 +94,7 @@
         &mut self,
         place: u32,
         to: SocketAddr,
-        resume: Option<Partial>,
+        resume: Option<PartialSample>,
         hedge: bool,
         now_ms: u64,
     ) {
@@ -130,7 +130,7 @@
     }
 
     /// Tokens that the slot can go on from, unless they are too old by now.
-    fn young_partial(&mut self, place: u32) -> Option<Partial> {
+    fn young_partial(&mut self, place: u32) -> Option<PartialSample> {
         let partial = self.slots[place as usize].partial.clone()?;
         let lag = staleness(partial.provenance.versions()?, self.newest);
         let young = lag.is_some_and(|lag| lag <= self.settings.staleness_bound);
@@ -155,7 +155,7 @@
     }
 
     fn chase_late_runs(&mut self, free: &mut [Replica], mut room: u32, now_ms: u64) {
-        let mut budget = Budget {
+        let mut budget = HedgeBudget {
             hedges: self.runs.values().filter(|run| run.hedge).count() as u64,
             slots: u64::from(self.step.total()),
         };
@@ -187,7 +187,7 @@
     fn decide(
         &self,
         id: RunId,
-        budget: &Budget,
+        budget: &HedgeBudget,
         now_ms: u64,
     ) -> Option<(u32, SocketAddr, Decision)> {
         let run = self.runs.get(&id).filter(|run| !run.stopping)?;
@@ -199,7 +199,7 @@
             moves: slot.moves,
             hedged: slot.runs.len() > 1,
         };
-        let decision = due(&self.settings.straggler, &view, &self.pace, budget);
+        let decision = assess(&self.settings.straggler, &view, &self.pace, budget);
         Some((run.place, run.to, decision))
     }
 }
@@ -213,10 +213,10 @@
 ) -> Option<SocketAddr> {
     let other = |replica: &Replica| Some(replica.address) != avoid;
     let best = |may: &dyn Fn(&Replica) -> bool| {
-        let with_room = (0..free.len()).filter(|&at| free[at].room > 0 && may(&free[at]));
-        with_room.max_by_key(|&at| (free[at].room, free[at].version, free[at].address))
+        let with_room = (0..free.len()).filter(|&at| free[at].free_runs > 0 && may(&free[at]));
+        with_room.max_by_key(|&at| (free[at].free_runs, free[at].version, free[at].address))
     };
     let at = best(&other).or_else(|| best(&|_| avoid_is_weak))?;
-    free[at].room -= 1;
+    free[at].free_runs -= 1;
     Some(free[at].address)
 }
--- a/components/samples/src/ledger/fetch.rs
+++ b/components/samples/src/ledger/fetch.rs
@@ -8,7 +8,7 @@
 
 use super::Ledger;
 use super::state::{Action, Phase, SlotState};
-use crate::copy::Copy;
+use crate::copy::CopyMessage;
 use crate::cursor::Cursor;
 use crate::sample::Sample;
 use crate::slots::SlotSet;
@@ -30,7 +30,7 @@
             display("the cursor belongs to another post than the step held here")
         }
         /// An operator has rolled the model back; the trainer has to take that epoch up.
-        EpochOver(current: WeightVersion) {
+        StaleEpoch(current: WeightVersion) {
             display("the model was rolled back; version {} is in force", current)
         }
     }
@@ -67,7 +67,7 @@
         let places = self
             .samples
             .iter()
-            .filter_map(|offer| step.place(offer.sample.slot));
+            .filter_map(|offer| step.position(offer.sample.slot));
         places.for_each(|place| {
             slots.insert(place);
         });
@@ -94,7 +94,7 @@
 
     /// Gives exactly these slots, or nothing until all of them are ready; for a fetch
     /// whose answer is fixed in the log.
-    pub fn fetch_fixed(
+    pub fn fetch_granted(
         &mut self,
         base: &Cursor,
         slots: &SlotSet,
@@ -119,7 +119,7 @@
             return Err(FetchError::OtherPost);
         }
         if trainer_version.epoch < self.newest.epoch {
-            return Err(FetchError::EpochOver(self.newest));
+            return Err(FetchError::StaleEpoch(self.newest));
         }
         self.fetched_ms = Some(now_ms);
         self.take_cursor(cursor);
@@ -179,7 +179,7 @@
     fn choose(&self, ready: &SlotSet, max: u32) -> Vec<u32> {
         let had = |place: u32| ready.contains(place) || self.received.contains(place);
         let groups = 0..self.step.groups.len() as u32;
-        let places = |group: &u32| self.step.group_places(*group);
+        let places = |group: &u32| self.step.group_positions(*group);
         let (whole, open): (Vec<u32>, Vec<u32>) = groups.partition(|group| places(group).all(had));
         let ordered = whole.iter().chain(&open).flat_map(places);
         let mut chosen = Vec::new();
@@ -205,7 +205,7 @@
     ) -> Reply {
         let offer = |&place: &u32| offer(self.slot_mut(place), trainer_version);
         let samples = places.iter().filter_map(offer).collect();
-        let cursor = cursor.after(places.iter().copied());
+        let cursor = cursor.with_received(places.iter().copied());
         let received = cursor.received().len();
         self.offered_whole = received == self.step.total();
         self.tell_fetched(now_ms);
@@ -228,7 +228,7 @@
             return;
         }
         self.told_ms = Some(now_ms);
-        self.actions.push(Action::Copy(Copy::Fetched {
+        self.actions.push(Action::Copy(CopyMessage::Fetched {
             key: self.step.key.clone(),
             digest: self.step.digest(),
             complete: self.offered_whole,
--- a/components/samples/src/ledger/runs.rs
+++ b/components/samples/src/ledger/runs.rs
@@ -6,14 +6,20 @@
 use types::WeightVersion;
 
 use super::Ledger;
-use super::state::{Action, Completion, Fault, Partial, Phase, Run, RunId, ScoreWait};
+use super::state::{Action, Completion, Fault, PartialSample, Phase, Run, RunId, ScoreWait};
 use crate::provenance::Provenance;
 use crate::sample::{Sample, staleness};
-use crate::swap::{InProgress, News, Plan, plan};
+use crate::swap::{RunInProgress, RunPlan, SwapContext, plan_run};
 
 impl Ledger {
     /// A run has made `tokens` in all by now; `stamp` is the version on its latest chunk.
-    pub fn progress(&mut self, run: RunId, tokens: u64, stamp: Option<WeightVersion>, now_ms: u64) {
+    pub fn record_progress(
+        &mut self,
+        run: RunId,
+        tokens: u64,
+        stamp: Option<WeightVersion>,
+        now_ms: u64,
+    ) {
         let Some(state) = self.runs.get_mut(&run) else {
             return;
         };
@@ -36,7 +42,7 @@
 
     /// A run has its whole result. The first one of a slot is bound; the others are
     /// cancelled, and a result that comes later belongs to no run any more.
-    pub fn finished(&mut self, run: RunId, completion: Completion, now_ms: u64) {
+    pub fn record_completion(&mut self, run: RunId, completion: Completion, now_ms: u64) {
         let Some(state) = self.runs.get(&run).cloned() else {
             return;
         };
@@ -70,7 +76,13 @@
     }
 
     /// A run ended without a whole result.
-    pub fn failed(&mut self, run: RunId, fault: Fault, partial: Option<Partial>, now_ms: u64) {
+    pub fn record_failure(
+        &mut self,
+        run: RunId,
+        fault: Fault,
+        partial: Option<PartialSample>,
+        now_ms: u64,
+    ) {
         let Some(state) = self.runs.get(&run).cloned() else {
             return;
         };
@@ -106,22 +118,28 @@
 
     /// Plans every run against the newest version.
     pub(super) fn plan_swap(&mut self, now_ms: u64) {
-        let news = News {
+        let news = SwapContext {
             announced: self.newest,
             staleness_bound: self.settings.staleness_bound,
             next_in_ms: self.next_news_ms.map(|ms| ms.saturating_sub(now_ms)),
         };
-        let plans: Vec<(RunId, u32, Plan)> = self
+        let plans: Vec<(RunId, u32, RunPlan)> = self
             .runs
             .iter()
             .filter(|(_, run)| !run.stopping)
-            .map(|(&id, run)| (id, run.place, plan(&self.in_progress(run, now_ms), &news)))
+            .map(|(&id, run)| {
+                (
+                    id,
+                    run.place,
+                    plan_run(&self.in_progress(run, now_ms), &news),
+                )
+            })
             .collect();
         for (run, place, plan) in plans {
             match plan {
-                Plan::Keep => {}
-                Plan::Resume => self.stop(run),
-                Plan::Abandon => self.abandon_run(run, place),
+                RunPlan::Keep => {}
+                RunPlan::Resume => self.stop(run),
+                RunPlan::Abandon => self.abandon_run(run, place),
             }
         }
     }
@@ -134,15 +152,15 @@
         }
     }
 
-    fn in_progress(&self, run: &Run, now_ms: u64) -> InProgress {
+    fn in_progress(&self, run: &Run, now_ms: u64) -> RunInProgress {
         let elapsed_ms = now_ms.saturating_sub(run.started_ms);
         let left = u64::from(self.step.max_tokens).saturating_sub(run.tokens);
         // Until it ends, a run is taken to use half of the tokens that it still may.
         let remaining_ms = (elapsed_ms * left / 2).checked_div(run.tokens);
-        InProgress {
+        RunInProgress {
             oldest: run.versions.first().copied(),
             remaining_ms,
-            kept_over_switch: self.settings.kept_over_switch,
+            survives_swap: self.settings.survives_swap,
         }
     }
 
@@ -212,7 +230,7 @@
             Fault::Refused | Fault::Lost => {
                 self.settings.run_retry.wait_ms(failures, u64::from(place))
             }
-            Fault::Quarantined => self.settings.blocked_ms,
+            Fault::Quarantined => self.settings.blocked_retry_ms,
         }
     }
 }
--- a/components/samples/src/ledger/scores.rs
+++ b/components/samples/src/ledger/scores.rs
@@ -15,7 +15,7 @@
 
 impl Ledger {
     /// The scorer answered for the sample that `run` made.
-    pub fn scored(&mut self, run: RunId, score: Score) {
+    pub fn record_score(&mut self, run: RunId, score: Score) {
         let Some(wait) = self.scoring.remove(&run) else {
             return;
         };
@@ -28,7 +28,7 @@
     }
 
     /// The scorer failed or did not answer in time.
-    pub fn score_failed(&mut self, run: RunId, now_ms: u64) {
+    pub fn record_score_failure(&mut self, run: RunId, now_ms: u64) {
         let scores_done = self.scores_done;
         let Some(wait) = self.scoring.get_mut(&run) else {
             return;
@@ -41,7 +41,7 @@
         }
         let place = wait.place;
         let others_scored = scores_done > wait.scores_before;
-        if others_scored && wait.failures >= self.settings.score_tries_max {
+        if others_scored && wait.failures >= self.settings.score_attempts_max {
             self.tally.unscorable += 1;
             self.run_again(place, now_ms);
             return;
--- a/components/samples/src/ledger/state.rs
+++ b/components/samples/src/ledger/state.rs
@@ -7,7 +7,7 @@
 use derive::{key, value};
 use types::WeightVersion;
 
-use crate::copy::Copy;
+use crate::copy::CopyMessage;
 use crate::provenance::Provenance;
 use crate::sample::Sample;
 use crate::step::Slot;
@@ -17,19 +17,19 @@
 
 /// Exponential pace of retries.
 #[value]
-pub struct RetryPace {
+pub struct RetryBackoff {
     /// After the first failure.
-    pub first_ms: u64,
+    pub initial_ms: u64,
     /// At most.
     pub max_ms: u64,
 }
 
-impl RetryPace {
+impl RetryBackoff {
     /// Wait after `failures` in a row. Slots that fail together are spread by `salt`.
     pub(super) fn wait_ms(&self, failures: u32, salt: u64) -> u64 {
         let doublings = failures.saturating_sub(1).min(DOUBLINGS_MAX);
         let bound_ms = self
-            .first_ms
+            .initial_ms
             .saturating_mul(1 << doublings)
             .min(self.max_ms);
         let half_ms = bound_ms / 2;
@@ -45,15 +45,15 @@
     /// Samples go through a scorer and are not delivered without a score.
     pub scored: bool,
     /// Engines go on with a run over a switch of weights.
-    pub kept_over_switch: bool,
+    pub survives_swap: bool,
     /// Pace of retries of a run that failed.
-    pub run_retry: RetryPace,
+    pub run_retry: RetryBackoff,
     /// Wait of a slot whose call was refused for good.
-    pub blocked_ms: u64,
+    pub blocked_retry_ms: u64,
     /// Pace of retries at the scorer.
-    pub score_retry: RetryPace,
+    pub score_retry: RetryBackoff,
     /// Scores that fail for one sample, while others succeed, before it is run again.
-    pub score_tries_max: u32,
+    pub score_attempts_max: u32,
     /// Late runs.
     pub straggler: StragglerSettings,
 }
@@ -63,17 +63,17 @@
         Self {
             staleness_bound: 0,
             scored: false,
-            kept_over_switch: true,
-            run_retry: RetryPace {
-                first_ms: 100,
+            survives_swap: true,
+            run_retry: RetryBackoff {
+                initial_ms: 100,
                 max_ms: 10_000,
             },
-            blocked_ms: 60_000,
-            score_retry: RetryPace {
-                first_ms: 200,
+            blocked_retry_ms: 60_000,
+            score_retry: RetryBackoff {
+                initial_ms: 200,
                 max_ms: 15_000,
             },
-            score_tries_max: 5,
+            score_attempts_max: 5,
             straggler: StragglerSettings::default(),
         }
     }
@@ -85,7 +85,7 @@
 
 /// What a run that was stopped or lost leaves for the next one.
 #[value]
-pub struct Partial {
+pub struct PartialSample {
     /// Text so far.
     pub text: String,
     /// Its tokens, for the engine.
@@ -107,7 +107,7 @@
     /// first says little of its length.
     pub seed: u64,
     /// Go on from here.
-    pub resume: Option<Partial>,
+    pub resume: Option<PartialSample>,
     /// It runs beside a slow one.
     pub hedge: bool,
 }
@@ -135,7 +135,7 @@
         sample: Arc<Sample>,
     },
     /// Send this to the second home.
-    Copy(Copy),
+    Copy(CopyMessage),
 }
 
 /// A whole result of a run.
@@ -168,14 +168,14 @@
     /// Its agent.
     pub address: SocketAddr,
     /// Runs that it can take now.
-    pub room: u32,
+    pub free_runs: u32,
     /// Version that it serves, if known.
     pub version: Option<WeightVersion>,
 }
 
 /// Room for runs of one step, as the driver grants it at this moment.
 #[value]
-pub struct Room {
+pub struct RunCapacity {
     /// Runs of the step in progress at most.
     pub in_progress_max: u32,
     /// Replicas of the model.
@@ -196,7 +196,7 @@
 pub(super) struct SlotState {
     pub phase: Phase,
     pub runs: Vec<RunId>,
-    pub partial: Option<Partial>,
+    pub partial: Option<PartialSample>,
     /// Replica that the next run should avoid.
     pub avoid: Option<SocketAddr>,
     /// Samples begun for the slot; the seed depends on it.
--- a/components/samples/src/lib.rs
+++ b/components/samples/src/lib.rs
@@ -19,20 +19,20 @@
 pub mod swap;
 mod tally;
 
-pub use copy::{Copy, batches};
+pub use copy::{CopyMessage, split_batches};
 pub use cursor::{Cursor, CursorError, CursorKeys};
 pub use distribution::Distribution;
-pub use fetch_log::{FetchLog, Grant, GrantVerdict, Turn};
+pub use fetch_log::{FetchLog, FetchState, Grant, GrantVerdict};
 pub use holdings::StepBounds;
-pub use home::{Entry, Homes, homes};
+pub use home::{Entry, Homes, choose_homes};
 pub use ledger::{
-    Action, Completion, Fault, FetchError, Ledger, LedgerSettings, Offer, Partial, Replica, Reply,
-    RetryPace, Room, RunId, Start,
+    Action, Completion, Fault, FetchError, Ledger, LedgerSettings, Offer, PartialSample, Replica,
+    Reply, RetryBackoff, RunCapacity, RunId, Start,
 };
 pub use provenance::{Provenance, Stamps};
-pub use received::{Received, ReplyError, Take};
+pub use received::{ReceivedReply, ReplyError, TrainerState};
 pub use sample::{Sample, Score, ScoreError, staleness};
 pub use slots::SlotSet;
 pub use step::{Group, Slot, Step, StepDigest, StepError, StepKey};
-pub use steps::{PostError, Posted, Steps};
+pub use steps::{PostError, PostOutcome, Steps};
 pub use tally::{IdleClock, Tally};
--- a/components/samples/src/provenance.rs
+++ b/components/samples/src/provenance.rs
@@ -55,7 +55,7 @@
     }
 
     /// A chunk came; `stamp` is its version if it carries one.
-    pub fn chunk(&mut self, stamp: Option<WeightVersion>) {
+    pub fn record_chunk(&mut self, stamp: Option<WeightVersion>) {
         match stamp {
             Some(version) => {
                 self.versions.insert(version);
@@ -65,14 +65,14 @@
     }
 
     /// A unary answer came with its list of versions; an empty list is no stamp.
-    pub fn unary(&mut self, versions: &[WeightVersion]) {
+    pub fn record_response(&mut self, versions: &[WeightVersion]) {
         self.unstamped |= versions.is_empty();
         self.versions.extend(versions);
     }
 
     /// A segment at one endpoint ended. `witnessed` is the one version that its agent saw
     /// in force from the first chunk to the last; `None` when it saw a swap or can't say.
-    pub fn segment_ended(&mut self, witnessed: Option<WeightVersion>) {
+    pub fn end_segment(&mut self, witnessed: Option<WeightVersion>) {
         if !std::mem::take(&mut self.unstamped) {
             return;
         }
@@ -91,7 +91,7 @@
 
     /// The origin of all parts so far. A segment that was not ended counts as unwitnessed.
     pub fn finish(mut self) -> Provenance {
-        self.segment_ended(None);
+        self.end_segment(None);
         if self.not_known || self.versions.is_empty() {
             return Provenance::NotKnown;
         }
--- a/components/samples/src/received.rs
+++ b/components/samples/src/received.rs
@@ -15,7 +15,7 @@
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum ReplyError {
         /// Another reply was taken since the fetch was sent; fetch again.
-        Overtaken {
+        Superseded {
             display("the reply answers an earlier cursor; fetch again with the current one")
         }
         /// The trainer has other weights than when it sent the fetch; fetch again.
@@ -27,7 +27,7 @@
 
 /// A reply as the trainer sees it.
 #[value]
-pub struct Take<S> {
+pub struct ReceivedReply<S> {
     /// Text of the cursor that the fetch carried.
     pub base: String,
     /// Version that the fetch carried.
@@ -40,13 +40,13 @@
 
 /// What a trainer has received, to be kept whole in its checkpoint.
 #[value]
-pub struct Received<S> {
+pub struct TrainerState<S> {
     cursor: String,
     version: WeightVersion,
     samples: Vec<S>,
 }
 
-impl<S> Received<S> {
+impl<S> TrainerState<S> {
     /// From the cursor that the post gave, at the trainer's version.
     pub fn new(cursor: String, version: WeightVersion) -> Self {
         Self {
@@ -77,9 +77,9 @@
     }
 
     /// Takes a reply whole, or not at all.
-    pub fn take(&mut self, reply: Take<S>) -> Result<(), ReplyError> {
+    pub fn take(&mut self, reply: ReceivedReply<S>) -> Result<(), ReplyError> {
         if reply.base != self.cursor {
-            return Err(ReplyError::Overtaken);
+            return Err(ReplyError::Superseded);
         }
         if reply.trainer_version != self.version {
             return Err(ReplyError::OtherVersion);
--- a/components/samples/src/step.rs
+++ b/components/samples/src/step.rs
@@ -151,7 +151,7 @@
     }
 
     /// Place of a slot, if the step has it.
-    pub fn place(&self, slot: Slot) -> Option<u32> {
+    pub fn position(&self, slot: Slot) -> Option<u32> {
         let group = self.groups.get(slot.group as usize)?;
         if slot.index >= group.samples {
             return None;
@@ -160,7 +160,7 @@
     }
 
     /// Places of a group's slots.
-    pub fn group_places(&self, group: u32) -> std::ops::Range<u32> {
+    pub fn group_positions(&self, group: u32) -> std::ops::Range<u32> {
         let start = self.starts.get(group as usize).copied();
         let start = start.unwrap_or(self.total);
         let samples = self.groups.get(group as usize).map_or(0, |g| g.samples);
--- a/components/samples/src/steps.rs
+++ b/components/samples/src/steps.rs
@@ -12,7 +12,7 @@
 use quick_error::quick_error;
 use types::WeightVersion;
 
-use crate::copy::Copy;
+use crate::copy::CopyMessage;
 use crate::cursor::Cursor;
 use crate::holdings::{Holdings, StepBounds};
 use crate::ledger::{Action, Ledger, LedgerSettings};
@@ -41,7 +41,7 @@
 
 /// What a post did.
 #[key]
-pub enum Posted {
+pub enum PostOutcome {
     /// The step was not held here.
     New,
     /// It was; only what its cursor misses is run.
@@ -49,7 +49,7 @@
     /// It was, with another content that nobody fetches any more.
     Replaced,
     /// Nothing: a copy of a step that nobody has used for too long.
-    TooOld,
+    Expired,
 }
 
 struct Held {
@@ -76,11 +76,11 @@
 impl Steps {
     /// Steps that nobody has asked for in `idle_ms` are dropped by [`Steps::retire`].
     pub fn new(idle_ms: u64) -> Self {
-        Self::bounded(idle_ms, StepBounds::default())
+        Self::with_bounds(idle_ms, StepBounds::default())
     }
 
     /// The same, with other bounds on what is held for one customer.
-    pub fn bounded(idle_ms: u64, bounds: StepBounds) -> Self {
+    pub fn with_bounds(idle_ms: u64, bounds: StepBounds) -> Self {
         Self {
             held: BTreeMap::new(),
             holdings: Holdings::new(bounds),
@@ -97,14 +97,14 @@
         cursor: &Cursor,
         trainer_version: WeightVersion,
         now_ms: u64,
-    ) -> Result<Posted, PostError> {
+    ) -> Result<PostOutcome, PostError> {
         if let Some(held) = self.held.get_mut(&step.key) {
             if held.ledger.step().digest() == step.digest() {
                 held.touched_ms = now_ms;
                 held.ledger.configure(settings);
                 held.ledger.take_cursor(cursor);
                 held.ledger.announce(trainer_version, None, now_ms);
-                return Ok(Posted::Known);
+                return Ok(PostOutcome::Known);
             }
             if held.is_in_use(now_ms) {
                 return Err(PostError::OtherContent);
@@ -113,7 +113,7 @@
         self.ledgers = self.ledgers.wrapping_add(1);
         let ledger = Ledger::new(Arc::clone(step), settings.clone(), cursor, trainer_version);
         let mut held = Held {
-            ledger: ledger.numbered(self.ledgers),
+            ledger: ledger.with_number_range(self.ledgers),
             posted_ms: now_ms,
             touched_ms: now_ms,
         };
@@ -122,7 +122,9 @@
             old.into_iter().for_each(|old| self.put_in(old));
             return Err(refused);
         }
-        let posted = old.as_ref().map_or(Posted::New, |_| Posted::Replaced);
+        let posted = old
+            .as_ref()
+            .map_or(PostOutcome::New, |_| PostOutcome::Replaced);
         if let Some(old) = old {
             held.ledger.replace(old.ledger);
         }
@@ -142,14 +144,14 @@
         trainer_version: WeightVersion,
         used_ms: u64,
         now_ms: u64,
-    ) -> Result<Posted, PostError> {
+    ) -> Result<PostOutcome, PostError> {
         if let Some(held) = self.held_of(&step.key, step.digest()) {
             held.touched_ms = held.touched_ms.max(used_ms);
             held.ledger.announce(trainer_version, None, now_ms);
-            return Ok(Posted::Known);
+            return Ok(PostOutcome::Known);
         }
         if now_ms.saturating_sub(used_ms) >= self.idle_ms {
-            return Ok(Posted::TooOld);
+            return Ok(PostOutcome::Expired);
         }
         self.post(step, settings, cursor, trainer_version, used_ms)
     }
@@ -181,7 +183,7 @@
             let oldest = done.min_by_key(|(_, held)| held.touched_ms);
             let Some(key) = oldest.map(|(key, _)| key.clone()) else {
                 let bounds = self.holdings.bounds();
-                return Err(PostError::NoRoom(bounds.steps, bounds.prompt_bytes));
+                return Err(PostError::NoRoom(bounds.steps_max, bounds.prompt_bytes_max));
             };
             self.take_out(&key);
         }
@@ -223,10 +225,10 @@
     /// Takes a finished sample of the other home, or that its trainer fetches there. What is
     /// said of an unknown step or of another post is dropped: the step's post comes with
     /// its copy or from the trainer.
-    pub fn apply(&mut self, copy: &Copy, now_ms: u64) {
+    pub fn apply(&mut self, copy: &CopyMessage, now_ms: u64) {
         match copy {
-            Copy::Post { .. } => {}
-            Copy::Finished {
+            CopyMessage::Post { .. } => {}
+            CopyMessage::Finished {
                 key,
                 digest,
                 sample,
@@ -235,7 +237,7 @@
                     held.ledger.adopt(sample);
                 }
             }
-            Copy::Fetched {
+            CopyMessage::Fetched {
                 key,
                 digest,
                 complete,
@@ -258,15 +260,15 @@
 
     /// Drops steps that nobody has asked for; gives what has to be cancelled. A trainer
     /// that comes back after that posts again with its cursor and loses nothing but time.
-    pub fn retire(&mut self, now_ms: u64) -> Vec<Action> {
+    pub fn remove_idle(&mut self, now_ms: u64) -> Vec<Action> {
         let mut cancels = Vec::new();
         let (idle_ms, holdings) = (self.idle_ms, &mut self.holdings);
         self.held.retain(|_, held| {
             let keep = now_ms.saturating_sub(held.touched_ms) < idle_ms;
             if !keep {
                 holdings.remove(held.ledger.step());
-                held.ledger.give_up();
-                cancels.extend(held.ledger.drain());
+                held.ledger.cancel_all();
+                cancels.extend(held.ledger.take_actions());
             }
             keep
         });
--- a/components/samples/src/straggler.rs
+++ b/components/samples/src/straggler.rs
@@ -20,11 +20,11 @@
 #[value]
 pub struct StragglerSettings {
     /// Finished runs before paces are compared.
-    pub finished_min: u64,
+    pub finished_runs_min: u64,
     /// Silence that makes a run late, at least.
     pub silent_ms: u64,
     /// How many times the usual pace or duration is late, in thousandths.
-    pub factor_permille: u64,
+    pub late_factor_permille: u64,
     /// Hedges in flight at a time, as a share of the step's slots; one is always allowed.
     pub hedges_permille: u64,
     /// Moves of one slot; the next one needs twice the silence.
@@ -34,9 +34,9 @@
 impl Default for StragglerSettings {
     fn default() -> Self {
         Self {
-            finished_min: 16,
+            finished_runs_min: 16,
             silent_ms: 10_000,
-            factor_permille: 3_000,
+            late_factor_permille: 3_000,
             hedges_permille: 50,
             moves_max: 4,
         }
@@ -45,12 +45,12 @@
 
 /// Paces of the runs of a step that have finished.
 #[derive(Clone, Debug, Default)]
-pub struct Pace {
+pub struct RunTimings {
     durations_ms: Distribution,
     us_per_token: Distribution,
 }
 
-impl Pace {
+impl RunTimings {
     /// Counts a finished run.
     pub fn record(&mut self, duration_ms: u64, tokens: u64) {
         self.durations_ms.record(duration_ms);
@@ -77,7 +77,7 @@
 
 /// Hedges in flight and allowed.
 #[value]
-pub struct Budget {
+pub struct HedgeBudget {
     /// In flight now.
     pub hedges: u64,
     /// Slots of the step.
@@ -96,7 +96,12 @@
 }
 
 /// Whether a run is late.
-pub fn due(settings: &StragglerSettings, run: &RunView, pace: &Pace, budget: &Budget) -> Decision {
+pub fn assess(
+    settings: &StragglerSettings,
+    run: &RunView,
+    pace: &RunTimings,
+    budget: &HedgeBudget,
+) -> Decision {
     if run.hedged {
         return Decision::Wait;
     }
@@ -110,7 +115,7 @@
     Decision::Wait
 }
 
-fn is_silent(settings: &StragglerSettings, run: &RunView, pace: &Pace) -> bool {
+fn is_silent(settings: &StragglerSettings, run: &RunView, pace: &RunTimings) -> bool {
     if run.moves >= settings.moves_max {
         return false;
     }
@@ -118,20 +123,20 @@
     let whole_ms = (run.tokens == 0)
         .then(|| pace.durations_ms.quantile(TAIL_PERMILLE))
         .flatten();
-    let usual_ms = whole_ms.map_or(0, |ms| ms * settings.factor_permille / PERMILLE);
+    let usual_ms = whole_ms.map_or(0, |ms| ms * settings.late_factor_permille / PERMILLE);
     let limit_ms = settings.silent_ms.max(usual_ms) << run.moves;
     run.silent_ms >= limit_ms
 }
 
-fn is_slow(settings: &StragglerSettings, run: &RunView, pace: &Pace) -> bool {
-    if pace.durations_ms.total() < settings.finished_min {
+fn is_slow(settings: &StragglerSettings, run: &RunView, pace: &RunTimings) -> bool {
+    if pace.durations_ms.total() < settings.finished_runs_min {
         return false;
     }
     let median_ms = pace.durations_ms.quantile(MEDIAN_PERMILLE).unwrap_or(0);
     if run.elapsed_ms <= median_ms {
         return false;
     }
-    let late = |usual: u64, own: u64| own * PERMILLE > usual * settings.factor_permille;
+    let late = |usual: u64, own: u64| own * PERMILLE > usual * settings.late_factor_permille;
     let own_pace = (run.elapsed_ms * US_PER_MS).checked_div(run.tokens);
     match own_pace.zip(pace.us_per_token.quantile(MEDIAN_PERMILLE)) {
         Some((own, usual)) => late(usual, own),
--- a/components/samples/src/swap.rs
+++ b/components/samples/src/swap.rs
@@ -5,18 +5,18 @@
 
 /// A run at the moment of the news.
 #[value]
-pub struct InProgress {
+pub struct RunInProgress {
     /// Oldest version stamped on it so far; `None` before its first token.
     pub oldest: Option<WeightVersion>,
     /// Time that it still needs, if that can be told.
     pub remaining_ms: Option<u64>,
     /// Its engine goes on with it over a switch, with the new weights.
-    pub kept_over_switch: bool,
+    pub survives_swap: bool,
 }
 
 /// The news.
 #[value]
-pub struct News {
+pub struct SwapContext {
     /// Version that the trainer announced.
     pub announced: WeightVersion,
     /// Versions that a sample may lag behind.
@@ -27,7 +27,7 @@
 
 /// What to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plan {
+pub enum RunPlan {
     /// Let it run.
     Keep,
     /// Stop it before the switch and go on from its tokens, whose versions stay in the set.
@@ -41,31 +41,31 @@
 /// A resume never makes a sample younger, since its first tokens keep their version. A
 /// run at the bound that can't end before the next announcement is given up now,
 /// while little work is lost.
-pub fn plan(run: &InProgress, news: &News) -> Plan {
+pub fn plan_run(run: &RunInProgress, news: &SwapContext) -> RunPlan {
     let Some(oldest) = run.oldest else {
         return kept(run);
     };
     if oldest.epoch != news.announced.epoch {
-        return Plan::Abandon;
+        return RunPlan::Abandon;
     }
     let lag = news.announced.version.saturating_sub(oldest.version);
     if lag > news.staleness_bound {
-        return Plan::Abandon;
+        return RunPlan::Abandon;
     }
     let misses_next = run
         .remaining_ms
         .zip(news.next_in_ms)
         .is_some_and(|(r, n)| r > n);
     if lag == news.staleness_bound && misses_next {
-        return Plan::Abandon;
+        return RunPlan::Abandon;
     }
     kept(run)
 }
 
-fn kept(run: &InProgress) -> Plan {
-    if run.kept_over_switch {
-        Plan::Keep
+fn kept(run: &RunInProgress) -> RunPlan {
+    if run.survives_swap {
+        RunPlan::Keep
     } else {
-        Plan::Resume
+        RunPlan::Resume
     }
 }
--- a/components/samples/src/tally.rs
+++ b/components/samples/src/tally.rs
@@ -43,7 +43,7 @@
     }
 
     /// A fetch came.
-    pub fn fetch_began(&mut self, now_ms: u64) {
+    pub fn begin_fetch(&mut self, now_ms: u64) {
         if self.open == 0 {
             self.since_ms = now_ms;
         }
@@ -51,7 +51,7 @@
     }
 
     /// A fetch was answered or given up. Fetches that overlap count once.
-    pub fn fetch_ended(&mut self, now_ms: u64) {
+    pub fn end_fetch(&mut self, now_ms: u64) {
         if self.open == 1 {
             self.idle_ms += now_ms.saturating_sub(self.since_ms);
         }
--- a/components/samples/tests/copies.rs
+++ b/components/samples/tests/copies.rs
@@ -6,7 +6,9 @@
 
 use std::sync::Arc;
 
-use samples::{Action, Copy, Cursor, LedgerSettings, Posted, Step, Steps, batches};
+use samples::{
+    Action, CopyMessage, Cursor, LedgerSettings, PostOutcome, Step, Steps, split_batches,
+};
 use support::{completion, key, room, starts, step_of, version};
 
 const IDLE_MS: u64 = 1_000;
@@ -20,14 +22,14 @@
     let ledger = steps.find_mut(&key(7)).unwrap();
     ledger.dispatch(&room(1, 99, at), 0);
     for start in starts(ledger) {
-        ledger.finished(start.run, completion("text", [at]), 1);
+        ledger.record_completion(start.run, completion("text", [at]), 1);
     }
-    ledger.drain();
+    ledger.take_actions();
     steps
 }
 
-fn notes(steps: &mut Steps) -> Vec<Copy> {
-    let actions = steps.find_mut(&key(7)).unwrap().drain();
+fn notes(steps: &mut Steps) -> Vec<CopyMessage> {
+    let actions = steps.find_mut(&key(7)).unwrap().take_actions();
     let copy = |action| match action {
         Action::Copy(copy) => Some(copy),
         _ => None,
@@ -83,10 +85,10 @@
         let copies = notes(&mut first);
         assert_eq!(copies.len(), 1, "one note a minute");
         copies.iter().for_each(|copy| second.apply(copy, now_ms));
-        second.retire(now_ms);
+        second.remove_idle(now_ms);
     }
     assert!(second.holds(&key(7)));
-    second.retire(20 * MINUTE_MS + KEPT_MS);
+    second.remove_idle(20 * MINUTE_MS + KEPT_MS);
     assert!(!second.holds(&key(7)));
 }
 
@@ -108,11 +110,11 @@
             let to = &mut homes[1 - from];
             let used_ms = now_ms - unused_ms;
             let taken = to.post_copy(&step, &settings, &start, at, used_ms, now_ms);
-            assert_ne!(taken, Ok(Posted::Replaced));
+            assert_ne!(taken, Ok(PostOutcome::Replaced));
             copies.iter().for_each(|copy| to.apply(copy, now_ms));
         }
         for home in &mut homes {
-            home.retire(now_ms);
+            home.remove_idle(now_ms);
             assert!(now_ms < IDLE_MS || !home.holds(&key(7)), "at {now_ms} ms");
         }
     }
@@ -148,7 +150,7 @@
         },
     ];
     for case in cases {
-        let parts = batches(case.bytes, |&bytes| bytes, 10);
+        let parts = split_batches(case.bytes, |&bytes| bytes, 10);
         assert_eq!(parts, case.parts, "{}", case.name);
     }
 }
--- a/components/samples/tests/cursor.rs
+++ b/components/samples/tests/cursor.rs
@@ -57,7 +57,7 @@
 #[test]
 fn can_open_a_cursor_with_either_of_two_keys() {
     let step = step_of(2, 8);
-    let cursor = Cursor::start(&step).after([3, 5]);
+    let cursor = Cursor::start(&step).with_received([3, 5]);
     let old = cursor.seal(&CursorKeys::new([1; 32], None));
     let changing = CursorKeys::new([2; 32], Some([1; 32]));
     let changed = CursorKeys::new([2; 32], None);
@@ -72,7 +72,7 @@
 fn can_carry_the_largest_step_in_a_kilobyte() {
     let step = step_of(512, 8);
     // Every other slot is the worst case for run lengths.
-    let cursor = Cursor::start(&step).after((0..4_096).step_by(2));
+    let cursor = Cursor::start(&step).with_received((0..4_096).step_by(2));
     let text = cursor.seal(&keys());
     assert!(text.len() <= 1_024, "{} bytes", text.len());
     assert_eq!(Cursor::open(&text, &keys(), &step), Ok(cursor));
@@ -82,13 +82,13 @@
     fn can_read_back_any_set_of_slots(places: Vec<u32>, groups: u8) -> bool {
         let step = step_of(u32::from(groups % 64) + 1, 7);
         let places = places.into_iter().map(|place| place % step.total());
-        let cursor = Cursor::start(&step).after(places);
+        let cursor = Cursor::start(&step).with_received(places);
         Cursor::open(&cursor.seal(&keys()), &keys(), &step) == Ok(cursor)
     }
 
     fn errors_when_any_letter_is_changed(place: usize, letter: u8) -> bool {
         let step = step_of(4, 8);
-        let mut text = Cursor::start(&step).after([1, 2, 9]).seal(&keys()).into_bytes();
+        let mut text = Cursor::start(&step).with_received([1, 2, 9]).seal(&keys()).into_bytes();
         let place = place % text.len();
         let letter = b'A' + letter % 26;
         let same = text[place] == letter;
--- a/components/samples/tests/exactly_once.rs
+++ b/components/samples/tests/exactly_once.rs
@@ -9,7 +9,8 @@
 
 use quickcheck::{Arbitrary, Gen};
 use samples::{
-    Action, Copy, Cursor, Fault, Ledger, LedgerSettings, Received, RunId, Slot, Start, Step, Take,
+    Action, CopyMessage, Cursor, Fault, Ledger, LedgerSettings, ReceivedReply, RunId, Slot, Start,
+    Step, TrainerState,
 };
 use support::{completion, keys, room, step_of, version};
 use types::WeightVersion;
@@ -68,10 +69,10 @@
     step: Arc<Step>,
     homes: [Option<Ledger>; HOMES],
     runs: [BTreeMap<RunId, Start>; HOMES],
-    copies: Vec<Copy>,
-    replies: Vec<Take<Sample>>,
-    received: Received<Sample>,
-    checkpoint: Received<Sample>,
+    copies: Vec<CopyMessage>,
+    replies: Vec<ReceivedReply<Sample>>,
+    received: TrainerState<Sample>,
+    checkpoint: TrainerState<Sample>,
     engines: WeightVersion,
     announced: WeightVersion,
     /// Versions that made each text, as the engines know them.
@@ -84,7 +85,7 @@
     fn new() -> Self {
         let step = step_of(3, 4);
         let start = Cursor::start(&step).seal(&keys());
-        let received = Received::new(start, version(1, 1));
+        let received = TrainerState::new(start, version(1, 1));
         let mut world = Self {
             homes: [None, None],
             runs: Default::default(),
@@ -141,7 +142,7 @@
             let sample = &offer.sample;
             (sample.slot, sample.text.clone(), sample.versions.clone())
         };
-        self.replies.push(Take {
+        self.replies.push(ReceivedReply {
             base,
             trainer_version,
             samples: reply.samples.iter().map(sample).collect(),
@@ -206,7 +207,7 @@
             return;
         };
         if !whole {
-            ledger.failed(run, Fault::Lost, None, self.now_ms);
+            ledger.record_failure(run, Fault::Lost, None, self.now_ms);
             return;
         }
         self.texts += 1;
@@ -218,7 +219,7 @@
         };
         let versions = Origin::from([self.engines, later.min(self.announced.max(self.engines))]);
         self.truth.insert(text.clone(), versions.clone());
-        ledger.finished(run, completion(&text, versions), self.now_ms);
+        ledger.record_completion(run, completion(&text, versions), self.now_ms);
     }
 
     fn copy(&mut self, to: usize, copy: usize) {
@@ -226,7 +227,7 @@
             return;
         };
         let at = copy % self.copies.len().max(1);
-        if let Some(Copy::Finished { sample, .. }) = self.copies.get(at) {
+        if let Some(CopyMessage::Finished { sample, .. }) = self.copies.get(at) {
             ledger.adopt(sample);
         }
     }
@@ -244,7 +245,7 @@
         let Some(ledger) = &mut self.homes[home] else {
             return;
         };
-        for action in ledger.drain() {
+        for action in ledger.take_actions() {
             match action {
                 Action::Start(start) => {
                     self.runs[home].insert(start.run, start);
@@ -254,7 +255,7 @@
                 }
                 Action::Stop { run } => {
                     self.runs[home].remove(&run);
-                    ledger.failed(run, Fault::Moved, None, self.now_ms);
+                    ledger.record_failure(run, Fault::Moved, None, self.now_ms);
                 }
                 Action::Copy(copy) => self.copies.push(copy),
                 Action::Score { .. } => {}
@@ -315,7 +316,7 @@
     assert_eq!(second.samples.len(), 12);
     assert_eq!(world.received.take(first), Ok(()));
     let refused = world.received.take(second);
-    assert_eq!(refused, Err(samples::ReplyError::Overtaken));
+    assert_eq!(refused, Err(samples::ReplyError::Superseded));
     assert_eq!(world.received.samples().len(), 12);
 }
 
--- a/components/samples/tests/fetch_log.rs
+++ b/components/samples/tests/fetch_log.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeSet;
 
-use samples::{Cursor, FetchLog, Grant, GrantVerdict, SlotSet, Turn};
+use samples::{Cursor, FetchLog, FetchState, Grant, GrantVerdict, SlotSet};
 use support::{ledger, room, starts, step_of, version};
 
 fn set(total: u32, places: impl IntoIterator<Item = u32>) -> SlotSet {
@@ -23,19 +23,19 @@
     let step = step_of(1, 4);
     let mut log = FetchLog::new(&step);
     let granted = set(4, [1, 2]);
-    assert_eq!(log.apply(&log.grant(1, &granted)), GrantVerdict::Counts);
-    let Turn::Fixed { base, slots } = log.turn(1) else {
+    assert_eq!(log.apply(&log.grant(1, &granted)), GrantVerdict::Applied);
+    let FetchState::Granted { base, slots } = log.fetch_state(1) else {
         panic!("fetch 1 is granted");
     };
     assert_eq!((&base, &slots), (&Cursor::start(&step), &granted));
     let mut second = ledger(&step, Default::default(), version(1, 1));
-    let early = second.fetch_fixed(&base, &slots, version(1, 1), 0);
+    let early = second.fetch_granted(&base, &slots, version(1, 1), 0);
     assert_eq!(early, Ok(None));
     second.dispatch(&room(1, 4, version(1, 1)), 0);
     for start in starts(&mut second) {
-        second.finished(start.run, support::completion("text", [version(1, 1)]), 1);
+        second.record_completion(start.run, support::completion("text", [version(1, 1)]), 1);
     }
-    let reply = second.fetch_fixed(&base, &slots, version(1, 1), 1);
+    let reply = second.fetch_granted(&base, &slots, version(1, 1), 1);
     assert_eq!(reply.unwrap().unwrap().slots(&step), granted);
 }
 
@@ -53,13 +53,13 @@
         let records: Vec<Grant> = appends.iter().map(grant).collect();
         let same = records.iter().all(|record| first.apply(record) == second.apply(record));
         let mut seen = BTreeSet::new();
-        let once = (1..6).all(|fetch| match first.turn(fetch) {
-            Turn::Fixed { base, slots } => {
+        let once = (1..6).all(|fetch| match first.fetch_state(fetch) {
+            FetchState::Granted { base, slots } => {
                 let before: BTreeSet<u32> = base.received().iter().collect();
                 before == seen && slots.iter().all(|place| seen.insert(place))
             }
-            Turn::Open { base } => base.received().len() as usize == seen.len(),
-            Turn::Ahead { .. } => true,
+            FetchState::Next { base } => base.received().len() as usize == seen.len(),
+            FetchState::Ahead { .. } => true,
         });
         same && once
     }
--- a/components/samples/tests/ledger.rs
+++ b/components/samples/tests/ledger.rs
@@ -5,7 +5,8 @@
 use std::collections::BTreeSet;
 
 use samples::{
-    Action, Cursor, Fault, FetchError, Ledger, LedgerSettings, Partial, Provenance, RunId, Score,
+    Action, Cursor, Fault, FetchError, Ledger, LedgerSettings, PartialSample, Provenance, RunId,
+    Score,
 };
 use support::{completion, keys, ledger, room, starts, step_of, version};
 use types::WeightVersion;
@@ -30,7 +31,7 @@
     let runs: Vec<RunId> = starts(ledger).iter().map(|start| start.run).collect();
     let text = format!("made at {now_ms}");
     for &run in &runs {
-        ledger.finished(run, completion(&text, versions.iter().copied()), now_ms);
+        ledger.record_completion(run, completion(&text, versions.iter().copied()), now_ms);
     }
     runs
 }
@@ -90,11 +91,11 @@
     let mut ledger = ledger(&step, bound(0), version(1, 1));
     ledger.dispatch(&room(1, 2, version(1, 1)), 0);
     let runs = starts(&mut ledger);
-    ledger.finished(runs[0].run, completion("text", [version(1, 1)]), 5);
-    ledger.progress(runs[1].run, 3, Some(version(1, 1)), 5);
+    ledger.record_completion(runs[0].run, completion("text", [version(1, 1)]), 5);
+    ledger.record_progress(runs[1].run, 3, Some(version(1, 1)), 5);
     ledger.announce(version(1, 2), None, 10);
     let run = runs[1].run;
-    assert!(ledger.drain().contains(&Action::Cancel { run }));
+    assert!(ledger.take_actions().contains(&Action::Cancel { run }));
     assert_eq!((ledger.waiting(), ledger.tally().abandoned), (4, 2));
     // The replica that has not switched yet would only make old samples.
     ledger.dispatch(&room(1, 9, version(1, 1)), 10);
@@ -122,7 +123,7 @@
     ledger.dispatch(&room(1, 9, version(1, 1)), 0);
     let runs = starts(&mut ledger);
     for place in [0, 2, 3] {
-        ledger.finished(runs[place].run, completion("text", [version(1, 1)]), 1);
+        ledger.record_completion(runs[place].run, completion("text", [version(1, 1)]), 1);
     }
     let reply = ledger
         .fetch(&Cursor::start(&step), version(1, 1), 2, 1)
@@ -137,7 +138,7 @@
     let mut ledger = ledger(&step, bound(9), version(1, 4));
     ledger.announce(version(2, 1), None, 0);
     let fetched = ledger.fetch(&Cursor::start(&step), version(1, 4), 1, 0);
-    assert_eq!(fetched, Err(FetchError::EpochOver(version(2, 1))));
+    assert_eq!(fetched, Err(FetchError::StaleEpoch(version(2, 1))));
 }
 
 #[test]
@@ -151,17 +152,17 @@
     let runs = starts(&mut ledger);
     let (slow, others) = runs.split_first().unwrap();
     for start in others {
-        ledger.finished(start.run, completion("quick", [version(1, 1)]), 100);
+        ledger.record_completion(start.run, completion("quick", [version(1, 1)]), 100);
     }
-    ledger.progress(slow.run, 2, Some(version(1, 1)), 900);
+    ledger.record_progress(slow.run, 2, Some(version(1, 1)), 900);
     ledger.dispatch(&room(2, 1, version(1, 1)), 1_000);
     let hedge = starts(&mut ledger).pop().unwrap();
     assert!(hedge.hedge && hedge.to != slow.to);
     assert_eq!((hedge.slot, hedge.seed), (slow.slot, slow.seed));
-    ledger.finished(hedge.run, completion("hedge", [version(1, 1)]), 1_100);
+    ledger.record_completion(hedge.run, completion("hedge", [version(1, 1)]), 1_100);
     let run = slow.run;
-    assert!(ledger.drain().contains(&Action::Cancel { run }));
-    ledger.finished(slow.run, completion("late", [version(1, 1)]), 1_101);
+    assert!(ledger.take_actions().contains(&Action::Cancel { run }));
+    ledger.record_completion(slow.run, completion("late", [version(1, 1)]), 1_101);
     let reply = ledger
         .fetch(&Cursor::start(&step), version(1, 1), 99, 1_101)
         .unwrap();
@@ -182,16 +183,16 @@
     let mut ledger = ledger(&step, bound(1), version(1, 1));
     ledger.dispatch(&room(2, 1, version(1, 1)), 0);
     let first = starts(&mut ledger).pop().unwrap();
-    ledger.progress(first.run, 4, Some(version(1, 1)), 100);
+    ledger.record_progress(first.run, 4, Some(version(1, 1)), 100);
     ledger.dispatch(&room(2, 1, version(1, 1)), 11_000);
     let run = first.run;
-    assert_eq!(ledger.drain(), [Action::Stop { run }]);
-    let partial = Partial {
+    assert_eq!(ledger.take_actions(), [Action::Stop { run }]);
+    let partial = PartialSample {
         text: "to be".to_owned(),
         tokens: vec![1, 2, 3, 4],
         provenance: Provenance::Known([version(1, 1)].into()),
     };
-    ledger.failed(run, Fault::Moved, Some(partial.clone()), 11_000);
+    ledger.record_failure(run, Fault::Moved, Some(partial.clone()), 11_000);
     ledger.dispatch(&room(2, 1, version(1, 1)), 11_000);
     let second = starts(&mut ledger).pop().unwrap();
     assert_eq!((second.resume, second.seed), (Some(partial), first.seed));
@@ -206,7 +207,7 @@
     let first = starts(&mut ledger).pop().unwrap();
     let mut unknown = completion("text", []);
     unknown.provenance = Provenance::NotKnown;
-    ledger.finished(first.run, unknown, 10);
+    ledger.record_completion(first.run, unknown, 10);
     assert_eq!((ledger.waiting(), ledger.tally().unknown_origin), (1, 1));
     // Not at once: an engine that stamps nothing would be kept busy by one slot.
     assert!(ledger.next_due_ms(10).unwrap() > 10);
@@ -225,14 +226,14 @@
         let now_ms = minute * 60_000;
         ledger.dispatch(&room(0, 0, version(1, 1)), now_ms);
         runs.iter()
-            .for_each(|&run| ledger.score_failed(run, now_ms));
+            .for_each(|&run| ledger.record_score_failure(run, now_ms));
     }
     let start = Cursor::start(&step);
     let unscored = ledger.fetch(&start, version(1, 1), 9, 0).unwrap();
     assert_eq!((unscored.samples.len(), ledger.waiting()), (0, 0));
     // A late answer counts.
     runs.iter()
-        .for_each(|&run| ledger.scored(run, Score::new(0.5).unwrap()));
+        .for_each(|&run| ledger.record_score(run, Score::new(0.5).unwrap()));
     let reply = ledger.fetch(&start, version(1, 1), 9, 0).unwrap();
     assert!(reply.complete && reply.samples.iter().all(|o| o.sample.score.is_some()));
 }
@@ -242,10 +243,10 @@
     let step = step_of(1, 2);
     let mut ledger = ledger(&step, scored(), version(1, 1));
     let runs = finish_all(&mut ledger, &[version(1, 1)], 0);
-    ledger.score_failed(runs[0], 1);
-    ledger.scored(runs[1], Score::new(0.5).unwrap());
+    ledger.record_score_failure(runs[0], 1);
+    ledger.record_score(runs[1], Score::new(0.5).unwrap());
     for minute in 1..5 {
-        ledger.score_failed(runs[0], minute * 60_000);
+        ledger.record_score_failure(runs[0], minute * 60_000);
     }
     assert_eq!((ledger.waiting(), ledger.tally().unscorable), (1, 1));
 }
@@ -264,7 +265,7 @@
         .fetch(&Cursor::start(&step), version(1, 1), 1, 2)
         .unwrap();
     for copy in other.copies(Some(Cursor::start(&step).seal(&keys())), 0) {
-        if let samples::Copy::Finished { sample, .. } = copy {
+        if let samples::CopyMessage::Finished { sample, .. } = copy {
             own.adopt(&sample);
             late.adopt(&sample);
             late.adopt(&sample);
@@ -274,7 +275,7 @@
         .fetch(&Cursor::start(&step), version(1, 1), 1, 3)
         .unwrap();
     assert_eq!(first, again);
-    assert_eq!(late.drain(), [Action::Cancel { run }]);
+    assert_eq!(late.take_actions(), [Action::Cancel { run }]);
     let copied = late
         .fetch(&Cursor::start(&step), version(1, 1), 1, 3)
         .unwrap();
@@ -299,21 +300,21 @@
     let mut ledger = ledger(&step, bound(2), at);
     ledger.dispatch(&room(2, 9, at), 0);
     let first = starts(&mut ledger).remove(0);
-    let partial = Partial {
+    let partial = PartialSample {
         text: "a".to_owned(),
         tokens: vec![1; 64],
         provenance: Provenance::Known([at].into()),
     };
-    ledger.failed(first.run, Fault::Lost, Some(partial), 10);
+    ledger.record_failure(first.run, Fault::Lost, Some(partial), 10);
     ledger.dispatch(&room(2, 9, at), 20);
     let resumed = starts(&mut ledger).remove(0);
     assert!(resumed.resume.is_some());
-    ledger.failed(resumed.run, Fault::Quarantined, resumed.resume, 30);
+    ledger.record_failure(resumed.run, Fault::Quarantined, resumed.resume, 30);
     assert_eq!(ledger.blocked(), 0);
     ledger.dispatch(&room(2, 9, at), 30);
     let fresh = starts(&mut ledger).remove(0);
     assert_eq!(fresh.resume, None);
-    ledger.failed(fresh.run, Fault::Quarantined, None, 40);
+    ledger.record_failure(fresh.run, Fault::Quarantined, None, 40);
     assert_eq!(ledger.blocked(), 1);
 }
 
@@ -351,7 +352,7 @@
         ledger.dispatch(&room(1, 99, at), 0);
         let text = "x".repeat(case.text_bytes);
         for start in starts(&mut ledger) {
-            ledger.finished(start.run, completion(&text, [at]), 1);
+            ledger.record_completion(start.run, completion(&text, [at]), 1);
         }
         let start = Cursor::start(&step);
         let reply = ledger.fetch(&start, at, 99, 2).unwrap();
@@ -375,12 +376,12 @@
 
     let mut new = ledger(&step, bound(2), at);
     finish_all(&mut new, &[at], 1);
-    new.drain();
+    new.take_actions();
     new.configure(&scored());
     assert!(new.fetch(&start, at, 9, 2).unwrap().samples.is_empty());
-    for action in new.drain() {
+    for action in new.take_actions() {
         if let Action::Score { run, .. } = action {
-            new.scored(run, Score::new(0.5).unwrap());
+            new.record_score(run, Score::new(0.5).unwrap());
         }
     }
     let reply = new.fetch(&start, at, 9, 3).unwrap();
--- a/components/samples/tests/policy.rs
+++ b/components/samples/tests/policy.rs
@@ -2,9 +2,9 @@
 
 mod support;
 
-use samples::straggler::{Budget, Decision, Pace, RunView, StragglerSettings, due};
-use samples::swap::{InProgress, News, Plan, plan};
-use samples::{Distribution, Entry, IdleClock, Provenance, Stamps, homes};
+use samples::straggler::{Decision, HedgeBudget, RunTimings, RunView, StragglerSettings, assess};
+use samples::swap::{RunInProgress, RunPlan, SwapContext, plan_run};
+use samples::{Distribution, Entry, IdleClock, Provenance, Stamps, choose_homes};
 use support::{address, key, version};
 use types::WeightVersion;
 
@@ -53,8 +53,8 @@
         let mut stamps = Stamps::new();
         case.stamps
             .iter()
-            .for_each(|stamp| stamps.chunk(stamp.map(at)));
-        stamps.segment_ended(case.witnessed.map(at));
+            .for_each(|stamp| stamps.record_chunk(stamp.map(at)));
+        stamps.end_segment(case.witnessed.map(at));
         let origin = stamps.finish();
         let wanted = case.origin.map(|o| o.iter().copied().map(at).collect());
         assert_eq!(origin.versions().cloned(), wanted, "{}", case.name);
@@ -65,11 +65,11 @@
 fn can_keep_the_origin_over_a_resume() {
     let earlier = Provenance::Known([version(1, 1)].into());
     let mut stamps = Stamps::resumed_from(&earlier);
-    stamps.unary(&[version(1, 2), version(1, 3)]);
+    stamps.record_response(&[version(1, 2), version(1, 3)]);
     let wanted: [WeightVersion; 3] = [version(1, 1), version(1, 2), version(1, 3)];
     assert_eq!(stamps.finish(), Provenance::Known(wanted.into()));
     let mut doubtful = Stamps::resumed_from(&Provenance::NotKnown);
-    doubtful.chunk(Some(version(1, 2)));
+    doubtful.record_chunk(Some(version(1, 2)));
     assert_eq!(doubtful.finish(), Provenance::NotKnown);
 }
 
@@ -80,7 +80,7 @@
         oldest: Option<WeightVersion>,
         remaining_ms: Option<u64>,
         kept: bool,
-        plan: Plan,
+        plan: RunPlan,
     }
     let case = |name, oldest, remaining_ms, kept, plan| Case {
         name,
@@ -91,50 +91,50 @@
     };
     let (young, edge, old) = (version(2, 5), version(2, 4), version(2, 3));
     let cases = [
-        case("no token yet", None, None, true, Plan::Keep),
-        case("young", Some(young), Some(9_000), true, Plan::Keep),
+        case("no token yet", None, None, true, RunPlan::Keep),
+        case("young", Some(young), Some(9_000), true, RunPlan::Keep),
         case(
             "young, engine drops it",
             Some(young),
             None,
             false,
-            Plan::Resume,
+            RunPlan::Resume,
         ),
         case(
             "at the bound, ends in time",
             Some(edge),
             Some(900),
             true,
-            Plan::Keep,
+            RunPlan::Keep,
         ),
         case(
             "at the bound, ends too late",
             Some(edge),
             Some(1_100),
             true,
-            Plan::Abandon,
+            RunPlan::Abandon,
         ),
-        case("too old", Some(old), Some(0), true, Plan::Abandon),
+        case("too old", Some(old), Some(0), true, RunPlan::Abandon),
         case(
             "another epoch",
             Some(version(1, 9)),
             None,
             true,
-            Plan::Abandon,
+            RunPlan::Abandon,
         ),
     ];
-    let news = News {
+    let news = SwapContext {
         announced: version(2, 5),
         staleness_bound: 1,
         next_in_ms: Some(1_000),
     };
     for case in cases {
-        let run = InProgress {
+        let run = RunInProgress {
             oldest: case.oldest,
             remaining_ms: case.remaining_ms,
-            kept_over_switch: case.kept,
+            survives_swap: case.kept,
         };
-        assert_eq!(plan(&run, &news), case.plan, "{}", case.name);
+        assert_eq!(plan_run(&run, &news), case.plan, "{}", case.name);
     }
 }
 
@@ -198,14 +198,14 @@
         ),
         case("unary and late", run(5_000, 5_000, 0), 0, Decision::Hedge),
     ];
-    let mut pace = Pace::default();
+    let mut pace = RunTimings::default();
     (0..20).for_each(|_| pace.record(1_000, 100));
     for case in cases {
-        let budget = Budget {
+        let budget = HedgeBudget {
             hedges: case.hedges,
             slots: 40,
         };
-        let decision = due(&StragglerSettings::default(), &case.run, &pace, &budget);
+        let decision = assess(&StragglerSettings::default(), &case.run, &pace, &budget);
         assert_eq!(decision, case.decision, "{}", case.name);
     }
 }
@@ -224,23 +224,23 @@
         found.unwrap().failure_domain
     };
     for step in 0..200 {
-        let two = homes(&key(step), &live).unwrap();
+        let two = choose_homes(&key(step), &live).unwrap();
         let second = two.second.unwrap();
         assert_ne!(domain(&live, two.first), domain(&live, second));
         // The order of the list says nothing.
         live.rotate_left(1);
-        assert_eq!(homes(&key(step), &live), Some(two.clone()));
+        assert_eq!(choose_homes(&key(step), &live), Some(two.clone()));
         // When the first dies, the second, which holds the copies, is one of the new two.
         let left: Vec<Entry> = live
             .iter()
             .filter(|e| e.address != two.first)
             .cloned()
             .collect();
-        let next = homes(&key(step), &left).unwrap();
+        let next = choose_homes(&key(step), &left).unwrap();
         assert!(next.first == second || next.second == Some(second));
     }
-    assert_eq!(homes(&key(1), &[]), None);
-    assert_eq!(homes(&key(1), &live[..1]).unwrap().second, None);
+    assert_eq!(choose_homes(&key(1), &[]), None);
+    assert_eq!(choose_homes(&key(1), &live[..1]).unwrap().second, None);
 }
 
 #[test]
@@ -250,9 +250,9 @@
     let median = distribution.quantile(500).unwrap();
     assert!((500..=563).contains(&median), "{median}");
     let mut idle = IdleClock::new();
-    idle.fetch_began(100);
-    idle.fetch_began(150);
-    idle.fetch_ended(200);
-    idle.fetch_ended(300);
+    idle.begin_fetch(100);
+    idle.begin_fetch(150);
+    idle.end_fetch(200);
+    idle.end_fetch(300);
     assert_eq!(idle.idle_ms(400), 200);
 }
--- a/components/samples/tests/steps.rs
+++ b/components/samples/tests/steps.rs
@@ -5,13 +5,14 @@
 use std::sync::Arc;
 
 use samples::{
-    Action, Copy, Cursor, Group, LedgerSettings, PostError, Posted, Step, StepKey, Steps,
+    Action, CopyMessage, Cursor, Group, LedgerSettings, PostError, PostOutcome, Step, StepKey,
+    Steps,
 };
 use support::{completion, key, room, starts, step_of, version};
 
 const IDLE_MS: u64 = 1_000;
 
-fn post(steps: &mut Steps, step: &Arc<Step>, cursor: &Cursor) -> Result<Posted, PostError> {
+fn post(steps: &mut Steps, step: &Arc<Step>, cursor: &Cursor) -> Result<PostOutcome, PostError> {
     steps.post(step, &LedgerSettings::default(), cursor, version(1, 1), 0)
 }
 
@@ -26,10 +27,10 @@
     let mut steps = Steps::new(IDLE_MS);
     assert_eq!(
         post(&mut steps, &step, &Cursor::start(&step)),
-        Ok(Posted::New)
+        Ok(PostOutcome::New)
     );
-    let later = Cursor::start(&step).after([0, 3]);
-    assert_eq!(post(&mut steps, &step, &later), Ok(Posted::Known));
+    let later = Cursor::start(&step).with_received([0, 3]);
+    assert_eq!(post(&mut steps, &step, &later), Ok(PostOutcome::Known));
     assert_eq!(steps.get_mut(&key(7), 0).unwrap().waiting(), 2);
     let refused = post(&mut steps, &other, &Cursor::start(&other));
     assert_eq!(refused, Err(PostError::OtherContent));
@@ -50,11 +51,11 @@
     let old = starts(ledger).pop().unwrap().run;
     let start = Cursor::start(&other);
     let replaced = steps.post(&other, &settings, &start, version(1, 1), 10_000);
-    assert_eq!(replaced, Ok(Posted::Replaced));
+    assert_eq!(replaced, Ok(PostOutcome::Replaced));
     let ledger = steps.get_mut(&key(7), 10_000).unwrap();
-    assert_eq!(ledger.drain(), [Action::Cancel { run: old }]);
+    assert_eq!(ledger.take_actions(), [Action::Cancel { run: old }]);
     ledger.dispatch(&room(1, 1, version(1, 1)), 10_000);
-    ledger.finished(old, completion("old", [version(1, 1)]), 10_001);
+    ledger.record_completion(old, completion("old", [version(1, 1)]), 10_001);
     let reply = ledger.fetch(&start, version(1, 1), 9, 10_001).unwrap();
     assert_eq!(reply.samples, []);
 }
@@ -67,8 +68,8 @@
     let ledger = steps.get_mut(&key(7), 0).unwrap();
     ledger.dispatch(&room(1, 2, version(1, 1)), 0);
     let runs = starts(ledger);
-    assert_eq!(steps.retire(IDLE_MS - 1), []);
-    let cancelled = steps.retire(IDLE_MS);
+    assert_eq!(steps.remove_idle(IDLE_MS - 1), []);
+    let cancelled = steps.remove_idle(IDLE_MS);
     let all: Vec<Action> = runs.iter().map(|s| Action::Cancel { run: s.run }).collect();
     assert_eq!(cancelled, all);
     assert!(steps.get_mut(&key(7), 0).is_none());
@@ -87,9 +88,9 @@
     let ledger = steps.find_mut(&key(7)).unwrap();
     ledger.dispatch(&room(1, 4, version(1, 1)), 0);
     for start in starts(ledger) {
-        ledger.finished(start.run, completion("text", [version(1, 1)]), 1);
+        ledger.record_completion(start.run, completion("text", [version(1, 1)]), 1);
     }
-    ledger.drain();
+    ledger.take_actions();
     let last = ledger.fetch(&start, version(1, 1), 9, 1).unwrap();
     assert!(last.complete);
     for minute in 2..10 {
@@ -101,7 +102,7 @@
     let again = lost.fetch(&start, version(1, 9), 9, 10).unwrap();
     lost.dispatch(&room(1, 4, version(1, 9)), 10);
     assert_eq!((again.samples.len(), starts(&mut lost).len()), (0, 4));
-    steps.retire(IDLE_MS);
+    steps.remove_idle(IDLE_MS);
     assert!(steps.find_mut(&key(7)).is_none());
 }
 
@@ -117,11 +118,11 @@
     };
     let mut steps = Steps::new(IDLE_MS);
     let posted = steps.post(&step, &bound(2), &start, version(1, 1), 0);
-    assert_eq!(posted, Ok(Posted::New));
+    assert_eq!(posted, Ok(PostOutcome::New));
     let ledger = steps.find_mut(&key(7)).unwrap();
     ledger.dispatch(&room(1, 2, version(1, 1)), 0);
     for start in starts(ledger) {
-        ledger.finished(start.run, completion("text", [version(1, 1)]), 1);
+        ledger.record_completion(start.run, completion("text", [version(1, 1)]), 1);
     }
     ledger.announce(version(1, 3), None, 2);
     steps
@@ -144,13 +145,13 @@
     let ledger = first.get_mut(&key(7), 0).unwrap();
     ledger.dispatch(&room(1, 2, version(1, 1)), 0);
     for start in starts(ledger) {
-        ledger.finished(start.run, completion("text", [version(1, 1)]), 1);
+        ledger.record_completion(start.run, completion("text", [version(1, 1)]), 1);
     }
     let sent = serde_json::to_string(&ledger.copies(None, 0)).unwrap();
-    let copies: Vec<Copy> = serde_json::from_str(&sent).unwrap();
+    let copies: Vec<CopyMessage> = serde_json::from_str(&sent).unwrap();
     // Out of order: a sample that comes before its post is dropped and sent with the rest.
     copies.iter().rev().for_each(|copy| second.apply(copy, 1));
-    let Copy::Post { step: posted, .. } = &copies[0] else {
+    let CopyMessage::Post { step: posted, .. } = &copies[0] else {
         panic!("the post goes first");
     };
     post(&mut second, posted, &start).unwrap();
@@ -175,15 +176,15 @@
     let mut steps = Steps::new(IDLE_MS);
     let mut put = |step: &Arc<Step>| post(&mut steps, step, &Cursor::start(step));
     for number in 0..STEPS_MAX {
-        assert_eq!(put(&of("evil", number)), Ok(Posted::New));
+        assert_eq!(put(&of("evil", number)), Ok(PostOutcome::New));
     }
     assert!(put(&of("evil", STEPS_MAX)).is_err());
-    assert_eq!(put(&of("evil", 0)), Ok(Posted::Known));
-    assert_eq!(put(&of("office", 0)), Ok(Posted::New));
-    steps.retire(IDLE_MS);
+    assert_eq!(put(&of("evil", 0)), Ok(PostOutcome::Known));
+    assert_eq!(put(&of("office", 0)), Ok(PostOutcome::New));
+    steps.remove_idle(IDLE_MS);
     let later = of("evil", STEPS_MAX);
     let posted = post(&mut steps, &later, &Cursor::start(&later));
-    assert_eq!(posted, Ok(Posted::New));
+    assert_eq!(posted, Ok(PostOutcome::New));
 }
 
 // As above with few steps and large prompts.
@@ -224,7 +225,7 @@
             version(1, 1),
             number,
         );
-        assert_eq!(posted, Ok(Posted::New), "step {number}");
+        assert_eq!(posted, Ok(PostOutcome::New), "step {number}");
         if number == 0 {
             // Not fetched by its trainer, so it stays.
             continue;
@@ -232,7 +233,7 @@
         let ledger = steps.get_mut(&key(number), number).unwrap();
         ledger.dispatch(&room(1, 1, version(1, 1)), number);
         for start in starts(ledger) {
-            ledger.finished(start.run, completion("text", [version(1, 1)]), number);
+            ledger.record_completion(start.run, completion("text", [version(1, 1)]), number);
         }
         let reply = ledger.fetch(&start, version(1, 1), 9, number).unwrap();
         assert!(reply.complete);
--- a/components/samples/tests/support/mod.rs
+++ b/components/samples/tests/support/mod.rs
@@ -8,7 +8,7 @@
 
 use samples::{
     Action, Completion, Cursor, CursorKeys, Group, Ledger, LedgerSettings, Provenance, Replica,
-    Room, Start, Step, StepKey,
+    RunCapacity, Start, Step, StepKey,
 };
 use types::WeightVersion;
 
@@ -41,13 +41,13 @@
 }
 
 /// Replicas 0 to `replicas`, each with this room and version.
-pub fn room(replicas: u16, each: u32, version: WeightVersion) -> Room {
+pub fn room(replicas: u16, each: u32, version: WeightVersion) -> RunCapacity {
     let replica = |number| Replica {
         address: address(number),
-        room: each,
+        free_runs: each,
         version: Some(version),
     };
-    Room {
+    RunCapacity {
         in_progress_max: u32::MAX,
         replicas: (0..replicas).map(replica).collect(),
     }
@@ -71,5 +71,9 @@
         Action::Start(start) => Some(start),
         _ => None,
     };
-    ledger.drain().into_iter().filter_map(start).collect()
+    ledger
+        .take_actions()
+        .into_iter()
+        .filter_map(start)
+        .collect()
 }
