--- a/components/samples/examples/cost.rs
+++ b/components/samples/examples/cost.rs
@@ -54,8 +54,8 @@
     let keys = CursorKeys::new([7; 32], None);
     for slots in SIZES {
         let step = step(slots)?;
-        for (name, places) in patterns(slots) {
-            let cursor = Cursor::start(&step).with_received(places);
+        for (name, positions) in patterns(slots) {
+            let cursor = Cursor::start(&step).with_received(positions);
             let text = cursor.seal(&keys);
             let seal = median(|| Ok::<_, CursorError>(cursor.seal(&keys)))?;
             let open = median(|| Cursor::open(&text, &keys, &step))?;
@@ -71,8 +71,8 @@
     for slots in SIZES {
         let step = step(slots)?;
         let mut set = SlotSet::new(slots);
-        (0..slots).step_by(2).for_each(|place| {
-            set.insert(place);
+        (0..slots).step_by(2).for_each(|position| {
+            set.insert(position);
         });
         let record = serde_json::to_string(&FetchLog::new(&step).grant(1, &set))?;
         println!("{slots} {}", record.len());
@@ -81,7 +81,7 @@
 }
 
 fn patterns(slots: u32) -> [(&'static str, Vec<u32>); 4] {
-    let scattered = |place: &u32| place.wrapping_mul(2_654_435_761) >> 31 == 0;
+    let scattered = |position: &u32| position.wrapping_mul(2_654_435_761) >> 31 == 0;
     [
         ("none", Vec::new()),
         ("first-half", (0..slots / 2).collect()),
--- a/components/samples/src/codec.rs
+++ b/components/samples/src/codec.rs
@@ -6,7 +6,7 @@
 const ALPHABET: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
 const KIND_BITS: u8 = 0;
 const KIND_RUNS: u8 = 1;
-const VARINT_MORE: u8 = 0x80;
+const VARINT_CONTINUE: u8 = 0x80;
 const VARINT_BITS: u32 = 7;
 
 /// The bytes as base64url without padding.
@@ -79,8 +79,8 @@
     let mut out = Vec::new();
     let mut present = false;
     let mut length = 0;
-    for place in 0..set.total() {
-        if set.contains(place) != present {
+    for position in 0..set.total() {
+        if set.contains(position) != present {
             put_varint(&mut out, length);
             present = !present;
             length = 0;
@@ -93,25 +93,25 @@
 
 fn from_runs(total: u32, mut bytes: &[u8]) -> Option<SlotSet> {
     let mut set = SlotSet::new(total);
-    let mut place = 0;
+    let mut position = 0;
     let mut present = false;
     while !bytes.is_empty() {
-        let end = take_varint(&mut bytes)?.checked_add(place)?;
+        let end = take_varint(&mut bytes)?.checked_add(position)?;
         if end > total {
             return None;
         }
-        for place in (place..end).filter(|_| present) {
-            set.insert(place);
+        for position in (position..end).filter(|_| present) {
+            set.insert(position);
         }
-        place = end;
+        position = end;
         present = !present;
     }
-    (place == total).then_some(set)
+    (position == total).then_some(set)
 }
 
 fn put_varint(out: &mut Vec<u8>, mut number: u32) {
-    while number >= u32::from(VARINT_MORE) {
-        out.push(number as u8 | VARINT_MORE);
+    while number >= u32::from(VARINT_CONTINUE) {
+        out.push(number as u8 | VARINT_CONTINUE);
         number >>= VARINT_BITS;
     }
     out.push(number as u8);
@@ -123,9 +123,9 @@
     loop {
         let (&byte, rest) = bytes.split_first()?;
         *bytes = rest;
-        let part = u32::from(byte & !VARINT_MORE);
+        let part = u32::from(byte & !VARINT_CONTINUE);
         number |= part.checked_shl(shift)?;
-        if byte & VARINT_MORE == 0 {
+        if byte & VARINT_CONTINUE == 0 {
             return Some(number);
         }
         shift += VARINT_BITS;
--- a/components/samples/src/copy.rs
+++ b/components/samples/src/copy.rs
@@ -18,14 +18,14 @@
     let mut batches: Vec<Vec<T>> = Vec::new();
     let mut bytes = 0;
     for item in items {
-        let more = bytes_of(&item);
+        let item_bytes = bytes_of(&item);
         match batches.last_mut() {
-            Some(batch) if bytes + more <= bytes_max => {
-                bytes += more;
+            Some(batch) if bytes + item_bytes <= bytes_max => {
+                bytes += item_bytes;
                 batch.push(item);
             }
             _ => {
-                bytes = more;
+                bytes = item_bytes;
                 batches.push(vec![item]);
             }
         }
--- a/components/samples/src/cursor.rs
+++ b/components/samples/src/cursor.rs
@@ -24,7 +24,7 @@
 const MAC_BYTES: usize = 16;
 /// Keeps a code made with the same key for another purpose from passing here.
 const MAC_PURPOSE: &[u8] = b"hornbeamrock cursor";
-const TRAINER_BYTES: usize = 8;
+const TRAINER_DIGEST_BYTES: usize = 8;
 const TEXT_BYTES_MAX: usize = 1_024;
 
 quick_error! {
@@ -57,25 +57,28 @@
 /// Keys that authenticate cursors; the first signs, each is accepted.
 #[derive(Clone)]
 pub struct CursorKeys {
-    signs: [u8; KEY_BYTES],
-    also: Option<[u8; KEY_BYTES]>,
+    signing: [u8; KEY_BYTES],
+    also_accepted: Option<[u8; KEY_BYTES]>,
 }
 
 impl CursorKeys {
     /// `also` is accepted while keys are being changed.
-    pub fn new(signs: [u8; KEY_BYTES], also: Option<[u8; KEY_BYTES]>) -> Self {
-        Self { signs, also }
+    pub fn new(signing: [u8; KEY_BYTES], also_accepted: Option<[u8; KEY_BYTES]>) -> Self {
+        Self {
+            signing,
+            also_accepted,
+        }
     }
 
     fn sign(&self, bytes: &[u8]) -> Option<[u8; MAC_BYTES]> {
-        let code = mac(&self.signs, bytes)?.finalize().into_bytes();
+        let code = mac(&self.signing, bytes)?.finalize().into_bytes();
         code.first_chunk().copied()
     }
 
-    fn accept(&self, bytes: &[u8], code: &[u8]) -> bool {
-        let keys = [Some(&self.signs), self.also.as_ref()];
-        let fits = |key| mac(key, bytes).is_some_and(|m| m.verify_truncated_left(code).is_ok());
-        keys.into_iter().flatten().any(fits)
+    fn verify(&self, bytes: &[u8], code: &[u8]) -> bool {
+        let keys = [Some(&self.signing), self.also_accepted.as_ref()];
+        let matches = |key| mac(key, bytes).is_some_and(|m| m.verify_truncated_left(code).is_ok());
+        keys.into_iter().flatten().any(matches)
     }
 }
 
@@ -108,9 +111,9 @@
 
     /// Reads and checks the text of a cursor for `step`.
     pub fn open(text: &str, keys: &CursorKeys, step: &Step) -> Result<Self, CursorError> {
-        let bytes = authentic(text, keys)?;
+        let bytes = verified_body(text, keys)?;
         let fields = Fields::read(&bytes)?;
-        if fields.trainer != trainer(&step.key) {
+        if fields.trainer != trainer_digest(&step.key) {
             return Err(CursorError::OtherTrainer);
         }
         if fields.step != step.key.step {
@@ -130,7 +133,7 @@
     /// The cursor as text.
     pub fn seal(&self, keys: &CursorKeys) -> String {
         let mut bytes = vec![FORMAT];
-        bytes.extend(trainer(&self.key));
+        bytes.extend(trainer_digest(&self.key));
         bytes.extend(self.key.step.to_be_bytes());
         bytes.extend(self.digest.0);
         bytes.extend(self.generation.to_be_bytes());
@@ -158,42 +161,42 @@
     }
 
     /// The cursor of a trainer that also takes `places`; the same when there are none.
-    pub fn with_received(&self, places: impl IntoIterator<Item = u32>) -> Self {
+    pub fn with_received(&self, positions: impl IntoIterator<Item = u32>) -> Self {
         let mut next = self.clone();
         let mut grown = false;
-        for place in places {
-            grown |= next.received.insert(place);
+        for position in positions {
+            grown |= next.received.insert(position);
         }
         next.generation += u32::from(grown);
         next
     }
 }
 
-fn authentic(text: &str, keys: &CursorKeys) -> Result<Vec<u8>, CursorError> {
+fn verified_body(text: &str, keys: &CursorKeys) -> Result<Vec<u8>, CursorError> {
     if text.len() > TEXT_BYTES_MAX {
         return Err(CursorError::Damaged);
     }
     let mut bytes = codec::from_text(text).ok_or(CursorError::Damaged)?;
     let body = bytes.len().checked_sub(MAC_BYTES);
     let code = bytes.split_off(body.ok_or(CursorError::Damaged)?);
-    if !keys.accept(&bytes, &code) {
+    if !keys.verify(&bytes, &code) {
         return Err(CursorError::Damaged);
     }
     Ok(bytes)
 }
 
-fn trainer(key: &StepKey) -> [u8; TRAINER_BYTES] {
+fn trainer_digest(key: &StepKey) -> [u8; TRAINER_DIGEST_BYTES] {
     let mut hash = Sha256::new();
     hash.update(key.customer.as_str());
     hash.update([0]);
     hash.update(key.service.as_str());
-    let mut trainer = [0; TRAINER_BYTES];
-    trainer.copy_from_slice(&hash.finalize()[..TRAINER_BYTES]);
+    let mut trainer = [0; TRAINER_DIGEST_BYTES];
+    trainer.copy_from_slice(&hash.finalize()[..TRAINER_DIGEST_BYTES]);
     trainer
 }
 
 struct Fields {
-    trainer: [u8; TRAINER_BYTES],
+    trainer: [u8; TRAINER_DIGEST_BYTES],
     step: u64,
     digest: StepDigest,
     generation: u32,
@@ -203,15 +206,15 @@
 impl Fields {
     fn read(bytes: &[u8]) -> Result<Self, CursorError> {
         let rest = &mut &bytes[..];
-        let [format] = take(rest)?;
+        let [format] = read_array(rest)?;
         if format != FORMAT {
             return Err(CursorError::UnknownFormat(format));
         }
-        let trainer = take(rest)?;
-        let step = u64::from_be_bytes(take(rest)?);
-        let digest = StepDigest(take(rest)?);
-        let generation = u32::from_be_bytes(take(rest)?);
-        let total = u32::from_be_bytes(take(rest)?);
+        let trainer = read_array(rest)?;
+        let step = u64::from_be_bytes(read_array(rest)?);
+        let digest = StepDigest(read_array(rest)?);
+        let generation = u32::from_be_bytes(read_array(rest)?);
+        let total = u32::from_be_bytes(read_array(rest)?);
         if total > SLOTS_MAX {
             return Err(CursorError::Damaged);
         }
@@ -226,7 +229,7 @@
     }
 }
 
-fn take<const N: usize>(bytes: &mut &[u8]) -> Result<[u8; N], CursorError> {
+fn read_array<const N: usize>(bytes: &mut &[u8]) -> Result<[u8; N], CursorError> {
     let (part, rest) = bytes.split_first_chunk().ok_or(CursorError::Damaged)?;
     *bytes = rest;
     Ok(*part)
--- a/components/samples/src/distribution.rs
+++ b/components/samples/src/distribution.rs
@@ -1,7 +1,7 @@
 //! Running distribution of a step's figures, in buckets of at most an eighth apart.
 
 const SUB_BITS: u32 = 3;
-const SUB: u64 = 1 << SUB_BITS;
+const SUB_BUCKETS: u64 = 1 << SUB_BITS;
 const BUCKETS: usize = ((u64::BITS - SUB_BITS + 1) as usize) << SUB_BITS;
 const PERMILLE: u64 = 1_000;
 
@@ -29,7 +29,7 @@
 
     /// Counts a number.
     pub fn record(&mut self, number: u64) {
-        self.counts[bucket(number)] += 1;
+        self.counts[bucket_of(number)] += 1;
         self.total += 1;
     }
 
@@ -54,21 +54,21 @@
     }
 }
 
-fn bucket(number: u64) -> usize {
-    if number < SUB {
+fn bucket_of(number: u64) -> usize {
+    if number < SUB_BUCKETS {
         return number as usize;
     }
     let exponent = number.ilog2() - SUB_BITS;
-    let sub = (number >> exponent) - SUB;
+    let sub = (number >> exponent) - SUB_BUCKETS;
     ((u64::from(exponent + 1) << SUB_BITS) + sub) as usize
 }
 
 fn upper_end(bucket: usize) -> u64 {
     let bucket = bucket as u64;
-    if bucket < SUB {
+    if bucket < SUB_BUCKETS {
         return bucket;
     }
     let exponent = (bucket >> SUB_BITS) - 1;
-    let start = (SUB + bucket % SUB) << exponent;
+    let start = (SUB_BUCKETS + bucket % SUB_BUCKETS) << exponent;
     start + ((1 << exponent) - 1)
 }
--- a/components/samples/src/fetch_log.rs
+++ b/components/samples/src/fetch_log.rs
@@ -93,8 +93,8 @@
 
     /// Applies the next record of the log.
     pub fn apply(&mut self, grant: &Grant) -> GrantVerdict {
-        let ours = grant.key == self.key && grant.digest == self.start.digest();
-        if !ours || grant.fetch != self.next() {
+        let is_same_post = grant.key == self.key && grant.digest == self.start.digest();
+        if !is_same_post || grant.fetch != self.next_fetch() {
             return GrantVerdict::Ignored;
         }
         let total = self.start.received().total();
@@ -103,7 +103,7 @@
             return GrantVerdict::Ignored;
         };
         // A home that had not read far enough may grant a slot again.
-        let base = self.base(grant.fetch);
+        let base = self.cursor_before(grant.fetch);
         if slots.is_empty() || base.received().intersects(&slots) {
             return GrantVerdict::Ignored;
         }
@@ -113,11 +113,11 @@
 
     /// What fetch number `fetch` may do.
     pub fn fetch_state(&self, fetch: u64) -> FetchState {
-        let next = self.next();
+        let next = self.next_fetch();
         if fetch > next || fetch == 0 {
             return FetchState::Ahead { next };
         }
-        let base = self.base(fetch);
+        let base = self.cursor_before(fetch);
         match self.granted.get(&fetch) {
             Some(slots) => FetchState::Granted {
                 base,
@@ -137,13 +137,13 @@
         }
     }
 
-    fn next(&self) -> u64 {
+    fn next_fetch(&self) -> u64 {
         self.granted
             .last_key_value()
             .map_or(1, |(&last, _)| last + 1)
     }
 
-    fn base(&self, fetch: u64) -> Cursor {
+    fn cursor_before(&self, fetch: u64) -> Cursor {
         let earlier = self.granted.range(..fetch);
         earlier.fold(self.start.clone(), |base, (_, slots)| {
             base.with_received(slots.iter())
--- a/components/samples/src/home.rs
+++ b/components/samples/src/home.rs
@@ -37,21 +37,21 @@
 
 /// Homes of a step; `None` without live entries.
 pub fn choose_homes(key: &StepKey, live: &[Entry]) -> Option<Homes> {
-    let first = best(key, live.iter())?;
+    let first = highest_hash(key, live.iter())?;
     let others = || live.iter().filter(|entry| entry.address != first.address);
     let elsewhere = others().filter(|entry| entry.failure_domain != first.failure_domain);
-    let second = best(key, elsewhere).or_else(|| best(key, others()));
+    let second = highest_hash(key, elsewhere).or_else(|| highest_hash(key, others()));
     Some(Homes {
         first: first.address,
         second: second.map(|entry| entry.address),
     })
 }
 
-fn best<'a>(key: &StepKey, entries: impl Iterator<Item = &'a Entry>) -> Option<&'a Entry> {
-    entries.max_by_key(|entry| (weight(key, entry.address), entry.address))
+fn highest_hash<'a>(key: &StepKey, entries: impl Iterator<Item = &'a Entry>) -> Option<&'a Entry> {
+    entries.max_by_key(|entry| (rendezvous_hash(key, entry.address), entry.address))
 }
 
-fn weight(key: &StepKey, address: SocketAddr) -> [u8; 32] {
+fn rendezvous_hash(key: &StepKey, address: SocketAddr) -> [u8; 32] {
     let mut hash = Sha256::new();
     hash.update(key.customer.as_str());
     hash.update([0]);
--- a/components/samples/src/ledger.rs
+++ b/components/samples/src/ledger.rs
@@ -49,24 +49,24 @@
     scoring: BTreeMap<RunId, ScoreWait>,
     scores_done: u64,
     /// Newest version that the trainer is known to have.
-    newest: WeightVersion,
+    newest_version: WeightVersion,
     /// When its next announcement is expected.
-    next_news_ms: Option<u64>,
+    next_announcement_ms: Option<u64>,
     received: SlotSet,
-    pace: RunTimings,
+    run_timings: RunTimings,
     tally: Tally,
     actions: Vec<Action>,
     next_run: u64,
     /// When the trainer last fetched.
     fetched_ms: Option<u64>,
     /// When the second home was last told so.
-    told_ms: Option<u64>,
+    notified_ms: Option<u64>,
     /// A reply gave the last missing slots, and no cursor since says that it was lost.
-    offered_whole: bool,
+    offered_all: bool,
 }
 
 /// Bits of a run's number that count within one ledger.
-const RUN_BITS: u32 = 32;
+const RUN_NUMBER_BITS: u32 = 32;
 
 impl Ledger {
     /// A step that was just posted, with what its trainer has already and the version
@@ -79,11 +79,11 @@
     ) -> Self {
         let received = cursor.received().clone();
         let pending: BTreeSet<u32> = received.missing().collect();
-        let phase = |place| match received.contains(place) {
+        let phase = |position| match received.contains(position) {
             true => Phase::Idle,
             false => Phase::Pending,
         };
-        let slots = (0..step.total()).map(|place| SlotState::new(phase(place)));
+        let slots = (0..step.total()).map(|position| SlotState::new(phase(position)));
         Self {
             slots: slots.collect(),
             step,
@@ -92,16 +92,16 @@
             runs: BTreeMap::new(),
             scoring: BTreeMap::new(),
             scores_done: 0,
-            newest: trainer_version,
-            next_news_ms: None,
+            newest_version: trainer_version,
+            next_announcement_ms: None,
             received,
-            pace: RunTimings::default(),
+            run_timings: RunTimings::default(),
             tally: Tally::default(),
             actions: Vec::new(),
             next_run: 1,
             fetched_ms: None,
-            told_ms: None,
-            offered_whole: false,
+            notified_ms: None,
+            offered_all: false,
         }
     }
 
@@ -109,7 +109,7 @@
     /// again in one process gets another ledger; a late result or score of the first one
     /// would else be taken for that of a run of the second, for another prompt.
     pub fn with_number_range(mut self, ledger: u32) -> Self {
-        self.next_run = u64::from(ledger) << RUN_BITS | 1;
+        self.next_run = u64::from(ledger) << RUN_NUMBER_BITS | 1;
         self
     }
 
@@ -126,13 +126,13 @@
     }
 
     /// A reply, here or at the other home, gave the last missing slots.
-    pub(crate) fn hand_over(&mut self) {
-        self.offered_whole = true;
+    pub(crate) fn mark_all_offered(&mut self) {
+        self.offered_all = true;
     }
 
     /// Whether the trainer has every slot, or was given the last of them.
     pub(crate) fn is_done(&self) -> bool {
-        self.offered_whole || self.is_complete()
+        self.offered_all || self.is_complete()
     }
 
     /// Takes the bounds of a newer configuration; samples that it no longer allows are run
@@ -142,7 +142,7 @@
         self.settings.staleness_bound = settings.staleness_bound;
         self.set_scored(settings.scored);
         if stricter {
-            self.give_up_old_samples();
+            self.abandon_stale_samples();
         }
     }
 
@@ -169,7 +169,7 @@
     /// Slots whose runs have been refused for good by every endpoint that was asked;
     /// they are tried again at long intervals, and the trainer is told of them.
     pub fn blocked(&self) -> u32 {
-        self.slots.iter().filter(|slot| slot.blocked).count() as u32
+        self.slots.iter().filter(|slot| slot.is_blocked).count() as u32
     }
 
     /// Takes the actions that events have brought about since the last call.
@@ -179,14 +179,19 @@
 
     /// The trainer announced a version, and announces the next one at about
     /// `next_news_ms` if it keeps a rhythm. Finished samples and runs that will be too old are given up.
-    pub fn announce(&mut self, version: WeightVersion, next_news_ms: Option<u64>, now_ms: u64) {
-        self.next_news_ms = next_news_ms.or(self.next_news_ms);
-        if version <= self.newest {
+    pub fn announce(
+        &mut self,
+        version: WeightVersion,
+        next_announcement_ms: Option<u64>,
+        now_ms: u64,
+    ) {
+        self.next_announcement_ms = next_announcement_ms.or(self.next_announcement_ms);
+        if version <= self.newest_version {
             return;
         }
-        self.newest = version;
-        self.give_up_old_samples();
-        self.plan_swap(now_ms);
+        self.newest_version = version;
+        self.abandon_stale_samples();
+        self.plan_for_swap(now_ms);
     }
 
     /// Everything that a new second home needs; the cursor is passed on as it came.
@@ -195,55 +200,55 @@
         let post = CopyMessage::Post {
             step: Arc::clone(&self.step),
             cursor,
-            trainer_version: self.newest,
+            trainer_version: self.newest_version,
             unused_ms,
         };
         let samples = self.slots.iter().filter_map(SlotState::finished);
-        let finished = samples.map(|sample| self.copy_of(sample));
+        let finished = samples.map(|sample| self.finished_copy(sample));
         std::iter::once(post).chain(finished).collect()
     }
 
     /// Takes a sample that the other home finished. One's own finished sample stays,
     /// since it may have been offered; what was in progress here is cancelled.
     pub fn adopt(&mut self, sample: &Arc<Sample>) {
-        let Some(place) = self.step.position(sample.slot) else {
+        let Some(position) = self.step.position(sample.slot) else {
             return;
         };
-        let settled = matches!(self.phase(place), Phase::Finished(_) | Phase::Idle);
+        let is_settled = matches!(self.phase(position), Phase::Finished(_) | Phase::Idle);
         let unscored = self.settings.scored && sample.score.is_none();
-        if settled || unscored || !self.keeps(sample) {
+        if is_settled || unscored || !self.is_fresh(sample) {
             return;
         }
-        self.release(place);
-        self.slot_mut(place).phase = Phase::Finished(Arc::clone(sample));
+        self.cancel_slot(position);
+        self.slot_mut(position).phase = Phase::Finished(Arc::clone(sample));
     }
 
     /// The step is dropped: cancels what is in progress.
     pub fn cancel_all(&mut self) {
-        for place in 0..self.step.total() {
-            self.release(place);
-            let slot = self.slot_mut(place);
+        for position in 0..self.step.total() {
+            self.cancel_slot(position);
+            let slot = self.slot_mut(position);
             if slot.finished().is_none() {
                 slot.phase = Phase::Idle;
             }
         }
     }
 
-    fn phase(&self, place: u32) -> &Phase {
-        &self.slots[place as usize].phase
+    fn phase(&self, position: u32) -> &Phase {
+        &self.slots[position as usize].phase
     }
 
-    fn slot_mut(&mut self, place: u32) -> &mut SlotState {
-        &mut self.slots[place as usize]
+    fn slot_mut(&mut self, position: u32) -> &mut SlotState {
+        &mut self.slots[position as usize]
     }
 
     /// Whether the sample is young enough for the newest version known.
-    fn keeps(&self, sample: &Sample) -> bool {
-        let lag = staleness(&sample.versions, self.newest);
+    fn is_fresh(&self, sample: &Sample) -> bool {
+        let lag = staleness(&sample.versions, self.newest_version);
         lag.is_some_and(|lag| lag <= self.settings.staleness_bound)
     }
 
-    fn copy_of(&self, sample: &Arc<Sample>) -> CopyMessage {
+    fn finished_copy(&self, sample: &Arc<Sample>) -> CopyMessage {
         CopyMessage::Finished {
             key: self.step.key.clone(),
             digest: self.step.digest(),
@@ -252,60 +257,60 @@
     }
 
     /// Binds a finished sample to its slot and tells the second home.
-    fn bind(&mut self, place: u32, sample: Arc<Sample>) {
-        let copy = self.copy_of(&sample);
+    fn bind(&mut self, position: u32, sample: Arc<Sample>) {
+        let copy = self.finished_copy(&sample);
         self.actions.push(Action::Copy(copy));
-        self.slot_mut(place).phase = Phase::Finished(sample);
+        self.slot_mut(position).phase = Phase::Finished(sample);
     }
 
     /// Stops everything in progress for a slot.
-    fn release(&mut self, place: u32) {
-        self.pending.remove(&place);
-        let runs = std::mem::take(&mut self.slot_mut(place).runs);
+    fn cancel_slot(&mut self, position: u32) {
+        self.pending.remove(&position);
+        let runs = std::mem::take(&mut self.slot_mut(position).runs);
         for run in runs {
             self.runs.remove(&run);
             self.actions.push(Action::Cancel { run });
         }
-        if *self.phase(place) == Phase::Scoring {
-            self.scoring.retain(|_, wait| wait.place != place);
+        if *self.phase(position) == Phase::Scoring {
+            self.scoring.retain(|_, wait| wait.position != position);
         }
     }
 
     /// Puts a slot back to the start, with another seed.
-    fn run_again(&mut self, place: u32, not_before_ms: u64) {
-        self.release(place);
-        let slot = self.slot_mut(place);
+    fn requeue(&mut self, position: u32, not_before_ms: u64) {
+        self.cancel_slot(position);
+        let slot = self.slot_mut(position);
         slot.phase = Phase::Pending;
         slot.partial = None;
         slot.attempt += 1;
         slot.not_before_ms = not_before_ms;
-        self.pending.insert(place);
+        self.pending.insert(position);
     }
 
     /// A trainer that has the whole step fetches no more, and its last cursor never comes.
     /// Its samples would get too old with each version and be run again for nobody; they
     /// stay until a cursor says that the last reply was lost.
-    fn give_up_old_samples(&mut self) {
-        if self.offered_whole {
+    fn abandon_stale_samples(&mut self) {
+        if self.offered_all {
             return;
         }
-        let is_old = |sample: &Sample| !self.keeps(sample);
-        let held = |place: &u32| match self.phase(*place) {
-            Phase::Finished(sample) => is_old(sample),
+        let is_stale = |sample: &Sample| !self.is_fresh(sample);
+        let held = |position: &u32| match self.phase(*position) {
+            Phase::Finished(sample) => is_stale(sample),
             _ => false,
         };
-        let scored = |wait: &ScoreWait| is_old(&wait.sample).then_some(wait.place);
+        let scored = |wait: &ScoreWait| is_stale(&wait.sample).then_some(wait.position);
         let missing = self.received.missing().filter(held);
         let old: Vec<u32> = missing
             .chain(self.scoring.values().filter_map(scored))
             .collect();
-        for place in old {
-            self.abandon(place);
+        for position in old {
+            self.abandon(position);
         }
     }
 
-    fn abandon(&mut self, place: u32) {
+    fn abandon(&mut self, position: u32) {
         self.tally.abandoned += 1;
-        self.run_again(place, 0);
+        self.requeue(position, 0);
     }
 }
--- a/components/samples/src/ledger/dispatch.rs
+++ b/components/samples/src/ledger/dispatch.rs
@@ -14,50 +14,50 @@
 use crate::straggler::{Decision, HedgeBudget, RunView, assess};
 
 /// Pause between two looks at the runs in progress.
-const LOOK_MS: u64 = 500;
+const RECHECK_INTERVAL_MS: u64 = 500;
 
 impl Ledger {
     /// Starts what may start now; asks for scores again; looks for late runs.
     pub fn dispatch(&mut self, room: &RunCapacity, now_ms: u64) {
         // What a second home misses of such a step is missed by nobody else.
-        if self.offered_whole {
+        if self.offered_all {
             return;
         }
-        self.ask_scores(now_ms);
-        let mut free = self.usable(room);
+        self.retry_scores(now_ms);
+        let mut replicas = self.usable_replicas(room);
         let mut budget = room.in_progress_max.saturating_sub(self.runs.len() as u32);
-        let ready = |place: &u32| now_ms >= self.slots[*place as usize].not_before_ms;
+        let ready = |position: &u32| now_ms >= self.slots[*position as usize].not_before_ms;
         let ready: Vec<u32> = self.pending.iter().copied().filter(ready).collect();
-        for place in ready {
+        for position in ready {
             if budget == 0 {
                 break;
             }
-            let avoid = self.slots[place as usize].avoid;
-            let Some(to) = take_replica(&mut free, avoid, true) else {
+            let avoid = self.slots[position as usize].avoid_replica;
+            let Some(to) = reserve_replica(&mut replicas, avoid, true) else {
                 break;
             };
-            self.start(place, to, now_ms);
+            self.start(position, to, now_ms);
             budget -= 1;
         }
-        self.chase_late_runs(&mut free, budget, now_ms);
+        self.handle_stragglers(&mut replicas, budget, now_ms);
     }
 
     /// When `dispatch` is next worth a call after one at `now_ms`, if no event comes. A slot
     /// that could have started but found no room waits for a look, not for a busy loop.
     pub fn next_due_ms(&self, now_ms: u64) -> Option<u64> {
-        if self.offered_whole {
+        if self.offered_all {
             return None;
         }
-        let waits = self.pending.iter().map(|&place| {
-            let ready_ms = self.slots[place as usize].not_before_ms;
+        let waits = self.pending.iter().map(|&position| {
+            let ready_ms = self.slots[position as usize].not_before_ms;
             if ready_ms > now_ms {
                 ready_ms
             } else {
-                now_ms + LOOK_MS
+                now_ms + RECHECK_INTERVAL_MS
             }
         });
-        let look = (!self.runs.is_empty()).then_some(now_ms + LOOK_MS);
-        let due = [waits.min(), self.score_due_ms(), look];
+        let recheck = (!self.runs.is_empty()).then_some(now_ms + RECHECK_INTERVAL_MS);
+        let due = [waits.min(), self.score_due_ms(), recheck];
         due.into_iter().flatten().min().map(|ms| ms.max(now_ms))
     }
 
@@ -71,34 +71,34 @@
         self.pending.len() as u32
     }
 
-    fn usable(&self, room: &RunCapacity) -> Vec<Replica> {
-        let young = |replica: &&Replica| {
+    fn usable_replicas(&self, room: &RunCapacity) -> Vec<Replica> {
+        let is_fresh = |replica: &&Replica| {
             let Some(version) = replica.version else {
                 return true;
             };
-            let lag = staleness(&[version].into(), self.newest);
+            let lag = staleness(&[version].into(), self.newest_version);
             lag.is_some_and(|lag| lag <= self.settings.staleness_bound)
         };
-        room.replicas.iter().filter(young).cloned().collect()
+        room.replicas.iter().filter(is_fresh).cloned().collect()
     }
 
-    fn start(&mut self, place: u32, to: SocketAddr, now_ms: u64) {
-        self.pending.remove(&place);
-        let resume = self.young_partial(place);
+    fn start(&mut self, position: u32, to: SocketAddr, now_ms: u64) {
+        self.pending.remove(&position);
+        let resume = self.fresh_partial(position);
         self.tally.resumes += u64::from(resume.is_some());
-        self.slot_mut(place).phase = Phase::Running;
-        self.launch(place, to, resume, false, now_ms);
+        self.slot_mut(position).phase = Phase::Running;
+        self.launch(position, to, resume, false, now_ms);
     }
 
     fn launch(
         &mut self,
-        place: u32,
+        position: u32,
         to: SocketAddr,
         resume: Option<PartialSample>,
         hedge: bool,
         now_ms: u64,
     ) {
-        let Some(slot) = self.step.slot(place) else {
+        let Some(slot) = self.step.slot(position) else {
             return;
         };
         let run = RunId(self.next_run);
@@ -106,19 +106,19 @@
         self.tally.runs += 1;
         let versions = resume.as_ref().and_then(|p| p.provenance.versions());
         let state = Run {
-            place,
+            position,
             to,
             hedge,
             resumed: resume.is_some(),
             started_ms: now_ms,
-            token_ms: now_ms,
+            last_token_ms: now_ms,
             tokens: 0,
             versions: versions.cloned().unwrap_or_default(),
-            stopping: false,
+            is_stopping: false,
         };
         self.runs.insert(run, state);
-        self.slot_mut(place).runs.push(run);
-        let seed = self.seed(place);
+        self.slot_mut(position).runs.push(run);
+        let seed = self.seed(position);
         self.actions.push(Action::Start(Start {
             run,
             slot,
@@ -130,93 +130,101 @@
     }
 
     /// Tokens that the slot can go on from, unless they are too old by now.
-    fn young_partial(&mut self, place: u32) -> Option<PartialSample> {
-        let partial = self.slots[place as usize].partial.clone()?;
-        let lag = staleness(partial.provenance.versions()?, self.newest);
-        let young = lag.is_some_and(|lag| lag <= self.settings.staleness_bound);
-        if !young {
+    fn fresh_partial(&mut self, position: u32) -> Option<PartialSample> {
+        let partial = self.slots[position as usize].partial.clone()?;
+        let lag = staleness(partial.provenance.versions()?, self.newest_version);
+        let is_fresh = lag.is_some_and(|lag| lag <= self.settings.staleness_bound);
+        if !is_fresh {
             self.tally.abandoned += 1;
-            let slot = self.slot_mut(place);
+            let slot = self.slot_mut(position);
             slot.attempt += 1;
             slot.partial = None;
         }
-        young.then_some(partial)
+        is_fresh.then_some(partial)
     }
 
-    fn seed(&self, place: u32) -> u64 {
+    fn seed(&self, position: u32) -> u64 {
         let digest = self.step.digest();
         let words = digest.0.chunks(8).map(|word| {
             word.iter()
                 .fold(0, |number, &byte| number << 8 | u64::from(byte))
         });
         let step = words.fold(0, |seed, word| mix(seed ^ word));
-        let attempt = self.slots[place as usize].attempt;
-        mix(step ^ (u64::from(place) << 32 | u64::from(attempt)))
+        let attempt = self.slots[position as usize].attempt;
+        mix(step ^ (u64::from(position) << 32 | u64::from(attempt)))
     }
 
-    fn chase_late_runs(&mut self, free: &mut [Replica], mut room: u32, now_ms: u64) {
+    fn handle_stragglers(&mut self, replicas: &mut [Replica], mut room: u32, now_ms: u64) {
         let mut budget = HedgeBudget {
             hedges: self.runs.values().filter(|run| run.hedge).count() as u64,
             slots: u64::from(self.step.total()),
         };
         let ids: Vec<RunId> = self.runs.keys().copied().collect();
         for id in ids {
-            let Some((place, from, decision)) = self.decide(id, &budget, now_ms) else {
+            let Some((position, from, decision)) = self.straggler_decision(id, &budget, now_ms)
+            else {
                 continue;
             };
             match decision {
                 Decision::Wait => {}
                 // Without another replica a move would only lose the run.
-                Decision::Resume if free.iter().any(|r| r.address != from) => self.stop(id),
+                Decision::Resume if replicas.iter().any(|r| r.address != from) => self.stop(id),
                 Decision::Resume => {}
                 Decision::Hedge if room == 0 => {}
                 Decision::Hedge => {
-                    let Some(to) = take_replica(free, Some(from), false) else {
+                    let Some(to) = reserve_replica(replicas, Some(from), false) else {
                         continue;
                     };
                     room -= 1;
                     budget.hedges += 1;
                     self.tally.hedges += 1;
-                    let resume = self.young_partial(place);
-                    self.launch(place, to, resume, true, now_ms);
+                    let resume = self.fresh_partial(position);
+                    self.launch(position, to, resume, true, now_ms);
                 }
             }
         }
     }
 
-    fn decide(
+    fn straggler_decision(
         &self,
         id: RunId,
         budget: &HedgeBudget,
         now_ms: u64,
     ) -> Option<(u32, SocketAddr, Decision)> {
-        let run = self.runs.get(&id).filter(|run| !run.stopping)?;
-        let slot = &self.slots[run.place as usize];
+        let run = self.runs.get(&id).filter(|run| !run.is_stopping)?;
+        let slot = &self.slots[run.position as usize];
         let view = RunView {
             elapsed_ms: now_ms.saturating_sub(run.started_ms),
-            silent_ms: now_ms.saturating_sub(run.token_ms),
+            silent_ms: now_ms.saturating_sub(run.last_token_ms),
             tokens: run.tokens,
             moves: slot.moves,
             hedged: slot.runs.len() > 1,
         };
-        let decision = assess(&self.settings.straggler, &view, &self.pace, budget);
-        Some((run.place, run.to, decision))
+        let decision = assess(&self.settings.straggler, &view, &self.run_timings, budget);
+        Some((run.position, run.to, decision))
     }
 }
 
 /// Takes a place at the replica with the most room. `avoid` is used only if
 /// `avoid_is_weak` and nothing else has room.
-fn take_replica(
-    free: &mut [Replica],
+fn reserve_replica(
+    replicas: &mut [Replica],
     avoid: Option<SocketAddr>,
-    avoid_is_weak: bool,
+    may_use_avoided: bool,
 ) -> Option<SocketAddr> {
     let other = |replica: &Replica| Some(replica.address) != avoid;
-    let best = |may: &dyn Fn(&Replica) -> bool| {
-        let with_room = (0..free.len()).filter(|&at| free[at].free_runs > 0 && may(&free[at]));
-        with_room.max_by_key(|&at| (free[at].free_runs, free[at].version, free[at].address))
+    let best = |allows: &dyn Fn(&Replica) -> bool| {
+        let with_room =
+            (0..replicas.len()).filter(|&at| replicas[at].free_runs > 0 && allows(&replicas[at]));
+        with_room.max_by_key(|&at| {
+            (
+                replicas[at].free_runs,
+                replicas[at].version,
+                replicas[at].address,
+            )
+        })
     };
-    let at = best(&other).or_else(|| best(&|_| avoid_is_weak))?;
-    free[at].free_runs -= 1;
-    Some(free[at].address)
+    let at = best(&other).or_else(|| best(&|_| may_use_avoided))?;
+    replicas[at].free_runs -= 1;
+    Some(replicas[at].address)
 }
--- a/components/samples/src/ledger/fetch.rs
+++ b/components/samples/src/ledger/fetch.rs
@@ -16,7 +16,7 @@
 
 /// Least time between two notes to the second home that the trainer fetches. Far below the
 /// time after which a step that is not used is dropped there.
-const TELL_EVERY_MS: u64 = 60_000;
+const FETCH_NOTICE_INTERVAL_MS: u64 = 60_000;
 /// Texts of one reply at most, in bytes, so that it passes between entries also when every
 /// byte takes six in JSON. One sample is given in any case.
 const REPLY_BYTES_MAX: usize = 4 << 20;
@@ -64,12 +64,12 @@
     /// The slots of the samples, as a set of the step.
     pub fn slots(&self, step: &Step) -> SlotSet {
         let mut slots = SlotSet::new(step.total());
-        let places = self
+        let positions = self
             .samples
             .iter()
             .filter_map(|offer| step.position(offer.sample.slot));
-        places.for_each(|place| {
-            slots.insert(place);
+        positions.for_each(|position| {
+            slots.insert(position);
         });
         slots
     }
@@ -87,9 +87,9 @@
         max: u32,
         now_ms: u64,
     ) -> Result<Reply, FetchError> {
-        let ready = self.ready_for(cursor, trainer_version, now_ms)?;
-        let places = self.choose(&ready, max);
-        Ok(self.reply(cursor, &places, trainer_version, now_ms))
+        let ready = self.prepare_fetch(cursor, trainer_version, now_ms)?;
+        let positions = self.choose_slots(&ready, max);
+        Ok(self.reply(cursor, &positions, trainer_version, now_ms))
     }
 
     /// Gives exactly these slots, or nothing until all of them are ready; for a fetch
@@ -101,15 +101,15 @@
         trainer_version: WeightVersion,
         now_ms: u64,
     ) -> Result<Option<Reply>, FetchError> {
-        let ready = self.ready_for(base, trainer_version, now_ms)?;
-        let places: Vec<u32> = slots.iter().collect();
-        if !places.iter().all(|&place| ready.contains(place)) {
+        let ready = self.prepare_fetch(base, trainer_version, now_ms)?;
+        let positions: Vec<u32> = slots.iter().collect();
+        if !positions.iter().all(|&position| ready.contains(position)) {
             return Ok(None);
         }
-        Ok(Some(self.reply(base, &places, trainer_version, now_ms)))
+        Ok(Some(self.reply(base, &positions, trainer_version, now_ms)))
     }
 
-    fn ready_for(
+    fn prepare_fetch(
         &mut self,
         cursor: &Cursor,
         trainer_version: WeightVersion,
@@ -118,80 +118,81 @@
         if cursor.digest() != self.step.digest() {
             return Err(FetchError::OtherPost);
         }
-        if trainer_version.epoch < self.newest.epoch {
-            return Err(FetchError::StaleEpoch(self.newest));
+        if trainer_version.epoch < self.newest_version.epoch {
+            return Err(FetchError::StaleEpoch(self.newest_version));
         }
         self.fetched_ms = Some(now_ms);
-        self.take_cursor(cursor);
+        self.apply_cursor(cursor);
         self.announce(trainer_version, None, now_ms);
-        Ok(self.ready(trainer_version))
+        Ok(self.ready_slots(trainer_version))
     }
 
     /// Aligns the slots with what the trainer has.
-    pub(crate) fn take_cursor(&mut self, cursor: &Cursor) {
+    pub(crate) fn apply_cursor(&mut self, cursor: &Cursor) {
         let received = cursor.received();
-        for place in received.iter() {
-            self.arrived(place);
+        for position in received.iter() {
+            self.record_arrival(position);
         }
-        for place in received.missing() {
-            if *self.phase(place) == Phase::Idle {
-                self.run_again(place, 0);
+        for position in received.missing() {
+            if *self.phase(position) == Phase::Idle {
+                self.requeue(position, 0);
             }
         }
         self.received = received.clone();
-        if std::mem::take(&mut self.offered_whole) {
-            self.told_ms = None;
-            self.score_unscored();
-            self.give_up_old_samples();
+        if std::mem::take(&mut self.offered_all) {
+            self.notified_ms = None;
+            self.request_missing_scores();
+            self.abandon_stale_samples();
         }
     }
 
-    fn arrived(&mut self, place: u32) {
-        if let Some(staleness) = self.slot_mut(place).offered_staleness.take() {
+    fn record_arrival(&mut self, position: u32) {
+        if let Some(staleness) = self.slot_mut(position).offered_staleness.take() {
             self.tally.staleness.record(staleness);
         }
         // The other home delivered it: what is under way here is for nobody.
-        if !matches!(self.phase(place), Phase::Finished(_) | Phase::Idle) {
-            self.release(place);
-            self.slot_mut(place).phase = Phase::Idle;
+        if !matches!(self.phase(position), Phase::Finished(_) | Phase::Idle) {
+            self.cancel_slot(position);
+            self.slot_mut(position).phase = Phase::Idle;
         }
     }
 
     /// Missing slots with a sample that this trainer may have; older ones are abandoned.
-    fn ready(&mut self, trainer_version: WeightVersion) -> SlotSet {
+    fn ready_slots(&mut self, trainer_version: WeightVersion) -> SlotSet {
         let mut ready = SlotSet::new(self.step.total());
         let missing: Vec<u32> = self.received.missing().collect();
-        for place in missing {
-            let Some(sample) = self.slots[place as usize].finished() else {
+        for position in missing {
+            let Some(sample) = self.slots[position as usize].finished() else {
                 continue;
             };
             let lag = sample.staleness(trainer_version);
             if lag.is_some_and(|lag| lag <= self.settings.staleness_bound) {
-                ready.insert(place);
+                ready.insert(position);
             } else {
-                self.abandon(place);
+                self.abandon(position);
             }
         }
         ready
     }
 
     /// Places to offer: those of groups that become whole first, then the others.
-    fn choose(&self, ready: &SlotSet, max: u32) -> Vec<u32> {
-        let had = |place: u32| ready.contains(place) || self.received.contains(place);
+    fn choose_slots(&self, ready: &SlotSet, max: u32) -> Vec<u32> {
+        let had = |position: u32| ready.contains(position) || self.received.contains(position);
         let groups = 0..self.step.groups.len() as u32;
-        let places = |group: &u32| self.step.group_positions(*group);
-        let (whole, open): (Vec<u32>, Vec<u32>) = groups.partition(|group| places(group).all(had));
-        let ordered = whole.iter().chain(&open).flat_map(places);
+        let positions = |group: &u32| self.step.group_positions(*group);
+        let (whole, open): (Vec<u32>, Vec<u32>) =
+            groups.partition(|group| positions(group).all(had));
+        let ordered = whole.iter().chain(&open).flat_map(positions);
         let mut chosen = Vec::new();
         let mut bytes = 0;
-        for place in ordered.filter(|&place| ready.contains(place)) {
-            let sample = self.slots[place as usize].finished();
+        for position in ordered.filter(|&position| ready.contains(position)) {
+            let sample = self.slots[position as usize].finished();
             bytes += sample.map_or(0, |sample| sample.text.len());
             let fits = bytes <= REPLY_BYTES_MAX || chosen.is_empty();
             if !fits || chosen.len() >= max as usize {
                 break;
             }
-            chosen.push(place);
+            chosen.push(position);
         }
         chosen
     }
@@ -199,16 +200,16 @@
     fn reply(
         &mut self,
         cursor: &Cursor,
-        places: &[u32],
+        positions: &[u32],
         trainer_version: WeightVersion,
         now_ms: u64,
     ) -> Reply {
-        let offer = |&place: &u32| offer(self.slot_mut(place), trainer_version);
-        let samples = places.iter().filter_map(offer).collect();
-        let cursor = cursor.with_received(places.iter().copied());
+        let offer = |&position: &u32| offer(self.slot_mut(position), trainer_version);
+        let samples = positions.iter().filter_map(offer).collect();
+        let cursor = cursor.with_received(positions.iter().copied());
         let received = cursor.received().len();
-        self.offered_whole = received == self.step.total();
-        self.tell_fetched(now_ms);
+        self.offered_all = received == self.step.total();
+        self.notify_second_home(now_ms);
         Reply {
             samples,
             received,
@@ -222,16 +223,16 @@
 impl Ledger {
     /// Keeps the second home from dropping a step that its trainer fetches here, and from
     /// running for nobody what the trainer has.
-    fn tell_fetched(&mut self, now_ms: u64) {
-        let lately = |told_ms| now_ms.saturating_sub(told_ms) < TELL_EVERY_MS;
-        if !self.offered_whole && self.told_ms.is_some_and(lately) {
+    fn notify_second_home(&mut self, now_ms: u64) {
+        let recently = |notified_ms| now_ms.saturating_sub(notified_ms) < FETCH_NOTICE_INTERVAL_MS;
+        if !self.offered_all && self.notified_ms.is_some_and(recently) {
             return;
         }
-        self.told_ms = Some(now_ms);
+        self.notified_ms = Some(now_ms);
         self.actions.push(Action::Copy(CopyMessage::Fetched {
             key: self.step.key.clone(),
             digest: self.step.digest(),
-            complete: self.offered_whole,
+            complete: self.offered_all,
         }));
     }
 }
--- a/components/samples/src/ledger/scores.rs
+++ b/components/samples/src/ledger/scores.rs
@@ -24,7 +24,7 @@
             score: Some(score),
             ..Sample::clone(&wait.sample)
         };
-        self.bind(wait.place, Arc::new(sample));
+        self.bind(wait.position, Arc::new(sample));
     }
 
     /// The scorer failed or did not answer in time.
@@ -34,23 +34,23 @@
             return;
         };
         self.tally.score_failures += 1;
-        wait.asked = false;
+        wait.is_requested = false;
         wait.failures += 1;
         if wait.failures == 1 {
-            wait.scores_before = scores_done;
+            wait.scores_done_before = scores_done;
         }
-        let place = wait.place;
-        let others_scored = scores_done > wait.scores_before;
+        let position = wait.position;
+        let others_scored = scores_done > wait.scores_done_before;
         if others_scored && wait.failures >= self.settings.score_attempts_max {
             self.tally.unscorable += 1;
-            self.run_again(place, now_ms);
+            self.requeue(position, now_ms);
             return;
         }
-        let pause_ms = self
+        let delay_ms = self
             .settings
             .score_retry
-            .wait_ms(wait.failures, u64::from(place));
-        wait.not_before_ms = now_ms + pause_ms;
+            .delay_ms(wait.failures, u64::from(position));
+        wait.not_before_ms = now_ms + delay_ms;
     }
 
     /// Samples are scored from here on, or no more. Without a scorer those that wait for
@@ -61,48 +61,48 @@
         }
         self.settings.scored = scored;
         if scored {
-            self.score_unscored();
+            self.request_missing_scores();
             return;
         }
         for (_, wait) in std::mem::take(&mut self.scoring) {
-            self.bind(wait.place, wait.sample);
+            self.bind(wait.position, wait.sample);
         }
     }
 
     /// Has the samples scored that the trainer does not have and that were finished while
     /// there was no scorer.
-    pub(super) fn score_unscored(&mut self) {
-        if !self.settings.scored || self.offered_whole {
+    pub(super) fn request_missing_scores(&mut self) {
+        if !self.settings.scored || self.offered_all {
             return;
         }
-        let places: Vec<u32> = self.received.missing().collect();
-        for place in places {
-            let finished = self.slots[place as usize].finished();
+        let positions: Vec<u32> = self.received.missing().collect();
+        for position in positions {
+            let finished = self.slots[position as usize].finished();
             let unscored = finished.filter(|sample| sample.score.is_none());
             let Some(sample) = unscored.map(Arc::clone) else {
                 continue;
             };
             let run = RunId(self.next_run);
             self.next_run += 1;
-            self.wait_for_score(run, place, sample);
+            self.request_score(run, position, sample);
         }
     }
 
     /// Asks for the score of a whole sample.
-    pub(super) fn wait_for_score(&mut self, run: RunId, place: u32, sample: Arc<Sample>) {
-        self.slot_mut(place).phase = Phase::Scoring;
+    pub(super) fn request_score(&mut self, run: RunId, position: u32, sample: Arc<Sample>) {
+        self.slot_mut(position).phase = Phase::Scoring;
         self.scoring
-            .insert(run, ScoreWait::new(place, Arc::clone(&sample)));
+            .insert(run, ScoreWait::new(position, Arc::clone(&sample)));
         self.actions.push(Action::Score { run, sample });
     }
 
     /// Asks again for the scores whose pause is over.
-    pub(super) fn ask_scores(&mut self, now_ms: u64) {
+    pub(super) fn retry_scores(&mut self, now_ms: u64) {
         for (&run, wait) in &mut self.scoring {
-            if wait.asked || now_ms < wait.not_before_ms {
+            if wait.is_requested || now_ms < wait.not_before_ms {
                 continue;
             }
-            wait.asked = true;
+            wait.is_requested = true;
             self.actions.push(Action::Score {
                 run,
                 sample: Arc::clone(&wait.sample),
@@ -112,7 +112,7 @@
 
     /// When a score is next to be asked for.
     pub(super) fn score_due_ms(&self) -> Option<u64> {
-        let waiting = self.scoring.values().filter(|wait| !wait.asked);
+        let waiting = self.scoring.values().filter(|wait| !wait.is_requested);
         waiting.map(|wait| wait.not_before_ms).min()
     }
 }
--- a/components/samples/src/ledger/state.rs
+++ b/components/samples/src/ledger/state.rs
@@ -26,7 +26,7 @@
 
 impl RetryBackoff {
     /// Wait after `failures` in a row. Slots that fail together are spread by `salt`.
-    pub(super) fn wait_ms(&self, failures: u32, salt: u64) -> u64 {
+    pub(super) fn delay_ms(&self, failures: u32, salt: u64) -> u64 {
         let doublings = failures.saturating_sub(1).min(DOUBLINGS_MAX);
         let bound_ms = self
             .initial_ms
@@ -198,13 +198,13 @@
     pub runs: Vec<RunId>,
     pub partial: Option<PartialSample>,
     /// Replica that the next run should avoid.
-    pub avoid: Option<SocketAddr>,
+    pub avoid_replica: Option<SocketAddr>,
     /// Samples begun for the slot; the seed depends on it.
     pub attempt: u32,
     pub failures: u32,
     pub moves: u32,
     pub not_before_ms: u64,
-    pub blocked: bool,
+    pub is_blocked: bool,
     /// Age at the last offer, counted when the sample has arrived.
     pub offered_staleness: Option<u64>,
 }
@@ -215,12 +215,12 @@
             phase,
             runs: Vec::new(),
             partial: None,
-            avoid: None,
+            avoid_replica: None,
             attempt: 0,
             failures: 0,
             moves: 0,
             not_before_ms: 0,
-            blocked: false,
+            is_blocked: false,
             offered_staleness: None,
         }
     }
@@ -235,29 +235,29 @@
 
 #[value]
 pub(super) struct Run {
-    pub place: u32,
+    pub position: u32,
     pub to: SocketAddr,
     pub hedge: bool,
     /// It went on from tokens of an earlier one.
     pub resumed: bool,
     pub started_ms: u64,
-    pub token_ms: u64,
+    pub last_token_ms: u64,
     pub tokens: u64,
     /// Versions stamped so far, those of the partial included.
     pub versions: BTreeSet<WeightVersion>,
     /// The driver was asked to stop it.
-    pub stopping: bool,
+    pub is_stopping: bool,
 }
 
 #[value]
 pub(super) struct ScoreWait {
-    pub place: u32,
+    pub position: u32,
     pub sample: Arc<Sample>,
-    pub asked: bool,
+    pub is_requested: bool,
     pub failures: u32,
     pub not_before_ms: u64,
     /// Scores that had succeeded when this one first failed.
-    pub scores_before: u64,
+    pub scores_done_before: u64,
 }
 
 /// SplitMix64's finaliser: spreads neighbouring numbers.
--- a/components/samples/src/provenance.rs
+++ b/components/samples/src/provenance.rs
@@ -35,8 +35,8 @@
 pub struct Stamps {
     versions: BTreeSet<WeightVersion>,
     /// The current segment has a part without a stamp.
-    unstamped: bool,
-    not_known: bool,
+    has_unstamped: bool,
+    is_unknown: bool,
 }
 
 impl Stamps {
@@ -49,8 +49,8 @@
     pub fn resumed_from(earlier: &Provenance) -> Self {
         Self {
             versions: earlier.versions().cloned().unwrap_or_default(),
-            unstamped: false,
-            not_known: earlier.versions().is_none(),
+            has_unstamped: false,
+            is_unknown: earlier.versions().is_none(),
         }
     }
 
@@ -60,27 +60,27 @@
             Some(version) => {
                 self.versions.insert(version);
             }
-            None => self.unstamped = true,
+            None => self.has_unstamped = true,
         }
     }
 
     /// A unary answer came with its list of versions; an empty list is no stamp.
     pub fn record_response(&mut self, versions: &[WeightVersion]) {
-        self.unstamped |= versions.is_empty();
+        self.has_unstamped |= versions.is_empty();
         self.versions.extend(versions);
     }
 
     /// A segment at one endpoint ended. `witnessed` is the one version that its agent saw
     /// in force from the first chunk to the last; `None` when it saw a swap or can't say.
     pub fn end_segment(&mut self, witnessed: Option<WeightVersion>) {
-        if !std::mem::take(&mut self.unstamped) {
+        if !std::mem::take(&mut self.has_unstamped) {
             return;
         }
         match witnessed {
             Some(version) => {
                 self.versions.insert(version);
             }
-            None => self.not_known = true,
+            None => self.is_unknown = true,
         }
     }
 
@@ -92,7 +92,7 @@
     /// The origin of all parts so far. A segment that was not ended counts as unwitnessed.
     pub fn finish(mut self) -> Provenance {
         self.end_segment(None);
-        if self.not_known || self.versions.is_empty() {
+        if self.is_unknown || self.versions.is_empty() {
             return Provenance::NotKnown;
         }
         Provenance::Known(self.versions)
--- a/components/samples/src/slots.rs
+++ b/components/samples/src/slots.rs
@@ -43,23 +43,23 @@
     }
 
     /// Whether the slot at `place` is in the set.
-    pub fn contains(&self, place: u32) -> bool {
-        place < self.total && self.words[(place / WORD_BITS) as usize] & bit(place) != 0
+    pub fn contains(&self, position: u32) -> bool {
+        position < self.total && self.words[(position / WORD_BITS) as usize] & bit(position) != 0
     }
 
     /// Adds the slot at `place`; false if it was there or the step has no such slot.
-    pub fn insert(&mut self, place: u32) -> bool {
-        if place >= self.total || self.contains(place) {
+    pub fn insert(&mut self, position: u32) -> bool {
+        if position >= self.total || self.contains(position) {
             return false;
         }
-        self.words[(place / WORD_BITS) as usize] |= bit(place);
+        self.words[(position / WORD_BITS) as usize] |= bit(position);
         true
     }
 
     /// Adds every slot of `other`, a set of the same step.
     pub fn extend(&mut self, other: &SlotSet) {
-        other.iter().for_each(|place| {
-            self.insert(place);
+        other.iter().for_each(|position| {
+            self.insert(position);
         });
     }
 
@@ -70,12 +70,12 @@
 
     /// Places in the set, ascending.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
-        (0..self.total).filter(|&place| self.contains(place))
+        (0..self.total).filter(|&position| self.contains(position))
     }
 
     /// Places of the step that are not in the set, ascending.
     pub fn missing(&self) -> impl Iterator<Item = u32> + '_ {
-        (0..self.total).filter(|&place| !self.contains(place))
+        (0..self.total).filter(|&position| !self.contains(position))
     }
 
     /// The set as bytes, lowest place in the lowest bit of the first byte.
@@ -90,8 +90,8 @@
             return None;
         }
         let mut set = Self::new(total);
-        for (place, &byte) in bytes.iter().enumerate() {
-            set.words[place / 8] |= u64::from(byte) << (8 * (place % 8));
+        for (position, &byte) in bytes.iter().enumerate() {
+            set.words[position / 8] |= u64::from(byte) << (8 * (position % 8));
         }
         let beyond = (!total.is_multiple_of(WORD_BITS)).then(|| {
             set.words
@@ -102,6 +102,6 @@
     }
 }
 
-fn bit(place: u32) -> u64 {
-    1 << (place % WORD_BITS)
+fn bit(position: u32) -> u64 {
+    1 << (position % WORD_BITS)
 }
--- a/components/samples/src/step.rs
+++ b/components/samples/src/step.rs
@@ -138,15 +138,15 @@
     }
 
     /// The slot at a place, if the step has that many.
-    pub fn slot(&self, place: u32) -> Option<Slot> {
-        if place >= self.total {
+    pub fn slot(&self, position: u32) -> Option<Slot> {
+        if position >= self.total {
             return None;
         }
-        let after = self.starts.partition_point(|&start| start <= place);
+        let after = self.starts.partition_point(|&start| start <= position);
         let group = after.checked_sub(1)?;
         Some(Slot {
             group: group as u32,
-            index: place - self.starts[group],
+            index: position - self.starts[group],
         })
     }
 
--- a/components/samples/src/steps.rs
+++ b/components/samples/src/steps.rs
@@ -52,13 +52,13 @@
     Expired,
 }
 
-struct Held {
+struct HeldStep {
     ledger: Ledger,
     posted_ms: u64,
-    touched_ms: u64,
+    last_used_ms: u64,
 }
 
-impl Held {
+impl HeldStep {
     fn is_in_use(&self, now_ms: u64) -> bool {
         let used_ms = self.ledger.fetched_ms().unwrap_or(0).max(self.posted_ms);
         now_ms.saturating_sub(used_ms) < IN_USE_MS
@@ -67,10 +67,10 @@
 
 /// Ledgers by step.
 pub struct Steps {
-    held: BTreeMap<StepKey, Held>,
+    held: BTreeMap<StepKey, HeldStep>,
     holdings: Holdings,
     idle_ms: u64,
-    ledgers: u32,
+    ledger_count: u32,
 }
 
 impl Steps {
@@ -85,7 +85,7 @@
             held: BTreeMap::new(),
             holdings: Holdings::new(bounds),
             idle_ms,
-            ledgers: 0,
+            ledger_count: 0,
         }
     }
 
@@ -100,9 +100,9 @@
     ) -> Result<PostOutcome, PostError> {
         if let Some(held) = self.held.get_mut(&step.key) {
             if held.ledger.step().digest() == step.digest() {
-                held.touched_ms = now_ms;
+                held.last_used_ms = now_ms;
                 held.ledger.configure(settings);
-                held.ledger.take_cursor(cursor);
+                held.ledger.apply_cursor(cursor);
                 held.ledger.announce(trainer_version, None, now_ms);
                 return Ok(PostOutcome::Known);
             }
@@ -110,16 +110,16 @@
                 return Err(PostError::OtherContent);
             }
         }
-        self.ledgers = self.ledgers.wrapping_add(1);
+        self.ledger_count = self.ledger_count.wrapping_add(1);
         let ledger = Ledger::new(Arc::clone(step), settings.clone(), cursor, trainer_version);
-        let mut held = Held {
-            ledger: ledger.with_number_range(self.ledgers),
+        let mut held = HeldStep {
+            ledger: ledger.with_number_range(self.ledger_count),
             posted_ms: now_ms,
-            touched_ms: now_ms,
+            last_used_ms: now_ms,
         };
-        let old = self.take_out(&step.key);
+        let old = self.remove(&step.key);
         if let Err(refused) = self.make_room(step) {
-            old.into_iter().for_each(|old| self.put_in(old));
+            old.into_iter().for_each(|old| self.insert(old));
             return Err(refused);
         }
         let posted = old
@@ -128,7 +128,7 @@
         if let Some(old) = old {
             held.ledger.replace(old.ledger);
         }
-        self.put_in(held);
+        self.insert(held);
         Ok(posted)
     }
 
@@ -145,8 +145,8 @@
         used_ms: u64,
         now_ms: u64,
     ) -> Result<PostOutcome, PostError> {
-        if let Some(held) = self.held_of(&step.key, step.digest()) {
-            held.touched_ms = held.touched_ms.max(used_ms);
+        if let Some(held) = self.find_post(&step.key, step.digest()) {
+            held.last_used_ms = held.last_used_ms.max(used_ms);
             held.ledger.announce(trainer_version, None, now_ms);
             return Ok(PostOutcome::Known);
         }
@@ -159,7 +159,7 @@
     /// How long ago a step was last posted or fetched, in milliseconds.
     pub fn unused_ms(&self, key: &StepKey, now_ms: u64) -> Option<u64> {
         let held = self.held.get(key)?;
-        Some(now_ms.saturating_sub(held.touched_ms))
+        Some(now_ms.saturating_sub(held.last_used_ms))
     }
 
     /// Whether a step is held.
@@ -180,23 +180,23 @@
                 .held
                 .iter()
                 .filter(|(key, held)| key.customer == step.key.customer && held.ledger.is_done());
-            let oldest = done.min_by_key(|(_, held)| held.touched_ms);
+            let oldest = done.min_by_key(|(_, held)| held.last_used_ms);
             let Some(key) = oldest.map(|(key, _)| key.clone()) else {
                 let bounds = self.holdings.bounds();
                 return Err(PostError::NoRoom(bounds.steps_max, bounds.prompt_bytes_max));
             };
-            self.take_out(&key);
+            self.remove(&key);
         }
         Ok(())
     }
 
-    fn put_in(&mut self, held: Held) {
+    fn insert(&mut self, held: HeldStep) {
         let step = held.ledger.step();
         self.holdings.add(step);
         self.held.insert(step.key.clone(), held);
     }
 
-    fn take_out(&mut self, key: &StepKey) -> Option<Held> {
+    fn remove(&mut self, key: &StepKey) -> Option<HeldStep> {
         let held = self.held.remove(key)?;
         self.holdings.remove(held.ledger.step());
         Some(held)
@@ -205,7 +205,7 @@
     /// The ledger of a step, if it is held, for its trainer; it posts again otherwise.
     pub fn get_mut(&mut self, key: &StepKey, now_ms: u64) -> Option<&mut Ledger> {
         let held = self.held.get_mut(key)?;
-        held.touched_ms = now_ms;
+        held.last_used_ms = now_ms;
         Some(&mut held.ledger)
     }
 
@@ -233,7 +233,7 @@
                 digest,
                 sample,
             } => {
-                if let Some(held) = self.held_of(key, *digest) {
+                if let Some(held) = self.find_post(key, *digest) {
                     held.ledger.adopt(sample);
                 }
             }
@@ -242,18 +242,18 @@
                 digest,
                 complete,
             } => {
-                let Some(held) = self.held_of(key, *digest) else {
+                let Some(held) = self.find_post(key, *digest) else {
                     return;
                 };
-                held.touched_ms = held.touched_ms.max(now_ms);
+                held.last_used_ms = held.last_used_ms.max(now_ms);
                 if *complete {
-                    held.ledger.hand_over();
+                    held.ledger.mark_all_offered();
                 }
             }
         }
     }
 
-    fn held_of(&mut self, key: &StepKey, digest: StepDigest) -> Option<&mut Held> {
+    fn find_post(&mut self, key: &StepKey, digest: StepDigest) -> Option<&mut HeldStep> {
         let held = self.held.get_mut(key)?;
         (held.ledger.step().digest() == digest).then_some(held)
     }
@@ -264,7 +264,7 @@
         let mut cancels = Vec::new();
         let (idle_ms, holdings) = (self.idle_ms, &mut self.holdings);
         self.held.retain(|_, held| {
-            let keep = now_ms.saturating_sub(held.touched_ms) < idle_ms;
+            let keep = now_ms.saturating_sub(held.last_used_ms) < idle_ms;
             if !keep {
                 holdings.remove(held.ledger.step());
                 held.ledger.cancel_all();
--- a/components/samples/src/straggler.rs
+++ b/components/samples/src/straggler.rs
@@ -99,50 +99,50 @@
 pub fn assess(
     settings: &StragglerSettings,
     run: &RunView,
-    pace: &RunTimings,
+    timings: &RunTimings,
     budget: &HedgeBudget,
 ) -> Decision {
     if run.hedged {
         return Decision::Wait;
     }
-    if is_silent(settings, run, pace) {
+    if is_silent(settings, run, timings) {
         return Decision::Resume;
     }
     let allowed = (budget.slots * settings.hedges_permille / PERMILLE).max(1);
-    if budget.hedges < allowed && is_slow(settings, run, pace) {
+    if budget.hedges < allowed && is_slow(settings, run, timings) {
         return Decision::Hedge;
     }
     Decision::Wait
 }
 
-fn is_silent(settings: &StragglerSettings, run: &RunView, pace: &RunTimings) -> bool {
+fn is_silent(settings: &StragglerSettings, run: &RunView, timings: &RunTimings) -> bool {
     if run.moves >= settings.moves_max {
         return false;
     }
     // A unary engine is silent until it ends: its silence is judged by whole durations.
-    let whole_ms = (run.tokens == 0)
-        .then(|| pace.durations_ms.quantile(TAIL_PERMILLE))
+    let tail_ms = (run.tokens == 0)
+        .then(|| timings.durations_ms.quantile(TAIL_PERMILLE))
         .flatten();
-    let usual_ms = whole_ms.map_or(0, |ms| ms * settings.late_factor_permille / PERMILLE);
+    let usual_ms = tail_ms.map_or(0, |ms| ms * settings.late_factor_permille / PERMILLE);
     let limit_ms = settings.silent_ms.max(usual_ms) << run.moves;
     run.silent_ms >= limit_ms
 }
 
-fn is_slow(settings: &StragglerSettings, run: &RunView, pace: &RunTimings) -> bool {
-    if pace.durations_ms.total() < settings.finished_runs_min {
+fn is_slow(settings: &StragglerSettings, run: &RunView, timings: &RunTimings) -> bool {
+    if timings.durations_ms.total() < settings.finished_runs_min {
         return false;
     }
-    let median_ms = pace.durations_ms.quantile(MEDIAN_PERMILLE).unwrap_or(0);
+    let median_ms = timings.durations_ms.quantile(MEDIAN_PERMILLE).unwrap_or(0);
     if run.elapsed_ms <= median_ms {
         return false;
     }
-    let late = |usual: u64, own: u64| own * PERMILLE > usual * settings.late_factor_permille;
-    let own_pace = (run.elapsed_ms * US_PER_MS).checked_div(run.tokens);
-    match own_pace.zip(pace.us_per_token.quantile(MEDIAN_PERMILLE)) {
-        Some((own, usual)) => late(usual, own),
+    let is_late = |usual: u64, own: u64| own * PERMILLE > usual * settings.late_factor_permille;
+    let own_us_per_token = (run.elapsed_ms * US_PER_MS).checked_div(run.tokens);
+    match own_us_per_token.zip(timings.us_per_token.quantile(MEDIAN_PERMILLE)) {
+        Some((own, usual)) => is_late(usual, own),
         None => {
-            let tail_ms = pace.durations_ms.quantile(TAIL_PERMILLE);
-            tail_ms.is_some_and(|usual| late(usual, run.elapsed_ms))
+            let tail_ms = timings.durations_ms.quantile(TAIL_PERMILLE);
+            tail_ms.is_some_and(|usual| is_late(usual, run.elapsed_ms))
         }
     }
 }
--- a/components/samples/src/swap.rs
+++ b/components/samples/src/swap.rs
@@ -41,28 +41,28 @@
 /// A resume never makes a sample younger, since its first tokens keep their version. A
 /// run at the bound that can't end before the next announcement is given up now,
 /// while little work is lost.
-pub fn plan_run(run: &RunInProgress, news: &SwapContext) -> RunPlan {
+pub fn plan_run(run: &RunInProgress, context: &SwapContext) -> RunPlan {
     let Some(oldest) = run.oldest else {
-        return kept(run);
+        return keep_or_resume(run);
     };
-    if oldest.epoch != news.announced.epoch {
+    if oldest.epoch != context.announced.epoch {
         return RunPlan::Abandon;
     }
-    let lag = news.announced.version.saturating_sub(oldest.version);
-    if lag > news.staleness_bound {
+    let lag = context.announced.version.saturating_sub(oldest.version);
+    if lag > context.staleness_bound {
         return RunPlan::Abandon;
     }
     let misses_next = run
         .remaining_ms
-        .zip(news.next_in_ms)
+        .zip(context.next_in_ms)
         .is_some_and(|(r, n)| r > n);
-    if lag == news.staleness_bound && misses_next {
+    if lag == context.staleness_bound && misses_next {
         return RunPlan::Abandon;
     }
-    kept(run)
+    keep_or_resume(run)
 }
 
-fn kept(run: &RunInProgress) -> RunPlan {
+fn keep_or_resume(run: &RunInProgress) -> RunPlan {
     if run.survives_swap {
         RunPlan::Keep
     } else {
--- a/components/samples/src/tally.rs
+++ b/components/samples/src/tally.rs
@@ -31,7 +31,7 @@
 #[value]
 #[derive(Default)]
 pub struct IdleClock {
-    open: u32,
+    open_fetches: u32,
     since_ms: u64,
     idle_ms: u64,
 }
@@ -44,23 +44,23 @@
 
     /// A fetch came.
     pub fn begin_fetch(&mut self, now_ms: u64) {
-        if self.open == 0 {
+        if self.open_fetches == 0 {
             self.since_ms = now_ms;
         }
-        self.open += 1;
+        self.open_fetches += 1;
     }
 
     /// A fetch was answered or given up. Fetches that overlap count once.
     pub fn end_fetch(&mut self, now_ms: u64) {
-        if self.open == 1 {
+        if self.open_fetches == 1 {
             self.idle_ms += now_ms.saturating_sub(self.since_ms);
         }
-        self.open = self.open.saturating_sub(1);
+        self.open_fetches = self.open_fetches.saturating_sub(1);
     }
 
     /// Idle time up to now.
     pub fn idle_ms(&self, now_ms: u64) -> u64 {
         let running_ms = now_ms.saturating_sub(self.since_ms);
-        self.idle_ms + if self.open > 0 { running_ms } else { 0 }
+        self.idle_ms + if self.open_fetches > 0 { running_ms } else { 0 }
     }
 }
--- a/components/samples/tests/cursor.rs
+++ b/components/samples/tests/cursor.rs
@@ -79,20 +79,20 @@
 }
 
 checks::seeded! {
-    fn can_read_back_any_set_of_slots(places: Vec<u32>, groups: u8) -> bool {
+    fn can_read_back_any_set_of_slots(positions: Vec<u32>, groups: u8) -> bool {
         let step = step_of(u32::from(groups % 64) + 1, 7);
-        let places = places.into_iter().map(|place| place % step.total());
-        let cursor = Cursor::start(&step).with_received(places);
+        let positions = positions.into_iter().map(|position| position % step.total());
+        let cursor = Cursor::start(&step).with_received(positions);
         Cursor::open(&cursor.seal(&keys()), &keys(), &step) == Ok(cursor)
     }
 
-    fn errors_when_any_letter_is_changed(place: usize, letter: u8) -> bool {
+    fn errors_when_any_letter_is_changed(position: usize, letter: u8) -> bool {
         let step = step_of(4, 8);
         let mut text = Cursor::start(&step).with_received([1, 2, 9]).seal(&keys()).into_bytes();
-        let place = place % text.len();
+        let position = position % text.len();
         let letter = b'A' + letter % 26;
-        let same = text[place] == letter;
-        text[place] = letter;
+        let same = text[position] == letter;
+        text[position] = letter;
         let text = String::from_utf8(text).unwrap();
         same || Cursor::open(&text, &keys(), &step) == Err(CursorError::Damaged)
     }
--- a/components/samples/tests/fetch_log.rs
+++ b/components/samples/tests/fetch_log.rs
@@ -7,10 +7,10 @@
 use samples::{Cursor, FetchLog, FetchState, Grant, GrantVerdict, SlotSet};
 use support::{ledger, room, starts, step_of, version};
 
-fn set(total: u32, places: impl IntoIterator<Item = u32>) -> SlotSet {
+fn set(total: u32, positions: impl IntoIterator<Item = u32>) -> SlotSet {
     let mut set = SlotSet::new(total);
-    places.into_iter().for_each(|place| {
-        set.insert(place);
+    positions.into_iter().for_each(|position| {
+        set.insert(position);
     });
     set
 }
@@ -46,8 +46,8 @@
         let step = step_of(4, 8);
         let mut first = FetchLog::new(&step);
         let mut second = FetchLog::new(&step);
-        let grant = |(fetch, places): &(u64, Vec<u32>)| {
-            let slots = set(32, places.iter().map(|place| place % 32));
+        let grant = |(fetch, positions): &(u64, Vec<u32>)| {
+            let slots = set(32, positions.iter().map(|position| position % 32));
             FetchLog::new(&step).grant(fetch % 6, &slots)
         };
         let records: Vec<Grant> = appends.iter().map(grant).collect();
@@ -56,7 +56,7 @@
         let once = (1..6).all(|fetch| match first.fetch_state(fetch) {
             FetchState::Granted { base, slots } => {
                 let before: BTreeSet<u32> = base.received().iter().collect();
-                before == seen && slots.iter().all(|place| seen.insert(place))
+                before == seen && slots.iter().all(|position| seen.insert(position))
             }
             FetchState::Next { base } => base.received().len() as usize == seen.len(),
             FetchState::Ahead { .. } => true,
--- a/components/samples/tests/ledger.rs
+++ b/components/samples/tests/ledger.rs
@@ -122,8 +122,8 @@
     let mut ledger = ledger(&step, bound(0), version(1, 1));
     ledger.dispatch(&room(1, 9, version(1, 1)), 0);
     let runs = starts(&mut ledger);
-    for place in [0, 2, 3] {
-        ledger.record_completion(runs[place].run, completion("text", [version(1, 1)]), 1);
+    for position in [0, 2, 3] {
+        ledger.record_completion(runs[position].run, completion("text", [version(1, 1)]), 1);
     }
     let reply = ledger
         .fetch(&Cursor::start(&step), version(1, 1), 2, 1)
