--- a/components/samples/src/codec.rs
+++ b/components/samples/src/codec.rs
@@ -1,5 +1,6 @@
-//! Text and run-length forms of the bytes in a cursor. Small enough to own, so that no
-//! library's choice of form can invalidate the cursors that trainers keep in checkpoints.
+//! Base64url and run-length encoding for cursors. Implemented here rather than by a library,
+//! so that no change of a library's format can invalidate the cursors in trainers'
+//! checkpoints.
 
 use crate::slots::SlotSet;
 
@@ -9,7 +10,7 @@
 const VARINT_CONTINUE: u8 = 0x80;
 const VARINT_BITS: u32 = 7;
 
-/// The bytes as base64url without padding.
+/// Encodes bytes as base64url without padding.
 pub(crate) fn to_text(bytes: &[u8]) -> String {
     let mut text = String::with_capacity(bytes.len().div_ceil(3) * 4);
     for part in bytes.chunks(3) {
@@ -24,7 +25,7 @@
     text
 }
 
-/// The bytes of a base64url text; `None` unless it is exactly what [`to_text`] writes.
+/// Decodes a base64url text; `None` unless the text is exactly what [`to_text`] returns.
 pub(crate) fn from_text(text: &str) -> Option<Vec<u8>> {
     let mut bytes = Vec::with_capacity(text.len() / 4 * 3 + 2);
     for part in text.as_bytes().chunks(4) {
@@ -35,7 +36,8 @@
         let word: [u8; 4] = number.to_be_bytes();
         bytes.extend_from_slice(&word[1..part.len()]);
     }
-    // Spare bits and lone letters have several spellings; one text a cursor.
+    // Unused bits or a single trailing letter allow several texts for the same bytes; accept
+    // only the canonical one.
     (to_text(&bytes) == text).then_some(bytes)
 }
 
@@ -51,7 +53,8 @@
     Some(u32::from(value))
 }
 
-/// The set in the shorter of two forms: bits, or lengths of runs (absent first).
+/// Encodes the set in the shorter of two forms: a bitmap, or run lengths that start with the
+/// absent slots.
 pub(crate) fn pack(set: &SlotSet) -> Vec<u8> {
     let bits = set.to_bytes();
     let runs = runs(set);
@@ -65,7 +68,7 @@
     packed
 }
 
-/// The set of a step of `total` slots in what [`pack`] wrote.
+/// Decodes the output of [`pack`] for a step of `total` slots; `None` if it is malformed.
 pub(crate) fn unpack(total: u32, packed: &[u8]) -> Option<SlotSet> {
     let (&kind, body) = packed.split_first()?;
     match kind {
--- a/components/samples/src/cursor.rs
+++ b/components/samples/src/cursor.rs
@@ -1,13 +1,13 @@
-//! The trainer's cursor: which slots of a step it has received, as an opaque text.
+//! The trainer's cursor: an opaque text that lists the slots of a step that it has received.
 //!
-//! The cursor is the delivery ledger. It lives in the trainer's checkpoint, so it
-//! survives the loss of every VM and any outage of the log; whoever holds the step can
-//! tell from it what is still owed. It is authenticated, because a damaged one would
-//! otherwise lose or double samples unseen.
+//! The cursor is the only record of delivery. The trainer stores it in its checkpoint, so it
+//! survives the loss of every VM and any outage of the log, and any entry that holds the
+//! step can derive the missing slots from it. The cursor is authenticated, because a
+//! corrupted one would silently lose or duplicate samples.
 //!
-//! Weighed against a ledger in the log (see `fetch_log`): the cursor costs no append
-//! and waits for nothing; it asks of the trainer to store a text of at most about
-//! 760 bytes beside its own state and to send it back.
+//! Compared with a record of delivery in the log (see `fetch_log`), the cursor needs no
+//! append and waits for no other process. In return, the trainer has to store a text of at
+//! most about 760 bytes with its own state and send it with each fetch.
 
 use derive::value;
 use hmac::{Hmac, Mac};
@@ -18,43 +18,45 @@
 use crate::slots::{SLOTS_MAX, SlotSet};
 use crate::step::{Step, StepDigest, StepKey};
 
-/// Bytes of a key.
+/// Size of an HMAC key.
 const KEY_BYTES: usize = 32;
 const FORMAT: u8 = 1;
 const MAC_BYTES: usize = 16;
-/// Keeps a code made with the same key for another purpose from passing here.
+/// Domain separation: an authentication code that was computed with the same key for another
+/// purpose is not valid for a cursor.
 const MAC_PURPOSE: &[u8] = b"hornbeamrock cursor";
 const TRAINER_DIGEST_BYTES: usize = 8;
 const TEXT_BYTES_MAX: usize = 1_024;
 
 quick_error! {
-    /// Why a text is not a cursor for this step.
+    /// Why a text is not a valid cursor for a step.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum CursorError {
-        /// Not a cursor, changed on the way, or signed with a key that is no longer accepted.
+        /// The text is not a cursor, was altered, or was signed with a key that is no longer
+        /// accepted.
         Damaged {
             display("the cursor is damaged, or its key is no longer accepted")
         }
-        /// Written in a form that this build does not know.
+        /// The cursor has a format version that this build does not support.
         UnknownFormat(format: u8) {
             display("the cursor has form {}, this build reads form {}", format, FORMAT)
         }
-        /// Of another customer or model.
+        /// The cursor is for another customer or service.
         OtherTrainer {
             display("the cursor belongs to another trainer")
         }
-        /// Of another step of the same trainer.
+        /// The cursor is for another step of the same trainer. Carries that step's number.
         OtherStep(step: u64) {
             display("the cursor belongs to step {}", step)
         }
-        /// Of a step with the same number that asked for something else.
+        /// The cursor is for a post with the same step number and another content.
         OtherPost {
             display("the step was posted with another content than the cursor's")
         }
     }
 }
 
-/// Keys that authenticate cursors; the first signs, each is accepted.
+/// Keys that authenticate cursors: one that signs, and optionally a second that is accepted.
 #[derive(Clone)]
 pub struct CursorKeys {
     signing: [u8; KEY_BYTES],
@@ -62,7 +64,8 @@
 }
 
 impl CursorKeys {
-    /// `also` is accepted while keys are being changed.
+    /// Cursors are signed with `signing` and accepted with either key. `also_accepted` is set
+    /// during a key rotation.
     pub fn new(signing: [u8; KEY_BYTES], also_accepted: Option<[u8; KEY_BYTES]>) -> Self {
         Self {
             signing,
@@ -89,7 +92,7 @@
     Some(mac)
 }
 
-/// What a trainer has received of a step.
+/// The slots of one step that its trainer has received.
 #[value]
 pub struct Cursor {
     key: StepKey,
@@ -99,7 +102,7 @@
 }
 
 impl Cursor {
-    /// Nothing received.
+    /// The cursor of a trainer that has received no slot of `step`.
     pub fn start(step: &Step) -> Self {
         Self {
             key: step.key.clone(),
@@ -109,7 +112,7 @@
         }
     }
 
-    /// Reads and checks the text of a cursor for `step`.
+    /// Decodes the text of a cursor and verifies that it is authentic and belongs to `step`.
     pub fn open(text: &str, keys: &CursorKeys, step: &Step) -> Result<Self, CursorError> {
         let bytes = verified_body(text, keys)?;
         let fields = Fields::read(&bytes)?;
@@ -130,7 +133,7 @@
         })
     }
 
-    /// The cursor as text.
+    /// Encodes and signs the cursor.
     pub fn seal(&self, keys: &CursorKeys) -> String {
         let mut bytes = vec![FORMAT];
         bytes.extend(trainer_digest(&self.key));
@@ -139,28 +142,29 @@
         bytes.extend(self.generation.to_be_bytes());
         bytes.extend(self.received.total().to_be_bytes());
         bytes.extend(codec::pack(&self.received));
-        // HMAC takes a key of any length, so there is always a code; without one the
-        // text would be refused when it comes back, never believed.
+        // HMAC accepts keys of any length, so signing does not fail. If it did, the text
+        // would carry an invalid code and be refused by `open`.
         bytes.extend(keys.sign(&bytes).unwrap_or_default());
         codec::to_text(&bytes)
     }
 
-    /// Digest of the post that it belongs to.
+    /// Digest of the post that the cursor belongs to.
     pub fn digest(&self) -> StepDigest {
         self.digest
     }
 
-    /// Replies that the trainer has taken since the start.
+    /// Number of non-empty replies that the trainer has received.
     pub fn generation(&self) -> u32 {
         self.generation
     }
 
-    /// Slots that the trainer has.
+    /// Slots that the trainer has received.
     pub fn received(&self) -> &SlotSet {
         &self.received
     }
 
-    /// The cursor of a trainer that also takes `places`; the same when there are none.
+    /// This cursor with `positions` added to the received slots. The generation increases only
+    /// if a slot was added.
     pub fn with_received(&self, positions: impl IntoIterator<Item = u32>) -> Self {
         let mut next = self.clone();
         let mut grown = false;
--- a/components/samples/src/holdings.rs
+++ b/components/samples/src/holdings.rs
@@ -1,5 +1,5 @@
-//! How much of the held steps belongs to each customer. Customers don't trust one another,
-//! and one that posts steps without end would else fill the entry's memory.
+//! Counts the held steps and prompt bytes of each customer. Customers do not trust one
+//! another, and without a limit a single customer could fill the entry's memory with posts.
 
 use std::collections::HashMap;
 
@@ -8,12 +8,12 @@
 
 use crate::step::Step;
 
-/// What the entry holds of one customer at most.
+/// Limits on the steps that an entry holds for one customer.
 #[value]
 pub struct StepBounds {
-    /// Steps.
+    /// Maximum number of steps.
     pub steps_max: u32,
-    /// Their prompts together, in bytes.
+    /// Maximum total size of the prompts of these steps.
     pub prompt_bytes_max: usize,
 }
 
@@ -32,7 +32,7 @@
     prompt_bytes: usize,
 }
 
-/// Steps and prompts held, by customer.
+/// Number of held steps and size of their prompts, by customer.
 #[derive(Default)]
 pub(crate) struct Holdings {
     bounds: StepBounds,
@@ -51,7 +51,7 @@
         &self.bounds
     }
 
-    /// Whether the step fits beside what its customer has here.
+    /// Whether the step fits into its customer's limits, together with the steps held already.
     pub fn has_room(&self, step: &Step) -> bool {
         let held = self.held.get(&step.key.customer);
         let (steps, bytes) = held.map_or((0, 0), |held| (held.steps, held.prompt_bytes));
--- a/components/samples/src/ledger.rs
+++ b/components/samples/src/ledger.rs
@@ -1,15 +1,16 @@
-//! The ledger of a step at its home entry.
+//! Tracks the slots and runs of one step at its home entry.
 //!
-//! A slot goes from pending over running (and scoring) to finished; a fetch offers what
-//! is finished and the trainer's next cursor says what has arrived. Only the cursor
-//! decides what is owed, so the ledger may be lost, rebuilt from a copy or held twice:
-//! that costs runs, never a lost or doubled sample. A finished sample stays bound to its
-//! slot until it is too old, so the same fetch brings the same sample again.
+//! A slot moves from pending to running, to scoring if the service has a scorer, and to
+//! finished. A fetch offers finished samples, and the trainer's next cursor lists the
+//! samples that have arrived. Only the cursor decides which samples are still owed. The
+//! ledger may therefore be lost, rebuilt from a copy or held by two entries: the cost is
+//! additional runs, never a lost or duplicated sample. A finished sample stays bound to its
+//! slot until it exceeds the staleness bound, so a repeated fetch returns the same sample.
 //!
-//! Age is judged twice. A fetch judges by the trainer's own version, which is what counts.
-//! Before that the ledger assumes that the trainer will fetch with the newest version
-//! announced, and gives up samples and runs that would be too old by then, so that their
-//! replacements are under way before the trainer asks.
+//! Staleness is checked twice. A fetch checks it against the trainer's own version, and
+//! that result is authoritative. Before the fetch, the ledger assumes that the trainer
+//! will fetch with the newest announced version, and abandons samples and runs that would
+//! be too stale by then. Their replacements are then running before the trainer fetches.
 
 mod dispatch;
 mod fetch;
@@ -37,7 +38,7 @@
     RunId, Start,
 };
 
-/// State of one step.
+/// Slots, runs and samples of one step.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     step: Arc<Step>,
@@ -45,12 +46,12 @@
     slots: Vec<SlotState>,
     pending: BTreeSet<u32>,
     runs: BTreeMap<RunId, Run>,
-    /// Samples that wait for their score, by the run that made them.
+    /// Samples that wait for their score, keyed by the run that generated them.
     scoring: BTreeMap<RunId, ScoreWait>,
     scores_done: u64,
-    /// Newest version that the trainer is known to have.
+    /// Newest version that the trainer has announced or named in a post or fetch.
     newest_version: WeightVersion,
-    /// When its next announcement is expected.
+    /// When the trainer's next announcement is expected.
     next_announcement_ms: Option<u64>,
     received: SlotSet,
     run_timings: RunTimings,
@@ -59,18 +60,20 @@
     next_run: u64,
     /// When the trainer last fetched.
     fetched_ms: Option<u64>,
-    /// When the second home was last told so.
+    /// When the second home was last notified of a fetch.
     notified_ms: Option<u64>,
-    /// A reply gave the last missing slots, and no cursor since says that it was lost.
+    /// A reply offered the last missing slots, and no later cursor shows that the reply was
+    /// lost.
     offered_all: bool,
 }
 
-/// Bits of a run's number that count within one ledger.
+/// Low bits of a run's number, which count within one ledger. The high bits hold the
+/// ledger's number.
 const RUN_NUMBER_BITS: u32 = 32;
 
 impl Ledger {
-    /// A step that was just posted, with what its trainer has already and the version
-    /// that it named.
+    /// Creates the ledger of a posted step. `cursor` lists the slots that the trainer already
+    /// has, and `trainer_version` is the version in the post.
     pub fn new(
         step: Arc<Step>,
         settings: LedgerSettings,
@@ -105,16 +108,17 @@
         }
     }
 
-    /// Gives the ledger a range of run numbers of its own. A step that is dropped and posted
-    /// again in one process gets another ledger; a late result or score of the first one
-    /// would else be taken for that of a run of the second, for another prompt.
+    /// Gives the ledger its own range of run numbers. A step that is dropped and posted again
+    /// in the same process gets a second ledger. With a shared range, a late result or score
+    /// of a run of the first ledger would be bound to a run of the second, which may have
+    /// another prompt.
     pub fn with_number_range(mut self, ledger: u32) -> Self {
         self.next_run = u64::from(ledger) << RUN_NUMBER_BITS | 1;
         self
     }
 
-    /// Takes the place of the ledger of another post: what that one has in progress is
-    /// cancelled with this one's actions.
+    /// Replaces the ledger of another post of the step. The cancellations of the old
+    /// ledger's runs are added to this ledger's actions.
     pub(crate) fn replace(&mut self, mut old: Ledger) {
         old.cancel_all();
         self.actions.extend(old.take_actions());
@@ -125,18 +129,18 @@
         self.fetched_ms
     }
 
-    /// A reply, here or at the other home, gave the last missing slots.
+    /// Records that a reply, from this home or the other one, offered the last missing slots.
     pub(crate) fn mark_all_offered(&mut self) {
         self.offered_all = true;
     }
 
-    /// Whether the trainer has every slot, or was given the last of them.
+    /// Whether the trainer has every slot or was offered the last missing ones.
     pub(crate) fn is_done(&self) -> bool {
         self.offered_all || self.is_complete()
     }
 
-    /// Takes the bounds of a newer configuration; samples that it no longer allows are run
-    /// again.
+    /// Applies the staleness bound and the scoring mode of a newer configuration. Slots whose
+    /// samples exceed the new bound are run again.
     pub fn configure(&mut self, settings: &LedgerSettings) {
         let stricter = settings.staleness_bound < self.settings.staleness_bound;
         self.settings.staleness_bound = settings.staleness_bound;
@@ -146,39 +150,40 @@
         }
     }
 
-    /// The step.
+    /// The posted step that this ledger serves.
     pub fn step(&self) -> &Arc<Step> {
         &self.step
     }
 
-    /// Counts so far.
+    /// Counts of runs, failures and staleness since the ledger was created.
     pub fn tally(&self) -> &Tally {
         &self.tally
     }
 
-    /// Slots that the trainer is known to have.
+    /// Slots that the trainer has according to its last cursor.
     pub fn received(&self) -> &SlotSet {
         &self.received
     }
 
-    /// Whether the trainer is known to have every slot.
+    /// Whether the trainer has every slot according to its last cursor.
     pub fn is_complete(&self) -> bool {
         self.received.is_full()
     }
 
-    /// Slots whose runs have been refused for good by every endpoint that was asked;
-    /// they are tried again at long intervals, and the trainer is told of them.
+    /// Number of slots whose call was refused as quarantined. They are retried at the long
+    /// interval [`LedgerSettings::blocked_retry_ms`], and the step's status shows the count.
     pub fn blocked(&self) -> u32 {
         self.slots.iter().filter(|slot| slot.is_blocked).count() as u32
     }
 
-    /// Takes the actions that events have brought about since the last call.
+    /// Returns and clears the actions that events have caused since the last call.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// The trainer announced a version, and announces the next one at about
-    /// `next_news_ms` if it keeps a rhythm. Finished samples and runs that will be too old are given up.
+    /// Records that the trainer announced a version. `next_announcement_ms` is the expected
+    /// time of the next announcement, if the trainer announces at a regular interval.
+    /// Abandons finished samples and runs that exceed the staleness bound.
     pub fn announce(
         &mut self,
         version: WeightVersion,
@@ -194,8 +199,9 @@
         self.plan_for_swap(now_ms);
     }
 
-    /// Everything that a new second home needs; the cursor is passed on as it came.
-    /// `unused_ms` is how long ago the trainer last asked for the step.
+    /// The post and every finished sample, as messages for a new second home. `cursor` is the
+    /// trainer's sealed cursor, unchanged. `unused_ms` is the time since the trainer last
+    /// posted or fetched the step.
     pub fn copies(&self, cursor: Option<String>, unused_ms: u64) -> Vec<CopyMessage> {
         let post = CopyMessage::Post {
             step: Arc::clone(&self.step),
@@ -208,22 +214,22 @@
         std::iter::once(post).chain(finished).collect()
     }
 
-    /// Takes a sample that the other home finished. One's own finished sample stays,
-    /// since it may have been offered; what was in progress here is cancelled.
+    /// Binds a sample that the other home finished and cancels the slot's runs here. A
+    /// sample that this ledger has already bound stays, since it may have been offered.
     pub fn adopt(&mut self, sample: &Arc<Sample>) {
         let Some(position) = self.step.position(sample.slot) else {
             return;
         };
         let is_settled = matches!(self.phase(position), Phase::Finished(_) | Phase::Idle);
-        let unscored = self.settings.scored && sample.score.is_none();
-        if is_settled || unscored || !self.is_fresh(sample) {
+        let lacks_score = self.settings.scored && sample.score.is_none();
+        if is_settled || lacks_score || !self.is_fresh(sample) {
             return;
         }
         self.cancel_slot(position);
         self.slot_mut(position).phase = Phase::Finished(Arc::clone(sample));
     }
 
-    /// The step is dropped: cancels what is in progress.
+    /// Cancels all runs and pending scores, because the step is dropped.
     pub fn cancel_all(&mut self) {
         for position in 0..self.step.total() {
             self.cancel_slot(position);
@@ -242,7 +248,7 @@
         &mut self.slots[position as usize]
     }
 
-    /// Whether the sample is young enough for the newest version known.
+    /// Whether the sample is within the staleness bound at the newest known version.
     fn is_fresh(&self, sample: &Sample) -> bool {
         let lag = staleness(&sample.versions, self.newest_version);
         lag.is_some_and(|lag| lag <= self.settings.staleness_bound)
@@ -256,14 +262,14 @@
         }
     }
 
-    /// Binds a finished sample to its slot and tells the second home.
+    /// Binds a finished sample to its slot and sends a copy to the second home.
     fn bind(&mut self, position: u32, sample: Arc<Sample>) {
         let copy = self.finished_copy(&sample);
         self.actions.push(Action::Copy(copy));
         self.slot_mut(position).phase = Phase::Finished(sample);
     }
 
-    /// Stops everything in progress for a slot.
+    /// Cancels the slot's runs and its pending score, and takes it out of the queue.
     fn cancel_slot(&mut self, position: u32) {
         self.pending.remove(&position);
         let runs = std::mem::take(&mut self.slot_mut(position).runs);
@@ -276,7 +282,7 @@
         }
     }
 
-    /// Puts a slot back to the start, with another seed.
+    /// Queues a slot for a new sample with another seed.
     fn requeue(&mut self, position: u32, not_before_ms: u64) {
         self.cancel_slot(position);
         let slot = self.slot_mut(position);
@@ -287,24 +293,25 @@
         self.pending.insert(position);
     }
 
-    /// A trainer that has the whole step fetches no more, and its last cursor never comes.
-    /// Its samples would get too old with each version and be run again for nobody; they
-    /// stay until a cursor says that the last reply was lost.
+    /// Abandons the samples that exceed the staleness bound, unless the last missing slots
+    /// were offered. A trainer that has the whole step does not fetch again, so its last
+    /// cursor never arrives here, and each new version would cause useless runs. The samples
+    /// stay until a cursor shows that the last reply was lost.
     fn abandon_stale_samples(&mut self) {
         if self.offered_all {
             return;
         }
         let is_stale = |sample: &Sample| !self.is_fresh(sample);
-        let held = |position: &u32| match self.phase(*position) {
+        let stale_position = |position: &u32| match self.phase(*position) {
             Phase::Finished(sample) => is_stale(sample),
             _ => false,
         };
-        let scored = |wait: &ScoreWait| is_stale(&wait.sample).then_some(wait.position);
-        let missing = self.received.missing().filter(held);
-        let old: Vec<u32> = missing
-            .chain(self.scoring.values().filter_map(scored))
+        let stale_wait = |wait: &ScoreWait| is_stale(&wait.sample).then_some(wait.position);
+        let missing = self.received.missing().filter(stale_position);
+        let stale: Vec<u32> = missing
+            .chain(self.scoring.values().filter_map(stale_wait))
             .collect();
-        for position in old {
+        for position in stale {
             self.abandon(position);
         }
     }
--- a/components/samples/src/ledger/dispatch.rs
+++ b/components/samples/src/ledger/dispatch.rs
@@ -1,10 +1,11 @@
-//! Which slots to run next, and where.
+//! Selects the slots to run next and the replicas that run them.
 //!
-//! Slots go in the order of their groups, so that the groups begun first are whole first
-//! and a slot to be run again goes before groups not begun. Each run goes to the replica
-//! with the most room, which spreads a group and keeps one slow replica from holding up
-//! every group; among equals the newest version wins. A replica whose version would make
-//! the sample too old gets nothing. Late runs use the room that pending slots leave.
+//! Slots start in the order of their groups, so that the groups that started first are
+//! complete first and a slot that is run again precedes groups that have not started. Each
+//! run goes to the replica with the most free runs, which spreads a group and keeps one
+//! slow replica from delaying every group; among equals the newest version wins. A replica
+//! whose version would exceed the staleness bound gets no runs. Hedges and resumes of
+//! stragglers use the capacity that pending slots leave.
 
 use std::net::SocketAddr;
 
@@ -13,23 +14,25 @@
 use crate::sample::staleness;
 use crate::straggler::{Decision, HedgeBudget, RunView, assess};
 
-/// Pause between two looks at the runs in progress.
+/// Interval at which runs in progress are checked for stragglers.
 const RECHECK_INTERVAL_MS: u64 = 500;
 
 impl Ledger {
-    /// Starts what may start now; asks for scores again; looks for late runs.
+    /// Starts the pending slots that are due, retries failed score requests, and hedges or
+    /// stops stragglers.
     pub fn dispatch(&mut self, room: &RunCapacity, now_ms: u64) {
-        // What a second home misses of such a step is missed by nobody else.
+        // The trainer was offered the whole step; slots that are missing only here, at a second
+        // home that did not receive every copy, need no run.
         if self.offered_all {
             return;
         }
         self.retry_scores(now_ms);
         let mut replicas = self.usable_replicas(room);
-        let mut budget = room.in_progress_max.saturating_sub(self.runs.len() as u32);
+        let mut run_budget = room.in_progress_max.saturating_sub(self.runs.len() as u32);
         let ready = |position: &u32| now_ms >= self.slots[*position as usize].not_before_ms;
         let ready: Vec<u32> = self.pending.iter().copied().filter(ready).collect();
         for position in ready {
-            if budget == 0 {
+            if run_budget == 0 {
                 break;
             }
             let avoid = self.slots[position as usize].avoid_replica;
@@ -37,13 +40,14 @@
                 break;
             };
             self.start(position, to, now_ms);
-            budget -= 1;
+            run_budget -= 1;
         }
-        self.handle_stragglers(&mut replicas, budget, now_ms);
+        self.handle_stragglers(&mut replicas, run_budget, now_ms);
     }
 
-    /// When `dispatch` is next worth a call after one at `now_ms`, if no event comes. A slot
-    /// that could have started but found no room waits for a look, not for a busy loop.
+    /// When to call `dispatch` again after a call at `now_ms`, if no event arrives before;
+    /// `None` if there is nothing to run. A slot that is due but found no free replica waits
+    /// for the next periodic check, which avoids a busy loop.
     pub fn next_due_ms(&self, now_ms: u64) -> Option<u64> {
         if self.offered_all {
             return None;
@@ -61,12 +65,12 @@
         due.into_iter().flatten().min().map(|ms| ms.max(now_ms))
     }
 
-    /// Runs in progress.
+    /// Number of runs in progress.
     pub fn running(&self) -> u32 {
         self.runs.len() as u32
     }
 
-    /// Slots that wait for a run.
+    /// Number of slots that wait for a run.
     pub fn waiting(&self) -> u32 {
         self.pending.len() as u32
     }
@@ -129,7 +133,8 @@
         }));
     }
 
-    /// Tokens that the slot can go on from, unless they are too old by now.
+    /// The partial sample that the slot can resume from. One that exceeds the staleness bound
+    /// is discarded.
     fn fresh_partial(&mut self, position: u32) -> Option<PartialSample> {
         let partial = self.slots[position as usize].partial.clone()?;
         let lag = staleness(partial.provenance.versions()?, self.newest_version);
@@ -154,7 +159,7 @@
         mix(step ^ (u64::from(position) << 32 | u64::from(attempt)))
     }
 
-    fn handle_stragglers(&mut self, replicas: &mut [Replica], mut room: u32, now_ms: u64) {
+    fn handle_stragglers(&mut self, replicas: &mut [Replica], mut run_budget: u32, now_ms: u64) {
         let mut budget = HedgeBudget {
             hedges: self.runs.values().filter(|run| run.hedge).count() as u64,
             slots: u64::from(self.step.total()),
@@ -167,15 +172,15 @@
             };
             match decision {
                 Decision::Wait => {}
-                // Without another replica a move would only lose the run.
+                // Without another replica, a stop would only lose the run.
                 Decision::Resume if replicas.iter().any(|r| r.address != from) => self.stop(id),
                 Decision::Resume => {}
-                Decision::Hedge if room == 0 => {}
+                Decision::Hedge if run_budget == 0 => {}
                 Decision::Hedge => {
                     let Some(to) = reserve_replica(replicas, Some(from), false) else {
                         continue;
                     };
-                    room -= 1;
+                    run_budget -= 1;
                     budget.hedges += 1;
                     self.tally.hedges += 1;
                     let resume = self.fresh_partial(position);
@@ -205,8 +210,8 @@
     }
 }
 
-/// Takes a place at the replica with the most room. `avoid` is used only if
-/// `avoid_is_weak` and nothing else has room.
+/// Reserves a run at the replica with the most free runs. The replica `avoid` is chosen only
+/// if `may_use_avoided` is set and no other replica has a free run.
 fn reserve_replica(
     replicas: &mut [Replica],
     avoid: Option<SocketAddr>,
--- a/components/samples/src/ledger/fetch.rs
+++ b/components/samples/src/ledger/fetch.rs
@@ -1,4 +1,4 @@
-//! What a fetch gives.
+//! Replies to the trainer's fetches.
 
 use std::sync::Arc;
 
@@ -14,22 +14,23 @@
 use crate::slots::SlotSet;
 use crate::step::Step;
 
-/// Least time between two notes to the second home that the trainer fetches. Far below the
-/// time after which a step that is not used is dropped there.
+/// Minimum interval between two notifications of the second home that the trainer fetches.
+/// Far below the idle time after which the second home drops the step.
 const FETCH_NOTICE_INTERVAL_MS: u64 = 60_000;
-/// Texts of one reply at most, in bytes, so that it passes between entries also when every
-/// byte takes six in JSON. One sample is given in any case.
+/// Maximum size of the texts of one reply. A reply must fit into a message between entries
+/// even if JSON escapes every byte as six. A larger single sample is still returned.
 const REPLY_BYTES_MAX: usize = 4 << 20;
 
 quick_error! {
-    /// Why a fetch gives nothing.
+    /// Why a fetch is refused.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum FetchError {
-        /// The cursor belongs to another post.
+        /// The cursor's digest is that of another post of the step.
         OtherPost {
             display("the cursor belongs to another post than the step held here")
         }
-        /// An operator has rolled the model back; the trainer has to take that epoch up.
+        /// An operator has rolled the model back, and the trainer's version is of an earlier
+        /// epoch. Carries the newest version.
         StaleEpoch(current: WeightVersion) {
             display("the model was rolled back; version {} is in force", current)
         }
@@ -39,29 +40,29 @@
 /// A sample of a reply.
 #[value]
 pub struct Offer {
-    /// The sample.
+    /// Sample within the staleness bound.
     pub sample: Arc<Sample>,
-    /// Versions that it lags behind the trainer.
+    /// Number of versions that the sample lags behind the trainer.
     pub staleness: u64,
 }
 
-/// Answer to a fetch; it counts only together with its cursor.
+/// Reply to a fetch. The trainer must store the samples and the cursor together.
 #[value]
 pub struct Reply {
-    /// Samples that the fetch's cursor did not have.
+    /// Samples of slots that the fetch's cursor lists as missing.
     pub samples: Vec<Offer>,
-    /// Cursor of the trainer once it has taken them.
+    /// Cursor for the trainer's next fetch, with the slots of these samples as received.
     pub cursor: Cursor,
-    /// Slots in that cursor.
+    /// Number of slots that the new cursor lists as received.
     pub received: u32,
-    /// Slots of the step.
+    /// Number of slots of the step.
     pub total: u32,
-    /// Whether nothing is missing then.
+    /// Whether the new cursor lists every slot as received.
     pub complete: bool,
 }
 
 impl Reply {
-    /// The slots of the samples, as a set of the step.
+    /// Positions of the samples' slots in `step`.
     pub fn slots(&self, step: &Step) -> SlotSet {
         let mut slots = SlotSet::new(step.total());
         let positions = self
@@ -76,10 +77,11 @@
 }
 
 impl Ledger {
-    /// Gives up to `max` samples that the cursor does not have and that are young enough
-    /// for the trainer's own version. Whole groups go first. A sample too old is
-    /// abandoned and run again. An earlier cursor is legal: a trainer that went back to
-    /// its checkpoint gets again what it no longer has.
+    /// Returns up to `max` samples that the cursor lists as missing and that are within the
+    /// staleness bound at the trainer's own version. Groups that become complete go first.
+    /// Samples over the bound are abandoned and their slots run again. A cursor older than the
+    /// last one is valid: a trainer that restored a checkpoint gets the samples again that it
+    /// no longer has.
     pub fn fetch(
         &mut self,
         cursor: &Cursor,
@@ -92,8 +94,8 @@
         Ok(self.reply(cursor, &positions, trainer_version, now_ms))
     }
 
-    /// Gives exactly these slots, or nothing until all of them are ready; for a fetch
-    /// whose answer is fixed in the log.
+    /// Returns exactly these slots, or `None` until all of them are finished. For a fetch whose
+    /// slots are fixed by a record in the log (see [`crate::FetchLog`]).
     pub fn fetch_granted(
         &mut self,
         base: &Cursor,
@@ -127,7 +129,8 @@
         Ok(self.ready_slots(trainer_version))
     }
 
-    /// Aligns the slots with what the trainer has.
+    /// Updates the slots to the trainer's cursor: drops the work for slots that it has
+    /// received, and queues slots again that it turns out to miss.
     pub(crate) fn apply_cursor(&mut self, cursor: &Cursor) {
         let received = cursor.received();
         for position in received.iter() {
@@ -150,14 +153,15 @@
         if let Some(staleness) = self.slot_mut(position).offered_staleness.take() {
             self.tally.staleness.record(staleness);
         }
-        // The other home delivered it: what is under way here is for nobody.
+        // The other home delivered the sample, so runs of the slot here are useless.
         if !matches!(self.phase(position), Phase::Finished(_) | Phase::Idle) {
             self.cancel_slot(position);
             self.slot_mut(position).phase = Phase::Idle;
         }
     }
 
-    /// Missing slots with a sample that this trainer may have; older ones are abandoned.
+    /// Missing slots whose sample is within the staleness bound at the trainer's version.
+    /// Samples over the bound are abandoned.
     fn ready_slots(&mut self, trainer_version: WeightVersion) -> SlotSet {
         let mut ready = SlotSet::new(self.step.total());
         let missing: Vec<u32> = self.received.missing().collect();
@@ -175,7 +179,7 @@
         ready
     }
 
-    /// Places to offer: those of groups that become whole first, then the others.
+    /// Positions to offer: first those of groups that become complete, then the others.
     fn choose_slots(&self, ready: &SlotSet, max: u32) -> Vec<u32> {
         let had = |position: u32| ready.contains(position) || self.received.contains(position);
         let groups = 0..self.step.groups.len() as u32;
@@ -221,8 +225,8 @@
 }
 
 impl Ledger {
-    /// Keeps the second home from dropping a step that its trainer fetches here, and from
-    /// running for nobody what the trainer has.
+    /// Notifies the second home of a fetch, so that it does not drop a step in use and does not
+    /// run slots that the trainer already has.
     fn notify_second_home(&mut self, now_ms: u64) {
         let recently = |notified_ms| now_ms.saturating_sub(notified_ms) < FETCH_NOTICE_INTERVAL_MS;
         if !self.offered_all && self.notified_ms.is_some_and(recently) {
--- a/components/samples/src/ledger/runs.rs
+++ b/components/samples/src/ledger/runs.rs
@@ -1,4 +1,4 @@
-//! What happens to runs: progress, results, failures, swaps of weights.
+//! Events of runs: progress, results, failures and weight swaps.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,7 +12,8 @@
 use crate::swap::{RunInProgress, RunPlan, SwapContext, plan_run};
 
 impl Ledger {
-    /// A run has made `tokens` in all by now; `stamp` is the version on its latest chunk.
+    /// Records that a run has generated `tokens` tokens in total. `stamp` is the version on the
+    /// latest chunk. Abandons the run if that version makes the sample too stale.
     pub fn record_progress(
         &mut self,
         run: RunId,
@@ -40,8 +41,9 @@
         }
     }
 
-    /// A run has its whole result. The first one of a slot is bound; the others are
-    /// cancelled, and a result that comes later belongs to no run any more.
+    /// Records the complete result of a run. The first result of a slot is bound, and the
+    /// slot's other runs are cancelled. Later results of those are ignored, since their run
+    /// numbers are no longer known.
     pub fn record_completion(&mut self, run: RunId, completion: Completion, now_ms: u64) {
         let Some(state) = self.runs.get(&run).cloned() else {
             return;
@@ -75,7 +77,8 @@
         self.complete_slot(run, position, sample);
     }
 
-    /// A run ended without a whole result.
+    /// Records that a run ended without a complete result, and queues the slot again unless
+    /// another run of the slot continues.
     pub fn record_failure(
         &mut self,
         run: RunId,
@@ -96,10 +99,10 @@
         if !self.slots[position as usize].runs.is_empty() {
             return;
         }
-        let wait_ms = self.fault_delay_ms(position, fault);
+        let delay_ms = self.fault_delay_ms(position, fault);
         let slot = self.slot_mut(position);
         slot.phase = Phase::Pending;
-        slot.not_before_ms = now_ms + wait_ms;
+        slot.not_before_ms = now_ms + delay_ms;
         let usable = partial.filter(|p| p.provenance.versions().is_some());
         if usable.is_some() {
             slot.partial = usable;
@@ -107,16 +110,17 @@
         self.pending.insert(position);
     }
 
-    /// An engine refuses to go on from tokens: not all take them, and none takes as many as
-    /// the sample may have, which a run leaves whose engine died before its last word. Tried
-    /// again with them, the slot would be refused for ever.
+    /// Runs a slot from its prompt because an engine refused to resume from the partial
+    /// sample. Not every engine accepts tokens to resume from, and none accepts as many as
+    /// `max_tokens`, which is how many remain if an engine dies between the last token and the
+    /// end of its response. A retry with the same tokens would be refused every time.
     fn restart_without_partial(&mut self, position: u32) {
         self.tally.failed += 1;
         self.slot_mut(position).partial = None;
         self.requeue_if_last(position);
     }
 
-    /// Plans every run against the newest version.
+    /// Keeps, stops or abandons each run for a swap to the newest version.
     pub(super) fn plan_for_swap(&mut self, now_ms: u64) {
         let context = SwapContext {
             announced: self.newest_version,
@@ -146,7 +150,7 @@
         }
     }
 
-    /// Asks for a run to be stopped, to go on elsewhere from its tokens.
+    /// Requests a run to be stopped, so that it resumes on another replica from its tokens.
     pub(super) fn stop(&mut self, run: RunId) {
         if let Some(state) = self.runs.get_mut(&run) {
             state.is_stopping = true;
@@ -157,7 +161,7 @@
     fn run_in_progress(&self, run: &Run, now_ms: u64) -> RunInProgress {
         let elapsed_ms = now_ms.saturating_sub(run.started_ms);
         let left = u64::from(self.step.max_tokens).saturating_sub(run.tokens);
-        // Until it ends, a run is taken to use half of the tokens that it still may.
+        // The remaining length is unknown: assume half of the tokens that are still allowed.
         let remaining_ms = (elapsed_ms * left / 2).checked_div(run.tokens);
         RunInProgress {
             oldest: run.versions.first().copied(),
@@ -166,7 +170,8 @@
         }
     }
 
-    /// A run is too old. A hedge beside it may be younger and goes on.
+    /// Cancels a run that exceeds the staleness bound. Another run of the same slot continues,
+    /// since it may be within the bound.
     fn abandon_run(&mut self, run: RunId, position: u32) {
         self.tally.abandoned += 1;
         self.actions.push(Action::Cancel { run });
@@ -174,18 +179,19 @@
         self.requeue_if_last(position);
     }
 
-    /// A replica made something that can't be used, as one that missed a swap or stamps
-    /// nothing does each time. Without a pause the slot would be run there at full speed.
+    /// Delays the next run of a slot and prefers another replica, after a result that cannot be
+    /// used. A replica that missed a swap or sends no version stamps returns such results
+    /// every time, and without a delay the slot would be run there in a busy loop.
     fn back_off(&mut self, position: u32, replica: SocketAddr, now_ms: u64) {
         let failures = self.slots[position as usize].failures + 1;
-        let wait_ms = self
+        let delay_ms = self
             .settings
             .run_retry
             .delay_ms(failures, u64::from(position));
         let slot = self.slot_mut(position);
         slot.failures = failures;
         slot.avoid_replica = Some(replica);
-        slot.not_before_ms = now_ms + wait_ms;
+        slot.not_before_ms = now_ms + delay_ms;
     }
 
     fn remove_run(&mut self, run: RunId, position: u32) {
@@ -230,7 +236,7 @@
         let failures = self.slots[position as usize].failures;
         match fault {
             Fault::Moved => 0,
-            // The loss of one endpoint says nothing of the next one.
+            // A single lost endpoint does not suggest that another one fails too.
             Fault::Lost if failures == 1 => 0,
             Fault::Refused | Fault::Lost => self
                 .settings
--- a/components/samples/src/ledger/scores.rs
+++ b/components/samples/src/ledger/scores.rs
@@ -1,11 +1,11 @@
-//! Scores of finished samples.
+//! Requests scores of finished samples.
 //!
 //! A sample of a scored service is never delivered without its score. While the scorer
-//! as a whole fails, the sample waits and the score is asked for again with a growing
-//! pause: a new sample would fare no better and cost a run. If other samples are scored
-//! meanwhile and this one has failed often enough, the fault is in the sample; it is
-//! given up and the slot is run again. A score that comes late still counts, as long as
-//! its sample waits.
+//! fails for every sample, the sample waits and the request is retried with exponential
+//! backoff, since a new sample would fail as well and cost a run. If other samples are
+//! scored in the meantime and the requests for this sample have failed
+//! [`crate::LedgerSettings::score_attempts_max`] times, the cause is the sample: it is
+//! dropped and its slot is run again. A late score is still accepted while its sample waits.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 use crate::sample::{Sample, Score};
 
 impl Ledger {
-    /// The scorer answered for the sample that `run` made.
+    /// Records the score of the sample that `run` generated.
     pub fn record_score(&mut self, run: RunId, score: Score) {
         let Some(wait) = self.scoring.remove(&run) else {
             return;
@@ -27,7 +27,7 @@
         self.bind(wait.position, Arc::new(sample));
     }
 
-    /// The scorer failed or did not answer in time.
+    /// Records that a score request failed or timed out, and schedules the next one.
     pub fn record_score_failure(&mut self, run: RunId, now_ms: u64) {
         let scores_done = self.scores_done;
         let Some(wait) = self.scoring.get_mut(&run) else {
@@ -53,8 +53,9 @@
         wait.not_before_ms = now_ms + delay_ms;
     }
 
-    /// Samples are scored from here on, or no more. Without a scorer those that wait for
-    /// their score would wait for ever; with one, those without would go out unscored.
+    /// Turns scoring on or off. When scoring is turned off, samples that wait for a score are
+    /// bound without one, since no score will arrive. When it is turned on, finished samples
+    /// without a score are sent to the scorer, since they would be delivered unscored.
     pub(super) fn set_scored(&mut self, scored: bool) {
         if scored == self.settings.scored {
             return;
@@ -69,8 +70,8 @@
         }
     }
 
-    /// Has the samples scored that the trainer does not have and that were finished while
-    /// there was no scorer.
+    /// Requests scores for samples that finished while the service had no scorer and that the
+    /// trainer does not have.
     pub(super) fn request_missing_scores(&mut self) {
         if !self.settings.scored || self.offered_all {
             return;
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Asks for the score of a whole sample.
+    /// Moves a slot to scoring and requests the score of its finished sample.
     pub(super) fn request_score(&mut self, run: RunId, position: u32, sample: Arc<Sample>) {
         self.slot_mut(position).phase = Phase::Scoring;
         self.scoring
@@ -96,7 +97,7 @@
         self.actions.push(Action::Score { run, sample });
     }
 
-    /// Asks again for the scores whose pause is over.
+    /// Repeats the failed score requests whose backoff has elapsed.
     pub(super) fn retry_scores(&mut self, now_ms: u64) {
         for (&run, wait) in &mut self.scoring {
             if wait.is_requested || now_ms < wait.not_before_ms {
@@ -110,7 +111,7 @@
         }
     }
 
-    /// When a score is next to be asked for.
+    /// When the next score request is due.
     pub(super) fn score_due_ms(&self) -> Option<u64> {
         let waiting = self.scoring.values().filter(|wait| !wait.is_requested);
         waiting.map(|wait| wait.not_before_ms).min()
--- a/components/samples/src/ledger/state.rs
+++ b/components/samples/src/ledger/state.rs
@@ -1,4 +1,5 @@
-//! What the ledger knows of slots and runs, and what it asks of its driver.
+//! State of slots and runs, and the actions that the ledger requests from its driver, the
+//! code that performs them and reports events back.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,19 +14,21 @@
 use crate::step::Slot;
 use crate::straggler::StragglerSettings;
 
+/// Keeps the shift within 64 bits; [`RetryBackoff::max_ms`] usually applies earlier.
 const DOUBLINGS_MAX: u32 = 16;
 
-/// Exponential pace of retries.
+/// Exponential backoff with jitter.
 #[value]
 pub struct RetryBackoff {
-    /// After the first failure.
+    /// Upper bound of the delay after the first failure; it doubles with each further one.
     pub initial_ms: u64,
-    /// At most.
+    /// Upper bound of the delay after any number of failures.
     pub max_ms: u64,
 }
 
 impl RetryBackoff {
-    /// Wait after `failures` in a row. Slots that fail together are spread by `salt`.
+    /// Delay after `failures` consecutive failures, between half the bound and the bound.
+    /// `salt` spreads the retries of slots that fail together.
     pub(super) fn delay_ms(&self, failures: u32, salt: u64) -> u64 {
         let doublings = failures.saturating_sub(1).min(DOUBLINGS_MAX);
         let bound_ms = self
@@ -37,24 +40,25 @@
     }
 }
 
-/// Bounds of a step's ledger.
+/// Staleness bound, scoring mode and retry policy of a step's ledger.
 #[value]
 pub struct LedgerSettings {
-    /// Versions that a sample may lag behind its trainer.
+    /// Maximum number of versions that a sample may lag behind its trainer.
     pub staleness_bound: u64,
-    /// Samples go through a scorer and are not delivered without a score.
+    /// Whether samples are scored; if so, none is delivered without a score.
     pub scored: bool,
-    /// Engines go on with a run over a switch of weights.
+    /// Whether engines continue a run across a weight swap.
     pub survives_swap: bool,
-    /// Pace of retries of a run that failed.
+    /// Backoff after failed or discarded runs of a slot.
     pub run_retry: RetryBackoff,
-    /// Wait of a slot whose call was refused for good.
+    /// Delay before the next run of a slot whose call is quarantined.
     pub blocked_retry_ms: u64,
-    /// Pace of retries at the scorer.
+    /// Backoff after failed requests to the scorer.
     pub score_retry: RetryBackoff,
-    /// Scores that fail for one sample, while others succeed, before it is run again.
+    /// Failed score requests for one sample, while others succeed, after which its slot is
+    /// run again.
     pub score_attempts_max: u32,
-    /// Late runs.
+    /// When a run counts as a straggler.
     pub straggler: StragglerSettings,
 }
 
@@ -79,112 +83,114 @@
     }
 }
 
-/// Number of a run within a ledger.
+/// Number of a run; unique within the process if each ledger has its own range
+/// ([`crate::Ledger::with_number_range`]).
 #[key]
 pub struct RunId(pub u64);
 
-/// What a run that was stopped or lost leaves for the next one.
+/// Output of a run that was stopped or lost, from which the next run resumes.
 #[value]
 pub struct PartialSample {
-    /// Text so far.
+    /// Text generated so far, including that of earlier runs.
     pub text: String,
-    /// Its tokens, for the engine.
+    /// Token ids of the text, which the engine needs to resume.
     pub tokens: Vec<u32>,
-    /// Where they come from.
+    /// Weight versions that generated the tokens.
     pub provenance: Provenance,
 }
 
 /// A run to start.
 #[value]
 pub struct Start {
-    /// Its number, for everything that is said of it.
+    /// Identifies the run in all later events and actions.
     pub run: RunId,
-    /// Its slot.
+    /// Slot that the run generates a sample for.
     pub slot: Slot,
-    /// Where; an agent's address.
+    /// Address of the replica's agent.
     pub to: SocketAddr,
-    /// Seed: the same for hedges and resumes of one sample, so that which of them ends
-    /// first says little of its length.
+    /// Sampling seed. Hedges and resumes of a sample share it, so their texts have about the
+    /// same length and binding the first result does not favour short texts.
     pub seed: u64,
-    /// Go on from here.
+    /// Partial sample to resume from; `None` starts from the prompt.
     pub resume: Option<PartialSample>,
-    /// It runs beside a slow one.
+    /// Whether this is a hedge of a slow run of the same slot.
     pub hedge: bool,
 }
 
-/// What the driver does for the ledger.
+/// Action that the ledger requests from its driver.
 #[value]
 pub enum Action {
     /// Start a run.
     Start(Start),
-    /// Cancel a run; nothing more that it brings is used.
+    /// Cancel a run; the ledger ignores its later events.
     Cancel {
-        /// The run.
+        /// Run to cancel.
         run: RunId,
     },
     /// Stop a run and report it as failed with [`Fault::Moved`] and its partial text.
     Stop {
-        /// The run.
+        /// Run to stop.
         run: RunId,
     },
-    /// Ask the scorer for this sample and report under the run's number.
+    /// Request a score for this sample and report the result under the run's number.
     Score {
-        /// The run that made the sample.
+        /// Run that generated the sample.
         run: RunId,
-        /// The sample.
+        /// Finished sample without a score.
         sample: Arc<Sample>,
     },
-    /// Send this to the second home.
+    /// Send this message to the second home.
     Copy(CopyMessage),
 }
 
-/// A whole result of a run.
+/// Complete result of a run.
 #[value]
 pub struct Completion {
-    /// Text, the partial that it went on from included.
+    /// Text, including that of the partial sample that the run resumed from.
     pub text: String,
-    /// Tokens that this run made.
+    /// Number of tokens that this run generated, without those of the partial sample.
     pub tokens: u64,
-    /// Origin, that of the partial included.
+    /// Weight versions that generated the text, including the partial sample's.
     pub provenance: Provenance,
 }
 
-/// Why a run ended without a whole result.
+/// Why a run ended without a complete result.
 #[key]
 pub enum Fault {
-    /// It never reached the engine, which is full, leaving or not hosting the model.
+    /// The run never reached the engine, which is full, leaving or not hosting the model.
     Refused,
-    /// The endpoint or the way to it was lost, or the answer was cut.
+    /// The endpoint or the connection to it was lost, or the response was truncated.
     Lost,
-    /// The call is refused for good because it crashes endpoints.
+    /// The call is quarantined because it crashes endpoints, or the engine rejected it in a
+    /// way that a retry would repeat.
     Quarantined,
-    /// Stopped on request of the ledger.
+    /// The ledger requested the stop, to resume the run on another replica.
     Moved,
 }
 
 /// A replica that can take runs.
 #[value]
 pub struct Replica {
-    /// Its agent.
+    /// Address of the replica's agent.
     pub address: SocketAddr,
-    /// Runs that it can take now.
+    /// Number of further runs that the replica can take now.
     pub free_runs: u32,
-    /// Version that it serves, if known.
+    /// Weight version that the replica serves, if known.
     pub version: Option<WeightVersion>,
 }
 
-/// Room for runs of one step, as the driver grants it at this moment.
+/// Runs that one step may have now, as the driver grants them.
 #[value]
 pub struct RunCapacity {
-    /// Runs of the step in progress at most.
+    /// Maximum number of runs of the step in progress.
     pub in_progress_max: u32,
-    /// Replicas of the model.
+    /// Replicas of the model that may take runs.
     pub replicas: Vec<Replica>,
 }
 
 #[value]
 pub(super) enum Phase {
-    /// The trainer has it and nothing is kept of it.
+    /// Nothing to do and no sample held: the trainer has the sample, or the step was dropped.
     Idle,
     Pending,
     Running,
@@ -197,15 +203,15 @@
     pub phase: Phase,
     pub runs: Vec<RunId>,
     pub partial: Option<PartialSample>,
-    /// Replica that the next run should avoid.
+    /// Replica of the last failed run; the next run prefers another.
     pub avoid_replica: Option<SocketAddr>,
-    /// Samples begun for the slot; the seed depends on it.
+    /// Number of restarts from the prompt; the seed depends on it.
     pub attempt: u32,
     pub failures: u32,
     pub moves: u32,
     pub not_before_ms: u64,
     pub is_blocked: bool,
-    /// Age at the last offer, counted when the sample has arrived.
+    /// Staleness at the last offer, recorded once a cursor shows that the sample has arrived.
     pub offered_staleness: Option<u64>,
 }
 
@@ -238,14 +244,14 @@
     pub position: u32,
     pub to: SocketAddr,
     pub hedge: bool,
-    /// It went on from tokens of an earlier one.
+    /// Whether the run resumed from the tokens of an earlier one.
     pub resumed: bool,
     pub started_ms: u64,
     pub last_token_ms: u64,
     pub tokens: u64,
-    /// Versions stamped so far, those of the partial included.
+    /// Versions stamped so far, including the partial sample's.
     pub versions: BTreeSet<WeightVersion>,
-    /// The driver was asked to stop it.
+    /// The driver was requested to stop the run.
     pub is_stopping: bool,
 }
 
@@ -256,11 +262,11 @@
     pub is_requested: bool,
     pub failures: u32,
     pub not_before_ms: u64,
-    /// Scores that had succeeded when this one first failed.
+    /// Number of scores that the ledger had received when this one first failed.
     pub scores_done_before: u64,
 }
 
-/// SplitMix64's finaliser: spreads neighbouring numbers.
+/// Finaliser of SplitMix64: maps neighbouring numbers to distant ones.
 pub(super) fn mix(number: u64) -> u64 {
     let z = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/components/samples/src/provenance.rs
+++ b/components/samples/src/provenance.rs
@@ -1,26 +1,26 @@
-//! Which weight versions made a sample.
+//! Determines which weight versions generated a sample.
 //!
-//! The stamps on the chunks are the truth. A part without a stamp is attributed only
-//! to a version that the endpoint's agent saw in force over the whole segment; with a
-//! swap in the segment the origin is not known, and the sample is run again rather
-//! than labelled by guess.
+//! The version stamps on the chunks are authoritative. A part without a stamp is attributed
+//! to a version only if the endpoint's agent observed that version as active during the
+//! whole segment. If the weights were swapped during the segment, the provenance is unknown,
+//! and the sample is run again rather than labelled with a guess.
 
 use std::collections::BTreeSet;
 
 use derive::{value, wire};
 use types::WeightVersion;
 
-/// Origin of a text.
+/// Weight versions that generated a text.
 #[wire]
 pub enum Provenance {
-    /// Exactly these versions; never empty.
+    /// Exactly these versions generated the text; never empty.
     Known(BTreeSet<WeightVersion>),
-    /// Some part has no certain version.
+    /// The version of at least one part is unknown.
     NotKnown,
 }
 
 impl Provenance {
-    /// The versions, if they are known.
+    /// The versions; `None` if they are not known.
     pub fn versions(&self) -> Option<&BTreeSet<WeightVersion>> {
         match self {
             Provenance::Known(versions) => Some(versions),
@@ -29,23 +29,25 @@
     }
 }
 
-/// Collects the stamps of one sample over its chunks and resumed segments.
+/// Collects the version stamps of one sample. A sample consists of segments, one per run,
+/// and each segment of chunks.
 #[value]
 #[derive(Default)]
 pub struct Stamps {
     versions: BTreeSet<WeightVersion>,
-    /// The current segment has a part without a stamp.
+    /// Whether the current segment has a part without a stamp.
     has_unstamped: bool,
     is_unknown: bool,
 }
 
 impl Stamps {
-    /// No chunk yet.
+    /// Creates a collector without any chunk.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Starts from the origin of the tokens that a resumed run begins with.
+    /// Creates a collector for a resumed run, from the provenance of the tokens that it resumes
+    /// from.
     pub fn resumed_from(earlier: &Provenance) -> Self {
         Self {
             versions: earlier.versions().cloned().unwrap_or_default(),
@@ -54,7 +56,7 @@
         }
     }
 
-    /// A chunk came; `stamp` is its version if it carries one.
+    /// Records a chunk; `stamp` is the version on it, if any.
     pub fn record_chunk(&mut self, stamp: Option<WeightVersion>) {
         match stamp {
             Some(version) => {
@@ -64,14 +66,16 @@
         }
     }
 
-    /// A unary answer came with its list of versions; an empty list is no stamp.
+    /// Records a response that is not streamed, with its list of versions. An empty list counts
+    /// as a missing stamp.
     pub fn record_response(&mut self, versions: &[WeightVersion]) {
         self.has_unstamped |= versions.is_empty();
         self.versions.extend(versions);
     }
 
-    /// A segment at one endpoint ended. `witnessed` is the one version that its agent saw
-    /// in force from the first chunk to the last; `None` when it saw a swap or can't say.
+    /// Ends a segment of one endpoint. `witnessed` is the version that the endpoint's agent
+    /// observed as active from the first chunk to the last; `None` if the agent observed a
+    /// swap or does not know.
     pub fn end_segment(&mut self, witnessed: Option<WeightVersion>) {
         if !std::mem::take(&mut self.has_unstamped) {
             return;
@@ -84,12 +88,13 @@
         }
     }
 
-    /// Oldest version seen so far.
+    /// Oldest version recorded so far.
     pub fn oldest(&self) -> Option<WeightVersion> {
         self.versions.first().copied()
     }
 
-    /// The origin of all parts so far. A segment that was not ended counts as unwitnessed.
+    /// The provenance of all recorded parts. A segment that was not ended is treated as ended
+    /// without a witnessed version.
     pub fn finish(mut self) -> Provenance {
         self.end_segment(None);
         if self.is_unknown || self.versions.is_empty() {
--- a/components/samples/src/slots.rs
+++ b/components/samples/src/slots.rs
@@ -1,12 +1,12 @@
-//! A set of slots of one step, as bits.
+//! A set of slots of one step, as a bit set.
 
 use derive::value;
 
-/// Most slots of a step.
+/// Maximum number of slots of a step.
 pub(crate) const SLOTS_MAX: u32 = 4_096;
 const WORD_BITS: u32 = u64::BITS;
 
-/// Set of places of slots in a step of a known size.
+/// Set of slot positions in a step with a fixed number of slots.
 #[value]
 pub struct SlotSet {
     words: Vec<u64>,
@@ -14,7 +14,7 @@
 }
 
 impl SlotSet {
-    /// The empty set for a step of `total` slots.
+    /// Creates an empty set for a step of `total` slots.
     pub fn new(total: u32) -> Self {
         Self {
             words: vec![0; total.div_ceil(WORD_BITS) as usize],
@@ -22,12 +22,12 @@
         }
     }
 
-    /// Slots of the step.
+    /// Number of slots of the step.
     pub fn total(&self) -> u32 {
         self.total
     }
 
-    /// Slots in the set.
+    /// Number of slots in the set.
     pub fn len(&self) -> u32 {
         self.words.iter().map(|word| word.count_ones()).sum()
     }
@@ -42,12 +42,13 @@
         self.len() == self.total
     }
 
-    /// Whether the slot at `place` is in the set.
+    /// Whether the slot at `position` is in the set.
     pub fn contains(&self, position: u32) -> bool {
         position < self.total && self.words[(position / WORD_BITS) as usize] & bit(position) != 0
     }
 
-    /// Adds the slot at `place`; false if it was there or the step has no such slot.
+    /// Adds the slot at `position`. Returns false if it was in the set or the step has no such
+    /// slot.
     pub fn insert(&mut self, position: u32) -> bool {
         if position >= self.total || self.contains(position) {
             return false;
@@ -56,35 +57,36 @@
         true
     }
 
-    /// Adds every slot of `other`, a set of the same step.
+    /// Adds every slot of `other`, which must be a set of the same step.
     pub fn extend(&mut self, other: &SlotSet) {
         other.iter().for_each(|position| {
             self.insert(position);
         });
     }
 
-    /// Whether some slot is in both sets.
+    /// Whether the sets have a slot in common.
     pub fn intersects(&self, other: &SlotSet) -> bool {
         self.words.iter().zip(&other.words).any(|(a, b)| a & b != 0)
     }
 
-    /// Places in the set, ascending.
+    /// Positions in the set, ascending.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
         (0..self.total).filter(|&position| self.contains(position))
     }
 
-    /// Places of the step that are not in the set, ascending.
+    /// Positions of the step that are not in the set, ascending.
     pub fn missing(&self) -> impl Iterator<Item = u32> + '_ {
         (0..self.total).filter(|&position| !self.contains(position))
     }
 
-    /// The set as bytes, lowest place in the lowest bit of the first byte.
+    /// Encodes the set as a bitmap; position 0 is the lowest bit of the first byte.
     pub(crate) fn to_bytes(&self) -> Vec<u8> {
         let bytes = self.words.iter().flat_map(|word| word.to_le_bytes());
         bytes.take(self.total.div_ceil(8) as usize).collect()
     }
 
-    /// The set in `bytes`, unless they hold more or fewer slots than `total`.
+    /// Decodes a bitmap. `None` if its length does not match `total`, or a bit at or beyond
+    /// `total` is set.
     pub(crate) fn from_bytes(total: u32, bytes: &[u8]) -> Option<Self> {
         if bytes.len() != total.div_ceil(8) as usize {
             return None;
@@ -93,12 +95,12 @@
         for (position, &byte) in bytes.iter().enumerate() {
             set.words[position / 8] |= u64::from(byte) << (8 * (position % 8));
         }
-        let beyond = (!total.is_multiple_of(WORD_BITS)).then(|| {
+        let excess_bits = (!total.is_multiple_of(WORD_BITS)).then(|| {
             set.words
                 .last()
                 .map_or(0, |word| word >> (total % WORD_BITS))
         });
-        (beyond.unwrap_or(0) == 0).then_some(set)
+        (excess_bits.unwrap_or(0) == 0).then_some(set)
     }
 }
 
--- a/components/samples/src/step.rs
+++ b/components/samples/src/step.rs
@@ -1,8 +1,9 @@
-//! A step of training as its trainer posts it: groups of samples, one prompt a group.
+//! A training step as its trainer posts it: groups of samples, with one prompt per group.
 //!
-//! Everything about a step is found by a slot's place in it, so a set of slots is a
-//! set of small numbers. The digest covers all that decides what is generated; two
-//! posts of one step with different content are told apart by it.
+//! A slot is one sample of the step. Slots are addressed by position, their index within the
+//! step, so a set of slots is a set of small integers. The digest covers everything that
+//! determines the generated texts, so two posts of a step with different content have
+//! different digests.
 
 use derive::{wire, wire_key};
 use quick_error::quick_error;
@@ -15,71 +16,71 @@
 const DIGEST_BYTES: usize = 16;
 
 quick_error! {
-    /// Why a post is not a step.
+    /// Why a post is invalid.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum StepError {
-        /// No slot at all.
+        /// The groups request no samples.
         Empty {
             display("the step has no samples")
         }
-        /// More slots than a cursor can carry.
+        /// The step has more slots than a cursor can hold. Carries the number of slots.
         TooManySlots(slots: u64) {
             display("the step has {} samples, at most {} are allowed", slots, SLOTS_MAX)
         }
     }
 }
 
-/// Name of a step.
+/// Identifies a step.
 #[wire]
 #[derive(Hash, PartialOrd, Ord)]
 pub struct StepKey {
-    /// Customer that trains.
+    /// Customer that the trainer belongs to.
     pub customer: CustomerName,
-    /// Model that is trained.
+    /// Service of the trained model.
     pub service: ServiceName,
-    /// Number that the trainer gave the step.
+    /// Step number, assigned by the trainer.
     pub step: u64,
 }
 
-/// Place of one sample in its step.
+/// One sample of a step, by group.
 #[wire_key]
 pub struct Slot {
-    /// Which group.
+    /// Index of the group within the step.
     pub group: u32,
-    /// Which sample of the group.
+    /// Index of the sample within the group.
     pub index: u32,
 }
 
-/// One prompt and the number of samples wanted of it.
+/// One prompt and the number of samples to generate from it.
 #[wire]
 pub struct Group {
-    /// The prompt.
+    /// Text that every sample of the group continues.
     pub prompt: String,
-    /// Samples wanted.
+    /// Number of samples to generate; may be zero.
     pub samples: u32,
 }
 
-/// Digest of what a step asks for.
+/// Truncated SHA-256 digest of a step's key and content.
 #[wire_key]
 pub struct StepDigest(pub [u8; DIGEST_BYTES]);
 
-/// A step as it was posted.
+/// A posted step with at least one slot.
 #[wire]
 #[serde(try_from = "Post", into = "Post")]
 pub struct Step {
-    /// Its name.
+    /// Customer, service and number of the step.
     pub key: StepKey,
-    /// Its groups in order.
+    /// Groups in the order of the post.
     pub groups: Vec<Group>,
-    /// Tokens of one sample at most.
+    /// Maximum number of tokens of one sample.
     pub max_tokens: u32,
     digest: StepDigest,
-    /// Place of the first slot of each group.
+    /// Position of each group's first slot.
     starts: Vec<u32>,
     total: u32,
 }
 
-/// A step on the wire; what follows from the content is worked out again on arrival.
+/// Wire format of a step; the receiver recomputes the digest and positions.
 #[wire]
 struct Post {
     key: StepKey,
@@ -106,7 +107,7 @@
 }
 
 impl Step {
-    /// Checks and stores a post.
+    /// Validates a post and computes its digest.
     pub fn new(key: StepKey, groups: Vec<Group>, max_tokens: u32) -> Result<Self, StepError> {
         let slots: u64 = groups.iter().map(|group| u64::from(group.samples)).sum();
         if slots == 0 {
@@ -127,17 +128,18 @@
         })
     }
 
-    /// Digest of the post; leaves out the trainer's version, which changes with time.
+    /// Digest of key, groups and `max_tokens`. The trainer's version is left out, because it
+    /// changes between posts of the same step.
     pub fn digest(&self) -> StepDigest {
         self.digest
     }
 
-    /// Number of slots.
+    /// Number of slots of all groups.
     pub fn total(&self) -> u32 {
         self.total
     }
 
-    /// The slot at a place, if the step has that many.
+    /// The slot at a position; `None` if the step has fewer slots.
     pub fn slot(&self, position: u32) -> Option<Slot> {
         if position >= self.total {
             return None;
@@ -150,7 +152,7 @@
         })
     }
 
-    /// Place of a slot, if the step has it.
+    /// Position of a slot; `None` if the step has no such slot.
     pub fn position(&self, slot: Slot) -> Option<u32> {
         let group = self.groups.get(slot.group as usize)?;
         if slot.index >= group.samples {
@@ -159,7 +161,7 @@
         Some(self.starts[slot.group as usize] + slot.index)
     }
 
-    /// Places of a group's slots.
+    /// Positions of a group's slots; empty if the step has no such group.
     pub fn group_positions(&self, group: u32) -> std::ops::Range<u32> {
         let start = self.starts.get(group as usize).copied();
         let start = start.unwrap_or(self.total);
@@ -167,12 +169,12 @@
         start..start + samples
     }
 
-    /// Bytes of its prompts together.
+    /// Total size of the prompts.
     pub fn prompt_bytes(&self) -> usize {
         self.groups.iter().map(|group| group.prompt.len()).sum()
     }
 
-    /// Prompt of a slot.
+    /// Prompt that a slot's sample continues; `None` if the step has no such group.
     pub fn prompt(&self, slot: Slot) -> Option<&str> {
         let group = self.groups.get(slot.group as usize)?;
         Some(&group.prompt)
--- a/components/samples/src/steps.rs
+++ b/components/samples/src/steps.rs
@@ -1,9 +1,9 @@
 //! The steps that an entry holds, as first or second home.
 //!
-//! A trainer that restarts may post a step again under its number with other prompts. The
-//! new post takes the place of the old one as soon as nobody fetches that any more; the
-//! digest in the cursor keeps replies of the two apart. While the old one is being
-//! fetched the post is refused, so that two trainers under one token see their mistake.
+//! A trainer that restarts may post a step again under the same number with other prompts.
+//! The new post replaces the old one unless the old one is still in use; the digest in the
+//! cursor tells the replies of the two posts apart. A post is refused while the old one is
+//! being fetched, so that two trainers that use the same token by mistake get an error.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,18 +18,19 @@
 use crate::ledger::{Action, Ledger, LedgerSettings};
 use crate::step::{Step, StepDigest, StepKey};
 
-/// A step that was posted or fetched within this time is in use.
+/// A step counts as in use for this long after its last post or fetch.
 const IN_USE_MS: u64 = 10_000;
 
 quick_error! {
     /// Why a post is refused.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum PostError {
-        /// The step is held with another content and in use.
+        /// A step with the same key and another content is held and in use.
         OtherContent {
             display("the step is in use with another content")
         }
-        /// The customer has as many steps here as it may.
+        /// The customer's limit of steps or prompt bytes is reached, and none of its steps is
+        /// done. Carries both limits.
         NoRoom(steps_max: u32, prompt_bytes_max: usize) {
             display(
                 "at most {} steps with {} bytes of prompts are held for one customer",
@@ -39,16 +40,16 @@
     }
 }
 
-/// What a post did.
+/// Effect of a post.
 #[key]
 pub enum PostOutcome {
-    /// The step was not held here.
+    /// The step was not held; it is held now.
     New,
-    /// It was; only what its cursor misses is run.
+    /// The same step was held already; only the slots that its cursor lists as missing run.
     Known,
-    /// It was, with another content that nobody fetches any more.
+    /// A step with another content, no longer in use, was replaced.
     Replaced,
-    /// Nothing: a copy of a step that nobody has used for too long.
+    /// The post was ignored: it is a copy of a step that has been unused for the idle time.
     Expired,
 }
 
@@ -65,7 +66,7 @@
     }
 }
 
-/// Ledgers by step.
+/// Ledgers of all steps that an entry holds.
 pub struct Steps {
     held: BTreeMap<StepKey, HeldStep>,
     holdings: Holdings,
@@ -74,12 +75,12 @@
 }
 
 impl Steps {
-    /// Steps that nobody has asked for in `idle_ms` are dropped by [`Steps::retire`].
+    /// Creates an empty set. Steps unused for `idle_ms` are dropped by [`Steps::remove_idle`].
     pub fn new(idle_ms: u64) -> Self {
         Self::with_bounds(idle_ms, StepBounds::default())
     }
 
-    /// The same, with other bounds on what is held for one customer.
+    /// Like [`Steps::new`], with other limits on what is held for one customer.
     pub fn with_bounds(idle_ms: u64, bounds: StepBounds) -> Self {
         Self {
             held: BTreeMap::new(),
@@ -89,7 +90,8 @@
         }
     }
 
-    /// Takes a post, or the same post again with a later or earlier cursor.
+    /// Adds a posted step. If the same post is held, applies its cursor, which may be later or
+    /// earlier than the last one.
     pub fn post(
         &mut self,
         step: &Arc<Step>,
@@ -118,9 +120,9 @@
             last_used_ms: now_ms,
         };
         let old = self.remove(&step.key);
-        if let Err(refused) = self.make_room(step) {
+        if let Err(error) = self.make_room(step) {
             old.into_iter().for_each(|old| self.insert(old));
-            return Err(refused);
+            return Err(error);
         }
         let posted = old
             .as_ref()
@@ -132,10 +134,11 @@
         Ok(posted)
     }
 
-    /// Takes a post that the other home holds and that its trainer last used at `used_ms`.
-    /// What is held here has a cursor of the trainer's own already, perhaps a later one.
-    /// A step that is unused for too long does not come back this way: two homes that see
-    /// each other come and go would else keep it for ever.
+    /// Adds a post that the other home holds and that the trainer last used at `used_ms`.
+    /// If the post is held here, its cursor is not applied, because the one held here came
+    /// from the trainer and may be later. A step that has been unused for the idle time is
+    /// not added: two homes that repeatedly lose and regain contact would otherwise copy it
+    /// back and forth and never drop it.
     pub fn post_copy(
         &mut self,
         step: &Arc<Step>,
@@ -156,24 +159,24 @@
         self.post(step, settings, cursor, trainer_version, used_ms)
     }
 
-    /// How long ago a step was last posted or fetched, in milliseconds.
+    /// Time since the step was last posted or fetched; `None` if it is not held.
     pub fn unused_ms(&self, key: &StepKey, now_ms: u64) -> Option<u64> {
         let held = self.held.get(key)?;
         Some(now_ms.saturating_sub(held.last_used_ms))
     }
 
-    /// Whether a step is held.
+    /// Whether the step is held here.
     pub fn holds(&self, key: &StepKey) -> bool {
         self.held.contains_key(key)
     }
 
-    /// Steps that are held.
+    /// Keys of all steps that are held, in order.
     pub fn keys(&self) -> impl Iterator<Item = &StepKey> {
         self.held.keys()
     }
 
-    /// Drops the customer's steps whose trainers have all, the one unused longest first,
-    /// until `step` fits. A trainer whose last reply was lost posts its step again.
+    /// Drops the customer's done steps, the least recently used first, until `step` fits its
+    /// limits. A trainer that lost the last reply of a dropped step posts the step again.
     fn make_room(&mut self, step: &Step) -> Result<(), PostError> {
         while !self.holdings.has_room(step) {
             let done = self
@@ -202,29 +205,30 @@
         Some(held)
     }
 
-    /// The ledger of a step, if it is held, for its trainer; it posts again otherwise.
+    /// The ledger of a step for a request of its trainer, which counts as use. On `None`, the
+    /// trainer has to post the step again.
     pub fn get_mut(&mut self, key: &StepKey, now_ms: u64) -> Option<&mut Ledger> {
         let held = self.held.get_mut(key)?;
         held.last_used_ms = now_ms;
         Some(&mut held.ledger)
     }
 
-    /// The ledger of a step, without counting as use: what becomes of its own runs would
-    /// else keep a step that its trainer has done with for ever.
+    /// The ledger of a step, without counting as use. Events of runs go through this method;
+    /// if they counted as use, a step that its trainer has abandoned would never be dropped.
     pub fn find_mut(&mut self, key: &StepKey) -> Option<&mut Ledger> {
         self.held.get_mut(key).map(|held| &mut held.ledger)
     }
 
-    /// Every ledger, without counting as use.
+    /// All ledgers by step, without counting as use.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (&StepKey, &mut Ledger)> {
         self.held
             .iter_mut()
             .map(|(key, held)| (key, &mut held.ledger))
     }
 
-    /// Takes a finished sample of the other home, or that its trainer fetches there. What is
-    /// said of an unknown step or of another post is dropped: the step's post comes with
-    /// its copy or from the trainer.
+    /// Applies a message of the other home: a finished sample, or a notification that the
+    /// trainer fetches there. A message about an unknown step or another post is dropped; the
+    /// step's post arrives through [`Steps::post_copy`] or from the trainer.
     pub fn apply(&mut self, copy: &CopyMessage, now_ms: u64) {
         match copy {
             CopyMessage::Post { .. } => {}
@@ -258,8 +262,9 @@
         (held.ledger.step().digest() == digest).then_some(held)
     }
 
-    /// Drops steps that nobody has asked for; gives what has to be cancelled. A trainer
-    /// that comes back after that posts again with its cursor and loses nothing but time.
+    /// Drops steps unused for the idle time and returns the actions that cancel their runs. A
+    /// trainer that returns later posts the step again with its cursor; its missing slots are
+    /// then run again, and no sample is lost or duplicated.
     pub fn remove_idle(&mut self, now_ms: u64) -> Vec<Action> {
         let mut cancels = Vec::new();
         let (idle_ms, holdings) = (self.idle_ms, &mut self.holdings);
--- a/components/samples/src/tally.rs
+++ b/components/samples/src/tally.rs
@@ -1,33 +1,33 @@
-//! Figures of training: how long trainers wait, how old samples are, what was wasted.
+//! Counters of a training step: runs, failures, sample staleness and trainer idle time.
 
 use derive::value;
 
 use crate::distribution::Distribution;
 
-/// Counts of one step.
+/// Counters of one step.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
-    /// Runs started, hedges and resumes included.
+    /// Runs started, including hedges and resumes.
     pub runs: u64,
-    /// Samples that became too old before the trainer had them.
+    /// Samples, complete or partial, that exceeded the staleness bound before delivery.
     pub abandoned: u64,
-    /// Results whose versions were not known.
+    /// Complete results that were discarded because their weight versions are unknown.
     pub unknown_origin: u64,
-    /// Runs that failed.
+    /// Runs that failed, without those stopped at the ledger's request.
     pub failed: u64,
-    /// Runs started beside a slow one.
+    /// Hedges started for slow runs.
     pub hedges: u64,
-    /// Runs that went on elsewhere from their tokens.
+    /// Runs that resumed from the tokens of an earlier run, without hedges.
     pub resumes: u64,
-    /// Scores that failed or came too late.
+    /// Score requests that failed or timed out.
     pub score_failures: u64,
-    /// Samples given up because their score never came while others did.
+    /// Samples dropped because their score requests failed while others succeeded.
     pub unscorable: u64,
-    /// Versions between sample and trainer, counted once a sample has arrived.
+    /// Staleness of samples in versions, recorded once a cursor shows that they have arrived.
     pub staleness: Distribution,
 }
 
-/// Time during which a trainer had a fetch open and no samples.
+/// Measures how long a trainer has at least one fetch waiting for samples.
 #[value]
 #[derive(Default)]
 pub struct IdleClock {
@@ -37,12 +37,12 @@
 }
 
 impl IdleClock {
-    /// No fetch yet.
+    /// Creates a clock without open fetches.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A fetch came.
+    /// Records the arrival of a fetch.
     pub fn begin_fetch(&mut self, now_ms: u64) {
         if self.open_fetches == 0 {
             self.since_ms = now_ms;
@@ -50,7 +50,8 @@
         self.open_fetches += 1;
     }
 
-    /// A fetch was answered or given up. Fetches that overlap count once.
+    /// Records that a fetch was answered or abandoned. Time in which fetches overlap counts
+    /// once.
     pub fn end_fetch(&mut self, now_ms: u64) {
         if self.open_fetches == 1 {
             self.idle_ms += now_ms.saturating_sub(self.since_ms);
@@ -58,7 +59,7 @@
         self.open_fetches = self.open_fetches.saturating_sub(1);
     }
 
-    /// Idle time up to now.
+    /// Total idle time, including that of fetches that are still open.
     pub fn idle_ms(&self, now_ms: u64) -> u64 {
         let running_ms = now_ms.saturating_sub(self.since_ms);
         self.idle_ms + if self.open_fetches > 0 { running_ms } else { 0 }
--- a/components/samples/src/trainer_state.rs
+++ b/components/samples/src/trainer_state.rs
@@ -1,44 +1,45 @@
 //! The trainer's side of delivery.
 //!
-//! A reply counts only with its cursor, and only if it was asked with the cursor and the
-//! version that the trainer holds now. Two fetches with one cursor, at two homes that don't know of each
-//! other, bring two replies; the first one taken moves the cursor on, and the second no
-//! longer fits. A trainer that moves to new weights while a fetch is open drops its reply,
-//! whose samples were judged by the version before. Samples and cursor have to be stored together, in one checkpoint.
+//! The trainer accepts a reply only if its fetch carried the cursor and the version that the
+//! trainer has now, and it stores the samples and the new cursor together in one checkpoint.
+//! Two fetches with the same cursor at two homes that do not know of each other return two
+//! replies: the first accepted one advances the cursor, so the second is refused. A trainer
+//! that moves to new weights while a fetch is open refuses the reply, because the staleness
+//! of its samples was checked against the previous version.
 
 use derive::value;
 use quick_error::quick_error;
 use types::WeightVersion;
 
 quick_error! {
-    /// Why a reply may not be taken.
+    /// Why a reply is refused.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum ReplyError {
-        /// Another reply was taken since the fetch was sent; fetch again.
+        /// The trainer accepted another reply after it sent the fetch; it has to fetch again.
         Superseded {
-            display("the reply answers an earlier cursor; fetch again with the current one")
+            display("reply is for an earlier cursor; fetch again with the current cursor")
         }
-        /// The trainer has other weights than when it sent the fetch; fetch again.
+        /// The trainer changed its weights after it sent the fetch; it has to fetch again.
         OtherVersion {
-            display("the reply was judged by another version; fetch again with the current one")
+            display("reply was checked against another version; fetch again with the current version")
         }
     }
 }
 
-/// A reply as the trainer sees it.
+/// A reply that the trainer received, with the cursor and version of its fetch.
 #[value]
 pub struct ReceivedReply<S> {
-    /// Text of the cursor that the fetch carried.
+    /// Sealed cursor that the fetch carried.
     pub base: String,
-    /// Version that the fetch carried.
+    /// Trainer's version that the fetch carried.
     pub trainer_version: WeightVersion,
-    /// Samples of the reply.
+    /// Samples that the fetch's cursor listed as missing.
     pub samples: Vec<S>,
-    /// Text of the cursor that came with them.
+    /// Sealed cursor of the reply, for the next fetch.
     pub next: String,
 }
 
-/// What a trainer has received, to be kept whole in its checkpoint.
+/// Samples and cursor of a trainer. It has to be stored as a whole in the checkpoint.
 #[value]
 pub struct TrainerState<S> {
     cursor: String,
@@ -47,7 +48,7 @@
 }
 
 impl<S> TrainerState<S> {
-    /// From the cursor that the post gave, at the trainer's version.
+    /// Creates the state from the cursor in the response to the post and the trainer's version.
     pub fn new(cursor: String, version: WeightVersion) -> Self {
         Self {
             cursor,
@@ -56,27 +57,27 @@
         }
     }
 
-    /// Cursor for the next fetch, and for a post after a loss.
+    /// Sealed cursor for the next fetch, or for a post of a step that no entry holds any more.
     pub fn cursor(&self) -> &str {
         &self.cursor
     }
 
-    /// The trainer's version.
+    /// Weight version of the trainer.
     pub fn version(&self) -> WeightVersion {
         self.version
     }
 
-    /// The trainer has other weights from here on.
+    /// Records that the trainer moved to other weights.
     pub fn advance(&mut self, version: WeightVersion) {
         self.version = version;
     }
 
-    /// Every sample taken.
+    /// All samples of the accepted replies.
     pub fn samples(&self) -> &[S] {
         &self.samples
     }
 
-    /// Takes a reply whole, or not at all.
+    /// Accepts the whole reply and advances the cursor, or refuses the reply.
     pub fn take(&mut self, reply: ReceivedReply<S>) -> Result<(), ReplyError> {
         if reply.base != self.cursor {
             return Err(ReplyError::Superseded);
