--- a/components/samples/examples/cost.rs
+++ b/components/samples/examples/cost.rs
@@ -1,4 +1,5 @@
-//! What a cursor and a ledger cost: bytes and time per operation at three sizes.
+//! Measures the size and the time per operation of cursors, grants and ledgers for three step
+//! sizes.
 //!
 //! `cargo run --release -p samples --example cost`
 
@@ -17,29 +18,29 @@
 use types::WeightVersion;
 
 const SIZES: [u32; 3] = [512, 2_048, 4_096];
-const SAMPLES_A_GROUP: u32 = 8;
+const SAMPLES_PER_GROUP: u32 = 8;
 const REPLICAS: u16 = 60;
 const TEXT_BYTES: usize = 4_096;
 const ROUNDS: u32 = 9;
 
-/// Counts the bytes in use.
-struct Counting;
+/// Allocator that counts the bytes in use.
+struct CountingAllocator;
 
-static IN_USE: AtomicUsize = AtomicUsize::new(0);
+static BYTES_IN_USE: AtomicUsize = AtomicUsize::new(0);
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-#[allow(unsafe_code)] // An allocator can't be written without; it only counts and passes on.
-unsafe impl GlobalAlloc for Counting {
+#[allow(unsafe_code)] // `GlobalAlloc` requires it; all calls are forwarded to `System`.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        IN_USE.fetch_add(layout.size(), Ordering::Relaxed);
+        BYTES_IN_USE.fetch_add(layout.size(), Ordering::Relaxed);
         unsafe { System.alloc(layout) }
     }
 
-    unsafe fn dealloc(&self, at: *mut u8, layout: Layout) {
-        IN_USE.fetch_sub(layout.size(), Ordering::Relaxed);
-        unsafe { System.dealloc(at, layout) }
+    unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
+        BYTES_IN_USE.fetch_sub(layout.size(), Ordering::Relaxed);
+        unsafe { System.dealloc(pointer, layout) }
     }
 }
 
@@ -65,7 +66,7 @@
     Ok(())
 }
 
-/// Records of a trainer that can't carry a cursor, at their largest.
+/// Largest grants of a trainer that cannot store a cursor.
 fn grants() -> Result<(), Box<dyn Error>> {
     println!("slots grant_bytes");
     for slots in SIZES {
@@ -127,15 +128,15 @@
         staleness_bound: 2,
         ..LedgerSettings::default()
     };
-    let before = IN_USE.load(Ordering::Relaxed);
+    let before = BYTES_IN_USE.load(Ordering::Relaxed);
     let mut ledger = Ledger::new(Arc::clone(&step), settings, &start, version(1));
-    let empty = IN_USE.load(Ordering::Relaxed) - before;
+    let empty = BYTES_IN_USE.load(Ordering::Relaxed) - before;
     let dispatch = time(|| ledger.dispatch(&room(u32::MAX), 0));
     let runs = starts(&mut ledger);
     let dispatch_none = time(|| ledger.dispatch(&room(0), 100));
     let finish = time(|| finish_all(&mut ledger, &runs)) / slots;
     drop(ledger.take_actions());
-    let full = IN_USE.load(Ordering::Relaxed) - before;
+    let full = BYTES_IN_USE.load(Ordering::Relaxed) - before;
     let announce = time(|| ledger.announce(version(2), None, 200));
     let began = Instant::now();
     ledger.fetch(&start, version(2), 32, 200)?;
@@ -197,9 +198,9 @@
     };
     let group = |number| Group {
         prompt: format!("prompt {number}"),
-        samples: SAMPLES_A_GROUP,
+        samples: SAMPLES_PER_GROUP,
     };
-    let groups = (0..slots / SAMPLES_A_GROUP).map(group).collect();
+    let groups = (0..slots / SAMPLES_PER_GROUP).map(group).collect();
     Ok(Arc::new(Step::new(key, groups, 1_024)?))
 }
 
--- a/components/samples/src/copy.rs
+++ b/components/samples/src/copy.rs
@@ -1,5 +1,5 @@
-//! What a step's home entry sends to the second one. Applying one twice, late or out
-//! of order changes nothing that was settled.
+//! Messages from a step's first home to its second. Applying a message twice, late or out of
+//! order does not change a slot that is already finished or delivered.
 
 use std::sync::Arc;
 
@@ -9,7 +9,8 @@
 use crate::sample::Sample;
 use crate::step::{Step, StepDigest, StepKey};
 
-/// Cuts a queue into parts of at most `bytes_max` each; what is larger goes alone.
+/// Splits a queue into batches of at most `bytes_max` bytes each. A larger item gets a batch of
+/// its own.
 pub fn split_batches<T>(
     items: Vec<T>,
     bytes_of: impl Fn(&T) -> usize,
@@ -33,43 +34,44 @@
     batches
 }
 
-/// One message from home to second home.
+/// A message from a step's first home to its second.
 #[wire]
 pub enum CopyMessage {
-    /// The post, with the trainer's cursor as it came.
+    /// The post, with the trainer's cursor unchanged.
     Post {
-        /// The step with its prompts.
+        /// Posted step, including the prompts.
         step: Arc<Step>,
-        /// The trainer's sealed cursor, if it sent one.
+        /// Trainer's sealed cursor; `None` if the trainer has sent none.
         cursor: Option<String>,
-        /// Newest version that the trainer is known to have.
+        /// Newest version that the trainer has announced or named in a post or fetch.
         trainer_version: WeightVersion,
-        /// How long ago the trainer last posted or fetched it, in milliseconds.
+        /// Time since the trainer last posted or fetched the step.
         #[serde(default)]
         unused_ms: u64,
     },
-    /// A finished (and scored) sample.
+    /// A finished sample, scored if the service has a scorer.
     Finished {
-        /// Its step.
+        /// Step of the sample.
         key: StepKey,
-        /// Digest of the post that it belongs to.
+        /// Digest of the post; a message for another post is ignored.
         digest: StepDigest,
-        /// The sample.
+        /// Sample, bound to its slot at the first home.
         sample: Arc<Sample>,
     },
-    /// The trainer fetched from the step; sent now and then.
+    /// The trainer fetched from the step. Sent at most once per minute, and for each reply that
+    /// completes the step.
     Fetched {
-        /// The step.
+        /// Fetched step.
         key: StepKey,
-        /// Digest of the post that it belongs to.
+        /// Digest of the post; a message for another post is ignored.
         digest: StepDigest,
-        /// Whether the reply, together with what the trainer had, was the whole step.
+        /// Whether the trainer's cursor and the reply together cover the whole step.
         complete: bool,
     },
 }
 
 impl CopyMessage {
-    /// Bytes of the texts in it.
+    /// Total size of the prompts or the sample's text in the message.
     pub fn text_bytes(&self) -> usize {
         match self {
             CopyMessage::Post { step, .. } => step.prompt_bytes(),
--- a/components/samples/src/distribution.rs
+++ b/components/samples/src/distribution.rs
@@ -1,11 +1,11 @@
-//! Running distribution of a step's figures, in buckets of at most an eighth apart.
+//! Histogram with logarithmic buckets; a bucket is at most an eighth of its values wide.
 
 const SUB_BITS: u32 = 3;
 const SUB_BUCKETS: u64 = 1 << SUB_BITS;
 const BUCKETS: usize = ((u64::BITS - SUB_BITS + 1) as usize) << SUB_BITS;
 const PERMILLE: u64 = 1_000;
 
-/// Counts of numbers by size.
+/// Histogram of `u64` values.
 #[derive(Clone, Debug)]
 pub struct Distribution {
     counts: Box<[u32]>,
@@ -22,24 +22,24 @@
 }
 
 impl Distribution {
-    /// Empty.
+    /// Creates an empty histogram.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Counts a number.
+    /// Adds a value.
     pub fn record(&mut self, number: u64) {
         self.counts[bucket_of(number)] += 1;
         self.total += 1;
     }
 
-    /// Numbers counted.
+    /// Number of values added.
     pub fn total(&self) -> u64 {
         self.total
     }
 
-    /// Smallest bucket's upper end that at least `permille` of the numbers do not exceed;
-    /// `None` while nothing is counted.
+    /// The quantile at `permille`, rounded up to the largest value of its bucket. `None` if the
+    /// histogram is empty.
     pub fn quantile(&self, permille: u64) -> Option<u64> {
         if self.total == 0 {
             return None;
--- a/components/samples/src/fetch_log.rs
+++ b/components/samples/src/fetch_log.rs
@@ -1,24 +1,24 @@
-//! Delivery to a trainer that can't carry a cursor: the same ledger, with the trainer's
-//! cursor kept as records in the log.
+//! Delivery to trainers that cannot store a cursor: the ledger is the same, and the cursor is
+//! kept as records in the log.
 //!
-//! The trainer numbers its fetches 1, 2, 3 …, sends a fetch again until it has the reply,
-//! and sends number n + 1 only after it holds reply n. One record a fetch says which slots
-//! the reply holds. Every reader of the log comes to the same verdict: the first record of
-//! the next number wins, any other is ignored. The cursor of fetch n is then the union of
-//! the slots of all earlier fetches, and a repeated fetch gives the same slots. A reply is
-//! released only after its record was read back; a lost append answer is repeated, since
-//! the second copy is ignored.
+//! The trainer numbers its fetches 1, 2, 3 …, repeats a fetch until it has the reply, and
+//! sends fetch n + 1 only after it has reply n. One record per fetch, the grant, lists the
+//! slots of the reply. Every reader of the log accepts the same grants: the first record with
+//! the next number is applied, and any other is ignored. The cursor of fetch n is the union
+//! of the slots of all earlier fetches, so a repeated fetch returns the same slots. A reply is
+//! sent only after its grant was read back from the log. An append whose response was lost
+//! is repeated, since readers ignore the duplicate.
 //!
-//! Cost against the cursor: one append a fetch. Ten trainers that fetch once a second
-//! append 10 records/s of about half a kilobyte, against several hundred that the log takes. One
-//! record a sample would be 10 * 2,048 in 11 minutes, 31 records/s, and was ruled out for
-//! that and for the texts, which the log needn't hold: a slot whose text was lost is run
-//! again and goes out under the same fetch. It adds an append and a read to each fetch
-//! and waits through an outage of the log, where the cursor doesn't. Records expire with
-//! the log's retention; a step has to end before that.
+//! Compared with the cursor, each fetch costs an append and a read of the log, and fetches
+//! wait during an outage of the log. Ten trainers that fetch once per second append 10
+//! records/s of about half a kilobyte; the log accepts several hundred per second. One record
+//! per sample would be 10 * 2,048 records in 11 minutes, or 31 records/s, and would hold
+//! texts that the log does not need: a slot whose text was lost is run again and returned
+//! for the same fetch. Records expire with the log's retention, so a step has to end before
+//! that.
 //!
-//! Not wired yet: every trainer so far carries its cursor, and the training API takes
-//! fetches with a cursor only.
+//! Not used by the training API, which accepts only fetches with a cursor: every trainer so
+//! far stores its cursor.
 
 use std::collections::BTreeMap;
 
@@ -32,48 +32,50 @@
 /// One record in the log: the slots that answer one fetch.
 #[wire]
 pub struct Grant {
-    /// The step.
+    /// Step that the fetch belongs to.
     pub key: StepKey,
-    /// Digest of the post.
+    /// Digest of the post; a grant for another post is ignored.
     pub digest: StepDigest,
-    /// Number of the fetch, from 1.
+    /// Number of the fetch, starting at 1.
     pub fetch: u64,
-    /// The slots, as an opaque text.
+    /// Slots of the reply, encoded as an opaque text.
     pub slots: String,
 }
 
-/// What the log says of a record.
+/// Result of applying a record of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantVerdict {
-    /// It answers its fetch.
+    /// The record determines the reply to its fetch.
     Applied,
-    /// Its fetch is answered by an earlier record, or it is of no use here.
+    /// The record is a duplicate, malformed, out of sequence, or belongs to another post.
     Ignored,
 }
 
-/// What a fetch may do now.
+/// State of a numbered fetch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FetchState {
-    /// Its answer is fixed: exactly these slots, whenever they are ready.
+    /// A record determines the reply: exactly these slots, as soon as all are finished.
     Granted {
-        /// What the trainer has already.
+        /// Cursor before the fetch: the slots of all earlier fetches.
         base: Cursor,
-        /// What the reply holds.
+        /// Slots of the reply.
         slots: SlotSet,
     },
-    /// It is the next one: fetch from the ledger with this cursor, append the grant.
+    /// The next fetch, without a record yet: fetch from the ledger with this cursor, then
+    /// append the grant.
     Next {
-        /// What the trainer has already.
+        /// Cursor before the fetch: the slots of all earlier fetches.
         base: Cursor,
     },
-    /// A number further on: the log was not read far enough, or the trainer jumped.
+    /// The number is invalid: 0, or beyond the next one because the log was not read far
+    /// enough or the trainer skipped a number.
     Ahead {
-        /// The next number.
+        /// Number of the next fetch.
         next: u64,
     },
 }
 
-/// The records of one step, in the log's order.
+/// Grants of one step, applied in the order of the log.
 #[derive(Clone, Debug)]
 pub struct FetchLog {
     start: Cursor,
@@ -82,7 +84,7 @@
 }
 
 impl FetchLog {
-    /// No record read yet.
+    /// Creates the state before any record of `step` was read.
     pub fn new(step: &Step) -> Self {
         Self {
             start: Cursor::start(step),
@@ -102,7 +104,7 @@
         let Some(slots) = packed.and_then(|packed| codec::unpack(total, &packed)) else {
             return GrantVerdict::Ignored;
         };
-        // A home that had not read far enough may grant a slot again.
+        // A home that had not read all earlier records may grant a slot a second time.
         let base = self.cursor_before(grant.fetch);
         if slots.is_empty() || base.received().intersects(&slots) {
             return GrantVerdict::Ignored;
@@ -111,7 +113,7 @@
         GrantVerdict::Applied
     }
 
-    /// What fetch number `fetch` may do.
+    /// The state of fetch number `fetch`.
     pub fn fetch_state(&self, fetch: u64) -> FetchState {
         let next = self.next_fetch();
         if fetch > next || fetch == 0 {
@@ -127,7 +129,7 @@
         }
     }
 
-    /// The record that would answer fetch `fetch` with `slots`.
+    /// Creates the record that answers fetch `fetch` with `slots`. The caller appends it.
     pub fn grant(&self, fetch: u64, slots: &SlotSet) -> Grant {
         Grant {
             key: self.key.clone(),
--- a/components/samples/src/home.rs
+++ b/components/samples/src/home.rs
@@ -1,13 +1,15 @@
-//! Which entries hold a step.
+//! Chooses the entries that hold a step, its homes.
 //!
-//! Rendezvous hashing over the live entries: each process computes the same two without
-//! asking, and the loss of an entry moves only its own steps. Two views that differ for
-//! a moment give a step two homes at once, which costs work; the trainer's cursor keeps
-//! its samples from being doubled.
+//! The first home dispatches the step's runs and answers fetches; the second home holds
+//! copies. Both are chosen by rendezvous hashing over the live entries, so that every
+//! process computes the same two without communication and the loss of an entry moves only
+//! that entry's steps. While the membership views of two processes differ, a step may have
+//! two first homes at once. This costs additional runs, but the trainer's cursor prevents
+//! duplicate samples.
 //!
-//! When one of the two is lost, the other is again one of the new two. A first home that
-//! doesn't hold a step asks the second for its copies; a first home with a new second
-//! sends it [`crate::Ledger::copies`].
+//! When one of the two homes is lost, the other remains one of the new two. A first home
+//! that does not hold a step requests the copies from the second home. A first home with a
+//! new second home sends it [`crate::Ledger::copies`].
 
 use std::net::SocketAddr;
 
@@ -20,9 +22,9 @@
 /// A live entry.
 #[value]
 pub struct Entry {
-    /// Its inner address.
+    /// Address for calls from other entries.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the entry's VM.
     pub failure_domain: FailureDomain,
 }
 
@@ -31,16 +33,17 @@
 pub struct Homes {
     /// Dispatches the runs and answers fetches.
     pub first: SocketAddr,
-    /// Holds prompts and finished samples; in another failure domain if there is one.
+    /// Holds copies of the post and the finished samples. In another failure domain than the
+    /// first home if possible; `None` if only one entry is live.
     pub second: Option<SocketAddr>,
 }
 
-/// Homes of a step; `None` without live entries.
+/// Chooses the homes of a step; `None` if no entry is live.
 pub fn choose_homes(key: &StepKey, live: &[Entry]) -> Option<Homes> {
     let first = highest_hash(key, live.iter())?;
     let others = || live.iter().filter(|entry| entry.address != first.address);
-    let elsewhere = others().filter(|entry| entry.failure_domain != first.failure_domain);
-    let second = highest_hash(key, elsewhere).or_else(|| highest_hash(key, others()));
+    let other_domain = others().filter(|entry| entry.failure_domain != first.failure_domain);
+    let second = highest_hash(key, other_domain).or_else(|| highest_hash(key, others()));
     Some(Homes {
         first: first.address,
         second: second.map(|entry| entry.address),
--- a/components/samples/src/lib.rs
+++ b/components/samples/src/lib.rs
@@ -1,5 +1,8 @@
-//! Training samples: the ledger of a step, the trainer's cursor, the order of runs, and
-//! how old a sample may be. Events and the time go in, actions come out.
+//! Training samples: the ledger of a step, the trainer's cursor, the scheduling of runs and
+//! the staleness bound.
+//!
+//! The crate does no I/O and reads no clock: the caller passes in events and the time, and
+//! performs the actions that the ledger returns.
 
 mod codec;
 mod copy;
--- a/components/samples/src/sample.rs
+++ b/components/samples/src/sample.rs
@@ -1,4 +1,4 @@
-//! A finished sample, and how old it is for its trainer.
+//! A finished sample and its staleness for the trainer.
 
 use std::collections::BTreeSet;
 
@@ -10,26 +10,26 @@
 use crate::step::Slot;
 
 quick_error! {
-    /// Why a number is not a score.
+    /// Why a number is not a valid score.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum ScoreError {
-        /// NaN or infinite.
+        /// The number is NaN or infinite.
         NotFinite {
-            display("a score is a finite number")
+            display("score is NaN or infinite")
         }
     }
 }
 
-/// A score; always finite.
+/// Score of a sample; always finite.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
 pub struct Score(f64);
 
-// A finite number equals itself, which is all that `Eq` adds.
+// `Eq` requires that every value equals itself, which holds for finite numbers.
 impl Eq for Score {}
 
 impl Score {
-    /// Checks that `number` is finite.
+    /// Creates a score; fails unless `number` is finite.
     pub fn new(number: f64) -> Result<Self, ScoreError> {
         if number.is_finite() {
             Ok(Self(number))
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The number.
+    /// The score as a number.
     pub fn get(self) -> f64 {
         self.0
     }
@@ -58,31 +58,33 @@
     }
 }
 
-/// A sample with its origin.
+/// A complete sample with the weight versions that generated it.
 #[wire]
 pub struct Sample {
-    /// Where it belongs.
+    /// Slot that the sample fills.
     pub slot: Slot,
-    /// Text that the engines generated.
+    /// Generated text, without the prompt.
     pub text: String,
-    /// Every weight version that generated a part of it; never empty.
+    /// Every weight version that generated a part of the text; never empty.
     pub versions: BTreeSet<WeightVersion>,
-    /// Its score, if the service has a scorer.
+    /// Score from the service's scorer; `None` if the service has none or the score is still
+    /// pending.
     pub score: Option<Score>,
 }
 
 impl Sample {
-    /// How old it is for a trainer at `trainer_version`; see [`staleness`].
+    /// Staleness of the sample for a trainer at `trainer_version`; see [`staleness`].
     pub fn staleness(&self, trainer_version: WeightVersion) -> Option<u64> {
         staleness(&self.versions, trainer_version)
     }
 }
 
-/// Versions between the oldest of `versions` and the trainer's own; 0 when all are newer.
+/// Number of versions that the oldest of `versions` lags behind the trainer's own; 0 if all are
+/// newer.
 ///
-/// `None` when a version is of another epoch: a roll-back may give old weights a new
-/// number, so versions of two epochs can't be compared and no bound is kept by them.
-/// `None` also for an empty set, which says nothing.
+/// `None` if a version is of another epoch. A roll-back may give old weights a new number, so
+/// versions of two epochs cannot be compared and never satisfy a staleness bound. `None` also
+/// for an empty set.
 pub fn staleness(
     versions: &BTreeSet<WeightVersion>,
     trainer_version: WeightVersion,
--- a/components/samples/src/swap.rs
+++ b/components/samples/src/swap.rs
@@ -1,46 +1,49 @@
-//! What happens to a run in progress when its model gets new weights.
+//! Decides whether a run in progress is kept, resumed or abandoned when its model gets new
+//! weights.
 
 use derive::value;
 use types::WeightVersion;
 
-/// A run at the moment of the news.
+/// State of a run when a new version is announced.
 #[value]
 pub struct RunInProgress {
-    /// Oldest version stamped on it so far; `None` before its first token.
+    /// Oldest version stamped on the run so far; `None` before the first token.
     pub oldest: Option<WeightVersion>,
-    /// Time that it still needs, if that can be told.
+    /// Estimated remaining time; `None` if no token has been generated yet.
     pub remaining_ms: Option<u64>,
-    /// Its engine goes on with it over a switch, with the new weights.
+    /// Whether the engine continues the run with the new weights after the swap.
     pub survives_swap: bool,
 }
 
-/// The news.
+/// The announced version and the limits that runs are checked against.
 #[value]
 pub struct SwapContext {
-    /// Version that the trainer announced.
+    /// Newest version that the trainer announced.
     pub announced: WeightVersion,
-    /// Versions that a sample may lag behind.
+    /// Maximum number of versions that a sample may lag behind the trainer.
     pub staleness_bound: u64,
-    /// Time to the next announcement, if the trainer keeps a rhythm.
+    /// Time until the next announcement, if the trainer announces at a regular interval.
     pub next_in_ms: Option<u64>,
 }
 
-/// What to do.
+/// What to do with a run at a weight swap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunPlan {
-    /// Let it run.
+    /// Let the run continue.
     Keep,
-    /// Stop it before the switch and go on from its tokens, whose versions stay in the set.
+    /// Stop the run before the swap and resume it from its tokens. Their versions remain part
+    /// of the sample's provenance.
     Resume,
-    /// Stop it and run the slot from the start: it will be too old when it is fetched.
+    /// Cancel the run and run the slot from its prompt, because the sample would exceed the
+    /// staleness bound when it is fetched.
     Abandon,
 }
 
-/// Plans one run.
+/// Decides what to do with one run.
 ///
-/// A resume never makes a sample younger, since its first tokens keep their version. A
-/// run at the bound that can't end before the next announcement is given up now,
-/// while little work is lost.
+/// A resume does not reduce a sample's staleness, since its first tokens keep their version.
+/// A run at the staleness bound that cannot end before the next announcement is abandoned
+/// now, while little work is lost.
 pub fn plan_run(run: &RunInProgress, context: &SwapContext) -> RunPlan {
     let Some(oldest) = run.oldest else {
         return keep_or_resume(run);
--- a/components/samples/src/tally.rs
+++ b/components/samples/src/tally.rs
@@ -9,7 +9,8 @@
 pub struct Tally {
     /// Runs started, including hedges and resumes.
     pub runs: u64,
-    /// Samples, complete or partial, that exceeded the staleness bound before delivery.
+    /// Samples, complete or partial, that were discarded because they exceeded the staleness
+    /// bound or would have done so before the next fetch.
     pub abandoned: u64,
     /// Complete results that were discarded because their weight versions are unknown.
     pub unknown_origin: u64,
