--- a/components/samples/src/ledger/fetch.rs
+++ b/components/samples/src/ledger/fetch.rs
@@ -181,12 +181,13 @@
 
     /// Positions to offer: first those of groups that become complete, then the others.
     fn choose_slots(&self, ready: &SlotSet, max: u32) -> Vec<u32> {
-        let had = |position: u32| ready.contains(position) || self.received.contains(position);
+        let is_available =
+            |position: u32| ready.contains(position) || self.received.contains(position);
         let groups = 0..self.step.groups.len() as u32;
         let positions = |group: &u32| self.step.group_positions(*group);
-        let (whole, open): (Vec<u32>, Vec<u32>) =
-            groups.partition(|group| positions(group).all(had));
-        let ordered = whole.iter().chain(&open).flat_map(positions);
+        let (completable, incomplete): (Vec<u32>, Vec<u32>) =
+            groups.partition(|group| positions(group).all(is_available));
+        let ordered = completable.iter().chain(&incomplete).flat_map(positions);
         let mut chosen = Vec::new();
         let mut bytes = 0;
         for position in ordered.filter(|&position| ready.contains(position)) {
--- a/components/samples/tests/copies.rs
+++ b/components/samples/tests/copies.rs
@@ -28,7 +28,7 @@
     steps
 }
 
-fn notes(steps: &mut Steps) -> Vec<CopyMessage> {
+fn sent_copies(steps: &mut Steps) -> Vec<CopyMessage> {
     let actions = steps.find_mut(&key(7)).unwrap().take_actions();
     let copy = |action| match action {
         Action::Copy(copy) => Some(copy),
@@ -41,7 +41,7 @@
 // missed the samples' copies, runs nothing for nobody; only the trainer's own cursor, back
 // from a lost reply, has the step run there.
 #[test]
-fn can_leave_a_done_step_in_peace_at_the_second_home() {
+fn can_stop_running_slots_of_a_delivered_step_at_the_second_home() {
     let step = step_of(1, 3);
     let (at, start) = (version(1, 1), Cursor::start(&step));
     let (mut first, mut second) = (first_home(&step), Steps::new(IDLE_MS));
@@ -51,7 +51,7 @@
         .unwrap();
     let reply = first.get_mut(&key(7), 2).unwrap().fetch(&start, at, 9, 2);
     assert!(reply.unwrap().complete);
-    notes(&mut first)
+    sent_copies(&mut first)
         .iter()
         .for_each(|copy| second.apply(copy, 3));
     let ledger = second.find_mut(&key(7)).unwrap();
@@ -68,11 +68,11 @@
 #[test]
 fn can_keep_a_step_at_the_second_home_while_its_trainer_fetches_at_the_first() {
     const MINUTE_MS: u64 = 60_000;
-    const KEPT_MS: u64 = 15 * MINUTE_MS;
+    const STEP_IDLE_MS: u64 = 15 * MINUTE_MS;
     let step = step_of(1, 3);
     let (at, start) = (version(1, 1), Cursor::start(&step));
     let settings = LedgerSettings::default();
-    let (mut first, mut second) = (Steps::new(KEPT_MS), Steps::new(KEPT_MS));
+    let (mut first, mut second) = (Steps::new(STEP_IDLE_MS), Steps::new(STEP_IDLE_MS));
     first.post(&step, &settings, &start, at, 0).unwrap();
     second
         .post_copy(&step, &settings, &start, at, 0, 0)
@@ -82,13 +82,13 @@
         let ledger = first.get_mut(&key(7), now_ms).unwrap();
         ledger.fetch(&start, at, 9, now_ms).unwrap();
         ledger.fetch(&start, at, 9, now_ms + 1).unwrap();
-        let copies = notes(&mut first);
+        let copies = sent_copies(&mut first);
         assert_eq!(copies.len(), 1, "one note a minute");
         copies.iter().for_each(|copy| second.apply(copy, now_ms));
         second.remove_idle(now_ms);
     }
     assert!(second.holds(&key(7)));
-    second.remove_idle(20 * MINUTE_MS + KEPT_MS);
+    second.remove_idle(20 * MINUTE_MS + STEP_IDLE_MS);
     assert!(!second.holds(&key(7)));
 }
 
@@ -109,8 +109,8 @@
             let copies = copies.copies(None, unused_ms);
             let to = &mut homes[1 - from];
             let used_ms = now_ms - unused_ms;
-            let taken = to.post_copy(&step, &settings, &start, at, used_ms, now_ms);
-            assert_ne!(taken, Ok(PostOutcome::Replaced));
+            let outcome = to.post_copy(&step, &settings, &start, at, used_ms, now_ms);
+            assert_ne!(outcome, Ok(PostOutcome::Replaced));
             copies.iter().for_each(|copy| to.apply(copy, now_ms));
         }
         for home in &mut homes {
@@ -121,36 +121,36 @@
 }
 
 #[test]
-fn can_cut_a_queue_of_copies_by_bytes() {
+fn can_split_copies_into_batches_by_bytes() {
     struct Case {
         name: &'static str,
         bytes: Vec<usize>,
-        parts: Vec<Vec<usize>>,
+        batches: Vec<Vec<usize>>,
     }
     let cases = [
         Case {
             name: "nothing",
             bytes: vec![],
-            parts: vec![],
+            batches: vec![],
         },
         Case {
             name: "all in one",
             bytes: vec![3, 3, 4],
-            parts: vec![vec![3, 3, 4]],
+            batches: vec![vec![3, 3, 4]],
         },
         Case {
             name: "in order over two",
             bytes: vec![6, 5, 1],
-            parts: vec![vec![6], vec![5, 1]],
+            batches: vec![vec![6], vec![5, 1]],
         },
         Case {
             name: "one that is too large goes alone",
             bytes: vec![1, 99, 1],
-            parts: vec![vec![1], vec![99], vec![1]],
+            batches: vec![vec![1], vec![99], vec![1]],
         },
     ];
     for case in cases {
-        let parts = split_batches(case.bytes, |&bytes| bytes, 10);
-        assert_eq!(parts, case.parts, "{}", case.name);
+        let batches = split_batches(case.bytes, |&bytes| bytes, 10);
+        assert_eq!(batches, case.batches, "{}", case.name);
     }
 }
--- a/components/samples/tests/cursor.rs
+++ b/components/samples/tests/cursor.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn errors_when_a_cursor_is_not_of_this_step() {
+fn errors_when_a_cursor_belongs_to_another_step() {
     struct Case {
         name: &'static str,
         step: Step,
@@ -59,17 +59,17 @@
     let step = step_of(2, 8);
     let cursor = Cursor::start(&step).with_received([3, 5]);
     let old = cursor.seal(&CursorKeys::new([1; 32], None));
-    let changing = CursorKeys::new([2; 32], Some([1; 32]));
-    let changed = CursorKeys::new([2; 32], None);
-    assert_eq!(Cursor::open(&old, &changing, &step), Ok(cursor.clone()));
-    let new = cursor.seal(&changing);
-    assert_eq!(Cursor::open(&new, &changed, &step), Ok(cursor));
-    let refused = Cursor::open(&old, &changed, &step);
+    let rotating = CursorKeys::new([2; 32], Some([1; 32]));
+    let rotated = CursorKeys::new([2; 32], None);
+    assert_eq!(Cursor::open(&old, &rotating, &step), Ok(cursor.clone()));
+    let new = cursor.seal(&rotating);
+    assert_eq!(Cursor::open(&new, &rotated, &step), Ok(cursor));
+    let refused = Cursor::open(&old, &rotated, &step);
     assert_eq!(refused, Err(CursorError::Damaged));
 }
 
 #[test]
-fn can_carry_the_largest_step_in_a_kilobyte() {
+fn can_encode_the_largest_step_in_a_kilobyte() {
     let step = step_of(512, 8);
     // Every other slot is the worst case for run lengths.
     let cursor = Cursor::start(&step).with_received((0..4_096).step_by(2));
@@ -79,7 +79,7 @@
 }
 
 checks::seeded! {
-    fn can_read_back_any_set_of_slots(positions: Vec<u32>, groups: u8) -> bool {
+    fn can_decode_any_encoded_set_of_slots(positions: Vec<u32>, groups: u8) -> bool {
         let step = step_of(u32::from(groups % 64) + 1, 7);
         let positions = positions.into_iter().map(|position| position % step.total());
         let cursor = Cursor::start(&step).with_received(positions);
@@ -97,11 +97,11 @@
         same || Cursor::open(&text, &keys(), &step) == Err(CursorError::Damaged)
     }
 
-    fn errors_when_a_text_is_cut_or_made_up(text: String, length: usize) -> bool {
+    fn errors_when_a_cursor_is_truncated_or_arbitrary(text: String, length: usize) -> bool {
         let step = step_of(4, 8);
         let whole = Cursor::start(&step).seal(&keys());
-        let cut = &whole[..length % whole.len()];
+        let truncated = &whole[..length % whole.len()];
         let refused = |text: &str| Cursor::open(text, &keys(), &step) == Err(CursorError::Damaged);
-        refused(cut) && refused(&text)
+        refused(truncated) && refused(&text)
     }
 }
--- a/components/samples/tests/exactly_once.rs
+++ b/components/samples/tests/exactly_once.rs
@@ -21,16 +21,16 @@
 #[derive(Clone, Debug)]
 enum Event {
     Fetch { home: usize, max: u32 },
-    Take { reply: usize },
-    TakeAndKeep { reply: usize },
-    Die { home: usize },
+    Accept { reply: usize },
+    AcceptAndKeep { reply: usize },
+    Crash { home: usize },
     Post { home: usize },
-    Dispatch { home: usize, each: u32 },
+    Dispatch { home: usize, free_runs: u32 },
     Finish { home: usize, run: usize },
     Fail { home: usize, run: usize },
     Copy { to: usize, copy: usize },
     Switch,
-    Advance { told: usize },
+    Advance { notified: usize },
     RollBack,
     Checkpoint,
     Restore,
@@ -43,29 +43,35 @@
         let few = u32::arbitrary(g) % 4 + 1;
         match u8::arbitrary(g) % 32 {
             0..4 => Event::Fetch { home, max: few },
-            4..7 => Event::Take { reply: at },
-            7..9 => Event::TakeAndKeep { reply: at },
-            9 => Event::Die { home },
+            4..7 => Event::Accept { reply: at },
+            7..9 => Event::AcceptAndKeep { reply: at },
+            9 => Event::Crash { home },
             10..13 => Event::Post { home },
-            13..17 => Event::Dispatch { home, each: few },
+            13..17 => Event::Dispatch {
+                home,
+                free_runs: few,
+            },
             17..23 => Event::Finish { home, run: at },
             23 => Event::Fail { home, run: at },
             24..26 => Event::Copy { to: home, copy: at },
             26..28 => Event::Switch,
-            28 => Event::Advance { told: home },
+            28 => Event::Advance { notified: home },
             29 => Event::Checkpoint,
             30 => Event::Restore,
             _ if few == 1 => Event::RollBack,
-            _ => Event::Dispatch { home, each: few },
+            _ => Event::Dispatch {
+                home,
+                free_runs: few,
+            },
         }
     }
 }
 
-type Origin = BTreeSet<WeightVersion>;
-type Sample = (Slot, String, Origin);
+type Versions = BTreeSet<WeightVersion>;
+type Sample = (Slot, String, Versions);
 
 /// Two homes that may both be alive, engines, and one trainer with everything in flight.
-struct World {
+struct Simulation {
     step: Arc<Step>,
     homes: [Option<Ledger>; HOMES],
     runs: [BTreeMap<RunId, Start>; HOMES],
@@ -76,17 +82,17 @@
     engines: WeightVersion,
     announced: WeightVersion,
     /// Versions that made each text, as the engines know them.
-    truth: BTreeMap<String, Origin>,
+    generated_by: BTreeMap<String, Versions>,
     now_ms: u64,
     texts: u64,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let step = step_of(3, 4);
         let start = Cursor::start(&step).seal(&keys());
         let received = TrainerState::new(start, version(1, 1));
-        let mut world = Self {
+        let mut simulation = Self {
             homes: [None, None],
             runs: Default::default(),
             copies: Vec::new(),
@@ -95,37 +101,37 @@
             received,
             engines: version(1, 1),
             announced: version(1, 1),
-            truth: BTreeMap::new(),
+            generated_by: BTreeMap::new(),
             now_ms: 0,
             texts: 0,
             step,
         };
-        world.post(0);
-        world
+        simulation.post(0);
+        simulation
     }
 
     fn apply(&mut self, event: &Event) {
         self.now_ms += 50;
         match *event {
             Event::Fetch { home, max } => self.fetch(home, max),
-            Event::Take { reply } => self.take(reply, false),
-            Event::TakeAndKeep { reply } => self.take(reply, true),
-            Event::Die { home } => {
+            Event::Accept { reply } => self.accept(reply, false),
+            Event::AcceptAndKeep { reply } => self.accept(reply, true),
+            Event::Crash { home } => {
                 self.homes[home] = None;
                 self.runs[home].clear();
             }
             Event::Post { home } => self.post(home),
-            Event::Dispatch { home, each } => self.dispatch(home, each),
-            Event::Finish { home, run } => self.end(home, run, true),
-            Event::Fail { home, run } => self.end(home, run, false),
+            Event::Dispatch { home, free_runs } => self.dispatch(home, free_runs),
+            Event::Finish { home, run } => self.end_run(home, run, true),
+            Event::Fail { home, run } => self.end_run(home, run, false),
             Event::Copy { to, copy } => self.copy(to, copy),
             Event::Switch => self.engines = self.engines.max(self.announced),
-            Event::Advance { told } => self.advance(told),
+            Event::Advance { notified } => self.advance(notified),
             Event::RollBack => self.announced = version(self.announced.epoch + 1, 1),
             Event::Checkpoint => self.checkpoint = self.received.clone(),
             Event::Restore => self.received = self.checkpoint.clone(),
         }
-        (0..HOMES).for_each(|home| self.drive(home));
+        (0..HOMES).for_each(|home| self.perform_actions(home));
     }
 
     fn fetch(&mut self, home: usize, max: u32) {
@@ -150,7 +156,7 @@
         });
     }
 
-    fn take(&mut self, reply: usize, keep: bool) {
+    fn accept(&mut self, reply: usize, keep: bool) {
         if self.replies.is_empty() {
             return;
         }
@@ -165,14 +171,14 @@
         }
         for (slot, text, versions) in samples {
             let own = self.received.version();
-            let young = |made: &WeightVersion| {
+            let is_fresh = |made: &WeightVersion| {
                 made.epoch == own.epoch && made.version + BOUND >= own.version
             };
             assert!(
-                versions.iter().all(young),
+                versions.iter().all(is_fresh),
                 "{slot:?} {versions:?} for {own}"
             );
-            assert_eq!(self.truth[&text], versions, "stamps of {slot:?}");
+            assert_eq!(self.generated_by[&text], versions, "stamps of {slot:?}");
         }
         let had: BTreeSet<Slot> = self.received.samples().iter().map(|s| s.0).collect();
         assert_eq!(had.len(), self.received.samples().len(), "a doubled sample");
@@ -191,13 +197,13 @@
         self.homes[home] = Some(Ledger::new(Arc::clone(&self.step), settings, &cursor, at));
     }
 
-    fn dispatch(&mut self, home: usize, each: u32) {
+    fn dispatch(&mut self, home: usize, free_runs: u32) {
         if let Some(ledger) = &mut self.homes[home] {
-            ledger.dispatch(&room(3, each, self.engines), self.now_ms);
+            ledger.dispatch(&room(3, free_runs, self.engines), self.now_ms);
         }
     }
 
-    fn end(&mut self, home: usize, run: usize, whole: bool) {
+    fn end_run(&mut self, home: usize, run: usize, succeeds: bool) {
         let at = run % self.runs[home].len().max(1);
         let Some(&run) = self.runs[home].keys().nth(at) else {
             return;
@@ -206,7 +212,7 @@
         let Some(ledger) = &mut self.homes[home] else {
             return;
         };
-        if !whole {
+        if !succeeds {
             ledger.record_failure(run, Fault::Lost, None, self.now_ms);
             return;
         }
@@ -217,8 +223,8 @@
             version: self.engines.version + self.texts % 2,
             ..self.engines
         };
-        let versions = Origin::from([self.engines, later.min(self.announced.max(self.engines))]);
-        self.truth.insert(text.clone(), versions.clone());
+        let versions = Versions::from([self.engines, later.min(self.announced.max(self.engines))]);
+        self.generated_by.insert(text.clone(), versions.clone());
         ledger.record_completion(run, completion(&text, versions), self.now_ms);
     }
 
@@ -232,16 +238,16 @@
         }
     }
 
-    fn advance(&mut self, told: usize) {
+    fn advance(&mut self, notified: usize) {
         let epoch = self.announced.epoch;
         self.announced = version(epoch, self.announced.version + 1);
         self.received.advance(self.announced);
-        if let Some(ledger) = &mut self.homes[told] {
+        if let Some(ledger) = &mut self.homes[notified] {
             ledger.announce(self.announced, None, self.now_ms);
         }
     }
 
-    fn drive(&mut self, home: usize) {
+    fn perform_actions(&mut self, home: usize) {
         let Some(ledger) = &mut self.homes[home] else {
             return;
         };
@@ -264,15 +270,18 @@
     }
 
     /// Every process works again: whatever happened before, the step becomes whole.
-    fn settle(&mut self) {
+    fn run_to_completion(&mut self) {
         self.engines = self.announced;
         self.received.advance(self.announced);
         for _ in 0..20 {
             self.now_ms += 20_000;
             self.apply(&Event::Post { home: 0 });
             self.apply(&Event::Fetch { home: 0, max: 100 });
-            self.take(self.replies.len().max(1) - 1, false);
-            self.apply(&Event::Dispatch { home: 0, each: 100 });
+            self.accept(self.replies.len().max(1) - 1, false);
+            self.apply(&Event::Dispatch {
+                home: 0,
+                free_runs: 100,
+            });
             while !self.runs[0].is_empty() {
                 self.apply(&Event::Finish { home: 0, run: 0 });
             }
@@ -290,49 +299,58 @@
     // homes die, both are alive, replies come late, doubled or never, and it goes back to a
     // checkpoint. The cursor says what it has; whatever a home forgot is only run again.
     fn can_deliver_each_slot_once_in_any_order_of_events(events: Vec<Event>) -> bool {
-        let mut world = World::new();
-        events.iter().for_each(|event| world.apply(event));
-        world.settle();
+        let mut simulation = Simulation::new();
+        events.iter().for_each(|event| simulation.apply(event));
+        simulation.run_to_completion();
         true
     }
 }
 
 #[test]
-fn can_take_one_of_two_replies_to_one_cursor() {
+fn can_accept_only_one_of_two_replies_to_one_cursor() {
     // The trainer's first fetch times out and it asks the other entry with the same cursor.
     // Both homes are alive, each with its own samples for the same slots, and both replies
     // arrive. The first one moves the cursor on, so the second no longer fits; had it been
     // taken, every slot would have been there twice.
-    let mut world = World::new();
-    world.apply(&Event::Post { home: 1 });
+    let mut simulation = Simulation::new();
+    simulation.apply(&Event::Post { home: 1 });
     for home in 0..HOMES {
-        world.apply(&Event::Dispatch { home, each: 4 });
-        while !world.runs[home].is_empty() {
-            world.apply(&Event::Finish { home, run: 0 });
+        simulation.apply(&Event::Dispatch { home, free_runs: 4 });
+        while !simulation.runs[home].is_empty() {
+            simulation.apply(&Event::Finish { home, run: 0 });
         }
-        world.apply(&Event::Fetch { home, max: 100 });
+        simulation.apply(&Event::Fetch { home, max: 100 });
     }
-    let [second, first] = [world.replies.pop().unwrap(), world.replies.pop().unwrap()];
+    let [second, first] = [
+        simulation.replies.pop().unwrap(),
+        simulation.replies.pop().unwrap(),
+    ];
     assert_eq!(second.samples.len(), 12);
-    assert_eq!(world.received.take(first), Ok(()));
-    let refused = world.received.take(second);
+    assert_eq!(simulation.received.take(first), Ok(()));
+    let refused = simulation.received.take(second);
     assert_eq!(refused, Err(samples::ReplyError::Superseded));
-    assert_eq!(world.received.samples().len(), 12);
+    assert_eq!(simulation.received.samples().len(), 12);
 }
 
 #[test]
-fn can_go_on_after_both_homes_died() {
+fn can_continue_after_both_homes_crash() {
     // The trainer has four samples when both homes die with everything they held. It posts
     // the step again with its cursor; only the eight missing slots are run.
-    let mut world = World::new();
-    world.apply(&Event::Dispatch { home: 0, each: 4 });
-    while !world.runs[0].is_empty() {
-        world.apply(&Event::Finish { home: 0, run: 0 });
+    let mut simulation = Simulation::new();
+    simulation.apply(&Event::Dispatch {
+        home: 0,
+        free_runs: 4,
+    });
+    while !simulation.runs[0].is_empty() {
+        simulation.apply(&Event::Finish { home: 0, run: 0 });
     }
-    world.apply(&Event::Fetch { home: 0, max: 4 });
-    world.apply(&Event::Take { reply: 0 });
-    world.apply(&Event::Die { home: 0 });
-    world.apply(&Event::Post { home: 1 });
-    world.apply(&Event::Dispatch { home: 1, each: 12 });
-    assert_eq!(world.runs[1].len(), 8);
+    simulation.apply(&Event::Fetch { home: 0, max: 4 });
+    simulation.apply(&Event::Accept { reply: 0 });
+    simulation.apply(&Event::Crash { home: 0 });
+    simulation.apply(&Event::Post { home: 1 });
+    simulation.apply(&Event::Dispatch {
+        home: 1,
+        free_runs: 12,
+    });
+    assert_eq!(simulation.runs[1].len(), 8);
 }
--- a/components/samples/tests/fetch_log.rs
+++ b/components/samples/tests/fetch_log.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn can_give_the_same_slots_to_a_repeated_fetch_at_another_home() {
+fn can_return_the_same_slots_to_a_repeated_fetch_at_another_home() {
     // The first home grants fetch 1 and dies before its reply is out. The trainer sends
     // fetch 1 again. The second home reads the record, runs the slots whose texts were lost
     // and answers with just those, when all of them are there.
--- a/components/samples/tests/ledger.rs
+++ b/components/samples/tests/ledger.rs
@@ -37,56 +37,56 @@
 }
 
 #[test]
-fn can_judge_age_by_the_oldest_version_in_the_sample() {
+fn can_compute_staleness_from_the_oldest_version() {
     struct Case {
         name: &'static str,
-        made_by: Vec<WeightVersion>,
+        generated_by: Vec<WeightVersion>,
         trainer: WeightVersion,
-        given: usize,
+        delivered: usize,
     }
     let at = version;
     let cases = [
         Case {
             name: "at the bound",
-            made_by: vec![at(1, 3), at(1, 5)],
+            generated_by: vec![at(1, 3), at(1, 5)],
             trainer: at(1, 5),
-            given: 2,
+            delivered: 2,
         },
         Case {
             name: "past the bound by its first tokens",
-            made_by: vec![at(1, 3), at(1, 5)],
+            generated_by: vec![at(1, 3), at(1, 5)],
             trainer: at(1, 6),
-            given: 0,
+            delivered: 0,
         },
         Case {
             name: "newer than a trainer that went back",
-            made_by: vec![at(1, 3)],
+            generated_by: vec![at(1, 3)],
             trainer: at(1, 2),
-            given: 2,
+            delivered: 2,
         },
         Case {
             name: "made before a roll-back",
-            made_by: vec![at(1, 3)],
+            generated_by: vec![at(1, 3)],
             trainer: at(2, 3),
-            given: 0,
+            delivered: 0,
         },
     ];
     for case in cases {
         let step = step_of(1, 2);
         let mut ledger = ledger(&step, bound(2), at(1, 3));
-        finish_all(&mut ledger, &case.made_by, 0);
+        finish_all(&mut ledger, &case.generated_by, 0);
         let reply = ledger
             .fetch(&Cursor::start(&step), case.trainer, 9, 0)
             .unwrap();
-        assert_eq!(reply.samples.len(), case.given, "{}", case.name);
-        let again = 2 - case.given;
-        assert_eq!(ledger.waiting(), again as u32, "{}", case.name);
-        assert_eq!(ledger.tally().abandoned, again as u64, "{}", case.name);
+        assert_eq!(reply.samples.len(), case.delivered, "{}", case.name);
+        let rerun = 2 - case.delivered;
+        assert_eq!(ledger.waiting(), rerun as u32, "{}", case.name);
+        assert_eq!(ledger.tally().abandoned, rerun as u64, "{}", case.name);
     }
 }
 
 #[test]
-fn can_run_again_at_the_announcement_what_will_be_too_old() {
+fn can_rerun_stale_slots_when_a_version_is_announced() {
     let step = step_of(1, 4);
     let mut ledger = ledger(&step, bound(0), version(1, 1));
     ledger.dispatch(&room(1, 2, version(1, 1)), 0);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn can_give_the_same_samples_to_a_repeated_fetch() {
+fn can_return_the_same_samples_to_a_repeated_fetch() {
     let step = step_of(1, 3);
     let mut ledger = ledger(&step, bound(2), version(1, 1));
     finish_all(&mut ledger, &[version(1, 1)], 0);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn can_offer_whole_groups_first() {
+fn can_offer_complete_groups_first() {
     let step = step_of(2, 2);
     let mut ledger = ledger(&step, bound(0), version(1, 1));
     ledger.dispatch(&room(1, 9, version(1, 1)), 0);
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn can_run_again_when_the_origin_is_not_known() {
+fn can_rerun_a_slot_when_the_provenance_is_unknown() {
     let step = step_of(1, 1);
     let mut ledger = ledger(&step, bound(9), version(1, 1));
     ledger.dispatch(&room(1, 1, version(1, 1)), 0);
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn can_wait_for_a_scorer_that_is_down_without_a_new_run() {
+fn can_wait_for_a_failing_scorer_without_new_runs() {
     // The scorer fails for every sample for an hour. No sample is delivered without its score
     // and none is run again, since a new one would fare no better.
     let step = step_of(1, 2);
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn can_run_a_sample_again_that_alone_cannot_be_scored() {
+fn can_rerun_a_slot_whose_sample_alone_cannot_be_scored() {
     let step = step_of(1, 2);
     let mut ledger = ledger(&step, scored(), version(1, 1));
     let runs = finish_all(&mut ledger, &[version(1, 1)], 0);
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn can_wait_without_room_and_without_a_busy_loop() {
+fn can_wait_for_a_free_replica_without_a_busy_loop() {
     let step = step_of(1, 4);
     let mut ledger = ledger(&step, bound(0), version(1, 1));
     ledger.dispatch(&room(0, 0, version(1, 1)), 100);
@@ -294,7 +294,7 @@
 // to go on from as many tokens as the sample may have. The slot is run afresh, once, instead
 // of being refused with the same tokens for ever.
 #[test]
-fn can_run_afresh_when_an_engine_refuses_to_go_on_from_tokens() {
+fn can_restart_a_slot_when_an_engine_refuses_to_resume() {
     let at = version(1, 1);
     let step = step_of(1, 1);
     let mut ledger = ledger(&step, bound(2), at);
@@ -321,28 +321,28 @@
 // Long samples are ready. A reply holds as many as pass between entries, one in any case,
 // and the cursor says that the rest is owed.
 #[test]
-fn can_bound_a_reply_by_its_bytes() {
+fn can_limit_the_size_of_a_reply() {
     const SAMPLES: u32 = 8;
     struct Case {
         name: &'static str,
         text_bytes: usize,
-        given: usize,
+        delivered: usize,
     }
     let cases = [
         Case {
             name: "short texts",
             text_bytes: 1_000,
-            given: 8,
+            delivered: 8,
         },
         Case {
             name: "some fit",
             text_bytes: 1 << 20,
-            given: 4,
+            delivered: 4,
         },
         Case {
             name: "one that is larger than a reply",
             text_bytes: 5 << 20,
-            given: 1,
+            delivered: 1,
         },
     ];
     let at = version(1, 1);
@@ -356,35 +356,48 @@
         }
         let start = Cursor::start(&step);
         let reply = ledger.fetch(&start, at, 99, 2).unwrap();
-        assert_eq!(reply.samples.len(), case.given, "{}", case.name);
-        assert_eq!(reply.received as usize, case.given, "{}", case.name);
-        assert_eq!(reply.complete, case.given == SAMPLES as usize);
+        assert_eq!(reply.samples.len(), case.delivered, "{}", case.name);
+        assert_eq!(reply.received as usize, case.delivered, "{}", case.name);
+        assert_eq!(reply.complete, case.delivered == SAMPLES as usize);
     }
 }
 
 // An operator takes the scorer out of the text, or puts one in, while samples of a step wait.
 // Without one no score would ever come; with one, no sample goes out without its score.
 #[test]
-fn can_follow_a_scorer_that_comes_or_goes() {
+fn can_turn_scoring_on_or_off_while_samples_wait() {
     let at = version(1, 1);
     let step = step_of(1, 2);
     let start = Cursor::start(&step);
-    let mut gone = ledger(&step, scored(), at);
-    finish_all(&mut gone, &[at], 1);
-    gone.configure(&bound(2));
-    assert_eq!(gone.fetch(&start, at, 9, 2).unwrap().samples.len(), 2);
+    let mut without_scorer = ledger(&step, scored(), at);
+    finish_all(&mut without_scorer, &[at], 1);
+    without_scorer.configure(&bound(2));
+    assert_eq!(
+        without_scorer
+            .fetch(&start, at, 9, 2)
+            .unwrap()
+            .samples
+            .len(),
+        2
+    );
 
-    let mut new = ledger(&step, bound(2), at);
-    finish_all(&mut new, &[at], 1);
-    new.take_actions();
-    new.configure(&scored());
-    assert!(new.fetch(&start, at, 9, 2).unwrap().samples.is_empty());
-    for action in new.take_actions() {
+    let mut with_scorer = ledger(&step, bound(2), at);
+    finish_all(&mut with_scorer, &[at], 1);
+    with_scorer.take_actions();
+    with_scorer.configure(&scored());
+    assert!(
+        with_scorer
+            .fetch(&start, at, 9, 2)
+            .unwrap()
+            .samples
+            .is_empty()
+    );
+    for action in with_scorer.take_actions() {
         if let Action::Score { run, .. } = action {
-            new.record_score(run, Score::new(0.5).unwrap());
+            with_scorer.record_score(run, Score::new(0.5).unwrap());
         }
     }
-    let reply = new.fetch(&start, at, 9, 3).unwrap();
+    let reply = with_scorer.fetch(&start, at, 9, 3).unwrap();
     let scores = reply
         .samples
         .iter()
--- a/components/samples/tests/policy.rs
+++ b/components/samples/tests/policy.rs
@@ -9,43 +9,43 @@
 use types::WeightVersion;
 
 #[test]
-fn can_tell_the_origin_of_a_sample() {
+fn can_determine_the_provenance_of_a_sample() {
     struct Case {
         name: &'static str,
         stamps: &'static [Option<u64>],
         witnessed: Option<u64>,
-        origin: Option<&'static [u64]>,
+        provenance: Option<&'static [u64]>,
     }
     let cases = [
         Case {
             name: "a swap between stamped chunks",
             stamps: &[Some(1), Some(2)],
             witnessed: None,
-            origin: Some(&[1, 2]),
+            provenance: Some(&[1, 2]),
         },
         Case {
             name: "no stamp and one version all along",
             stamps: &[None, None],
             witnessed: Some(3),
-            origin: Some(&[3]),
+            provenance: Some(&[3]),
         },
         Case {
             name: "no stamp and a swap",
             stamps: &[None],
             witnessed: None,
-            origin: None,
+            provenance: None,
         },
         Case {
             name: "one chunk of many without a stamp, and a swap",
             stamps: &[Some(1), None, Some(2)],
             witnessed: None,
-            origin: None,
+            provenance: None,
         },
         Case {
             name: "nothing at all",
             stamps: &[],
             witnessed: Some(1),
-            origin: None,
+            provenance: None,
         },
     ];
     let at = |number: u64| version(1, number);
@@ -55,47 +55,47 @@
             .iter()
             .for_each(|stamp| stamps.record_chunk(stamp.map(at)));
         stamps.end_segment(case.witnessed.map(at));
-        let origin = stamps.finish();
-        let wanted = case.origin.map(|o| o.iter().copied().map(at).collect());
-        assert_eq!(origin.versions().cloned(), wanted, "{}", case.name);
+        let provenance = stamps.finish();
+        let wanted = case.provenance.map(|o| o.iter().copied().map(at).collect());
+        assert_eq!(provenance.versions().cloned(), wanted, "{}", case.name);
     }
 }
 
 #[test]
-fn can_keep_the_origin_over_a_resume() {
+fn can_keep_the_provenance_across_a_resume() {
     let earlier = Provenance::Known([version(1, 1)].into());
     let mut stamps = Stamps::resumed_from(&earlier);
     stamps.record_response(&[version(1, 2), version(1, 3)]);
     let wanted: [WeightVersion; 3] = [version(1, 1), version(1, 2), version(1, 3)];
     assert_eq!(stamps.finish(), Provenance::Known(wanted.into()));
-    let mut doubtful = Stamps::resumed_from(&Provenance::NotKnown);
-    doubtful.record_chunk(Some(version(1, 2)));
-    assert_eq!(doubtful.finish(), Provenance::NotKnown);
+    let mut uncertain = Stamps::resumed_from(&Provenance::NotKnown);
+    uncertain.record_chunk(Some(version(1, 2)));
+    assert_eq!(uncertain.finish(), Provenance::NotKnown);
 }
 
 #[test]
-fn can_plan_runs_around_a_swap() {
+fn can_plan_runs_at_a_weight_swap() {
     struct Case {
         name: &'static str,
         oldest: Option<WeightVersion>,
         remaining_ms: Option<u64>,
-        kept: bool,
+        survives: bool,
         plan: RunPlan,
     }
-    let case = |name, oldest, remaining_ms, kept, plan| Case {
+    let case = |name, oldest, remaining_ms, survives, plan| Case {
         name,
         oldest,
         remaining_ms,
-        kept,
+        survives,
         plan,
     };
-    let (young, edge, old) = (version(2, 5), version(2, 4), version(2, 3));
+    let (fresh, edge, stale) = (version(2, 5), version(2, 4), version(2, 3));
     let cases = [
         case("no token yet", None, None, true, RunPlan::Keep),
-        case("young", Some(young), Some(9_000), true, RunPlan::Keep),
+        case("young", Some(fresh), Some(9_000), true, RunPlan::Keep),
         case(
             "young, engine drops it",
-            Some(young),
+            Some(fresh),
             None,
             false,
             RunPlan::Resume,
@@ -114,7 +114,7 @@
             true,
             RunPlan::Abandon,
         ),
-        case("too old", Some(old), Some(0), true, RunPlan::Abandon),
+        case("too old", Some(stale), Some(0), true, RunPlan::Abandon),
         case(
             "another epoch",
             Some(version(1, 9)),
@@ -123,7 +123,7 @@
             RunPlan::Abandon,
         ),
     ];
-    let news = SwapContext {
+    let context = SwapContext {
         announced: version(2, 5),
         staleness_bound: 1,
         next_in_ms: Some(1_000),
@@ -132,14 +132,14 @@
         let run = RunInProgress {
             oldest: case.oldest,
             remaining_ms: case.remaining_ms,
-            survives_swap: case.kept,
+            survives_swap: case.survives,
         };
-        assert_eq!(plan_run(&run, &news), case.plan, "{}", case.name);
+        assert_eq!(plan_run(&run, &context), case.plan, "{}", case.name);
     }
 }
 
 #[test]
-fn can_tell_a_late_run_from_a_long_one() {
+fn can_distinguish_a_late_run_from_a_long_one() {
     struct Case {
         name: &'static str,
         run: RunView,
--- a/components/samples/tests/steps.rs
+++ b/components/samples/tests/steps.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn can_take_the_same_post_again_and_refuse_another_under_its_number() {
+fn can_accept_a_repeated_post_and_refuse_other_content() {
     let step = step_of(1, 4);
     let other = Group {
         prompt: "something else".to_owned(),
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn can_replace_a_step_that_nobody_fetches_without_mixing_up_its_runs() {
+fn can_replace_an_unused_step_without_mixing_up_its_runs() {
     // A trainer restarts and posts its step again with another prompt. The first post's run
     // is cancelled, and its result, already on the way, comes under a number that no run of
     // the second post has; else it would be bound to a slot of another prompt.
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn can_drop_a_step_that_nobody_asks_for_and_cancel_its_runs() {
+fn can_drop_an_unused_step_and_cancel_its_runs() {
     let step = step_of(1, 2);
     let mut steps = Steps::new(IDLE_MS);
     post(&mut steps, &step, &Cursor::start(&step)).unwrap();
@@ -80,7 +80,7 @@
 // samples too old and ran them again, and each run kept the step. Lost, the reply is asked
 // for again, and then they are run again.
 #[test]
-fn can_leave_a_step_in_peace_that_its_trainer_has_whole() {
+fn can_stop_running_slots_of_a_delivered_step() {
     let step = step_of(1, 4);
     let start = Cursor::start(&step);
     let mut steps = Steps::new(IDLE_MS);
@@ -109,7 +109,7 @@
 // An operator makes the bound stricter while a step is held. The trainer gets no sample that
 // the new text no longer allows, whatever bound the step was posted under.
 #[test]
-fn can_hold_a_step_to_a_stricter_bound() {
+fn can_apply_a_stricter_staleness_bound_to_a_held_step() {
     let step = step_of(1, 2);
     let start = Cursor::start(&step);
     let bound = |staleness_bound| LedgerSettings {
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn can_hold_a_second_home_ready_from_copies() {
+fn can_take_over_at_the_second_home_from_copies() {
     // The first home finishes two of three slots and dies. The second has the post and both
     // samples; the trainer's fetch there gives them at once, and one slot is run.
     let step = step_of(1, 3);
@@ -164,9 +164,9 @@
 // One customer posts steps without end and fetches none. Past its bound its posts are
 // refused, while another customer's post is taken; the memory of the entry is everybody's.
 #[test]
-fn can_hold_so_many_steps_of_one_customer_and_no_more() {
+fn can_limit_the_steps_of_one_customer() {
     const STEPS_MAX: u64 = 64;
-    let of = |customer: &str, number: u64| {
+    let step_for = |customer: &str, number: u64| {
         let key = StepKey {
             customer: customer.parse().unwrap(),
             ..key(number)
@@ -176,20 +176,20 @@
     let mut steps = Steps::new(IDLE_MS);
     let mut put = |step: &Arc<Step>| post(&mut steps, step, &Cursor::start(step));
     for number in 0..STEPS_MAX {
-        assert_eq!(put(&of("evil", number)), Ok(PostOutcome::New));
+        assert_eq!(put(&step_for("evil", number)), Ok(PostOutcome::New));
     }
-    assert!(put(&of("evil", STEPS_MAX)).is_err());
-    assert_eq!(put(&of("evil", 0)), Ok(PostOutcome::Known));
-    assert_eq!(put(&of("office", 0)), Ok(PostOutcome::New));
+    assert!(put(&step_for("evil", STEPS_MAX)).is_err());
+    assert_eq!(put(&step_for("evil", 0)), Ok(PostOutcome::Known));
+    assert_eq!(put(&step_for("office", 0)), Ok(PostOutcome::New));
     steps.remove_idle(IDLE_MS);
-    let later = of("evil", STEPS_MAX);
+    let later = step_for("evil", STEPS_MAX);
     let posted = post(&mut steps, &later, &Cursor::start(&later));
     assert_eq!(posted, Ok(PostOutcome::New));
 }
 
 // As above with few steps and large prompts.
 #[test]
-fn can_hold_so_many_prompts_of_one_customer_and_no_more() {
+fn can_limit_the_prompt_bytes_of_one_customer() {
     const PROMPT_BYTES: usize = 4 << 20;
     const STEPS: u64 = 16;
     let large = |number| {
@@ -213,10 +213,11 @@
 // step that it has whole makes room, the one done first before the others.
 #[test]
 fn can_drop_done_steps_of_a_customer_to_make_room() {
-    let of = |number| Arc::new(Step::new(key(number), step_of(1, 1).groups.clone(), 64).unwrap());
+    let step_number =
+        |number| Arc::new(Step::new(key(number), step_of(1, 1).groups.clone(), 64).unwrap());
     let mut steps = Steps::new(IDLE_MS);
     for number in 0..200 {
-        let step = of(number);
+        let step = step_number(number);
         let start = Cursor::start(&step);
         let posted = steps.post(
             &step,
--- a/components/samples/tests/support/mod.rs
+++ b/components/samples/tests/support/mod.rs
@@ -41,10 +41,10 @@
 }
 
 /// Replicas 0 to `replicas`, each with this room and version.
-pub fn room(replicas: u16, each: u32, version: WeightVersion) -> RunCapacity {
+pub fn room(replicas: u16, free_runs: u32, version: WeightVersion) -> RunCapacity {
     let replica = |number| Replica {
         address: address(number),
-        free_runs: each,
+        free_runs,
         version: Some(version),
     };
     RunCapacity {
