--- a/components/samples/src/lib.rs
+++ b/components/samples/src/lib.rs
@@ -13,6 +13,7 @@
 mod home;
 mod ledger;
 mod provenance;
+mod received;
 mod sample;
 mod slots;
 mod step;
@@ -20,7 +21,6 @@
 pub mod straggler;
 pub mod swap;
 mod tally;
-mod trainer_state;
 
 pub use copy::{CopyMessage, split_batches};
 pub use cursor::{Cursor, CursorError, CursorKeys};
@@ -33,9 +33,9 @@
     Reply, RetryBackoff, RunCapacity, RunId, Start,
 };
 pub use provenance::{Provenance, Stamps};
+pub use received::{ReceivedReply, ReplyError, TrainerState};
 pub use sample::{Sample, Score, ScoreError, staleness};
 pub use slots::SlotSet;
 pub use step::{Group, Slot, Step, StepDigest, StepError, StepKey};
 pub use steps::{PostError, PostOutcome, Steps};
 pub use tally::{IdleClock, Tally};
-pub use trainer_state::{ReceivedReply, ReplyError, TrainerState};
--- a/components/samples/src/trainer_state.rs
+++ b/components/samples/src/received.rs
@@ -78,7 +78,7 @@
     }
 
     /// Accepts the whole reply and advances the cursor, or refuses the reply.
-    pub fn take(&mut self, reply: ReceivedReply<S>) -> Result<(), ReplyError> {
+    pub fn accept(&mut self, reply: ReceivedReply<S>) -> Result<(), ReplyError> {
         if reply.base != self.cursor {
             return Err(ReplyError::Superseded);
         }
--- a/components/samples/tests/copies.rs
+++ b/components/samples/tests/copies.rs
@@ -1,6 +1,6 @@
-//! What goes from a step's first home to the second.
+//! Messages from a step's first home to its second.
 
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+#![allow(clippy::unwrap_used)] // clippy.toml allows `unwrap` in test functions, not in their helpers.
 
 mod support;
 
@@ -13,7 +13,7 @@
 
 const IDLE_MS: u64 = 1_000;
 
-/// Holds the step with all its samples; none was fetched yet.
+/// Creates a first home that holds the step with all samples finished and none fetched.
 fn first_home(step: &Arc<Step>) -> Steps {
     let mut steps = Steps::new(IDLE_MS);
     let at = version(1, 1);
@@ -28,6 +28,7 @@
     steps
 }
 
+/// Takes the actions of the step's ledger and returns the messages to the second home.
 fn sent_copies(steps: &mut Steps) -> Vec<CopyMessage> {
     let actions = steps.find_mut(&key(7)).unwrap().take_actions();
     let copy = |action| match action {
@@ -37,9 +38,9 @@
     actions.into_iter().filter_map(copy).collect()
 }
 
-// The trainer has its step whole from the first home, which then dies. The second, which
-// missed the samples' copies, runs nothing for nobody; only the trainer's own cursor, back
-// from a lost reply, has the step run there.
+// The first home delivers the whole step and crashes. The second home did not receive the
+// copies of the samples, but must not run them for a trainer that has them. Only a fetch
+// with the trainer's old cursor, after a lost reply, starts the runs there.
 #[test]
 fn can_stop_running_slots_of_a_delivered_step_at_the_second_home() {
     let step = step_of(1, 3);
@@ -63,8 +64,8 @@
     assert_eq!(starts(ledger).len(), 3);
 }
 
-// A trainer fetches at the first home for longer than an unused step is kept. The second
-// home hears of it now and then, and keeps the step as long.
+// Guards against the second home dropping a step in use. A trainer fetches at the first home
+// for longer than the idle time; the first home notifies the second one about once a minute.
 #[test]
 fn can_keep_a_step_at_the_second_home_while_its_trainer_fetches_at_the_first() {
     const MINUTE_MS: u64 = 60_000;
@@ -83,7 +84,7 @@
         ledger.fetch(&start, at, 9, now_ms).unwrap();
         ledger.fetch(&start, at, 9, now_ms + 1).unwrap();
         let copies = sent_copies(&mut first);
-        assert_eq!(copies.len(), 1, "one note a minute");
+        assert_eq!(copies.len(), 1, "one notification per minute");
         copies.iter().for_each(|copy| second.apply(copy, now_ms));
         second.remove_idle(now_ms);
     }
@@ -92,8 +93,9 @@
     assert!(!second.holds(&key(7)));
 }
 
-// Two homes lose sight of each other and come back, and each time send each other what they
-// hold. Their copies don't count as use, so a step that its trainer is done with ends.
+// Two homes repeatedly lose and regain contact, and send each other their copies each time.
+// Copies must not count as use; otherwise a step that its trainer no longer uses would never
+// be dropped.
 #[test]
 fn can_drop_an_unused_step_although_homes_copy_it_to_each_other() {
     let step = step_of(1, 2);
@@ -129,22 +131,22 @@
     }
     let cases = [
         Case {
-            name: "nothing",
+            name: "empty queue",
             bytes: vec![],
             batches: vec![],
         },
         Case {
-            name: "all in one",
+            name: "all in one batch",
             bytes: vec![3, 3, 4],
             batches: vec![vec![3, 3, 4]],
         },
         Case {
-            name: "in order over two",
+            name: "two batches in order",
             bytes: vec![6, 5, 1],
             batches: vec![vec![6], vec![5, 1]],
         },
         Case {
-            name: "one that is too large goes alone",
+            name: "an item over the limit gets its own batch",
             bytes: vec![1, 99, 1],
             batches: vec![vec![1], vec![99], vec![1]],
         },
--- a/components/samples/tests/cursor.rs
+++ b/components/samples/tests/cursor.rs
@@ -1,5 +1,5 @@
-//! What a trainer's cursor carries, and which ones are refused.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+//! Encoding of cursors, and refusal of those that are invalid or belong to another step.
+#![allow(clippy::unwrap_used)] // clippy.toml allows `unwrap` in test functions, not in their helpers.
 
 mod support;
 
@@ -71,7 +71,7 @@
 #[test]
 fn can_encode_the_largest_step_in_a_kilobyte() {
     let step = step_of(512, 8);
-    // Every other slot is the worst case for run lengths.
+    // Alternating slots are the worst case of the run-length encoding.
     let cursor = Cursor::start(&step).with_received((0..4_096).step_by(2));
     let text = cursor.seal(&keys());
     assert!(text.len() <= 1_024, "{} bytes", text.len());
--- a/components/samples/tests/exactly_once.rs
+++ b/components/samples/tests/exactly_once.rs
@@ -1,6 +1,6 @@
-//! Delivery under any order of fetches, losses of homes, posts, copies, swaps and returns of the
-//! trainer to a checkpoint.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+//! Exactly-once delivery under any order of fetches, crashes of homes, posts, copies, weight
+//! swaps and restored checkpoints of the trainer.
+#![allow(clippy::unwrap_used)] // clippy.toml allows `unwrap` in test functions, not in their helpers.
 
 mod support;
 
@@ -70,7 +70,7 @@
 type Versions = BTreeSet<WeightVersion>;
 type Sample = (Slot, String, Versions);
 
-/// Two homes that may both be alive, engines, and one trainer with everything in flight.
+/// Two homes, which may both be alive, their engines, one trainer, and all messages in transit.
 struct Simulation {
     step: Arc<Step>,
     homes: [Option<Ledger>; HOMES],
@@ -81,7 +81,7 @@
     checkpoint: TrainerState<Sample>,
     engines: WeightVersion,
     announced: WeightVersion,
-    /// Versions that made each text, as the engines know them.
+    /// Versions that generated each text, recorded by the simulated engines.
     generated_by: BTreeMap<String, Versions>,
     now_ms: u64,
     texts: u64,
@@ -166,13 +166,13 @@
             self.replies.remove(at);
         }
         let samples = reply.samples.clone();
-        if self.received.take(reply).is_err() {
+        if self.received.accept(reply).is_err() {
             return;
         }
         for (slot, text, versions) in samples {
             let own = self.received.version();
-            let is_fresh = |made: &WeightVersion| {
-                made.epoch == own.epoch && made.version + BOUND >= own.version
+            let is_fresh = |version: &WeightVersion| {
+                version.epoch == own.epoch && version.version + BOUND >= own.version
             };
             assert!(
                 versions.iter().all(is_fresh),
@@ -181,7 +181,7 @@
             assert_eq!(self.generated_by[&text], versions, "stamps of {slot:?}");
         }
         let had: BTreeSet<Slot> = self.received.samples().iter().map(|s| s.0).collect();
-        assert_eq!(had.len(), self.received.samples().len(), "a doubled sample");
+        assert_eq!(had.len(), self.received.samples().len(), "duplicate sample");
     }
 
     fn post(&mut self, home: usize) {
@@ -218,7 +218,7 @@
         }
         self.texts += 1;
         let text = format!("text {}", self.texts);
-        // A run may span a switch.
+        // A run may span a weight swap.
         let later = WeightVersion {
             version: self.engines.version + self.texts % 2,
             ..self.engines
@@ -269,7 +269,7 @@
         }
     }
 
-    /// Every process works again: whatever happened before, the step becomes whole.
+    /// Lets every process work without further faults until the trainer has the whole step.
     fn run_to_completion(&mut self) {
         self.engines = self.announced;
         self.received.advance(self.announced);
@@ -289,15 +289,15 @@
         assert_eq!(
             self.received.samples().len() as u32,
             self.step.total(),
-            "a lost slot"
+            "lost slot"
         );
     }
 }
 
 checks::seeded! {
-    // The trainer sees each slot once, none too old, with the versions that made it, though
-    // homes die, both are alive, replies come late, doubled or never, and it goes back to a
-    // checkpoint. The cursor says what it has; whatever a home forgot is only run again.
+    // The trainer must get each slot exactly once, within the staleness bound and with correct
+    // versions, although homes crash, two homes are active at once, replies are late, duplicated
+    // or lost, and the trainer restores checkpoints.
     fn can_deliver_each_slot_once_in_any_order_of_events(events: Vec<Event>) -> bool {
         let mut simulation = Simulation::new();
         events.iter().for_each(|event| simulation.apply(event));
@@ -308,10 +308,9 @@
 
 #[test]
 fn can_accept_only_one_of_two_replies_to_one_cursor() {
-    // The trainer's first fetch times out and it asks the other entry with the same cursor.
-    // Both homes are alive, each with its own samples for the same slots, and both replies
-    // arrive. The first one moves the cursor on, so the second no longer fits; had it been
-    // taken, every slot would have been there twice.
+    // The trainer's first fetch times out, and it fetches from the other home with the same
+    // cursor. Both homes have their own samples of the slots, and both replies arrive. The
+    // second one must be refused; otherwise every slot would be delivered twice.
     let mut simulation = Simulation::new();
     simulation.apply(&Event::Post { home: 1 });
     for home in 0..HOMES {
@@ -326,16 +325,16 @@
         simulation.replies.pop().unwrap(),
     ];
     assert_eq!(second.samples.len(), 12);
-    assert_eq!(simulation.received.take(first), Ok(()));
-    let refused = simulation.received.take(second);
+    assert_eq!(simulation.received.accept(first), Ok(()));
+    let refused = simulation.received.accept(second);
     assert_eq!(refused, Err(samples::ReplyError::Superseded));
     assert_eq!(simulation.received.samples().len(), 12);
 }
 
 #[test]
 fn can_continue_after_both_homes_crash() {
-    // The trainer has four samples when both homes die with everything they held. It posts
-    // the step again with its cursor; only the eight missing slots are run.
+    // The trainer has four samples when both homes crash and lose their state. It posts the
+    // step again with its cursor. Only the eight missing slots may be run.
     let mut simulation = Simulation::new();
     simulation.apply(&Event::Dispatch {
         home: 0,
--- a/components/samples/tests/fetch_log.rs
+++ b/components/samples/tests/fetch_log.rs
@@ -1,4 +1,4 @@
-//! Delivery to trainers that number their fetches instead of carrying a cursor.
+//! Delivery to trainers that number their fetches instead of storing a cursor.
 
 mod support;
 
@@ -17,15 +17,15 @@
 
 #[test]
 fn can_return_the_same_slots_to_a_repeated_fetch_at_another_home() {
-    // The first home grants fetch 1 and dies before its reply is out. The trainer sends
-    // fetch 1 again. The second home reads the record, runs the slots whose texts were lost
-    // and answers with just those, when all of them are there.
+    // The first home appends the grant of fetch 1 and crashes before it sends the reply. The
+    // trainer repeats fetch 1 at the second home, which reads the grant, runs the slots whose
+    // texts were lost, and must return exactly these slots once all are finished.
     let step = step_of(1, 4);
     let mut log = FetchLog::new(&step);
     let granted = set(4, [1, 2]);
     assert_eq!(log.apply(&log.grant(1, &granted)), GrantVerdict::Applied);
     let FetchState::Granted { base, slots } = log.fetch_state(1) else {
-        panic!("fetch 1 is granted");
+        panic!("fetch 1 has no grant");
     };
     assert_eq!((&base, &slots), (&Cursor::start(&step), &granted));
     let mut second = ledger(&step, Default::default(), version(1, 1));
@@ -40,8 +40,8 @@
 }
 
 checks::seeded! {
-    // Any number of homes append whatever they believe, doubled, late and out of turn. Every
-    // reader that applies the log comes to the same grants, and no slot is in two of them.
+    // Homes with outdated views append grants that are duplicated, late or out of sequence.
+    // Every reader of the log must accept the same grants, and no slot may be in two of them.
     fn can_grant_each_slot_once_whatever_is_appended(appends: Vec<(u64, Vec<u32>)>) -> bool {
         let step = step_of(4, 8);
         let mut first = FetchLog::new(&step);
--- a/components/samples/tests/ledger.rs
+++ b/components/samples/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger's decisions one at a time.
+//! Individual decisions of the ledger.
 
 mod support;
 
@@ -25,11 +25,11 @@
     }
 }
 
-/// Runs the pending slots and finishes each with these versions.
+/// Starts the pending slots and completes each run with these versions.
 fn finish_all(ledger: &mut Ledger, versions: &[WeightVersion], now_ms: u64) -> Vec<RunId> {
     ledger.dispatch(&room(2, 99, versions[0]), now_ms);
     let runs: Vec<RunId> = starts(ledger).iter().map(|start| start.run).collect();
-    let text = format!("made at {now_ms}");
+    let text = format!("generated at {now_ms}");
     for &run in &runs {
         ledger.record_completion(run, completion(&text, versions.iter().copied()), now_ms);
     }
@@ -53,19 +53,19 @@
             delivered: 2,
         },
         Case {
-            name: "past the bound by its first tokens",
+            name: "over the bound because of the first tokens",
             generated_by: vec![at(1, 3), at(1, 5)],
             trainer: at(1, 6),
             delivered: 0,
         },
         Case {
-            name: "newer than a trainer that went back",
+            name: "newer than a trainer that restored a checkpoint",
             generated_by: vec![at(1, 3)],
             trainer: at(1, 2),
             delivered: 2,
         },
         Case {
-            name: "made before a roll-back",
+            name: "generated before a roll-back",
             generated_by: vec![at(1, 3)],
             trainer: at(2, 3),
             delivered: 0,
@@ -97,7 +97,7 @@
     let run = runs[1].run;
     assert!(ledger.take_actions().contains(&Action::Cancel { run }));
     assert_eq!((ledger.waiting(), ledger.tally().abandoned), (4, 2));
-    // The replica that has not switched yet would only make old samples.
+    // A replica that still serves the old weights would only generate stale samples.
     ledger.dispatch(&room(1, 9, version(1, 1)), 10);
     assert_eq!(starts(&mut ledger), []);
 }
@@ -143,9 +143,9 @@
 
 #[test]
 fn can_bind_one_result_of_a_hedged_slot() {
-    // One replica makes tokens at a fraction of the others' pace. Its slot is hedged with the
-    // same seed, the hedge ends first and is bound, the slow run is cancelled, and its result,
-    // already on the way, changes nothing.
+    // One replica generates tokens at a fraction of the others' rate, so its slot is hedged
+    // with the same seed. The hedge ends first and is bound, and the slow run is cancelled.
+    // The slow run's late result must not replace the hedge's.
     let step = step_of(1, 32);
     let mut ledger = ledger(&step, bound(0), version(1, 1));
     ledger.dispatch(&room(2, 16, version(1, 1)), 0);
@@ -209,7 +209,8 @@
     unknown.provenance = Provenance::NotKnown;
     ledger.record_completion(first.run, unknown, 10);
     assert_eq!((ledger.waiting(), ledger.tally().unknown_origin), (1, 1));
-    // Not at once: an engine that stamps nothing would be kept busy by one slot.
+    // The next run is delayed: one slot would otherwise keep an engine busy that sends no
+    // version stamps.
     assert!(ledger.next_due_ms(10).unwrap() > 10);
     ledger.dispatch(&room(1, 1, version(1, 1)), 1_000);
     assert_ne!(starts(&mut ledger).pop().unwrap().seed, first.seed);
@@ -217,8 +218,8 @@
 
 #[test]
 fn can_wait_for_a_failing_scorer_without_new_runs() {
-    // The scorer fails for every sample for an hour. No sample is delivered without its score
-    // and none is run again, since a new one would fare no better.
+    // The scorer fails for every sample for an hour. No sample may be delivered without its
+    // score, and none is run again, since the scorer would fail for a new sample as well.
     let step = step_of(1, 2);
     let mut ledger = ledger(&step, scored(), version(1, 1));
     let runs = finish_all(&mut ledger, &[version(1, 1)], 0);
@@ -231,7 +232,7 @@
     let start = Cursor::start(&step);
     let unscored = ledger.fetch(&start, version(1, 1), 9, 0).unwrap();
     assert_eq!((unscored.samples.len(), ledger.waiting()), (0, 0));
-    // A late answer counts.
+    // A late score is still accepted.
     runs.iter()
         .for_each(|&run| ledger.record_score(run, Score::new(0.5).unwrap()));
     let reply = ledger.fetch(&start, version(1, 1), 9, 0).unwrap();
@@ -290,9 +291,9 @@
     assert!(ledger.next_due_ms(100).unwrap() > 100);
 }
 
-// An engine dies after the last token and before the end of its answer. The next one refuses
-// to go on from as many tokens as the sample may have. The slot is run afresh, once, instead
-// of being refused with the same tokens for ever.
+// Guards against a slot that is refused forever: an engine dies between the last token and the
+// end of its response, and the next engine refuses to resume from `max_tokens` tokens. The slot
+// must be run from its prompt instead of being retried with the same tokens.
 #[test]
 fn can_restart_a_slot_when_an_engine_refuses_to_resume() {
     let at = version(1, 1);
@@ -318,8 +319,8 @@
     assert_eq!(ledger.blocked(), 1);
 }
 
-// Long samples are ready. A reply holds as many as pass between entries, one in any case,
-// and the cursor says that the rest is owed.
+// Guards against a reply that is too large for a message between entries. A reply of long
+// samples holds as many as fit, but at least one; the cursor lists the others as missing.
 #[test]
 fn can_limit_the_size_of_a_reply() {
     const SAMPLES: u32 = 8;
@@ -340,7 +341,7 @@
             delivered: 4,
         },
         Case {
-            name: "one that is larger than a reply",
+            name: "one text over the limit",
             text_bytes: 5 << 20,
             delivered: 1,
         },
@@ -362,8 +363,9 @@
     }
 }
 
-// An operator takes the scorer out of the text, or puts one in, while samples of a step wait.
-// Without one no score would ever come; with one, no sample goes out without its score.
+// An operator removes the scorer from the configuration, or adds one, while samples of a step
+// wait. Guards against samples that wait forever for a score, and against samples that are
+// delivered without one.
 #[test]
 fn can_turn_scoring_on_or_off_while_samples_wait() {
     let at = version(1, 1);
--- a/components/samples/tests/policy.rs
+++ b/components/samples/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Tables of the small decisions: origin, swaps, late runs, homes.
+//! Table tests of single decisions: provenance, weight swaps, stragglers and homes.
 
 mod support;
 
@@ -24,7 +24,7 @@
             provenance: Some(&[1, 2]),
         },
         Case {
-            name: "no stamp and one version all along",
+            name: "no stamp and one version throughout",
             stamps: &[None, None],
             witnessed: Some(3),
             provenance: Some(&[3]),
@@ -42,7 +42,7 @@
             provenance: None,
         },
         Case {
-            name: "nothing at all",
+            name: "no chunk",
             stamps: &[],
             witnessed: Some(1),
             provenance: None,
@@ -92,9 +92,9 @@
     let (fresh, edge, stale) = (version(2, 5), version(2, 4), version(2, 3));
     let cases = [
         case("no token yet", None, None, true, RunPlan::Keep),
-        case("young", Some(fresh), Some(9_000), true, RunPlan::Keep),
+        case("fresh", Some(fresh), Some(9_000), true, RunPlan::Keep),
         case(
-            "young, engine drops it",
+            "fresh, engine drops the run",
             Some(fresh),
             None,
             false,
@@ -114,7 +114,7 @@
             true,
             RunPlan::Abandon,
         ),
-        case("too old", Some(stale), Some(0), true, RunPlan::Abandon),
+        case("stale", Some(stale), Some(0), true, RunPlan::Abandon),
         case(
             "another epoch",
             Some(version(1, 9)),
@@ -167,16 +167,16 @@
         hedges,
         decision,
     };
-    // The others took 1 s for 100 tokens.
+    // The finished runs took 1 s for 100 tokens.
     let cases = [
         case(
-            "long at the usual pace",
+            "long at the usual rate",
             run(60_000, 10, 6_000),
             0,
             Decision::Wait,
         ),
         case(
-            "a fifth of the pace",
+            "a fifth of the usual rate",
             run(5_000, 10, 100),
             0,
             Decision::Hedge,
@@ -191,12 +191,17 @@
         case("silent, moved before", moved, 0, Decision::Hedge),
         case("hedged already", hedged, 0, Decision::Wait),
         case(
-            "unary and within reason",
+            "not streamed, within the limit",
             run(2_000, 2_000, 0),
             0,
             Decision::Wait,
         ),
-        case("unary and late", run(5_000, 5_000, 0), 0, Decision::Hedge),
+        case(
+            "not streamed, late",
+            run(5_000, 5_000, 0),
+            0,
+            Decision::Hedge,
+        ),
     ];
     let mut pace = RunTimings::default();
     (0..20).for_each(|_| pace.record(1_000, 100));
@@ -227,10 +232,10 @@
         let two = choose_homes(&key(step), &live).unwrap();
         let second = two.second.unwrap();
         assert_ne!(domain(&live, two.first), domain(&live, second));
-        // The order of the list says nothing.
+        // The choice does not depend on the order of the list.
         live.rotate_left(1);
         assert_eq!(choose_homes(&key(step), &live), Some(two.clone()));
-        // When the first dies, the second, which holds the copies, is one of the new two.
+        // If the first home crashes, the second, which holds the copies, is one of the new homes.
         let left: Vec<Entry> = live
             .iter()
             .filter(|e| e.address != two.first)
--- a/components/samples/tests/steps.rs
+++ b/components/samples/tests/steps.rs
@@ -1,4 +1,4 @@
-//! The steps that an entry holds.
+//! Steps that an entry holds: posts, replacement, limits and idle time.
 
 mod support;
 
@@ -38,9 +38,9 @@
 
 #[test]
 fn can_replace_an_unused_step_without_mixing_up_its_runs() {
-    // A trainer restarts and posts its step again with another prompt. The first post's run
-    // is cancelled, and its result, already on the way, comes under a number that no run of
-    // the second post has; else it would be bound to a slot of another prompt.
+    // A trainer restarts and posts its step again with another prompt. The run of the first
+    // post is cancelled, but its result still arrives. The result must not be bound to a slot
+    // of the second post, so its run number must not occur there.
     let step = step_of(1, 1);
     let other = Arc::new(Step::new(key(7), step_of(2, 1).groups.clone(), 9).unwrap());
     let settings = LedgerSettings::default();
@@ -75,10 +75,9 @@
     assert!(steps.get_mut(&key(7), 0).is_none());
 }
 
-// Engines are left in peace by a step whose trainer has it whole. The reply with the last
-// slots ends its fetches, so no cursor ever says that it arrived: each new version made the
-// samples too old and ran them again, and each run kept the step. Lost, the reply is asked
-// for again, and then they are run again.
+// Guards against useless runs for a delivered step. After the reply with the last slots, no
+// cursor confirms its arrival; each new version made the samples stale and ran them again, and
+// each run kept the step. Only a repeated fetch, after a lost reply, may run them again.
 #[test]
 fn can_stop_running_slots_of_a_delivered_step() {
     let step = step_of(1, 4);
@@ -106,8 +105,8 @@
     assert!(steps.find_mut(&key(7)).is_none());
 }
 
-// An operator makes the bound stricter while a step is held. The trainer gets no sample that
-// the new text no longer allows, whatever bound the step was posted under.
+// An operator lowers the staleness bound while a step is held. The trainer must not get a
+// sample over the new bound, although the step was posted under a higher one.
 #[test]
 fn can_apply_a_stricter_staleness_bound_to_a_held_step() {
     let step = step_of(1, 2);
@@ -135,8 +134,8 @@
 
 #[test]
 fn can_take_over_at_the_second_home_from_copies() {
-    // The first home finishes two of three slots and dies. The second has the post and both
-    // samples; the trainer's fetch there gives them at once, and one slot is run.
+    // The first home finishes two of three slots and crashes. The second home has copies of the
+    // post and both samples. A fetch there must return both at once, and one slot is run.
     let step = step_of(1, 3);
     let start = Cursor::start(&step);
     let mut first = Steps::new(IDLE_MS);
@@ -149,10 +148,11 @@
     }
     let sent = serde_json::to_string(&ledger.copies(None, 0)).unwrap();
     let copies: Vec<CopyMessage> = serde_json::from_str(&sent).unwrap();
-    // Out of order: a sample that comes before its post is dropped and sent with the rest.
+    // A sample that arrives before its post is dropped; the first home sends it again with the
+    // other copies.
     copies.iter().rev().for_each(|copy| second.apply(copy, 1));
     let CopyMessage::Post { step: posted, .. } = &copies[0] else {
-        panic!("the post goes first");
+        panic!("the first copy is not the post");
     };
     post(&mut second, posted, &start).unwrap();
     (0..2).for_each(|_| copies.iter().for_each(|copy| second.apply(copy, 1)));
@@ -161,8 +161,9 @@
     assert_eq!((reply.samples.len(), ledger.waiting()), (2, 1));
 }
 
-// One customer posts steps without end and fetches none. Past its bound its posts are
-// refused, while another customer's post is taken; the memory of the entry is everybody's.
+// Guards against one customer filling the entry's memory, which all customers share. A
+// customer posts steps without fetching any; posts over its limit must be refused, and
+// another customer's post must be accepted.
 #[test]
 fn can_limit_the_steps_of_one_customer() {
     const STEPS_MAX: u64 = 64;
@@ -187,7 +188,7 @@
     assert_eq!(posted, Ok(PostOutcome::New));
 }
 
-// As above with few steps and large prompts.
+// Like `can_limit_the_steps_of_one_customer`, with few steps and large prompts.
 #[test]
 fn can_limit_the_prompt_bytes_of_one_customer() {
     const PROMPT_BYTES: usize = 4 << 20;
@@ -209,8 +210,8 @@
     assert!(!steps.find_mut(&key(0)).unwrap().step().groups.is_empty());
 }
 
-// A trainer works through its steps faster than done ones are dropped. Its posts go on: a
-// step that it has whole makes room, the one done first before the others.
+// A trainer completes steps faster than the idle time removes them. Its posts must not be
+// refused: delivered steps are dropped to make room, the least recently used first.
 #[test]
 fn can_drop_done_steps_of_a_customer_to_make_room() {
     let step_number =
@@ -228,7 +229,7 @@
         );
         assert_eq!(posted, Ok(PostOutcome::New), "step {number}");
         if number == 0 {
-            // Not fetched by its trainer, so it stays.
+            // The trainer does not fetch this step, so it must not be dropped.
             continue;
         }
         let ledger = steps.get_mut(&key(number), number).unwrap();
--- a/components/samples/tests/support/mod.rs
+++ b/components/samples/tests/support/mod.rs
@@ -1,7 +1,7 @@
-//! Steps, rooms and completions for the tests.
+//! Helpers that create steps, ledgers, replicas with free runs, and completions.
 
-#![allow(dead_code)] // Each test file uses some of them.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+#![allow(dead_code)] // Each test file uses only some of the helpers.
+#![allow(clippy::unwrap_used)] // clippy.toml allows `unwrap` in test functions, not in their helpers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -40,7 +40,7 @@
     SocketAddr::from(([127, 0, 0, 1], 9_000 + number))
 }
 
-/// Replicas 0 to `replicas`, each with this room and version.
+/// Creates the replicas 0 to `replicas` - 1, each with `free_runs` and `version`.
 pub fn room(replicas: u16, free_runs: u32, version: WeightVersion) -> RunCapacity {
     let replica = |number| Replica {
         address: address(number),
@@ -65,7 +65,7 @@
     }
 }
 
-/// The runs that the ledger has asked for since the last look.
+/// Takes the ledger's actions and returns the runs to start.
 pub fn starts(ledger: &mut Ledger) -> Vec<Start> {
     let start = |action| match action {
         Action::Start(start) => Some(start),
