--- a/components/samples/src/ledger/runs.rs
+++ b/components/samples/src/ledger/runs.rs
@@ -236,7 +236,7 @@
         let failures = self.slots[position as usize].failures;
         match fault {
             Fault::Moved => 0,
-            // A single lost endpoint does not suggest that another one fails too.
+            // Retry at once: the loss of one endpoint is no sign that the next one fails.
             Fault::Lost if failures == 1 => 0,
             Fault::Refused | Fault::Lost => self
                 .settings
--- a/components/samples/src/received.rs
+++ b/components/samples/src/received.rs
@@ -39,7 +39,7 @@
     pub next: String,
 }
 
-/// Samples and cursor of a trainer. It has to be stored as a whole in the checkpoint.
+/// Samples, cursor and version of a trainer, which must be stored together in its checkpoint.
 #[value]
 pub struct TrainerState<S> {
     cursor: String,
--- a/components/samples/src/steps.rs
+++ b/components/samples/src/steps.rs
@@ -1,9 +1,9 @@
 //! The steps that an entry holds, as first or second home.
 //!
 //! A trainer that restarts may post a step again under the same number with other prompts.
-//! The new post replaces the old one unless the old one is still in use; the digest in the
-//! cursor tells the replies of the two posts apart. A post is refused while the old one is
-//! being fetched, so that two trainers that use the same token by mistake get an error.
+//! The new post replaces the old one once that is no longer in use; the digest in the cursor
+//! distinguishes the replies of the two posts. While the old post is in use, the new one is
+//! refused, so that two trainers that use the same token by mistake get an error.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
