--- a/bin/ctl/src/cmd/check.rs
+++ b/bin/ctl/src/cmd/check.rs
@@ -19,9 +19,9 @@
     }
     println!(
         "good: customer {}, {} services, {} tokens",
-        checked.text.customer,
-        checked.text.services.len(),
-        checked.text.tokens.len()
+        checked.config.customer,
+        checked.config.services.len(),
+        checked.config.tokens.len()
     );
     Ok(())
 }
--- a/bin/ctl/src/cmd/diff.rs
+++ b/bin/ctl/src/cmd/diff.rs
@@ -1,7 +1,7 @@
 //! `diff`: what would a publish of this file change?
 
 use clap::ArgMatches;
-use config::{line_diff, summary};
+use config::{line_diff, summarize};
 use control::{check_file, read_history};
 
 use super::failure::Failure;
@@ -12,7 +12,7 @@
     let history = read_history(&log(flags)?).await?;
     let path = file(flags)?;
     let checked = check_file(path, Some(&history.ledger))?;
-    let accepted = history.ledger.current(&checked.text.customer);
+    let accepted = history.ledger.current(&checked.config.customer);
     let source = accepted.map_or("", |accepted| &accepted.source);
     let name = accepted.map_or("nothing".to_owned(), |accepted| {
         format!("version {}", accepted.version)
@@ -21,7 +21,7 @@
         "{}",
         line_diff(source, &checked.source, &name, &path.to_string_lossy())
     );
-    let old = accepted.map(|accepted| accepted.text.as_ref());
-    print!("{}", summary(old, &checked.text));
+    let old = accepted.map(|accepted| accepted.config.as_ref());
+    print!("{}", summarize(old, &checked.config));
     Ok(())
 }
--- a/bin/ctl/src/cmd/history.rs
+++ b/bin/ctl/src/cmd/history.rs
@@ -1,7 +1,7 @@
 //! `history`: what was published, and what became of it.
 
 use clap::ArgMatches;
-use control::{Entry, read_history};
+use control::{HistoryEntry, read_history};
 use settings::optional_name;
 use types::CustomerName;
 
@@ -14,7 +14,7 @@
     let form = Form::of(flags)?;
     let customer: Option<CustomerName> = optional_name(flags, "customer")?;
     let history = read_history(&log(flags)?).await?;
-    let entries: Vec<&Entry> = history.of(customer.as_ref()).collect();
+    let entries: Vec<&HistoryEntry> = history.entries_of(customer.as_ref()).collect();
     match form {
         Form::Json => print_json(&entries),
         Form::Table => {
@@ -28,7 +28,7 @@
     Ok(())
 }
 
-fn row(entry: &Entry) -> [String; 6] {
+fn row(entry: &HistoryEntry) -> [String; 6] {
     [
         entry.offset.to_string(),
         entry.customer.clone(),
--- a/bin/ctl/src/cmd/publish.rs
+++ b/bin/ctl/src/cmd/publish.rs
@@ -2,7 +2,8 @@
 
 use clap::ArgMatches;
 use control::{
-    Progress, PublishSettings, Published, check_file, publish, read_history, wait_in_force,
+    PublishProgress, PublishSettings, Published, check_file, publish, read_history,
+    wait_until_active,
 };
 use settings::{SettingsError, addresses, milliseconds, text};
 
@@ -27,7 +28,7 @@
         eprintln!("{warning}");
     }
     let published = publish(&log, &mut history, &checked, &settings, show).await?;
-    wait_in_force(&processes, &published, wait_ms, show).await?;
+    wait_until_active(&processes, &published, wait_ms, show).await?;
     match form {
         Form::Json => print_json(&published),
         Form::Table => println!("{}", sentence(&published, processes.len())),
@@ -57,12 +58,14 @@
     })
 }
 
-fn show(progress: Progress) {
+fn show(progress: PublishProgress) {
     match progress {
-        Progress::AppendedAgain(tries) => {
+        PublishProgress::AppendRetried(tries) => {
             eprintln!("no answer from the log, try {tries}; again with the same id")
         }
-        Progress::Accepted(version) => eprintln!("accepted as version {version}"),
-        Progress::InForce(reached, all) => eprintln!("in force at {reached} of {all} processes"),
+        PublishProgress::Accepted(version) => eprintln!("accepted as version {version}"),
+        PublishProgress::Active(reached, all) => {
+            eprintln!("in force at {reached} of {all} processes")
+        }
     }
 }
--- a/bin/ctl/src/cmd/show.rs
+++ b/bin/ctl/src/cmd/show.rs
@@ -24,7 +24,7 @@
     let customer: CustomerName = name(flags, "customer")?;
     let history = read_history(&log(flags)?).await?;
     let accepted = history.ledger.current(&customer);
-    let accepted = accepted.ok_or_else(|| ControlError::NoText(customer.to_string()))?;
+    let accepted = accepted.ok_or_else(|| ControlError::NoAcceptedVersion(customer.to_string()))?;
     match form {
         Form::Table => print!("{}", accepted.source),
         Form::Json => print_json(&Shown {
--- a/bin/ctl/src/cmd/status.rs
+++ b/bin/ctl/src/cmd/status.rs
@@ -1,7 +1,7 @@
 //! `status`: process by process.
 
 use clap::ArgMatches;
-use control::{ControlError, NodeStatus, Reply, statuses};
+use control::{ControlError, NodeStatus, StatusReply, statuses};
 use serde::Serialize;
 use settings::{addresses, required};
 
@@ -50,7 +50,7 @@
     }
 }
 
-fn json_row(reply: &Reply) -> Row<'_> {
+fn json_row(reply: &StatusReply) -> Row<'_> {
     Row {
         admin: reply.address.to_string(),
         status: reply.status.as_ref().ok(),
@@ -58,7 +58,7 @@
     }
 }
 
-fn row(reply: &Reply) -> [String; 8] {
+fn row(reply: &StatusReply) -> [String; 8] {
     let admin = reply.address.to_string();
     let dash = || "-".to_owned();
     match &reply.status {
--- a/components/claims/src/batch.rs
+++ b/components/claims/src/batch.rs
@@ -15,9 +15,9 @@
 quick_error! {
     /// No more records can wait; the submission is refused as not run.
     #[derive(Clone, Debug, PartialEq, Eq)]
-    pub enum Full {
+    pub enum BatchFull {
         /// This many wait already.
-        Waiting(records: usize) {
+        Queued(records: usize) {
             display("{} records wait for the log already", records)
         }
     }
@@ -53,9 +53,9 @@
     }
 
     /// Puts a record into the queue.
-    pub fn push(&mut self, record: Record, now_ms: u64) -> Result<(), Full> {
+    pub fn push(&mut self, record: Record, now_ms: u64) -> Result<(), BatchFull> {
         if self.waiting.len() >= self.settings.waiting_max {
-            return Err(Full::Waiting(self.waiting.len()));
+            return Err(BatchFull::Queued(self.waiting.len()));
         }
         let bytes = size_bytes(&record);
         self.waiting.push_back(Waiting {
@@ -89,20 +89,20 @@
         }
         let records = self.waiting.iter().take(count);
         let records = records.map(|waiting| waiting.record.clone()).collect();
-        let text = Line::new(records).text()?;
+        let text = Line::new(records).to_json()?;
         self.sent = count;
         self.paced_ms = self.paced_ms.max(now_ms) + self.settings.flush_every_ms;
         Ok(Some(text))
     }
 
     /// The append worked.
-    pub fn appended(&mut self) {
+    pub fn confirm_append(&mut self) {
         self.waiting.drain(..self.sent);
         self.sent = 0;
     }
 
     /// The append failed, or its answer was lost: the same records go again.
-    pub fn failed(&mut self) {
+    pub fn retry_append(&mut self) {
         self.sent = 0;
     }
 
--- a/components/claims/src/holder.rs
+++ b/components/claims/src/holder.rs
@@ -10,7 +10,7 @@
 
 /// What the entry does next.
 #[value]
-pub enum HolderStep {
+pub enum ClaimAction {
     /// Send the claim to the shard's writer of this rank (see [`crate::writers_of`]; rank
     /// modulo their number) and ask again when its verdict comes or the time is over.
     Send {
@@ -27,7 +27,7 @@
     /// The key's call has ended or runs: answer from the verdict.
     Answer(Verdict),
     /// Final answer: not run. Append [`Holder::release`] when the log can be had.
-    GiveUp(Failure),
+    Abandon(Failure),
 }
 
 #[value]
@@ -41,14 +41,14 @@
 
 /// One keyed submission.
 #[value]
-pub struct Holder {
+pub struct ClaimHolder {
     settings: ClaimSettings,
     claim: Claim,
     made_ms: u64,
     state: State,
 }
 
-impl Holder {
+impl ClaimHolder {
     /// Makes the claim now.
     pub fn new(claim: Claim, settings: ClaimSettings, now_ms: u64) -> Self {
         Self {
@@ -68,7 +68,7 @@
     }
 
     /// What to do now.
-    pub fn step(&mut self, now_ms: u64) -> HolderStep {
+    pub fn next_action(&mut self, now_ms: u64) -> ClaimAction {
         if self.is_late(now_ms) && matches!(self.state, State::Claiming { .. } | State::Won) {
             self.state = State::GivenUp;
         }
@@ -76,18 +76,18 @@
             State::Claiming { tries, next_ms } if now_ms >= *next_ms => {
                 let rank = *tries;
                 *tries += 1;
-                *next_ms = now_ms + self.settings.try_again_ms;
-                HolderStep::Send { rank }
+                *next_ms = now_ms + self.settings.retry_interval_ms;
+                ClaimAction::Send { rank }
             }
             State::Claiming { next_ms, .. } => {
                 let last_ms = self.made_ms + self.settings.start_within_ms;
-                HolderStep::WaitUntil {
+                ClaimAction::WaitUntil {
                     at_ms: last_ms.min(*next_ms),
                 }
             }
-            State::Won | State::Started => HolderStep::Run,
-            State::Other(verdict) => HolderStep::Answer(verdict.clone()),
-            State::GivenUp => HolderStep::GiveUp(self.unavailable()),
+            State::Won | State::Started => ClaimAction::Run,
+            State::Other(verdict) => ClaimAction::Answer(verdict.clone()),
+            State::GivenUp => ClaimAction::Abandon(self.unavailable()),
         }
     }
 
@@ -118,7 +118,7 @@
     /// may have been on its way or in a queue for just as long.
     pub fn start(&mut self, now_ms: u64) -> Result<(), Failure> {
         if self.state != State::Won || self.is_late(now_ms) {
-            self.give_up();
+            self.abandon();
             return Err(self.unavailable());
         }
         self.state = State::Started;
@@ -127,14 +127,14 @@
 
     /// The entry will not run the call: its caller went away or there is no endpoint.
     /// Without effect once started.
-    pub fn give_up(&mut self) {
+    pub fn abandon(&mut self) {
         if matches!(self.state, State::Claiming { .. } | State::Won) {
             self.state = State::GivenUp;
         }
     }
 
     /// A call that was started has ended as provably not run: it may be claimed anew.
-    pub fn not_run(&mut self) {
+    pub fn record_not_run(&mut self) {
         if self.state == State::Started {
             self.state = State::GivenUp;
         }
--- a/components/claims/src/lib.rs
+++ b/components/claims/src/lib.rs
@@ -48,11 +48,11 @@
 mod stream;
 mod verdict;
 
-pub use batch::{Batch, Full};
+pub use batch::{Batch, BatchFull};
 pub use digest::{KeyDigest, RequestDigest};
-pub use holder::{Holder, HolderStep};
+pub use holder::{ClaimAction, ClaimHolder};
 pub use record::{Answer, Body, Claim, Line, Outcome, Record, RecordError};
 pub use settings::{ClaimSettings, SettingsError};
 pub use shard::Shard;
 pub use stream::{shard_of, stream_name, writers_of};
-pub use verdict::{Place, Placed, Verdict};
+pub use verdict::{ClaimVerdict, RecordPosition, Verdict};
--- a/components/claims/src/record.rs
+++ b/components/claims/src/record.rs
@@ -180,7 +180,7 @@
     }
 
     /// The text for the log.
-    pub fn text(&self) -> Result<String, RecordError> {
+    pub fn to_json(&self) -> Result<String, RecordError> {
         Ok(serde_json::to_string(self)?)
     }
 
--- a/components/claims/src/settings.rs
+++ b/components/claims/src/settings.rs
@@ -34,7 +34,7 @@
     /// Longest time from making a claim to handing the call over, in milliseconds.
     pub start_within_ms: u64,
     /// How long an append or a verdict may take until the claim is sent again.
-    pub try_again_ms: u64,
+    pub retry_interval_ms: u64,
     /// When a caller may come back while the key's call runs, in milliseconds.
     pub running_retry_after_ms: u32,
     /// When a caller may come back after the log was not to be had, in milliseconds.
@@ -61,7 +61,7 @@
             shards: 4,
             key_lifetime_ms: 3_600_000,
             start_within_ms: 5_000,
-            try_again_ms: 1_000,
+            retry_interval_ms: 1_000,
             running_retry_after_ms: 500,
             outage_retry_after_ms: 2_000,
             answer_bytes_max: 16 * 1_024,
--- a/components/claims/src/shard.rs
+++ b/components/claims/src/shard.rs
@@ -11,8 +11,8 @@
 use types::{CallId, Failure};
 
 use crate::{
-    Claim, ClaimSettings, KeyDigest, Line, Outcome, Place, Placed, Record, RecordError,
-    RequestDigest, Verdict,
+    Claim, ClaimSettings, ClaimVerdict, KeyDigest, Line, Outcome, Record, RecordError,
+    RecordPosition, RequestDigest, Verdict,
 };
 
 #[value]
@@ -22,7 +22,7 @@
     Unsure,
     Answered {
         status: u16,
-        place: Option<Place>,
+        place: Option<RecordPosition>,
     },
     Failed(Failure),
     Released,
@@ -88,7 +88,7 @@
         offset: u64,
         text: &str,
         now_ms: u64,
-    ) -> Result<Vec<Placed>, RecordError> {
+    ) -> Result<Vec<ClaimVerdict>, RecordError> {
         if offset < self.next_offset {
             return Ok(Vec::new());
         }
@@ -96,7 +96,7 @@
         let line = Line::parse(text)?;
         let mut placed = Vec::new();
         for (index, record) in (0..).zip(line.records) {
-            let place = Place { offset, index };
+            let place = RecordPosition { offset, index };
             placed.extend(self.take(place, record, now_ms));
         }
         Ok(placed)
@@ -122,7 +122,7 @@
             .retain(|_, &mut since_ms| now_ms.saturating_sub(since_ms) < lag_ms);
     }
 
-    fn take(&mut self, place: Place, record: Record, now_ms: u64) -> Option<Placed> {
+    fn take(&mut self, place: RecordPosition, record: Record, now_ms: u64) -> Option<ClaimVerdict> {
         match record {
             Record::Claim(claim) => self.take_claim(&claim, now_ms),
             Record::Done {
@@ -153,7 +153,7 @@
         }
     }
 
-    fn take_claim(&mut self, claim: &Claim, now_ms: u64) -> Option<Placed> {
+    fn take_claim(&mut self, claim: &Claim, now_ms: u64) -> Option<ClaimVerdict> {
         if self.released.contains_key(&claim.claim) {
             return None;
         }
@@ -174,13 +174,13 @@
         };
         held.newest_ms = now_ms;
         self.keys.insert(claim.key, held);
-        Some(Placed {
+        Some(ClaimVerdict {
             claim: claim.claim,
             verdict,
         })
     }
 
-    fn hold(&mut self, claim: &Claim, now_ms: u64) -> Option<Placed> {
+    fn hold(&mut self, claim: &Claim, now_ms: u64) -> Option<ClaimVerdict> {
         if self.keys.len() >= self.settings.keys_max {
             self.expire(now_ms);
         }
@@ -204,7 +204,7 @@
             },
         };
         self.keys.insert(claim.key, held);
-        (!unsure).then_some(Placed {
+        (!unsure).then_some(ClaimVerdict {
             claim: claim.claim,
             verdict: Verdict::Won,
         })
@@ -231,7 +231,7 @@
 }
 
 impl State {
-    fn of(outcome: Outcome, place: Place) -> Self {
+    fn of(outcome: Outcome, place: RecordPosition) -> Self {
         match outcome {
             Outcome::Answered { status, answer } => State::Answered {
                 status,
@@ -255,7 +255,7 @@
             State::Running | State::Unsure | State::Released => Verdict::Running,
             State::Answered { status, place } => Verdict::Answered {
                 status: *status,
-                place: *place,
+                position: *place,
             },
             State::Failed(failure) => Verdict::Failed(*failure),
         }
--- a/components/claims/src/verdict.rs
+++ b/components/claims/src/verdict.rs
@@ -7,7 +7,7 @@
 
 /// Where a record stands in its stream.
 #[key]
-pub struct Place {
+pub struct RecordPosition {
     /// Offset of the line in the log.
     pub offset: u64,
     /// Position in the line.
@@ -27,7 +27,7 @@
         status: u16,
         /// Where the answer is recorded; read the line there and take
         /// [`crate::Line::outcome`]. `None` when it was too large.
-        place: Option<Place>,
+        position: Option<RecordPosition>,
     },
     /// The key's call ended without a whole answer.
     Failed(Failure),
@@ -41,13 +41,16 @@
     /// The final answer, where the verdict alone is one.
     pub fn failure(&self, settings: &ClaimSettings) -> Option<Failure> {
         match self {
-            Verdict::Won | Verdict::Answered { place: Some(_), .. } => None,
+            Verdict::Won
+            | Verdict::Answered {
+                position: Some(_), ..
+            } => None,
             Verdict::Running => Some(
                 Failure::new(RunState::Unknown, Cause::ClaimTaken)
                     .retry_after(settings.running_retry_after_ms),
             ),
             // It ran and was answered, but the answer is not to be had again.
-            Verdict::Answered { place: None, .. } => {
+            Verdict::Answered { position: None, .. } => {
                 Some(Failure::new(RunState::Failed, Cause::TooLarge))
             }
             Verdict::Failed(failure) => Some(*failure),
@@ -59,7 +62,7 @@
 
 /// A claim that was read, with its verdict.
 #[value]
-pub struct Placed {
+pub struct ClaimVerdict {
     /// The claim.
     pub claim: CallId,
     /// What its holder is to do.
--- a/components/claims/tests/at_most_once.rs
+++ b/components/claims/tests/at_most_once.rs
@@ -1,7 +1,8 @@
 //! Any interleaving of entries, readers, lost answers, pauses and forgetting.
 
 use claims::{
-    Claim, ClaimSettings, Holder, KeyDigest, Line, Outcome, Placed, Record, RequestDigest, Shard,
+    Claim, ClaimHolder, ClaimSettings, ClaimVerdict, KeyDigest, Line, Outcome, Record,
+    RequestDigest, Shard,
 };
 use types::{CallId, CustomerName, ServiceName};
 
@@ -9,7 +10,7 @@
     shards: 1,
     key_lifetime_ms: 1_000,
     start_within_ms: 100,
-    try_again_ms: 20,
+    retry_interval_ms: 20,
     running_retry_after_ms: 5,
     outage_retry_after_ms: 5,
     answer_bytes_max: 100,
@@ -27,9 +28,9 @@
     now_ms: u64,
     log: Vec<(u64, String)>,
     readers: Vec<Shard>,
-    holders: Vec<Holder>,
+    holders: Vec<ClaimHolder>,
     /// Verdicts on their way; they arrive late, out of order or never.
-    verdicts: Vec<Placed>,
+    verdicts: Vec<ClaimVerdict>,
     starts_ms: Vec<u64>,
 }
 
@@ -59,7 +60,8 @@
             claim: CallId { boot: 1, counter },
             runs_for_ms: 50,
         };
-        self.holders.push(Holder::new(claim, SETTINGS, self.now_ms));
+        self.holders
+            .push(ClaimHolder::new(claim, SETTINGS, self.now_ms));
         self.append(Some(Record::Claim(claim)));
     }
 
@@ -74,7 +76,7 @@
     }
 
     fn append(&mut self, record: Option<Record>) {
-        let texts = record.and_then(|record| Line::new(vec![record]).text().ok());
+        let texts = record.and_then(|record| Line::new(vec![record]).to_json().ok());
         self.log.extend(texts.map(|text| (self.now_ms, text)));
     }
 
@@ -132,7 +134,7 @@
         let Some(holder) = self.holders.get_mut(holder) else {
             return;
         };
-        holder.give_up();
+        holder.abandon();
         let outcome = Outcome::answered(200, &[], b"clear", &SETTINGS);
         let record = holder.done(outcome).or(holder.release());
         self.append(record);
--- a/components/claims/tests/claims.rs
+++ b/components/claims/tests/claims.rs
@@ -2,8 +2,9 @@
 #![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
 
 use claims::{
-    Batch, Body, Claim, ClaimSettings, Full, Holder, HolderStep, KeyDigest, Line, Outcome, Place,
-    Record, RequestDigest, Shard, Verdict, shard_of, stream_name, writers_of,
+    Batch, BatchFull, Body, Claim, ClaimAction, ClaimHolder, ClaimSettings, KeyDigest, Line,
+    Outcome, Record, RecordPosition, RequestDigest, Shard, Verdict, shard_of, stream_name,
+    writers_of,
 };
 use types::{CallId, Cause, CustomerName, Failure, RunState, ServiceName};
 
@@ -59,8 +60,11 @@
     let release = Record::Release { key, claim: first };
     let taken = Failure::new(RunState::Unknown, Cause::ClaimTaken);
     let large = vec![b'x'; settings().answer_bytes_max + 1];
-    let whole = |place| Verdict::Answered { status: 200, place };
-    let place = Place {
+    let whole = |place| Verdict::Answered {
+        status: 200,
+        position: place,
+    };
+    let place = RecordPosition {
         offset: 1,
         index: 0,
     };
@@ -140,7 +144,7 @@
         let mut shard = Shard::new(settings());
         let records = [vec![Record::Claim(claim(1, "a"))], case.after_first].concat();
         for (offset, record) in (0..).zip(records) {
-            let text = Line::new(vec![record]).text().unwrap();
+            let text = Line::new(vec![record]).to_json().unwrap();
             shard.apply(offset, &text, 0).unwrap();
         }
         let (key, request) = (case.second.key, case.second.request);
@@ -148,7 +152,9 @@
             .peek(key, request, case.wait_ms)
             .unwrap_or(Verdict::Won);
         assert_eq!(early, case.verdict, "{}: before a claim", case.name);
-        let text = Line::new(vec![Record::Claim(case.second)]).text().unwrap();
+        let text = Line::new(vec![Record::Claim(case.second)])
+            .to_json()
+            .unwrap();
         let placed = shard.apply(9, &text, case.wait_ms).unwrap();
         assert_eq!(
             placed[0].verdict, case.verdict,
@@ -169,12 +175,15 @@
 /// gives up for good, and a verdict that comes after all changes nothing.
 #[test]
 fn errors_when_the_log_is_out() {
-    let mut holder = Holder::new(claim(1, "a"), settings(), 0);
-    assert_eq!(holder.step(0), HolderStep::Send { rank: 0 });
+    let mut holder = ClaimHolder::new(claim(1, "a"), settings(), 0);
+    assert_eq!(holder.next_action(0), ClaimAction::Send { rank: 0 });
     holder.on_refused(10);
-    assert_eq!(holder.step(10), HolderStep::Send { rank: 1 });
-    assert_eq!(holder.step(20), HolderStep::WaitUntil { at_ms: 1_010 });
-    let HolderStep::GiveUp(failure) = holder.step(5_001) else {
+    assert_eq!(holder.next_action(10), ClaimAction::Send { rank: 1 });
+    assert_eq!(
+        holder.next_action(20),
+        ClaimAction::WaitUntil { at_ms: 1_010 }
+    );
+    let ClaimAction::Abandon(failure) = holder.next_action(5_001) else {
         panic!("goes on without a claim");
     };
     assert_eq!(
@@ -190,11 +199,11 @@
 /// The holder wins, is frozen before the hand-over and wakes when its claim is old.
 #[test]
 fn errors_when_the_winner_wakes_too_late() {
-    let mut holder = Holder::new(claim(1, "a"), settings(), 0);
+    let mut holder = ClaimHolder::new(claim(1, "a"), settings(), 0);
     holder.on_verdict(Verdict::Won);
-    assert_eq!(holder.step(10), HolderStep::Run);
+    assert_eq!(holder.next_action(10), ClaimAction::Run);
     assert_eq!(holder.start(5_001).unwrap_err().run, RunState::NotRun);
-    let mut in_time = Holder::new(claim(2, "a"), settings(), 0);
+    let mut in_time = ClaimHolder::new(claim(2, "a"), settings(), 0);
     in_time.on_verdict(Verdict::Won);
     assert!(in_time.start(5_000).is_ok() && in_time.release().is_none());
     assert!(in_time.start(5_000).is_err(), "started twice");
@@ -225,7 +234,7 @@
         }
         for batch in &mut batches {
             appends += u64::from(batch.flush(now_ms).unwrap().is_some());
-            batch.appended();
+            batch.confirm_append();
         }
     }
     println!("{} records/s in {} appends/s", records / 10, appends / 10);
@@ -244,7 +253,7 @@
     let mut appended = |now_ms| {
         batch.push(answered(b"ok"), now_ms).unwrap();
         let text = batch.flush(now_ms).unwrap();
-        batch.appended();
+        batch.confirm_append();
         text.is_some()
     };
     for now_ms in 1_000..1_008 {
@@ -269,7 +278,7 @@
     ];
     let mut won = Vec::new();
     for (offset, (record, now_ms)) in (0..).zip(records) {
-        let text = Line::new(vec![record]).text().unwrap();
+        let text = Line::new(vec![record]).to_json().unwrap();
         won.extend(shard.apply(offset, &text, now_ms).unwrap());
     }
     let won: Vec<_> = won.iter().map(|p| (p.claim.counter, &p.verdict)).collect();
@@ -287,22 +296,22 @@
     });
     batch.push(Record::Claim(claim(1, "a")), 0).unwrap();
     batch.push(answered(b"ok"), 0).unwrap();
-    assert_eq!(batch.push(answered(b"ok"), 0), Err(Full::Waiting(2)));
+    assert_eq!(batch.push(answered(b"ok"), 0), Err(BatchFull::Queued(2)));
     let first = batch.flush(0).unwrap();
     assert_eq!(batch.flush(200).unwrap(), None, "two appends at once");
-    batch.failed();
+    batch.retry_append();
     assert_eq!(batch.flush(200).unwrap(), first);
-    batch.failed();
+    batch.retry_append();
     let text = batch.flush(5_001).unwrap().unwrap();
     assert_eq!(Line::parse(&text).unwrap().records, [answered(b"ok")]);
-    batch.appended();
+    batch.confirm_append();
     assert!(batch.is_empty());
 }
 
 #[test]
 fn can_read_answers_back_and_refuse_other_lines() {
     for body in [b"{\"won\":true}".as_slice(), &[0, 255, 10]] {
-        let text = Line::new(vec![answered(body)]).text().unwrap();
+        let text = Line::new(vec![answered(body)]).to_json().unwrap();
         let outcome = Line::parse(&text).unwrap().outcome(0).unwrap();
         let Outcome::Answered { answer, .. } = outcome else {
             panic!("{text}");
@@ -332,7 +341,7 @@
         (2, 3_600_000, other, 0),
         (3, 7_200_000, other, 1),
     ] {
-        let text = Line::new(vec![Record::Claim(claim)]).text().unwrap();
+        let text = Line::new(vec![Record::Claim(claim)]).to_json().unwrap();
         assert_eq!(
             shard.apply(offset, &text, now_ms).unwrap().len(),
             placed,
--- a/components/config/src/accepted.rs
+++ b/components/config/src/accepted.rs
@@ -6,11 +6,11 @@
 use sha2::{Digest, Sha256};
 use types::CustomerName;
 
-use crate::Text;
+use crate::CustomerConfig;
 
 /// One accepted version of a customer's text.
 #[value]
-pub struct Accepted {
+pub struct AcceptedVersion {
     /// The customer.
     pub customer: CustomerName,
     /// Its version, from 1.
@@ -22,20 +22,20 @@
     /// The text as published.
     pub source: Arc<str>,
     /// The text after reading.
-    pub text: Arc<Text>,
+    pub config: Arc<CustomerConfig>,
     digest: u64,
 }
 
-impl Accepted {
+impl AcceptedVersion {
     /// A version that a publish or keep record holds, with its text as read.
-    pub(crate) fn new(record: Versioned<'_>, text: Text) -> Self {
+    pub(crate) fn new(record: Versioned<'_>, text: CustomerConfig) -> Self {
         Self {
             customer: record.customer.clone(),
             version: record.version,
             id: record.id.to_owned(),
             rules: record.rules,
             source: Arc::from(record.source),
-            text: Arc::new(text),
+            config: Arc::new(text),
             digest: source_digest(record.source),
         }
     }
@@ -82,12 +82,12 @@
 }
 
 /// The version, 0 for none.
-pub(crate) fn version_of(accepted: &Option<Arc<Accepted>>) -> u64 {
+pub(crate) fn version_of(accepted: &Option<Arc<AcceptedVersion>>) -> u64 {
     accepted.as_ref().map_or(0, |accepted| accepted.version)
 }
 
 /// Whether two accounts of one version contradict each other.
-pub(crate) fn differ(one: Option<&Accepted>, other: Option<&Accepted>) -> bool {
+pub(crate) fn differ(one: Option<&AcceptedVersion>, other: Option<&AcceptedVersion>) -> bool {
     match (one, other) {
         (Some(one), Some(other)) => one.source != other.source || one.id != other.id,
         _ => false,
--- a/components/config/src/chain.rs
+++ b/components/config/src/chain.rs
@@ -19,18 +19,18 @@
 use crate::judged::Judged;
 use crate::parse::judge;
 use crate::pending::{PENDING_BYTES_MAX, Pending};
-use crate::{Accepted, ID_BYTES_MAX, Publish, Refusal, Rules, Verdict};
+use crate::{AcceptedVersion, ID_BYTES_MAX, Publish, Refusal, Rules, Verdict};
 
 /// The versions of one customer.
 #[derive(Clone, Debug)]
 pub(crate) struct Chain {
     /// Current at the reader's offset; only while that is certain.
-    current: Option<Arc<Accepted>>,
+    current: Option<Arc<AcceptedVersion>>,
     /// `current` (or that there was none) held at this offset, and every later publish
     /// is judged.
     certain_from: Option<u64>,
     /// Proved to have been accepted, and higher than `current`.
-    proved: Option<Arc<Accepted>>,
+    proved: Option<Arc<AcceptedVersion>>,
     pending: Pending,
     judged: Judged,
 }
@@ -49,7 +49,7 @@
     }
 
     /// The highest version that is known; it never goes back.
-    pub(crate) fn held(&self) -> Option<&Arc<Accepted>> {
+    pub(crate) fn held(&self) -> Option<&Arc<AcceptedVersion>> {
         self.proved.as_ref().or(self.current.as_ref())
     }
 
@@ -115,7 +115,7 @@
                     rules: publish.rules,
                     source: &publish.text,
                 };
-                self.current = Some(Arc::new(Accepted::new(record, text)));
+                self.current = Some(Arc::new(AcceptedVersion::new(record, text)));
                 Verdict::Accepted { version }
             }
         }
@@ -207,7 +207,7 @@
     /// first offset that was not read.
     pub(crate) fn anchor(
         &mut self,
-        accepted: Option<Arc<Accepted>>,
+        accepted: Option<Arc<AcceptedVersion>>,
         through: u64,
         next_offset: u64,
     ) -> Verdict {
@@ -224,7 +224,7 @@
 
     /// Takes in "this version was accepted once" from a record that was read: if the
     /// current version is certain, it must be that one or a later one.
-    pub(crate) fn fact(&mut self, accepted: Arc<Accepted>) -> Verdict {
+    pub(crate) fn fact(&mut self, accepted: Arc<AcceptedVersion>) -> Verdict {
         match self.certain_from {
             Some(_) => self.compare(Some(&accepted)),
             None => self.proof(accepted),
@@ -232,7 +232,7 @@
     }
 
     /// Takes in "this version was accepted once" from a peer, which may be ahead.
-    pub(crate) fn proof(&mut self, accepted: Arc<Accepted>) -> Verdict {
+    pub(crate) fn proof(&mut self, accepted: Arc<AcceptedVersion>) -> Verdict {
         let held = self.held().cloned();
         let (version, held_version) = (accepted.version, version_of(&held));
         if version > held_version {
@@ -247,7 +247,7 @@
     }
 
     /// Whether news about an offset that was judged here agrees with that.
-    fn compare(&self, accepted: Option<&Accepted>) -> Verdict {
+    fn compare(&self, accepted: Option<&AcceptedVersion>) -> Verdict {
         let held = version_of(&self.current);
         let version = accepted.map_or(0, |accepted| accepted.version);
         let other_text = version == held && differ(self.current.as_deref(), accepted);
@@ -258,7 +258,12 @@
     }
 
     /// Goes forward to a peer that has read more of the log.
-    fn jump(&mut self, accepted: Option<Arc<Accepted>>, through: u64, next_offset: u64) -> Verdict {
+    fn jump(
+        &mut self,
+        accepted: Option<Arc<AcceptedVersion>>,
+        through: u64,
+        next_offset: u64,
+    ) -> Verdict {
         let (version, held) = (version_of(&accepted), version_of(&self.current));
         let other_text = version == held && differ(self.current.as_deref(), accepted.as_deref());
         if version < held || other_text {
@@ -278,7 +283,7 @@
     /// Knows the current version again, and judges what was held back.
     fn settle(
         &mut self,
-        accepted: Option<Arc<Accepted>>,
+        accepted: Option<Arc<AcceptedVersion>>,
         through: u64,
         next_offset: u64,
     ) -> Verdict {
--- a/components/config/src/check.rs
+++ b/components/config/src/check.rs
@@ -9,16 +9,19 @@
 use crate::complaint::Report;
 use crate::links::links;
 use crate::words::nearest;
-use crate::{Accepted, Complaint, ComplaintCause, Complaints, Ledger, Service, Text, Unmet};
+use crate::{
+    AcceptedVersion, Complaint, ComplaintCause, Complaints, CustomerConfig, Ledger, Service,
+    UnmetDependency,
+};
 use crate::{Place, Severity, UnmetCause};
 
 /// All complaints about a text that passed [`crate::parse`], in the state of this ledger;
 /// with its warnings from the reading.
-pub fn check(text: &Text, ledger: &Ledger) -> Complaints {
+pub fn check(text: &CustomerConfig, ledger: &Ledger) -> Complaints {
     let mut report = Report::new(&text.file);
-    let mut texts: HashMap<&CustomerName, &Text> = HashMap::new();
+    let mut texts: HashMap<&CustomerName, &CustomerConfig> = HashMap::new();
     for accepted in ledger.all() {
-        texts.insert(&accepted.customer, &accepted.text);
+        texts.insert(&accepted.customer, &accepted.config);
     }
     texts.insert(&text.customer, text);
     for unmet in links(&texts).unmet {
@@ -41,9 +44,9 @@
 }
 
 fn unmet_cause(
-    text: &Text,
-    texts: &HashMap<&CustomerName, &Text>,
-    unmet: &Unmet,
+    text: &CustomerConfig,
+    texts: &HashMap<&CustomerName, &CustomerConfig>,
+    unmet: &UnmetDependency,
 ) -> ComplaintCause {
     match &unmet.cause {
         UnmetCause::NoCustomer => ComplaintCause::UnknownCustomer {
@@ -63,12 +66,12 @@
     }
 }
 
-fn check_tokens(text: &Text, ledger: &Ledger, report: &mut Report) {
+fn check_tokens(text: &CustomerConfig, ledger: &Ledger, report: &mut Report) {
     let others = ledger
         .all()
         .filter(|accepted| accepted.customer != text.customer);
     let taken: std::collections::HashSet<_> = others
-        .flat_map(|other| &other.text.tokens)
+        .flat_map(|other| &other.config.tokens)
         .map(|token| token.digest)
         .collect();
     for token in text
@@ -82,8 +85,13 @@
 }
 
 /// What the text takes from other customers that use it now.
-fn check_dependents(text: &Text, current: &Accepted, ledger: &Ledger, report: &mut Report) {
-    for before in &current.text.services {
+fn check_dependents(
+    text: &CustomerConfig,
+    current: &AcceptedVersion,
+    ledger: &Ledger,
+    report: &mut Report,
+) {
+    for before in &current.config.services {
         let now = text.service(&before.name);
         let used = before.shared_with.iter().filter_map(|customer| {
             let user = user(before, customer, ledger)?;
@@ -103,7 +111,7 @@
 /// A service of the customer that depends on this one.
 fn user(service: &Service, customer: &CustomerName, ledger: &Ledger) -> Option<String> {
     let target = service.target();
-    let services = &ledger.current(customer)?.text.services;
+    let services = &ledger.current(customer)?.config.services;
     let depends = |user: &&std::sync::Arc<Service>| {
         let edges = user.depends_on.iter();
         edges.map(|edge| &edge.target).any(|to| *to == target)
--- a/components/config/src/complaint.rs
+++ b/components/config/src/complaint.rs
@@ -7,7 +7,7 @@
 use quick_error::quick_error;
 use types::NameError;
 
-use crate::{Kind, PatternError, Place};
+use crate::{PatternError, Place, ServiceKind};
 
 quick_error! {
     /// What is wrong, with what is allowed.
@@ -96,7 +96,7 @@
             display("'{}' is another customer's; only a caller token may name it", name)
         }
         /// A field that this kind of service does not have.
-        NotForKind { field: &'static str, kind: Kind } {
+        NotForKind { field: &'static str, kind: ServiceKind } {
             display("field '{}' has no meaning for a {} service", field, kind)
         }
         /// A model with a trainer and no staleness bound.
--- a/components/config/src/keeper.rs
+++ b/components/config/src/keeper.rs
@@ -15,29 +15,29 @@
 
 /// Times for appending again, on the process's own monotonic clock.
 #[key]
-pub struct KeepPolicy {
+pub struct KeepSettings {
     /// Age at which rank 0 appends a record again.
-    pub every_ms: u64,
+    pub interval_ms: u64,
     /// How much later each further rank does so.
-    pub step_ms: u64,
+    pub rank_delay_ms: u64,
     /// Ranks from this one on never do.
     pub ranks: u32,
     /// How long ago the log's end must have been read at most.
-    pub fresh_ms: u64,
+    pub end_read_age_ms_max: u64,
     /// Most records in one go.
     pub records_max: usize,
 }
 
-impl KeepPolicy {
+impl KeepSettings {
     /// Appends at a quarter of the log's retention, with all ranks by half of it.
     pub fn for_retention(retention_ms: u64) -> Self {
         const RANKS: u32 = 8;
         let every_ms = retention_ms / 4;
         Self {
-            every_ms,
-            step_ms: every_ms / u64::from(RANKS),
+            interval_ms: every_ms,
+            rank_delay_ms: every_ms / u64::from(RANKS),
             ranks: RANKS,
-            fresh_ms: (every_ms / 16).max(1_000),
+            end_read_age_ms_max: (every_ms / 16).max(1_000),
             records_max: 16,
         }
     }
@@ -55,16 +55,16 @@
 
 /// Decides when this process appends which records again.
 #[derive(Clone, Debug)]
-pub struct Keeper {
-    policy: KeepPolicy,
+pub struct KeepScheduler {
+    policy: KeepSettings,
     versions: HashMap<CustomerName, Seen>,
     list: Option<Seen>,
     read_at_ms: Option<u64>,
 }
 
-impl Keeper {
+impl KeepScheduler {
     /// A keeper that has seen nothing yet.
-    pub fn new(policy: KeepPolicy) -> Self {
+    pub fn new(policy: KeepSettings) -> Self {
         Self {
             policy,
             versions: HashMap::new(),
@@ -113,7 +113,7 @@
     /// A process that was frozen finds every record old when it wakes, though others
     /// have appended them long ago. It first has to read the log's end again; without
     /// that all woken processes would append everything at once.
-    pub fn due(
+    pub fn due_records(
         &mut self,
         ledger: &Ledger,
         now_ms: u64,
@@ -122,7 +122,7 @@
         let age = |read_at_ms: u64| now_ms.saturating_sub(read_at_ms);
         if self
             .read_at_ms
-            .is_none_or(|at| age(at) > self.policy.fresh_ms)
+            .is_none_or(|at| age(at) > self.policy.end_read_age_ms_max)
         {
             return Vec::new();
         }
@@ -169,15 +169,15 @@
             return false;
         };
         let appended_at_ms = seen.and_then(|seen| seen.appended_at_ms);
-        let again = |at: u64| now_ms >= at.saturating_add(self.policy.step_ms);
+        let again = |at: u64| now_ms >= at.saturating_add(self.policy.rank_delay_ms);
         if !appended_at_ms.is_none_or(again) {
             return false;
         }
         // A record of unknown age may be the last before the log forgets it.
         let from_ms = match seen.and_then(|seen| seen.new_at_ms) {
-            Some(new_at_ms) => new_at_ms.saturating_add(self.policy.every_ms),
+            Some(new_at_ms) => new_at_ms.saturating_add(self.policy.interval_ms),
             None => 0,
         };
-        now_ms >= from_ms.saturating_add(u64::from(rank) * self.policy.step_ms)
+        now_ms >= from_ms.saturating_add(u64::from(rank) * self.policy.rank_delay_ms)
     }
 }
--- a/components/config/src/ledger.rs
+++ b/components/config/src/ledger.rs
@@ -12,7 +12,7 @@
 use crate::accepted::Versioned;
 use crate::chain::Chain;
 use crate::parse::judge;
-use crate::{Accepted, Customers, Keep, Publish, Record, Rules, Verdict, VersionDigest};
+use crate::{AcceptedVersion, Customers, Keep, Publish, Record, Rules, Verdict, VersionDigest};
 
 /// Publishes that are held back for all customers together, in bytes.
 const PENDING_BYTES_MAX: usize = 8 * 1024 * 1024;
@@ -120,12 +120,12 @@
     }
 
     /// The customer's accepted version as far as it is known here; never goes back.
-    pub fn current(&self, customer: &CustomerName) -> Option<&Arc<Accepted>> {
+    pub fn current(&self, customer: &CustomerName) -> Option<&Arc<AcceptedVersion>> {
         self.chains.get(customer)?.held()
     }
 
     /// The accepted versions of all customers, in the order of their names.
-    pub fn all(&self) -> impl Iterator<Item = &Arc<Accepted>> {
+    pub fn all(&self) -> impl Iterator<Item = &Arc<AcceptedVersion>> {
         self.chains.values().filter_map(Chain::held)
     }
 
@@ -213,7 +213,7 @@
         &mut self,
         keep: &Keep,
         through: Option<u64>,
-        unanchored: impl Fn(&mut Chain, Arc<Accepted>) -> Verdict,
+        unanchored: impl Fn(&mut Chain, Arc<AcceptedVersion>) -> Verdict,
     ) -> Verdict {
         if keep.version == 0 {
             return Verdict::Known;
@@ -238,8 +238,11 @@
 }
 
 /// Reads a kept text, unless it is the one that is held.
-fn accepted(keep: &Keep, held: Option<&Arc<Accepted>>) -> Result<Arc<Accepted>, Verdict> {
-    let same = |held: &&Arc<Accepted>| {
+fn accepted(
+    keep: &Keep,
+    held: Option<&Arc<AcceptedVersion>>,
+) -> Result<Arc<AcceptedVersion>, Verdict> {
+    let same = |held: &&Arc<AcceptedVersion>| {
         let same_text = held.version == keep.version && *held.source == *keep.text;
         same_text && held.id == keep.id
     };
@@ -265,5 +268,5 @@
         rules: keep.rules,
         source: &keep.text,
     };
-    Ok(Arc::new(Accepted::new(record, text)))
+    Ok(Arc::new(AcceptedVersion::new(record, text)))
 }
--- a/components/config/src/lib.rs
+++ b/components/config/src/lib.rs
@@ -34,26 +34,26 @@
 mod view;
 mod words;
 
-pub use accepted::{Accepted, VersionDigest};
+pub use accepted::{AcceptedVersion, VersionDigest};
 pub use check::check;
 pub use complaint::{Complaint, ComplaintCause, Complaints, Severity};
 pub use customers::TokenDigest;
 pub use diff::line_diff;
-pub use keeper::{KeepPolicy, Keeper};
+pub use keeper::{KeepScheduler, KeepSettings};
 pub use ledger::Ledger;
 pub use limit::{
     DEADLINE_MS, DEPENDENCIES_MAX, DEPTH_MAX, IN_PROGRESS, PATTERNS_MAX, RECORD_BYTES_MAX,
     REQUESTS_PER_S, SERVICES_MAX, SHARED_MAX, STALENESS_BOUND, TEXT_BYTES_MAX, TOKENS_MAX,
     TOKENS_PER_S, WEIGHT,
 };
-pub use links::{Unmet, UnmetCause};
-pub use parse::{parse, parse_by};
+pub use links::{UnmetCause, UnmetDependency};
+pub use parse::{parse, parse_with_rules};
 pub use pattern::{CallPattern, PatternError};
 pub use place::Place;
 pub use record::{Customers, ID_BYTES_MAX, Keep, Publish, Record, RecordError};
 pub use rules::{RULES_NEWEST, Rules};
-pub use service::{Dependency, Kind, Service, Target};
-pub use summary::{Change, Summary, summary};
-pub use text::{Limits, Schema, Text, Token};
+pub use service::{Dependency, Service, ServiceKind, ServiceRef};
+pub use summary::{Change, Summary, summarize};
+pub use text::{CustomerConfig, Limits, Schema, Token};
 pub use verdict::{Refusal, Verdict};
-pub use view::{CustomerView, Holder, View};
+pub use view::{CustomerView, TokenHolder, View};
--- a/components/config/src/links.rs
+++ b/components/config/src/links.rs
@@ -14,7 +14,7 @@
 use types::{CustomerName, ServiceName};
 
 use crate::cycle::{self, Edges};
-use crate::{Place, Service, Target, Text};
+use crate::{CustomerConfig, Place, Service, ServiceRef};
 
 quick_error! {
     /// Why a dependency on another customer's service is not in force.
@@ -43,11 +43,11 @@
 
 /// A dependency that is not in force.
 #[value]
-pub struct Unmet {
+pub struct UnmetDependency {
     /// The service that depends.
-    pub from: Target,
+    pub from: ServiceRef,
     /// The other customer's service.
-    pub to: Target,
+    pub to: ServiceRef,
     /// Where the dependent text says so.
     pub place: Place,
     /// Why it is not in force.
@@ -57,23 +57,23 @@
 /// A dependency that is in force.
 pub(crate) struct Link<'t> {
     pub(crate) customer: &'t CustomerName,
-    pub(crate) to: &'t Target,
+    pub(crate) to: &'t ServiceRef,
 }
 
 /// All dependencies between customers.
 pub(crate) struct Links<'t> {
     pub(crate) in_force: Vec<Link<'t>>,
-    pub(crate) unmet: Vec<Unmet>,
+    pub(crate) unmet: Vec<UnmetDependency>,
 }
 
 struct Candidate<'t> {
     from: &'t Service,
-    to: &'t Target,
+    to: &'t ServiceRef,
     place: Place,
 }
 
 /// Works out the dependencies between the customers with these texts.
-pub(crate) fn links<'t>(texts: &HashMap<&'t CustomerName, &'t Text>) -> Links<'t> {
+pub(crate) fn links<'t>(texts: &HashMap<&'t CustomerName, &'t CustomerConfig>) -> Links<'t> {
     let mut unmet = Vec::new();
     let mut candidates = Vec::new();
     for from in texts.values().flat_map(|text| &text.services) {
@@ -109,8 +109,8 @@
 }
 
 impl Candidate<'_> {
-    fn unmet(&self, cause: UnmetCause) -> Unmet {
-        Unmet {
+    fn unmet(&self, cause: UnmetCause) -> UnmetDependency {
+        UnmetDependency {
             from: self.from.target(),
             to: self.to.clone(),
             place: self.place,
@@ -119,7 +119,10 @@
     }
 }
 
-fn refusal(texts: &HashMap<&CustomerName, &Text>, candidate: &Candidate<'_>) -> Option<UnmetCause> {
+fn refusal(
+    texts: &HashMap<&CustomerName, &CustomerConfig>,
+    candidate: &Candidate<'_>,
+) -> Option<UnmetCause> {
     let Some(text) = texts.get(&candidate.to.owner) else {
         return Some(UnmetCause::NoCustomer);
     };
@@ -139,7 +142,10 @@
 }
 
 impl<'t> Graph<'t> {
-    fn of(texts: &HashMap<&'t CustomerName, &'t Text>, candidates: &[Candidate<'t>]) -> Self {
+    fn of(
+        texts: &HashMap<&'t CustomerName, &'t CustomerConfig>,
+        candidates: &[Candidate<'t>],
+    ) -> Self {
         if candidates.is_empty() {
             return Graph {
                 numbers: HashMap::new(),
@@ -181,7 +187,7 @@
         }
     }
 
-    fn number(&self, target: &Target) -> Option<usize> {
+    fn number(&self, target: &ServiceRef) -> Option<usize> {
         self.numbers.get(&(&target.owner, &target.service)).copied()
     }
 
--- a/components/config/src/own.rs
+++ b/components/config/src/own.rs
@@ -8,9 +8,11 @@
 use crate::complaint::Report;
 use crate::cycle::{self, Closing, Edges};
 use crate::words::nearest;
-use crate::{ComplaintCause, Kind, Place, Rules, Service, Target, Text, Token};
+use crate::{
+    ComplaintCause, CustomerConfig, Place, Rules, Service, ServiceKind, ServiceRef, Token,
+};
 
-pub(crate) fn check(rules: Rules, text: &Text, report: &mut Report) {
+pub(crate) fn check(rules: Rules, text: &CustomerConfig, report: &mut Report) {
     check_duplicates(text, report);
     text.services
         .iter()
@@ -24,7 +26,7 @@
     }
 }
 
-fn check_duplicates(text: &Text, report: &mut Report) {
+fn check_duplicates(text: &CustomerConfig, report: &mut Report) {
     let services = text.services.iter();
     let names = services.map(|service| (&service.name, service.place, &service.name));
     refuse_duplicates("service", names, report);
@@ -53,19 +55,19 @@
     }
 }
 
-fn check_service(text: &Text, service: &Service, report: &mut Report) {
+fn check_service(text: &CustomerConfig, service: &Service, report: &mut Report) {
     for dependency in &service.depends_on {
         find_own(text, &dependency.target, dependency.place, report);
     }
     let Some(scorer) = &service.scorer else {
         return;
     };
-    let target = Target {
+    let target = ServiceRef {
         owner: text.customer.clone(),
         service: scorer.clone(),
     };
     let found = find_own(text, &target, service.place, report);
-    if found.is_some_and(|found| found.kind != Kind::Plain) {
+    if found.is_some_and(|found| found.kind != ServiceKind::Plain) {
         let name = scorer.to_string();
         report.error(service.place, ComplaintCause::ScorerNotPlain { name });
     }
@@ -74,8 +76,8 @@
 /// The own service that is meant; complains if there is none. Others' services are not
 /// looked at here.
 fn find_own<'t>(
-    text: &'t Text,
-    target: &Target,
+    text: &'t CustomerConfig,
+    target: &ServiceRef,
     place: Place,
     report: &mut Report,
 ) -> Option<&'t Service> {
@@ -92,7 +94,7 @@
     None
 }
 
-fn check_token(text: &Text, token: &Token, report: &mut Report) {
+fn check_token(text: &CustomerConfig, token: &Token, report: &mut Report) {
     for target in token.services.iter().flatten() {
         if target.owner != text.customer && token.role != Role::Caller {
             let name = target.to_string();
@@ -100,7 +102,7 @@
             continue;
         }
         let found = find_own(text, target, token.place, report);
-        let plain = found.is_some_and(|found| found.kind == Kind::Plain);
+        let plain = found.is_some_and(|found| found.kind == ServiceKind::Plain);
         if token.role == Role::Trainer && plain {
             let name = target.service.to_string();
             report.error(token.place, ComplaintCause::TrainerOfPlain { name });
@@ -108,7 +110,7 @@
     }
 }
 
-fn check_cycles(text: &Text, report: &mut Report) {
+fn check_cycles(text: &CustomerConfig, report: &mut Report) {
     let services = text.services.iter().enumerate();
     let numbers: HashMap<&ServiceName, usize> = services
         .map(|(number, service)| (&service.name, number))
@@ -141,11 +143,11 @@
     }
 }
 
-fn check_staleness(text: &Text, report: &mut Report) {
+fn check_staleness(text: &CustomerConfig, report: &mut Report) {
     let models = text
         .services
         .iter()
-        .filter(|service| service.kind == Kind::Model);
+        .filter(|service| service.kind == ServiceKind::Model);
     for service in models.filter(|service| !service.staleness_stated) {
         let trains = |token: &Token| token.role == Role::Trainer && token.covers(&service.target());
         if text.tokens.iter().any(trains) {
--- a/components/config/src/parse.rs
+++ b/components/config/src/parse.rs
@@ -12,19 +12,23 @@
     WEIGHT, default,
 };
 use crate::place::Lines;
-use crate::{ComplaintCause, Complaints, Limits, Place, Rules, Schema, Text};
+use crate::{ComplaintCause, Complaints, CustomerConfig, Limits, Place, Rules, Schema};
 use crate::{own, parse_service, parse_token};
 
 /// The schema major that is read here.
 const SCHEMA_MAJOR: u32 = 1;
 
 /// Reads and checks a text by the newest rules. `file` is only for the complaints.
-pub fn parse(text: &str, file: &str) -> Result<Text, Complaints> {
-    parse_by(Rules::newest(), text, file)
+pub fn parse(text: &str, file: &str) -> Result<CustomerConfig, Complaints> {
+    parse_with_rules(Rules::newest(), text, file)
 }
 
 /// Reads and checks a text by these rules.
-pub fn parse_by(rules: Rules, text: &str, file: &str) -> Result<Text, Complaints> {
+pub fn parse_with_rules(
+    rules: Rules,
+    text: &str,
+    file: &str,
+) -> Result<CustomerConfig, Complaints> {
     let mut report = Report::new(file);
     let parsed = read(rules, text, &mut report);
     finish(parsed, report)
@@ -36,7 +40,7 @@
     customer: &CustomerName,
     text: &str,
     file: &str,
-) -> Result<Text, Complaints> {
+) -> Result<CustomerConfig, Complaints> {
     let mut report = Report::new(file);
     let parsed = read(rules, text, &mut report);
     if let Some(other) = parsed.as_ref().filter(|text| text.customer != *customer) {
@@ -46,11 +50,11 @@
     finish(parsed, report)
 }
 
-fn finish(parsed: Option<Text>, report: Report) -> Result<Text, Complaints> {
+fn finish(parsed: Option<CustomerConfig>, report: Report) -> Result<CustomerConfig, Complaints> {
     let stopped = report.has_errors();
     let complaints = report.finish();
     match parsed {
-        Some(text) if !stopped => Ok(Text {
+        Some(text) if !stopped => Ok(CustomerConfig {
             warnings: complaints.0,
             ..text
         }),
@@ -58,7 +62,7 @@
     }
 }
 
-fn read(rules: Rules, source: &str, report: &mut Report) -> Option<Text> {
+fn read(rules: Rules, source: &str, report: &mut Report) -> Option<CustomerConfig> {
     if source.len() > TEXT_BYTES_MAX {
         let (bytes, max) = (source.len(), TEXT_BYTES_MAX);
         report.error(Place::START, ComplaintCause::TooLarge { bytes, max });
@@ -85,7 +89,7 @@
     Some(text)
 }
 
-fn read_text(fields: &mut Fields<'_>, report: &mut Report) -> Option<Text> {
+fn read_text(fields: &mut Fields<'_>, report: &mut Report) -> Option<CustomerConfig> {
     let schema = read_schema(fields, report);
     // Whether an unknown field is a complaint depends on the schema, so it comes first.
     fields.newer_schema = schema.is_some_and(|schema| schema.minor > fields.rules.schema_minor);
@@ -107,7 +111,7 @@
     let services = service_tables.into_iter();
     let services = services.filter_map(|mut table| parse_service::read(&mut table, &owner, report));
     let services = services.map(Arc::new).collect();
-    Some(Text {
+    Some(CustomerConfig {
         file: report.file(),
         schema: schema?,
         customer: customer?,
--- a/components/config/src/parse_service.rs
+++ b/components/config/src/parse_service.rs
@@ -8,7 +8,7 @@
     DEADLINE_MS, DEPENDENCIES_MAX, PATTERNS_MAX, SHARED_MAX, STALENESS_BOUND, default,
 };
 use crate::words::{parse_name, shortened};
-use crate::{CallPattern, ComplaintCause, Dependency, Kind, Place, Service, Target};
+use crate::{CallPattern, ComplaintCause, Dependency, Place, Service, ServiceKind, ServiceRef};
 
 /// Fields that only models have.
 const MODEL_FIELDS: [&str; 2] = ["staleness_bound", "scorer"];
@@ -54,11 +54,11 @@
     })
 }
 
-fn read_kind(fields: &mut Fields<'_>, report: &mut Report) -> Option<Kind> {
+fn read_kind(fields: &mut Fields<'_>, report: &mut Report) -> Option<ServiceKind> {
     if !fields.has("kind") {
         fields.missing("kind", "\"model\" or \"plain\"", report);
     }
-    let words = Kind::ALL.map(|kind| (kind.as_str(), kind));
+    let words = ServiceKind::ALL.map(|kind| (kind.as_str(), kind));
     fields.word("kind", &words, report)
 }
 
@@ -99,15 +99,15 @@
     place: Place,
     owner: &CustomerName,
     report: &mut Report,
-) -> Option<Target> {
+) -> Option<ServiceRef> {
     let Some((customer, service)) = text.split_once('.') else {
         let service = parse_name(field, text, place, report)?;
         let owner = owner.clone();
-        return Some(Target { owner, service });
+        return Some(ServiceRef { owner, service });
     };
     let owner = parse_name(field, customer, place, report);
     let service = parse_name(field, service, place, report);
-    Some(Target {
+    Some(ServiceRef {
         owner: owner?,
         service: service?,
     })
@@ -154,11 +154,11 @@
     }
 }
 
-fn refuse_other_kind(fields: &Fields<'_>, kind: Option<Kind>, report: &mut Report) {
+fn refuse_other_kind(fields: &Fields<'_>, kind: Option<ServiceKind>, report: &mut Report) {
     let Some(kind) = kind else { return };
     let foreign = match kind {
-        Kind::Model => PLAIN_FIELDS,
-        Kind::Plain => MODEL_FIELDS,
+        ServiceKind::Model => PLAIN_FIELDS,
+        ServiceKind::Plain => MODEL_FIELDS,
     };
     for field in foreign.into_iter().filter(|field| fields.has(field)) {
         let cause = ComplaintCause::NotForKind { field, kind };
--- a/components/config/src/parse_token.rs
+++ b/components/config/src/parse_token.rs
@@ -6,7 +6,7 @@
 use crate::fields::Fields;
 use crate::limit::SERVICES_MAX;
 use crate::parse_service::{read_class, read_target};
-use crate::{ComplaintCause, Target, Token, TokenDigest};
+use crate::{ComplaintCause, ServiceRef, Token, TokenDigest};
 
 pub(crate) fn read(
     fields: &mut Fields<'_>,
@@ -43,12 +43,12 @@
     fields: &mut Fields<'_>,
     owner: &CustomerName,
     report: &mut Report,
-) -> Option<Vec<Target>> {
+) -> Option<Vec<ServiceRef>> {
     let stated = fields.has("services");
     let words = fields.words("services", SERVICES_MAX, report).into_iter();
     let targets =
         words.filter_map(|(text, place)| read_target("services", &text, place, owner, report));
-    let targets: Vec<Target> = targets.collect();
+    let targets: Vec<ServiceRef> = targets.collect();
     stated.then_some(targets)
 }
 
--- a/components/config/src/record.rs
+++ b/components/config/src/record.rs
@@ -6,7 +6,7 @@
 use types::CustomerName;
 
 use crate::limit::{RECORD_BYTES_MAX, TEXT_BYTES_MAX};
-use crate::{Accepted, RULES_NEWEST};
+use crate::{AcceptedVersion, RULES_NEWEST};
 
 /// Longest id of a publish, in bytes.
 pub const ID_BYTES_MAX: usize = 64;
@@ -47,7 +47,12 @@
 
 impl Publish {
     /// A publish on what is accepted now, judged by this binary's newest rules.
-    pub fn on(customer: CustomerName, base: Option<&Accepted>, id: &str, text: &str) -> Self {
+    pub fn based_on(
+        customer: CustomerName,
+        base: Option<&AcceptedVersion>,
+        id: &str,
+        text: &str,
+    ) -> Self {
         Self {
             customer,
             base: base.map_or(0, |accepted| accepted.version),
--- a/components/config/src/service.rs
+++ b/components/config/src/service.rs
@@ -10,27 +10,27 @@
 
 /// What stands behind a service.
 #[key]
-pub enum Kind {
+pub enum ServiceKind {
     /// Model engines.
     Model,
     /// Plain HTTP services.
     Plain,
 }
 
-impl Kind {
+impl ServiceKind {
     /// Every kind.
-    pub const ALL: [Kind; 2] = [Kind::Model, Kind::Plain];
+    pub const ALL: [ServiceKind; 2] = [ServiceKind::Model, ServiceKind::Plain];
 
     /// The kind as it stands in the configuration.
     pub fn as_str(self) -> &'static str {
         match self {
-            Kind::Model => "model",
-            Kind::Plain => "plain",
+            ServiceKind::Model => "model",
+            ServiceKind::Plain => "plain",
         }
     }
 }
 
-impl fmt::Display for Kind {
+impl fmt::Display for ServiceKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.as_str())
     }
@@ -39,14 +39,14 @@
 /// A service by its full name.
 #[value]
 #[derive(Hash, PartialOrd, Ord)]
-pub struct Target {
+pub struct ServiceRef {
     /// The customer that owns it.
     pub owner: CustomerName,
     /// The service.
     pub service: ServiceName,
 }
 
-impl fmt::Display for Target {
+impl fmt::Display for ServiceRef {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}.{}", self.owner, self.service)
     }
@@ -56,7 +56,7 @@
 #[value]
 pub struct Dependency {
     /// The service that is depended on.
-    pub target: Target,
+    pub target: ServiceRef,
     /// Where the text says so.
     pub place: Place,
 }
@@ -69,7 +69,7 @@
     /// Its name.
     pub name: ServiceName,
     /// What stands behind it.
-    pub kind: Kind,
+    pub kind: ServiceKind,
     /// Endpoints of this pool host it.
     pub pool: PoolName,
     /// Services that it calls.
@@ -101,8 +101,8 @@
 
 impl Service {
     /// Its full name.
-    pub fn target(&self) -> Target {
-        Target {
+    pub fn target(&self) -> ServiceRef {
+        ServiceRef {
             owner: self.owner.clone(),
             service: self.name.clone(),
         }
@@ -118,7 +118,7 @@
         let Some(path) = normal_path(path_only(path)) else {
             return false;
         };
-        if self.kind == Kind::Model && (method, path.as_str()) == COMPLETIONS {
+        if self.kind == ServiceKind::Model && (method, path.as_str()) == COMPLETIONS {
             return true;
         }
         let once = |pattern: &CallPattern| pattern.covers(method, &path);
--- a/components/config/src/summary.rs
+++ b/components/config/src/summary.rs
@@ -5,7 +5,7 @@
 use derive::value;
 use types::ServiceName;
 
-use crate::{Service, Text, Token};
+use crate::{CustomerConfig, Service, Token};
 
 /// What became of one service or token.
 #[value]
@@ -69,7 +69,7 @@
 }
 
 /// What changes from `old`, if there is one, to `new`.
-pub fn summary(old: Option<&Text>, new: &Text) -> Summary {
+pub fn summarize(old: Option<&CustomerConfig>, new: &CustomerConfig) -> Summary {
     let old_services = old.iter().flat_map(|text| &text.services);
     let old_tokens = old.iter().flat_map(|text| &text.tokens);
     let services = new.services.iter().map(|service| service.as_ref());
@@ -122,7 +122,7 @@
     differing.map(|(name, _)| name).collect()
 }
 
-fn limit_fields(old: &Text, new: &Text) -> Vec<&'static str> {
+fn limit_fields(old: &CustomerConfig, new: &CustomerConfig) -> Vec<&'static str> {
     let (old, new) = (old.limits, new.limits);
     differing([
         ("weight", old.weight == new.weight),
--- a/components/config/src/text.rs
+++ b/components/config/src/text.rs
@@ -6,7 +6,7 @@
 use derive::{key, value};
 use types::{Class, CustomerName, Role, ServiceName};
 
-use crate::{Complaint, Place, Service, Target};
+use crate::{Complaint, Place, Service, ServiceRef};
 
 /// Version of the schema that a text is written for.
 #[key]
@@ -38,7 +38,7 @@
     /// What its holder may do.
     pub role: Role,
     /// Services that it is good for; `None` for all.
-    pub services: Option<Vec<Target>>,
+    pub services: Option<Vec<ServiceRef>>,
     /// Best class that its holder may claim, and the class of calls that name none.
     pub class: Option<Class>,
     /// SHA-256 of the token.
@@ -49,7 +49,7 @@
 
 impl Token {
     /// Whether the token is good for this service, as far as its list says.
-    pub fn covers(&self, target: &Target) -> bool {
+    pub fn covers(&self, target: &ServiceRef) -> bool {
         match &self.services {
             Some(services) => services.contains(target),
             None => true,
@@ -59,7 +59,7 @@
 
 /// One customer's text after reading, with its defaults filled in.
 #[value]
-pub struct Text {
+pub struct CustomerConfig {
     /// File that it came from, or another name for its origin.
     pub file: Arc<str>,
     /// Schema that it is written for.
@@ -78,7 +78,7 @@
     pub warnings: Vec<Complaint>,
 }
 
-impl Text {
+impl CustomerConfig {
     /// The service with this name.
     pub fn service(&self, name: &ServiceName) -> Option<&Arc<Service>> {
         self.services.iter().find(|service| service.name == *name)
--- a/components/config/src/view.rs
+++ b/components/config/src/view.rs
@@ -8,11 +8,13 @@
 use types::{Class, CustomerName, PoolName, Role, ServiceName};
 
 use crate::links::links;
-use crate::{Ledger, Limits, Service, Target, Text, Token, TokenDigest, Unmet};
+use crate::{
+    CustomerConfig, Ledger, Limits, Service, ServiceRef, Token, TokenDigest, UnmetDependency,
+};
 
 /// Who holds a token.
 #[value]
-pub struct Holder {
+pub struct TokenHolder {
     /// The customer.
     pub customer: CustomerName,
     /// Name of the token, for logs.
@@ -20,12 +22,12 @@
     /// What he may do.
     pub role: Role,
     /// Services that the token is good for; `None` for all.
-    pub services: Option<Arc<[Target]>>,
+    pub services: Option<Arc<[ServiceRef]>>,
     /// Best class that he may claim, and the class of his calls that name none.
     pub class: Option<Class>,
 }
 
-impl Holder {
+impl TokenHolder {
     fn of(customer: &CustomerName, token: &Token) -> Self {
         Self {
             customer: customer.clone(),
@@ -47,7 +49,7 @@
     }
 
     fn covers(&self, owner: &CustomerName, service: &ServiceName) -> bool {
-        let is = |target: &Target| target.owner == *owner && target.service == *service;
+        let is = |target: &ServiceRef| target.owner == *owner && target.service == *service;
         match &self.services {
             Some(services) => services.iter().any(is),
             None => true,
@@ -76,19 +78,19 @@
 #[derive(Clone, Debug, Default)]
 pub struct View {
     customers: HashMap<CustomerName, CustomerView>,
-    holders: HashMap<TokenDigest, Vec<Holder>>,
+    holders: HashMap<TokenDigest, Vec<TokenHolder>>,
     pools: HashMap<PoolName, Vec<Arc<Service>>>,
-    unmet: Vec<Unmet>,
+    unmet: Vec<UnmetDependency>,
 }
 
 impl View {
     /// The view of what the ledger holds now.
     pub fn of(ledger: &Ledger) -> Self {
         let mut view = View::default();
-        let mut texts: HashMap<&CustomerName, &Text> = HashMap::new();
+        let mut texts: HashMap<&CustomerName, &CustomerConfig> = HashMap::new();
         for accepted in ledger.all() {
-            view.add(accepted.version, &accepted.text);
-            texts.insert(&accepted.customer, &accepted.text);
+            view.add(accepted.version, &accepted.config);
+            texts.insert(&accepted.customer, &accepted.config);
         }
         let links = links(&texts);
         for link in &links.in_force {
@@ -98,7 +100,7 @@
         view
     }
 
-    fn add(&mut self, version: u64, text: &Text) {
+    fn add(&mut self, version: u64, text: &CustomerConfig) {
         let services = text.services.iter().map(|service| {
             let entry = ServiceView {
                 service: Arc::clone(service),
@@ -118,11 +120,11 @@
         }
         for token in &text.tokens {
             let holders = self.holders.entry(token.digest).or_default();
-            holders.push(Holder::of(&text.customer, token));
+            holders.push(TokenHolder::of(&text.customer, token));
         }
     }
 
-    fn connect(&mut self, customer: &CustomerName, to: &Target) {
+    fn connect(&mut self, customer: &CustomerName, to: &ServiceRef) {
         let owner = self.customers.get_mut(&to.owner);
         let service = owner.and_then(|owner| owner.services.get_mut(&to.service));
         let Some(service) = service else { return };
@@ -132,7 +134,7 @@
     }
 
     /// The holder of a bearer token.
-    pub fn holder(&self, token: &str) -> Option<&Holder> {
+    pub fn authenticate(&self, token: &str) -> Option<&TokenHolder> {
         match self.holders.get(&TokenDigest::of(token))?.as_slice() {
             [holder] => Some(holder),
             // A customer that gets to know the digest of another's token can write it
@@ -149,7 +151,7 @@
     }
 
     /// Names of tokens that more than one customer has, for the status.
-    pub fn shared_tokens(&self) -> impl Iterator<Item = &Holder> {
+    pub fn shared_tokens(&self) -> impl Iterator<Item = &TokenHolder> {
         let several = self.holders.values().filter(|holders| holders.len() > 1);
         several.flatten()
     }
@@ -189,7 +191,7 @@
 
     /// Whether the holder may call the service: a caller whose token is good for it and
     /// whose customer owns it or has a dependency on it in force.
-    pub fn may_call(&self, holder: &Holder, owner: &CustomerName, name: &ServiceName) -> bool {
+    pub fn may_call(&self, holder: &TokenHolder, owner: &CustomerName, name: &ServiceName) -> bool {
         let Some(entry) = self.entry(owner, name) else {
             return false;
         };
@@ -199,20 +201,20 @@
 
     /// Whether the holder may post steps for this model of his customer, fetch its
     /// samples and announce its weights.
-    pub fn may_train(&self, holder: &Holder, name: &ServiceName) -> bool {
+    pub fn may_train(&self, holder: &TokenHolder, name: &ServiceName) -> bool {
         let model = self.service(&holder.customer, name);
-        let model = model.is_some_and(|service| service.kind == crate::Kind::Model);
+        let model = model.is_some_and(|service| service.kind == crate::ServiceKind::Model);
         holder.role == Role::Trainer && model && holder.covers(&holder.customer, name)
     }
 
     /// Whether the holder may roll this service of his customer back, and the like.
-    pub fn may_operate(&self, holder: &Holder, name: &ServiceName) -> bool {
+    pub fn may_operate(&self, holder: &TokenHolder, name: &ServiceName) -> bool {
         let known = self.entry(&holder.customer, name).is_some();
         holder.role == Role::Operator && known && holder.covers(&holder.customer, name)
     }
 
     /// Dependencies between customers that are not in force.
-    pub fn unmet(&self) -> &[Unmet] {
+    pub fn unmet_dependencies(&self) -> &[UnmetDependency] {
         &self.unmet
     }
 }
--- a/components/config/tests/diff.rs
+++ b/components/config/tests/diff.rs
@@ -1,6 +1,6 @@
 //! What an operator sees who lost a race.
 
-use config::{Change, line_diff, parse, summary};
+use config::{Change, line_diff, parse, summarize};
 use types::ServiceName;
 
 const OLD: &str = r#"schema = 1
@@ -59,7 +59,7 @@
         + &format!("[[token]]\nname = \"t\"\nrole = \"caller\"\nsha256 = \"{digest}\"\n");
     let (old, new) = (parse(OLD, "f").unwrap(), parse(&new, "f").unwrap());
     let name = |text| ServiceName::new(text).unwrap();
-    let found = summary(Some(&old), &new);
+    let found = summarize(Some(&old), &new);
     assert_eq!(found.limits, ["weight"]);
     let changed = Change::Changed {
         name: name("desk"),
@@ -74,6 +74,6 @@
     assert_eq!(found.tokens, [Change::Added(name("t"))]);
     assert_eq!(found.to_string().lines().count(), 5);
     let moved = parse(&OLD.replace("[limits]", "# moved\n[limits]"), "f").unwrap();
-    assert!(summary(Some(&old), &moved).is_empty());
-    assert_eq!(summary(None, &old).services.len(), 2);
+    assert!(summarize(Some(&old), &moved).is_empty());
+    assert_eq!(summarize(None, &old).services.len(), 2);
 }
--- a/components/config/tests/keeper.rs
+++ b/components/config/tests/keeper.rs
@@ -1,13 +1,13 @@
 //! When records are appended again.
 
-use config::{KeepPolicy, Keeper, Ledger, Publish, Record};
+use config::{KeepScheduler, KeepSettings, Ledger, Publish, Record};
 use types::CustomerName;
 
-const POLICY: KeepPolicy = KeepPolicy {
-    every_ms: 1_000,
-    step_ms: 100,
+const POLICY: KeepSettings = KeepSettings {
+    interval_ms: 1_000,
+    rank_delay_ms: 100,
     ranks: 4,
-    fresh_ms: 50,
+    end_read_age_ms_max: 50,
     records_max: 3,
 };
 
@@ -22,16 +22,21 @@
         ledger.next_offset()
     );
     let id = format!("id-{}", ledger.next_offset());
-    let record = Record::Publish(Publish::on(name.clone(), current.as_deref(), &id, &text));
+    let record = Record::Publish(Publish::based_on(
+        name.clone(),
+        current.as_deref(),
+        &id,
+        &text,
+    ));
     ledger.apply(ledger.next_offset(), &record);
     record
 }
 
 /// A keeper that read the customer's publish at 0 ms, with its ledger.
-fn keeper(is_new: bool) -> (Keeper, Ledger) {
+fn keeper(is_new: bool) -> (KeepScheduler, Ledger) {
     let mut ledger = Ledger::starting_at(0);
     let record = publish(&mut ledger, &office());
-    let mut keeper = Keeper::new(POLICY);
+    let mut keeper = KeepScheduler::new(POLICY);
     keeper.on_record(&ledger, &record, is_new, 0);
     (keeper, ledger)
 }
@@ -73,7 +78,7 @@
     for case in cases {
         let (mut keeper, ledger) = keeper(case.is_new);
         keeper.on_end_read(case.now_ms);
-        let due = keeper.due(&ledger, case.now_ms, |name| name.and(case.rank));
+        let due = keeper.due_records(&ledger, case.now_ms, |name| name.and(case.rank));
         let wanted = ledger.keep_record(&office()).map(Record::Keep);
         let wanted: Vec<Record> = wanted.into_iter().filter(|_| case.due).collect();
         assert_eq!(due, wanted, "{}", case.name);
@@ -85,18 +90,18 @@
     let (mut keeper, mut ledger) = keeper(true);
     let rank = |name: Option<&CustomerName>| name.map(|_| 0);
     keeper.on_end_read(1_000);
-    let record = keeper.due(&ledger, 1_000, rank).pop().unwrap();
+    let record = keeper.due_records(&ledger, 1_000, rank).pop().unwrap();
     keeper.on_end_read(1_050);
-    assert!(keeper.due(&ledger, 1_050, rank).is_empty());
+    assert!(keeper.due_records(&ledger, 1_050, rank).is_empty());
     // The answer was lost, and nothing was read: once more.
     keeper.on_end_read(1_100);
-    assert_eq!(keeper.due(&ledger, 1_100, rank).len(), 1);
+    assert_eq!(keeper.due_records(&ledger, 1_100, rank).len(), 1);
     ledger.apply(1, &record);
     keeper.on_record(&ledger, &record, true, 1_120);
     keeper.on_end_read(2_119);
-    assert!(keeper.due(&ledger, 2_119, rank).is_empty());
+    assert!(keeper.due_records(&ledger, 2_119, rank).is_empty());
     keeper.on_end_read(2_120);
-    assert_eq!(keeper.due(&ledger, 2_120, rank).len(), 1);
+    assert_eq!(keeper.due_records(&ledger, 2_120, rank).len(), 1);
 }
 
 #[test]
@@ -106,9 +111,17 @@
     // silent, or every woken process would append everything at once.
     let (mut keeper, ledger) = keeper(true);
     keeper.on_end_read(10);
-    assert!(keeper.due(&ledger, 3_600_000, |_| Some(0)).is_empty());
+    assert!(
+        keeper
+            .due_records(&ledger, 3_600_000, |_| Some(0))
+            .is_empty()
+    );
     keeper.on_end_read(3_600_000);
-    assert!(!keeper.due(&ledger, 3_600_000, |_| Some(0)).is_empty());
+    assert!(
+        !keeper
+            .due_records(&ledger, 3_600_000, |_| Some(0))
+            .is_empty()
+    );
 }
 
 #[test]
@@ -122,7 +135,7 @@
     ledger.apply(2, &late);
     keeper.on_record(&ledger, &late, true, 900);
     keeper.on_end_read(1_010);
-    let due = keeper.due(&ledger, 1_010, |name| name.map(|_| 0));
+    let due = keeper.due_records(&ledger, 1_010, |name| name.map(|_| 0));
     assert!(
         matches!(&due[..], [Record::Keep(keep)] if keep.version == 2),
         "{due:?}"
@@ -136,11 +149,11 @@
         let name = CustomerName::new(&format!("c{n}")).unwrap();
         publish(&mut ledger, &name);
     }
-    let mut keeper = Keeper::new(POLICY);
+    let mut keeper = KeepScheduler::new(POLICY);
     keeper.on_end_read(7);
     let mut kept = Vec::new();
     loop {
-        let due = keeper.due(&ledger, 7, |_| Some(0));
+        let due = keeper.due_records(&ledger, 7, |_| Some(0));
         assert!(due.len() <= POLICY.records_max);
         if due.is_empty() {
             break;
@@ -153,8 +166,8 @@
 
 #[test]
 fn can_derive_times_from_the_retention() {
-    let policy = KeepPolicy::for_retention(3_600_000);
-    let last_ms = policy.every_ms + u64::from(policy.ranks) * policy.step_ms;
+    let policy = KeepSettings::for_retention(3_600_000);
+    let last_ms = policy.interval_ms + u64::from(policy.ranks) * policy.rank_delay_ms;
     assert!(last_ms <= 1_800_000);
-    assert!(policy.fresh_ms < policy.step_ms);
+    assert!(policy.end_read_age_ms_max < policy.rank_delay_ms);
 }
--- a/components/config/tests/ledger.rs
+++ b/components/config/tests/ledger.rs
@@ -1,6 +1,6 @@
 //! Verdicts on records, one table of short logs, and what a reader holds after each.
 
-use config::{Accepted, Customers, Keep, Ledger, Publish, Record, Refusal, Verdict};
+use config::{AcceptedVersion, Customers, Keep, Ledger, Publish, Record, Refusal, Verdict};
 use types::CustomerName;
 
 fn office() -> CustomerName {
@@ -23,7 +23,7 @@
 }
 
 fn publish_with(change: impl Fn(&mut Publish)) -> Record {
-    let mut publish = Publish::on(office(), None, "x", &text(1));
+    let mut publish = Publish::based_on(office(), None, "x", &text(1));
     change(&mut publish);
     Record::Publish(publish)
 }
@@ -49,8 +49,8 @@
     })
 }
 
-fn weight(accepted: &Accepted) -> u32 {
-    accepted.text.limits.weight
+fn weight(accepted: &AcceptedVersion) -> u32 {
+    accepted.config.limits.weight
 }
 
 /// Version and weight that the ledger holds; 0 and 0 for none.
@@ -488,7 +488,12 @@
 fn can_write_records_that_read_back_the_same() {
     let records = [
         publish(3, "a", 1),
-        Record::Publish(Publish::on(office(), None, "a", "text \u{e9} \"'\\\n")),
+        Record::Publish(Publish::based_on(
+            office(),
+            None,
+            "a",
+            "text \u{e9} \"'\\\n",
+        )),
         keep(3, "a", 1, Some(9)),
         keep(3, "a", 1, None),
         customers(4, &["a", "b"]),
--- a/components/config/tests/parse.rs
+++ b/components/config/tests/parse.rs
@@ -1,7 +1,8 @@
 //! Reading texts: the examples, the defaults and every kind of complaint with its place.
 
 use config::{
-    ComplaintCause, DEPTH_MAX, Kind, Rules, Schema, Severity, TEXT_BYTES_MAX, Text, parse, parse_by,
+    ComplaintCause, CustomerConfig, DEPTH_MAX, Rules, Schema, ServiceKind, Severity,
+    TEXT_BYTES_MAX, parse, parse_with_rules,
 };
 use types::{Class, Role, ServiceName};
 
@@ -22,7 +23,7 @@
     complaints.to_string().replace("f:", "")
 }
 
-fn example(name: &str) -> Text {
+fn example(name: &str) -> CustomerConfig {
     let path = format!("{}/../../examples/{name}.toml", env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read_to_string(path).expect("the example is there");
     parse(&text, name).expect("the example is good")
@@ -36,7 +37,7 @@
         assert!(text.warnings.is_empty(), "{name}");
         let of_kind = |kind| text.services.iter().filter(|one| one.kind == kind).count();
         assert_eq!(
-            (of_kind(Kind::Model), of_kind(Kind::Plain)),
+            (of_kind(ServiceKind::Model), of_kind(ServiceKind::Plain)),
             (models, plain),
             "{name}"
         );
@@ -480,8 +481,8 @@
         "{}[[token]]\nname = \"t\"\nrole = \"trainer\"\nsha256 = \"{DIGEST}\"\n",
         service("m", "kind = \"model\"\n")
     ));
-    assert!(parse_by(Rules::of(1).unwrap(), &trained, "f").is_ok());
-    assert!(parse_by(Rules::of(2).unwrap(), &trained, "f").is_err());
+    assert!(parse_with_rules(Rules::of(1).unwrap(), &trained, "f").is_ok());
+    assert!(parse_with_rules(Rules::of(2).unwrap(), &trained, "f").is_err());
     assert_eq!(Rules::of(config::RULES_NEWEST), Some(Rules::newest()));
     assert_eq!(Rules::of(config::RULES_NEWEST + 1), None);
 }
--- a/components/config/tests/readers.rs
+++ b/components/config/tests/readers.rs
@@ -118,7 +118,7 @@
             text.push_str("fault = 1\n");
         }
         let id = format!("id-{number}");
-        let mut publish = Publish::on(name, current.map(|one| one.as_ref()), &id, &text);
+        let mut publish = Publish::based_on(name, current.map(|one| one.as_ref()), &id, &text);
         publish.base = match off % 8 {
             6 => publish.base.saturating_sub(1),
             7 => publish.base + 1,
--- a/components/config/tests/service.rs
+++ b/components/config/tests/service.rs
@@ -1,6 +1,6 @@
 //! Which calls may run again.
 
-use config::{Service, Text, parse};
+use config::{CustomerConfig, Service, parse};
 use std::sync::Arc;
 
 const SERVICES: &str = r#"
@@ -16,7 +16,7 @@
 kind = "model"
 "#;
 
-fn service(text: &Text, name: &str) -> Arc<Service> {
+fn service(text: &CustomerConfig, name: &str) -> Arc<Service> {
     let service = text.services.iter().find(|one| one.name.as_str() == name);
     Arc::clone(service.expect("the service is there"))
 }
--- a/components/config/tests/view.rs
+++ b/components/config/tests/view.rs
@@ -1,7 +1,7 @@
 //! Who may do what, dependencies between customers, and the check before a publish.
 
 use config::{
-    Holder, Ledger, Publish, Record, TokenDigest, UnmetCause, Verdict, View, check, parse,
+    Ledger, Publish, Record, TokenDigest, TokenHolder, UnmetCause, Verdict, View, check, parse,
 };
 use types::{Class, CustomerName, ServiceName};
 
@@ -34,7 +34,7 @@
         let current = ledger.current(&name).cloned();
         let offset = ledger.next_offset();
         let id = format!("id-{offset}");
-        let record = Publish::on(name, current.as_deref(), &id, text);
+        let record = Publish::based_on(name, current.as_deref(), &id, text);
         let verdict = ledger.apply(offset, &Record::Publish(record));
         assert!(matches!(verdict, Verdict::Accepted { .. }), "{verdict:?}");
     }
@@ -104,7 +104,7 @@
         case("visitor", "office", "register", false),
     ];
     for case in cases {
-        let holder = view.holder(case.token).expect("the token is known");
+        let holder = view.authenticate(case.token).expect("the token is known");
         let may = view.may_call(holder, &customer(case.owner), &service(case.service));
         assert_eq!(
             may, case.may,
@@ -112,13 +112,13 @@
             case.token, case.owner, case.service
         );
     }
-    assert!(view.holder("clerk ").is_none() && view.holder("").is_none());
+    assert!(view.authenticate("clerk ").is_none() && view.authenticate("").is_none());
 }
 
 #[test]
 fn can_tell_who_may_train_and_operate() {
     let view = View::of(&ledger(&sites()));
-    let holder = |token| view.holder(token).expect("the token is known");
+    let holder = |token| view.authenticate(token).expect("the token is known");
     assert!(view.may_train(holder("trainer"), &service("draft")));
     assert!(!view.may_train(holder("trainer"), &service("desk")));
     assert!(!view.may_train(holder("other-trainer"), &service("draft")));
@@ -132,7 +132,7 @@
     let view = View::of(&ledger(&sites()));
     let desk = view.service(&customer("office"), &service("desk")).unwrap();
     let of = |token, asked| {
-        let holder: &Holder = view.holder(token).expect("the token is known");
+        let holder: &TokenHolder = view.authenticate(token).expect("the token is known");
         holder.class_of(asked, desk)
     };
     assert_eq!(of("clerk", None), Class::Interactive);
@@ -167,14 +167,14 @@
         [head(name), plain, token("office.secret", "caller", "")].concat()
     };
     let mut ledger = ledger(&[copies("office")]);
-    assert!(View::of(&ledger).holder("plain").is_some());
+    assert!(View::of(&ledger).authenticate("plain").is_some());
     publish(&mut ledger, &[copies("thief")]);
     let view = View::of(&ledger);
     assert_eq!(
-        view.holder("office.secret").unwrap().customer,
+        view.authenticate("office.secret").unwrap().customer,
         customer("office")
     );
-    assert!(view.holder("plain").is_none());
+    assert!(view.authenticate("plain").is_none());
     assert_eq!(view.shared_tokens().count(), 4);
 }
 
@@ -197,9 +197,12 @@
     for (name, text, wanted) in steps {
         publish(&mut ledger, text.as_slice());
         let view = View::of(&ledger);
-        let unmet = view.unmet().first().map(|unmet| unmet.cause.clone());
+        let unmet = view
+            .unmet_dependencies()
+            .first()
+            .map(|unmet| unmet.cause.clone());
         assert_eq!(unmet, wanted, "{name}");
-        let dealer = view.holder("dealer").unwrap();
+        let dealer = view.authenticate("dealer").unwrap();
         let may = view.may_call(dealer, &customer("office"), &service("register"));
         assert_eq!(may, wanted.is_none(), "{name}");
     }
@@ -224,14 +227,14 @@
     let mut ledger = ledger(&ring()[..2]);
     assert!(
         View::of(&ledger)
-            .unmet()
+            .unmet_dependencies()
             .iter()
             .all(|one| one.cause == UnmetCause::NoCustomer)
     );
     publish(&mut ledger, &[ring()[2].clone(), outside.concat()]);
     let view = View::of(&ledger);
     let found: Vec<String> = view
-        .unmet()
+        .unmet_dependencies()
         .iter()
         .map(|one| one.cause.to_string())
         .collect();
@@ -244,7 +247,7 @@
         ]
     );
     // One that only leads to the cycle is in force.
-    let holder = view.holder("t").unwrap();
+    let holder = view.authenticate("t").unwrap();
     assert!(view.may_call(holder, &customer("a"), &service("s")));
 }
 
@@ -357,7 +360,7 @@
         (view.customers().count(), view.services().count()),
         (500, 5_000)
     );
-    assert!(view.unmet().is_empty());
-    let holder = view.holder("t499").unwrap();
+    assert!(view.unmet_dependencies().is_empty());
+    let holder = view.authenticate("t499").unwrap();
     assert!(view.may_call(holder, &customer("c498"), &service("s0")));
 }
--- a/components/control/src/error.rs
+++ b/components/control/src/error.rs
@@ -17,11 +17,11 @@
     /// Wrong flags or settings.
     Settings = 2,
     /// The text does not pass the check.
-    Text = 3,
+    InvalidText = 3,
     /// Another publish came first.
     LostRace = 4,
     /// Accepted, but not seen in force everywhere in time.
-    NotInForce = 5,
+    NotActive = 5,
     /// The platform or a process did not answer; what happened may be unknown.
     Unreachable = 6,
 }
@@ -31,21 +31,21 @@
     #[derive(Debug)]
     pub enum ControlError {
         /// A file that can't be read.
-        File(path: PathBuf, reason: std::io::Error) {
+        FileRead(path: PathBuf, reason: std::io::Error) {
             source(reason)
             display("{} cannot be read: {}; name a file that exists and that you may read", path.display(), reason)
         }
         /// The text is refused before it is published.
-        Text(complaints: Complaints) {
+        InvalidText(complaints: Complaints) {
             display("{}\nmend the text and run the command again; nothing was published", complaints)
         }
         /// The text does not fit a record.
-        Record(reason: RecordError) {
+        InvalidRecord(reason: RecordError) {
             source(reason)
             display("{}; split the text or make it shorter; nothing was published", reason)
         }
         /// The log did not answer a read.
-        LogUnread(reason: PlatformError) {
+        LogReadFailed(reason: PlatformError) {
             source(reason)
             display("the log cannot be read: {}; check --log, or wait until its outage is over and run the command again", reason)
         }
@@ -72,7 +72,7 @@
             display("{}; nothing of this text is applied", refusal)
         }
         /// Accepted, but some process has not shown it.
-        NotInForce(version: u64, missing: String) {
+        NotActive(version: u64, missing: String) {
             display("version {} is accepted, but was not seen in force in time at: {}; it will be once they can be reached, see 'hornbeamrockctl status'", version, missing)
         }
         /// A process did not answer.
@@ -81,7 +81,7 @@
             display("{} does not answer: {}; check the address and whether the VM lives", address, reason)
         }
         /// A process refused what was asked.
-        Answer(address: SocketAddr, status: u16, detail: String) {
+        UnexpectedStatus(address: SocketAddr, status: u16, detail: String) {
             display("{} answered with status {}: {}", address, status, detail)
         }
         /// A process's answer is not what it should be.
@@ -90,11 +90,11 @@
             display("{} gave an answer that this version cannot read: {}; use the ctl of the same release", address, reason)
         }
         /// No accepted text of this customer.
-        NoText(customer: String) {
+        NoAcceptedVersion(customer: String) {
             display("customer '{}' has no accepted text in the log; publish one, or check the name", customer)
         }
         /// A token that cannot stand in a header.
-        Token(path: PathBuf) {
+        InvalidToken(path: PathBuf) {
             display("{} holds no token: it must be one line of printable characters", path.display())
         }
     }
@@ -104,20 +104,20 @@
     /// The exit code that stands for this failure.
     pub fn exit_code(&self) -> ExitCode {
         match self {
-            ControlError::Text(_) | ControlError::Record(_) | ControlError::Refused(_) => {
-                ExitCode::Text
-            }
+            ControlError::InvalidText(_)
+            | ControlError::InvalidRecord(_)
+            | ControlError::Refused(_) => ExitCode::InvalidText,
             ControlError::LostRace(..) => ExitCode::LostRace,
-            ControlError::NotInForce(..) => ExitCode::NotInForce,
-            ControlError::LogUnread(_)
+            ControlError::NotActive(..) => ExitCode::NotActive,
+            ControlError::LogReadFailed(_)
             | ControlError::NotAppended(_)
             | ControlError::OutcomeUnknown(..)
             | ControlError::Undecided(_)
             | ControlError::Process(..) => ExitCode::Unreachable,
-            ControlError::File(..) | ControlError::Token(_) => ExitCode::Settings,
-            ControlError::Answer(..) | ControlError::Malformed(..) | ControlError::NoText(_) => {
-                ExitCode::Fault
-            }
+            ControlError::FileRead(..) | ControlError::InvalidToken(_) => ExitCode::Settings,
+            ControlError::UnexpectedStatus(..)
+            | ControlError::Malformed(..)
+            | ControlError::NoAcceptedVersion(_) => ExitCode::Fault,
         }
     }
 }
--- a/components/control/src/fleet.rs
+++ b/components/control/src/fleet.rs
@@ -58,7 +58,7 @@
 }
 
 /// What one process answered.
-pub struct Reply {
+pub struct StatusReply {
     /// Its admin address.
     pub address: SocketAddr,
     /// Its status, or why there is none.
@@ -72,13 +72,13 @@
 }
 
 /// Asks many processes; the replies come in the order of the addresses.
-pub async fn statuses(addresses: &[SocketAddr]) -> Vec<Reply> {
+pub async fn statuses(addresses: &[SocketAddr]) -> Vec<StatusReply> {
     let mut replies = Vec::with_capacity(addresses.len());
     for few in addresses.chunks(ASKED_AT_A_TIME) {
         let mut asked = JoinSet::new();
         for &address in few {
             asked.spawn(async move {
-                Reply {
+                StatusReply {
                     address,
                     status: status(address).await,
                 }
@@ -95,7 +95,7 @@
 }
 
 /// Whether this process answers requests by at least this version.
-pub fn is_in_force(reply: &Reply, customer: &CustomerName, version: u64) -> bool {
+pub fn is_active(reply: &StatusReply, customer: &CustomerName, version: u64) -> bool {
     let Ok(status) = &reply.status else {
         return false;
     };
@@ -125,7 +125,7 @@
     let body = response.body.whole().await.map_err(failed)?;
     if status != wanted {
         let detail = String::from_utf8_lossy(&body).into_owned();
-        return Err(ControlError::Answer(address, status, detail));
+        return Err(ControlError::UnexpectedStatus(address, status, detail));
     }
     Ok(body)
 }
--- a/components/control/src/history.rs
+++ b/components/control/src/history.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use adapters::LogClient;
-use config::{Accepted, Ledger, Record, Verdict};
+use config::{AcceptedVersion, Ledger, Record, Verdict};
 use serde::Serialize;
 use types::CustomerName;
 
@@ -16,7 +16,7 @@
 
 /// One publish in the log.
 #[derive(Clone, Debug, Serialize)]
-pub struct Entry {
+pub struct HistoryEntry {
     /// Its offset.
     pub offset: u64,
     /// The customer.
@@ -36,9 +36,9 @@
     /// The reducer after the last record.
     pub ledger: Ledger,
     /// Publishes in the log's order.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<HistoryEntry>,
     /// Accepted versions whose text the log still keeps.
-    versions: Vec<Arc<Accepted>>,
+    versions: Vec<Arc<AcceptedVersion>>,
 }
 
 /// Reads the stream from its oldest kept record to its end. Errors when the log does
@@ -63,7 +63,7 @@
     let page = log
         .read(STREAM, from, PAGE_RECORDS, wait_ms)
         .await
-        .map_err(ControlError::LogUnread)?;
+        .map_err(ControlError::LogReadFailed)?;
     history.ledger.skip_to(page.first);
     for record in &page.records {
         let verdict = history.ledger.apply_json(record.offset, &record.data);
@@ -85,12 +85,12 @@
     }
 }
 
-fn entry(offset: u64, publish: &config::Publish, verdict: &Verdict) -> Entry {
+fn entry(offset: u64, publish: &config::Publish, verdict: &Verdict) -> HistoryEntry {
     let version = match verdict {
         Verdict::Accepted { version } => Some(*version),
         _ => None,
     };
-    Entry {
+    HistoryEntry {
         offset,
         customer: publish.customer.to_string(),
         id: publish.id.clone(),
@@ -130,7 +130,7 @@
     }
 
     /// A version of a customer, current or earlier, as far as the log still keeps it.
-    pub fn version(&self, customer: &CustomerName, version: u64) -> Option<&Arc<Accepted>> {
+    pub fn version(&self, customer: &CustomerName, version: u64) -> Option<&Arc<AcceptedVersion>> {
         let current = self.ledger.current(customer);
         self.versions
             .iter()
@@ -139,7 +139,10 @@
     }
 
     /// Publishes of one customer, or of all.
-    pub fn of(&self, customer: Option<&CustomerName>) -> impl Iterator<Item = &Entry> {
+    pub fn entries_of(
+        &self,
+        customer: Option<&CustomerName>,
+    ) -> impl Iterator<Item = &HistoryEntry> {
         self.entries
             .iter()
             .filter(move |entry| customer.is_none_or(|name| entry.customer == name.as_str()))
--- a/components/control/src/lib.rs
+++ b/components/control/src/lib.rs
@@ -10,8 +10,10 @@
 mod text;
 
 pub use error::{ControlError, ExitCode};
-pub use fleet::{ConfigRow, EndpointRow, NodeStatus, Reply, drain, is_in_force, status, statuses};
-pub use history::{Entry, History, read_history};
-pub use publish::{Progress, PublishSettings, Published, publish, wait_in_force};
+pub use fleet::{
+    ConfigRow, EndpointRow, NodeStatus, StatusReply, drain, is_active, status, statuses,
+};
+pub use history::{History, HistoryEntry, read_history};
+pub use publish::{PublishProgress, PublishSettings, Published, publish, wait_until_active};
 pub use rollback::{Rollback, roll_back};
-pub use text::{Checked, check_file, check_source, read_token};
+pub use text::{CheckedConfig, check_file, check_source, read_token};
--- a/components/control/src/publish.rs
+++ b/components/control/src/publish.rs
@@ -9,14 +9,14 @@
 use std::time::Duration;
 
 use adapters::{LogClient, PlatformError};
-use config::{Accepted, Publish, Record, Refusal, Verdict, line_diff};
+use config::{AcceptedVersion, Publish, Record, Refusal, Verdict, line_diff};
 use rand::RngExt;
 use serde::Serialize;
 use tokio::time::{Instant, sleep};
 use types::CustomerName;
 
 use crate::history::{History, STREAM, read_page};
-use crate::{Checked, ControlError, is_in_force, statuses};
+use crate::{CheckedConfig, ControlError, is_active, statuses};
 
 /// Appends of one publish at most, the first included.
 const APPENDS_MAX: u32 = 5;
@@ -47,13 +47,13 @@
 
 /// Steps that an operator sees.
 #[derive(Clone, Debug)]
-pub enum Progress {
+pub enum PublishProgress {
     /// The append is made again, as its answer was lost.
-    AppendedAgain(u32),
+    AppendRetried(u32),
     /// The record was read back.
     Accepted(u64),
     /// In force at so many of so many processes.
-    InForce(usize, usize),
+    Active(usize, usize),
 }
 
 /// Publishes a checked text on what `history` holds. Errors say whether anything is
@@ -61,24 +61,24 @@
 pub async fn publish(
     log: &LogClient,
     history: &mut History,
-    checked: &Checked,
+    checked: &CheckedConfig,
     settings: &PublishSettings,
-    mut progress: impl FnMut(Progress),
+    mut progress: impl FnMut(PublishProgress),
 ) -> Result<Published, ControlError> {
-    let customer = checked.text.customer.clone();
+    let customer = checked.config.customer.clone();
     let before = match settings.base {
         Some(base) => history.version(&customer, base).cloned(),
         None => history.ledger.current(&customer).cloned(),
     };
     let id = settings.id.clone().unwrap_or_else(random_id);
-    let mut publish = Publish::on(customer.clone(), before.as_deref(), &id, &checked.source);
+    let mut publish = Publish::based_on(customer.clone(), before.as_deref(), &id, &checked.source);
     // A stated base that the log has forgotten is still stated: the verdict tells the
     // operator what is current.
     publish.base = settings.base.unwrap_or(publish.base);
     append(log, &publish, &mut progress).await?;
     let verdict = read_verdict(log, history, &customer, &id).await?;
     let version = judge(verdict, before.as_deref(), history, &customer, &id)?;
-    progress(Progress::Accepted(version));
+    progress(PublishProgress::Accepted(version));
     Ok(Published {
         customer,
         version,
@@ -93,10 +93,10 @@
 async fn append(
     log: &LogClient,
     publish: &Publish,
-    progress: &mut impl FnMut(Progress),
+    progress: &mut impl FnMut(PublishProgress),
 ) -> Result<(), ControlError> {
     let record = Record::Publish(publish.clone());
-    let json = record.to_json().map_err(ControlError::Record)?;
+    let json = record.to_json().map_err(ControlError::InvalidRecord)?;
     let mut maybe_appended = false;
     let mut attempt = 1;
     loop {
@@ -107,7 +107,7 @@
         if attempt == APPENDS_MAX {
             return Err(not_answered(&publish.id, maybe_appended, error));
         }
-        progress(Progress::AppendedAgain(attempt));
+        progress(PublishProgress::AppendRetried(attempt));
         attempt += 1;
         sleep(APPEND_PAUSE).await;
     }
@@ -130,7 +130,9 @@
     for _ in 0..READS_MAX {
         let read = read_page(log, history, READ_WAIT_MS).await;
         let unknown = |error| match error {
-            ControlError::LogUnread(reason) => ControlError::OutcomeUnknown(id.to_owned(), reason),
+            ControlError::LogReadFailed(reason) => {
+                ControlError::OutcomeUnknown(id.to_owned(), reason)
+            }
             other => other,
         };
         read.map_err(unknown)?;
@@ -143,7 +145,7 @@
 
 fn judge(
     verdict: Verdict,
-    before: Option<&Accepted>,
+    before: Option<&AcceptedVersion>,
     history: &History,
     customer: &CustomerName,
     id: &str,
@@ -160,10 +162,11 @@
     }
 }
 
-fn race_diff(before: Option<&Accepted>, winner: Option<&Accepted>) -> String {
-    let source =
-        |accepted: Option<&Accepted>| accepted.map_or(String::new(), |a| a.source.to_string());
-    let name = |accepted: Option<&Accepted>| {
+fn race_diff(before: Option<&AcceptedVersion>, winner: Option<&AcceptedVersion>) -> String {
+    let source = |accepted: Option<&AcceptedVersion>| {
+        accepted.map_or(String::new(), |a| a.source.to_string())
+    };
+    let name = |accepted: Option<&AcceptedVersion>| {
         accepted.map_or("nothing".to_owned(), |a| format!("version {}", a.version))
     };
     line_diff(
@@ -176,11 +179,11 @@
 
 /// Waits until every process at these admin addresses shows the version. Errors with
 /// those that don't after `wait_ms`.
-pub async fn wait_in_force(
+pub async fn wait_until_active(
     processes: &[SocketAddr],
     published: &Published,
     wait_ms: u64,
-    mut progress: impl FnMut(Progress),
+    mut progress: impl FnMut(PublishProgress),
 ) -> Result<(), ControlError> {
     let end = Instant::now() + Duration::from_millis(wait_ms);
     let mut shown = usize::MAX;
@@ -188,19 +191,19 @@
         let replies = statuses(processes).await;
         let behind: Vec<String> = replies
             .iter()
-            .filter(|reply| !is_in_force(reply, &published.customer, published.version))
+            .filter(|reply| !is_active(reply, &published.customer, published.version))
             .map(|reply| reply.address.to_string())
             .collect();
         let reached = processes.len() - behind.len();
         if reached != shown {
-            progress(Progress::InForce(reached, processes.len()));
+            progress(PublishProgress::Active(reached, processes.len()));
             shown = reached;
         }
         if behind.is_empty() {
             return Ok(());
         }
         if Instant::now() >= end {
-            return Err(ControlError::NotInForce(
+            return Err(ControlError::NotActive(
                 published.version,
                 behind.join(", "),
             ));
--- a/components/control/src/text.rs
+++ b/components/control/src/text.rs
@@ -2,23 +2,23 @@
 
 use std::path::Path;
 
-use config::{Complaints, Ledger, Text, check, parse};
+use config::{Complaints, CustomerConfig, Ledger, check, parse};
 
 use crate::ControlError;
 
 /// A text that may be published, and what was let pass.
-pub struct Checked {
+pub struct CheckedConfig {
     /// The file's text as it stands.
     pub source: String,
     /// The text after reading.
-    pub text: Text,
+    pub config: CustomerConfig,
     /// Complaints that stop nothing.
     pub warnings: Complaints,
 }
 
 /// Reads and checks a file against the texts of the other customers. Errors when it
 /// cannot be read or does not pass.
-pub fn check_file(path: &Path, ledger: Option<&Ledger>) -> Result<Checked, ControlError> {
+pub fn check_file(path: &Path, ledger: Option<&Ledger>) -> Result<CheckedConfig, ControlError> {
     check_source(read(path)?, &path.to_string_lossy(), ledger)
 }
 
@@ -27,18 +27,18 @@
     source: String,
     file: &str,
     ledger: Option<&Ledger>,
-) -> Result<Checked, ControlError> {
-    let text = parse(&source, file).map_err(ControlError::Text)?;
+) -> Result<CheckedConfig, ControlError> {
+    let text = parse(&source, file).map_err(ControlError::InvalidText)?;
     let warnings = match ledger {
         Some(ledger) => check(&text, ledger),
         None => Complaints(text.warnings.clone()),
     };
     if warnings.has_errors() {
-        return Err(ControlError::Text(warnings));
+        return Err(ControlError::InvalidText(warnings));
     }
-    Ok(Checked {
+    Ok(CheckedConfig {
         source,
-        text,
+        config: text,
         warnings,
     })
 }
@@ -49,11 +49,11 @@
     let token = text.trim();
     let printable = token.bytes().all(|byte| byte.is_ascii_graphic());
     if token.is_empty() || !printable {
-        return Err(ControlError::Token(path.to_owned()));
+        return Err(ControlError::InvalidToken(path.to_owned()));
     }
     Ok(token.to_owned())
 }
 
 fn read(path: &Path) -> Result<String, ControlError> {
-    std::fs::read_to_string(path).map_err(|reason| ControlError::File(path.to_owned(), reason))
+    std::fs::read_to_string(path).map_err(|reason| ControlError::FileRead(path.to_owned(), reason))
 }
--- a/components/control/tests/publish.rs
+++ b/components/control/tests/publish.rs
@@ -5,7 +5,8 @@
 
 use adapters::{ClientSettings, LogClient};
 use control::{
-    Checked, ControlError, ExitCode, History, PublishSettings, check_source, publish, read_history,
+    CheckedConfig, ControlError, ExitCode, History, PublishSettings, check_source, publish,
+    read_history,
 };
 use standins::log::{self, LogSettings};
 use standins::{Fault, FaultKind, Handle};
@@ -29,7 +30,7 @@
     }
 }
 
-fn text(limit: u32) -> Checked {
+fn text(limit: u32) -> CheckedConfig {
     let source = format!(
         "schema = 1\ncustomer = \"office\"\n\n[limits]\nrequests_per_s = {limit}\n\n\
          [[service]]\nname = \"guichet\"\nkind = \"plain\"\npool = \"guichet\"\n"
--- a/components/gateway/src/answer.rs
+++ b/components/gateway/src/answer.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bytes::{Bytes, BytesMut};
-use config::Kind;
+use config::ServiceKind;
 use futures_util::stream;
 use http::header::{CONTENT_LENGTH, HeaderName, HeaderValue};
 use http::{Response, StatusCode};
@@ -86,7 +86,7 @@
 
     /// A completion that states its use costs only that.
     pub fn give_back_tokens(&mut self, answer: &[u8]) {
-        if self.exchange.job.service.kind == Kind::Model
+        if self.exchange.job.service.kind == ServiceKind::Model
             && let Some(tokens) = completion::used_tokens(answer)
         {
             self.admitted.used(tokens);
--- a/components/gateway/src/attempt.rs
+++ b/components/gateway/src/attempt.rs
@@ -221,7 +221,7 @@
 fn takes_work(gateway: &Gateway, job: &Job, node: NodeId) -> bool {
     let service = &job.service;
     let snapshot = gateway.gossip.snapshot();
-    snapshot.takes_work(&service.owner, &service.name, node)
+    snapshot.accepts_work(&service.owner, &service.name, node)
 }
 
 /// Chooses a replica that takes work, none of `apart`. Those that failed this request
--- a/components/gateway/src/auth.rs
+++ b/components/gateway/src/auth.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use config::{Holder, Service, View};
+use config::{Service, TokenHolder, View};
 use http::HeaderMap;
 use http::header::AUTHORIZATION;
 use types::{CustomerName, Role, ServiceName};
@@ -21,13 +21,13 @@
     /// Configuration in force when the request came.
     pub view: Arc<View>,
     /// Who asks.
-    pub holder: Holder,
+    pub holder: TokenHolder,
 }
 
 /// Finds the holder of a request's token.
 pub fn authenticate(view: Arc<View>, headers: &HeaderMap) -> Result<Session, Rejection> {
     let token = bearer(headers).ok_or(Rejection::Unauthenticated)?;
-    let holder = view.holder(token).cloned();
+    let holder = view.authenticate(token).cloned();
     let holder = holder.ok_or(Rejection::Unauthenticated)?;
     Ok(Session { view, holder })
 }
--- a/components/gateway/src/calls.rs
+++ b/components/gateway/src/calls.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use config::Kind;
+use config::ServiceKind;
 use http::Response;
 use routing::Work;
 
@@ -27,7 +27,7 @@
     B: RequestBody,
 {
     let service = intake.session.callable(&target)?;
-    need_kind(&service, Kind::Plain)?;
+    need_kind(&service, ServiceKind::Plain)?;
     let deadline_at_ms = intake.deadline_at_ms(service.deadline_ms);
     let body = intake.body(body, deadline_at_ms).await?;
     let method = intake.parts.method.as_str();
--- a/components/gateway/src/completions.rs
+++ b/components/gateway/src/completions.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use config::Kind;
+use config::ServiceKind;
 use http::{Method, Response};
 
 use crate::answer::Answering;
@@ -45,7 +45,7 @@
     let service = intake
         .session
         .callable(&Target::parse(&completion.model)?)?;
-    need_kind(&service, Kind::Model)?;
+    need_kind(&service, ServiceKind::Model)?;
     let work = completion.work();
     let content = [completion.prompt.as_bytes()];
     let job = intake.job(&service, PATH.to_owned(), work, &content)?;
--- a/components/gateway/src/endpoint_life.rs
+++ b/components/gateway/src/endpoint_life.rs
@@ -69,7 +69,7 @@
 
     fn newest(&self) -> Option<u32> {
         let snapshot = self.gossip.snapshot();
-        let replicas = snapshot.with_leaving(&self.owner, &self.service);
+        let replicas = snapshot.replicas_with_leaving(&self.owner, &self.service);
         let mut replicas = replicas.iter();
         let replica = replicas.find(|replica| replica.node == self.node)?;
         Some(replica.endpoint_life)
--- a/components/gateway/src/hedged.rs
+++ b/components/gateway/src/hedged.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use config::Kind;
+use config::ServiceKind;
 use futures_util::future::{BoxFuture, Either, FutureExt, select};
 use node::now_ms;
 use protocol::Head;
@@ -58,7 +58,7 @@
         let job = &self.job;
         let service = &job.service;
         let may = job.idempotent && job.class == Class::Interactive;
-        let may = may && service.kind == Kind::Plain;
+        let may = may && service.kind == ServiceKind::Plain;
         may.then(|| self.gateway.services.get(&service.owner, &service.name))?
     }
 
--- a/components/gateway/src/intake.rs
+++ b/components/gateway/src/intake.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use config::{Kind, Service};
+use config::{Service, ServiceKind};
 use http::request::Parts;
 use node::now_ms;
 use quarantine::CallDigest;
@@ -103,7 +103,7 @@
 }
 
 /// Errors when a service is of another kind than the path serves.
-pub fn need_kind(service: &Service, kind: Kind) -> Result<(), Rejection> {
+pub fn need_kind(service: &Service, kind: ServiceKind) -> Result<(), Rejection> {
     if service.kind == kind {
         return Ok(());
     }
--- a/components/gateway/src/keyed/client.rs
+++ b/components/gateway/src/keyed/client.rs
@@ -6,8 +6,8 @@
 use adapters::LogClient;
 use bytes::Bytes;
 use claims::{
-    Claim, ClaimSettings, Holder, HolderStep, KeyDigest, Record, RequestDigest, Verdict, shard_of,
-    writers_of,
+    Claim, ClaimAction, ClaimHolder, ClaimSettings, KeyDigest, Record, RequestDigest, Verdict,
+    shard_of, writers_of,
 };
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
@@ -47,7 +47,7 @@
 /// How a claim ended.
 pub enum Claimed {
     /// This submission alone may run.
-    Won(Holder),
+    Won(ClaimHolder),
     /// Another one has the key.
     Other(Verdict),
     /// No verdict in time; not run. The record takes the claim back; it waits for the
@@ -110,7 +110,7 @@
         if self.reader(shard, order).await.is_none() {
             return Claimed::GivenUp(Failure::not_run(Cause::Internal), None);
         }
-        let holder = Holder::new(claim, self.settings, now_ms());
+        let holder = ClaimHolder::new(claim, self.settings, now_ms());
         let claimed = self.hold(gateway, submission, shard, holder, verdict).await;
         if !matches!(claimed, Claimed::Other(Verdict::Running)) {
             return claimed;
@@ -124,7 +124,7 @@
         gateway: &Gateway,
         submission: &Submission<'_>,
         shard: u16,
-        mut holder: Holder,
+        mut holder: ClaimHolder,
         mut verdict: oneshot::Receiver<Verdict>,
     ) -> Claimed {
         let writers = writers_of(shard, live_entries(gateway));
@@ -132,22 +132,22 @@
         let mut refusals = 0;
         loop {
             if now_ms() >= submission.deadline_at_ms {
-                holder.give_up();
+                holder.abandon();
             }
-            let at_ms = match holder.step(now_ms()) {
-                HolderStep::Send { rank } => {
+            let at_ms = match holder.next_action(now_ms()) {
+                ClaimAction::Send { rank } => {
                     let Some(&to) = writers.get(rank % writers.len().max(1)) else {
-                        holder.give_up();
+                        holder.abandon();
                         continue;
                     };
                     let record = Record::Claim(*holder.claim());
                     sends.push(self.send(gateway, submission, shard, to, record));
                     continue;
                 }
-                HolderStep::WaitUntil { at_ms } => at_ms,
-                HolderStep::Run => return Claimed::Won(holder),
-                HolderStep::Answer(verdict) => return Claimed::Other(verdict),
-                HolderStep::GiveUp(failure) => {
+                ClaimAction::WaitUntil { at_ms } => at_ms,
+                ClaimAction::Run => return Claimed::Won(holder),
+                ClaimAction::Answer(verdict) => return Claimed::Other(verdict),
+                ClaimAction::Abandon(failure) => {
                     return Claimed::GivenUp(failure, holder.release());
                 }
             };
@@ -160,7 +160,7 @@
                     // With every writer refused the log is down, and the caller gets its
                     // answer now instead of at the end of the claim's time.
                     if refusals >= writers.len() {
-                        holder.give_up();
+                        holder.abandon();
                     } else {
                         holder.on_refused(now_ms());
                     }
--- a/components/gateway/src/keyed/relay.rs
+++ b/components/gateway/src/keyed/relay.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 use bytes::{Bytes, BytesMut};
-use claims::{Holder, KeyDigest, Outcome, RequestDigest, Verdict, shard_of};
+use claims::{ClaimHolder, KeyDigest, Outcome, RequestDigest, Verdict, shard_of};
 use futures_util::stream;
 use http::Response;
 use leaving::WorkGuard;
@@ -171,7 +171,7 @@
     /// Admits and makes the call; gives the record of its end.
     async fn won(
         self,
-        mut holder: Holder,
+        mut holder: ClaimHolder,
         first: oneshot::Sender<First>,
     ) -> Option<claims::Record> {
         let Running {
@@ -187,7 +187,7 @@
             Ok(answering) => answering,
             Err(failure) => {
                 let _ = first.send(First::Failed(failure));
-                holder.give_up();
+                holder.abandon();
                 return holder.release();
             }
         };
@@ -208,9 +208,9 @@
     }
 }
 
-fn start(holder: &mut Holder, first: &oneshot::Sender<First>) -> Result<(), Failure> {
+fn start(holder: &mut ClaimHolder, first: &oneshot::Sender<First>) -> Result<(), Failure> {
     if first.is_closed() {
-        holder.give_up();
+        holder.abandon();
         return Err(Failure::not_run(Cause::Cancelled));
     }
     holder.start(now_ms())
@@ -227,7 +227,7 @@
     /// Makes the call; gives the record of its end.
     async fn call(
         &mut self,
-        holder: &mut Holder,
+        holder: &mut ClaimHolder,
         first: oneshot::Sender<First>,
     ) -> Option<claims::Record> {
         let (head, attempt) = match self.answering.exchange.head(&self.body).await {
@@ -289,9 +289,9 @@
     }
 }
 
-fn failed(holder: &mut Holder, failure: Failure) -> Option<claims::Record> {
+fn failed(holder: &mut ClaimHolder, failure: Failure) -> Option<claims::Record> {
     if failure.run == RunState::NotRun {
-        holder.not_run();
+        holder.record_not_run();
         return holder.release();
     }
     holder.done(Outcome::Failed(failure))
--- a/components/gateway/src/keyed/replay.rs
+++ b/components/gateway/src/keyed/replay.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use claims::{Answer, Line, Outcome, Place, Verdict, stream_name};
+use claims::{Answer, Line, Outcome, RecordPosition, Verdict, stream_name};
 use http::{HeaderValue, Response};
 use node::now_ms;
 use protocol::Head;
@@ -29,7 +29,7 @@
     }
     let Verdict::Answered {
         status,
-        place: Some(place),
+        position: Some(place),
     } = verdict
     else {
         return Err(Failure::new(RunState::Unknown, Cause::Internal).into());
@@ -51,7 +51,7 @@
     Ok(response)
 }
 
-async fn recorded(claims: &Claims, shard: u16, place: Place) -> Option<Answer> {
+async fn recorded(claims: &Claims, shard: u16, place: RecordPosition) -> Option<Answer> {
     let stream = stream_name(shard);
     let page = claims.log.read(&stream, place.offset, 1, 0).await.ok()?;
     let record = page.records.first()?;
--- a/components/gateway/src/keyed/writer.rs
+++ b/components/gateway/src/keyed/writer.rs
@@ -100,7 +100,7 @@
         };
         match self.log.append(&self.stream, &text).await {
             Ok(_) => {
-                self.batch.appended();
+                self.batch.confirm_append();
                 for answer in self.waiting.drain(..) {
                     // The holder may have its verdict already.
                     let _ = answer.send(Ok(()));
@@ -117,7 +117,7 @@
     }
 
     fn failed(&mut self) {
-        self.batch.failed();
+        self.batch.retry_append();
         self.pause_until_ms = now_ms() + PAUSE_MS;
     }
 
--- a/components/gateway/src/services.rs
+++ b/components/gateway/src/services.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use arc_swap::ArcSwap;
-use config::{Kind, Service};
+use config::{Service, ServiceKind};
 use limits::{AdmissionSettings, Clock, Gate};
 use membership::Snapshot;
 use node::now_ms;
@@ -91,10 +91,15 @@
         self.states.store(Arc::new(next));
     }
 
-    fn refresh_one(&self, state: &ServiceState, replicas: &[membership::Replica], kind: Kind) {
+    fn refresh_one(
+        &self,
+        state: &ServiceState,
+        replicas: &[membership::Replica],
+        kind: ServiceKind,
+    ) {
         let slots_per_replica = match kind {
-            Kind::Model => MODEL_SLOTS_PER_REPLICA,
-            Kind::Plain => PLAIN_SLOTS_PER_REPLICA,
+            ServiceKind::Model => MODEL_SLOTS_PER_REPLICA,
+            ServiceKind::Plain => PLAIN_SLOTS_PER_REPLICA,
         };
         let count = u32::try_from(replicas.len()).unwrap_or(u32::MAX);
         // With no replica the choice refuses at once; a gate of no slots would let
@@ -150,7 +155,9 @@
             waiting: load.waiting,
             prompt_tokens_queued: load.prompt_tokens_queued,
             kv_used_permille: load.kv_used_permille,
-            taken_at_ms: member.load_at_ms.saturating_sub(u64::from(load.age_ms)),
+            taken_at_ms: member
+                .load_received_ms
+                .saturating_sub(u64::from(load.age_ms)),
         }),
         prefix_id: None,
     }
--- a/components/gateway/src/status.rs
+++ b/components/gateway/src/status.rs
@@ -106,7 +106,7 @@
         isolated: snapshot.isolated,
         in_progress: gateway.drain.work_counter().count(),
         config: configured(&view),
-        unmet_dependencies: view.unmet().iter().map(unmet).collect(),
+        unmet_dependencies: view.unmet_dependencies().iter().map(unmet).collect(),
         members: snapshot.members.iter().map(member).collect(),
         services: services(gateway, &view),
         weights: weights
@@ -143,7 +143,7 @@
     customers
 }
 
-fn unmet(unmet: &config::Unmet) -> String {
+fn unmet(unmet: &config::UnmetDependency) -> String {
     format!("{} -> {}", unmet.from, unmet.to)
 }
 
@@ -156,7 +156,7 @@
             protocol::ProcessRole::Agent => "agent",
         },
         failure_domain: member.failure_domain.to_string(),
-        standing: format!("{:?}", member.standing).to_ascii_lowercase(),
+        standing: format!("{:?}", member.liveness).to_ascii_lowercase(),
         leaving: member.leaving,
     }
 }
--- a/components/gateway/src/training/api.rs
+++ b/components/gateway/src/training/api.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use config::{Kind, Service};
+use config::{Service, ServiceKind};
 use http::{Method, Response};
 use node::now_ms;
 use samples::StepKey;
@@ -45,7 +45,7 @@
         TrainingRoute::Rollback => intake.session.operable(&service)?,
         _ => intake.session.trainable(&service)?,
     };
-    need_kind(&model, Kind::Model)?;
+    need_kind(&model, ServiceKind::Model)?;
     let _working = gateway.drain.admit(now_ms())?;
     let _place = place(&gateway, &intake)?;
     let deadline_at_ms = intake.deadline_at_ms(DEADLINE_MS);
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -305,7 +305,7 @@
 
     async fn publish(&self, text: &str) {
         let customer = CustomerName::new("office").unwrap();
-        let publish = Publish::on(customer, None, "first", text);
+        let publish = Publish::based_on(customer, None, "first", text);
         let record = Record::Publish(publish).to_json().unwrap();
         let client = LogClient::new(self.log.address, &ClientSettings::default());
         client.append("config", &record).await.unwrap();
--- a/components/gateway/tests/parts.rs
+++ b/components/gateway/tests/parts.rs
@@ -39,7 +39,7 @@
         ));
     }
     let customer = CustomerName::new("office").unwrap();
-    let record = Record::Publish(Publish::on(customer, None, "first", &text));
+    let record = Record::Publish(Publish::based_on(customer, None, "first", &text));
     let mut ledger = Ledger::starting_at(0);
     let verdict = ledger.apply_json(0, &record.to_json().unwrap());
     let view = View::of(&ledger);
--- a/components/membership/src/listed.rs
+++ b/components/membership/src/listed.rs
@@ -8,7 +8,7 @@
 
 /// One VM of the list. The list knows addresses, not lives.
 #[value]
-pub struct Listed {
+pub struct ListedVm {
     /// Inner address of the process on the VM.
     pub address: SocketAddr,
     /// What the process is.
@@ -24,7 +24,7 @@
 /// What one read of the list brought.
 #[value]
 #[derive(Default)]
-pub struct ListRead {
+pub struct VmListOutcome {
     /// Lives that are leaving and were not known to; to be spread as rumours.
     pub leaving: Vec<NodeId>,
     /// This process's own VM is leaving.
--- a/components/membership/src/member.rs
+++ b/components/membership/src/member.rs
@@ -10,7 +10,7 @@
 
 /// Whether a process answers probes.
 #[key]
-pub enum Standing {
+pub enum Liveness {
     /// It answers, or nothing speaks against it yet.
     Live,
     /// It missed some answers, or is kept though it missed many.
@@ -21,18 +21,18 @@
 
 /// What a piece of news was worth.
 #[key]
-pub enum Heard {
+pub enum UpdateOutcome {
     /// Nothing new.
-    Known,
+    Unchanged,
     /// Changed the view; a rumour of it is worth spreading.
-    New,
+    Changed,
     /// From an earlier life; tell the sender that this one is known.
-    Older {
+    StaleIncarnation {
         /// Highest life known at the address.
         known: Incarnation,
     },
     /// This process took a higher number; it is in [`crate::Members::own`].
-    OwnRaised,
+    OwnIncarnationRaised,
     /// This process is said to be leaving: start the drain.
     OwnLeaving,
 }
@@ -95,9 +95,13 @@
     }
 
     /// Takes up a life unless a later one is known; true if it is a new one.
-    pub(crate) fn take_life(&mut self, heard: Incarnation, now_ms: u64) -> Result<bool, Heard> {
+    pub(crate) fn take_life(
+        &mut self,
+        heard: Incarnation,
+        now_ms: u64,
+    ) -> Result<bool, UpdateOutcome> {
         match self.incarnation {
-            Some(known) if heard < known => return Err(Heard::Older { known }),
+            Some(known) if heard < known => return Err(UpdateOutcome::StaleIncarnation { known }),
             Some(known) if heard == known => return Ok(false),
             _ => {}
         }
@@ -159,13 +163,13 @@
         }
     }
 
-    pub(crate) fn standing(&self, settings: &MemberSettings) -> Standing {
+    pub(crate) fn standing(&self, settings: &MemberSettings) -> Liveness {
         if self.misses >= settings.misses_to_down {
-            Standing::Down
+            Liveness::Down
         } else if self.misses >= settings.misses_to_suspect {
-            Standing::Suspect
+            Liveness::Suspect
         } else {
-            Standing::Live
+            Liveness::Live
         }
     }
 
--- a/components/membership/src/members.rs
+++ b/components/membership/src/members.rs
@@ -11,13 +11,13 @@
 use types::{Incarnation, NodeId};
 
 use crate::member::{Listing, Member};
-use crate::{Heard, ListRead, Listed, MemberSettings, Own};
+use crate::{ListedVm, MemberSettings, OwnProcess, UpdateOutcome, VmListOutcome};
 
 /// One process's view of all others.
 #[derive(Clone, Debug)]
 pub struct Members {
     pub(crate) settings: MemberSettings,
-    pub(crate) own: Own,
+    pub(crate) own: OwnProcess,
     pub(crate) members: BTreeMap<SocketAddr, Member>,
     /// When the next never-heard member is probed first.
     pub(crate) next_discovery_ms: u64,
@@ -26,7 +26,7 @@
 
 impl Members {
     /// A view of nobody.
-    pub fn new(own: Own, settings: MemberSettings) -> Self {
+    pub fn new(own: OwnProcess, settings: MemberSettings) -> Self {
         Self {
             settings,
             next_discovery_ms: own.started_ms,
@@ -37,7 +37,7 @@
     }
 
     /// This process; its incarnation rises when an earlier life is heard of.
-    pub fn own(&self) -> &Own {
+    pub fn own(&self) -> &OwnProcess {
         &self.own
     }
 
@@ -47,8 +47,8 @@
     }
 
     /// Takes in one read of the VM list. A failed read is no event.
-    pub fn on_list(&mut self, vms: &[Listed], now_ms: u64) -> ListRead {
-        let mut read = ListRead::default();
+    pub fn on_list(&mut self, vms: &[ListedVm], now_ms: u64) -> VmListOutcome {
+        let mut read = VmListOutcome::default();
         for member in self.members.values_mut() {
             member.absent_reads = member.absent_reads.saturating_add(1);
         }
@@ -65,19 +65,23 @@
     }
 
     /// Takes in that a datagram came from `from`: a sign of life.
-    pub fn on_heard(&mut self, from: NodeId, role: ProcessRole, now_ms: u64) -> Heard {
+    pub fn on_datagram(&mut self, from: NodeId, role: ProcessRole, now_ms: u64) -> UpdateOutcome {
         if from.address == self.own.node.address {
-            return self.on_own(from.incarnation);
+            return self.on_own_incarnation(from.incarnation);
         }
         let Some(member) = self.member_or_new(from.address, role, now_ms) else {
-            return Heard::Known;
+            return UpdateOutcome::Unchanged;
         };
         match member.take_life(from.incarnation, now_ms) {
             Err(older) => older,
             Ok(new) => {
                 member.role = role;
                 member.answered(now_ms);
-                if new { Heard::New } else { Heard::Known }
+                if new {
+                    UpdateOutcome::Changed
+                } else {
+                    UpdateOutcome::Unchanged
+                }
             }
         }
     }
@@ -89,9 +93,9 @@
         role: ProcessRole,
         status: &Status,
         now_ms: u64,
-    ) -> Heard {
-        let heard = self.on_heard(from, role, now_ms);
-        if !matches!(heard, Heard::New | Heard::Known) {
+    ) -> UpdateOutcome {
+        let heard = self.on_datagram(from, role, now_ms);
+        if !matches!(heard, UpdateOutcome::Changed | UpdateOutcome::Unchanged) {
             return heard;
         }
         let Some(member) = self.members.get_mut(&from.address) else {
@@ -103,52 +107,52 @@
         }
         member.take_status(status, now_ms);
         if status.leaving && member.leave(now_ms) {
-            return Heard::New;
+            return UpdateOutcome::Changed;
         }
         heard
     }
 
     /// Takes in that a life is leaving; from whom does not matter.
-    pub fn on_leaving(&mut self, node: NodeId, now_ms: u64) -> Heard {
+    pub fn on_leaving(&mut self, node: NodeId, now_ms: u64) -> UpdateOutcome {
         if node.address == self.own.node.address {
             return self.on_own_leaving(node.incarnation);
         }
         // A role of Agent is a guess until the process is heard or listed; nothing is
         // built on it, because a leaving life takes no work in either role.
         let Some(member) = self.member_or_new(node.address, ProcessRole::Agent, now_ms) else {
-            return Heard::Known;
+            return UpdateOutcome::Unchanged;
         };
         match member.take_life(node.incarnation, now_ms) {
             Err(older) => older,
-            Ok(_) if member.leave(now_ms) => Heard::New,
-            Ok(_) => Heard::Known,
+            Ok(_) if member.leave(now_ms) => UpdateOutcome::Changed,
+            Ok(_) => UpdateOutcome::Unchanged,
         }
     }
 
     /// Takes in that some process knows this life at this process's own address.
-    pub fn on_own(&mut self, heard: Incarnation) -> Heard {
+    pub fn on_own_incarnation(&mut self, heard: Incarnation) -> UpdateOutcome {
         if self.own.raise_above(heard) {
-            Heard::OwnRaised
+            UpdateOutcome::OwnIncarnationRaised
         } else {
-            Heard::Known
+            UpdateOutcome::Unchanged
         }
     }
 
     /// A higher number is an earlier life whose clock ran ahead. The same number is this
     /// life: some process read in the VM list that it leaves.
-    fn on_own_leaving(&mut self, heard: Incarnation) -> Heard {
+    fn on_own_leaving(&mut self, heard: Incarnation) -> UpdateOutcome {
         if heard == self.own.node.incarnation {
-            return Heard::OwnLeaving;
+            return UpdateOutcome::OwnLeaving;
         }
-        self.on_own(heard)
+        self.on_own_incarnation(heard)
     }
 
-    fn heed_list_on_own(&self, vm: &Listed, now_ms: u64) -> bool {
+    fn heed_list_on_own(&self, vm: &ListedVm, now_ms: u64) -> bool {
         let age_ms = now_ms.saturating_sub(self.own.started_ms);
         vm.leaving && age_ms >= self.settings.list_lag_ms
     }
 
-    fn take_listed(&mut self, vm: &Listed, now_ms: u64) {
+    fn take_listed(&mut self, vm: &ListedVm, now_ms: u64) {
         let Some(member) = self.member_or_new(vm.address, vm.role, now_ms) else {
             return;
         };
@@ -193,11 +197,11 @@
         let settings = self.settings;
         let answer_ms = 2 * settings.sweep_period_ms(self.members.len());
         self.members.retain(|_, member| {
-            if member.absent_reads < settings.absent_reads {
+            if member.absent_reads < settings.absent_reads_max {
                 return true;
             }
             member.listing = None;
-            let kept = |since_ms| now_ms.saturating_sub(since_ms) < settings.leaving_kept_ms;
+            let kept = |since_ms| now_ms.saturating_sub(since_ms) < settings.leaving_retention_ms;
             if let Some(since_ms) = member.leaving_since_ms {
                 return kept(since_ms);
             }
--- a/components/membership/src/own.rs
+++ b/components/membership/src/own.rs
@@ -6,7 +6,7 @@
 
 /// This process; known from its settings, but for the incarnation.
 #[value]
-pub struct Own {
+pub struct OwnProcess {
     /// Its address and life.
     pub node: NodeId,
     /// What it is.
@@ -19,7 +19,7 @@
     pub started_ms: u64,
 }
 
-impl Own {
+impl OwnProcess {
     /// Takes the next number after `heard`, unless its own is above already.
     ///
     /// A VM whose clock runs behind starts with a number below its predecessor's. Every
--- a/components/membership/src/probing.rs
+++ b/components/membership/src/probing.rs
@@ -9,7 +9,7 @@
 use protocol::ProcessRole;
 use types::rendezvous;
 
-use crate::{Members, Standing};
+use crate::{Liveness, Members};
 
 const STAGGER_KEY: &[u8] = b"stagger";
 
@@ -38,7 +38,7 @@
                 (false, true) => rendezvous::weight(STAGGER_KEY, address) % sweep_ms,
                 (false, false) => sweep_ms,
             };
-            member.next_probe_ms = now_ms + wait_ms.max(self.settings.probe_every_ms);
+            member.next_probe_ms = now_ms + wait_ms.max(self.settings.probe_interval_ms);
             member.probe_sent_ms = Some(now_ms);
             due.push(address);
         }
@@ -69,9 +69,9 @@
     }
 
     /// Standing as the request path sees it.
-    pub(crate) fn shown_standing(&self, member: &crate::member::Member) -> Standing {
+    pub(crate) fn shown_standing(&self, member: &crate::member::Member) -> Liveness {
         match member.standing(&self.settings) {
-            Standing::Down if self.isolated && member.watched => Standing::Suspect,
+            Liveness::Down if self.isolated && member.watched => Liveness::Suspect,
             standing => standing,
         }
     }
--- a/components/membership/src/rumour_settings.rs
+++ b/components/membership/src/rumour_settings.rs
@@ -9,7 +9,7 @@
     /// Peers that hear the news in one round.
     pub fan_out: usize,
     /// Time between two rounds, in milliseconds.
-    pub round_ms: u64,
+    pub round_interval_ms: u64,
     /// Rounds beyond the logarithm of the number of peers in which news is pushed.
     pub extra_rounds: u32,
     /// Rounds between two datagrams when there is no news.
@@ -17,25 +17,25 @@
     /// Largest datagram with all headers, in bytes.
     pub datagram_bytes_max: usize,
     /// How long a leaving life is told of, in milliseconds.
-    pub leaving_kept_ms: u64,
+    pub leaving_retention_ms: u64,
     /// A quarantine that ends later than the known one by less than this is the known
     /// one, on its way for a while, in milliseconds.
     pub quarantine_slack_ms: u64,
     /// Most facts kept; the oldest one with an end goes first.
-    pub items_max: usize,
+    pub facts_max: usize,
 }
 
 impl Default for RumourSettings {
     fn default() -> Self {
         Self {
             fan_out: 3,
-            round_ms: 400,
+            round_interval_ms: 400,
             extra_rounds: 3,
             idle_rounds: 3,
             datagram_bytes_max: 550,
-            leaving_kept_ms: 300_000,
+            leaving_retention_ms: 300_000,
             quarantine_slack_ms: 30_000,
-            items_max: 8_192,
+            facts_max: 8_192,
         }
     }
 }
@@ -52,6 +52,6 @@
     /// Bytes that a process sends in a second while there is more news than fits.
     pub fn bytes_per_s_max(&self) -> u64 {
         let round_bytes = self.fan_out * self.datagram_bytes_max;
-        round_bytes as u64 * 1_000 / self.round_ms.max(1)
+        round_bytes as u64 * 1_000 / self.round_interval_ms.max(1)
     }
 }
--- a/components/membership/src/rumours.rs
+++ b/components/membership/src/rumours.rs
@@ -26,7 +26,7 @@
 
 /// What to send now.
 #[value]
-pub struct Round {
+pub struct RumourRound {
     /// To whom, each the same datagram.
     pub targets: Vec<SocketAddr>,
     /// What.
@@ -58,7 +58,7 @@
 
     /// Takes in a fact, from a peer or of one's own; true when it is new, so that the
     /// caller acts on it. Probes, statuses and the like are never new.
-    pub fn hear(&mut self, news: &News, peers: usize, now_ms: u64) -> bool {
+    pub fn add(&mut self, news: &News, peers: usize, now_ms: u64) -> bool {
         let Some(topic) = topic(news) else {
             return false;
         };
@@ -84,7 +84,7 @@
     }
 
     /// Everything known, for a peer that starts.
-    pub fn all(&self, now_ms: u64) -> impl Iterator<Item = News> {
+    pub fn known_news(&self, now_ms: u64) -> impl Iterator<Item = News> {
         let facts = self.facts.values();
         facts.filter_map(move |fact| fact.told_at(now_ms))
     }
@@ -95,16 +95,16 @@
     }
 
     /// One round; `None` when it is not due or there is nothing to tell.
-    pub fn round(
+    pub fn start_round(
         &mut self,
         peers: &[SocketAddr],
         now_ms: u64,
         rng: &mut impl Rng,
-    ) -> Option<Round> {
+    ) -> Option<RumourRound> {
         if now_ms < self.next_round_ms || peers.is_empty() {
             return None;
         }
-        self.next_round_ms = now_ms + self.settings.round_ms;
+        self.next_round_ms = now_ms + self.settings.round_interval_ms;
         self.forget_ended(now_ms);
         let (mut news, mut bytes) = self.push(now_ms);
         let fan_out = if news.is_empty() {
@@ -118,7 +118,7 @@
         }
         self.fill(&mut news, &mut bytes, now_ms);
         let targets = draw(peers, fan_out, rng);
-        Some(Round { targets, news })
+        Some(RumourRound { targets, news })
     }
 
     /// The news with the most pushes left, as much as fits.
@@ -171,7 +171,7 @@
     fn ends_ms(&self, news: &News, now_ms: u64) -> Option<u64> {
         match news {
             News::Quarantined { left_ms, .. } => Some(now_ms + u64::from(*left_ms)),
-            News::Leaving { .. } => Some(now_ms + self.settings.leaving_kept_ms),
+            News::Leaving { .. } => Some(now_ms + self.settings.leaving_retention_ms),
             _ => None,
         }
     }
@@ -199,7 +199,7 @@
     }
 
     fn evict(&mut self) {
-        if self.facts.len() <= self.settings.items_max {
+        if self.facts.len() <= self.settings.facts_max {
             return;
         }
         let ending = self.facts.iter().filter_map(|(topic, fact)| {
--- a/components/membership/src/settings.rs
+++ b/components/membership/src/settings.rs
@@ -8,9 +8,9 @@
 #[derive(Copy)]
 pub struct MemberSettings {
     /// Replicas of each service that one entry talks to.
-    pub subset: usize,
+    pub subset_size: usize,
     /// Shortest time between two probes of a replica in a subset, in milliseconds.
-    pub probe_every_ms: u64,
+    pub probe_interval_ms: u64,
     /// How long an answer may take, in milliseconds; after it the probe is sent again.
     pub probe_timeout_ms: u64,
     /// Missed answers in a row until a member is suspected.
@@ -25,11 +25,11 @@
     /// First probes of members that were never heard.
     pub discoveries_per_s: u64,
     /// Reads of the VM list without a VM until it is dropped, unless it answers.
-    pub absent_reads: u32,
+    pub absent_reads_max: u32,
     /// How far the VM list may lag, in milliseconds.
     pub list_lag_ms: u64,
     /// How long a life that left is remembered, in milliseconds.
-    pub leaving_kept_ms: u64,
+    pub leaving_retention_ms: u64,
     /// Losses within this time of each other count as one, in milliseconds.
     pub isolation_window_ms: u64,
     /// Fewest watched members among which a loss can be a fault of one's own.
@@ -41,17 +41,17 @@
 impl Default for MemberSettings {
     fn default() -> Self {
         Self {
-            subset: 24,
-            probe_every_ms: 1_000,
+            subset_size: 24,
+            probe_interval_ms: 1_000,
             probe_timeout_ms: 400,
             misses_to_suspect: 2,
             misses_to_down: 5,
             probes_per_s: 24,
             sweeps_per_s: 8,
             discoveries_per_s: 200,
-            absent_reads: 3,
+            absent_reads_max: 3,
             list_lag_ms: 30_000,
-            leaving_kept_ms: 600_000,
+            leaving_retention_ms: 600_000,
             isolation_window_ms: 15_000,
             isolation_members_min: 3,
             members_max: 4_096,
@@ -63,13 +63,13 @@
     /// Time between two probes of one member when `watched` are in some subset.
     pub fn probe_period_ms(&self, watched: usize) -> u64 {
         let spread_ms = watched as u64 * 1_000 / self.probes_per_s.max(1);
-        spread_ms.max(self.probe_every_ms)
+        spread_ms.max(self.probe_interval_ms)
     }
 
     /// Time between two probes of one member outside every subset.
     pub fn sweep_period_ms(&self, others: usize) -> u64 {
         let spread_ms = others as u64 * 1_000 / self.sweeps_per_s.max(1);
-        spread_ms.max(10 * self.probe_every_ms)
+        spread_ms.max(10 * self.probe_interval_ms)
     }
 
     /// Longest time from the death of a watched member until it counts as down, when the
--- a/components/membership/src/snapshot.rs
+++ b/components/membership/src/snapshot.rs
@@ -7,7 +7,7 @@
 use protocol::{Load, ProcessRole};
 use types::{CustomerName, FailureDomain, Incarnation, NodeId, Region, ServiceName, WeightVersion};
 
-use crate::Standing;
+use crate::Liveness;
 
 /// One replica of a service.
 #[value]
@@ -21,11 +21,11 @@
     /// Load by its last status.
     pub load: Load,
     /// When that status came, in milliseconds.
-    pub load_at_ms: u64,
+    pub load_received_ms: u64,
     /// Version that it answers with; `None` for a plain service.
     pub weights: Option<WeightVersion>,
     /// Whether it answers probes.
-    pub standing: Standing,
+    pub liveness: Liveness,
     /// It takes no new work.
     pub leaving: bool,
     /// Which life of the endpoint behind the agent.
@@ -46,7 +46,7 @@
     /// Its region.
     pub region: Region,
     /// Whether it answers probes.
-    pub standing: Standing,
+    pub liveness: Liveness,
     /// It takes no new work.
     pub leaving: bool,
 }
@@ -80,14 +80,23 @@
     }
 
     /// The same with the ones that are leaving at the end.
-    pub fn with_leaving(&self, customer: &CustomerName, service: &ServiceName) -> &[Replica] {
+    pub fn replicas_with_leaving(
+        &self,
+        customer: &CustomerName,
+        service: &ServiceName,
+    ) -> &[Replica] {
         self.hosts(customer, service)
             .map_or(&[], |hosts| &hosts.replicas)
     }
 
     /// Whether this life of a replica takes new work for the service; to be asked of the
     /// newest snapshot right before a hand-over, since a request may have waited.
-    pub fn takes_work(&self, customer: &CustomerName, service: &ServiceName, node: NodeId) -> bool {
+    pub fn accepts_work(
+        &self,
+        customer: &CustomerName,
+        service: &ServiceName,
+        node: NodeId,
+    ) -> bool {
         let replicas = self.replicas(customer, service);
         replicas.iter().any(|replica| replica.node == node)
     }
@@ -102,7 +111,7 @@
     /// Processes of one role that are neither leaving nor down.
     pub fn live(&self, role: ProcessRole) -> impl Iterator<Item = &MemberState> {
         self.members.iter().filter(move |member| {
-            member.role == role && !member.leaving && member.standing != Standing::Down
+            member.role == role && !member.leaving && member.liveness != Liveness::Down
         })
     }
 
--- a/components/membership/src/subset.rs
+++ b/components/membership/src/subset.rs
@@ -25,7 +25,7 @@
 
 /// The `size` replicas for the entry at `own`, in the order of preference, as positions
 /// in `candidates`.
-pub fn subset(
+pub fn choose_subset(
     own: SocketAddr,
     own_region: &Region,
     candidates: &[Candidate<'_>],
--- a/components/membership/src/tail.rs
+++ b/components/membership/src/tail.rs
@@ -45,7 +45,7 @@
 
 /// What to do about the log now.
 #[key]
-pub enum TailStep {
+pub enum TailAction {
     /// Read now (a long poll, while the process ranks).
     Read,
     /// Ask again at this time.
@@ -87,7 +87,7 @@
     }
 
     /// A peer knows of a read that is this old.
-    pub fn heard(&mut self, age_ms: u32, now_ms: u64) {
+    pub fn record_peer_read(&mut self, age_ms: u32, now_ms: u64) {
         // A read from before this clock began has no place on it; it is passed over, and
         // this process reads for itself a little sooner.
         let read_ms = now_ms.checked_sub(u64::from(age_ms));
@@ -95,14 +95,14 @@
     }
 
     /// A read of one's own worked.
-    pub fn read_done(&mut self, now_ms: u64) {
+    pub fn record_read(&mut self, now_ms: u64) {
         self.newest_read_ms = self.newest_read_ms.max(Some(now_ms));
         self.failures = 0;
         self.next_try_ms = now_ms;
     }
 
     /// A read of one's own failed.
-    pub fn read_failed(&mut self, ranks: bool, now_ms: u64, rng: &mut impl Rng) {
+    pub fn record_failure(&mut self, ranks: bool, now_ms: u64, rng: &mut impl Rng) {
         let longest_ms = if ranks {
             self.settings.backoff_ms_max
         } else {
@@ -124,7 +124,7 @@
     }
 
     /// What to do; `ranks` says whether this process is one of its domain's [`tailers`].
-    pub fn step(&self, ranks: bool, now_ms: u64) -> TailStep {
+    pub fn next_action(&self, ranks: bool, now_ms: u64) -> TailAction {
         let silent_after_ms = self.settings.silent_after_ms;
         let silent_ms = self
             .newest_read_ms
@@ -135,9 +135,9 @@
             self.next_try_ms.max(silent_ms)
         };
         if now_ms >= due_ms {
-            TailStep::Read
+            TailAction::Read
         } else {
-            TailStep::WaitUntil { at_ms: due_ms }
+            TailAction::WaitUntil { at_ms: due_ms }
         }
     }
 }
--- a/components/membership/src/view.rs
+++ b/components/membership/src/view.rs
@@ -8,8 +8,8 @@
 
 use crate::member::Member;
 use crate::snapshot::Hosts;
-use crate::subset::{Candidate, subset};
-use crate::{MemberState, Members, Replica, Snapshot, Standing};
+use crate::subset::{Candidate, choose_subset};
+use crate::{Liveness, MemberState, Members, Replica, Snapshot};
 
 type Service<'a> = (&'a CustomerName, &'a ServiceName);
 
@@ -44,7 +44,7 @@
     pub fn peers(&self) -> Vec<SocketAddr> {
         let reachable = self.present().filter(|(_, member)| {
             let gone = member.listing.is_none() && member.heard_ms.is_none();
-            !gone && member.standing(&self.settings) != Standing::Down
+            !gone && member.standing(&self.settings) != Liveness::Down
         });
         reachable.map(|(&address, _)| address).collect()
     }
@@ -54,7 +54,7 @@
     /// snapshot leaves it out until then.
     pub fn entries(&self) -> Vec<SocketAddr> {
         let entries = self.present().filter(|(_, member)| {
-            member.role == ProcessRole::Entry && member.standing(&self.settings) != Standing::Down
+            member.role == ProcessRole::Entry && member.standing(&self.settings) != Liveness::Down
         });
         entries.map(|(&address, _)| address).collect()
     }
@@ -67,7 +67,7 @@
                 .place
                 .as_ref()
                 .map(|(domain, region)| (domain, region));
-            let live = member.standing(&self.settings) != Standing::Down;
+            let live = member.standing(&self.settings) != Liveness::Down;
             place == Some(own) && live && !member.is_leaving()
         });
         near.map(|(&address, _)| address)
@@ -84,7 +84,7 @@
                 role: member.role,
                 failure_domain,
                 region,
-                standing: self.shown_standing(member),
+                liveness: self.shown_standing(member),
                 leaving: member.is_leaving(),
             })
         })
@@ -116,7 +116,7 @@
     }
 
     fn shown(&self, hosts: &[Host<'_>]) -> Hosts {
-        let up = |host: &&Host<'_>| self.shown_standing(host.member) != Standing::Down;
+        let up = |host: &&Host<'_>| self.shown_standing(host.member) != Liveness::Down;
         let (leaving, staying): (Vec<_>, Vec<_>) =
             hosts.iter().filter(up).partition(|h| h.member.is_leaving());
         let mut replicas: Vec<Replica> = self
@@ -124,7 +124,7 @@
             .into_iter()
             .filter_map(|host| self.replica(host))
             .collect();
-        replicas.sort_by_key(|replica| replica.standing);
+        replicas.sort_by_key(|replica| replica.liveness);
         let takers = replicas.len();
         replicas.extend(leaving.into_iter().filter_map(|host| self.replica(host)));
         Hosts { replicas, takers }
@@ -145,8 +145,8 @@
             .collect();
         let candidates: Vec<Candidate<'_>> = placed.iter().map(|&(_, c)| c).collect();
         let own = &self.own;
-        let size = self.settings.subset;
-        subset(own.node.address, &own.region, &candidates, size)
+        let size = self.settings.subset_size;
+        choose_subset(own.node.address, &own.region, &candidates, size)
             .into_iter()
             .map(|position| placed[position].0)
             .collect()
@@ -163,9 +163,9 @@
             failure_domain: status.failure_domain.clone(),
             region: status.region.clone(),
             load: status.load,
-            load_at_ms: *load_at_ms,
+            load_received_ms: *load_at_ms,
             weights: host.hosted.weights,
-            standing: self.shown_standing(member),
+            liveness: self.shown_standing(member),
             leaving: member.is_leaving(),
             endpoint_life: status.endpoint_life,
         })
--- a/components/membership/tests/common/mod.rs
+++ b/components/membership/tests/common/mod.rs
@@ -4,7 +4,7 @@
 
 use std::net::SocketAddr;
 
-use membership::{Listed, MemberSettings, Members, Own};
+use membership::{ListedVm, MemberSettings, Members, OwnProcess};
 use protocol::{Hosted, Load, ProcessRole, Status};
 use types::{CustomerName, FailureDomain, Incarnation, NodeId, Region, ServiceName};
 
@@ -35,7 +35,7 @@
 }
 
 pub fn entry() -> Members {
-    let own = Own {
+    let own = OwnProcess {
         node: node(60_000, 100),
         role: ProcessRole::Entry,
         failure_domain: domain(0),
@@ -64,8 +64,8 @@
     }
 }
 
-pub fn listed(number: u16, leaving: bool) -> Listed {
-    Listed {
+pub fn listed(number: u16, leaving: bool) -> ListedVm {
+    ListedVm {
         address: address(number),
         role: ProcessRole::Agent,
         failure_domain: domain(number),
--- a/components/membership/tests/regions.rs
+++ b/components/membership/tests/regions.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{entry, listed, node, service, status};
-use membership::{Listed, MemberSettings, Members, Standing};
+use membership::{ListedVm, Liveness, MemberSettings, Members};
 use protocol::{ProcessRole, Status};
 use types::Region;
 
@@ -44,11 +44,11 @@
 
     fn tick(&mut self, now_ms: u64) {
         if now_ms.is_multiple_of(LIST_EVERY_MS) {
-            let vms = self.agents.iter().map(|&number| Listed {
+            let vms = self.agents.iter().map(|&number| ListedVm {
                 region: region_of(number),
                 ..listed(number, false)
             });
-            let vms: Vec<Listed> = vms.collect();
+            let vms: Vec<ListedVm> = vms.collect();
             self.entry.on_list(&vms, now_ms);
         }
         let cut = (CUT_MS..BACK_MS).contains(&now_ms);
@@ -69,14 +69,14 @@
 
     /// Standing of the replicas that take work, of this region and of the other one, in the
     /// order of the view.
-    fn standings(&mut self, now_ms: u64) -> Vec<(bool, Standing)> {
+    fn standings(&mut self, now_ms: u64) -> Vec<(bool, Liveness)> {
         let (customer, name) = service();
         let snapshot = self.entry.snapshot(now_ms);
         let replicas = snapshot.replicas(&customer, &name);
         let near = region_of(1);
         replicas
             .iter()
-            .map(|replica| (replica.region == near, replica.standing))
+            .map(|replica| (replica.region == near, replica.liveness))
             .collect()
     }
 }
@@ -93,7 +93,7 @@
         near: u16,
         far: u16,
         /// Standing of the lost ones; `None` where they are not in the view.
-        lost: Option<Standing>,
+        lost: Option<Liveness>,
     }
     let cases = [
         Case {
@@ -106,7 +106,7 @@
             name: "most replicas are far",
             near: 4,
             far: 18,
-            lost: Some(Standing::Suspect),
+            lost: Some(Liveness::Suspect),
         },
     ];
     let settings = MemberSettings::default();
@@ -126,14 +126,14 @@
             if (settled_ms..BACK_MS).contains(&now_ms) {
                 let (first, rest) = standings.split_at(near);
                 let lives =
-                    |&(is_near, standing): &(bool, Standing)| is_near && standing == Standing::Live;
+                    |&(is_near, standing): &(bool, Liveness)| is_near && standing == Liveness::Live;
                 assert!(first.iter().all(lives), "{}: {standings:?}", case.name);
                 let lost: Vec<_> = rest.iter().map(|&(_, standing)| standing).collect();
                 let wanted = case.lost.map(|standing| vec![standing; all - near]);
                 assert_eq!(lost, wanted.unwrap_or_default(), "{}", case.name);
             }
             if now_ms >= BACK_MS + 2 * detection_ms {
-                let back = standings.iter().filter(|(_, s)| *s == Standing::Live);
+                let back = standings.iter().filter(|(_, s)| *s == Liveness::Live);
                 assert_eq!(back.count(), all, "{} at {now_ms}", case.name);
             }
         }
--- a/components/membership/tests/spread.rs
+++ b/components/membership/tests/spread.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use common::{address, node, service};
-use membership::{RumourSettings, Rumours, Tail, TailSettings, TailStep, tailers};
+use membership::{RumourSettings, Rumours, Tail, TailAction, TailSettings, tailers};
 use protocol::{ConfigDigest, News};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -71,7 +71,7 @@
     fn round(&mut self, now_ms: u64) {
         let mut arriving = Vec::new();
         for (own, rumours) in self.nodes.iter_mut().enumerate() {
-            let Some(round) = rumours.round(&self.peers[own], now_ms, &mut self.rng) else {
+            let Some(round) = rumours.start_round(&self.peers[own], now_ms, &mut self.rng) else {
                 continue;
             };
             self.sent += round.targets.len() as u64;
@@ -85,13 +85,13 @@
             let node = &mut self.nodes[usize::from(number_of(target))];
             let peers = usize::from(PROCESSES);
             for item in news {
-                node.hear(&item, peers, now_ms);
+                node.add(&item, peers, now_ms);
             }
         }
     }
 
     fn knowing(&self, news: &News, now_ms: u64) -> usize {
-        let knows = |rumours: &&Rumours| rumours.all(now_ms).any(|known| known == *news);
+        let knows = |rumours: &&Rumours| rumours.known_news(now_ms).any(|known| known == *news);
         self.nodes.iter().filter(knows).count()
     }
 }
@@ -106,16 +106,16 @@
     for seed in 0..5 {
         let mut net = Net::new(seed);
         let news = [weights(8), config(3)];
-        net.nodes[0].hear(&weights(7), 989, 0);
-        net.nodes[1].hear(&news[0], 989, 0);
-        net.nodes[500].hear(&news[1], 989, 0);
+        net.nodes[0].add(&weights(7), 989, 0);
+        net.nodes[1].add(&news[0], 989, 0);
+        net.nodes[500].add(&news[1], 989, 0);
         let all = usize::from(PROCESSES);
         let mut round = 0;
         while news
             .iter()
-            .any(|n| net.knowing(n, round * settings.round_ms) < all)
+            .any(|n| net.knowing(n, round * settings.round_interval_ms) < all)
         {
-            net.round(round * settings.round_ms);
+            net.round(round * settings.round_interval_ms);
             round += 1;
             assert!(
                 round <= ROUNDS_MAX,
@@ -123,16 +123,16 @@
             );
         }
         worst = worst.max(round);
-        (round..40).for_each(|round| net.round(round * settings.round_ms));
+        (round..40).for_each(|round| net.round(round * settings.round_interval_ms));
         net.sent = 0;
-        (40..70).for_each(|round| net.round(round * settings.round_ms));
+        (40..70).for_each(|round| net.round(round * settings.round_interval_ms));
         idle = net.sent as f64 / 30.0 / f64::from(PROCESSES);
         assert!(idle <= 1.0 / settings.idle_rounds as f64 + 0.01, "{idle}");
     }
     let bytes_per_s = settings.bytes_per_s_max();
     println!(
         "rounds until all know: {worst} of {} ms; {bytes_per_s} B/s at most; idle {idle:.2}",
-        settings.round_ms
+        settings.round_interval_ms
     );
 }
 
@@ -186,13 +186,13 @@
     ];
     for case in cases {
         let mut rumours = Rumours::new(RumourSettings::default());
-        rumours.hear(&case.first, 10, 0);
-        assert_eq!(rumours.hear(&case.second, 10, 0), case.new, "{}", case.name);
+        rumours.add(&case.first, 10, 0);
+        assert_eq!(rumours.add(&case.second, 10, 0), case.new, "{}", case.name);
     }
     let mut rumours = Rumours::new(RumourSettings::default());
-    rumours.hear(&quarantined(1_000), 10, 0);
-    assert_eq!(rumours.all(400).next(), Some(quarantined(600)));
-    assert_eq!(rumours.all(1_000).next(), None);
+    rumours.add(&quarantined(1_000), 10, 0);
+    assert_eq!(rumours.known_news(400).next(), Some(quarantined(600)));
+    assert_eq!(rumours.known_news(1_000).next(), None);
 }
 
 // A trainer puts version 6 in force through one entry and names version 7 ahead of time
@@ -212,10 +212,10 @@
     };
     for (first, second) in [(in_force, ahead), (ahead, in_force)] {
         let mut rumours = Rumours::new(RumourSettings::default());
-        assert!(rumours.hear(&target(first), 10, 0));
-        assert!(rumours.hear(&target(second), 10, 0));
-        assert_eq!(rumours.all(0).next(), Some(target(both)));
-        assert!(!rumours.hear(&target(first), 10, 0));
+        assert!(rumours.add(&target(first), 10, 0));
+        assert!(rumours.add(&target(second), 10, 0));
+        assert_eq!(rumours.known_news(0).next(), Some(target(both)));
+        assert!(!rumours.add(&target(first), 10, 0));
     }
 }
 
@@ -236,17 +236,17 @@
 fn can_read_for_itself_when_the_digests_stop() {
     let mut rng = StdRng::seed_from_u64(1);
     let mut tail = Tail::new(TailSettings::default(), 0);
-    assert_eq!(tail.step(false, 0), TailStep::Read);
-    tail.read_done(0);
-    tail.heard(500, 10_000);
-    let quiet = TailStep::WaitUntil { at_ms: 29_500 };
-    assert_eq!(tail.step(false, 10_000), quiet);
-    assert_eq!(tail.step(true, 10_000), TailStep::Read);
-    assert_eq!(tail.step(false, 29_500), TailStep::Read);
+    assert_eq!(tail.next_action(false, 0), TailAction::Read);
+    tail.record_read(0);
+    tail.record_peer_read(500, 10_000);
+    let quiet = TailAction::WaitUntil { at_ms: 29_500 };
+    assert_eq!(tail.next_action(false, 10_000), quiet);
+    assert_eq!(tail.next_action(true, 10_000), TailAction::Read);
+    assert_eq!(tail.next_action(false, 29_500), TailAction::Read);
     let mut reads = 0;
     for now_ms in (30_000..630_000).step_by(100) {
-        if tail.step(false, now_ms) == TailStep::Read {
-            tail.read_failed(false, now_ms, &mut rng);
+        if tail.next_action(false, now_ms) == TailAction::Read {
+            tail.record_failure(false, now_ms, &mut rng);
             reads += 1;
         }
     }
--- a/components/membership/tests/subset.rs
+++ b/components/membership/tests/subset.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 
 use common::{address, domain, region};
-use membership::{Candidate, subset};
+use membership::{Candidate, choose_subset};
 use types::{FailureDomain, Region};
 
 const ENTRIES: u16 = 390;
@@ -28,7 +28,7 @@
 }
 
 fn of_entry<'a>(entry: u16, candidates: &[Candidate<'a>]) -> Vec<Candidate<'a>> {
-    let positions = subset(address(50_000 + entry), &region(), candidates, SUBSET);
+    let positions = choose_subset(address(50_000 + entry), &region(), candidates, SUBSET);
     positions.into_iter().map(|at| candidates[at]).collect()
 }
 
--- a/components/membership/tests/view.rs
+++ b/components/membership/tests/view.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use membership::{Heard, Listed, MemberSettings, Members, Standing};
+use membership::{ListedVm, Liveness, MemberSettings, Members, UpdateOutcome};
 use protocol::ProcessRole::Agent;
 use protocol::{Hosted, Status};
 use types::{Incarnation, NodeId};
@@ -16,7 +16,7 @@
     let from = node(1, life);
     match kind {
         's' | 'S' => drop(members.on_status(from, Agent, &status(1, kind == 'S'), now_ms)),
-        'h' => drop(members.on_heard(from, Agent, now_ms)),
+        'h' => drop(members.on_datagram(from, Agent, now_ms)),
         'l' => drop(members.on_leaving(from, now_ms)),
         'v' | 'L' => drop(members.on_list(&[listed(1, kind == 'L')], now_ms)),
         _ => drop(members.on_list(&[], now_ms)),
@@ -97,15 +97,24 @@
 #[test]
 fn can_tell_earlier_lives_apart() {
     let mut members = entry();
-    members.on_heard(node(1, 7), Agent, 0);
+    members.on_datagram(node(1, 7), Agent, 0);
     let known = Incarnation(7);
-    let older = members.on_heard(node(1, 6), Agent, 1);
-    assert_eq!(older, Heard::Older { known });
+    let older = members.on_datagram(node(1, 6), Agent, 1);
+    assert_eq!(older, UpdateOutcome::StaleIncarnation { known });
     let leaving = |members: &mut Members, life| members.on_leaving(node(60_000, life), 0);
-    assert_eq!(members.on_own(Incarnation(99)), Heard::Known);
-    assert_eq!(leaving(&mut members, 100), Heard::OwnLeaving);
-    assert_eq!(members.on_own(Incarnation(100)), Heard::OwnRaised);
-    assert_eq!(leaving(&mut members, 400), Heard::OwnRaised);
+    assert_eq!(
+        members.on_own_incarnation(Incarnation(99)),
+        UpdateOutcome::Unchanged
+    );
+    assert_eq!(leaving(&mut members, 100), UpdateOutcome::OwnLeaving);
+    assert_eq!(
+        members.on_own_incarnation(Incarnation(100)),
+        UpdateOutcome::OwnIncarnationRaised
+    );
+    assert_eq!(
+        leaving(&mut members, 400),
+        UpdateOutcome::OwnIncarnationRaised
+    );
     assert_eq!(members.own().node.incarnation, Incarnation(401));
 }
 
@@ -157,18 +166,18 @@
     let (customer, service) = service();
     for case in cases {
         let mut members = entry();
-        let vms: Vec<Listed> = (1..=10).map(|number| listed(number, false)).collect();
+        let vms: Vec<ListedVm> = (1..=10).map(|number| listed(number, false)).collect();
         members.on_list(&vms, 0);
         probe(&mut members, 0, 5_000, |_| true);
         let detection_ms = members.settings().detection_ms(10);
         probe(&mut members, 5_100, 5_100 + detection_ms, case.answers);
         let snapshot = members.snapshot(8_200);
         let replicas = snapshot.replicas(&customer, &service);
-        let count = |standing| replicas.iter().filter(|r| r.standing == standing).count();
+        let count = |standing| replicas.iter().filter(|r| r.liveness == standing).count();
         let seen = (
             snapshot.isolated,
-            count(Standing::Live),
-            count(Standing::Suspect),
+            count(Liveness::Live),
+            count(Liveness::Suspect),
         );
         assert_eq!(
             seen,
--- a/components/node/examples/control.rs
+++ b/components/node/examples/control.rs
@@ -99,7 +99,7 @@
     for number in 0..CUSTOMERS {
         let name = format!("customer-{number}");
         let text = format!("schema = 1\ncustomer = \"{name}\"\n");
-        let publish = Publish::on(name.parse()?, None, "first", text.as_str());
+        let publish = Publish::based_on(name.parse()?, None, "first", text.as_str());
         let record = Record::Publish(publish).to_json()?;
         client.append("config", &record).await?;
     }
--- a/components/node/src/feed.rs
+++ b/components/node/src/feed.rs
@@ -11,7 +11,7 @@
 use adapters::LogClient;
 use arc_swap::ArcSwap;
 use bytes::Bytes;
-use config::{Accepted, KeepPolicy, Ledger, View};
+use config::{AcceptedVersion, KeepSettings, Ledger, View};
 use link::Links;
 use membership::TailSettings;
 use protocol::{ConfigDigest, Head, Open};
@@ -36,7 +36,7 @@
 /// What the owner of the ledger publishes.
 #[derive(Default)]
 pub(crate) struct Published {
-    pub(crate) accepted: Vec<Arc<Accepted>>,
+    pub(crate) accepted: Vec<Arc<AcceptedVersion>>,
     pub(crate) digests: Arc<Vec<ConfigDigest>>,
 }
 
@@ -57,7 +57,7 @@
     /// Who tails the log.
     pub tail: TailSettings,
     /// When current versions are appended again.
-    pub keep: KeepPolicy,
+    pub keep: KeepSettings,
     /// How long after its start a process appends none, in milliseconds: the time to
     /// learn of the others and of what they have appended.
     pub keep_after_ms: u64,
@@ -67,7 +67,7 @@
     /// These settings for a log that keeps records for this long.
     pub fn with_retention(self, retention_ms: u64) -> Self {
         Self {
-            keep: KeepPolicy::for_retention(retention_ms),
+            keep: KeepSettings::for_retention(retention_ms),
             ..self
         }
     }
@@ -77,7 +77,7 @@
     fn default() -> Self {
         Self {
             tail: TailSettings::default(),
-            keep: KeepPolicy::for_retention(LOG_RETENTION_MS),
+            keep: KeepSettings::for_retention(LOG_RETENTION_MS),
             keep_after_ms: KEEP_AFTER_MS,
         }
     }
@@ -162,12 +162,12 @@
     }
 
     /// The accepted texts of all customers.
-    pub fn all(&self) -> Vec<Arc<Accepted>> {
+    pub fn all(&self) -> Vec<Arc<AcceptedVersion>> {
         self.shared.published.load().accepted.clone()
     }
 
     /// The accepted text of a customer.
-    pub fn accepted(&self, customer: &CustomerName) -> Option<Arc<Accepted>> {
+    pub fn accepted(&self, customer: &CustomerName) -> Option<Arc<AcceptedVersion>> {
         let published = self.shared.published.load();
         let mut accepted = published.accepted.iter();
         accepted
@@ -221,7 +221,7 @@
             let _ = self.events.try_send(Event::Heard { from, digest });
             return Held::Older;
         }
-        let differs = |accepted: &Arc<Accepted>| {
+        let differs = |accepted: &Arc<AcceptedVersion>| {
             accepted.version == digest.version && accepted.digest() != digest.digest
         };
         if accepted.as_ref().is_some_and(differs) {
--- a/components/node/src/feed_tail.rs
+++ b/components/node/src/feed_tail.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use adapters::{LogClient, LogPage, PlatformError};
-use membership::{Tail, TailSettings, TailStep};
+use membership::{Tail, TailAction, TailSettings};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use tokio::sync::mpsc;
@@ -56,7 +56,7 @@
         // published there are no digests, and a process that only waited for them would
         // never know that there is nothing to know.
         let in_turn = ranks || !reader.has_read;
-        if let TailStep::WaitUntil { at_ms } = reader.tail.step(in_turn, now_ms()) {
+        if let TailAction::WaitUntil { at_ms } = reader.tail.next_action(in_turn, now_ms()) {
             reader.wait(at_ms).await;
             continue;
         }
@@ -68,7 +68,7 @@
             Ok(page) => reader.take(page, &events).await,
             Err(error) => {
                 log::warn!(event = "config-unread", reason:% = error; "");
-                reader.tail.read_failed(ranks, now_ms(), &mut rng);
+                reader.tail.record_failure(ranks, now_ms(), &mut rng);
             }
         }
     }
@@ -81,7 +81,7 @@
         if newest_ms > 0 {
             let age_ms = now_ms().saturating_sub(newest_ms);
             let age_ms = u32::try_from(age_ms).unwrap_or(u32::MAX);
-            self.tail.heard(age_ms, now_ms());
+            self.tail.record_peer_read(age_ms, now_ms());
         }
     }
 
@@ -118,7 +118,7 @@
         if sent.is_ok() && at_end {
             self.has_read = true;
             let now_ms = now_ms();
-            self.tail.read_done(now_ms);
+            self.tail.record_read(now_ms);
             self.shared
                 .newest_read_ms
                 .fetch_max(now_ms, Ordering::AcqRel);
--- a/components/node/src/feed_task.rs
+++ b/components/node/src/feed_task.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use adapters::{LogClient, LogPage, LogRecord};
-use config::{Keeper, Ledger, Record, Verdict, View};
+use config::{KeepScheduler, Ledger, Record, Verdict, View};
 use protocol::ConfigDigest;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Interval, MissedTickBehavior, interval, sleep};
@@ -63,7 +63,7 @@
     /// The ledger has more than the newest view.
     unpublished: bool,
     published_ms: Option<u64>,
-    keeper: Keeper,
+    keeper: KeepScheduler,
     /// Nothing is appended again before this time.
     keep_from_ms: u64,
     log: LogClient,
@@ -84,7 +84,7 @@
             fetches: FetchQueue::new(fetcher, own),
             unpublished: false,
             published_ms: None,
-            keeper: Keeper::new(settings.keep),
+            keeper: KeepScheduler::new(settings.keep),
             keep_from_ms: now_ms() + settings.keep_after_ms,
             log,
         }
@@ -168,7 +168,7 @@
         }
         let shared = Arc::clone(&self.shared);
         let rank = |customer: Option<&CustomerName>| keep_rank(&shared, customer);
-        let due = self.keeper.due(&self.ledger, now_ms(), rank);
+        let due = self.keeper.due_records(&self.ledger, now_ms(), rank);
         if due.is_empty() {
             return;
         }
--- a/components/node/src/gossip.rs
+++ b/components/node/src/gossip.rs
@@ -11,7 +11,9 @@
 use arc_swap::ArcSwap;
 use leaving::{Probers, ProbersSettings};
 use link::Udp;
-use membership::{MemberSettings, Members, Own, RumourSettings, Rumours, Snapshot, TailSettings};
+use membership::{
+    MemberSettings, Members, OwnProcess, RumourSettings, Rumours, Snapshot, TailSettings,
+};
 use protocol::{ConfigDigest, DemandDigest, News, Status};
 use tokio::sync::mpsc;
 use types::NodeId;
@@ -91,7 +93,7 @@
         let (orders, ordered) = mpsc::channel(ORDERS_MAX);
         let (reads, read) = mpsc::channel(READS_MAX);
         let snapshot = Arc::new(ArcSwap::default());
-        let own = Own {
+        let own = OwnProcess {
             node: identity.node(),
             role: identity.role,
             failure_domain: identity.failure_domain.clone(),
--- a/components/node/src/gossip_heard.rs
+++ b/components/node/src/gossip_heard.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use membership::Heard;
+use membership::UpdateOutcome;
 use protocol::{ConfigDigest, Datagram, News, ProcessRole, Status};
 use types::NodeId;
 
@@ -17,13 +17,13 @@
     pub(crate) async fn on_datagram(&mut self, datagram: Datagram) {
         let now_ms = now_ms();
         let Datagram { from, role, news } = datagram;
-        let heard = self.members.on_heard(from, role, now_ms);
+        let heard = self.members.on_datagram(from, role, now_ms);
         self.act_on(from, heard).await;
-        if matches!(heard, Heard::Older { .. }) {
+        if matches!(heard, UpdateOutcome::StaleIncarnation { .. }) {
             // News of a life that is over; its rumours come from others as well.
             return;
         }
-        if heard == Heard::New {
+        if heard == UpdateOutcome::Changed {
             self.welcome(from.address, now_ms).await;
         }
         for item in news {
@@ -34,7 +34,11 @@
     /// Tells a process that was not heard before what is known here, so that a new one
     /// need not wait for its turn in the rumours.
     async fn welcome(&mut self, to: SocketAddr, now_ms: u64) {
-        let mut facts: Vec<News> = self.rumours.all(now_ms).take(FIRST_FACTS_MAX).collect();
+        let mut facts: Vec<News> = self
+            .rumours
+            .known_news(now_ms)
+            .take(FIRST_FACTS_MAX)
+            .collect();
         facts.push(self.config_read(now_ms));
         self.send(to, facts).await;
     }
@@ -44,13 +48,13 @@
             News::Probe => self.on_probe(from, now_ms).await,
             News::Status(status) => self.on_status(from, role, status, now_ms).await,
             News::Incarnation(known) => {
-                let heard = self.members.on_own(*known);
+                let heard = self.members.on_own_incarnation(*known);
                 self.act_on(from, heard).await;
             }
             News::ConfigRead { age_ms } => self.feed.heard_read(*age_ms, now_ms),
             News::Leaving { node } => {
                 let heard = self.members.on_leaving(*node, now_ms);
-                if heard == Heard::New {
+                if heard == UpdateOutcome::Changed {
                     self.peer_leaves(*node, now_ms);
                 }
                 self.act_on(from, heard).await;
@@ -60,7 +64,7 @@
             News::Config(digest) => self.on_config(from, digest),
             News::Weights { .. } | News::Quarantined { .. } => {
                 let peers = self.members.peers().len();
-                if self.rumours.hear(&news, peers, now_ms) {
+                if self.rumours.add(&news, peers, now_ms) {
                     (self.hooks.heard)(&news);
                 }
             }
@@ -97,7 +101,7 @@
     async fn on_status(&mut self, from: NodeId, role: ProcessRole, status: &Status, now_ms: u64) {
         let was_leaving = status.leaving;
         let heard = self.members.on_status(from, role, status, now_ms);
-        if heard == Heard::New && was_leaving {
+        if heard == UpdateOutcome::Changed && was_leaving {
             self.peer_leaves(from, now_ms);
         }
         // A status may change what is hosted where, which `Heard` does not tell.
@@ -111,25 +115,25 @@
 
     pub(crate) fn peer_leaves(&mut self, node: NodeId, now_ms: u64) {
         let peers = self.members.peers().len();
-        self.rumours.hear(&News::Leaving { node }, peers, now_ms);
+        self.rumours.add(&News::Leaving { node }, peers, now_ms);
         (self.hooks.peer_leaving)(node);
         self.changed_urgently();
     }
 
-    async fn act_on(&mut self, from: NodeId, heard: Heard) {
+    async fn act_on(&mut self, from: NodeId, heard: UpdateOutcome) {
         match heard {
-            Heard::Known => {}
-            Heard::New => self.changed(),
-            Heard::Older { known } => {
+            UpdateOutcome::Unchanged => {}
+            UpdateOutcome::Changed => self.changed(),
+            UpdateOutcome::StaleIncarnation { known } => {
                 self.send(from.address, vec![News::Incarnation(known)])
                     .await;
             }
-            Heard::OwnRaised => {
+            UpdateOutcome::OwnIncarnationRaised => {
                 let node = self.members.own().node;
                 self.identity.take(node.incarnation);
                 log::info!(event = "incarnation-raised", node:% = node; "");
             }
-            Heard::OwnLeaving => (self.hooks.leaving)(),
+            UpdateOutcome::OwnLeaving => (self.hooks.leaving)(),
         }
     }
 }
--- a/components/node/src/gossip_loop.rs
+++ b/components/node/src/gossip_loop.rs
@@ -9,7 +9,7 @@
 use arc_swap::ArcSwap;
 use leaving::Probers;
 use link::Udp;
-use membership::{Listed, Members, Rumours, Snapshot, TailSettings, tailers};
+use membership::{ListedVm, Members, Rumours, Snapshot, TailSettings, tailers};
 use protocol::{Datagram, News, ProcessRole};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -66,7 +66,7 @@
     pub(crate) async fn run(
         mut self,
         mut orders: mpsc::Receiver<Order>,
-        mut reads: mpsc::Receiver<Vec<Listed>>,
+        mut reads: mpsc::Receiver<Vec<ListedVm>>,
     ) {
         let mut rng = StdRng::seed_from_u64(rand::random());
         loop {
@@ -118,9 +118,9 @@
         let peers = self.members.peers();
         for digest in self.feed.digests().iter() {
             let news = News::Config(digest.clone());
-            self.rumours.hear(&news, peers.len(), now_ms);
+            self.rumours.add(&news, peers.len(), now_ms);
         }
-        let Some(round) = self.rumours.round(&peers, now_ms, rng) else {
+        let Some(round) = self.rumours.start_round(&peers, now_ms, rng) else {
             return;
         };
         let mut news = round.news;
@@ -168,14 +168,14 @@
         match order {
             Order::Tell(news) => {
                 let peers = self.members.peers().len();
-                self.rumours.hear(&news, peers, now_ms);
+                self.rumours.add(&news, peers, now_ms);
             }
             Order::TellDirectly(to, news) => self.tell(to, *news).await,
             Order::TellEntries(news) => self.tell(self.members.entries(), *news).await,
             Order::Leave => {
                 let node = self.members.own().node;
                 let peers = self.members.peers().len();
-                self.rumours.hear(&News::Leaving { node }, peers, now_ms);
+                self.rumours.add(&News::Leaving { node }, peers, now_ms);
                 self.probers.start_notices(now_ms);
             }
             Order::PushStatus => {
@@ -192,7 +192,7 @@
         }
     }
 
-    fn on_list(&mut self, listed: &[Listed]) {
+    fn on_list(&mut self, listed: &[ListedVm]) {
         let now_ms = now_ms();
         let read = self.members.on_list(listed, now_ms);
         self.listed = true;
--- a/components/node/src/greeting.rs
+++ b/components/node/src/greeting.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-use membership::Listed;
+use membership::ListedVm;
 use protocol::ProcessRole;
 
 /// Time between two greetings: 390 entries hear of a new agent within 8 s, at a few KB/s.
@@ -19,7 +19,7 @@
 
 impl Greeting {
     /// Takes the list in; only the first one counts, for later entries probe this process.
-    pub(crate) fn on_list(&mut self, listed: &[Listed]) {
+    pub(crate) fn on_list(&mut self, listed: &[ListedVm]) {
         if self.left.is_none() {
             let entries = listed.iter().filter(|vm| vm.role == ProcessRole::Entry);
             self.left = Some(entries.map(|vm| vm.address).collect());
--- a/components/node/src/vm_poll.rs
+++ b/components/node/src/vm_poll.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use adapters::{Vm, VmList, VmRole, VmState};
-use membership::Listed;
+use membership::ListedVm;
 use protocol::ProcessRole;
 use tokio::sync::mpsc;
 
@@ -23,7 +23,7 @@
 const JITTER_MS: u64 = 500;
 
 /// Reads the list until the receiver is gone. A failed read is no news.
-pub(crate) async fn poll(list: VmList, reads: mpsc::Sender<Vec<Listed>>) {
+pub(crate) async fn poll(list: VmList, reads: mpsc::Sender<Vec<ListedVm>>) {
     let mut every_ms = READ_EVERY_MS;
     loop {
         match list.list().await {
@@ -47,8 +47,8 @@
     READ_EVERY_MS.max(list_bytes * 1_000 / READ_BYTES_PER_S)
 }
 
-fn listed(vm: Vm) -> Listed {
-    Listed {
+fn listed(vm: Vm) -> ListedVm {
+    ListedVm {
         address: vm.address,
         role: match vm.role {
             VmRole::Entry => ProcessRole::Entry,
--- a/components/node/tests/node.rs
+++ b/components/node/tests/node.rs
@@ -8,7 +8,7 @@
 use adapters::{
     ClientSettings, Endpoint, EndpointSettings, LogClient, Request, Vm, VmList, VmRole, VmState,
 };
-use config::{KeepPolicy, Publish, Record};
+use config::{KeepSettings, Publish, Record};
 use futures_util::FutureExt;
 use link::Links;
 use node::admin::{self, AdminHooks};
@@ -54,14 +54,14 @@
 }
 
 impl Process {
-    async fn start(log: &Handle, vms: &Handle, keep: KeepPolicy) -> Process {
+    async fn start(log: &Handle, vms: &Handle, keep: KeepSettings) -> Process {
         Process::start_with(log, vms, keep, GossipHooks::default()).await
     }
 
     async fn start_with(
         log: &Handle,
         vms: &Handle,
-        keep: KeepPolicy,
+        keep: KeepSettings,
         hooks: GossipHooks,
     ) -> Process {
         let common = common(log.address, vms.address);
@@ -136,9 +136,9 @@
     (log, vms, client)
 }
 
-fn publish(base: Option<&config::Accepted>, id: &str) -> String {
+fn publish(base: Option<&config::AcceptedVersion>, id: &str) -> String {
     let customer = "office".parse().expect("a name");
-    let record = Record::Publish(Publish::on(customer, base, id, OFFICE));
+    let record = Record::Publish(Publish::based_on(customer, base, id, OFFICE));
     record.to_json().expect("a record")
 }
 
@@ -148,7 +148,7 @@
 #[tokio::test]
 async fn can_hold_a_version_through_an_outage_and_never_go_back() {
     let (log, vms, client) = platform().await;
-    let process = Process::start(&log, &vms, KeepPolicy::for_retention(3_600_000)).await;
+    let process = Process::start(&log, &vms, KeepSettings::for_retention(3_600_000)).await;
     let first = publish(None, "first");
     client.append("config", &first).await.expect("an append");
     process.holds(1).await;
@@ -176,9 +176,9 @@
         .append("config", &publish(None, "first"))
         .await
         .expect("an append");
-    let keep = KeepPolicy {
-        fresh_ms: 60_000,
-        ..KeepPolicy::for_retention(4_000)
+    let keep = KeepSettings {
+        end_read_age_ms_max: 60_000,
+        ..KeepSettings::for_retention(4_000)
     };
     let process = Process::start(&log, &vms, keep).await;
     process.holds(1).await;
@@ -270,7 +270,7 @@
         ..GossipHooks::default()
     };
     let process =
-        Process::start_with(&log, &vms, KeepPolicy::for_retention(3_600_000), hooks).await;
+        Process::start_with(&log, &vms, KeepSettings::for_retention(3_600_000), hooks).await;
     let common = common(log.address, vms.address);
     let peer = Sockets::bind(&common, ProcessRole::Entry).await;
     let peer = peer.expect("free ports");
@@ -296,7 +296,7 @@
 #[tokio::test]
 async fn can_tell_of_a_crash_to_an_entry_that_the_list_does_not_name_yet() {
     let (log, vms, _client) = platform().await;
-    let process = Process::start(&log, &vms, KeepPolicy::for_retention(3_600_000)).await;
+    let process = Process::start(&log, &vms, KeepSettings::for_retention(3_600_000)).await;
     let common = common(log.address, vms.address);
     let newer = Sockets::bind(&common, ProcessRole::Entry).await;
     let newer = newer.expect("free ports");
--- a/components/sidecar/examples/swap.rs
+++ b/components/sidecar/examples/swap.rs
@@ -160,7 +160,7 @@
 }
 
 async fn publish(log: SocketAddr) -> Result<(), Failed> {
-    let publish = Publish::on("office".parse()?, None, "first", TEXT);
+    let publish = Publish::based_on("office".parse()?, None, "first", TEXT);
     let record = Record::Publish(publish).to_json()?;
     let client = LogClient::new(log, &ClientSettings::default());
     client.append("config", &record).await?;
--- a/components/sidecar/src/agent.rs
+++ b/components/sidecar/src/agent.rs
@@ -8,7 +8,7 @@
 use crate::hosting::{Hosting, Site};
 use adapters::{ClientSettings, Endpoint, EndpointSettings, Engine};
 use arc_swap::ArcSwap;
-use config::{Kind, Service};
+use config::{Service, ServiceKind};
 use leaving::{Drain, DrainSettings};
 use node::{ConfigFeed, Identity, Pulse};
 use settings::{AgentSettings, EndpointKind};
@@ -141,9 +141,9 @@
     }
 }
 
-fn kind_of(kind: EndpointKind) -> Kind {
+fn kind_of(kind: EndpointKind) -> ServiceKind {
     match kind {
-        EndpointKind::Model => Kind::Model,
-        EndpointKind::Plain => Kind::Plain,
+        EndpointKind::Model => ServiceKind::Model,
+        EndpointKind::Plain => ServiceKind::Plain,
     }
 }
--- a/components/sidecar/src/calls.rs
+++ b/components/sidecar/src/calls.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use config::Kind;
+use config::ServiceKind;
 use link::{Answer, Incoming};
 use node::{ConfigFeed, now_ms};
 use protocol::Open;
@@ -64,7 +64,7 @@
     let place = gate::place_of(open, &hosting, &agent.health.look())?;
     answer.accepted();
     let left_ms = gate::time_left_ms(open, now_ms() - arrived_ms, age_ms)?;
-    let is_model = place.service.kind == Kind::Model;
+    let is_model = place.service.kind == ServiceKind::Model;
     let engine_model = is_model.then_some(place.engine_model.as_str());
     let mut relay = Relay::new(&agent.endpoint, open, answer, engine_model);
     let ended = relay_until(agent, &mut relay, answer, life, left_ms).await;
--- a/components/sidecar/src/gate.rs
+++ b/components/sidecar/src/gate.rs
@@ -1,7 +1,7 @@
 //! Whether a call that has arrived may go to the endpoint. Every refusal here is "not
 //! run", because nothing has left for the endpoint yet.
 
-use config::Kind;
+use config::ServiceKind;
 use protocol::Open;
 use types::{Cause, Failure};
 
@@ -28,7 +28,7 @@
 pub fn place_of<'a>(open: &Open, hosting: &'a Hosting, look: &Look) -> Result<&'a Place, Failure> {
     let hosted = hosting.find(&open.owner, &open.service);
     let place = hosted.ok_or(Failure::not_run(Cause::NotHosted))?;
-    let is_model = place.service.kind == Kind::Model;
+    let is_model = place.service.kind == ServiceKind::Model;
     // The orders to an engine lie on the same port. A caller that could reach them would
     // switch the weights of everybody who shares the engine, or cancel their calls.
     if is_model && (open.method.as_str(), path_alone(open)) != COMPLETIONS {
--- a/components/sidecar/src/hosting.rs
+++ b/components/sidecar/src/hosting.rs
@@ -4,7 +4,7 @@
 
 use std::sync::Arc;
 
-use config::{Kind, Service, View};
+use config::{Service, ServiceKind, View};
 use types::{CustomerName, PoolName, ServiceName};
 
 use crate::engine_names::EngineNames;
@@ -15,7 +15,7 @@
     /// Pool that the endpoint belongs to.
     pub pool: PoolName,
     /// What the endpoint is.
-    pub kind: Kind,
+    pub kind: ServiceKind,
     /// Customers whose services it may host.
     pub customers: Vec<CustomerName>,
 }
--- a/components/sidecar/src/status.rs
+++ b/components/sidecar/src/status.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use config::Kind;
+use config::ServiceKind;
 use node::now_ms;
 use protocol::{Hosted, Load, Status};
 use serde::Serialize;
@@ -68,8 +68,8 @@
             let service = &place.service;
             let weights = match service.kind {
                 // The version that was read back from the engine, never the one wanted.
-                Kind::Model => Some(look.model(&place.engine_model)?.version),
-                Kind::Plain => None,
+                ServiceKind::Model => Some(look.model(&place.engine_model)?.version),
+                ServiceKind::Plain => None,
             };
             Some(Hosted {
                 customer: service.owner.clone(),
--- a/components/sidecar/src/watch.rs
+++ b/components/sidecar/src/watch.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use adapters::{EngineState, PlatformError, Request};
-use config::Kind;
+use config::ServiceKind;
 use node::now_ms;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{MissedTickBehavior, interval};
@@ -73,8 +73,8 @@
 async fn look(agent: &Agent, vitals: &mut Vitals) -> Option<EngineState> {
     let before = agent.health.look();
     let (sign, mut seen) = match agent.site.kind {
-        Kind::Model => look_at_engine(agent, &before).await,
-        Kind::Plain => look_at_plain(agent).await,
+        ServiceKind::Model => look_at_engine(agent, &before).await,
+        ServiceKind::Plain => look_at_plain(agent).await,
     };
     let change = vitals.see(sign);
     seen.up = vitals.is_up();
--- a/components/sidecar/src/weights_task.rs
+++ b/components/sidecar/src/weights_task.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use config::Kind;
+use config::ServiceKind;
 use node::now_ms;
 use tokio::sync::{mpsc, watch};
 use types::{CustomerName, ServiceName};
@@ -132,7 +132,7 @@
             .places()
             .iter()
             .map(|place| &place.service)
-            .filter(|service| service.kind == Kind::Model)
+            .filter(|service| service.kind == ServiceKind::Model)
             .map(|service| {
                 let model = ModelKey {
                     customer: service.owner.clone(),
--- a/components/sidecar/tests/common/mod.rs
+++ b/components/sidecar/tests/common/mod.rs
@@ -99,7 +99,7 @@
 
     pub async fn publish_of(&self, customer: &str, text: &str) {
         let customer = CustomerName::new(customer).unwrap();
-        let publish = Publish::on(customer, None, "first", text);
+        let publish = Publish::based_on(customer, None, "first", text);
         let record = Record::Publish(publish).to_json().unwrap();
         let client = LogClient::new(self.log.address, &ClientSettings::default());
         client.append("config", &record).await.unwrap();
--- a/dev/bench/src/fleet/mod.rs
+++ b/dev/bench/src/fleet/mod.rs
@@ -136,7 +136,7 @@
     /// Waits until every entry sees its subset of each service's replicas.
     pub async fn complete(&self) -> Result<(), BenchError> {
         let admins: Vec<SocketAddr> = self.entries.iter().map(Member::admin).collect();
-        let subset = MemberSettings::default().subset;
+        let subset = MemberSettings::default().subset_size;
         let standins = &self.standins;
         let pools = [&standins.engines, &standins.services, &standins.scorers];
         let replicas = pools.iter().map(|pool| pool.len().min(subset)).sum();
--- a/dev/proof/src/site.rs
+++ b/dev/proof/src/site.rs
@@ -9,7 +9,8 @@
 use adapters::{ClientSettings, LogClient, Request, Vm, VmRole, VmState};
 use bytes::Bytes;
 use control::{
-    Checked, PublishSettings, Published, check_file, is_in_force, publish, read_history, statuses,
+    CheckedConfig, PublishSettings, Published, check_file, is_active, publish, read_history,
+    statuses,
 };
 use derive::value;
 use standins::engine::{EngineSettings, Fencing, Speeds};
@@ -345,7 +346,7 @@
     pub async fn publish(&self, path: &std::path::Path) -> Result<Published, ProofError> {
         let log = self.log_client();
         let mut history = read_history(&log).await?;
-        let checked: Checked = check_file(path, Some(&history.ledger))?;
+        let checked: CheckedConfig = check_file(path, Some(&history.ledger))?;
         let settings = PublishSettings {
             base: None,
             id: None,
@@ -366,7 +367,7 @@
         let admins = self.admins();
         until("the text in force everywhere", async || {
             let replies = statuses(&admins).await;
-            let behind = |reply| !is_in_force(reply, &published.customer, published.version);
+            let behind = |reply| !is_active(reply, &published.customer, published.version);
             (!replies.iter().any(behind)).then_some(())
         })
         .await
--- a/dev/proof/tests/configuration.rs
+++ b/dev/proof/tests/configuration.rs
@@ -4,7 +4,8 @@
 use std::time::Instant;
 
 use control::{
-    ControlError, Progress, PublishSettings, Published, check_file, publish, read_history, status,
+    ControlError, PublishProgress, PublishSettings, Published, check_file, publish, read_history,
+    status,
 };
 use proof::{Ask, Ending, Kind, ProofError, Site, SiteSettings, exchange, until};
 use standins::{Fault, FaultKind};
@@ -83,7 +84,8 @@
     site.log
         .fault(Fault::new(FaultKind::AnswerLost).on(APPENDS).times(2));
     let mut appended_again = 0;
-    let count = |step| appended_again += u32::from(matches!(step, Progress::AppendedAgain(_)));
+    let count =
+        |step| appended_again += u32::from(matches!(step, PublishProgress::AppendRetried(_)));
     let published = publish(&log, &mut history, &checked, &settings, count)
         .await
         .unwrap();
