--- a/components/claims/src/batch.rs
+++ b/components/claims/src/batch.rs
@@ -24,9 +24,9 @@
 }
 
 #[value]
-struct Waiting {
+struct QueuedRecord {
     record: Record,
-    since_ms: u64,
+    queued_ms: u64,
     bytes: usize,
 }
 
@@ -34,11 +34,11 @@
 #[derive(Clone, Debug)]
 pub struct Batch {
     settings: ClaimSettings,
-    waiting: VecDeque<Waiting>,
+    queue: VecDeque<QueuedRecord>,
     /// How many of the first are on their way.
-    sent: usize,
+    in_flight: usize,
     /// When the next append would be due if none might come early.
-    paced_ms: u64,
+    next_paced_ms: u64,
 }
 
 impl Batch {
@@ -46,21 +46,21 @@
     pub fn new(settings: ClaimSettings) -> Self {
         Self {
             settings,
-            waiting: VecDeque::new(),
-            sent: 0,
-            paced_ms: 0,
+            queue: VecDeque::new(),
+            in_flight: 0,
+            next_paced_ms: 0,
         }
     }
 
     /// Puts a record into the queue.
     pub fn push(&mut self, record: Record, now_ms: u64) -> Result<(), BatchFull> {
-        if self.waiting.len() >= self.settings.waiting_max {
-            return Err(BatchFull::Queued(self.waiting.len()));
+        if self.queue.len() >= self.settings.waiting_max {
+            return Err(BatchFull::Queued(self.queue.len()));
         }
-        let bytes = size_bytes(&record);
-        self.waiting.push_back(Waiting {
+        let bytes = estimated_bytes(&record);
+        self.queue.push_back(QueuedRecord {
             record,
-            since_ms: now_ms,
+            queued_ms: now_ms,
             bytes,
         });
         Ok(())
@@ -69,7 +69,7 @@
     /// When [`Batch::flush`] is to be asked next; `None` when nothing waits or an append
     /// is on its way.
     pub fn next_flush_ms(&self) -> Option<u64> {
-        (self.sent == 0 && !self.waiting.is_empty()).then(|| self.due_ms())
+        (self.in_flight == 0 && !self.queue.is_empty()).then(|| self.due_ms())
     }
 
     /// The text of the next append, when it is due. The first `flush_burst` after a pause
@@ -79,71 +79,71 @@
     /// one append each interval the end waits out the interval that the claim began, and
     /// a repeat that comes right after the answer is told that the call may be running.
     pub fn flush(&mut self, now_ms: u64) -> Result<Option<String>, RecordError> {
-        if self.sent > 0 || now_ms < self.due_ms() {
+        if self.in_flight > 0 || now_ms < self.due_ms() {
             return Ok(None);
         }
-        self.drop_late(now_ms);
-        let count = self.fitting();
+        self.drop_expired_claims(now_ms);
+        let count = self.next_batch_len();
         if count == 0 {
             return Ok(None);
         }
-        let records = self.waiting.iter().take(count);
+        let records = self.queue.iter().take(count);
         let records = records.map(|waiting| waiting.record.clone()).collect();
         let text = Line::new(records).to_json()?;
-        self.sent = count;
-        self.paced_ms = self.paced_ms.max(now_ms) + self.settings.flush_every_ms;
+        self.in_flight = count;
+        self.next_paced_ms = self.next_paced_ms.max(now_ms) + self.settings.flush_every_ms;
         Ok(Some(text))
     }
 
     /// The append worked.
     pub fn confirm_append(&mut self) {
-        self.waiting.drain(..self.sent);
-        self.sent = 0;
+        self.queue.drain(..self.in_flight);
+        self.in_flight = 0;
     }
 
     /// The append failed, or its answer was lost: the same records go again.
     pub fn retry_append(&mut self) {
-        self.sent = 0;
+        self.in_flight = 0;
     }
 
     /// Records that wait or are on their way.
     pub fn len(&self) -> usize {
-        self.waiting.len()
+        self.queue.len()
     }
 
     /// Whether nothing waits.
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.queue.is_empty()
     }
 
     fn due_ms(&self) -> u64 {
         let early = self.settings.flush_burst.saturating_sub(1);
-        self.paced_ms
+        self.next_paced_ms
             .saturating_sub(early * self.settings.flush_every_ms)
     }
 
-    fn drop_late(&mut self, now_ms: u64) {
+    fn drop_expired_claims(&mut self, now_ms: u64) {
         let longest_ms = self.settings.start_within_ms;
-        self.waiting.retain(|waiting| {
-            let late = now_ms.saturating_sub(waiting.since_ms) > longest_ms;
+        self.queue.retain(|waiting| {
+            let late = now_ms.saturating_sub(waiting.queued_ms) > longest_ms;
             !(late && matches!(waiting.record, Record::Claim(_)))
         });
     }
 
-    fn fitting(&self) -> usize {
+    fn next_batch_len(&self) -> usize {
         let mut bytes = 0;
-        let fits = |waiting: &&Waiting| {
+        let fits = |waiting: &&QueuedRecord| {
             bytes += waiting.bytes;
             bytes <= self.settings.batch_bytes_max
         };
-        let few = self.waiting.iter().take(self.settings.batch_records_max);
+        let few = self.queue.iter().take(self.settings.batch_records_max);
         let count = few.take_while(fits).count();
-        count.max(usize::from(!self.waiting.is_empty()))
+        count.max(usize::from(!self.queue.is_empty()))
     }
 }
 
 /// Size in the log, near enough for a limit.
-fn size_bytes(record: &Record) -> usize {
+fn estimated_bytes(record: &Record) -> usize {
     const PLAIN_BYTES: usize = 200;
     let Record::Done {
         outcome:
--- a/components/claims/src/holder.rs
+++ b/components/claims/src/holder.rs
@@ -32,11 +32,11 @@
 
 #[value]
 enum State {
-    Claiming { tries: usize, next_ms: u64 },
+    Claiming { attempts: usize, next_ms: u64 },
     Won,
     Started,
-    Other(Verdict),
-    GivenUp,
+    Decided(Verdict),
+    Abandoned,
 }
 
 /// One keyed submission.
@@ -44,7 +44,7 @@
 pub struct ClaimHolder {
     settings: ClaimSettings,
     claim: Claim,
-    made_ms: u64,
+    created_ms: u64,
     state: State,
 }
 
@@ -54,9 +54,9 @@
         Self {
             settings,
             claim,
-            made_ms: now_ms,
+            created_ms: now_ms,
             state: State::Claiming {
-                tries: 0,
+                attempts: 0,
                 next_ms: now_ms,
             },
         }
@@ -69,25 +69,28 @@
 
     /// What to do now.
     pub fn next_action(&mut self, now_ms: u64) -> ClaimAction {
-        if self.is_late(now_ms) && matches!(self.state, State::Claiming { .. } | State::Won) {
-            self.state = State::GivenUp;
+        if self.is_expired(now_ms) && matches!(self.state, State::Claiming { .. } | State::Won) {
+            self.state = State::Abandoned;
         }
         match &mut self.state {
-            State::Claiming { tries, next_ms } if now_ms >= *next_ms => {
+            State::Claiming {
+                attempts: tries,
+                next_ms,
+            } if now_ms >= *next_ms => {
                 let rank = *tries;
                 *tries += 1;
                 *next_ms = now_ms + self.settings.retry_interval_ms;
                 ClaimAction::Send { rank }
             }
             State::Claiming { next_ms, .. } => {
-                let last_ms = self.made_ms + self.settings.start_within_ms;
+                let last_ms = self.created_ms + self.settings.start_within_ms;
                 ClaimAction::WaitUntil {
                     at_ms: last_ms.min(*next_ms),
                 }
             }
             State::Won | State::Started => ClaimAction::Run,
-            State::Other(verdict) => ClaimAction::Answer(verdict.clone()),
-            State::GivenUp => ClaimAction::Abandon(self.unavailable()),
+            State::Decided(verdict) => ClaimAction::Answer(verdict.clone()),
+            State::Abandoned => ClaimAction::Abandon(self.unavailable()),
         }
     }
 
@@ -98,7 +101,7 @@
         }
         self.state = match verdict {
             Verdict::Won => State::Won,
-            other => State::Other(other),
+            other => State::Decided(other),
         };
     }
 
@@ -117,7 +120,7 @@
     /// It looks at how old the claim is, not at when the verdict came, because a verdict
     /// may have been on its way or in a queue for just as long.
     pub fn start(&mut self, now_ms: u64) -> Result<(), Failure> {
-        if self.state != State::Won || self.is_late(now_ms) {
+        if self.state != State::Won || self.is_expired(now_ms) {
             self.abandon();
             return Err(self.unavailable());
         }
@@ -129,20 +132,20 @@
     /// Without effect once started.
     pub fn abandon(&mut self) {
         if matches!(self.state, State::Claiming { .. } | State::Won) {
-            self.state = State::GivenUp;
+            self.state = State::Abandoned;
         }
     }
 
     /// A call that was started has ended as provably not run: it may be claimed anew.
     pub fn record_not_run(&mut self) {
         if self.state == State::Started {
-            self.state = State::GivenUp;
+            self.state = State::Abandoned;
         }
     }
 
     /// Record that lets others claim the key; only of a claim that was given up.
     pub fn release(&self) -> Option<Record> {
-        (self.state == State::GivenUp).then_some(Record::Release {
+        (self.state == State::Abandoned).then_some(Record::Release {
             key: self.claim.key,
             claim: self.claim.claim,
         })
@@ -157,8 +160,8 @@
         })
     }
 
-    fn is_late(&self, now_ms: u64) -> bool {
-        now_ms.saturating_sub(self.made_ms) > self.settings.start_within_ms
+    fn is_expired(&self, now_ms: u64) -> bool {
+        now_ms.saturating_sub(self.created_ms) > self.settings.start_within_ms
     }
 
     fn unavailable(&self) -> Failure {
--- a/components/claims/src/record.rs
+++ b/components/claims/src/record.rs
@@ -148,7 +148,7 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct Form {
+struct FormHeader {
     form: u16,
 }
 
@@ -172,7 +172,7 @@
 
     /// Reads a line.
     pub fn parse(text: &str) -> Result<Self, RecordError> {
-        let Form { form } = serde_json::from_str(text)?;
+        let FormHeader { form } = serde_json::from_str(text)?;
         if form != FORM {
             return Err(RecordError::Form(form));
         }
--- a/components/claims/src/shard.rs
+++ b/components/claims/src/shard.rs
@@ -19,10 +19,10 @@
 enum State {
     Running,
     /// Running as far as is known; whether it is the first claim is not.
-    Unsure,
+    Uncertain,
     Answered {
         status: u16,
-        place: Option<RecordPosition>,
+        position: Option<RecordPosition>,
     },
     Failed(Failure),
     Released,
@@ -30,13 +30,13 @@
 
 /// The claim that holds a key.
 #[value]
-struct Held {
+struct KeyEntry {
     claim: CallId,
     request: RequestDigest,
     /// By when its call has ended, on this reader's clock.
-    ends_ms: u64,
+    call_ends_ms: u64,
     /// When the key's newest claim was read.
-    newest_ms: u64,
+    newest_claim_ms: u64,
     state: State,
 }
 
@@ -45,7 +45,7 @@
 pub struct Shard {
     settings: ClaimSettings,
     next_offset: u64,
-    keys: HashMap<KeyDigest, Held>,
+    keys: HashMap<KeyDigest, KeyEntry>,
     /// Claims that were given back before they were read, with the time of that.
     released: HashMap<CallId, u64>,
     /// When the last claim came that had no room.
@@ -97,7 +97,7 @@
         let mut placed = Vec::new();
         for (index, record) in (0..).zip(line.records) {
             let place = RecordPosition { offset, index };
-            placed.extend(self.take(place, record, now_ms));
+            placed.extend(self.apply_record(place, record, now_ms));
         }
         Ok(placed)
     }
@@ -105,7 +105,7 @@
     /// What a submission is to do whose key is held already, before any claim of its own
     /// is appended; `None` when it may claim.
     pub fn peek(&self, key: KeyDigest, request: RequestDigest, now_ms: u64) -> Option<Verdict> {
-        let held = self.held(key, now_ms)?;
+        let held = self.live_entry(key, now_ms)?;
         if held.state == State::Released {
             return None;
         }
@@ -116,25 +116,30 @@
     pub fn expire(&mut self, now_ms: u64) {
         let lifetime_ms = self.settings.key_lifetime_ms;
         self.keys
-            .retain(|_, held| now_ms.saturating_sub(held.newest_ms) < lifetime_ms);
+            .retain(|_, held| now_ms.saturating_sub(held.newest_claim_ms) < lifetime_ms);
         let lag_ms = self.settings.release_lag_ms();
         self.released
             .retain(|_, &mut since_ms| now_ms.saturating_sub(since_ms) < lag_ms);
     }
 
-    fn take(&mut self, place: RecordPosition, record: Record, now_ms: u64) -> Option<ClaimVerdict> {
+    fn apply_record(
+        &mut self,
+        place: RecordPosition,
+        record: Record,
+        now_ms: u64,
+    ) -> Option<ClaimVerdict> {
         match record {
-            Record::Claim(claim) => self.take_claim(&claim, now_ms),
+            Record::Claim(claim) => self.apply_claim(&claim, now_ms),
             Record::Done {
                 key,
                 claim,
                 outcome,
             } => {
-                self.end(key, claim, State::of(outcome, place));
+                self.set_state(key, claim, State::of(outcome, place));
                 None
             }
             Record::Release { key, claim } => {
-                self.release(key, claim, now_ms);
+                self.apply_release(key, claim, now_ms);
                 None
             }
         }
@@ -144,35 +149,35 @@
     /// behind it. Its holder has given up and told its caller "not run"; if the claim won,
     /// repeats would be told "may have run" with nobody to run it. So its late claim is
     /// passed over, by all readers alike.
-    fn release(&mut self, key: KeyDigest, claim: CallId, now_ms: u64) {
+    fn apply_release(&mut self, key: KeyDigest, claim: CallId, now_ms: u64) {
         let held = self.keys.get(&key);
         if held.is_some_and(|held| held.claim == claim) {
-            self.end(key, claim, State::Released);
+            self.set_state(key, claim, State::Released);
         } else if self.released.len() < self.settings.keys_max {
             self.released.insert(claim, now_ms);
         }
     }
 
-    fn take_claim(&mut self, claim: &Claim, now_ms: u64) -> Option<ClaimVerdict> {
+    fn apply_claim(&mut self, claim: &Claim, now_ms: u64) -> Option<ClaimVerdict> {
         if self.released.contains_key(&claim.claim) {
             return None;
         }
-        let held = self.held(claim.key, now_ms).cloned();
+        let held = self.live_entry(claim.key, now_ms).cloned();
         let Some(mut held) = held else {
-            return self.hold(claim, now_ms);
+            return self.insert_claim(claim, now_ms);
         };
         let again = held.claim == claim.claim;
         if held.state == State::Released && !again {
-            return self.hold(claim, now_ms);
+            return self.insert_claim(claim, now_ms);
         }
         // A doubled record of a released claim is passed over: its holder has given up,
         // and the key would be taken with nobody to run it.
         let verdict = match (again, &held.state) {
             (true, State::Running) => Verdict::Won,
-            (true, State::Released | State::Unsure) => return None,
+            (true, State::Released | State::Uncertain) => return None,
             _ => held.verdict(claim.request, now_ms),
         };
-        held.newest_ms = now_ms;
+        held.newest_claim_ms = now_ms;
         self.keys.insert(claim.key, held);
         Some(ClaimVerdict {
             claim: claim.claim,
@@ -180,7 +185,7 @@
         })
     }
 
-    fn hold(&mut self, claim: &Claim, now_ms: u64) -> Option<ClaimVerdict> {
+    fn insert_claim(&mut self, claim: &Claim, now_ms: u64) -> Option<ClaimVerdict> {
         if self.keys.len() >= self.settings.keys_max {
             self.expire(now_ms);
         }
@@ -191,14 +196,14 @@
             self.overflowed_ms = Some(now_ms);
             return None;
         }
-        let unsure = self.is_unsure(now_ms);
-        let held = Held {
+        let unsure = self.is_uncertain(now_ms);
+        let held = KeyEntry {
             claim: claim.claim,
             request: claim.request,
-            ends_ms: now_ms + u64::from(claim.runs_for_ms),
-            newest_ms: now_ms,
+            call_ends_ms: now_ms + u64::from(claim.runs_for_ms),
+            newest_claim_ms: now_ms,
             state: if unsure {
-                State::Unsure
+                State::Uncertain
             } else {
                 State::Running
             },
@@ -210,23 +215,23 @@
         })
     }
 
-    fn is_unsure(&self, now_ms: u64) -> bool {
+    fn is_uncertain(&self, now_ms: u64) -> bool {
         let lifetime_ms = self.settings.key_lifetime_ms;
         self.overflowed_ms
             .is_some_and(|since_ms| now_ms.saturating_sub(since_ms) < lifetime_ms)
     }
 
-    fn end(&mut self, key: KeyDigest, claim: CallId, state: State) {
+    fn set_state(&mut self, key: KeyDigest, claim: CallId, state: State) {
         let held = self.keys.get_mut(&key);
         if let Some(held) = held.filter(|held| held.claim == claim) {
             held.state = state;
         }
     }
 
-    fn held(&self, key: KeyDigest, now_ms: u64) -> Option<&Held> {
+    fn live_entry(&self, key: KeyDigest, now_ms: u64) -> Option<&KeyEntry> {
         let lifetime_ms = self.settings.key_lifetime_ms;
         let held = self.keys.get(&key);
-        held.filter(|held| now_ms.saturating_sub(held.newest_ms) < lifetime_ms)
+        held.filter(|held| now_ms.saturating_sub(held.newest_claim_ms) < lifetime_ms)
     }
 }
 
@@ -235,14 +240,14 @@
         match outcome {
             Outcome::Answered { status, answer } => State::Answered {
                 status,
-                place: answer.map(|_| place),
+                position: answer.map(|_| place),
             },
             Outcome::Failed(failure) => State::Failed(failure),
         }
     }
 }
 
-impl Held {
+impl KeyEntry {
     /// What another submission of the key is to do.
     fn verdict(&self, request: RequestDigest, now_ms: u64) -> Verdict {
         if request != self.request {
@@ -251,9 +256,12 @@
         match &self.state {
             // Nothing of the holder is asked here: it has had all the time that its
             // call may take, and it may still record its end.
-            State::Running | State::Unsure if now_ms >= self.ends_ms => Verdict::Lost,
-            State::Running | State::Unsure | State::Released => Verdict::Running,
-            State::Answered { status, place } => Verdict::Answered {
+            State::Running | State::Uncertain if now_ms >= self.call_ends_ms => Verdict::Lost,
+            State::Running | State::Uncertain | State::Released => Verdict::Running,
+            State::Answered {
+                status,
+                position: place,
+            } => Verdict::Answered {
                 status: *status,
                 position: *place,
             },
--- a/components/config/src/accepted.rs
+++ b/components/config/src/accepted.rs
@@ -28,7 +28,7 @@
 
 impl AcceptedVersion {
     /// A version that a publish or keep record holds, with its text as read.
-    pub(crate) fn new(record: Versioned<'_>, text: CustomerConfig) -> Self {
+    pub(crate) fn new(record: VersionedRecord<'_>, text: CustomerConfig) -> Self {
         Self {
             customer: record.customer.clone(),
             version: record.version,
@@ -56,7 +56,7 @@
 }
 
 /// What publish and keep records have in common.
-pub(crate) struct Versioned<'r> {
+pub(crate) struct VersionedRecord<'r> {
     pub(crate) customer: &'r CustomerName,
     pub(crate) version: u64,
     pub(crate) id: &'r str,
@@ -87,7 +87,7 @@
 }
 
 /// Whether two accounts of one version contradict each other.
-pub(crate) fn differ(one: Option<&AcceptedVersion>, other: Option<&AcceptedVersion>) -> bool {
+pub(crate) fn contradicts(one: Option<&AcceptedVersion>, other: Option<&AcceptedVersion>) -> bool {
     match (one, other) {
         (Some(one), Some(other)) => one.source != other.source || one.id != other.id,
         _ => false,
--- a/components/config/src/check.rs
+++ b/components/config/src/check.rs
@@ -7,8 +7,8 @@
 use types::CustomerName;
 
 use crate::complaint::Report;
-use crate::links::links;
-use crate::words::nearest;
+use crate::dependencies::resolve_dependencies;
+use crate::names::nearest;
 use crate::{
     AcceptedVersion, Complaint, ComplaintCause, Complaints, CustomerConfig, Ledger, Service,
     UnmetDependency,
@@ -24,9 +24,9 @@
         texts.insert(&accepted.customer, &accepted.config);
     }
     texts.insert(&text.customer, text);
-    for unmet in links(&texts).unmet {
+    for unmet in resolve_dependencies(&texts).unmet {
         if unmet.from.owner == text.customer {
-            report.error(unmet.place, unmet_cause(text, &texts, &unmet));
+            report.add_error(unmet.place, complaint_cause(text, &texts, &unmet));
         }
     }
     check_tokens(text, ledger, &mut report);
@@ -35,15 +35,15 @@
     }
     let mut complaints = report.finish();
     complaints.0.extend(text.warnings.iter().cloned());
-    complaints.0.sort_by_key(order);
+    complaints.0.sort_by_key(sort_key);
     complaints
 }
 
-fn order(complaint: &Complaint) -> (Place, Severity) {
+fn sort_key(complaint: &Complaint) -> (Place, Severity) {
     (complaint.place, complaint.severity)
 }
 
-fn unmet_cause(
+fn complaint_cause(
     text: &CustomerConfig,
     texts: &HashMap<&CustomerName, &CustomerConfig>,
     unmet: &UnmetDependency,
@@ -80,7 +80,7 @@
         .filter(|token| taken.contains(&token.digest))
     {
         let name = token.name.to_string();
-        report.error(token.place, ComplaintCause::TokenTaken { name });
+        report.add_error(token.place, ComplaintCause::TokenTaken { name });
     }
 }
 
@@ -94,22 +94,24 @@
     for before in &current.config.services {
         let now = text.service(&before.name);
         let used = before.shared_with.iter().filter_map(|customer| {
-            let user = user(before, customer, ledger)?;
+            let user = find_dependent(before, customer, ledger)?;
             let still = now.is_some_and(|now| now.shared_with.contains(customer));
             (!still).then_some(user)
         });
         for by in used {
             let service = before.name.to_string();
             match now {
-                Some(now) => report.warning(now.place, ComplaintCause::Unshared { service, by }),
-                None => report.error(text.place, ComplaintCause::StillUsed { service, by }),
+                Some(now) => {
+                    report.add_warning(now.place, ComplaintCause::Unshared { service, by })
+                }
+                None => report.add_error(text.place, ComplaintCause::StillUsed { service, by }),
             }
         }
     }
 }
 
 /// A service of the customer that depends on this one.
-fn user(service: &Service, customer: &CustomerName, ledger: &Ledger) -> Option<String> {
+fn find_dependent(service: &Service, customer: &CustomerName, ledger: &Ledger) -> Option<String> {
     let target = service.target();
     let services = &ledger.current(customer)?.config.services;
     let depends = |user: &&std::sync::Arc<Service>| {
--- a/components/config/src/complaint.rs
+++ b/components/config/src/complaint.rs
@@ -33,7 +33,7 @@
         }
         /// A field that the schema does not have.
         UnknownField { field: String, nearest: Option<String>, allowed: String } {
-            display("unknown field '{}'{}; allowed: {}", field, did_you_mean(nearest), allowed)
+            display("unknown field '{}'{}; allowed: {}", field, suggestion(nearest), allowed)
         }
         /// A field of a newer schema, let pass.
         NewerField { field: String } {
@@ -57,7 +57,7 @@
         }
         /// Not one of the words.
         UnknownWord { field: &'static str, found: String, nearest: Option<String>, allowed: String } {
-            display("'{}' in field '{}' is not known{}; allowed: {}", found, field, did_you_mean(nearest), allowed)
+            display("'{}' in field '{}' is not known{}; allowed: {}", found, field, suggestion(nearest), allowed)
         }
         /// Too many entries.
         TooMany { field: &'static str, found: usize, max: usize } {
@@ -77,7 +77,7 @@
         }
         /// A service that the customer does not have.
         UnknownService { name: String, nearest: Option<String> } {
-            display("unknown service '{}'{}", name, did_you_mean(nearest))
+            display("unknown service '{}'{}", name, suggestion(nearest))
         }
         /// Dependencies that come back to where they began.
         Cycle { path: String } {
@@ -109,7 +109,7 @@
         }
         /// A customer that has no accepted text.
         UnknownCustomer { name: String, nearest: Option<String> } {
-            display("customer '{}' has no accepted text{}", name, did_you_mean(nearest))
+            display("customer '{}' has no accepted text{}", name, suggestion(nearest))
         }
         /// Another customer's service that is not shared.
         Private { target: String, customer: String } {
@@ -134,7 +134,7 @@
     }
 }
 
-fn did_you_mean(nearest: &Option<String>) -> String {
+fn suggestion(nearest: &Option<String>) -> String {
     match nearest {
         Some(name) => format!(", did you mean '{name}'?"),
         None => String::new(),
@@ -215,11 +215,11 @@
         }
     }
 
-    pub(crate) fn error(&mut self, place: Place, cause: ComplaintCause) {
+    pub(crate) fn add_error(&mut self, place: Place, cause: ComplaintCause) {
         self.add(place, Severity::Error, cause);
     }
 
-    pub(crate) fn warning(&mut self, place: Place, cause: ComplaintCause) {
+    pub(crate) fn add_warning(&mut self, place: Place, cause: ComplaintCause) {
         self.add(place, Severity::Warning, cause);
     }
 
--- a/components/config/src/cycle.rs
+++ b/components/config/src/cycle.rs
@@ -4,7 +4,7 @@
 pub(crate) type Edges = Vec<Vec<usize>>;
 
 /// An edge that closes a cycle.
-pub(crate) struct Closing {
+pub(crate) struct CycleEdge {
     /// The nodes from the cycle's first to the one whose edge closes it.
     pub(crate) path: Vec<usize>,
     /// Which edge of the last node it is.
@@ -20,18 +20,23 @@
 
 /// Each edge that closes a cycle on a walk in depth through the graph. The graph has
 /// a cycle exactly if there is one.
-pub(crate) fn closing_edges(edges: &Edges) -> Vec<Closing> {
+pub(crate) fn cycle_edges(edges: &Edges) -> Vec<CycleEdge> {
     let mut visits = vec![Visit::New; edges.len()];
     let mut found = Vec::new();
     for root in 0..edges.len() {
         if visits[root] == Visit::New {
-            walk(edges, root, &mut visits, &mut found);
+            depth_first_search(edges, root, &mut visits, &mut found);
         }
     }
     found
 }
 
-fn walk(edges: &Edges, root: usize, visits: &mut [Visit], found: &mut Vec<Closing>) {
+fn depth_first_search(
+    edges: &Edges,
+    root: usize,
+    visits: &mut [Visit],
+    found: &mut Vec<CycleEdge>,
+) {
     // Each step holds a node and its next edge; a stack of our own, as a long chain
     // of dependencies must not exhaust the thread's.
     let mut steps = vec![(root, 0)];
@@ -47,7 +52,7 @@
         }
         match visits[next] {
             Visit::Done => {}
-            Visit::OnPath => found.push(closing(&steps, next, edge)),
+            Visit::OnPath => found.push(cycle_edge(&steps, next, edge)),
             Visit::New => {
                 visits[next] = Visit::OnPath;
                 steps.push((next, 0));
@@ -56,21 +61,21 @@
     }
 }
 
-fn closing(steps: &[(usize, usize)], first: usize, edge: usize) -> Closing {
+fn cycle_edge(steps: &[(usize, usize)], first: usize, edge: usize) -> CycleEdge {
     let nodes = steps.iter().map(|&(node, _)| node);
-    Closing {
+    CycleEdge {
         path: nodes.skip_while(|&node| node != first).collect(),
         edge,
     }
 }
 
 /// The shortest path from one node to another, both included.
-pub(crate) fn path(edges: &Edges, from: usize, to: usize) -> Option<Vec<usize>> {
+pub(crate) fn shortest_path(edges: &Edges, from: usize, to: usize) -> Option<Vec<usize>> {
     let mut came_from = vec![None; edges.len()];
     let mut queue = std::collections::VecDeque::from([from]);
     while let Some(node) = queue.pop_front() {
         if node == to {
-            return Some(back(&came_from, from, to));
+            return Some(trace_back(&came_from, from, to));
         }
         for &next in &edges[node] {
             if next != from && came_from[next].is_none() {
@@ -82,7 +87,7 @@
     None
 }
 
-fn back(came_from: &[Option<usize>], from: usize, to: usize) -> Vec<usize> {
+fn trace_back(came_from: &[Option<usize>], from: usize, to: usize) -> Vec<usize> {
     let mut nodes = vec![to];
     let mut at = to;
     while at != from {
@@ -104,7 +109,7 @@
     }
     let mut components = vec![None; edges.len()];
     for root in finish_order(edges).into_iter().rev() {
-        label(&back_edges, root, &mut components);
+        label_component(&back_edges, root, &mut components);
     }
     components.into_iter().flatten().collect()
 }
@@ -138,7 +143,7 @@
 }
 
 /// Gives all unlabelled nodes that the root reaches its number.
-fn label(edges: &Edges, root: usize, components: &mut [Option<usize>]) {
+fn label_component(edges: &Edges, root: usize, components: &mut [Option<usize>]) {
     let mut nodes = vec![root];
     while let Some(node) = nodes.pop() {
         if components[node].is_some() {
--- a/components/config/src/links.rs
+++ b/components/config/src/dependencies.rs
@@ -55,14 +55,14 @@
 }
 
 /// A dependency that is in force.
-pub(crate) struct Link<'t> {
+pub(crate) struct ActiveDependency<'t> {
     pub(crate) customer: &'t CustomerName,
     pub(crate) to: &'t ServiceRef,
 }
 
 /// All dependencies between customers.
-pub(crate) struct Links<'t> {
-    pub(crate) in_force: Vec<Link<'t>>,
+pub(crate) struct ResolvedDependencies<'t> {
+    pub(crate) active: Vec<ActiveDependency<'t>>,
     pub(crate) unmet: Vec<UnmetDependency>,
 }
 
@@ -73,7 +73,9 @@
 }
 
 /// Works out the dependencies between the customers with these texts.
-pub(crate) fn links<'t>(texts: &HashMap<&'t CustomerName, &'t CustomerConfig>) -> Links<'t> {
+pub(crate) fn resolve_dependencies<'t>(
+    texts: &HashMap<&'t CustomerName, &'t CustomerConfig>,
+) -> ResolvedDependencies<'t> {
     let mut unmet = Vec::new();
     let mut candidates = Vec::new();
     for from in texts.values().flat_map(|text| &text.services) {
@@ -87,7 +89,7 @@
                 to: &edge.target,
                 place: edge.place,
             };
-            match refusal(texts, &candidate) {
+            match unmet_cause(texts, &candidate) {
                 Some(cause) => unmet.push(candidate.unmet(cause)),
                 None => candidates.push(candidate),
             }
@@ -98,14 +100,17 @@
     for candidate in candidates {
         match graph.cycle(&candidate) {
             Some(path) => unmet.push(candidate.unmet(UnmetCause::Cycle { path })),
-            None => in_force.push(Link {
+            None => in_force.push(ActiveDependency {
                 customer: &candidate.from.owner,
                 to: candidate.to,
             }),
         }
     }
     unmet.sort_by(|a, b| (&a.from, &a.to).cmp(&(&b.from, &b.to)));
-    Links { in_force, unmet }
+    ResolvedDependencies {
+        active: in_force,
+        unmet,
+    }
 }
 
 impl Candidate<'_> {
@@ -119,7 +124,7 @@
     }
 }
 
-fn refusal(
+fn unmet_cause(
     texts: &HashMap<&CustomerName, &CustomerConfig>,
     candidate: &Candidate<'_>,
 ) -> Option<UnmetCause> {
@@ -176,29 +181,29 @@
                 .depends_on
                 .iter()
                 .filter(|edge| edge.target.owner == service.owner);
-            let to = own.filter_map(|edge| self.number(&edge.target)).collect();
+            let to = own.filter_map(|edge| self.node_of(&edge.target)).collect();
             self.edges[from] = to;
         }
         for candidate in candidates {
-            let from = self.number(&candidate.from.target());
-            if let (Some(from), Some(to)) = (from, self.number(candidate.to)) {
+            let from = self.node_of(&candidate.from.target());
+            if let (Some(from), Some(to)) = (from, self.node_of(candidate.to)) {
                 self.edges[from].push(to);
             }
         }
     }
 
-    fn number(&self, target: &ServiceRef) -> Option<usize> {
+    fn node_of(&self, target: &ServiceRef) -> Option<usize> {
         self.numbers.get(&(&target.owner, &target.service)).copied()
     }
 
     /// The cycle that the candidate lies on, spelled out.
     fn cycle(&self, candidate: &Candidate<'_>) -> Option<String> {
-        let from = self.number(&candidate.from.target())?;
-        let to = self.number(candidate.to)?;
+        let from = self.node_of(&candidate.from.target())?;
+        let to = self.node_of(candidate.to)?;
         if self.components[from] != self.components[to] {
             return None;
         }
-        let back = cycle::path(&self.edges, to, from)?;
+        let back = cycle::shortest_path(&self.edges, to, from)?;
         let nodes = std::iter::once(from).chain(back);
         let names: Vec<String> = nodes
             .map(|number| self.services[number].target().to_string())
--- a/components/config/src/depth.rs
+++ b/components/config/src/depth.rs
@@ -13,12 +13,12 @@
 const LINE_DOTS_MAX: usize = DEPTH_MAX;
 
 /// Where the text begins to be nested too deep.
-pub(crate) fn too_deep_at(text: &str) -> Option<usize> {
-    let mut scan = Scan::default();
+pub(crate) fn find_too_deep(text: &str) -> Option<usize> {
+    let mut scan = NestingScan::default();
     let mut at = 0;
     while let Some(rest) = text.get(at..).filter(|rest| !rest.is_empty()) {
-        let (token, length) = token(rest);
-        scan.take(token);
+        let (token, length) = next_token(rest);
+        scan.count(token);
         if scan.is_too_deep() {
             return Some(at);
         }
@@ -37,13 +37,13 @@
 }
 
 #[derive(Default)]
-struct Scan {
+struct NestingScan {
     open: usize,
     dots: usize,
 }
 
-impl Scan {
-    fn take(&mut self, token: Token) {
+impl NestingScan {
+    fn count(&mut self, token: Token) {
         match token {
             Token::Open => self.open += 1,
             Token::Close => self.open = self.open.saturating_sub(1),
@@ -59,10 +59,10 @@
 }
 
 /// The first token and its length in bytes.
-fn token(rest: &str) -> (Token, usize) {
+fn next_token(rest: &str) -> (Token, usize) {
     const QUOTES: [&str; 4] = ["\"\"\"", "'''", "\"", "'"];
     if let Some(quote) = QUOTES.into_iter().find(|quote| rest.starts_with(quote)) {
-        return (Token::Other, quoted(rest, quote));
+        return (Token::Other, quoted_bytes(rest, quote));
     }
     let first = rest.chars().next().unwrap_or('\n');
     match first {
@@ -77,7 +77,7 @@
 
 /// Length of the quoted text at the start; to the end of the line or text where it is
 /// not closed, which the parser complains about.
-fn quoted(rest: &str, quote: &str) -> usize {
+fn quoted_bytes(rest: &str, quote: &str) -> usize {
     let escapes = quote.starts_with('"');
     let lines = quote.len() > 1;
     let mut at = quote.len();
--- a/components/config/src/diff.rs
+++ b/components/config/src/diff.rs
@@ -16,7 +16,7 @@
         return String::new();
     }
     if old.lines().count().max(new.lines().count()) > LINES_MAX {
-        return replaced(old, new, old_name, new_name);
+        return replacement_diff(old, new, old_name, new_name);
     }
     TextDiff::from_lines(old, new)
         .unified_diff()
@@ -25,7 +25,7 @@
         .to_string()
 }
 
-fn replaced(old: &str, new: &str, old_name: &str, new_name: &str) -> String {
+fn replacement_diff(old: &str, new: &str, old_name: &str, new_name: &str) -> String {
     let (old, new): (Vec<&str>, Vec<&str>) = (old.lines().collect(), new.lines().collect());
     let same = |(a, b): &(&&str, &&str)| a == b;
     let head = old.iter().zip(&new).take_while(same).count();
@@ -40,12 +40,16 @@
         removed.len(),
         added.len()
     );
-    removed.iter().for_each(|line| push(&mut diff, '-', line));
-    added.iter().for_each(|line| push(&mut diff, '+', line));
+    removed
+        .iter()
+        .for_each(|line| push_line(&mut diff, '-', line));
+    added
+        .iter()
+        .for_each(|line| push_line(&mut diff, '+', line));
     diff
 }
 
-fn push(diff: &mut String, sign: char, line: &str) {
+fn push_line(diff: &mut String, sign: char, line: &str) {
     diff.push(sign);
     diff.push_str(line);
     diff.push('\n');
--- a/components/config/src/fields.rs
+++ b/components/config/src/fields.rs
@@ -9,16 +9,16 @@
 use types::NameError;
 
 use crate::complaint::Report;
-use crate::place::Lines;
-use crate::words::{nearest, parse_name};
+use crate::names::{nearest, parse_name};
+use crate::place::LineIndex;
 use crate::{ComplaintCause, Place, Rules};
 
 /// A table of a text and the fields that were asked for so far.
-pub(crate) struct Fields<'a> {
+pub(crate) struct FieldReader<'a> {
     table: Option<&'a DeTable<'a>>,
-    lines: &'a Lines<'a>,
+    lines: &'a LineIndex<'a>,
     place: Place,
-    asked: Vec<&'static str>,
+    known_fields: Vec<&'static str>,
     /// The rules by which the text is judged.
     pub(crate) rules: Rules,
     /// The text says a higher schema minor than the rules know.
@@ -26,25 +26,25 @@
 }
 
 /// A text value and its place.
-pub(crate) type Word = (String, Place);
+pub(crate) type SpannedText = (String, Place);
 
-impl<'a> Fields<'a> {
-    pub(crate) fn of_text(table: &'a DeTable<'a>, lines: &'a Lines<'a>, rules: Rules) -> Self {
+impl<'a> FieldReader<'a> {
+    pub(crate) fn root(table: &'a DeTable<'a>, lines: &'a LineIndex<'a>, rules: Rules) -> Self {
         Self {
             table: Some(table),
             lines,
             place: Place::START,
-            asked: Vec::new(),
+            known_fields: Vec::new(),
             rules,
             newer_schema: false,
         }
     }
 
-    fn inner(&self, table: Option<&'a DeTable<'a>>, place: Place) -> Fields<'a> {
-        Fields {
+    fn nested(&self, table: Option<&'a DeTable<'a>>, place: Place) -> FieldReader<'a> {
+        FieldReader {
             table,
             place,
-            asked: Vec::new(),
+            known_fields: Vec::new(),
             ..*self
         }
     }
@@ -63,12 +63,12 @@
         self.lines.place(value.span().start)
     }
 
-    fn ask(&mut self, field: &'static str) -> Option<&'a Spanned<DeValue<'a>>> {
-        self.asked.push(field);
+    fn read_value(&mut self, field: &'static str) -> Option<&'a Spanned<DeValue<'a>>> {
+        self.known_fields.push(field);
         self.table?.get(field)
     }
 
-    fn wrong_type(
+    fn report_wrong_type(
         &self,
         field: &str,
         value: &Spanned<DeValue<'_>>,
@@ -80,20 +80,25 @@
             found: value.get_ref().type_str(),
             wanted,
         };
-        report.error(self.place_in(value), cause);
+        report.add_error(self.place_in(value), cause);
     }
 
-    pub(crate) fn missing(&self, field: &'static str, wanted: &'static str, report: &mut Report) {
-        report.error(self.place, ComplaintCause::MissingField { field, wanted });
+    pub(crate) fn report_missing(
+        &self,
+        field: &'static str,
+        wanted: &'static str,
+        report: &mut Report,
+    ) {
+        report.add_error(self.place, ComplaintCause::MissingField { field, wanted });
     }
 
     /// A text; a missing one is no complaint.
-    pub(crate) fn text(&mut self, field: &'static str, report: &mut Report) -> Option<Word> {
-        let value = self.ask(field)?;
+    pub(crate) fn text(&mut self, field: &'static str, report: &mut Report) -> Option<SpannedText> {
+        let value = self.read_value(field)?;
         match value.get_ref().as_str() {
             Some(text) => Some((text.to_owned(), self.place_in(value))),
             None => {
-                self.wrong_type(field, value, "a text in quotes", report);
+                self.report_wrong_type(field, value, "a text in quotes", report);
                 None
             }
         }
@@ -105,15 +110,15 @@
         N: FromStr<Err = NameError>,
     {
         if !self.has(field) {
-            self.asked.push(field);
-            self.missing(field, "a name in quotes", report);
+            self.known_fields.push(field);
+            self.report_missing(field, "a name in quotes", report);
             return None;
         }
-        self.name_if_any(field, report)
+        self.optional_name(field, report)
     }
 
     /// A name; a missing one is no complaint.
-    pub(crate) fn name_if_any<N>(&mut self, field: &'static str, report: &mut Report) -> Option<N>
+    pub(crate) fn optional_name<N>(&mut self, field: &'static str, report: &mut Report) -> Option<N>
     where
         N: FromStr<Err = NameError>,
     {
@@ -122,7 +127,7 @@
     }
 
     /// One of some words; a missing one is no complaint.
-    pub(crate) fn word<W: Copy>(
+    pub(crate) fn choice<W: Copy>(
         &mut self,
         field: &'static str,
         words: &[(&'static str, W)],
@@ -139,7 +144,7 @@
             found,
             allowed: allowed.join(", "),
         };
-        report.error(place, cause);
+        report.add_error(place, cause);
         None
     }
 
@@ -151,11 +156,11 @@
         default: u64,
         report: &mut Report,
     ) -> u64 {
-        let Some(value) = self.ask(field) else {
+        let Some(value) = self.read_value(field) else {
             return default;
         };
         let Some(integer) = value.get_ref().as_integer() else {
-            self.wrong_type(field, value, "a whole number", report);
+            self.report_wrong_type(field, value, "a whole number", report);
             return default;
         };
         let number = u64::from_str_radix(integer.as_str(), integer.radix()).ok();
@@ -168,7 +173,7 @@
             min: *range.start(),
             max: *range.end(),
         };
-        report.error(self.place_in(value), cause);
+        report.add_error(self.place_in(value), cause);
         default
     }
 
@@ -178,16 +183,16 @@
         field: &'static str,
         wanted: &'static str,
         report: &mut Report,
-    ) -> Option<Word> {
-        let Some(value) = self.ask(field) else {
-            self.missing(field, wanted, report);
+    ) -> Option<SpannedText> {
+        let Some(value) = self.read_value(field) else {
+            self.report_missing(field, wanted, report);
             return None;
         };
         let integer = value.get_ref().as_integer().map(|integer| integer.as_str());
         match integer.or_else(|| value.get_ref().as_str()) {
             Some(text) => Some((text.to_owned(), self.place_in(value))),
             None => {
-                self.wrong_type(field, value, wanted, report);
+                self.report_wrong_type(field, value, wanted, report);
                 None
             }
         }
@@ -202,27 +207,27 @@
         wanted: &'static str,
         report: &mut Report,
     ) -> Option<&'a DeArray<'a>> {
-        let value = self.ask(field)?;
+        let value = self.read_value(field)?;
         let Some(list) = value.get_ref().as_array() else {
-            self.wrong_type(field, value, wanted, report);
+            self.report_wrong_type(field, value, wanted, report);
             return None;
         };
         if list.len() > max {
             let found = list.len();
             let cause = ComplaintCause::TooMany { field, found, max };
-            report.error(self.place_in(value), cause);
+            report.add_error(self.place_in(value), cause);
             return None;
         }
         Some(list)
     }
 
     /// A list of texts; an empty one where it is missing.
-    pub(crate) fn words(
+    pub(crate) fn texts(
         &mut self,
         field: &'static str,
         max: usize,
         report: &mut Report,
-    ) -> Vec<Word> {
+    ) -> Vec<SpannedText> {
         let Some(list) = self.list(field, max, "a list of texts", report) else {
             return Vec::new();
         };
@@ -230,21 +235,25 @@
         for entry in list.iter() {
             match entry.get_ref().as_str() {
                 Some(text) => words.push((text.to_owned(), self.place_in(entry))),
-                None => self.wrong_type(field, entry, "a text in quotes", report),
+                None => self.report_wrong_type(field, entry, "a text in quotes", report),
             }
         }
         words
     }
 
     /// A table; one without fields where it is missing.
-    pub(crate) fn table(&mut self, field: &'static str, report: &mut Report) -> Option<Fields<'a>> {
-        let Some(value) = self.ask(field) else {
-            return Some(self.inner(None, self.place));
+    pub(crate) fn table(
+        &mut self,
+        field: &'static str,
+        report: &mut Report,
+    ) -> Option<FieldReader<'a>> {
+        let Some(value) = self.read_value(field) else {
+            return Some(self.nested(None, self.place));
         };
         match value.get_ref().as_table() {
-            Some(table) => Some(self.inner(Some(table), self.place_in(value))),
+            Some(table) => Some(self.nested(Some(table), self.place_in(value))),
             None => {
-                self.wrong_type(field, value, "a table", report);
+                self.report_wrong_type(field, value, "a table", report);
                 None
             }
         }
@@ -256,7 +265,7 @@
         field: &'static str,
         max: usize,
         report: &mut Report,
-    ) -> Vec<Fields<'a>> {
+    ) -> Vec<FieldReader<'a>> {
         let wanted = "a list of tables, with two brackets";
         let Some(list) = self.list(field, max, wanted, report) else {
             return Vec::new();
@@ -264,32 +273,32 @@
         let mut tables = Vec::with_capacity(list.len());
         for entry in list.iter() {
             match entry.get_ref().as_table() {
-                Some(table) => tables.push(self.inner(Some(table), self.place_in(entry))),
-                None => self.wrong_type(field, entry, "a table", report),
+                Some(table) => tables.push(self.nested(Some(table), self.place_in(entry))),
+                None => self.report_wrong_type(field, entry, "a table", report),
             }
         }
         tables
     }
 
     /// Complains about each field that was not asked for.
-    pub(crate) fn refuse_unknown(&self, report: &mut Report) {
+    pub(crate) fn report_unknown(&self, report: &mut Report) {
         for key in self.table.into_iter().flat_map(|table| table.keys()) {
             let field: &str = key.get_ref();
-            if self.asked.contains(&field) {
+            if self.known_fields.contains(&field) {
                 continue;
             }
             let place = self.place_in(key);
             let field = field.to_owned();
             if self.newer_schema {
-                report.warning(place, ComplaintCause::NewerField { field });
+                report.add_warning(place, ComplaintCause::NewerField { field });
                 continue;
             }
             let cause = ComplaintCause::UnknownField {
-                nearest: nearest(&field, self.asked.iter().copied()),
+                nearest: nearest(&field, self.known_fields.iter().copied()),
                 field,
-                allowed: self.asked.join(", "),
+                allowed: self.known_fields.join(", "),
             };
-            report.error(place, cause);
+            report.add_error(place, cause);
         }
     }
 }
--- a/components/config/src/keeper.rs
+++ b/components/config/src/keep_scheduler.rs
@@ -45,7 +45,7 @@
 
 /// What the log has of one customer, or of the list of customers.
 #[derive(Clone, Copy, Debug)]
-struct Seen {
+struct SeenRecord {
     version: u64,
     /// When the record was known to be new; `None` for one of unknown age.
     new_at_ms: Option<u64>,
@@ -57,8 +57,8 @@
 #[derive(Clone, Debug)]
 pub struct KeepScheduler {
     policy: KeepSettings,
-    versions: HashMap<CustomerName, Seen>,
-    list: Option<Seen>,
+    versions: HashMap<CustomerName, SeenRecord>,
+    list: Option<SeenRecord>,
     read_at_ms: Option<u64>,
 }
 
@@ -82,7 +82,7 @@
     /// process was waiting at the log's end; else its age is not known.
     pub fn on_record(&mut self, ledger: &Ledger, record: &Record, is_new: bool, now_ms: u64) {
         let new_at_ms = is_new.then_some(now_ms);
-        let seen = |version| Seen {
+        let seen = |version| SeenRecord {
             version,
             new_at_ms,
             appended_at_ms: None,
@@ -140,7 +140,7 @@
             if !self.is_due(seen, now_ms, rank(Some(customer))) {
                 continue;
             }
-            let seen = self.asked(seen, accepted.version, now_ms);
+            let seen = self.with_append(seen, accepted.version, now_ms);
             self.versions.insert(customer.clone(), seen);
             records.extend(ledger.keep_record(customer).map(Record::Keep));
         }
@@ -152,19 +152,19 @@
         if !self.is_due(self.list, now_ms, rank) {
             return None;
         }
-        self.list = Some(self.asked(self.list, 0, now_ms));
+        self.list = Some(self.with_append(self.list, 0, now_ms));
         Some(Record::Customers(list))
     }
 
-    fn asked(&self, seen: Option<Seen>, version: u64, now_ms: u64) -> Seen {
-        Seen {
+    fn with_append(&self, seen: Option<SeenRecord>, version: u64, now_ms: u64) -> SeenRecord {
+        SeenRecord {
             version,
             new_at_ms: seen.and_then(|seen| seen.new_at_ms),
             appended_at_ms: Some(now_ms),
         }
     }
 
-    fn is_due(&self, seen: Option<Seen>, now_ms: u64, rank: Option<u32>) -> bool {
+    fn is_due(&self, seen: Option<SeenRecord>, now_ms: u64, rank: Option<u32>) -> bool {
         let Some(rank) = rank.filter(|&rank| rank < self.policy.ranks) else {
             return false;
         };
--- a/components/config/src/ledger.rs
+++ b/components/config/src/ledger.rs
@@ -9,9 +9,9 @@
 
 use types::CustomerName;
 
-use crate::accepted::Versioned;
-use crate::chain::Chain;
-use crate::parse::judge;
+use crate::accepted::VersionedRecord;
+use crate::chain::VersionChain;
+use crate::parse::parse_published;
 use crate::{AcceptedVersion, Customers, Keep, Publish, Record, Rules, Verdict, VersionDigest};
 
 /// Publishes that are held back for all customers together, in bytes.
@@ -25,7 +25,7 @@
     complete_from: u64,
     /// Customers without a chain have no version at this offset.
     listed_from: Option<u64>,
-    chains: BTreeMap<CustomerName, Chain>,
+    chains: BTreeMap<CustomerName, VersionChain>,
 }
 
 impl Ledger {
@@ -63,11 +63,11 @@
             return Verdict::AlreadyRead;
         }
         match record {
-            Record::Publish(publish) => self.publish(offset, publish),
+            Record::Publish(publish) => self.apply_publish(offset, publish),
             Record::Keep(keep) => {
                 // Written after what it states was read, or it states nothing.
                 let through = keep.through.filter(|&through| through <= offset);
-                self.keep(keep, through, Chain::fact)
+                self.apply_keep(keep, through, VersionChain::apply_logged_proof)
             }
             Record::Customers(customers) if customers.through <= offset => {
                 self.adopt_customers(customers)
@@ -86,13 +86,13 @@
         self.complete_from = first_offset;
         self.listed_from = self.listed_from.filter(|&from| from >= first_offset);
         for chain in self.chains.values_mut() {
-            chain.gap(first_offset);
+            chain.mark_gap(first_offset);
         }
     }
 
     /// Takes in a peer's current version of a customer, from [`Ledger::keep_record`].
     pub fn adopt(&mut self, keep: &Keep) -> Verdict {
-        self.keep(keep, keep.through, Chain::proof)
+        self.apply_keep(keep, keep.through, VersionChain::apply_peer_proof)
     }
 
     /// Takes in a peer's list of customers, from [`Ledger::customers_record`].
@@ -112,7 +112,7 @@
         let listed: HashSet<&CustomerName> = customers.names.iter().collect();
         for (name, chain) in &mut self.chains {
             if !listed.contains(name) {
-                chain.anchor(None, through, next_offset);
+                chain.apply_anchor(None, through, next_offset);
             }
         }
         self.listed_from = Some(through);
@@ -121,12 +121,12 @@
 
     /// The customer's accepted version as far as it is known here; never goes back.
     pub fn current(&self, customer: &CustomerName) -> Option<&Arc<AcceptedVersion>> {
-        self.chains.get(customer)?.held()
+        self.chains.get(customer)?.newest_known()
     }
 
     /// The accepted versions of all customers, in the order of their names.
     pub fn all(&self) -> impl Iterator<Item = &Arc<AcceptedVersion>> {
-        self.chains.values().filter_map(Chain::held)
+        self.chains.values().filter_map(VersionChain::newest_known)
     }
 
     /// Whether the version in [`Ledger::current`] (or that there is none) is known to be
@@ -140,7 +140,7 @@
 
     /// Whether that holds for every customer.
     pub fn is_complete(&self) -> bool {
-        let certain = |chain: &Chain| chain.certain_up_to(self.next_offset).is_some();
+        let certain = |chain: &VersionChain| chain.certain_up_to(self.next_offset).is_some();
         self.listed_from.is_some() && self.chains.values().all(certain)
     }
 
@@ -159,7 +159,7 @@
     /// The customer's version for a peer, or to be appended again.
     pub fn keep_record(&self, customer: &CustomerName) -> Option<Keep> {
         let chain = self.chains.get(customer)?;
-        let held = chain.held()?;
+        let held = chain.newest_known()?;
         Some(Keep {
             customer: customer.clone(),
             version: held.version,
@@ -177,9 +177,9 @@
         // A list from a peer that has read further names customers whose first version
         // this reader has yet to learn: a list without them, for the peer's offset,
         // would let others accept a second first version.
-        let known = |chain: &Chain| {
+        let known = |chain: &VersionChain| {
             let up_to = chain.certain_up_to(self.next_offset);
-            chain.held().is_some() || up_to.is_some_and(|up_to| up_to >= through)
+            chain.newest_known().is_some() || up_to.is_some_and(|up_to| up_to >= through)
         };
         if !self.chains.values().all(known) {
             return None;
@@ -201,44 +201,44 @@
         true
     }
 
-    fn publish(&mut self, offset: u64, publish: &Publish) -> Verdict {
-        let pending = self.chains.values().map(Chain::pending_bytes);
+    fn apply_publish(&mut self, offset: u64, publish: &Publish) -> Verdict {
+        let pending = self.chains.values().map(VersionChain::pending_bytes);
         let room_bytes = PENDING_BYTES_MAX.saturating_sub(pending.sum());
         let chain = self.chain_mut(&publish.customer);
-        chain.publish(offset, publish, room_bytes)
+        chain.apply_publish(offset, publish, room_bytes)
     }
 
     /// `unanchored` takes in a version that was not said to be the current one.
-    fn keep(
+    fn apply_keep(
         &mut self,
         keep: &Keep,
         through: Option<u64>,
-        unanchored: impl Fn(&mut Chain, Arc<AcceptedVersion>) -> Verdict,
+        unanchored: impl Fn(&mut VersionChain, Arc<AcceptedVersion>) -> Verdict,
     ) -> Verdict {
         if keep.version == 0 {
             return Verdict::Known;
         }
         let next_offset = self.next_offset;
         let chain = self.chain_mut(&keep.customer);
-        let accepted = match accepted(keep, chain.held()) {
+        let accepted = match read_keep(keep, chain.newest_known()) {
             Ok(accepted) => accepted,
             Err(verdict) => return verdict,
         };
         match through {
-            Some(through) => chain.anchor(Some(accepted), through, next_offset),
+            Some(through) => chain.apply_anchor(Some(accepted), through, next_offset),
             None => unanchored(chain, accepted),
         }
     }
 
-    fn chain_mut(&mut self, customer: &CustomerName) -> &mut Chain {
+    fn chain_mut(&mut self, customer: &CustomerName) -> &mut VersionChain {
         let (listed_from, complete_from) = (self.listed_from, self.complete_from);
-        let new = || Chain::new(listed_from, complete_from);
+        let new = || VersionChain::new(listed_from, complete_from);
         self.chains.entry(customer.clone()).or_insert_with(new)
     }
 }
 
 /// Reads a kept text, unless it is the one that is held.
-fn accepted(
+fn read_keep(
     keep: &Keep,
     held: Option<&Arc<AcceptedVersion>>,
 ) -> Result<Arc<AcceptedVersion>, Verdict> {
@@ -253,7 +253,7 @@
     let origin = format!("{} version {}", keep.customer, keep.version);
     // Somebody who knows newer rules accepted it; what can be read of it is of use.
     let rules = known.unwrap_or_else(Rules::newest);
-    let text = judge(rules, &keep.customer, &keep.text, &origin);
+    let text = parse_published(rules, &keep.customer, &keep.text, &origin);
     let text = text.map_err(|_| match known {
         Some(_) => Verdict::Conflict {
             version: keep.version,
@@ -261,7 +261,7 @@
         },
         None => Verdict::RulesTooNew { rules: keep.rules },
     })?;
-    let record = Versioned {
+    let record = VersionedRecord {
         customer: &keep.customer,
         version: keep.version,
         id: &keep.id,
--- a/components/config/src/lib.rs
+++ b/components/config/src/lib.rs
@@ -10,43 +10,43 @@
 mod check;
 mod complaint;
 mod cycle;
+mod dependencies;
 mod depth;
 mod diff;
 mod fields;
-mod judged;
-mod keeper;
+mod keep_scheduler;
 mod ledger;
 mod limit;
-mod links;
-mod own;
+mod names;
 mod parse;
 mod parse_service;
 mod parse_token;
 mod pattern;
 mod pending;
 mod place;
+mod recent_verdicts;
 mod record;
 mod rules;
 mod service;
 mod summary;
 mod text;
+mod text_check;
 mod verdict;
 mod view;
-mod words;
 
 pub use accepted::{AcceptedVersion, VersionDigest};
 pub use check::check;
 pub use complaint::{Complaint, ComplaintCause, Complaints, Severity};
 pub use customers::TokenDigest;
+pub use dependencies::{UnmetCause, UnmetDependency};
 pub use diff::line_diff;
-pub use keeper::{KeepScheduler, KeepSettings};
+pub use keep_scheduler::{KeepScheduler, KeepSettings};
 pub use ledger::Ledger;
 pub use limit::{
     DEADLINE_MS, DEPENDENCIES_MAX, DEPTH_MAX, IN_PROGRESS, PATTERNS_MAX, RECORD_BYTES_MAX,
     REQUESTS_PER_S, SERVICES_MAX, SHARED_MAX, STALENESS_BOUND, TEXT_BYTES_MAX, TOKENS_MAX,
     TOKENS_PER_S, WEIGHT,
 };
-pub use links::{UnmetCause, UnmetDependency};
 pub use parse::{parse, parse_with_rules};
 pub use pattern::{CallPattern, PatternError};
 pub use place::Place;
--- a/components/config/src/words.rs
+++ b/components/config/src/names.rs
@@ -17,10 +17,10 @@
         Err(error) => {
             let cause = ComplaintCause::BadName {
                 field: field.to_owned(),
-                text: shortened(text),
+                text: excerpt(text),
                 error,
             };
-            report.error(place, cause);
+            report.add_error(place, cause);
             None
         }
     }
@@ -30,13 +30,13 @@
 const EXCERPT_CHARS_MAX: usize = 80;
 
 /// The text, cut to the length of an excerpt.
-pub(crate) fn shortened(text: &str) -> String {
+pub(crate) fn excerpt(text: &str) -> String {
     text.chars().take(EXCERPT_CHARS_MAX).collect()
 }
 
 /// The known name that is close enough to be meant.
 pub(crate) fn nearest<'n>(found: &str, known: impl IntoIterator<Item = &'n str>) -> Option<String> {
-    let found = shortened(found);
+    let found = excerpt(found);
     let far = (found.len() / 3).max(1);
     let found_bytes = found.len();
     let known = known
--- a/components/config/src/parse.rs
+++ b/components/config/src/parse.rs
@@ -6,14 +6,14 @@
 use types::CustomerName;
 
 use crate::complaint::Report;
-use crate::fields::Fields;
+use crate::fields::FieldReader;
 use crate::limit::{
     DEPTH_MAX, IN_PROGRESS, REQUESTS_PER_S, SERVICES_MAX, TEXT_BYTES_MAX, TOKENS_MAX, TOKENS_PER_S,
     WEIGHT, default,
 };
-use crate::place::Lines;
+use crate::place::LineIndex;
 use crate::{ComplaintCause, Complaints, CustomerConfig, Limits, Place, Rules, Schema};
-use crate::{own, parse_service, parse_token};
+use crate::{parse_service, parse_token, text_check};
 
 /// The schema major that is read here.
 const SCHEMA_MAJOR: u32 = 1;
@@ -30,22 +30,22 @@
     file: &str,
 ) -> Result<CustomerConfig, Complaints> {
     let mut report = Report::new(file);
-    let parsed = read(rules, text, &mut report);
+    let parsed = read_source(rules, text, &mut report);
     finish(parsed, report)
 }
 
 /// Reads and checks a text that is published for this customer.
-pub(crate) fn judge(
+pub(crate) fn parse_published(
     rules: Rules,
     customer: &CustomerName,
     text: &str,
     file: &str,
 ) -> Result<CustomerConfig, Complaints> {
     let mut report = Report::new(file);
-    let parsed = read(rules, text, &mut report);
+    let parsed = read_source(rules, text, &mut report);
     if let Some(other) = parsed.as_ref().filter(|text| text.customer != *customer) {
         let wanted = customer.to_string();
-        report.error(other.place, ComplaintCause::OtherCustomer { wanted });
+        report.add_error(other.place, ComplaintCause::OtherCustomer { wanted });
     }
     finish(parsed, report)
 }
@@ -62,34 +62,34 @@
     }
 }
 
-fn read(rules: Rules, source: &str, report: &mut Report) -> Option<CustomerConfig> {
+fn read_source(rules: Rules, source: &str, report: &mut Report) -> Option<CustomerConfig> {
     if source.len() > TEXT_BYTES_MAX {
         let (bytes, max) = (source.len(), TEXT_BYTES_MAX);
-        report.error(Place::START, ComplaintCause::TooLarge { bytes, max });
+        report.add_error(Place::START, ComplaintCause::TooLarge { bytes, max });
         return None;
     }
-    let lines = Lines::of(source);
-    if let Some(byte) = crate::depth::too_deep_at(source) {
+    let lines = LineIndex::new(source);
+    if let Some(byte) = crate::depth::find_too_deep(source) {
         let max = DEPTH_MAX;
-        report.error(lines.place(byte), ComplaintCause::TooDeep { max });
+        report.add_error(lines.place(byte), ComplaintCause::TooDeep { max });
         return None;
     }
     let (table, errors) = DeTable::parse_recoverable(source);
     for error in &errors {
         let byte = error.span().map_or(0, |span| span.start);
         let message = error.message().to_owned();
-        report.error(lines.place(byte), ComplaintCause::Syntax(message));
+        report.add_error(lines.place(byte), ComplaintCause::Syntax(message));
     }
     if !errors.is_empty() {
         return None;
     }
-    let mut fields = Fields::of_text(table.get_ref(), &lines, rules);
+    let mut fields = FieldReader::root(table.get_ref(), &lines, rules);
     let text = read_text(&mut fields, report)?;
-    own::check(rules, &text, report);
+    text_check::check_text(rules, &text, report);
     Some(text)
 }
 
-fn read_text(fields: &mut Fields<'_>, report: &mut Report) -> Option<CustomerConfig> {
+fn read_text(fields: &mut FieldReader<'_>, report: &mut Report) -> Option<CustomerConfig> {
     let schema = read_schema(fields, report);
     // Whether an unknown field is a complaint depends on the schema, so it comes first.
     fields.newer_schema = schema.is_some_and(|schema| schema.minor > fields.rules.schema_minor);
@@ -98,7 +98,7 @@
     let limits = read_limits(fields, report);
     let token_tables = fields.tables("token", TOKENS_MAX, report);
     let service_tables = fields.tables("service", SERVICES_MAX, report);
-    fields.refuse_unknown(report);
+    fields.report_unknown(report);
     let customer: Option<CustomerName> = customer;
     // Without the customer's name, its own services cannot be told from others'; the
     // rest is read all the same for its complaints.
@@ -106,10 +106,11 @@
         .clone()
         .or_else(|| CustomerName::new("unnamed").ok())?;
     let tokens = token_tables.into_iter();
-    let tokens = tokens.filter_map(|mut table| parse_token::read(&mut table, &owner, report));
+    let tokens = tokens.filter_map(|mut table| parse_token::read_token(&mut table, &owner, report));
     let tokens = tokens.collect();
     let services = service_tables.into_iter();
-    let services = services.filter_map(|mut table| parse_service::read(&mut table, &owner, report));
+    let services =
+        services.filter_map(|mut table| parse_service::read_service(&mut table, &owner, report));
     let services = services.map(Arc::new).collect();
     Some(CustomerConfig {
         file: report.file(),
@@ -123,7 +124,7 @@
     })
 }
 
-fn read_schema(fields: &mut Fields<'_>, report: &mut Report) -> Option<Schema> {
+fn read_schema(fields: &mut FieldReader<'_>, report: &mut Report) -> Option<Schema> {
     let (word, place) = fields.integer_or_text("schema", "schema = 1", report)?;
     let (major, minor) = word.split_once('.').unwrap_or((&word, "0"));
     let digits = |text: &str| text.bytes().all(|b| b.is_ascii_digit());
@@ -131,13 +132,13 @@
     match (numbers, major.parse(), minor.parse()) {
         (true, Ok(major), Ok(minor)) if major == SCHEMA_MAJOR => Some(Schema { major, minor }),
         _ => {
-            report.error(place, ComplaintCause::UnknownSchema { found: word });
+            report.add_error(place, ComplaintCause::UnknownSchema { found: word });
             None
         }
     }
 }
 
-fn read_limits(fields: &mut Fields<'_>, report: &mut Report) -> Option<Limits> {
+fn read_limits(fields: &mut FieldReader<'_>, report: &mut Report) -> Option<Limits> {
     let mut table = fields.table("limits", report)?;
     let weight = table.number("weight", WEIGHT, default::WEIGHT, report);
     let requests = table.number(
@@ -148,7 +149,7 @@
     );
     let in_progress = table.number("in_progress", IN_PROGRESS, default::IN_PROGRESS, report);
     let tokens = table.number("tokens_per_s", TOKENS_PER_S, default::TOKENS_PER_S, report);
-    table.refuse_unknown(report);
+    table.report_unknown(report);
     Some(Limits {
         weight: u32::try_from(weight).ok()?,
         requests_per_s: u32::try_from(requests).ok()?,
--- a/components/config/src/parse_service.rs
+++ b/components/config/src/parse_service.rs
@@ -3,11 +3,11 @@
 use types::{Class, CustomerName, PoolName, ServiceName};
 
 use crate::complaint::Report;
-use crate::fields::{Fields, Word};
+use crate::fields::{FieldReader, SpannedText};
 use crate::limit::{
     DEADLINE_MS, DEPENDENCIES_MAX, PATTERNS_MAX, SHARED_MAX, STALENESS_BOUND, default,
 };
-use crate::words::{parse_name, shortened};
+use crate::names::{excerpt, parse_name};
 use crate::{CallPattern, ComplaintCause, Dependency, Place, Service, ServiceKind, ServiceRef};
 
 /// Fields that only models have.
@@ -15,25 +15,25 @@
 /// Fields that only plain services have.
 const PLAIN_FIELDS: [&str; 2] = ["non_idempotent", "idempotent"];
 
-pub(crate) fn read(
-    fields: &mut Fields<'_>,
+pub(crate) fn read_service(
+    fields: &mut FieldReader<'_>,
     owner: &CustomerName,
     report: &mut Report,
 ) -> Option<Service> {
     let name: Option<ServiceName> = fields.name("name", report);
     let place = fields.place_of("name");
     let kind = read_kind(fields, report);
-    let pool: Option<PoolName> = fields.name_if_any("pool", report);
+    let pool: Option<PoolName> = fields.optional_name("pool", report);
     let depends_on = read_dependencies(fields, owner, report);
-    let shared_with = read_shared(fields, report);
+    let shared_with = read_shared_with(fields, report);
     let class = read_class(fields, report).unwrap_or(Class::Interactive);
     let deadline = fields.number("deadline_ms", DEADLINE_MS, default::DEADLINE_MS, report);
-    let staleness_bound = read_staleness(fields, report);
-    let scorer = fields.name_if_any("scorer", report);
+    let staleness_bound = read_staleness_bound(fields, report);
+    let scorer = fields.optional_name("scorer", report);
     let non_idempotent = read_patterns("non_idempotent", fields, report);
     let idempotent = read_patterns("idempotent", fields, report);
-    fields.refuse_unknown(report);
-    refuse_other_kind(fields, kind, report);
+    fields.report_unknown(report);
+    report_other_kinds_fields(fields, kind, report);
     let name = name?;
     let default_pool = PoolName::new(name.as_str()).ok();
     Some(Service {
@@ -45,7 +45,7 @@
         class,
         deadline_ms: u32::try_from(deadline).ok()?,
         staleness_bound,
-        staleness_stated: fields.has("staleness_bound"),
+        has_staleness_bound: fields.has("staleness_bound"),
         scorer,
         non_idempotent,
         idempotent,
@@ -54,38 +54,38 @@
     })
 }
 
-fn read_kind(fields: &mut Fields<'_>, report: &mut Report) -> Option<ServiceKind> {
+fn read_kind(fields: &mut FieldReader<'_>, report: &mut Report) -> Option<ServiceKind> {
     if !fields.has("kind") {
-        fields.missing("kind", "\"model\" or \"plain\"", report);
+        fields.report_missing("kind", "\"model\" or \"plain\"", report);
     }
-    let words = ServiceKind::ALL.map(|kind| (kind.as_str(), kind));
-    fields.word("kind", &words, report)
+    let texts = ServiceKind::ALL.map(|kind| (kind.as_str(), kind));
+    fields.choice("kind", &texts, report)
 }
 
 /// The class of a service or token, if it is stated.
-pub(crate) fn read_class(fields: &mut Fields<'_>, report: &mut Report) -> Option<Class> {
-    let words = Class::ALL.map(|class| (class.as_str(), class));
-    fields.word("class", &words, report)
+pub(crate) fn read_class(fields: &mut FieldReader<'_>, report: &mut Report) -> Option<Class> {
+    let texts = Class::ALL.map(|class| (class.as_str(), class));
+    fields.choice("class", &texts, report)
 }
 
-fn read_staleness(fields: &mut Fields<'_>, report: &mut Report) -> u64 {
+fn read_staleness_bound(fields: &mut FieldReader<'_>, report: &mut Report) -> u64 {
     let default = default::STALENESS_BOUND;
     fields.number("staleness_bound", STALENESS_BOUND, default, report)
 }
 
 fn read_dependencies(
-    fields: &mut Fields<'_>,
+    fields: &mut FieldReader<'_>,
     owner: &CustomerName,
     report: &mut Report,
 ) -> Vec<Dependency> {
-    let words = fields.words("depends_on", DEPENDENCIES_MAX, report);
-    let mut dependencies: Vec<Dependency> = Vec::with_capacity(words.len());
-    for (text, place) in words {
+    let texts = fields.texts("depends_on", DEPENDENCIES_MAX, report);
+    let mut dependencies: Vec<Dependency> = Vec::with_capacity(texts.len());
+    for (text, place) in texts {
         let Some(target) = read_target("depends_on", &text, place, owner, report) else {
             continue;
         };
         match dependencies.iter().find(|other| other.target == target) {
-            Some(first) => duplicate("dependency", &text, place, first.place, report),
+            Some(first) => report_duplicate("dependency", &text, place, first.place, report),
             None => dependencies.push(Dependency { target, place }),
         }
     }
@@ -113,48 +113,58 @@
     })
 }
 
-fn read_shared(fields: &mut Fields<'_>, report: &mut Report) -> Vec<CustomerName> {
-    let words = fields.words("shared_with", SHARED_MAX, report);
-    let mut shared: Vec<(CustomerName, Place)> = Vec::with_capacity(words.len());
-    for (text, place) in words {
+fn read_shared_with(fields: &mut FieldReader<'_>, report: &mut Report) -> Vec<CustomerName> {
+    let texts = fields.texts("shared_with", SHARED_MAX, report);
+    let mut shared: Vec<(CustomerName, Place)> = Vec::with_capacity(texts.len());
+    for (text, place) in texts {
         let Some(customer) = parse_name::<CustomerName>("shared_with", &text, place, report) else {
             continue;
         };
         match shared.iter().find(|(other, _)| *other == customer) {
-            Some((_, first)) => duplicate("customer", &text, place, *first, report),
+            Some((_, first)) => report_duplicate("customer", &text, place, *first, report),
             None => shared.push((customer, place)),
         }
     }
     shared.into_iter().map(|(customer, _)| customer).collect()
 }
 
-fn duplicate(what: &'static str, name: &str, place: Place, first: Place, report: &mut Report) {
+fn report_duplicate(
+    what: &'static str,
+    name: &str,
+    place: Place,
+    first: Place,
+    report: &mut Report,
+) {
     let name = name.to_owned();
-    report.error(place, ComplaintCause::Duplicate { what, name, first });
+    report.add_error(place, ComplaintCause::Duplicate { what, name, first });
 }
 
 fn read_patterns(
     field: &'static str,
-    fields: &mut Fields<'_>,
+    fields: &mut FieldReader<'_>,
     report: &mut Report,
 ) -> Vec<CallPattern> {
-    let words = fields.words(field, PATTERNS_MAX, report).into_iter();
-    let patterns = words.filter_map(|word| read_pattern(&word, report));
+    let texts = fields.texts(field, PATTERNS_MAX, report).into_iter();
+    let patterns = texts.filter_map(|word| read_pattern(&word, report));
     patterns.collect()
 }
 
-fn read_pattern((text, place): &Word, report: &mut Report) -> Option<CallPattern> {
+fn read_pattern((text, place): &SpannedText, report: &mut Report) -> Option<CallPattern> {
     match CallPattern::new(text) {
         Ok(pattern) => Some(pattern),
         Err(error) => {
-            let text = shortened(text);
-            report.error(*place, ComplaintCause::BadPattern { text, error });
+            let text = excerpt(text);
+            report.add_error(*place, ComplaintCause::BadPattern { text, error });
             None
         }
     }
 }
 
-fn refuse_other_kind(fields: &Fields<'_>, kind: Option<ServiceKind>, report: &mut Report) {
+fn report_other_kinds_fields(
+    fields: &FieldReader<'_>,
+    kind: Option<ServiceKind>,
+    report: &mut Report,
+) {
     let Some(kind) = kind else { return };
     let foreign = match kind {
         ServiceKind::Model => PLAIN_FIELDS,
@@ -162,6 +172,6 @@
     };
     for field in foreign.into_iter().filter(|field| fields.has(field)) {
         let cause = ComplaintCause::NotForKind { field, kind };
-        report.error(fields.place_of(field), cause);
+        report.add_error(fields.place_of(field), cause);
     }
 }
--- a/components/config/src/parse_token.rs
+++ b/components/config/src/parse_token.rs
@@ -3,13 +3,13 @@
 use types::{CustomerName, Role, ServiceName};
 
 use crate::complaint::Report;
-use crate::fields::Fields;
+use crate::fields::FieldReader;
 use crate::limit::SERVICES_MAX;
 use crate::parse_service::{read_class, read_target};
 use crate::{ComplaintCause, ServiceRef, Token, TokenDigest};
 
-pub(crate) fn read(
-    fields: &mut Fields<'_>,
+pub(crate) fn read_token(
+    fields: &mut FieldReader<'_>,
     owner: &CustomerName,
     report: &mut Report,
 ) -> Option<Token> {
@@ -19,7 +19,7 @@
     let services = read_services(fields, owner, report);
     let class = read_class(fields, report);
     let digest = read_digest(fields, report);
-    fields.refuse_unknown(report);
+    fields.report_unknown(report);
     Some(Token {
         name: name?,
         role: role?,
@@ -30,36 +30,36 @@
     })
 }
 
-fn read_role(fields: &mut Fields<'_>, report: &mut Report) -> Option<Role> {
+fn read_role(fields: &mut FieldReader<'_>, report: &mut Report) -> Option<Role> {
     if !fields.has("role") {
         let wanted = "\"caller\", \"trainer\" or \"operator\"";
-        fields.missing("role", wanted, report);
+        fields.report_missing("role", wanted, report);
     }
-    let words = Role::ALL.map(|role| (role.as_str(), role));
-    fields.word("role", &words, report)
+    let texts = Role::ALL.map(|role| (role.as_str(), role));
+    fields.choice("role", &texts, report)
 }
 
 fn read_services(
-    fields: &mut Fields<'_>,
+    fields: &mut FieldReader<'_>,
     owner: &CustomerName,
     report: &mut Report,
 ) -> Option<Vec<ServiceRef>> {
     let stated = fields.has("services");
-    let words = fields.words("services", SERVICES_MAX, report).into_iter();
+    let texts = fields.texts("services", SERVICES_MAX, report).into_iter();
     let targets =
-        words.filter_map(|(text, place)| read_target("services", &text, place, owner, report));
+        texts.filter_map(|(text, place)| read_target("services", &text, place, owner, report));
     let targets: Vec<ServiceRef> = targets.collect();
     stated.then_some(targets)
 }
 
-fn read_digest(fields: &mut Fields<'_>, report: &mut Report) -> Option<TokenDigest> {
+fn read_digest(fields: &mut FieldReader<'_>, report: &mut Report) -> Option<TokenDigest> {
     if !fields.has("sha256") {
-        fields.missing("sha256", "the 64 hex digits of the token's SHA-256", report);
+        fields.report_missing("sha256", "the 64 hex digits of the token's SHA-256", report);
     }
     let (hex, place) = fields.text("sha256", report)?;
     let digest = TokenDigest::parse(&hex);
     if digest.is_none() {
-        report.error(place, ComplaintCause::BadDigest);
+        report.add_error(place, ComplaintCause::BadDigest);
     }
     digest
 }
--- a/components/config/src/pattern.rs
+++ b/components/config/src/pattern.rs
@@ -60,18 +60,18 @@
         })
     }
 
-    fn is_method(&self, method: &str) -> bool {
+    fn matches_method(&self, method: &str) -> bool {
         self.method == ANY_METHOD || self.method.eq_ignore_ascii_case(method)
     }
 
     /// Whether the call is exactly this one.
-    pub(crate) fn is(&self, method: &str, path: &str) -> bool {
+    pub(crate) fn matches(&self, method: &str, path: &str) -> bool {
         (self.method == ANY_METHOD || self.method == method) && self.path == path
     }
 
     /// Whether the call is this one or one below its path, in capitals or not.
     pub(crate) fn covers(&self, method: &str, path: &str) -> bool {
-        if !self.is_method(method) {
+        if !self.matches_method(method) {
             return false;
         }
         if self.path == "/" {
@@ -93,14 +93,14 @@
 }
 
 /// The path without query and fragment.
-pub(crate) fn path_only(path: &str) -> &str {
+pub(crate) fn strip_query(path: &str) -> &str {
     path.split(['?', '#']).next().unwrap_or(path)
 }
 
 /// The path with escapes of ordinary characters undone, empty and `.` parts dropped and
 /// `..` resolved; `None` where endpoints differ in how they read it.
 pub(crate) fn normal_path(path: &str) -> Option<String> {
-    let decoded = undo_escapes(path)?;
+    let decoded = percent_decode(path)?;
     let mut parts: Vec<&str> = Vec::new();
     for part in decoded.split('/') {
         match part {
@@ -117,7 +117,7 @@
 }
 
 /// Undoes escapes; `None` for a bad one and for an escaped separator or control.
-fn undo_escapes(path: &str) -> Option<String> {
+fn percent_decode(path: &str) -> Option<String> {
     let mut bytes = Vec::with_capacity(path.len());
     let mut rest = path.bytes();
     while let Some(byte) = rest.next() {
--- a/components/config/src/pending.rs
+++ b/components/config/src/pending.rs
@@ -13,12 +13,12 @@
 
 /// Publishes with their offsets, in the log's order.
 #[derive(Clone, Debug)]
-pub(crate) struct Pending {
+pub(crate) struct PendingPublishes {
     publishes: VecDeque<(u64, Publish)>,
     complete_from: u64,
 }
 
-impl Pending {
+impl PendingPublishes {
     pub(crate) fn new(complete_from: u64) -> Self {
         Self {
             publishes: VecDeque::new(),
@@ -31,7 +31,7 @@
         self.complete_from
     }
 
-    pub(crate) fn bytes(&self) -> usize {
+    pub(crate) fn text_bytes(&self) -> usize {
         self.publishes
             .iter()
             .map(|(_, publish)| publish.text.len())
@@ -41,7 +41,7 @@
     /// Adds a publish. Without room the oldest ones are dropped: what they did can then
     /// only be learned from an anchor behind them.
     pub(crate) fn push(&mut self, offset: u64, publish: &Publish, room_bytes: usize) {
-        let own_room_bytes = PENDING_BYTES_MAX.saturating_sub(self.bytes());
+        let own_room_bytes = PENDING_BYTES_MAX.saturating_sub(self.text_bytes());
         let mut room_bytes = room_bytes.min(own_room_bytes);
         while room_bytes < cost_bytes(publish) {
             let Some((dropped_offset, dropped)) = self.publishes.pop_front() else {
@@ -54,7 +54,7 @@
         self.publishes.push_back((offset, publish.clone()));
     }
 
-    pub(crate) fn take(&mut self) -> VecDeque<(u64, Publish)> {
+    pub(crate) fn take_all(&mut self) -> VecDeque<(u64, Publish)> {
         std::mem::take(&mut self.publishes)
     }
 
--- a/components/config/src/place.rs
+++ b/components/config/src/place.rs
@@ -25,13 +25,13 @@
 }
 
 /// Finds the place of a byte offset without counting lines from the start each time.
-pub(crate) struct Lines<'a> {
+pub(crate) struct LineIndex<'a> {
     text: &'a str,
     starts: Vec<usize>,
 }
 
-impl<'a> Lines<'a> {
-    pub(crate) fn of(text: &'a str) -> Self {
+impl<'a> LineIndex<'a> {
+    pub(crate) fn new(text: &'a str) -> Self {
         let breaks = text.match_indices('\n').map(|(at, _)| at + 1);
         Self {
             text,
@@ -44,12 +44,12 @@
         let start = self.starts.get(line - 1).copied().unwrap_or(0);
         let before = self.text.get(start..byte).unwrap_or("");
         Place {
-            line: narrow(line),
-            column: narrow(before.chars().count() + 1),
+            line: saturating_u32(line),
+            column: saturating_u32(before.chars().count() + 1),
         }
     }
 }
 
-fn narrow(number: usize) -> u32 {
+fn saturating_u32(number: usize) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
--- a/components/config/src/judged.rs
+++ b/components/config/src/recent_verdicts.rs
@@ -19,11 +19,11 @@
 
 /// The last verdicts, oldest first.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Judged {
+pub(crate) struct RecentVerdicts {
     entries: VecDeque<Entry>,
 }
 
-impl Judged {
+impl RecentVerdicts {
     /// The verdict on the last publish with this id.
     pub(crate) fn verdict(&self, id: &str) -> Option<&Verdict> {
         let newest_first = self.entries.iter().rev();
@@ -32,7 +32,7 @@
     }
 
     /// The verdict on an earlier copy of this publish.
-    pub(crate) fn first(&self, publish: &Publish) -> Option<&Verdict> {
+    pub(crate) fn verdict_on_copy(&self, publish: &Publish) -> Option<&Verdict> {
         let digest = source_digest(&publish.text);
         let entry = self
             .entries
@@ -41,7 +41,7 @@
         entry.map(|entry| &entry.verdict)
     }
 
-    pub(crate) fn remember(&mut self, publish: &Publish, verdict: &Verdict) {
+    pub(crate) fn record(&mut self, publish: &Publish, verdict: &Verdict) {
         let digest = source_digest(&publish.text);
         self.entries.retain(|entry| !entry.is_copy(publish, digest));
         self.entries.push_back(Entry {
--- a/components/config/src/rules.rs
+++ b/components/config/src/rules.rs
@@ -20,9 +20,9 @@
     /// fields that they do not know.
     pub schema_minor: u32,
     /// A model that a trainer token names must state its `staleness_bound`.
-    pub(crate) staleness_stated: bool,
+    pub(crate) requires_staleness_bound: bool,
     /// A publish on a version above 0 must name the id of that version's publish.
-    pub(crate) base_id_stated: bool,
+    pub(crate) requires_base_id: bool,
 }
 
 impl Rules {
@@ -36,8 +36,8 @@
         Some(Rules {
             version,
             schema_minor: 0,
-            staleness_stated: stricter,
-            base_id_stated: stricter,
+            requires_staleness_bound: stricter,
+            requires_base_id: stricter,
         })
     }
 
@@ -46,8 +46,8 @@
         Rules {
             version: RULES_NEWEST,
             schema_minor: 0,
-            staleness_stated: true,
-            base_id_stated: true,
+            requires_staleness_bound: true,
+            requires_base_id: true,
         }
     }
 }
--- a/components/config/src/service.rs
+++ b/components/config/src/service.rs
@@ -5,7 +5,7 @@
 use derive::{key, value};
 use types::{Class, CustomerName, PoolName, ServiceName};
 
-use crate::pattern::{normal_path, path_only};
+use crate::pattern::{normal_path, strip_query};
 use crate::{CallPattern, Place};
 
 /// What stands behind a service.
@@ -83,7 +83,7 @@
     /// How many versions a sample may be behind its trainer; models only.
     pub staleness_bound: u64,
     /// Whether the text states the bound itself.
-    pub staleness_stated: bool,
+    pub has_staleness_bound: bool,
     /// Plain service of the same customer that scores the samples; models only.
     pub scorer: Option<ServiceName>,
     /// Calls that may run once only, against the default of their method.
@@ -115,7 +115,7 @@
     /// separators, bad escapes) counts as non-idempotent: otherwise `/%73anctions`
     /// could pass by the pattern `/sanctions` and run twice.
     pub fn is_idempotent(&self, method: &str, path: &str) -> bool {
-        let Some(path) = normal_path(path_only(path)) else {
+        let Some(path) = normal_path(strip_query(path)) else {
             return false;
         };
         if self.kind == ServiceKind::Model && (method, path.as_str()) == COMPLETIONS {
@@ -125,7 +125,7 @@
         if self.non_idempotent.iter().any(once) {
             return false;
         }
-        let again = |pattern: &CallPattern| pattern.is(method, &path);
+        let again = |pattern: &CallPattern| pattern.matches(method, &path);
         IDEMPOTENT_METHODS.contains(&method) || self.idempotent.iter().any(again)
     }
 }
--- a/components/config/src/summary.rs
+++ b/components/config/src/summary.rs
@@ -75,13 +75,13 @@
     let services = new.services.iter().map(|service| service.as_ref());
     Summary {
         limits: old.map_or_else(Vec::new, |old| limit_fields(old, new)),
-        services: changes(
+        services: changes_by_name(
             old_services.map(|service| service.as_ref()),
             services,
             |service: &Service| &service.name,
             service_fields,
         ),
-        tokens: changes(
+        tokens: changes_by_name(
             old_tokens,
             new.tokens.iter(),
             |token: &Token| &token.name,
@@ -90,7 +90,7 @@
     }
 }
 
-fn changes<'t, T: 't>(
+fn changes_by_name<'t, T: 't>(
     old: impl Iterator<Item = &'t T>,
     new: impl Iterator<Item = &'t T>,
     name: impl Fn(&T) -> &ServiceName,
@@ -117,14 +117,14 @@
 }
 
 /// The names of the fields that differ.
-fn differing<const N: usize>(fields: [(&'static str, bool); N]) -> Vec<&'static str> {
+fn changed_fields<const N: usize>(fields: [(&'static str, bool); N]) -> Vec<&'static str> {
     let differing = fields.into_iter().filter(|(_, same)| !same);
     differing.map(|(name, _)| name).collect()
 }
 
 fn limit_fields(old: &CustomerConfig, new: &CustomerConfig) -> Vec<&'static str> {
     let (old, new) = (old.limits, new.limits);
-    differing([
+    changed_fields([
         ("weight", old.weight == new.weight),
         ("requests_per_s", old.requests_per_s == new.requests_per_s),
         ("in_progress", old.in_progress == new.in_progress),
@@ -135,7 +135,7 @@
 fn service_fields(old: &Service, new: &Service) -> Vec<&'static str> {
     let old_targets = old.depends_on.iter().map(|edge| &edge.target);
     let new_targets = new.depends_on.iter().map(|edge| &edge.target);
-    differing([
+    changed_fields([
         ("kind", old.kind == new.kind),
         ("pool", old.pool == new.pool),
         ("depends_on", old_targets.eq(new_targets)),
@@ -153,7 +153,7 @@
 }
 
 fn token_fields(old: &Token, new: &Token) -> Vec<&'static str> {
-    differing([
+    changed_fields([
         ("role", old.role == new.role),
         ("services", old.services == new.services),
         ("class", old.class == new.class),
--- a/components/config/src/own.rs
+++ b/components/config/src/text_check.rs
@@ -6,13 +6,13 @@
 use types::{Role, ServiceName};
 
 use crate::complaint::Report;
-use crate::cycle::{self, Closing, Edges};
-use crate::words::nearest;
+use crate::cycle::{self, CycleEdge, Edges};
+use crate::names::nearest;
 use crate::{
     ComplaintCause, CustomerConfig, Place, Rules, Service, ServiceKind, ServiceRef, Token,
 };
 
-pub(crate) fn check(rules: Rules, text: &CustomerConfig, report: &mut Report) {
+pub(crate) fn check_text(rules: Rules, text: &CustomerConfig, report: &mut Report) {
     check_duplicates(text, report);
     text.services
         .iter()
@@ -21,7 +21,7 @@
         .iter()
         .for_each(|token| check_token(text, token, report));
     check_cycles(text, report);
-    if rules.staleness_stated {
+    if rules.requires_staleness_bound {
         check_staleness(text, report);
     }
 }
@@ -29,17 +29,17 @@
 fn check_duplicates(text: &CustomerConfig, report: &mut Report) {
     let services = text.services.iter();
     let names = services.map(|service| (&service.name, service.place, &service.name));
-    refuse_duplicates("service", names, report);
+    report_duplicates("service", names, report);
     let tokens = text.tokens.iter();
     let names = tokens
         .clone()
         .map(|token| (&token.name, token.place, &token.name));
-    refuse_duplicates("token", names, report);
+    report_duplicates("token", names, report);
     let digests = tokens.map(|token| (&token.digest, token.place, &token.name));
-    refuse_duplicates("the digest of token", digests, report);
+    report_duplicates("the digest of token", digests, report);
 }
 
-fn refuse_duplicates<'t, K: Eq + Hash + 't>(
+fn report_duplicates<'t, K: Eq + Hash + 't>(
     what: &'static str,
     entries: impl Iterator<Item = (&'t K, Place, &'t ServiceName)>,
     report: &mut Report,
@@ -51,13 +51,13 @@
             continue;
         };
         let name = name.to_string();
-        report.error(place, ComplaintCause::Duplicate { what, name, first });
+        report.add_error(place, ComplaintCause::Duplicate { what, name, first });
     }
 }
 
 fn check_service(text: &CustomerConfig, service: &Service, report: &mut Report) {
     for dependency in &service.depends_on {
-        find_own(text, &dependency.target, dependency.place, report);
+        find_own_service(text, &dependency.target, dependency.place, report);
     }
     let Some(scorer) = &service.scorer else {
         return;
@@ -66,16 +66,16 @@
         owner: text.customer.clone(),
         service: scorer.clone(),
     };
-    let found = find_own(text, &target, service.place, report);
+    let found = find_own_service(text, &target, service.place, report);
     if found.is_some_and(|found| found.kind != ServiceKind::Plain) {
         let name = scorer.to_string();
-        report.error(service.place, ComplaintCause::ScorerNotPlain { name });
+        report.add_error(service.place, ComplaintCause::ScorerNotPlain { name });
     }
 }
 
 /// The own service that is meant; complains if there is none. Others' services are not
 /// looked at here.
-fn find_own<'t>(
+fn find_own_service<'t>(
     text: &'t CustomerConfig,
     target: &ServiceRef,
     place: Place,
@@ -90,7 +90,7 @@
     let names = text.services.iter().map(|service| service.name.as_str());
     let nearest = nearest(target.service.as_str(), names);
     let name = target.service.to_string();
-    report.error(place, ComplaintCause::UnknownService { name, nearest });
+    report.add_error(place, ComplaintCause::UnknownService { name, nearest });
     None
 }
 
@@ -98,14 +98,14 @@
     for target in token.services.iter().flatten() {
         if target.owner != text.customer && token.role != Role::Caller {
             let name = target.to_string();
-            report.error(token.place, ComplaintCause::OtherCustomersService { name });
+            report.add_error(token.place, ComplaintCause::OtherCustomersService { name });
             continue;
         }
-        let found = find_own(text, target, token.place, report);
+        let found = find_own_service(text, target, token.place, report);
         let plain = found.is_some_and(|found| found.kind == ServiceKind::Plain);
         if token.role == Role::Trainer && plain {
             let name = target.service.to_string();
-            report.error(token.place, ComplaintCause::TrainerOfPlain { name });
+            report.add_error(token.place, ComplaintCause::TrainerOfPlain { name });
         }
     }
 }
@@ -130,7 +130,7 @@
         edges.push(to);
         places.push(at);
     }
-    for Closing { path, edge } in cycle::closing_edges(&edges) {
+    for CycleEdge { path, edge } in cycle::cycle_edges(&edges) {
         let Some(place) = path.last().and_then(|last| places[*last].get(edge)) else {
             continue;
         };
@@ -139,7 +139,7 @@
             .map(|&number| text.services[number].name.as_str())
             .collect();
         let path = names.join(" -> ");
-        report.error(*place, ComplaintCause::Cycle { path });
+        report.add_error(*place, ComplaintCause::Cycle { path });
     }
 }
 
@@ -148,11 +148,11 @@
         .services
         .iter()
         .filter(|service| service.kind == ServiceKind::Model);
-    for service in models.filter(|service| !service.staleness_stated) {
+    for service in models.filter(|service| !service.has_staleness_bound) {
         let trains = |token: &Token| token.role == Role::Trainer && token.covers(&service.target());
         if text.tokens.iter().any(trains) {
             let model = service.name.to_string();
-            report.error(service.place, ComplaintCause::StalenessUnstated { model });
+            report.add_error(service.place, ComplaintCause::StalenessUnstated { model });
         }
     }
 }
--- a/components/config/src/view.rs
+++ b/components/config/src/view.rs
@@ -7,7 +7,7 @@
 use derive::value;
 use types::{Class, CustomerName, PoolName, Role, ServiceName};
 
-use crate::links::links;
+use crate::dependencies::resolve_dependencies;
 use crate::{
     CustomerConfig, Ledger, Limits, Service, ServiceRef, Token, TokenDigest, UnmetDependency,
 };
@@ -89,18 +89,18 @@
         let mut view = View::default();
         let mut texts: HashMap<&CustomerName, &CustomerConfig> = HashMap::new();
         for accepted in ledger.all() {
-            view.add(accepted.version, &accepted.config);
+            view.add_customer(accepted.version, &accepted.config);
             texts.insert(&accepted.customer, &accepted.config);
         }
-        let links = links(&texts);
-        for link in &links.in_force {
-            view.connect(link.customer, link.to);
+        let links = resolve_dependencies(&texts);
+        for link in &links.active {
+            view.add_dependent(link.customer, link.to);
         }
         view.unmet = links.unmet;
         view
     }
 
-    fn add(&mut self, version: u64, text: &CustomerConfig) {
+    fn add_customer(&mut self, version: u64, text: &CustomerConfig) {
         let services = text.services.iter().map(|service| {
             let entry = ServiceView {
                 service: Arc::clone(service),
@@ -124,7 +124,7 @@
         }
     }
 
-    fn connect(&mut self, customer: &CustomerName, to: &ServiceRef) {
+    fn add_dependent(&mut self, customer: &CustomerName, to: &ServiceRef) {
         let owner = self.customers.get_mut(&to.owner);
         let service = owner.and_then(|owner| owner.services.get_mut(&to.service));
         let Some(service) = service else { return };
@@ -177,7 +177,7 @@
 
     /// A service by its owner and name.
     pub fn service(&self, owner: &CustomerName, name: &ServiceName) -> Option<&Arc<Service>> {
-        Some(&self.entry(owner, name)?.service)
+        Some(&self.service_view(owner, name)?.service)
     }
 
     /// The services that endpoints of this pool host.
@@ -185,14 +185,14 @@
         self.pools.get(pool).map_or(&[], Vec::as_slice)
     }
 
-    fn entry(&self, owner: &CustomerName, name: &ServiceName) -> Option<&ServiceView> {
+    fn service_view(&self, owner: &CustomerName, name: &ServiceName) -> Option<&ServiceView> {
         self.customers.get(owner)?.services.get(name)
     }
 
     /// Whether the holder may call the service: a caller whose token is good for it and
     /// whose customer owns it or has a dependency on it in force.
     pub fn may_call(&self, holder: &TokenHolder, owner: &CustomerName, name: &ServiceName) -> bool {
-        let Some(entry) = self.entry(owner, name) else {
+        let Some(entry) = self.service_view(owner, name) else {
             return false;
         };
         let related = holder.customer == *owner || entry.dependents.contains(&holder.customer);
@@ -209,7 +209,7 @@
 
     /// Whether the holder may roll this service of his customer back, and the like.
     pub fn may_operate(&self, holder: &TokenHolder, name: &ServiceName) -> bool {
-        let known = self.entry(&holder.customer, name).is_some();
+        let known = self.service_view(&holder.customer, name).is_some();
         holder.role == Role::Operator && known && holder.covers(&holder.customer, name)
     }
 
--- a/components/control/src/fleet.rs
+++ b/components/control/src/fleet.rs
@@ -9,12 +9,12 @@
 
 use crate::ControlError;
 
-const DEADLINE_MS: u64 = 2_000;
+const REQUEST_TIMEOUT_MS: u64 = 2_000;
 /// Processes that are asked at a time, so that a large fleet doesn't open a thousand
 /// connections at once.
-const ASKED_AT_A_TIME: usize = 64;
-const ACCEPTED: u16 = 202;
-const OK: u16 = 200;
+const CONCURRENT_REQUESTS_MAX: usize = 64;
+const STATUS_ACCEPTED: u16 = 202;
+const STATUS_OK: u16 = 200;
 
 /// One customer's version at a process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -67,14 +67,14 @@
 
 /// Asks one process.
 pub async fn status(address: SocketAddr) -> Result<NodeStatus, ControlError> {
-    let body = exchange(address, Request::new("GET", "/status"), OK).await?;
+    let body = exchange(address, Request::new("GET", "/status"), STATUS_OK).await?;
     serde_json::from_slice(&body).map_err(|reason| ControlError::Malformed(address, reason))
 }
 
 /// Asks many processes; the replies come in the order of the addresses.
 pub async fn statuses(addresses: &[SocketAddr]) -> Vec<StatusReply> {
     let mut replies = Vec::with_capacity(addresses.len());
-    for few in addresses.chunks(ASKED_AT_A_TIME) {
+    for few in addresses.chunks(CONCURRENT_REQUESTS_MAX) {
         let mut asked = JoinSet::new();
         for &address in few {
             asked.spawn(async move {
@@ -108,7 +108,7 @@
 
 /// Tells a process to leave; it finishes what is in progress.
 pub async fn drain(address: SocketAddr) -> Result<(), ControlError> {
-    exchange(address, Request::new("POST", "/drain"), ACCEPTED).await?;
+    exchange(address, Request::new("POST", "/drain"), STATUS_ACCEPTED).await?;
     Ok(())
 }
 
@@ -120,7 +120,10 @@
 ) -> Result<bytes::Bytes, ControlError> {
     let failed = |reason| ControlError::Process(address, reason);
     let endpoint = Endpoint::new(address, EndpointSettings::default());
-    let response = endpoint.send(request, DEADLINE_MS).await.map_err(failed)?;
+    let response = endpoint
+        .send(request, REQUEST_TIMEOUT_MS)
+        .await
+        .map_err(failed)?;
     let status = response.head.status;
     let body = response.body.whole().await.map_err(failed)?;
     if status != wanted {
--- a/components/control/src/history.rs
+++ b/components/control/src/history.rs
@@ -12,7 +12,7 @@
 /// The log's stream of configuration records.
 pub(crate) const STREAM: &str = "config";
 /// Records that one read takes at most.
-const PAGE_RECORDS: usize = 500;
+const PAGE_RECORDS_MAX: usize = 500;
 
 /// One publish in the log.
 #[derive(Clone, Debug, Serialize)]
@@ -61,31 +61,31 @@
 ) -> Result<usize, ControlError> {
     let from = history.ledger.next_offset();
     let page = log
-        .read(STREAM, from, PAGE_RECORDS, wait_ms)
+        .read(STREAM, from, PAGE_RECORDS_MAX, wait_ms)
         .await
         .map_err(ControlError::LogReadFailed)?;
     history.ledger.skip_to(page.first);
     for record in &page.records {
         let verdict = history.ledger.apply_json(record.offset, &record.data);
-        let publish = Record::from_json(&record.data).ok().and_then(published);
+        let publish = Record::from_json(&record.data).ok().and_then(into_publish);
         if let Some(publish) = publish {
             history
                 .entries
-                .push(entry(record.offset, &publish, &verdict));
-            history.keep_version(&publish.customer);
+                .push(history_entry(record.offset, &publish, &verdict));
+            history.add_version(&publish.customer);
         }
     }
     Ok(page.records.len())
 }
 
-fn published(record: Record) -> Option<config::Publish> {
+fn into_publish(record: Record) -> Option<config::Publish> {
     match record {
         Record::Publish(publish) => Some(publish),
         _ => None,
     }
 }
 
-fn entry(offset: u64, publish: &config::Publish, verdict: &Verdict) -> HistoryEntry {
+fn history_entry(offset: u64, publish: &config::Publish, verdict: &Verdict) -> HistoryEntry {
     let version = match verdict {
         Verdict::Accepted { version } => Some(*version),
         _ => None,
@@ -95,12 +95,12 @@
         customer: publish.customer.to_string(),
         id: publish.id.clone(),
         base: publish.base,
-        verdict: words(verdict),
+        verdict: describe_verdict(verdict),
         version,
     }
 }
 
-fn words(verdict: &Verdict) -> String {
+fn describe_verdict(verdict: &Verdict) -> String {
     match verdict {
         Verdict::Accepted { .. } => "accepted".to_owned(),
         Verdict::Refused(refusal) => {
@@ -120,7 +120,7 @@
 }
 
 impl History {
-    fn keep_version(&mut self, customer: &CustomerName) {
+    fn add_version(&mut self, customer: &CustomerName) {
         let Some(current) = self.ledger.current(customer) else {
             return;
         };
--- a/components/control/src/publish.rs
+++ b/components/control/src/publish.rs
@@ -20,11 +20,11 @@
 
 /// Appends of one publish at most, the first included.
 const APPENDS_MAX: u32 = 5;
-const APPEND_PAUSE: Duration = Duration::from_millis(300);
+const APPEND_RETRY_DELAY: Duration = Duration::from_millis(300);
 const READ_WAIT_MS: u64 = 500;
 /// Reads after the append until the verdict must stand.
 const READS_MAX: u32 = 20;
-const IN_FORCE_PAUSE: Duration = Duration::from_millis(100);
+const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How to publish.
 pub struct PublishSettings {
@@ -77,7 +77,7 @@
     publish.base = settings.base.unwrap_or(publish.base);
     append(log, &publish, &mut progress).await?;
     let verdict = read_verdict(log, history, &customer, &id).await?;
-    let version = judge(verdict, before.as_deref(), history, &customer, &id)?;
+    let version = version_or_error(verdict, before.as_deref(), history, &customer, &id)?;
     progress(PublishProgress::Accepted(version));
     Ok(Published {
         customer,
@@ -105,16 +105,16 @@
         };
         maybe_appended |= error.may_have_taken_effect();
         if attempt == APPENDS_MAX {
-            return Err(not_answered(&publish.id, maybe_appended, error));
+            return Err(append_error(&publish.id, maybe_appended, error));
         }
         progress(PublishProgress::AppendRetried(attempt));
         attempt += 1;
-        sleep(APPEND_PAUSE).await;
+        sleep(APPEND_RETRY_DELAY).await;
     }
 }
 
 /// One lost answer among the tries is enough for doubt: that append may stand in the log.
-fn not_answered(id: &str, maybe_appended: bool, last: PlatformError) -> ControlError {
+fn append_error(id: &str, maybe_appended: bool, last: PlatformError) -> ControlError {
     match maybe_appended {
         true => ControlError::OutcomeUnknown(id.to_owned(), last),
         false => ControlError::NotAppended(last),
@@ -143,7 +143,7 @@
     Err(ControlError::Undecided(id.to_owned()))
 }
 
-fn judge(
+fn version_or_error(
     verdict: Verdict,
     before: Option<&AcceptedVersion>,
     history: &History,
@@ -208,6 +208,6 @@
                 behind.join(", "),
             ));
         }
-        sleep(IN_FORCE_PAUSE).await;
+        sleep(STATUS_POLL_INTERVAL).await;
     }
 }
--- a/components/control/src/rollback.rs
+++ b/components/control/src/rollback.rs
@@ -11,7 +11,7 @@
 use crate::ControlError;
 use crate::fleet::exchange;
 
-const OK: u16 = 200;
+const STATUS_OK: u16 = 200;
 
 /// What to roll back.
 pub struct Rollback<'a> {
@@ -26,13 +26,13 @@
 }
 
 #[derive(Serialize)]
-struct Wanted {
+struct RollbackBody {
     version: String,
 }
 
 /// Rolls back; gives the entry's answer. Errors when it is refused.
 pub async fn roll_back(rollback: &Rollback<'_>) -> Result<String, ControlError> {
-    let wanted = Wanted {
+    let wanted = RollbackBody {
         version: rollback.version.to_string(),
     };
     let body = serde_json::to_vec(&wanted)
@@ -49,6 +49,6 @@
         body: Bytes::from(body),
         ..Request::new("POST", path)
     };
-    let answer = exchange(rollback.entry, request, OK).await?;
+    let answer = exchange(rollback.entry, request, STATUS_OK).await?;
     Ok(String::from_utf8_lossy(&answer).into_owned())
 }
--- a/components/control/src/text.rs
+++ b/components/control/src/text.rs
@@ -19,7 +19,7 @@
 /// Reads and checks a file against the texts of the other customers. Errors when it
 /// cannot be read or does not pass.
 pub fn check_file(path: &Path, ledger: Option<&Ledger>) -> Result<CheckedConfig, ControlError> {
-    check_source(read(path)?, &path.to_string_lossy(), ledger)
+    check_source(read_file(path)?, &path.to_string_lossy(), ledger)
 }
 
 /// Checks a text that came from `file`. Errors when it does not pass.
@@ -45,7 +45,7 @@
 
 /// Reads a token from a file of one line.
 pub fn read_token(path: &Path) -> Result<String, ControlError> {
-    let text = read(path)?;
+    let text = read_file(path)?;
     let token = text.trim();
     let printable = token.bytes().all(|byte| byte.is_ascii_graphic());
     if token.is_empty() || !printable {
@@ -54,6 +54,6 @@
     Ok(token.to_owned())
 }
 
-fn read(path: &Path) -> Result<String, ControlError> {
+fn read_file(path: &Path) -> Result<String, ControlError> {
     std::fs::read_to_string(path).map_err(|reason| ControlError::FileRead(path.to_owned(), reason))
 }
--- a/components/membership/src/fact.rs
+++ b/components/membership/src/fact.rs
@@ -22,13 +22,13 @@
     pub(crate) news: News,
     pub(crate) pushes_left: u32,
     /// `None` for facts that last.
-    pub(crate) ends_ms: Option<u64>,
+    pub(crate) expires_ms: Option<u64>,
 }
 
 impl Fact {
     /// The news as it is told now; `None` once it has ended.
-    pub(crate) fn told_at(&self, now_ms: u64) -> Option<News> {
-        match (&self.news, self.ends_ms) {
+    pub(crate) fn news_at(&self, now_ms: u64) -> Option<News> {
+        match (&self.news, self.expires_ms) {
             (_, Some(ends_ms)) if ends_ms <= now_ms => None,
             (News::Quarantined { digest, .. }, Some(ends_ms)) => Some(News::Quarantined {
                 digest: *digest,
@@ -40,7 +40,7 @@
 }
 
 /// The topic of news that is passed on; `None` for probes, statuses and the like.
-pub(crate) fn topic(news: &News) -> Option<Topic> {
+pub(crate) fn topic_of(news: &News) -> Option<Topic> {
     match news {
         News::Config(digest) => Some(Topic::Config(digest.customer.clone())),
         News::Weights {
@@ -55,7 +55,7 @@
 /// The heard news with what is known. Weights to serve and to load come from different
 /// calls of a trainer, perhaps at two entries at once: neither piece of news is above the
 /// other then, and to keep one of them would lose what only the other says.
-pub(crate) fn merged(heard: News, known: &News) -> News {
+pub(crate) fn merge_known(heard: News, known: &News) -> News {
     match (heard, known) {
         (
             News::Weights {
--- a/components/membership/src/lib.rs
+++ b/components/membership/src/lib.rs
@@ -3,10 +3,9 @@
 //! process's monotonic clock go in, probes, rumours and views come out.
 
 mod fact;
-mod listed;
 mod member;
 mod members;
-mod own;
+mod own_process;
 mod probing;
 mod rumour_settings;
 mod rumours;
@@ -15,14 +14,15 @@
 mod subset;
 mod tail;
 mod view;
+mod vm_list;
 
-pub use listed::{ListedVm, VmListOutcome};
 pub use member::{Liveness, UpdateOutcome};
 pub use members::Members;
-pub use own::OwnProcess;
+pub use own_process::OwnProcess;
 pub use rumour_settings::RumourSettings;
 pub use rumours::{RumourRound, Rumours};
 pub use settings::MemberSettings;
 pub use snapshot::{MemberState, Replica, Snapshot};
 pub use subset::{Candidate, choose_subset};
 pub use tail::{Tail, TailAction, TailSettings, tailers};
+pub use vm_list::{ListedVm, VmListOutcome};
--- a/components/membership/src/member.rs
+++ b/components/membership/src/member.rs
@@ -48,23 +48,23 @@
 pub(crate) struct Member {
     pub(crate) role: ProcessRole,
     /// `None` until the VM list or a status says so.
-    pub(crate) place: Option<(FailureDomain, Region)>,
+    pub(crate) location: Option<(FailureDomain, Region)>,
     pub(crate) incarnation: Option<Incarnation>,
     pub(crate) incarnation_since_ms: u64,
     /// An earlier life at this address was leaving.
-    pub(crate) succeeds_leaving: bool,
+    pub(crate) follows_leaving: bool,
     /// Sticky for the life in `incarnation`.
     pub(crate) leaving_since_ms: Option<u64>,
     pub(crate) listing: Option<Listing>,
     pub(crate) absent_reads: u32,
     /// Neither listed nor heard since; kept only so that its life stays known.
-    pub(crate) gone_since_ms: Option<u64>,
+    pub(crate) absent_since_ms: Option<u64>,
     /// Its newest status with the hosted services of all parts, and when it came.
     pub(crate) status: Option<(Arc<Status>, u64)>,
     /// Hosted services by part.
     pub(crate) parts: Vec<Vec<Hosted>>,
     pub(crate) watched: bool,
-    pub(crate) heard_ms: Option<u64>,
+    pub(crate) last_heard_ms: Option<u64>,
     pub(crate) misses: u32,
     pub(crate) down_since_ms: Option<u64>,
     pub(crate) probe_sent_ms: Option<u64>,
@@ -75,18 +75,18 @@
     pub(crate) fn new(role: ProcessRole, next_probe_ms: u64) -> Self {
         Self {
             role,
-            place: None,
+            location: None,
             incarnation: None,
             incarnation_since_ms: 0,
-            succeeds_leaving: false,
+            follows_leaving: false,
             leaving_since_ms: None,
             listing: None,
             absent_reads: 0,
-            gone_since_ms: None,
+            absent_since_ms: None,
             status: None,
             parts: Vec::new(),
             watched: false,
-            heard_ms: None,
+            last_heard_ms: None,
             misses: 0,
             down_since_ms: None,
             probe_sent_ms: None,
@@ -95,7 +95,7 @@
     }
 
     /// Takes up a life unless a later one is known; true if it is a new one.
-    pub(crate) fn take_life(
+    pub(crate) fn adopt_incarnation(
         &mut self,
         heard: Incarnation,
         now_ms: u64,
@@ -105,21 +105,21 @@
             Some(known) if heard == known => return Ok(false),
             _ => {}
         }
-        self.succeeds_leaving = self.incarnation.is_some() && self.is_leaving();
+        self.follows_leaving = self.incarnation.is_some() && self.is_leaving();
         self.incarnation = Some(heard);
         self.incarnation_since_ms = now_ms;
         self.leaving_since_ms = None;
         self.status = None;
         self.parts.clear();
-        self.heard_ms = None;
+        self.last_heard_ms = None;
         Ok(true)
     }
 
     /// Takes a status up. One part of several replaces that part alone: a datagram has no
     /// room for the services of a pool that many share, and a service whose part was lost
     /// would seem to be gone until the next probe.
-    pub(crate) fn take_status(&mut self, status: &Status, now_ms: u64) {
-        self.place = Some((status.failure_domain.clone(), status.region.clone()));
+    pub(crate) fn apply_status(&mut self, status: &Status, now_ms: u64) {
+        self.location = Some((status.failure_domain.clone(), status.region.clone()));
         let mut whole = status.clone();
         self.parts
             .resize(usize::from(status.parts.max(1)), Vec::new());
@@ -131,23 +131,23 @@
     }
 
     /// Marks the life as leaving for good; true the first time.
-    pub(crate) fn leave(&mut self, now_ms: u64) -> bool {
+    pub(crate) fn mark_leaving(&mut self, now_ms: u64) -> bool {
         let first = self.leaving_since_ms.is_none();
         self.leaving_since_ms.get_or_insert(now_ms);
         first
     }
 
     /// A sign of life.
-    pub(crate) fn answered(&mut self, now_ms: u64) {
-        self.heard_ms = Some(now_ms);
+    pub(crate) fn record_answer(&mut self, now_ms: u64) {
+        self.last_heard_ms = Some(now_ms);
         self.misses = 0;
-        self.gone_since_ms = None;
+        self.absent_since_ms = None;
         self.down_since_ms = None;
         self.probe_sent_ms = None;
     }
 
     /// Counts a probe whose answer did not come in time.
-    pub(crate) fn check_answer(&mut self, settings: &MemberSettings, now_ms: u64) {
+    pub(crate) fn check_probe_timeout(&mut self, settings: &MemberSettings, now_ms: u64) {
         let Some(sent_ms) = self.probe_sent_ms else {
             return;
         };
@@ -163,7 +163,7 @@
         }
     }
 
-    pub(crate) fn standing(&self, settings: &MemberSettings) -> Liveness {
+    pub(crate) fn liveness(&self, settings: &MemberSettings) -> Liveness {
         if self.misses >= settings.misses_to_down {
             Liveness::Down
         } else if self.misses >= settings.misses_to_suspect {
@@ -181,22 +181,22 @@
     /// new work to a VM that is being taken away. A life that follows one that left is
     /// live at once; see [`Member::heed_list`] for when the list's word reaches it.
     pub(crate) fn is_leaving(&self) -> bool {
-        let shunned = self.listing == Some(Listing::Leaving) && !self.succeeds_leaving;
+        let shunned = self.listing == Some(Listing::Leaving) && !self.follows_leaving;
         self.leaving_since_ms.is_some() || shunned
     }
 
     /// Binds the list's "leaving" to the life that has been known for longer than the
     /// list lags; true when this is new.
-    pub(crate) fn heed_list(&mut self, settings: &MemberSettings, now_ms: u64) -> bool {
+    pub(crate) fn bind_leaving_listing(&mut self, settings: &MemberSettings, now_ms: u64) -> bool {
         let listed = self.listing == Some(Listing::Leaving);
         let known_ms = now_ms.saturating_sub(self.incarnation_since_ms);
         let about_this_life = self.incarnation.is_some() && known_ms >= settings.list_lag_ms;
-        listed && about_this_life && self.leave(now_ms)
+        listed && about_this_life && self.mark_leaving(now_ms)
     }
 
     /// Whether it was heard within `within_ms`.
-    pub(crate) fn answers(&self, within_ms: u64, now_ms: u64) -> bool {
-        self.heard_ms
+    pub(crate) fn answered_within(&self, within_ms: u64, now_ms: u64) -> bool {
+        self.last_heard_ms
             .is_some_and(|heard_ms| now_ms.saturating_sub(heard_ms) <= within_ms)
     }
 }
--- a/components/membership/src/members.rs
+++ b/components/membership/src/members.rs
@@ -54,13 +54,13 @@
         }
         for vm in vms {
             if vm.address == self.own.node.address {
-                read.own_leaving = self.heed_list_on_own(vm, now_ms);
+                read.own_leaving = self.is_own_vm_leaving(vm, now_ms);
             } else {
-                self.take_listed(vm, now_ms);
+                self.apply_listed(vm, now_ms);
             }
         }
-        self.forget_absent(now_ms);
-        read.leaving = self.heed_list(now_ms);
+        self.remove_absent(now_ms);
+        read.leaving = self.bind_leaving_listings(now_ms);
         read
     }
 
@@ -69,14 +69,14 @@
         if from.address == self.own.node.address {
             return self.on_own_incarnation(from.incarnation);
         }
-        let Some(member) = self.member_or_new(from.address, role, now_ms) else {
+        let Some(member) = self.get_or_insert(from.address, role, now_ms) else {
             return UpdateOutcome::Unchanged;
         };
-        match member.take_life(from.incarnation, now_ms) {
+        match member.adopt_incarnation(from.incarnation, now_ms) {
             Err(older) => older,
             Ok(new) => {
                 member.role = role;
-                member.answered(now_ms);
+                member.record_answer(now_ms);
                 if new {
                     UpdateOutcome::Changed
                 } else {
@@ -105,8 +105,8 @@
         if known_life.is_some_and(|known| status.endpoint_life < known) {
             return heard;
         }
-        member.take_status(status, now_ms);
-        if status.leaving && member.leave(now_ms) {
+        member.apply_status(status, now_ms);
+        if status.leaving && member.mark_leaving(now_ms) {
             return UpdateOutcome::Changed;
         }
         heard
@@ -119,12 +119,12 @@
         }
         // A role of Agent is a guess until the process is heard or listed; nothing is
         // built on it, because a leaving life takes no work in either role.
-        let Some(member) = self.member_or_new(node.address, ProcessRole::Agent, now_ms) else {
+        let Some(member) = self.get_or_insert(node.address, ProcessRole::Agent, now_ms) else {
             return UpdateOutcome::Unchanged;
         };
-        match member.take_life(node.incarnation, now_ms) {
+        match member.adopt_incarnation(node.incarnation, now_ms) {
             Err(older) => older,
-            Ok(_) if member.leave(now_ms) => UpdateOutcome::Changed,
+            Ok(_) if member.mark_leaving(now_ms) => UpdateOutcome::Changed,
             Ok(_) => UpdateOutcome::Unchanged,
         }
     }
@@ -147,13 +147,13 @@
         self.on_own_incarnation(heard)
     }
 
-    fn heed_list_on_own(&self, vm: &ListedVm, now_ms: u64) -> bool {
+    fn is_own_vm_leaving(&self, vm: &ListedVm, now_ms: u64) -> bool {
         let age_ms = now_ms.saturating_sub(self.own.started_ms);
         vm.leaving && age_ms >= self.settings.list_lag_ms
     }
 
-    fn take_listed(&mut self, vm: &ListedVm, now_ms: u64) {
-        let Some(member) = self.member_or_new(vm.address, vm.role, now_ms) else {
+    fn apply_listed(&mut self, vm: &ListedVm, now_ms: u64) {
+        let Some(member) = self.get_or_insert(vm.address, vm.role, now_ms) else {
             return;
         };
         let listing = if vm.leaving {
@@ -168,17 +168,17 @@
         }
         member.listing = Some(listing);
         member.absent_reads = 0;
-        member.gone_since_ms = None;
+        member.absent_since_ms = None;
         member.role = vm.role;
-        if member.place.is_none() {
-            member.place = Some((vm.failure_domain.clone(), vm.region.clone()));
+        if member.location.is_none() {
+            member.location = Some((vm.failure_domain.clone(), vm.region.clone()));
         }
     }
 
-    fn heed_list(&mut self, now_ms: u64) -> Vec<NodeId> {
+    fn bind_leaving_listings(&mut self, now_ms: u64) -> Vec<NodeId> {
         let mut leaving = Vec::new();
         for (&address, member) in &mut self.members {
-            if !member.heed_list(&self.settings, now_ms) {
+            if !member.bind_leaving_listing(&self.settings, now_ms) {
                 continue;
             }
             let lives = member.incarnation.into_iter();
@@ -193,7 +193,7 @@
     /// Drops those that the list no longer names, unless they answer: the list lags and
     /// may be wrong, an answer is not. Their last life is remembered for a while, or a
     /// late datagram would bring it or an earlier one back.
-    fn forget_absent(&mut self, now_ms: u64) {
+    fn remove_absent(&mut self, now_ms: u64) {
         let settings = self.settings;
         let answer_ms = 2 * settings.sweep_period_ms(self.members.len());
         self.members.retain(|_, member| {
@@ -205,10 +205,10 @@
             if let Some(since_ms) = member.leaving_since_ms {
                 return kept(since_ms);
             }
-            if member.answers(answer_ms, now_ms) {
+            if member.answered_within(answer_ms, now_ms) {
                 return true;
             }
-            let gone_since_ms = *member.gone_since_ms.get_or_insert(now_ms);
+            let gone_since_ms = *member.absent_since_ms.get_or_insert(now_ms);
             member.incarnation.is_some() && kept(gone_since_ms)
         });
     }
@@ -216,10 +216,10 @@
     /// The members without those that are only remembered.
     pub(crate) fn present(&self) -> impl Iterator<Item = (&SocketAddr, &Member)> {
         let members = self.members.iter();
-        members.filter(|(_, member)| member.gone_since_ms.is_none())
+        members.filter(|(_, member)| member.absent_since_ms.is_none())
     }
 
-    fn member_or_new(
+    fn get_or_insert(
         &mut self,
         address: SocketAddr,
         role: ProcessRole,
--- a/components/membership/src/probing.rs
+++ b/components/membership/src/probing.rs
@@ -25,14 +25,14 @@
         let sweep_ms = self.settings.sweep_period_ms(self.members.len() - watched);
         let mut due = Vec::new();
         for (&address, member) in &mut self.members {
-            if member.gone_since_ms.is_some() {
+            if member.absent_since_ms.is_some() {
                 continue;
             }
-            member.check_answer(&self.settings, now_ms);
+            member.check_probe_timeout(&self.settings, now_ms);
             if member.probe_sent_ms.is_some() || now_ms < member.next_probe_ms {
                 continue;
             }
-            let first = member.heard_ms.is_none();
+            let first = member.last_heard_ms.is_none();
             let wait_ms = match (member.watched, first) {
                 (true, _) => period_ms,
                 (false, true) => rendezvous::weight(STAGGER_KEY, address) % sweep_ms,
@@ -42,7 +42,7 @@
             member.probe_sent_ms = Some(now_ms);
             due.push(address);
         }
-        self.isolated = self.lost_most();
+        self.isolated = self.has_lost_most();
         due
     }
 
@@ -52,7 +52,7 @@
     /// them all, it would refuse every request with "no endpoint" until long after the
     /// network is back. It keeps them as suspects instead; calls to a dead one fail
     /// before they leave. Endpoints that went one after another are not counted.
-    fn lost_most(&self) -> bool {
+    fn has_lost_most(&self) -> bool {
         let settings = &self.settings;
         let watched = || {
             let members = self.members.values();
@@ -69,8 +69,8 @@
     }
 
     /// Standing as the request path sees it.
-    pub(crate) fn shown_standing(&self, member: &crate::member::Member) -> Liveness {
-        match member.standing(&self.settings) {
+    pub(crate) fn effective_liveness(&self, member: &crate::member::Member) -> Liveness {
+        match member.liveness(&self.settings) {
             Liveness::Down if self.isolated && member.watched => Liveness::Suspect,
             standing => standing,
         }
--- a/components/membership/src/rumours.rs
+++ b/components/membership/src/rumours.rs
@@ -18,7 +18,7 @@
 use protocol::News;
 use rand::Rng;
 
-use crate::fact::{Fact, Topic, merged, size_bytes, topic};
+use crate::fact::{Fact, Topic, merge_known, size_bytes, topic_of};
 use crate::rumour_settings::RumourSettings;
 
 /// UDP and IP headers, sender and authentication of a datagram, in bytes.
@@ -39,7 +39,7 @@
     settings: RumourSettings,
     facts: BTreeMap<Topic, Fact>,
     /// The last fact that was told without being news.
-    told: Option<Topic>,
+    last_filled: Option<Topic>,
     next_round_ms: u64,
     idle_rounds: u64,
 }
@@ -50,7 +50,7 @@
         Self {
             settings,
             facts: BTreeMap::new(),
-            told: None,
+            last_filled: None,
             next_round_ms: 0,
             idle_rounds: 0,
         }
@@ -59,24 +59,24 @@
     /// Takes in a fact, from a peer or of one's own; true when it is new, so that the
     /// caller acts on it. Probes, statuses and the like are never new.
     pub fn add(&mut self, news: &News, peers: usize, now_ms: u64) -> bool {
-        let Some(topic) = topic(news) else {
+        let Some(topic) = topic_of(news) else {
             return false;
         };
-        let ends_ms = self.ends_ms(news, now_ms);
+        let ends_ms = self.expiry_ms(news, now_ms);
         if ends_ms.is_some_and(|ends_ms| ends_ms <= now_ms) {
             return false;
         }
         let mut news = news.clone();
         if let Some(known) = self.facts.get(&topic) {
-            news = merged(news, &known.news);
-            if !self.is_above(&news, ends_ms, known) {
+            news = merge_known(news, &known.news);
+            if !self.supersedes(&news, ends_ms, known) {
                 return false;
             }
         }
         let fact = Fact {
             news,
             pushes_left: self.settings.push_rounds(peers),
-            ends_ms,
+            expires_ms: ends_ms,
         };
         self.facts.insert(topic, fact);
         self.evict();
@@ -86,7 +86,7 @@
     /// Everything known, for a peer that starts.
     pub fn known_news(&self, now_ms: u64) -> impl Iterator<Item = News> {
         let facts = self.facts.values();
-        facts.filter_map(move |fact| fact.told_at(now_ms))
+        facts.filter_map(move |fact| fact.news_at(now_ms))
     }
 
     /// When the next round is due.
@@ -105,8 +105,8 @@
             return None;
         }
         self.next_round_ms = now_ms + self.settings.round_interval_ms;
-        self.forget_ended(now_ms);
-        let (mut news, mut bytes) = self.push(now_ms);
+        self.remove_expired(now_ms);
+        let (mut news, mut bytes) = self.take_pushes(now_ms);
         let fan_out = if news.is_empty() {
             self.idle_rounds += 1;
             usize::from(self.idle_rounds.is_multiple_of(self.settings.idle_rounds))
@@ -116,13 +116,13 @@
         if fan_out == 0 {
             return None;
         }
-        self.fill(&mut news, &mut bytes, now_ms);
-        let targets = draw(peers, fan_out, rng);
+        self.fill_datagram(&mut news, &mut bytes, now_ms);
+        let targets = draw_peers(peers, fan_out, rng);
         Some(RumourRound { targets, news })
     }
 
     /// The news with the most pushes left, as much as fits.
-    fn push(&mut self, now_ms: u64) -> (Vec<News>, usize) {
+    fn take_pushes(&mut self, now_ms: u64) -> (Vec<News>, usize) {
         let room_bytes = self.settings.datagram_bytes_max;
         let mut bytes = OVERHEAD_BYTES;
         let mut news = Vec::new();
@@ -139,15 +139,15 @@
             }
             bytes += size_bytes;
             fact.pushes_left -= 1;
-            news.extend(fact.told_at(now_ms));
+            news.extend(fact.news_at(now_ms));
         }
         (news, bytes)
     }
 
     /// Fills the datagram with known facts in turn.
-    fn fill(&mut self, news: &mut Vec<News>, bytes: &mut usize, now_ms: u64) {
+    fn fill_datagram(&mut self, news: &mut Vec<News>, bytes: &mut usize, now_ms: u64) {
         let room_bytes = self.settings.datagram_bytes_max;
-        let after = self.told.take();
+        let after = self.last_filled.take();
         let later = self
             .facts
             .iter()
@@ -161,14 +161,14 @@
             if *bytes + size_bytes > room_bytes {
                 break;
             }
-            self.told = Some(topic.clone());
-            let told = fact.told_at(now_ms).filter(|told| !news.contains(told));
+            self.last_filled = Some(topic.clone());
+            let told = fact.news_at(now_ms).filter(|told| !news.contains(told));
             *bytes += told.as_ref().map_or(0, |_| size_bytes);
             news.extend(told);
         }
     }
 
-    fn ends_ms(&self, news: &News, now_ms: u64) -> Option<u64> {
+    fn expiry_ms(&self, news: &News, now_ms: u64) -> Option<u64> {
         match news {
             News::Quarantined { left_ms, .. } => Some(now_ms + u64::from(*left_ms)),
             News::Leaving { .. } => Some(now_ms + self.settings.leaving_retention_ms),
@@ -176,7 +176,7 @@
         }
     }
 
-    fn is_above(&self, news: &News, ends_ms: Option<u64>, known: &Fact) -> bool {
+    fn supersedes(&self, news: &News, ends_ms: Option<u64>, known: &Fact) -> bool {
         match (news, &known.news) {
             (News::Config(heard), News::Config(known)) => heard.version > known.version,
             (News::Weights { target, .. }, News::Weights { target: known, .. }) => target != known,
@@ -186,16 +186,16 @@
             (News::Quarantined { .. }, _) => {
                 // Each hop adds its transit time to the end; without slack one
                 // quarantine would be news for ever and never end.
-                let known_ms = known.ends_ms.unwrap_or(0) + self.settings.quarantine_slack_ms;
+                let known_ms = known.expires_ms.unwrap_or(0) + self.settings.quarantine_slack_ms;
                 ends_ms > Some(known_ms)
             }
             _ => false,
         }
     }
 
-    fn forget_ended(&mut self, now_ms: u64) {
+    fn remove_expired(&mut self, now_ms: u64) {
         self.facts
-            .retain(|_, fact| fact.ends_ms.is_none_or(|ends_ms| ends_ms > now_ms));
+            .retain(|_, fact| fact.expires_ms.is_none_or(|ends_ms| ends_ms > now_ms));
     }
 
     fn evict(&mut self) {
@@ -203,7 +203,7 @@
             return;
         }
         let ending = self.facts.iter().filter_map(|(topic, fact)| {
-            let ends_ms = fact.ends_ms?;
+            let ends_ms = fact.expires_ms?;
             Some((ends_ms, topic))
         });
         let first = ending.min().map(|(_, topic)| topic.clone());
@@ -213,7 +213,7 @@
     }
 }
 
-fn draw(peers: &[SocketAddr], count: usize, rng: &mut impl Rng) -> Vec<SocketAddr> {
+fn draw_peers(peers: &[SocketAddr], count: usize, rng: &mut impl Rng) -> Vec<SocketAddr> {
     let mut left: Vec<SocketAddr> = peers.to_vec();
     let mut drawn = Vec::with_capacity(count);
     while drawn.len() < count && !left.is_empty() {
--- a/components/membership/src/snapshot.rs
+++ b/components/membership/src/snapshot.rs
@@ -53,17 +53,17 @@
 
 #[value]
 #[derive(Default)]
-pub(crate) struct Hosts {
+pub(crate) struct ServiceReplicas {
     /// Those that take new work come first.
     pub(crate) replicas: Vec<Replica>,
-    pub(crate) takers: usize,
+    pub(crate) accepting: usize,
 }
 
 /// The view of one moment.
 #[value]
 #[derive(Default)]
 pub struct Snapshot {
-    pub(crate) services: HashMap<CustomerName, HashMap<ServiceName, Hosts>>,
+    pub(crate) services: HashMap<CustomerName, HashMap<ServiceName, ServiceReplicas>>,
     /// Every known process but this one.
     pub members: Vec<MemberState>,
     /// This process lost sight of most endpoints at once, takes this for a fault of its
@@ -75,8 +75,8 @@
     /// The subset of the service's replicas that take new work; those that answer come
     /// first.
     pub fn replicas(&self, customer: &CustomerName, service: &ServiceName) -> &[Replica] {
-        self.hosts(customer, service)
-            .map_or(&[], |hosts| &hosts.replicas[..hosts.takers])
+        self.service_replicas(customer, service)
+            .map_or(&[], |hosts| &hosts.replicas[..hosts.accepting])
     }
 
     /// The same with the ones that are leaving at the end.
@@ -85,7 +85,7 @@
         customer: &CustomerName,
         service: &ServiceName,
     ) -> &[Replica] {
-        self.hosts(customer, service)
+        self.service_replicas(customer, service)
             .map_or(&[], |hosts| &hosts.replicas)
     }
 
@@ -115,7 +115,11 @@
         })
     }
 
-    fn hosts(&self, customer: &CustomerName, service: &ServiceName) -> Option<&Hosts> {
+    fn service_replicas(
+        &self,
+        customer: &CustomerName,
+        service: &ServiceName,
+    ) -> Option<&ServiceReplicas> {
         self.services.get(customer)?.get(service)
     }
 }
--- a/components/membership/src/subset.rs
+++ b/components/membership/src/subset.rs
@@ -41,7 +41,7 @@
         })
         .collect();
     ranked.sort_unstable_by(|a, b| b.cmp(a));
-    let mut rows = rows(own_region, candidates, &ranked);
+    let mut rows = rank_in_domains(own_region, candidates, &ranked);
     rows.sort_by_key(|&(foreign, row, _)| (foreign, row));
     rows.into_iter()
         .take(size)
@@ -50,7 +50,7 @@
 }
 
 /// (in another region, rank within its failure domain, position) of each, by weight.
-fn rows(
+fn rank_in_domains(
     own_region: &Region,
     candidates: &[Candidate<'_>],
     ranked: &[(u64, usize)],
--- a/components/membership/src/tail.rs
+++ b/components/membership/src/tail.rs
@@ -22,7 +22,7 @@
     /// Processes in each failure domain that read.
     pub per_domain: usize,
     /// Age of the newest known read from which on every process reads, in milliseconds.
-    pub silent_after_ms: u64,
+    pub read_age_ms_max: u64,
     /// First wait after a failed read, in milliseconds; doubles with each failure.
     pub backoff_ms: u64,
     /// Longest wait after a failed read of a process that ranks, in milliseconds.
@@ -35,7 +35,7 @@
     fn default() -> Self {
         Self {
             per_domain: 2,
-            silent_after_ms: 20_000,
+            read_age_ms_max: 20_000,
             backoff_ms: 250,
             backoff_ms_max: 2_000,
             unranked_backoff_ms_max: 60_000,
@@ -62,7 +62,7 @@
     /// `None` before the first read known.
     newest_read_ms: Option<u64>,
     failures: u32,
-    next_try_ms: u64,
+    next_read_ms: u64,
 }
 
 /// The processes of one failure domain that read the log, out of its live ones.
@@ -82,7 +82,7 @@
             settings,
             newest_read_ms: None,
             failures: 0,
-            next_try_ms: now_ms,
+            next_read_ms: now_ms,
         }
     }
 
@@ -98,7 +98,7 @@
     pub fn record_read(&mut self, now_ms: u64) {
         self.newest_read_ms = self.newest_read_ms.max(Some(now_ms));
         self.failures = 0;
-        self.next_try_ms = now_ms;
+        self.next_read_ms = now_ms;
     }
 
     /// A read of one's own failed.
@@ -111,7 +111,7 @@
         let doubled_ms = self.settings.backoff_ms << self.failures.min(16);
         let wait_ms = doubled_ms.clamp(1, longest_ms.max(1));
         self.failures = self.failures.saturating_add(1);
-        self.next_try_ms = now_ms + wait_ms / 2 + rng.next_u64() % (wait_ms / 2 + 1);
+        self.next_read_ms = now_ms + wait_ms / 2 + rng.next_u64() % (wait_ms / 2 + 1);
     }
 
     /// Age of the newest read known, for [`protocol::News::ConfigRead`];
@@ -125,14 +125,14 @@
 
     /// What to do; `ranks` says whether this process is one of its domain's [`tailers`].
     pub fn next_action(&self, ranks: bool, now_ms: u64) -> TailAction {
-        let silent_after_ms = self.settings.silent_after_ms;
+        let silent_after_ms = self.settings.read_age_ms_max;
         let silent_ms = self
             .newest_read_ms
             .map_or(0, |read_ms| read_ms + silent_after_ms);
         let due_ms = if ranks {
-            self.next_try_ms
+            self.next_read_ms
         } else {
-            self.next_try_ms.max(silent_ms)
+            self.next_read_ms.max(silent_ms)
         };
         if now_ms >= due_ms {
             TailAction::Read
--- a/components/membership/src/view.rs
+++ b/components/membership/src/view.rs
@@ -7,7 +7,7 @@
 use types::{CustomerName, NodeId, ServiceName};
 
 use crate::member::Member;
-use crate::snapshot::Hosts;
+use crate::snapshot::ServiceReplicas;
 use crate::subset::{Candidate, choose_subset};
 use crate::{Liveness, MemberState, Members, Replica, Snapshot};
 
@@ -25,17 +25,17 @@
     /// news that was [`crate::Heard::New`] and once a second.
     pub fn snapshot(&mut self, now_ms: u64) -> Snapshot {
         let mut snapshot = Snapshot {
-            members: self.states().collect(),
+            members: self.member_states().collect(),
             isolated: self.isolated,
             ..Snapshot::default()
         };
         let mut watched = HashSet::new();
-        for ((customer, service), hosts) in self.hosts() {
-            watched.extend(self.wanted(&hosts));
+        for ((customer, service), hosts) in self.hosts_by_service() {
+            watched.extend(self.subset_addresses(&hosts));
             let services = snapshot.services.entry(customer.clone()).or_default();
-            services.insert(service.clone(), self.shown(&hosts));
+            services.insert(service.clone(), self.service_replicas(&hosts));
         }
-        self.watch(&watched, now_ms);
+        self.set_watched(&watched, now_ms);
         snapshot
     }
 
@@ -43,8 +43,8 @@
     /// they still have callers.
     pub fn peers(&self) -> Vec<SocketAddr> {
         let reachable = self.present().filter(|(_, member)| {
-            let gone = member.listing.is_none() && member.heard_ms.is_none();
-            !gone && member.standing(&self.settings) != Liveness::Down
+            let gone = member.listing.is_none() && member.last_heard_ms.is_none();
+            !gone && member.liveness(&self.settings) != Liveness::Down
         });
         reachable.map(|(&address, _)| address).collect()
     }
@@ -54,7 +54,7 @@
     /// snapshot leaves it out until then.
     pub fn entries(&self) -> Vec<SocketAddr> {
         let entries = self.present().filter(|(_, member)| {
-            member.role == ProcessRole::Entry && member.standing(&self.settings) != Liveness::Down
+            member.role == ProcessRole::Entry && member.liveness(&self.settings) != Liveness::Down
         });
         entries.map(|(&address, _)| address).collect()
     }
@@ -64,10 +64,10 @@
         let own = (&self.own.failure_domain, &self.own.region);
         let near = self.present().filter(|(_, member)| {
             let place = member
-                .place
+                .location
                 .as_ref()
                 .map(|(domain, region)| (domain, region));
-            let live = member.standing(&self.settings) != Liveness::Down;
+            let live = member.liveness(&self.settings) != Liveness::Down;
             place == Some(own) && live && !member.is_leaving()
         });
         near.map(|(&address, _)| address)
@@ -75,22 +75,22 @@
             .collect()
     }
 
-    fn states(&self) -> impl Iterator<Item = MemberState> {
+    fn member_states(&self) -> impl Iterator<Item = MemberState> {
         self.present().filter_map(|(&address, member)| {
-            let (failure_domain, region) = member.place.clone()?;
+            let (failure_domain, region) = member.location.clone()?;
             Some(MemberState {
                 address,
                 incarnation: member.incarnation,
                 role: member.role,
                 failure_domain,
                 region,
-                liveness: self.shown_standing(member),
+                liveness: self.effective_liveness(member),
                 leaving: member.is_leaving(),
             })
         })
     }
 
-    fn hosts(&self) -> BTreeMap<Service<'_>, Vec<Host<'_>>> {
+    fn hosts_by_service(&self) -> BTreeMap<Service<'_>, Vec<Host<'_>>> {
         let mut services: BTreeMap<Service<'_>, Vec<Host<'_>>> = BTreeMap::new();
         let agents = self.present().filter(|(_, m)| m.role == ProcessRole::Agent);
         for (&address, member) in agents {
@@ -109,32 +109,35 @@
 
     /// The subset if all were up: a member that is down stays watched, so that its return
     /// is noticed as fast as its death.
-    fn wanted(&self, hosts: &[Host<'_>]) -> Vec<SocketAddr> {
+    fn subset_addresses(&self, hosts: &[Host<'_>]) -> Vec<SocketAddr> {
         let staying: Vec<&Host<'_>> = hosts.iter().filter(|h| !h.member.is_leaving()).collect();
-        let chosen = self.choose(&staying).into_iter();
+        let chosen = self.choose_hosts(&staying).into_iter();
         chosen.map(|host| host.address).collect()
     }
 
-    fn shown(&self, hosts: &[Host<'_>]) -> Hosts {
-        let up = |host: &&Host<'_>| self.shown_standing(host.member) != Liveness::Down;
+    fn service_replicas(&self, hosts: &[Host<'_>]) -> ServiceReplicas {
+        let up = |host: &&Host<'_>| self.effective_liveness(host.member) != Liveness::Down;
         let (leaving, staying): (Vec<_>, Vec<_>) =
             hosts.iter().filter(up).partition(|h| h.member.is_leaving());
         let mut replicas: Vec<Replica> = self
-            .choose(&staying)
+            .choose_hosts(&staying)
             .into_iter()
-            .filter_map(|host| self.replica(host))
+            .filter_map(|host| self.to_replica(host))
             .collect();
         replicas.sort_by_key(|replica| replica.liveness);
         let takers = replicas.len();
-        replicas.extend(leaving.into_iter().filter_map(|host| self.replica(host)));
-        Hosts { replicas, takers }
+        replicas.extend(leaving.into_iter().filter_map(|host| self.to_replica(host)));
+        ServiceReplicas {
+            replicas,
+            accepting: takers,
+        }
     }
 
-    fn choose<'a>(&self, hosts: &[&'a Host<'a>]) -> Vec<&'a Host<'a>> {
+    fn choose_hosts<'a>(&self, hosts: &[&'a Host<'a>]) -> Vec<&'a Host<'a>> {
         let placed: Vec<(&'a Host<'a>, Candidate<'a>)> = hosts
             .iter()
             .filter_map(|&host| {
-                let (failure_domain, region) = host.member.place.as_ref()?;
+                let (failure_domain, region) = host.member.location.as_ref()?;
                 let candidate = Candidate {
                     address: host.address,
                     failure_domain,
@@ -152,7 +155,7 @@
             .collect()
     }
 
-    fn replica(&self, host: &Host<'_>) -> Option<Replica> {
+    fn to_replica(&self, host: &Host<'_>) -> Option<Replica> {
         let member = host.member;
         let (status, load_at_ms) = member.status.as_ref()?;
         Some(Replica {
@@ -165,13 +168,13 @@
             load: status.load,
             load_received_ms: *load_at_ms,
             weights: host.hosted.weights,
-            liveness: self.shown_standing(member),
+            liveness: self.effective_liveness(member),
             leaving: member.is_leaving(),
             endpoint_life: status.endpoint_life,
         })
     }
 
-    fn watch(&mut self, watched: &HashSet<SocketAddr>, now_ms: u64) {
+    fn set_watched(&mut self, watched: &HashSet<SocketAddr>, now_ms: u64) {
         let period_ms = self.settings.probe_period_ms(watched.len());
         for (address, member) in &mut self.members {
             member.watched = watched.contains(address);
