--- a/components/config/src/accepted.rs
+++ b/components/config/src/accepted.rs
@@ -1,4 +1,4 @@
-//! Accepted versions.
+//! Accepted versions of customers' configurations.
 
 use std::sync::Arc;
 
@@ -8,44 +8,44 @@
 
 use crate::CustomerConfig;
 
-/// One accepted version of a customer's text.
+/// An accepted version of one customer's configuration.
 #[value]
 pub struct AcceptedVersion {
-    /// The customer.
+    /// Customer that the version belongs to.
     pub customer: CustomerName,
-    /// Its version, from 1.
+    /// Version number; the first accepted publish creates version 1.
     pub version: u64,
-    /// Id of the publish that made it.
+    /// Id of the publish that created the version.
     pub id: String,
-    /// Rules version by which it was judged.
+    /// Version of the rules that the publish was checked against.
     pub rules: u32,
-    /// The text as published.
+    /// The TOML text as published.
     pub source: Arc<str>,
-    /// The text after reading.
+    /// The configuration parsed from `source`.
     pub config: Arc<CustomerConfig>,
     digest: u64,
 }
 
 impl AcceptedVersion {
-    /// A version that a publish or keep record holds, with its text as read.
-    pub(crate) fn new(record: VersionedRecord<'_>, text: CustomerConfig) -> Self {
+    /// Creates a version from a publish or keep record and the configuration parsed from its text.
+    pub(crate) fn new(record: VersionedRecord<'_>, config: CustomerConfig) -> Self {
         Self {
             customer: record.customer.clone(),
             version: record.version,
             id: record.id.to_owned(),
             rules: record.rules,
             source: Arc::from(record.source),
-            config: Arc::new(text),
+            config: Arc::new(config),
             digest: source_digest(record.source),
         }
     }
 
-    /// First 8 bytes of the text's SHA-256, for comparing with other processes.
+    /// First 8 bytes of the text's SHA-256, used to compare versions between processes.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// What goes to other processes so that they can compare.
+    /// Version and digest that this process sends to its peers, which compare them with their own.
     pub fn version_digest(&self) -> VersionDigest {
         VersionDigest {
             customer: self.customer.clone(),
@@ -55,7 +55,7 @@
     }
 }
 
-/// What publish and keep records have in common.
+/// Fields that publish and keep records have in common.
 pub(crate) struct VersionedRecord<'r> {
     pub(crate) customer: &'r CustomerName,
     pub(crate) version: u64,
@@ -64,12 +64,12 @@
     pub(crate) source: &'r str,
 }
 
-/// Version of one customer's text, short enough for a datagram.
+/// Version and digest of one customer's text, small enough for a datagram.
 #[value]
 pub struct VersionDigest {
-    /// The customer.
+    /// Customer that the version belongs to.
     pub customer: CustomerName,
-    /// The version.
+    /// Accepted version that the sender holds.
     pub version: u64,
     /// First 8 bytes of the text's SHA-256.
     pub digest: u64,
@@ -81,15 +81,19 @@
     first.map_or(0, |bytes| u64::from_be_bytes(*bytes))
 }
 
-/// The version, 0 for none.
+/// Version number of an accepted version; 0 for `None`.
 pub(crate) fn version_of(accepted: &Option<Arc<AcceptedVersion>>) -> u64 {
     accepted.as_ref().map_or(0, |accepted| accepted.version)
 }
 
-/// Whether two accounts of one version contradict each other.
-pub(crate) fn contradicts(one: Option<&AcceptedVersion>, other: Option<&AcceptedVersion>) -> bool {
-    match (one, other) {
-        (Some(one), Some(other)) => one.source != other.source || one.id != other.id,
+/// Whether both are given and differ in text or publish id. The caller passes accounts of the same
+/// version number, so a difference means that one of them is wrong.
+pub(crate) fn contradicts(
+    first: Option<&AcceptedVersion>,
+    second: Option<&AcceptedVersion>,
+) -> bool {
+    match (first, second) {
+        (Some(first), Some(second)) => first.source != second.source || first.id != second.id,
         _ => false,
     }
 }
--- a/components/config/src/chain.rs
+++ b/components/config/src/chain.rs
@@ -1,17 +1,18 @@
-//! The versions of one customer, as one reader of the log knows them.
+//! The accepted versions of one customer, as one reader of the log knows them.
 //!
-//! A publish is accepted iff its base is the version that is current at its offset and
-//! its text passes the check by its own rules. Nothing else goes into the verdict: not
-//! other customers' texts, and no memory of ids that an earlier part of the log would
-//! fill. So a reader that knows which version was current at one offset, and has read
-//! every later record, reaches the same verdicts as a reader of the whole log.
+//! A publish is accepted if and only if its base is the version that is current at its offset and
+//! its text passes the check under the rules version that the record names. Nothing else influences
+//! the verdict: neither other customers' texts nor a memory of publish ids that depends on earlier
+//! parts of the log. A reader that knows which version was current at one offset and has read every
+//! later record therefore reaches the same verdicts as a reader of the whole log.
 //!
-//! A reader that does not know holds the publishes back. What brings it to know is an
-//! anchor, "version v was current up to offset t", from a keep record or a peer, if the
-//! reader has every record from t on. Without one it holds the highest version that it
-//! has seen proved, which can be behind but never be another text than another reader's.
-//! The same goes for what a peer proves that is ahead in the log: it is held at once,
-//! and the verdicts go on from the version that is current where the reader stands.
+//! A reader that does not know the current version holds publishes back. It resumes with an anchor,
+//! that is the statement "version v was current up to offset t" in a keep record or from a peer,
+//! provided that it has every record from t on. Without an anchor it holds the highest version that
+//! is proved to have been accepted. That version can be out of date, but its text never differs
+//! from what other readers hold for the same number. A proof from a peer that has read more of the
+//! log is handled the same way: this reader holds the proved version at once and continues to judge
+//! publishes from the version that is current at its own offset.
 
 use std::sync::Arc;
 
@@ -21,23 +22,24 @@
 use crate::recent_verdicts::RecentVerdicts;
 use crate::{AcceptedVersion, ID_BYTES_MAX, Publish, Refusal, Rules, Verdict};
 
-/// The versions of one customer.
+/// State machine over the records about one customer.
 #[derive(Clone, Debug)]
 pub(crate) struct VersionChain {
-    /// Current at the reader's offset; only while that is certain.
+    /// Version that is current at the reader's offset. Meaningful only while `certain_from` is set;
+    /// `None` then means that the customer has no version.
     current: Option<Arc<AcceptedVersion>>,
-    /// `current` (or that there was none) held at this offset, and every later publish
-    /// is judged.
+    /// Offset at which `current` was the current version; every later publish has been judged.
+    /// `None` while the current version is unknown.
     certain_from: Option<u64>,
-    /// Proved to have been accepted, and higher than `current`.
+    /// Version that a keep record or a peer proved to be accepted; higher than `current`.
     proved: Option<Arc<AcceptedVersion>>,
     pending: PendingPublishes,
     recent_verdicts: RecentVerdicts,
 }
 
 impl VersionChain {
-    /// A customer of which nothing was read yet; `certain_from` if it is known to have
-    /// no version at that offset.
+    /// Creates the state of a customer without any record so far. `certain_from` is set if the
+    /// customer is known to have no version at that offset.
     pub(crate) fn new(certain_from: Option<u64>, complete_from: u64) -> Self {
         Self {
             current: None,
@@ -48,12 +50,13 @@
         }
     }
 
-    /// The highest version that is known; it never goes back.
+    /// The highest version known to be accepted. It never decreases.
     pub(crate) fn newest_known(&self) -> Option<&Arc<AcceptedVersion>> {
         self.proved.as_ref().or(self.current.as_ref())
     }
 
-    /// The offset up to which what is held was the current version, if that is known.
+    /// Offset up to which [`VersionChain::newest_known`] was the current version; `None` if that is
+    /// unknown.
     pub(crate) fn certain_up_to(&self, next_offset: u64) -> Option<u64> {
         let certain = self.certain_from.filter(|_| self.proved.is_none());
         certain.map(|from| from.max(next_offset))
@@ -63,12 +66,13 @@
         self.pending.text_bytes()
     }
 
-    /// The verdict on the last publish with this id.
+    /// The verdict on the newest publish with this id.
     pub(crate) fn verdict(&self, id: &str) -> Option<&Verdict> {
         self.recent_verdicts.verdict(id)
     }
 
-    /// Takes in a publish from the log; `room_bytes` is what may still be held back.
+    /// Judges a publish read from the log. `room_bytes` limits the bytes that may still be held
+    /// back.
     pub(crate) fn apply_publish(
         &mut self,
         offset: u64,
@@ -112,7 +116,7 @@
         let origin = format!("{} version {version}", publish.customer);
         match parse_published(rules, &publish.customer, &publish.text, &origin) {
             Err(complaints) => Verdict::Refused(Refusal::Invalid(complaints)),
-            Ok(text) => {
+            Ok(config) => {
                 let record = VersionedRecord {
                     customer: &publish.customer,
                     version,
@@ -120,35 +124,36 @@
                     rules: publish.rules,
                     source: &publish.text,
                 };
-                self.current = Some(Arc::new(AcceptedVersion::new(record, text)));
+                self.current = Some(Arc::new(AcceptedVersion::new(record, config)));
                 Verdict::Accepted { version }
             }
         }
     }
 
-    /// What is wrong with base and id, under any rules.
+    /// Checks base and id; these checks are the same under every rules version.
     fn check_base(&self, publish: &Publish) -> Option<Refusal> {
         let current_id = self.current.as_deref().map(|current| current.id.as_str());
         let current = version_of(&self.current);
         let base = publish.base;
-        let other_base = publish.base_id.is_some() && publish.base_id.as_deref() != current_id;
-        let same_id = current_id == Some(publish.id.as_str());
+        let base_id_differs = publish.base_id.is_some() && publish.base_id.as_deref() != current_id;
+        let repeats_current_id = current_id == Some(publish.id.as_str());
         if base < current {
             Some(Refusal::Outdated { base, current })
         } else if base > current {
             Some(Refusal::Ahead { base, current })
-        } else if other_base {
+        } else if base_id_differs {
             Some(Refusal::OtherBase { base })
-        } else if same_id {
+        } else if repeats_current_id {
             Some(Refusal::BadId)
         } else {
             None
         }
     }
 
-    /// An append whose answer was lost is made again with the same id. Its second copy
-    /// never fits the base, so it changes nothing; the operator still has to hear the
-    /// verdict on the first.
+    /// Returns the first copy's verdict if `publish` is a duplicate of an accepted publish, else
+    /// the refusal. A client that loses the answer to an append repeats it with the same id. The
+    /// second copy never fits the base, so it changes nothing, but the operator still needs the
+    /// verdict on the first copy.
     fn refused_or_duplicate(&self, publish: &Publish, refusal: Refusal) -> Verdict {
         let first = self.recent_verdicts.verdict_on_copy(publish);
         match (self.version_made_by(publish), first) {
@@ -158,15 +163,15 @@
         }
     }
 
-    /// The current version, if this publish made it.
+    /// The current version, if this publish created it.
     fn version_made_by(&self, publish: &Publish) -> Option<u64> {
         let current = self.current.as_deref()?;
-        let next_of_base = publish.base.checked_add(1) == Some(current.version);
-        let same = current.id == publish.id && *current.source == *publish.text;
-        (next_of_base && same).then_some(current.version)
+        let follows_base = publish.base.checked_add(1) == Some(current.version);
+        let is_same_publish = current.id == publish.id && *current.source == *publish.text;
+        (follows_base && is_same_publish).then_some(current.version)
     }
 
-    /// The anchor already counts this publish in, however it went.
+    /// Verdict on a publish whose outcome, accepted or refused, is already included in the anchor.
     fn verdict_before_anchor(&self, publish: &Publish) -> Verdict {
         match self.version_made_by(publish) {
             Some(version) => Verdict::Accepted { version },
@@ -174,7 +179,8 @@
         }
     }
 
-    /// The current version at `offset` is no longer known.
+    /// Records that the current version at `offset` is unknown, and discards the publishes held
+    /// back before it.
     fn mark_uncertain(&mut self, offset: u64) {
         let current = self.current.take();
         self.proved = self.proved.take().or(current);
@@ -182,9 +188,9 @@
         self.pending.clear(offset);
     }
 
-    /// Drops what was proved once the current version has come to it. Should they be
-    /// two texts, somebody wrote what is not true: the first one stays, and nothing is
-    /// judged until an anchor from `next_offset` or later.
+    /// Drops the proved version once the current version has reached its number. If their texts
+    /// differ, a process or record made a false statement: the proved version is kept, and no
+    /// publish is judged until an anchor at `next_offset` or later arrives.
     fn reconcile_proved(&mut self, next_offset: u64) -> Option<Verdict> {
         self.certain_from?;
         let proved = self.proved.as_deref()?;
@@ -201,15 +207,15 @@
         None
     }
 
-    /// The records before `offset` and after what was read are gone.
+    /// Handles a gap: the log no longer has the records between the last one read and `offset`.
     pub(crate) fn mark_gap(&mut self, offset: u64) {
         if self.certain_from.is_none_or(|from| from < offset) {
             self.mark_uncertain(offset);
         }
     }
 
-    /// Takes in "this was the current version up to `through`"; `next_offset` is the
-    /// first offset that was not read.
+    /// Applies an anchor: `accepted` was the current version up to the offset `through`.
+    /// `next_offset` is the first offset that this reader has not read.
     pub(crate) fn apply_anchor(
         &mut self,
         accepted: Option<Arc<AcceptedVersion>>,
@@ -229,8 +235,8 @@
         }
     }
 
-    /// Takes in "this version was accepted once" from a record that was read: if the
-    /// current version is certain, it must be that one or a later one.
+    /// Applies a record of the log that states that a version was accepted at some time. While the
+    /// current version is certain, a version above it or another text of it is a conflict.
     pub(crate) fn apply_logged_proof(&mut self, accepted: Arc<AcceptedVersion>) -> Verdict {
         match self.certain_from {
             Some(_) => self.check_against_current(Some(&accepted)),
@@ -238,7 +244,8 @@
         }
     }
 
-    /// Takes in "this version was accepted once" from a peer, which may be ahead.
+    /// Applies a peer's statement that a version was accepted at some time. The peer may have read
+    /// more of the log than this reader.
     pub(crate) fn apply_peer_proof(&mut self, accepted: Arc<AcceptedVersion>) -> Verdict {
         let held = self.newest_known().cloned();
         let (version, held_version) = (accepted.version, version_of(&held));
@@ -253,18 +260,19 @@
         Verdict::Known
     }
 
-    /// Whether news about an offset that was judged here agrees with that.
+    /// Compares a statement about an offset that this reader has already judged with its own
+    /// result.
     fn check_against_current(&self, accepted: Option<&AcceptedVersion>) -> Verdict {
         let held = version_of(&self.current);
         let version = accepted.map_or(0, |accepted| accepted.version);
-        let other_text = version == held && contradicts(self.current.as_deref(), accepted);
-        if version > held || other_text {
+        let text_differs = version == held && contradicts(self.current.as_deref(), accepted);
+        if version > held || text_differs {
             return Verdict::Conflict { version, held };
         }
         Verdict::Known
     }
 
-    /// Goes forward to a peer that has read more of the log.
+    /// Adopts the current version of a peer that has read more of the log.
     fn advance_to(
         &mut self,
         accepted: Option<Arc<AcceptedVersion>>,
@@ -272,9 +280,9 @@
         next_offset: u64,
     ) -> Verdict {
         let (version, held) = (version_of(&accepted), version_of(&self.current));
-        let other_text =
+        let text_differs =
             version == held && contradicts(self.current.as_deref(), accepted.as_deref());
-        if version < held || other_text {
+        if version < held || text_differs {
             return Verdict::Conflict { version, held };
         }
         self.current = accepted;
@@ -288,7 +296,7 @@
         }
     }
 
-    /// Knows the current version again, and judges what was held back.
+    /// Adopts an anchor after a time of uncertainty and judges the publishes held back.
     fn judge_pending(
         &mut self,
         accepted: Option<Arc<AcceptedVersion>>,
@@ -305,7 +313,8 @@
             return conflict;
         }
         let version = self.newest_known().map_or(0, |held| held.version);
-        // The replay may have come to rules that are too new, and know no more.
+        // A held-back publish may name rules that this binary does not know; the current version is
+        // then uncertain again.
         match self.certain_from.is_some() || version > before {
             true => Verdict::Learned { version },
             false => Verdict::Known,
--- a/components/config/src/check.rs
+++ b/components/config/src/check.rs
@@ -1,6 +1,9 @@
-//! The check of a text against the other customers' accepted texts, before it is
-//! published. It is made by the operator's tool only; the verdict of the log's readers
-//! leaves other customers out (see the module `links` for what holds instead).
+//! Checks a configuration against the accepted configurations of other customers before it is
+//! published.
+//!
+//! Only the operator's tool runs this check. The verdict of the log's readers does not depend on
+//! other customers; the module `dependencies` describes how dependencies between customers are
+//! resolved instead.
 
 use std::collections::HashMap;
 
@@ -15,26 +18,26 @@
 };
 use crate::{Place, Severity, UnmetCause};
 
-/// All complaints about a text that passed [`crate::parse`], in the state of this ledger;
-/// with its warnings from the reading.
-pub fn check(text: &CustomerConfig, ledger: &Ledger) -> Complaints {
-    let mut report = Report::new(&text.file);
-    let mut texts: HashMap<&CustomerName, &CustomerConfig> = HashMap::new();
+/// Returns all complaints about a text that passed [`crate::parse`], given the accepted versions in
+/// `ledger`. The warnings of the parser are included.
+pub fn check(config: &CustomerConfig, ledger: &Ledger) -> Complaints {
+    let mut report = Report::new(&config.file);
+    let mut configs: HashMap<&CustomerName, &CustomerConfig> = HashMap::new();
     for accepted in ledger.all() {
-        texts.insert(&accepted.customer, &accepted.config);
+        configs.insert(&accepted.customer, &accepted.config);
     }
-    texts.insert(&text.customer, text);
-    for unmet in resolve_dependencies(&texts).unmet {
-        if unmet.from.owner == text.customer {
-            report.add_error(unmet.place, complaint_cause(text, &texts, &unmet));
+    configs.insert(&config.customer, config);
+    for unmet in resolve_dependencies(&configs).unmet {
+        if unmet.from.owner == config.customer {
+            report.add_error(unmet.place, complaint_cause(config, &configs, &unmet));
         }
     }
-    check_tokens(text, ledger, &mut report);
-    if let Some(current) = ledger.current(&text.customer) {
-        check_dependents(text, current, ledger, &mut report);
+    check_tokens(config, ledger, &mut report);
+    if let Some(current) = ledger.current(&config.customer) {
+        check_dependents(config, current, ledger, &mut report);
     }
     let mut complaints = report.finish();
-    complaints.0.extend(text.warnings.iter().cloned());
+    complaints.0.extend(config.warnings.iter().cloned());
     complaints.0.sort_by_key(sort_key);
     complaints
 }
@@ -44,8 +47,8 @@
 }
 
 fn complaint_cause(
-    text: &CustomerConfig,
-    texts: &HashMap<&CustomerName, &CustomerConfig>,
+    config: &CustomerConfig,
+    configs: &HashMap<&CustomerName, &CustomerConfig>,
     unmet: &UnmetDependency,
 ) -> ComplaintCause {
     match &unmet.cause {
@@ -53,28 +56,28 @@
             name: unmet.to.owner.to_string(),
             nearest: nearest(
                 unmet.to.owner.as_str(),
-                texts.keys().map(|name| name.as_str()),
+                configs.keys().map(|name| name.as_str()),
             ),
         },
-        // Which services another customer has is nobody's business unless it shares
-        // them, so one that is missing and one that is private read the same.
+        // Customers must not learn which services others have unless these are shared with them, so
+        // a missing service and a private one give the same message.
         UnmetCause::NoService | UnmetCause::Private => ComplaintCause::Private {
             target: unmet.to.to_string(),
-            customer: text.customer.to_string(),
+            customer: config.customer.to_string(),
         },
         UnmetCause::Cycle { path } => ComplaintCause::Cycle { path: path.clone() },
     }
 }
 
-fn check_tokens(text: &CustomerConfig, ledger: &Ledger, report: &mut Report) {
+fn check_tokens(config: &CustomerConfig, ledger: &Ledger, report: &mut Report) {
     let others = ledger
         .all()
-        .filter(|accepted| accepted.customer != text.customer);
+        .filter(|accepted| accepted.customer != config.customer);
     let taken: std::collections::HashSet<_> = others
         .flat_map(|other| &other.config.tokens)
         .map(|token| token.digest)
         .collect();
-    for token in text
+    for token in config
         .tokens
         .iter()
         .filter(|token| taken.contains(&token.digest))
@@ -84,40 +87,40 @@
     }
 }
 
-/// What the text takes from other customers that use it now.
+/// Reports services that other customers depend on and that this text removes or no longer shares.
 fn check_dependents(
-    text: &CustomerConfig,
+    config: &CustomerConfig,
     current: &AcceptedVersion,
     ledger: &Ledger,
     report: &mut Report,
 ) {
-    for before in &current.config.services {
-        let now = text.service(&before.name);
-        let used = before.shared_with.iter().filter_map(|customer| {
-            let user = find_dependent(before, customer, ledger)?;
-            let still = now.is_some_and(|now| now.shared_with.contains(customer));
-            (!still).then_some(user)
+    for old in &current.config.services {
+        let new = config.service(&old.name);
+        let lost_dependents = old.shared_with.iter().filter_map(|customer| {
+            let dependent = find_dependent(old, customer, ledger)?;
+            let still_shared = new.is_some_and(|new| new.shared_with.contains(customer));
+            (!still_shared).then_some(dependent)
         });
-        for by in used {
-            let service = before.name.to_string();
-            match now {
-                Some(now) => {
-                    report.add_warning(now.place, ComplaintCause::Unshared { service, by })
+        for by in lost_dependents {
+            let service = old.name.to_string();
+            match new {
+                Some(new) => {
+                    report.add_warning(new.place, ComplaintCause::Unshared { service, by })
                 }
-                None => report.add_error(text.place, ComplaintCause::StillUsed { service, by }),
+                None => report.add_error(config.place, ComplaintCause::StillUsed { service, by }),
             }
         }
     }
 }
 
-/// A service of the customer that depends on this one.
+/// The full name of a service of `customer` that depends on `service`.
 fn find_dependent(service: &Service, customer: &CustomerName, ledger: &Ledger) -> Option<String> {
     let target = service.target();
     let services = &ledger.current(customer)?.config.services;
-    let depends = |user: &&std::sync::Arc<Service>| {
-        let edges = user.depends_on.iter();
+    let depends = |dependent: &&std::sync::Arc<Service>| {
+        let edges = dependent.depends_on.iter();
         edges.map(|edge| &edge.target).any(|to| *to == target)
     };
-    let user = services.iter().find(depends)?;
-    Some(user.target().to_string())
+    let dependent = services.iter().find(depends)?;
+    Some(dependent.target().to_string())
 }
--- a/components/config/src/complaint.rs
+++ b/components/config/src/complaint.rs
@@ -1,4 +1,4 @@
-//! Complaints about a text: where, what and what is allowed.
+//! Complaints about a text: their place, their cause and the values that are allowed.
 
 use std::fmt;
 use std::sync::Arc;
@@ -10,124 +10,125 @@
 use crate::{PatternError, Place, ServiceKind};
 
 quick_error! {
-    /// What is wrong, with what is allowed.
-    // `quick_error!` takes no doc comments on fields; their names and the texts say it.
+    /// Why a text is rejected or draws a warning. The messages state what is allowed.
+    // `quick_error!` does not accept doc comments on fields; the field names and messages describe
+    // them.
     #[allow(missing_docs)]
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum ComplaintCause {
-        /// The text is over its limit.
+        /// The text exceeds [`crate::TEXT_BYTES_MAX`].
         TooLarge { bytes: usize, max: usize } {
             display("the text has {} bytes, at most {} are allowed", bytes, max)
         }
-        /// Not TOML.
+        /// The text is not valid TOML; holds the message of the TOML parser.
         Syntax(message: String) {
             display("{}", message)
         }
-        /// Tables and lists nested too deep.
+        /// Tables, lists or dotted keys are nested more than [`crate::DEPTH_MAX`] levels deep.
         TooDeep { max: usize } {
             display("nested too deep, at most {} levels are allowed", max)
         }
-        /// The schema is not one that is read here.
+        /// The text has another schema major than 1.
         UnknownSchema { found: String } {
             display("schema {} is not known: write schema = 1, or schema = \"1.MINOR\" for a newer minor", found)
         }
-        /// A field that the schema does not have.
+        /// The schema has no such field.
         UnknownField { field: String, nearest: Option<String>, allowed: String } {
             display("unknown field '{}'{}; allowed: {}", field, suggestion(nearest), allowed)
         }
-        /// A field of a newer schema, let pass.
+        /// The field may belong to a newer schema minor, so it only draws a warning.
         NewerField { field: String } {
             display("field '{}' is not known to these rules and has no effect yet", field)
         }
-        /// A field that has to be there.
+        /// A required field is missing.
         MissingField { field: &'static str, wanted: &'static str } {
             display("field '{}' is missing: {}", field, wanted)
         }
-        /// A value of another type.
+        /// A field's value has the wrong type.
         WrongType { field: String, found: &'static str, wanted: &'static str } {
             display("field '{}' is a {}, wanted: {}", field, found, wanted)
         }
-        /// A number outside its range.
+        /// A number is outside of its range.
         OutOfRange { field: &'static str, found: String, min: u64, max: u64 } {
             display("field '{}' is {}, allowed: {} to {}", field, found, min, max)
         }
-        /// Not a name.
+        /// A value does not follow the rules for names.
         BadName { field: String, text: String, error: NameError } {
             display("'{}' in field '{}' is not a name: {}", text, field, error)
         }
-        /// Not one of the words.
+        /// A value is not one of the allowed texts.
         UnknownWord { field: &'static str, found: String, nearest: Option<String>, allowed: String } {
             display("'{}' in field '{}' is not known{}; allowed: {}", found, field, suggestion(nearest), allowed)
         }
-        /// Too many entries.
+        /// A list exceeds its maximum length.
         TooMany { field: &'static str, found: usize, max: usize } {
             display("field '{}' has {} entries, at most {} are allowed", field, found, max)
         }
-        /// Not a digest.
+        /// A token's `sha256` is not 64 hexadecimal digits.
         BadDigest {
             display("field 'sha256' is not the SHA-256 of a token: write its 64 hex digits")
         }
-        /// Not a pattern of calls.
+        /// An entry of `idempotent` or `non_idempotent` is not a call pattern.
         BadPattern { text: String, error: PatternError } {
             display("'{}' is not a pattern of calls: {}", text, error)
         }
-        /// The same thing twice.
+        /// A service, token, token digest, dependency or customer is listed twice.
         Duplicate { what: &'static str, name: String, first: Place } {
-            display("{} '{}' stands here a second time, first at {}", what, name, first)
+            display("{} '{}' is listed twice, first at {}", what, name, first)
         }
-        /// A service that the customer does not have.
+        /// The text refers to a service that it does not define.
         UnknownService { name: String, nearest: Option<String> } {
             display("unknown service '{}'{}", name, suggestion(nearest))
         }
-        /// Dependencies that come back to where they began.
+        /// The dependencies between services form a cycle.
         Cycle { path: String } {
             display("the dependencies form a cycle: {}", path)
         }
-        /// A scorer that is a model.
+        /// The scorer of a model is not a plain service.
         ScorerNotPlain { name: String } {
             display("'{}' is a model; a scorer is a plain service", name)
         }
-        /// A trainer token for a plain service.
+        /// A trainer token lists a plain service.
         TrainerOfPlain { name: String } {
             display("'{}' is a plain service; a trainer token names models", name)
         }
-        /// A trainer or operator token for another customer's service.
+        /// A trainer or operator token lists another customer's service.
         OtherCustomersService { name: String } {
             display("'{}' is another customer's; only a caller token may name it", name)
         }
-        /// A field that this kind of service does not have.
+        /// The field applies only to the other kind of service.
         NotForKind { field: &'static str, kind: ServiceKind } {
             display("field '{}' has no meaning for a {} service", field, kind)
         }
-        /// A model with a trainer and no staleness bound.
+        /// A model that a trainer token covers does not state its staleness bound.
         StalenessUnstated { model: String } {
             display("model '{}' has a trainer token but no 'staleness_bound': state how many versions a sample may be behind", model)
         }
-        /// The text is another customer's than the record says.
+        /// The text names another customer than the record that publishes it.
         OtherCustomer { wanted: String } {
             display("the text is published for customer '{}'", wanted)
         }
-        /// A customer that has no accepted text.
+        /// A dependency names a customer without an accepted text.
         UnknownCustomer { name: String, nearest: Option<String> } {
             display("customer '{}' has no accepted text{}", name, suggestion(nearest))
         }
-        /// Another customer's service that is not shared.
+        /// A dependency names another customer's service that does not exist or is not shared.
         Private { target: String, customer: String } {
             display("'{}' is not shared with '{}': its owner has to list the customer in 'shared_with'", target, customer)
         }
-        /// A service of which other customers make use.
+        /// The text removes a service that another customer depends on.
         StillUsed { service: String, by: String } {
-            display("service '{}' cannot go while it is shared and used by {}: first publish it without them in 'shared_with'", service, by)
+            display("service '{}' cannot be removed while it is shared with and used by {}: first publish a text that no longer lists that customer in 'shared_with'", service, by)
         }
-        /// A service that other customers use and that is no longer shared with them.
+        /// The text stops sharing a service that another customer depends on.
         Unshared { service: String, by: String } {
-            display("service '{}' is no longer shared, and the dependency of {} goes out of force", service, by)
+            display("service '{}' is no longer shared, and the dependency of {} becomes inactive", service, by)
         }
-        /// A token that another customer has as well.
+        /// Another customer's text has a token with the same digest.
         TokenTaken { name: String } {
-            display("token '{}' is another customer's as well: make a new one that begins with the customer's name and a dot", name)
+            display("token '{}' is also used by another customer: create a new one that begins with the customer's name and a dot", name)
         }
-        /// Rules that this binary does not know.
+        /// The record names a rules version that this binary does not know.
         UnknownRules { rules: u32 } {
             display("rules version {} is not known to this binary", rules)
         }
@@ -141,55 +142,55 @@
     }
 }
 
-/// Whether a complaint stops a publish.
+/// Severity of a complaint.
 #[key]
 pub enum Severity {
-    /// Let pass.
+    /// The text is accepted.
     Warning,
-    /// Stops the publish.
+    /// The text is refused.
     Error,
 }
 
-/// One complaint.
+/// A problem found in a text.
 #[value]
 pub struct Complaint {
-    /// File that the text came from, or another name for its origin.
+    /// Path of the text's file, or another description of its origin.
     pub file: Arc<str>,
-    /// Where in the text.
+    /// Position of the problem in the text.
     pub place: Place,
-    /// Whether it stops a publish.
+    /// Whether the text is refused because of this complaint.
     pub severity: Severity,
-    /// What is wrong.
+    /// The problem and the values that are allowed.
     pub cause: ComplaintCause,
 }
 
 impl fmt::Display for Complaint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let word = match self.severity {
+        let label = match self.severity {
             Severity::Warning => "warning",
             Severity::Error => "error",
         };
-        write!(f, "{}:{}: {word}: {}", self.file, self.place, self.cause)
+        write!(f, "{}:{}: {label}: {}", self.file, self.place, self.cause)
     }
 }
 
-/// All complaints about a text, in the order of their places.
+/// All complaints about a text, sorted by position.
 #[value]
 #[derive(Default)]
 pub struct Complaints(pub Vec<Complaint>);
 
 impl Complaints {
-    /// Whether one of them stops a publish.
+    /// Whether at least one complaint is an error.
     pub fn has_errors(&self) -> bool {
-        let stops = |complaint: &Complaint| complaint.severity == Severity::Error;
-        self.0.iter().any(stops)
+        let is_error = |complaint: &Complaint| complaint.severity == Severity::Error;
+        self.0.iter().any(is_error)
     }
 }
 
 impl fmt::Display for Complaints {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (at, complaint) in self.0.iter().enumerate() {
-            let line_break = if at == 0 { "" } else { "\n" };
+        for (index, complaint) in self.0.iter().enumerate() {
+            let line_break = if index == 0 { "" } else { "\n" };
             write!(f, "{line_break}{complaint}")?;
         }
         Ok(())
@@ -198,13 +199,14 @@
 
 impl std::error::Error for Complaints {}
 
-/// Gathers complaints about one text.
+/// Collects the complaints about one text.
 pub(crate) struct Report {
     file: Arc<str>,
     complaints: Vec<Complaint>,
 }
 
-/// Most complaints that are gathered: more help nobody, and each holds its words.
+/// Maximum number of complaints kept per text. More do not help the author, and each one keeps
+/// excerpts of the text in memory.
 const COMPLAINTS_MAX: usize = 100;
 
 impl Report {
@@ -224,8 +226,8 @@
     }
 
     fn add(&mut self, place: Place, severity: Severity, cause: ComplaintCause) {
-        // An error is always kept, however many warnings came before it: without one
-        // the text would count as good.
+        // The first error is kept even when the list is full of warnings: without an error the text
+        // would be accepted.
         let full = self.complaints.len() >= COMPLAINTS_MAX;
         if full && (severity == Severity::Warning || self.has_errors()) {
             return;
@@ -238,7 +240,7 @@
         });
     }
 
-    /// Whether more errors would be dropped, so that looking for them is in vain.
+    /// Whether further errors would be dropped, so that callers can stop searching for them.
     pub(crate) fn is_full(&self) -> bool {
         self.complaints.len() >= COMPLAINTS_MAX && self.has_errors()
     }
@@ -248,8 +250,8 @@
     }
 
     pub(crate) fn has_errors(&self) -> bool {
-        let stops = |complaint: &Complaint| complaint.severity == Severity::Error;
-        self.complaints.iter().any(stops)
+        let is_error = |complaint: &Complaint| complaint.severity == Severity::Error;
+        self.complaints.iter().any(is_error)
     }
 
     pub(crate) fn finish(mut self) -> Complaints {
--- a/components/config/src/cycle.rs
+++ b/components/config/src/cycle.rs
@@ -1,13 +1,13 @@
-//! Cycles in graphs whose nodes are numbers.
+//! Cycle detection, shortest paths and strongly connected components in graphs with numbered nodes.
 
-/// A graph: for each node the nodes that its edges lead to.
+/// Adjacency list: for each node, the targets of its edges.
 pub(crate) type Edges = Vec<Vec<usize>>;
 
-/// An edge that closes a cycle.
+/// A back edge of a depth-first search; it closes a cycle.
 pub(crate) struct CycleEdge {
-    /// The nodes from the cycle's first to the one whose edge closes it.
+    /// Nodes of the cycle in order; the last one has the edge back to the first.
     pub(crate) path: Vec<usize>,
-    /// Which edge of the last node it is.
+    /// Index of the closing edge among the edges of the last node.
     pub(crate) edge: usize,
 }
 
@@ -18,8 +18,8 @@
     Done,
 }
 
-/// Each edge that closes a cycle on a walk in depth through the graph. The graph has
-/// a cycle exactly if there is one.
+/// Returns the back edges of a depth-first search. The graph has a cycle if and only if there is at
+/// least one.
 pub(crate) fn cycle_edges(edges: &Edges) -> Vec<CycleEdge> {
     let mut visits = vec![Visit::New; edges.len()];
     let mut found = Vec::new();
@@ -37,49 +37,49 @@
     visits: &mut [Visit],
     found: &mut Vec<CycleEdge>,
 ) {
-    // Each step holds a node and its next edge; a stack of our own, as a long chain
-    // of dependencies must not exhaust the thread's.
-    let mut steps = vec![(root, 0)];
+    // Each entry holds a node and the index of its next edge. The stack is on the heap because a
+    // long chain of dependencies would exhaust the thread's stack.
+    let mut stack = vec![(root, 0)];
     visits[root] = Visit::OnPath;
-    while let Some((node, edge)) = steps.last().copied() {
+    while let Some((node, edge)) = stack.last().copied() {
         let Some(&next) = edges[node].get(edge) else {
             visits[node] = Visit::Done;
-            steps.pop();
+            stack.pop();
             continue;
         };
-        if let Some(step) = steps.last_mut() {
-            step.1 += 1;
+        if let Some(top) = stack.last_mut() {
+            top.1 += 1;
         }
         match visits[next] {
             Visit::Done => {}
-            Visit::OnPath => found.push(cycle_edge(&steps, next, edge)),
+            Visit::OnPath => found.push(cycle_edge(&stack, next, edge)),
             Visit::New => {
                 visits[next] = Visit::OnPath;
-                steps.push((next, 0));
+                stack.push((next, 0));
             }
         }
     }
 }
 
-fn cycle_edge(steps: &[(usize, usize)], first: usize, edge: usize) -> CycleEdge {
-    let nodes = steps.iter().map(|&(node, _)| node);
+fn cycle_edge(stack: &[(usize, usize)], first: usize, edge: usize) -> CycleEdge {
+    let nodes = stack.iter().map(|&(node, _)| node);
     CycleEdge {
         path: nodes.skip_while(|&node| node != first).collect(),
         edge,
     }
 }
 
-/// The shortest path from one node to another, both included.
+/// The shortest path between two nodes, including both.
 pub(crate) fn shortest_path(edges: &Edges, from: usize, to: usize) -> Option<Vec<usize>> {
-    let mut came_from = vec![None; edges.len()];
+    let mut predecessors = vec![None; edges.len()];
     let mut queue = std::collections::VecDeque::from([from]);
     while let Some(node) = queue.pop_front() {
         if node == to {
-            return Some(trace_back(&came_from, from, to));
+            return Some(trace_back(&predecessors, from, to));
         }
         for &next in &edges[node] {
-            if next != from && came_from[next].is_none() {
-                came_from[next] = Some(node);
+            if next != from && predecessors[next].is_none() {
+                predecessors[next] = Some(node);
                 queue.push_back(next);
             }
         }
@@ -87,21 +87,23 @@
     None
 }
 
-fn trace_back(came_from: &[Option<usize>], from: usize, to: usize) -> Vec<usize> {
+fn trace_back(predecessors: &[Option<usize>], from: usize, to: usize) -> Vec<usize> {
     let mut nodes = vec![to];
-    let mut at = to;
-    while at != from {
-        let Some(before) = came_from[at] else { break };
-        nodes.push(before);
-        at = before;
+    let mut node = to;
+    while node != from {
+        let Some(previous) = predecessors[node] else {
+            break;
+        };
+        nodes.push(previous);
+        node = previous;
     }
     nodes.reverse();
     nodes
 }
 
-/// For each node the number of its component: two nodes have the same one exactly if
-/// each can be reached from the other. Takes time in proportion to the edges (two walks
-/// in depth, the second one against the edges, after Kosaraju).
+/// Returns the strongly connected component of each node, after Kosaraju: two nodes have the same
+/// number if and only if each can be reached from the other. The run time is linear in the number
+/// of edges.
 pub(crate) fn components(edges: &Edges) -> Vec<usize> {
     let mut back_edges: Edges = vec![Vec::new(); edges.len()];
     for (node, to) in edges.iter().enumerate() {
@@ -114,27 +116,27 @@
     components.into_iter().flatten().collect()
 }
 
-/// The nodes in the order in which a walk in depth is done with them.
+/// The nodes in post-order of a depth-first search.
 fn finish_order(edges: &Edges) -> Vec<usize> {
     let mut order = Vec::with_capacity(edges.len());
     let mut seen = vec![false; edges.len()];
     for root in 0..edges.len() {
-        let mut steps = Vec::new();
+        let mut stack = Vec::new();
         if !std::mem::replace(&mut seen[root], true) {
-            steps.push((root, 0));
+            stack.push((root, 0));
         }
-        while let Some(step) = steps.last_mut() {
-            let (node, edge) = *step;
-            step.1 += 1;
+        while let Some(top) = stack.last_mut() {
+            let (node, edge) = *top;
+            top.1 += 1;
             match edges[node].get(edge) {
                 Some(&next) if !seen[next] => {
                     seen[next] = true;
-                    steps.push((next, 0));
+                    stack.push((next, 0));
                 }
                 Some(_) => {}
                 None => {
                     order.push(node);
-                    steps.pop();
+                    stack.pop();
                 }
             }
         }
@@ -142,7 +144,7 @@
     order
 }
 
-/// Gives all unlabelled nodes that the root reaches its number.
+/// Assigns the root as component number to every node that it reaches and that has none yet.
 fn label_component(edges: &Edges, root: usize, components: &mut [Option<usize>]) {
     let mut nodes = vec![root];
     while let Some(node) = nodes.pop() {
--- a/components/config/src/dependencies.rs
+++ b/components/config/src/dependencies.rs
@@ -1,11 +1,11 @@
-//! Dependencies between customers.
+//! Resolves dependencies between customers.
 //!
-//! A text is accepted on its own, so that no customer can make another's publish be
-//! refused. Whether a dependency on another customer's service is in force follows from
-//! the accepted texts of both, each time one of them changes: it is in force while the
-//! service exists, is shared with the dependent customer and lies on no cycle. When it
-//! stops to be, calls over it are refused and the dependent text stays accepted; when
-//! it is again, the dependency comes back without a new publish.
+//! Each text is accepted independently of other customers, so that no customer can cause another's
+//! publish to be refused. Whether a dependency on another customer's service is active follows from
+//! the accepted texts of both and is computed again whenever one of them changes. It is active
+//! while the service exists, is shared with the dependent customer and the dependency is not part
+//! of a cycle. Calls over an inactive dependency are refused, but the dependent text stays
+//! accepted; the dependency becomes active again without a new publish.
 
 use std::collections::HashMap;
 
@@ -17,50 +17,51 @@
 use crate::{CustomerConfig, Place, Service, ServiceRef};
 
 quick_error! {
-    /// Why a dependency on another customer's service is not in force.
-    // `quick_error!` takes no doc comments on fields; their names and the texts say it.
+    /// Why a dependency on another customer's service is inactive.
+    // `quick_error!` does not accept doc comments on fields; the field names and messages describe
+    // them.
     #[allow(missing_docs)]
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum UnmetCause {
-        /// No such customer.
+        /// The owner has no accepted text.
         NoCustomer {
             display("the customer has no accepted text")
         }
-        /// No such service.
+        /// The owner has no service of this name.
         NoService {
             display("the customer has no such service")
         }
-        /// Its owner does not list the dependent customer.
+        /// The owner does not list the dependent customer in `shared_with`.
         Private {
             display("the service is not shared with the customer")
         }
-        /// It lies on a cycle.
+        /// The dependency is part of a cycle.
         Cycle { path: String } {
             display("the dependencies form a cycle: {}", path)
         }
     }
 }
 
-/// A dependency that is not in force.
+/// An inactive dependency.
 #[value]
 pub struct UnmetDependency {
-    /// The service that depends.
+    /// The dependent service.
     pub from: ServiceRef,
-    /// The other customer's service.
+    /// The service of another customer that it depends on.
     pub to: ServiceRef,
-    /// Where the dependent text says so.
+    /// Position of the dependency in the dependent customer's text.
     pub place: Place,
-    /// Why it is not in force.
+    /// Why the dependency is inactive.
     pub cause: UnmetCause,
 }
 
-/// A dependency that is in force.
+/// An active dependency of a customer on another customer's service.
 pub(crate) struct ActiveDependency<'t> {
     pub(crate) customer: &'t CustomerName,
     pub(crate) to: &'t ServiceRef,
 }
 
-/// All dependencies between customers.
+/// All dependencies between customers, active and inactive.
 pub(crate) struct ResolvedDependencies<'t> {
     pub(crate) active: Vec<ActiveDependency<'t>>,
     pub(crate) unmet: Vec<UnmetDependency>,
@@ -72,13 +73,13 @@
     place: Place,
 }
 
-/// Works out the dependencies between the customers with these texts.
+/// Resolves the dependencies between the customers with these configurations.
 pub(crate) fn resolve_dependencies<'t>(
-    texts: &HashMap<&'t CustomerName, &'t CustomerConfig>,
+    configs: &HashMap<&'t CustomerName, &'t CustomerConfig>,
 ) -> ResolvedDependencies<'t> {
     let mut unmet = Vec::new();
     let mut candidates = Vec::new();
-    for from in texts.values().flat_map(|text| &text.services) {
+    for from in configs.values().flat_map(|config| &config.services) {
         for edge in from
             .depends_on
             .iter()
@@ -89,14 +90,14 @@
                 to: &edge.target,
                 place: edge.place,
             };
-            match unmet_cause(texts, &candidate) {
+            match unmet_cause(configs, &candidate) {
                 Some(cause) => unmet.push(candidate.unmet(cause)),
                 None => candidates.push(candidate),
             }
         }
     }
     let mut in_force = Vec::new();
-    let graph = Graph::of(texts, &candidates);
+    let graph = Graph::of(configs, &candidates);
     for candidate in candidates {
         match graph.cycle(&candidate) {
             Some(path) => unmet.push(candidate.unmet(UnmetCause::Cycle { path })),
@@ -125,22 +126,23 @@
 }
 
 fn unmet_cause(
-    texts: &HashMap<&CustomerName, &CustomerConfig>,
+    configs: &HashMap<&CustomerName, &CustomerConfig>,
     candidate: &Candidate<'_>,
 ) -> Option<UnmetCause> {
-    let Some(text) = texts.get(&candidate.to.owner) else {
+    let Some(config) = configs.get(&candidate.to.owner) else {
         return Some(UnmetCause::NoCustomer);
     };
-    let Some(service) = text.service(&candidate.to.service) else {
+    let Some(service) = config.service(&candidate.to.service) else {
         return Some(UnmetCause::NoService);
     };
-    let shared = service.shared_with.contains(&candidate.from.owner);
-    (!shared).then_some(UnmetCause::Private)
+    let is_shared = service.shared_with.contains(&candidate.from.owner);
+    (!is_shared).then_some(UnmetCause::Private)
 }
 
-/// The services of all customers with own dependencies and candidates.
+/// Dependency graph of the services of all customers: the dependencies within each customer and the
+/// candidates between customers.
 struct Graph<'t> {
-    numbers: HashMap<(&'t CustomerName, &'t ServiceName), usize>,
+    nodes: HashMap<(&'t CustomerName, &'t ServiceName), usize>,
     services: Vec<&'t Service>,
     edges: Edges,
     components: Vec<usize>,
@@ -148,23 +150,23 @@
 
 impl<'t> Graph<'t> {
     fn of(
-        texts: &HashMap<&'t CustomerName, &'t CustomerConfig>,
+        configs: &HashMap<&'t CustomerName, &'t CustomerConfig>,
         candidates: &[Candidate<'t>],
     ) -> Self {
         if candidates.is_empty() {
             return Graph {
-                numbers: HashMap::new(),
+                nodes: HashMap::new(),
                 services: Vec::new(),
                 edges: Edges::new(),
                 components: Vec::new(),
             };
         }
-        let services = texts.values().flat_map(|text| &text.services);
+        let services = configs.values().flat_map(|config| &config.services);
         let services: Vec<&Service> = services.map(|service| service.as_ref()).collect();
-        let names = services.iter().enumerate();
-        let numbers = names.map(|(number, service)| ((&service.owner, &service.name), number));
+        let numbered = services.iter().enumerate();
+        let nodes = numbered.map(|(number, service)| ((&service.owner, &service.name), number));
         let mut graph = Graph {
-            numbers: numbers.collect(),
+            nodes: nodes.collect(),
             edges: vec![Vec::new(); services.len()],
             components: Vec::new(),
             services,
@@ -177,11 +179,13 @@
     fn connect(&mut self, candidates: &[Candidate<'t>]) {
         for from in 0..self.services.len() {
             let service = self.services[from];
-            let own = service
+            let own_dependencies = service
                 .depends_on
                 .iter()
                 .filter(|edge| edge.target.owner == service.owner);
-            let to = own.filter_map(|edge| self.node_of(&edge.target)).collect();
+            let to = own_dependencies
+                .filter_map(|edge| self.node_of(&edge.target))
+                .collect();
             self.edges[from] = to;
         }
         for candidate in candidates {
@@ -193,10 +197,10 @@
     }
 
     fn node_of(&self, target: &ServiceRef) -> Option<usize> {
-        self.numbers.get(&(&target.owner, &target.service)).copied()
+        self.nodes.get(&(&target.owner, &target.service)).copied()
     }
 
-    /// The cycle that the candidate lies on, spelled out.
+    /// The cycle that the candidate is part of, as text.
     fn cycle(&self, candidate: &Candidate<'_>) -> Option<String> {
         let from = self.node_of(&candidate.from.target())?;
         let to = self.node_of(candidate.to)?;
--- a/components/config/src/depth.rs
+++ b/components/config/src/depth.rs
@@ -1,28 +1,28 @@
-//! Nesting of a text, measured before it is parsed.
+//! Limits the nesting depth of a text before it is parsed.
 //!
-//! The parser bounds keys and values each for itself, and dropping a deep tree takes a
-//! stack frame a level: a text of a few kilobytes with long dotted keys in nested inline
-//! tables would overflow the stack of a worker thread and end the process. So a text is
-//! looked through first. The look only has to be right for texts within the limit;
-//! it may call a strange text too deep, never a deep text fine.
+//! The parser limits the depth of keys and the depth of values separately, and dropping a parsed
+//! tree takes a stack frame per level. A text of a few kilobytes with long dotted keys in nested
+//! inline tables would therefore overflow the stack of a worker thread and abort the process. This
+//! scan has to be exact only for texts within the limit: it may reject a malformed text as too
+//! deep, but must never pass a text that is too deep.
 
 use crate::limit::DEPTH_MAX;
 
-/// Most dots outside of quotes in one line: those of a dotted key, or of a few numbers
-/// and dates.
+/// Maximum number of dots outside of quotes in one line: the dots of a dotted key, or of a few
+/// numbers and dates.
 const LINE_DOTS_MAX: usize = DEPTH_MAX;
 
-/// Where the text begins to be nested too deep.
+/// Byte offset at which the nesting first exceeds the limit.
 pub(crate) fn find_too_deep(text: &str) -> Option<usize> {
     let mut scan = NestingScan::default();
-    let mut at = 0;
-    while let Some(rest) = text.get(at..).filter(|rest| !rest.is_empty()) {
+    let mut offset = 0;
+    while let Some(rest) = text.get(offset..).filter(|rest| !rest.is_empty()) {
         let (token, length) = next_token(rest);
         scan.count(token);
         if scan.is_too_deep() {
-            return Some(at);
+            return Some(offset);
         }
-        at += length;
+        offset += length;
     }
     None
 }
@@ -38,27 +38,27 @@
 
 #[derive(Default)]
 struct NestingScan {
-    open: usize,
-    dots: usize,
+    open_brackets: usize,
+    line_dots: usize,
 }
 
 impl NestingScan {
     fn count(&mut self, token: Token) {
         match token {
-            Token::Open => self.open += 1,
-            Token::Close => self.open = self.open.saturating_sub(1),
-            Token::Dot => self.dots += 1,
-            Token::LineEnd => self.dots = 0,
+            Token::Open => self.open_brackets += 1,
+            Token::Close => self.open_brackets = self.open_brackets.saturating_sub(1),
+            Token::Dot => self.line_dots += 1,
+            Token::LineEnd => self.line_dots = 0,
             Token::Other => {}
         }
     }
 
     fn is_too_deep(&self) -> bool {
-        self.open > DEPTH_MAX || self.dots > LINE_DOTS_MAX
+        self.open_brackets > DEPTH_MAX || self.line_dots > LINE_DOTS_MAX
     }
 }
 
-/// The first token and its length in bytes.
+/// Returns the first token and its length in bytes.
 fn next_token(rest: &str) -> (Token, usize) {
     const QUOTES: [&str; 4] = ["\"\"\"", "'''", "\"", "'"];
     if let Some(quote) = QUOTES.into_iter().find(|quote| rest.starts_with(quote)) {
@@ -75,29 +75,30 @@
     }
 }
 
-/// Length of the quoted text at the start; to the end of the line or text where it is
-/// not closed, which the parser complains about.
+/// Length in bytes of the quoted text at the start of `rest`. An unterminated text ends with its
+/// line, or with the whole text for triple quotes; the parser reports it.
 fn quoted_bytes(rest: &str, quote: &str) -> usize {
-    let escapes = quote.starts_with('"');
-    let lines = quote.len() > 1;
-    let mut at = quote.len();
-    while let Some(left) = rest.get(at..).filter(|left| !left.is_empty()) {
+    let has_escapes = quote.starts_with('"');
+    let is_multiline = quote.len() > 1;
+    let mut offset = quote.len();
+    while let Some(left) = rest.get(offset..).filter(|left| !left.is_empty()) {
         if left.starts_with(quote) {
-            return at + quote.len() + extra_quotes(left, quote);
+            return offset + quote.len() + extra_quotes(left, quote);
         }
-        if !lines && left.starts_with(['\n', '\r']) {
-            return at;
+        if !is_multiline && left.starts_with(['\n', '\r']) {
+            return offset;
         }
         let mut chars = left.chars();
         let first = chars.next().map_or(0, char::len_utf8);
-        let escaped = escapes && left.starts_with('\\') && !left.starts_with("\\\n");
-        let second = chars.next().filter(|_| escaped).map_or(0, char::len_utf8);
-        at += first + second;
+        let is_escape = has_escapes && left.starts_with('\\') && !left.starts_with("\\\n");
+        let second = chars.next().filter(|_| is_escape).map_or(0, char::len_utf8);
+        offset += first + second;
     }
     rest.len()
 }
 
-/// Quotes behind a closing triple quote that still belong to its text.
+/// Number of quotes, at most two, after a closing triple quote that still belong to the quoted
+/// text.
 fn extra_quotes(closing: &str, quote: &str) -> usize {
     if quote.len() == 1 {
         return 0;
--- a/components/config/src/diff.rs
+++ b/components/config/src/diff.rs
@@ -1,16 +1,16 @@
-//! Differences between two texts, line by line.
+//! Line-based differences between two texts.
 
 use similar::TextDiff;
 
-/// Lines around a difference that are shown with it.
+/// Unchanged lines shown around each difference.
 const CONTEXT_LINES: usize = 3;
-/// Most lines of each text that are compared one by one: the work grows with their
-/// product, and there is no clock here to stop it.
+/// Maximum number of lines per text for a minimal diff: its cost grows with the product of both
+/// lengths, and without a clock there is no timeout.
 const LINES_MAX: usize = 4_000;
 
-/// The differences as a unified diff with these names at its head; empty if there are
-/// none. Texts of very many lines are shown as replaced from their first difference to
-/// their last.
+/// Returns a unified diff with the given names in its header, or an empty text if there are no
+/// differences. For texts above the line limit, everything from the first to the last difference is
+/// shown as replaced.
 pub fn line_diff(old: &str, new: &str, old_name: &str, new_name: &str) -> String {
     if old == new {
         return String::new();
--- a/components/config/src/fields.rs
+++ b/components/config/src/fields.rs
@@ -1,5 +1,5 @@
-//! The fields of one table of a text: each is asked for by name and type, and what was
-//! not asked for is an unknown field.
+//! Reads the fields of one TOML table by name and type, and reports fields that were never read as
+//! unknown.
 
 use std::ops::RangeInclusive;
 use std::str::FromStr;
@@ -13,19 +13,20 @@
 use crate::place::LineIndex;
 use crate::{ComplaintCause, Place, Rules};
 
-/// A table of a text and the fields that were asked for so far.
+/// A table of a text and the names of the fields read from it so far.
 pub(crate) struct FieldReader<'a> {
     table: Option<&'a DeTable<'a>>,
     lines: &'a LineIndex<'a>,
     place: Place,
     known_fields: Vec<&'static str>,
-    /// The rules by which the text is judged.
+    /// Rules that the text is checked against.
     pub(crate) rules: Rules,
-    /// The text says a higher schema minor than the rules know.
+    /// Whether the text's schema minor is higher than the one that the rules know. Unknown fields
+    /// then draw warnings instead of errors.
     pub(crate) newer_schema: bool,
 }
 
-/// A text value and its place.
+/// A text value and its position in the source.
 pub(crate) type SpannedText = (String, Place);
 
 impl<'a> FieldReader<'a> {
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Where the field's value stands, or else its table.
+    /// Position of the field's value, or of the table if the field is missing.
     pub(crate) fn place_of(&self, field: &str) -> Place {
         let value = self.table.and_then(|table| table.get(field));
         value.map_or(self.place, |value| self.place_in(value))
@@ -92,7 +93,7 @@
         report.add_error(self.place, ComplaintCause::MissingField { field, wanted });
     }
 
-    /// A text; a missing one is no complaint.
+    /// Reads an optional text.
     pub(crate) fn text(&mut self, field: &'static str, report: &mut Report) -> Option<SpannedText> {
         let value = self.read_value(field)?;
         match value.get_ref().as_str() {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// A name that has to be there.
+    /// Reads a required name.
     pub(crate) fn name<N>(&mut self, field: &'static str, report: &mut Report) -> Option<N>
     where
         N: FromStr<Err = NameError>,
@@ -117,7 +118,7 @@
         self.optional_name(field, report)
     }
 
-    /// A name; a missing one is no complaint.
+    /// Reads an optional name.
     pub(crate) fn optional_name<N>(&mut self, field: &'static str, report: &mut Report) -> Option<N>
     where
         N: FromStr<Err = NameError>,
@@ -126,18 +127,19 @@
         parse_name(field, &text, place, report)
     }
 
-    /// One of some words; a missing one is no complaint.
+    /// Reads an optional text that must be one of `choices` and returns the value that belongs to
+    /// the text.
     pub(crate) fn choice<W: Copy>(
         &mut self,
         field: &'static str,
-        words: &[(&'static str, W)],
+        choices: &[(&'static str, W)],
         report: &mut Report,
     ) -> Option<W> {
         let (found, place) = self.text(field, report)?;
-        if let Some((_, word)) = words.iter().find(|(word, _)| *word == found) {
-            return Some(*word);
+        if let Some((_, value)) = choices.iter().find(|(text, _)| *text == found) {
+            return Some(*value);
         }
-        let allowed: Vec<&str> = words.iter().map(|(word, _)| *word).collect();
+        let allowed: Vec<&str> = choices.iter().map(|(text, _)| *text).collect();
         let cause = ComplaintCause::UnknownWord {
             field,
             nearest: nearest(&found, allowed.iter().copied()),
@@ -148,7 +150,8 @@
         None
     }
 
-    /// A whole number within its range, or the default.
+    /// Reads an integer. Returns the default if the field is missing, has the wrong type or is out
+    /// of range; the latter two are reported.
     pub(crate) fn number(
         &mut self,
         field: &'static str,
@@ -177,7 +180,7 @@
         default
     }
 
-    /// A whole number or a text that has to be there, as it is written.
+    /// Reads a required integer or text and returns it as written.
     pub(crate) fn integer_or_text(
         &mut self,
         field: &'static str,
@@ -198,8 +201,8 @@
         }
     }
 
-    /// A list; none where it is missing, and none but a complaint where it is something else
-    /// or too long.
+    /// Reads an optional list. Returns `None` if the field is missing, is not a list or has more
+    /// than `max` entries; the latter two are reported.
     fn list(
         &mut self,
         field: &'static str,
@@ -221,7 +224,7 @@
         Some(list)
     }
 
-    /// A list of texts; an empty one where it is missing.
+    /// Reads a list of texts; a missing list counts as empty.
     pub(crate) fn texts(
         &mut self,
         field: &'static str,
@@ -231,17 +234,17 @@
         let Some(list) = self.list(field, max, "a list of texts", report) else {
             return Vec::new();
         };
-        let mut words = Vec::with_capacity(list.len());
+        let mut texts = Vec::with_capacity(list.len());
         for entry in list.iter() {
             match entry.get_ref().as_str() {
-                Some(text) => words.push((text.to_owned(), self.place_in(entry))),
+                Some(text) => texts.push((text.to_owned(), self.place_in(entry))),
                 None => self.report_wrong_type(field, entry, "a text in quotes", report),
             }
         }
-        words
+        texts
     }
 
-    /// A table; one without fields where it is missing.
+    /// Reads a table; a missing table counts as one without fields.
     pub(crate) fn table(
         &mut self,
         field: &'static str,
@@ -259,7 +262,7 @@
         }
     }
 
-    /// A list of tables, written `[[field]]`; an empty one where it is missing.
+    /// Reads a list of tables, written `[[field]]`; a missing list counts as empty.
     pub(crate) fn tables(
         &mut self,
         field: &'static str,
@@ -280,7 +283,7 @@
         tables
     }
 
-    /// Complains about each field that was not asked for.
+    /// Reports each field of the table that was never read.
     pub(crate) fn report_unknown(&self, report: &mut Report) {
         for key in self.table.into_iter().flat_map(|table| table.keys()) {
             let field: &str = key.get_ref();
--- a/components/config/src/keep_scheduler.rs
+++ b/components/config/src/keep_scheduler.rs
@@ -1,10 +1,11 @@
-//! When current versions have to be appended again, before the log forgets them.
+//! Decides when this process appends current versions again, before the log's retention removes
+//! them.
 //!
-//! Every process has a rank for each customer (the caller's choice, such as rendezvous
-//! hashing over the live entries). Rank 0 appends when a record is old enough, each
-//! further rank one step later, and a record that is read back starts the time anew:
-//! so one process appends, and a dead one is replaced without agreement. Two appends
-//! of the same version cost a record and nothing else.
+//! Every process has a rank per customer, assigned by the caller, for example by rendezvous hashing
+//! over the live entries. Rank 0 appends a record once it is old enough; each further rank waits
+//! one `rank_delay_ms` longer. A record that is read back restarts the interval, so normally one
+//! process appends, and a dead process is replaced without coordination. Two appends of the same
+//! version cost one extra record and do no other harm.
 
 use std::collections::HashMap;
 
@@ -13,88 +14,91 @@
 
 use crate::{Ledger, Record};
 
-/// Times for appending again, on the process's own monotonic clock.
+/// Intervals for appending records again, measured on the process's monotonic clock.
 #[key]
 pub struct KeepSettings {
-    /// Age at which rank 0 appends a record again.
+    /// Age at which rank 0 appends a record again, in milliseconds.
     pub interval_ms: u64,
-    /// How much later each further rank does so.
+    /// Additional delay of each further rank, in milliseconds.
     pub rank_delay_ms: u64,
-    /// Ranks from this one on never do.
+    /// Number of ranks that append; processes with this rank or a higher one never do.
     pub ranks: u32,
-    /// How long ago the log's end must have been read at most.
+    /// Maximum time since the end of the log was read, in milliseconds; when it is longer, nothing
+    /// is appended.
     pub end_read_age_ms_max: u64,
-    /// Most records in one go.
+    /// Maximum number of records per call of [`KeepScheduler::due_records`].
     pub records_max: usize,
 }
 
 impl KeepSettings {
-    /// Appends at a quarter of the log's retention, with all ranks by half of it.
+    /// Settings with which rank 0 appends at a quarter of the log's retention and the last rank
+    /// before half of it.
     pub fn for_retention(retention_ms: u64) -> Self {
         const RANKS: u32 = 8;
-        let every_ms = retention_ms / 4;
+        let interval_ms = retention_ms / 4;
         Self {
-            interval_ms: every_ms,
-            rank_delay_ms: every_ms / u64::from(RANKS),
+            interval_ms,
+            rank_delay_ms: interval_ms / u64::from(RANKS),
             ranks: RANKS,
-            end_read_age_ms_max: (every_ms / 16).max(1_000),
+            end_read_age_ms_max: (interval_ms / 16).max(1_000),
             records_max: 16,
         }
     }
 }
 
-/// What the log has of one customer, or of the list of customers.
+/// Newest record that was read about one customer or about the list of customers.
 #[derive(Clone, Copy, Debug)]
 struct SeenRecord {
     version: u64,
-    /// When the record was known to be new; `None` for one of unknown age.
+    /// When the record was read while it was new; `None` if its age is unknown.
     new_at_ms: Option<u64>,
-    /// When this process last appended it.
+    /// When this process last appended the record.
     appended_at_ms: Option<u64>,
 }
 
-/// Decides when this process appends which records again.
+/// Selects the records that this process has to append again.
 #[derive(Clone, Debug)]
 pub struct KeepScheduler {
-    policy: KeepSettings,
+    settings: KeepSettings,
     versions: HashMap<CustomerName, SeenRecord>,
     list: Option<SeenRecord>,
     read_at_ms: Option<u64>,
 }
 
 impl KeepScheduler {
-    /// A keeper that has seen nothing yet.
-    pub fn new(policy: KeepSettings) -> Self {
+    /// Creates a scheduler that has read no record yet.
+    pub fn new(settings: KeepSettings) -> Self {
         Self {
-            policy,
+            settings,
             versions: HashMap::new(),
             list: None,
             read_at_ms: None,
         }
     }
 
-    /// Says that the log's end was read now.
+    /// Records that the end of the log was read at `now_ms`.
     pub fn on_end_read(&mut self, now_ms: u64) {
         self.read_at_ms = Some(now_ms);
     }
 
-    /// Takes in a record after the ledger has. `is_new` if it was appended while this
-    /// process was waiting at the log's end; else its age is not known.
+    /// Processes a record that the ledger has already applied. `is_new` is set if the record was
+    /// appended while this process was waiting at the end of the log; otherwise its age is unknown.
     pub fn on_record(&mut self, ledger: &Ledger, record: &Record, is_new: bool, now_ms: u64) {
         let new_at_ms = is_new.then_some(now_ms);
-        let seen = |version| SeenRecord {
+        let record_state = |version| SeenRecord {
             version,
             new_at_ms,
             appended_at_ms: None,
         };
         let (customer, id, version) = match record {
             Record::Publish(publish) => (&publish.customer, &publish.id, publish.base + 1),
-            // One without `through` does not tell a new reader what is current.
+            // A keep record without `through` does not tell a new reader which version is current,
+            // so it does not replace a complete one.
             Record::Keep(keep) if keep.through.is_some() || !ledger.is_certain(&keep.customer) => {
                 (&keep.customer, &keep.id, keep.version)
             }
             Record::Customers(_) => {
-                self.list = Some(seen(0));
+                self.list = Some(record_state(0));
                 return;
             }
             Record::Keep(_) | Record::Unknown => return,
@@ -103,16 +107,17 @@
             return;
         };
         if current.version == version && current.id == *id {
-            self.versions.insert(customer.clone(), seen(version));
+            self.versions
+                .insert(customer.clone(), record_state(version));
         }
     }
 
-    /// The records to append now, at most [`KeepPolicy::records_max`]. `rank` gives this
-    /// process's rank for a customer, or for the list with `None`.
+    /// Returns the records to append now, at most [`KeepSettings::records_max`]. `rank` returns
+    /// this process's rank for a customer, or for the list of customers if the argument is `None`.
     ///
-    /// A process that was frozen finds every record old when it wakes, though others
-    /// have appended them long ago. It first has to read the log's end again; without
-    /// that all woken processes would append everything at once.
+    /// A process that resumes after a pause finds every record old although other processes have
+    /// appended them meanwhile. It must first read to the end of the log; otherwise all resumed
+    /// processes would append everything at the same time.
     pub fn due_records(
         &mut self,
         ledger: &Ledger,
@@ -122,7 +127,7 @@
         let age = |read_at_ms: u64| now_ms.saturating_sub(read_at_ms);
         if self
             .read_at_ms
-            .is_none_or(|at| age(at) > self.policy.end_read_age_ms_max)
+            .is_none_or(|at| age(at) > self.settings.end_read_age_ms_max)
         {
             return Vec::new();
         }
@@ -131,17 +136,18 @@
             records.push(list);
         }
         for accepted in ledger.all() {
-            if records.len() >= self.policy.records_max {
+            if records.len() >= self.settings.records_max {
                 break;
             }
             let customer = &accepted.customer;
-            let seen = self.versions.get(customer).copied();
-            let seen = seen.filter(|seen| seen.version == accepted.version);
-            if !self.is_due(seen, now_ms, rank(Some(customer))) {
+            let record_state = self.versions.get(customer).copied();
+            let record_state =
+                record_state.filter(|record_state| record_state.version == accepted.version);
+            if !self.is_due(record_state, now_ms, rank(Some(customer))) {
                 continue;
             }
-            let seen = self.with_append(seen, accepted.version, now_ms);
-            self.versions.insert(customer.clone(), seen);
+            let record_state = self.with_append(record_state, accepted.version, now_ms);
+            self.versions.insert(customer.clone(), record_state);
             records.extend(ledger.keep_record(customer).map(Record::Keep));
         }
         records
@@ -156,28 +162,33 @@
         Some(Record::Customers(list))
     }
 
-    fn with_append(&self, seen: Option<SeenRecord>, version: u64, now_ms: u64) -> SeenRecord {
+    fn with_append(
+        &self,
+        record_state: Option<SeenRecord>,
+        version: u64,
+        now_ms: u64,
+    ) -> SeenRecord {
         SeenRecord {
             version,
-            new_at_ms: seen.and_then(|seen| seen.new_at_ms),
+            new_at_ms: record_state.and_then(|record_state| record_state.new_at_ms),
             appended_at_ms: Some(now_ms),
         }
     }
 
-    fn is_due(&self, seen: Option<SeenRecord>, now_ms: u64, rank: Option<u32>) -> bool {
-        let Some(rank) = rank.filter(|&rank| rank < self.policy.ranks) else {
+    fn is_due(&self, record_state: Option<SeenRecord>, now_ms: u64, rank: Option<u32>) -> bool {
+        let Some(rank) = rank.filter(|&rank| rank < self.settings.ranks) else {
             return false;
         };
-        let appended_at_ms = seen.and_then(|seen| seen.appended_at_ms);
-        let again = |at: u64| now_ms >= at.saturating_add(self.policy.rank_delay_ms);
-        if !appended_at_ms.is_none_or(again) {
+        let appended_at_ms = record_state.and_then(|record_state| record_state.appended_at_ms);
+        let retry_due = |at: u64| now_ms >= at.saturating_add(self.settings.rank_delay_ms);
+        if !appended_at_ms.is_none_or(retry_due) {
             return false;
         }
-        // A record of unknown age may be the last before the log forgets it.
-        let from_ms = match seen.and_then(|seen| seen.new_at_ms) {
-            Some(new_at_ms) => new_at_ms.saturating_add(self.policy.interval_ms),
+        // A record of unknown age may be close to the end of the retention, so it is due at once.
+        let from_ms = match record_state.and_then(|record_state| record_state.new_at_ms) {
+            Some(new_at_ms) => new_at_ms.saturating_add(self.settings.interval_ms),
             None => 0,
         };
-        now_ms >= from_ms.saturating_add(u64::from(rank) * self.policy.rank_delay_ms)
+        now_ms >= from_ms.saturating_add(u64::from(rank) * self.settings.rank_delay_ms)
     }
 }
--- a/components/config/src/ledger.rs
+++ b/components/config/src/ledger.rs
@@ -1,8 +1,8 @@
-//! The reducer over the stream `config`: each customer's accepted versions.
+//! Reducer over the log's stream `config`: computes each customer's accepted versions.
 //!
-//! A ledger may begin at any offset, as the log forgets, and may be filled by peers,
-//! as the log may be down. See [`crate::Verdict`] for what it says of each record, and
-//! the module `chain` for why no two ledgers differ on the text of a version.
+//! A ledger may start at any offset, because the log has a limited retention, and may be filled by
+//! peers, because the log may be unavailable. [`crate::Verdict`] describes the result for each
+//! record; the module `chain` explains why no two ledgers disagree about the text of a version.
 
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
@@ -14,23 +14,24 @@
 use crate::parse::parse_published;
 use crate::{AcceptedVersion, Customers, Keep, Publish, Record, Rules, Verdict, VersionDigest};
 
-/// Publishes that are held back for all customers together, in bytes.
+/// Maximum size of the publishes held back for all customers together, in bytes.
 const PENDING_BYTES_MAX: usize = 8 * 1024 * 1024;
 
-/// What one reader of the log knows.
+/// State of one reader of the log.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     next_offset: u64,
-    /// No record at or after this offset was missed.
+    /// Every record from this offset on has been read.
     complete_from: u64,
-    /// Customers without a chain have no version at this offset.
+    /// Offset at which customers without an entry in `chains` are known to have no version; `None`
+    /// while that is unknown.
     listed_from: Option<u64>,
     chains: BTreeMap<CustomerName, VersionChain>,
 }
 
 impl Ledger {
-    /// A ledger whose reader begins at `first_offset`: 0 for a log that has forgotten
-    /// nothing, else the oldest offset that it keeps.
+    /// Creates a ledger whose reader starts at `first_offset`: 0 if the log still has all its
+    /// records, else the oldest offset that it keeps.
     pub fn starting_at(first_offset: u64) -> Self {
         Self {
             next_offset: first_offset,
@@ -40,12 +41,13 @@
         }
     }
 
-    /// The first offset that was not read.
+    /// The first offset that has not been read.
     pub fn next_offset(&self) -> u64 {
         self.next_offset
     }
 
-    /// Takes in a record of the log as bytes; an unreadable one counts for nobody.
+    /// Applies a record of the log from its JSON text. A malformed record has no effect at any
+    /// reader.
     pub fn apply_json(&mut self, offset: u64, data: &str) -> Verdict {
         match Record::from_json(data) {
             Ok(record) => self.apply(offset, &record),
@@ -56,8 +58,8 @@
         }
     }
 
-    /// Takes in a record of the log. Offsets are contiguous: a higher one than the next
-    /// says that the records between are gone.
+    /// Applies a record of the log. Offsets are contiguous: an offset above [`Ledger::next_offset`]
+    /// means that the records between them have been removed.
     pub fn apply(&mut self, offset: u64, record: &Record) -> Verdict {
         if !self.advance(offset) {
             return Verdict::AlreadyRead;
@@ -65,7 +67,8 @@
         match record {
             Record::Publish(publish) => self.apply_publish(offset, publish),
             Record::Keep(keep) => {
-                // Written after what it states was read, or it states nothing.
+                // A keep record can only make statements about offsets before its own; a later
+                // `through` is ignored.
                 let through = keep.through.filter(|&through| through <= offset);
                 self.apply_keep(keep, through, VersionChain::apply_logged_proof)
             }
@@ -77,7 +80,7 @@
         }
     }
 
-    /// Says that the log keeps nothing before `first_offset`.
+    /// Handles that the log has removed all records before `first_offset`.
     pub fn skip_to(&mut self, first_offset: u64) {
         if first_offset <= self.next_offset {
             return;
@@ -90,19 +93,20 @@
         }
     }
 
-    /// Takes in a peer's current version of a customer, from [`Ledger::keep_record`].
+    /// Applies a peer's current version of a customer, as returned by [`Ledger::keep_record`].
     pub fn adopt(&mut self, keep: &Keep) -> Verdict {
         self.apply_keep(keep, keep.through, VersionChain::apply_peer_proof)
     }
 
-    /// Takes in a peer's list of customers, from [`Ledger::customers_record`].
+    /// Applies a list of customers from a peer or from the log, as returned by
+    /// [`Ledger::customers_record`].
     pub fn adopt_customers(&mut self, customers: &Customers) -> Verdict {
         let through = customers.through;
-        let news = match self.listed_from {
+        let is_newer = match self.listed_from {
             Some(from) => through > from.max(self.next_offset),
             None => through >= self.complete_from,
         };
-        if !news {
+        if !is_newer {
             return Verdict::Known;
         }
         for name in &customers.names {
@@ -119,18 +123,20 @@
         Verdict::Known
     }
 
-    /// The customer's accepted version as far as it is known here; never goes back.
+    /// The customer's newest version that this reader knows to be accepted. The version never
+    /// decreases.
     pub fn current(&self, customer: &CustomerName) -> Option<&Arc<AcceptedVersion>> {
         self.chains.get(customer)?.newest_known()
     }
 
-    /// The accepted versions of all customers, in the order of their names.
+    /// The newest known version of each customer, sorted by customer name.
     pub fn all(&self) -> impl Iterator<Item = &Arc<AcceptedVersion>> {
         self.chains.values().filter_map(VersionChain::newest_known)
     }
 
-    /// Whether the version in [`Ledger::current`] (or that there is none) is known to be
-    /// the newest that was read, rather than the newest that was proved.
+    /// Whether [`Ledger::current`] is known to be the current version at this reader's offset (or
+    /// at the offset of the peer that it was adopted from), rather than only the highest proved
+    /// one. Also true if the customer is known to have no version.
     pub fn is_certain(&self, customer: &CustomerName) -> bool {
         match self.chains.get(customer) {
             Some(chain) => chain.certain_up_to(self.next_offset).is_some(),
@@ -138,25 +144,26 @@
         }
     }
 
-    /// Whether that holds for every customer.
+    /// Whether [`Ledger::is_certain`] holds for every customer.
     pub fn is_complete(&self) -> bool {
         let certain = |chain: &VersionChain| chain.certain_up_to(self.next_offset).is_some();
         self.listed_from.is_some() && self.chains.values().all(certain)
     }
 
-    /// The verdict on the customer's last publish with this id, as far as remembered.
+    /// The verdict on the customer's newest publish with this id, if it is still remembered.
     pub fn verdict(&self, customer: &CustomerName, id: &str) -> Option<&Verdict> {
         self.chains.get(customer)?.verdict(id)
     }
 
-    /// What other processes compare with their own.
+    /// Versions and digests that other processes compare with their own.
     pub fn digests(&self) -> Vec<VersionDigest> {
         self.all()
             .map(|accepted| accepted.version_digest())
             .collect()
     }
 
-    /// The customer's version for a peer, or to be appended again.
+    /// Returns a keep record of the customer's version, to send to a peer or to append to the log
+    /// again.
     pub fn keep_record(&self, customer: &CustomerName) -> Option<Keep> {
         let chain = self.chains.get(customer)?;
         let held = chain.newest_known()?;
@@ -170,18 +177,18 @@
         })
     }
 
-    /// The list of customers for a peer, or to be appended again; `None` while a
-    /// customer could be missing from it.
+    /// Returns the list of customers, to send to a peer or to append to the log again; `None` while
+    /// the list could be incomplete.
     pub fn customers_record(&self) -> Option<Customers> {
         let through = self.listed_from?.max(self.next_offset);
-        // A list from a peer that has read further names customers whose first version
-        // this reader has yet to learn: a list without them, for the peer's offset,
-        // would let others accept a second first version.
-        let known = |chain: &VersionChain| {
+        // A list adopted from a peer that has read more of the log may name customers whose first
+        // version this reader does not have yet. A list without them, stated for the peer's offset,
+        // would let other readers accept a second first version.
+        let is_known = |chain: &VersionChain| {
             let up_to = chain.certain_up_to(self.next_offset);
             chain.newest_known().is_some() || up_to.is_some_and(|up_to| up_to >= through)
         };
-        if !self.chains.values().all(known) {
+        if !self.chains.values().all(is_known) {
             return None;
         }
         let names = self.all().map(|accepted| accepted.customer.clone());
@@ -191,7 +198,7 @@
         })
     }
 
-    /// Moves behind `offset`; false if that was read already.
+    /// Advances the reader past `offset`; returns false if the offset was read before.
     fn advance(&mut self, offset: u64) -> bool {
         if offset < self.next_offset {
             return false;
@@ -208,7 +215,8 @@
         chain.apply_publish(offset, publish, room_bytes)
     }
 
-    /// `unanchored` takes in a version that was not said to be the current one.
+    /// Applies a keep record. `unanchored` handles a record that does not state up to which offset
+    /// its version was current.
     fn apply_keep(
         &mut self,
         keep: &Keep,
@@ -237,24 +245,25 @@
     }
 }
 
-/// Reads a kept text, unless it is the one that is held.
+/// Parses the text of a keep record, unless it is the version that the reader already holds.
 fn read_keep(
     keep: &Keep,
     held: Option<&Arc<AcceptedVersion>>,
 ) -> Result<Arc<AcceptedVersion>, Verdict> {
-    let same = |held: &&Arc<AcceptedVersion>| {
+    let is_held_version = |held: &&Arc<AcceptedVersion>| {
         let same_text = held.version == keep.version && *held.source == *keep.text;
         same_text && held.id == keep.id
     };
-    if let Some(held) = held.filter(same) {
+    if let Some(held) = held.filter(is_held_version) {
         return Ok(Arc::clone(held));
     }
-    let known = Rules::of(keep.rules);
+    let rules_named = Rules::of(keep.rules);
     let origin = format!("{} version {}", keep.customer, keep.version);
-    // Somebody who knows newer rules accepted it; what can be read of it is of use.
-    let rules = known.unwrap_or_else(Rules::newest);
-    let text = parse_published(rules, &keep.customer, &keep.text, &origin);
-    let text = text.map_err(|_| match known {
+    // The text was accepted under newer rules than this binary knows; the parts that it can read
+    // are still useful.
+    let rules = rules_named.unwrap_or_else(Rules::newest);
+    let config = parse_published(rules, &keep.customer, &keep.text, &origin);
+    let config = config.map_err(|_| match rules_named {
         Some(_) => Verdict::Conflict {
             version: keep.version,
             held: held.map_or(0, |held| held.version),
@@ -268,5 +277,5 @@
         rules: keep.rules,
         source: &keep.text,
     };
-    Ok(Arc::new(AcceptedVersion::new(record, text)))
+    Ok(Arc::new(AcceptedVersion::new(record, config)))
 }
--- a/components/config/src/lib.rs
+++ b/components/config/src/lib.rs
@@ -1,8 +1,10 @@
-//! The configuration of hornbeamrock: one text a customer, published on the platform's
-//! log, judged alike by every reader of that log, and turned into immutable tables for
-//! the path of a request. No I/O and no clock here.
+//! Customer configuration: one TOML text per customer, published as records on the platform's log.
+//!
+//! Every reader of the log reaches the same verdict on each record and builds immutable look-up
+//! tables for the request path from the accepted texts. This crate does no I/O and reads no clock.
 
-// `quick_error!` takes some steps for each variant of an error.
+// `quick_error!` recurses for each variant of an error; `ComplaintCause` needs more than the
+// default limit of 128.
 #![recursion_limit = "512"]
 
 mod accepted;
--- a/components/config/src/limit.rs
+++ b/components/config/src/limit.rs
@@ -1,38 +1,38 @@
-//! Every limit on a text, with its unit.
+//! Limits on the size and the values of a configuration text.
 
 use std::ops::RangeInclusive;
 
-/// Largest text, in bytes.
+/// Maximum size of a text, in bytes.
 pub const TEXT_BYTES_MAX: usize = 256 * 1024;
-/// Largest record on the log: a text in which each byte needs an escape of two, and
-/// room for the other fields.
+/// Maximum size of a record on the log, in bytes: a text in which every byte needs a two-byte
+/// escape, plus 4096 bytes for the other fields.
 pub const RECORD_BYTES_MAX: usize = 2 * TEXT_BYTES_MAX + 4096;
-/// Deepest nesting of tables and lists in a text.
+/// Maximum nesting depth of tables and lists in a text.
 pub const DEPTH_MAX: usize = 8;
-/// Most services of a customer.
+/// Maximum number of services of a customer.
 pub const SERVICES_MAX: usize = 200;
-/// Most tokens of a customer.
+/// Maximum number of tokens of a customer.
 pub const TOKENS_MAX: usize = 500;
-/// Most dependencies of a service.
+/// Maximum number of dependencies of a service.
 pub const DEPENDENCIES_MAX: usize = 64;
-/// Most customers that a service is shared with.
+/// Maximum number of customers that a service is shared with.
 pub const SHARED_MAX: usize = 500;
-/// Most patterns of calls in one list.
+/// Maximum number of call patterns in one list.
 pub const PATTERNS_MAX: usize = 64;
-/// Share of a customer in the fair queue.
+/// Allowed weights of a customer in fair queueing.
 pub const WEIGHT: RangeInclusive<u64> = 1..=16;
-/// Requests per second of a customer.
+/// Allowed request rates of a customer, in requests per second.
 pub const REQUESTS_PER_S: RangeInclusive<u64> = 1..=100_000;
-/// Requests in progress of a customer.
+/// Allowed numbers of concurrent requests of a customer.
 pub const IN_PROGRESS: RangeInclusive<u64> = 1..=100_000;
-/// Tokens per second of a customer.
+/// Allowed token rates of a customer, in tokens per second.
 pub const TOKENS_PER_S: RangeInclusive<u64> = 1..=100_000_000;
-/// Default deadline of calls to a service, in milliseconds.
+/// Allowed default deadlines of calls to a service, in milliseconds.
 pub const DEADLINE_MS: RangeInclusive<u64> = 10..=3_600_000;
-/// Staleness bound of a model's samples, in versions.
+/// Allowed staleness bounds of a model's samples, in versions.
 pub const STALENESS_BOUND: RangeInclusive<u64> = 0..=1_000;
 
-/// Values of fields that a text leaves out.
+/// Defaults of fields that a text does not set.
 pub(crate) mod default {
     pub(crate) const WEIGHT: u64 = 1;
     pub(crate) const REQUESTS_PER_S: u64 = 500;
--- a/components/config/src/names.rs
+++ b/components/config/src/names.rs
@@ -1,4 +1,4 @@
-//! Names and other words of a text.
+//! Parsing of names, excerpts of wrong values and suggestions for misspelt ones.
 
 use std::str::FromStr;
 
@@ -7,7 +7,7 @@
 use crate::complaint::Report;
 use crate::{ComplaintCause, Place};
 
-/// Reads a name; complains if it is none.
+/// Parses a name and reports an invalid one.
 pub(crate) fn parse_name<N>(field: &str, text: &str, place: Place, report: &mut Report) -> Option<N>
 where
     N: FromStr<Err = NameError>,
@@ -26,23 +26,24 @@
     }
 }
 
-/// Longest excerpt of a wrong value in a complaint, in characters.
+/// Maximum length of the excerpt of a wrong value in a complaint, in characters.
 const EXCERPT_CHARS_MAX: usize = 80;
 
-/// The text, cut to the length of an excerpt.
+/// The text, truncated to the maximum length of an excerpt.
 pub(crate) fn excerpt(text: &str) -> String {
     text.chars().take(EXCERPT_CHARS_MAX).collect()
 }
 
-/// The known name that is close enough to be meant.
+/// Returns the known name with the smallest edit distance, if it is close enough to be a likely
+/// misspelling.
 pub(crate) fn nearest<'n>(found: &str, known: impl IntoIterator<Item = &'n str>) -> Option<String> {
     let found = excerpt(found);
-    let far = (found.len() / 3).max(1);
+    let distance_max = (found.len() / 3).max(1);
     let found_bytes = found.len();
     let known = known
         .into_iter()
-        .filter(|name| name.len().abs_diff(found_bytes) <= far);
+        .filter(|name| name.len().abs_diff(found_bytes) <= distance_max);
     let distances = known.map(|name| (strsim::damerau_levenshtein(&found, name), name));
-    let near = distances.filter(|(distance, _)| *distance <= far);
-    near.min().map(|(_, name)| name.to_owned())
+    let candidates = distances.filter(|(distance, _)| *distance <= distance_max);
+    candidates.min().map(|(_, name)| name.to_owned())
 }
--- a/components/config/src/parse.rs
+++ b/components/config/src/parse.rs
@@ -1,4 +1,4 @@
-//! Reading a text: from TOML to [`Text`], with every complaint that can be found.
+//! Parses a TOML text into a [`CustomerConfig`] and reports as many problems as possible at once.
 
 use std::sync::Arc;
 
@@ -15,15 +15,15 @@
 use crate::{ComplaintCause, Complaints, CustomerConfig, Limits, Place, Rules, Schema};
 use crate::{parse_service, parse_token, text_check};
 
-/// The schema major that is read here.
+/// The only schema major that this crate reads.
 const SCHEMA_MAJOR: u32 = 1;
 
-/// Reads and checks a text by the newest rules. `file` is only for the complaints.
+/// Parses and checks a text under the newest rules. `file` appears only in the complaints.
 pub fn parse(text: &str, file: &str) -> Result<CustomerConfig, Complaints> {
     parse_with_rules(Rules::newest(), text, file)
 }
 
-/// Reads and checks a text by these rules.
+/// Parses and checks a text under the given rules.
 pub fn parse_with_rules(
     rules: Rules,
     text: &str,
@@ -34,7 +34,7 @@
     finish(parsed, report)
 }
 
-/// Reads and checks a text that is published for this customer.
+/// Parses and checks a text that is published for this customer.
 pub(crate) fn parse_published(
     rules: Rules,
     customer: &CustomerName,
@@ -84,14 +84,14 @@
         return None;
     }
     let mut fields = FieldReader::root(table.get_ref(), &lines, rules);
-    let text = read_text(&mut fields, report)?;
+    let text = read_config(&mut fields, report)?;
     text_check::check_text(rules, &text, report);
     Some(text)
 }
 
-fn read_text(fields: &mut FieldReader<'_>, report: &mut Report) -> Option<CustomerConfig> {
+fn read_config(fields: &mut FieldReader<'_>, report: &mut Report) -> Option<CustomerConfig> {
     let schema = read_schema(fields, report);
-    // Whether an unknown field is a complaint depends on the schema, so it comes first.
+    // The schema is read first because it determines whether unknown fields are errors.
     fields.newer_schema = schema.is_some_and(|schema| schema.minor > fields.rules.schema_minor);
     let customer = fields.name("customer", report);
     let place = fields.place_of("customer");
@@ -100,8 +100,8 @@
     let service_tables = fields.tables("service", SERVICES_MAX, report);
     fields.report_unknown(report);
     let customer: Option<CustomerName> = customer;
-    // Without the customer's name, its own services cannot be told from others'; the
-    // rest is read all the same for its complaints.
+    // Without a customer name, own services cannot be told apart from other customers' services.
+    // Parsing continues under a placeholder name, to report further problems.
     let owner = customer
         .clone()
         .or_else(|| CustomerName::new("unnamed").ok())?;
@@ -127,9 +127,9 @@
 fn read_schema(fields: &mut FieldReader<'_>, report: &mut Report) -> Option<Schema> {
     let (word, place) = fields.integer_or_text("schema", "schema = 1", report)?;
     let (major, minor) = word.split_once('.').unwrap_or((&word, "0"));
-    let digits = |text: &str| text.bytes().all(|b| b.is_ascii_digit());
-    let numbers = digits(major) && digits(minor);
-    match (numbers, major.parse(), minor.parse()) {
+    let is_number = |text: &str| text.bytes().all(|b| b.is_ascii_digit());
+    let are_numbers = is_number(major) && is_number(minor);
+    match (are_numbers, major.parse(), minor.parse()) {
         (true, Ok(major), Ok(minor)) if major == SCHEMA_MAJOR => Some(Schema { major, minor }),
         _ => {
             report.add_error(place, ComplaintCause::UnknownSchema { found: word });
--- a/components/config/src/parse_service.rs
+++ b/components/config/src/parse_service.rs
@@ -1,4 +1,4 @@
-//! Reading one `[[service]]`.
+//! Parses one `[[service]]` table.
 
 use types::{Class, CustomerName, PoolName, ServiceName};
 
@@ -10,9 +10,9 @@
 use crate::names::{excerpt, parse_name};
 use crate::{CallPattern, ComplaintCause, Dependency, Place, Service, ServiceKind, ServiceRef};
 
-/// Fields that only models have.
+/// Fields that are valid only for models.
 const MODEL_FIELDS: [&str; 2] = ["staleness_bound", "scorer"];
-/// Fields that only plain services have.
+/// Fields that are valid only for plain services.
 const PLAIN_FIELDS: [&str; 2] = ["non_idempotent", "idempotent"];
 
 pub(crate) fn read_service(
@@ -58,14 +58,14 @@
     if !fields.has("kind") {
         fields.report_missing("kind", "\"model\" or \"plain\"", report);
     }
-    let texts = ServiceKind::ALL.map(|kind| (kind.as_str(), kind));
-    fields.choice("kind", &texts, report)
+    let choices = ServiceKind::ALL.map(|kind| (kind.as_str(), kind));
+    fields.choice("kind", &choices, report)
 }
 
-/// The class of a service or token, if it is stated.
+/// Reads the optional class of a service or token.
 pub(crate) fn read_class(fields: &mut FieldReader<'_>, report: &mut Report) -> Option<Class> {
-    let texts = Class::ALL.map(|class| (class.as_str(), class));
-    fields.choice("class", &texts, report)
+    let choices = Class::ALL.map(|class| (class.as_str(), class));
+    fields.choice("class", &choices, report)
 }
 
 fn read_staleness_bound(fields: &mut FieldReader<'_>, report: &mut Report) -> u64 {
@@ -92,7 +92,8 @@
     dependencies
 }
 
-/// A service by its name, or another customer's as `customer.service`.
+/// Parses a reference to an own service by its name, or to another customer's service as
+/// `customer.service`.
 pub(crate) fn read_target(
     field: &str,
     text: &str,
@@ -145,7 +146,7 @@
     report: &mut Report,
 ) -> Vec<CallPattern> {
     let texts = fields.texts(field, PATTERNS_MAX, report).into_iter();
-    let patterns = texts.filter_map(|word| read_pattern(&word, report));
+    let patterns = texts.filter_map(|text| read_pattern(&text, report));
     patterns.collect()
 }
 
@@ -166,11 +167,11 @@
     report: &mut Report,
 ) {
     let Some(kind) = kind else { return };
-    let foreign = match kind {
+    let invalid_fields = match kind {
         ServiceKind::Model => PLAIN_FIELDS,
         ServiceKind::Plain => MODEL_FIELDS,
     };
-    for field in foreign.into_iter().filter(|field| fields.has(field)) {
+    for field in invalid_fields.into_iter().filter(|field| fields.has(field)) {
         let cause = ComplaintCause::NotForKind { field, kind };
         report.add_error(fields.place_of(field), cause);
     }
--- a/components/config/src/parse_token.rs
+++ b/components/config/src/parse_token.rs
@@ -1,4 +1,4 @@
-//! Reading one `[[token]]`.
+//! Parses one `[[token]]` table.
 
 use types::{CustomerName, Role, ServiceName};
 
@@ -35,8 +35,8 @@
         let wanted = "\"caller\", \"trainer\" or \"operator\"";
         fields.report_missing("role", wanted, report);
     }
-    let texts = Role::ALL.map(|role| (role.as_str(), role));
-    fields.choice("role", &texts, report)
+    let choices = Role::ALL.map(|role| (role.as_str(), role));
+    fields.choice("role", &choices, report)
 }
 
 fn read_services(
@@ -44,12 +44,12 @@
     owner: &CustomerName,
     report: &mut Report,
 ) -> Option<Vec<ServiceRef>> {
-    let stated = fields.has("services");
+    let is_present = fields.has("services");
     let texts = fields.texts("services", SERVICES_MAX, report).into_iter();
     let targets =
         texts.filter_map(|(text, place)| read_target("services", &text, place, owner, report));
     let targets: Vec<ServiceRef> = targets.collect();
-    stated.then_some(targets)
+    is_present.then_some(targets)
 }
 
 fn read_digest(fields: &mut FieldReader<'_>, report: &mut Report) -> Option<TokenDigest> {
--- a/components/config/src/pattern.rs
+++ b/components/config/src/pattern.rs
@@ -1,4 +1,4 @@
-//! Patterns of calls: a method and a path.
+//! Call patterns: an HTTP method and a path.
 
 use std::fmt;
 
@@ -6,52 +6,53 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why a text is not a pattern of calls.
+    /// Why a text is not a call pattern.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum PatternError {
-        /// Not `METHOD /path`.
+        /// The text does not have the form `METHOD /path`.
         Malformed {
             display("write METHOD and path, such as \"POST /sanctions\"")
         }
-        /// The method is not in capitals, nor `*`.
+        /// The method is neither 1 to 16 capital letters nor `*`.
         BadMethod {
             display("the method is 1 to 16 capital letters, or * for all of them")
         }
-        /// The path is relative, holds a query, or would be read in two ways.
+        /// The path is relative, contains a query, or is not in normal form, so that endpoints
+        /// might interpret it differently.
         BadPath {
             display("the path begins with '/' and has no query, no '%', no '//', no '.' or '..' part and no space")
         }
     }
 }
 
-/// Longest method, in bytes.
+/// Maximum length of a method, in bytes.
 const METHOD_BYTES_MAX: usize = 16;
-/// Stands for every method.
+/// Matches every method.
 const ANY_METHOD: &str = "*";
 
-/// A method and a path without a query.
+/// A pattern that matches calls by method and path, without the query.
 #[value]
 #[derive(Hash, PartialOrd, Ord)]
 pub struct CallPattern {
-    /// The method, or `*`.
+    /// HTTP method in capitals, or `*` for every method.
     pub method: String,
-    /// The path, normal and without a slash at its end.
+    /// Normalized path without a trailing slash.
     pub path: String,
 }
 
 impl CallPattern {
-    /// Reads `METHOD /path`.
+    /// Parses `METHOD /path`.
     pub fn new(text: &str) -> Result<Self, PatternError> {
         let (method, path) = text.split_once(' ').ok_or(PatternError::Malformed)?;
-        let letters = !method.is_empty() && method.bytes().all(|b| b.is_ascii_uppercase());
-        let sized = method.len() <= METHOD_BYTES_MAX;
-        if method != ANY_METHOD && !(letters && sized) {
+        let is_uppercase = !method.is_empty() && method.bytes().all(|b| b.is_ascii_uppercase());
+        let is_short = method.len() <= METHOD_BYTES_MAX;
+        if method != ANY_METHOD && !(is_uppercase && is_short) {
             return Err(PatternError::BadMethod);
         }
-        let plain = path.starts_with('/') && !path.contains(['%', '?', '#', ' ']);
+        let is_absolute = path.starts_with('/') && !path.contains(['%', '?', '#', ' ']);
         let normal = normal_path(path).ok_or(PatternError::BadPath)?;
-        let same = normal == path || path.strip_suffix('/') == Some(normal.as_str());
-        if !plain || !same {
+        let is_normal = normal == path || path.strip_suffix('/') == Some(normal.as_str());
+        if !is_absolute || !is_normal {
             return Err(PatternError::BadPath);
         }
         Ok(Self {
@@ -64,12 +65,13 @@
         self.method == ANY_METHOD || self.method.eq_ignore_ascii_case(method)
     }
 
-    /// Whether the call is exactly this one.
+    /// Whether the call has exactly this method and path; case-sensitive.
     pub(crate) fn matches(&self, method: &str, path: &str) -> bool {
         (self.method == ANY_METHOD || self.method == method) && self.path == path
     }
 
-    /// Whether the call is this one or one below its path, in capitals or not.
+    /// Whether the call has this method and a path equal to the pattern's or below it; ignores
+    /// ASCII case.
     pub(crate) fn covers(&self, method: &str, path: &str) -> bool {
         if !self.matches_method(method) {
             return false;
@@ -81,8 +83,8 @@
         let Some(start) = path.get(..own.len()) else {
             return false;
         };
-        let ends = path.len() == own.len() || path.get(own.len()) == Some(&b'/');
-        ends && start.eq_ignore_ascii_case(own)
+        let ends_segment = path.len() == own.len() || path.get(own.len()) == Some(&b'/');
+        ends_segment && start.eq_ignore_ascii_case(own)
     }
 }
 
@@ -92,31 +94,32 @@
     }
 }
 
-/// The path without query and fragment.
+/// Removes the query and the fragment from a path.
 pub(crate) fn strip_query(path: &str) -> &str {
     path.split(['?', '#']).next().unwrap_or(path)
 }
 
-/// The path with escapes of ordinary characters undone, empty and `.` parts dropped and
-/// `..` resolved; `None` where endpoints differ in how they read it.
+/// Normalizes a path: decodes percent-escapes of ordinary characters, drops empty and `.` segments
+/// and resolves `..`. Returns `None` for a path that endpoints may interpret differently.
 pub(crate) fn normal_path(path: &str) -> Option<String> {
     let decoded = percent_decode(path)?;
-    let mut parts: Vec<&str> = Vec::new();
-    for part in decoded.split('/') {
-        match part {
+    let mut segments: Vec<&str> = Vec::new();
+    for segment in decoded.split('/') {
+        match segment {
             "" | "." => {}
             ".." => {
-                parts.pop();
+                segments.pop();
             }
-            // Some endpoints cut a part at ';' and some do not.
+            // Some endpoints strip path parameters after ';' and some do not.
             other if other.contains([';', '\\']) => return None,
-            other => parts.push(other),
+            other => segments.push(other),
         }
     }
-    Some(format!("/{}", parts.join("/")))
+    Some(format!("/{}", segments.join("/")))
 }
 
-/// Undoes escapes; `None` for a bad one and for an escaped separator or control.
+/// Decodes percent-escapes. Returns `None` for a malformed escape and for an escaped separator or
+/// control character.
 fn percent_decode(path: &str) -> Option<String> {
     let mut bytes = Vec::with_capacity(path.len());
     let mut rest = path.bytes();
--- a/components/config/src/pending.rs
+++ b/components/config/src/pending.rs
@@ -1,17 +1,18 @@
-//! Publishes of one customer that a reader holds back until it knows which version was
-//! current before them.
+//! Publishes of one customer that a reader holds back until it knows which version was current
+//! before them.
 
 use std::collections::VecDeque;
 
 use crate::Publish;
 
-/// Publishes that are held back for one customer, in bytes.
+/// Maximum size of the publishes held back for one customer, in bytes.
 pub(crate) const PENDING_BYTES_MAX: usize = 1024 * 1024;
 
-/// What a publish takes beside its texts, so that empty ones are bounded as well.
+/// Fixed cost of a publish in addition to its strings, so that the number of publishes with empty
+/// texts is bounded too.
 const PUBLISH_BYTES: usize = 256;
 
-/// Publishes with their offsets, in the log's order.
+/// Held-back publishes with their offsets, in the order of the log.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingPublishes {
     publishes: VecDeque<(u64, Publish)>,
@@ -26,7 +27,7 @@
         }
     }
 
-    /// No publish at or after this offset was missed or dropped.
+    /// First offset from which on no publish was missed or dropped.
     pub(crate) fn complete_from(&self) -> u64 {
         self.complete_from
     }
@@ -38,8 +39,8 @@
             .sum()
     }
 
-    /// Adds a publish. Without room the oldest ones are dropped: what they did can then
-    /// only be learned from an anchor behind them.
+    /// Adds a publish. If there is not enough room, the oldest publishes are dropped; their effect
+    /// can then only be learned from an anchor after them.
     pub(crate) fn push(&mut self, offset: u64, publish: &Publish, room_bytes: usize) {
         let own_room_bytes = PENDING_BYTES_MAX.saturating_sub(self.text_bytes());
         let mut room_bytes = room_bytes.min(own_room_bytes);
@@ -58,7 +59,7 @@
         std::mem::take(&mut self.publishes)
     }
 
-    /// Drops all publishes; those from `offset` on will be complete.
+    /// Drops all publishes; collection starts again at `offset`.
     pub(crate) fn clear(&mut self, offset: u64) {
         self.publishes.clear();
         self.complete_from = offset;
--- a/components/config/src/place.rs
+++ b/components/config/src/place.rs
@@ -1,15 +1,15 @@
-//! Places in a text.
+//! Positions in a text.
 
 use std::fmt;
 
 use derive::key;
 
-/// Line and column in a text, both from 1; the column counts characters.
+/// Line and column in a text, both starting at 1.
 #[key]
 pub struct Place {
-    /// The line.
+    /// Line number.
     pub line: u32,
-    /// The column, in characters.
+    /// Column number, counted in characters rather than bytes.
     pub column: u32,
 }
 
@@ -24,7 +24,8 @@
     }
 }
 
-/// Finds the place of a byte offset without counting lines from the start each time.
+/// Index of line starts, to look up the position of a byte offset without scanning the text from
+/// its start.
 pub(crate) struct LineIndex<'a> {
     text: &'a str,
     starts: Vec<usize>,
@@ -32,7 +33,7 @@
 
 impl<'a> LineIndex<'a> {
     pub(crate) fn new(text: &'a str) -> Self {
-        let breaks = text.match_indices('\n').map(|(at, _)| at + 1);
+        let breaks = text.match_indices('\n').map(|(offset, _)| offset + 1);
         Self {
             text,
             starts: std::iter::once(0).chain(breaks).collect(),
--- a/components/config/src/recent_verdicts.rs
+++ b/components/config/src/recent_verdicts.rs
@@ -1,12 +1,13 @@
-//! The last verdicts on a customer's publishes, for the operators' questions. They never
-//! go into a later verdict.
+//! The most recent verdicts on a customer's publishes, kept for operators' queries. They never
+//! influence later verdicts, because readers that start at different offsets remember different
+//! ones.
 
 use std::collections::VecDeque;
 
 use crate::accepted::source_digest;
 use crate::{Publish, Verdict};
 
-/// Verdicts that are remembered.
+/// Maximum number of verdicts kept per customer.
 const VERDICTS_MAX: usize = 32;
 
 #[derive(Clone, Debug)]
@@ -17,21 +18,21 @@
     verdict: Verdict,
 }
 
-/// The last verdicts, oldest first.
+/// The most recent verdicts, oldest first.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RecentVerdicts {
     entries: VecDeque<Entry>,
 }
 
 impl RecentVerdicts {
-    /// The verdict on the last publish with this id.
+    /// The verdict on the newest publish with this id.
     pub(crate) fn verdict(&self, id: &str) -> Option<&Verdict> {
         let newest_first = self.entries.iter().rev();
         let mut with_id = newest_first.filter(|entry| entry.id == id);
         with_id.next().map(|entry| &entry.verdict)
     }
 
-    /// The verdict on an earlier copy of this publish.
+    /// The verdict on an earlier copy of this publish: same id, base and text.
     pub(crate) fn verdict_on_copy(&self, publish: &Publish) -> Option<&Verdict> {
         let digest = source_digest(&publish.text);
         let entry = self
--- a/components/config/src/record.rs
+++ b/components/config/src/record.rs
@@ -1,4 +1,4 @@
-//! Records of the log's stream `config`.
+//! JSON records of the log's stream `config`.
 
 use derive::wire;
 use quick_error::quick_error;
@@ -8,45 +8,47 @@
 use crate::limit::{RECORD_BYTES_MAX, TEXT_BYTES_MAX};
 use crate::{AcceptedVersion, RULES_NEWEST};
 
-/// Longest id of a publish, in bytes.
+/// Maximum length of a publish id, in bytes.
 pub const ID_BYTES_MAX: usize = 64;
 
 quick_error! {
-    /// Why a record cannot be read or written.
+    /// Why a record could not be decoded or encoded.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum RecordError {
-        /// Over the limit.
+        /// The record or its text exceeds the size limit.
         TooLarge(bytes: usize) {
             display("the record has {} bytes, at most {} are allowed", bytes, RECORD_BYTES_MAX)
         }
-        /// Not the JSON of a record.
+        /// The data is not valid JSON of a record; holds the error of the JSON parser.
         Malformed(message: String) {
             display("not a record: {}", message)
         }
     }
 }
 
-/// An operator's new text for a customer.
+/// A new text for a customer, published by an operator.
 #[wire]
 pub struct Publish {
-    /// The customer.
+    /// Customer that the text belongs to.
     pub customer: CustomerName,
-    /// Version that the operator had before him, 0 for none.
+    /// Version that the text is based on; 0 if the customer had none.
     pub base: u64,
-    /// Id of the publish that made the base. It keeps a copy of a refused publish
-    /// from fitting a later base with the same number.
+    /// Id of the publish that created the base. It keeps a copy of a refused publish from matching
+    /// a later base with the same number.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub base_id: Option<String>,
-    /// Chosen by the operator's tool; a repeated append carries the same.
+    /// Id of this publish, chosen by the operator's tool. A repeated append uses the same id, so
+    /// that it counts once.
     pub id: String,
-    /// Rules version by which every reader judges it.
+    /// Version of the rules that every reader checks the text against.
     pub rules: u32,
-    /// The text.
+    /// The TOML text.
     pub text: String,
 }
 
 impl Publish {
-    /// A publish on what is accepted now, judged by this binary's newest rules.
+    /// Creates a publish based on the accepted version `base`, to be checked against the newest
+    /// rules of this binary.
     pub fn based_on(
         customer: CustomerName,
         base: Option<&AcceptedVersion>,
@@ -64,51 +66,51 @@
     }
 }
 
-/// A current version, appended again before the log forgets it.
+/// A current version, appended again before the log's retention removes its last record.
 #[wire]
 pub struct Keep {
-    /// The customer.
+    /// Customer that the text belongs to.
     pub customer: CustomerName,
-    /// The version, from 1.
+    /// Version number; starts at 1.
     pub version: u64,
-    /// Id of the publish that made it.
+    /// Id of the publish that created the version.
     pub id: String,
-    /// Rules version by which it was judged.
+    /// Version of the rules that the text was checked against.
     pub rules: u32,
-    /// Its text.
+    /// The TOML text.
     pub text: String,
-    /// Offset up to which (not with which) the version was the current one; `None`
-    /// where the writer only knew that the version was accepted once.
+    /// The version was current for all offsets below this one. `None` if the writer only knew that
+    /// the version was accepted at some time.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub through: Option<u64>,
 }
 
-/// All customers that have an accepted version; the others have none.
+/// List of all customers that have an accepted version.
 #[wire]
 pub struct Customers {
-    /// Offset up to which (not with which) this held.
+    /// The list was complete for all offsets below this one.
     pub through: u64,
-    /// The customers.
+    /// Names of the customers.
     pub names: Vec<CustomerName>,
 }
 
-/// One record.
+/// A record of the stream `config`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum Record {
-    /// An operator's new text.
+    /// A new text for a customer.
     Publish(Publish),
-    /// A current version again.
+    /// A current version, appended again.
     Keep(Keep),
-    /// Who has an accepted version.
+    /// The list of customers with an accepted version.
     Customers(Customers),
-    /// Of a kind that this binary does not know; it changes nothing here.
+    /// A record of a kind that this binary does not know; it has no effect.
     #[serde(other)]
     Unknown,
 }
 
 impl Record {
-    /// Reads a record from the log's bytes.
+    /// Decodes a record from its JSON text on the log.
     pub fn from_json(data: &str) -> Result<Self, RecordError> {
         if data.len() > RECORD_BYTES_MAX {
             return Err(RecordError::TooLarge(data.len()));
@@ -116,7 +118,7 @@
         serde_json::from_str(data).map_err(|error| RecordError::Malformed(error.to_string()))
     }
 
-    /// The record for the log; refused where no reader would read it.
+    /// Encodes the record for the log. Fails if the record is larger than readers accept.
     pub fn to_json(&self) -> Result<String, RecordError> {
         if let Some(bytes) = self.text_bytes().filter(|&bytes| bytes > TEXT_BYTES_MAX) {
             return Err(RecordError::TooLarge(bytes));
--- a/components/config/src/rules.rs
+++ b/components/config/src/rules.rs
@@ -1,34 +1,35 @@
-//! Versions of the rules by which a text is judged.
+//! Versions of the rules that a text is checked against.
 //!
-//! A record on the log names its rules version, and every process judges the record by
-//! that version, whatever else it knows. So two binaries of different ages reach the
-//! same verdict, or the older one says that it cannot judge. A published version of
-//! the rules, with the schema minor that it knows, is never changed: a new field or
-//! check gets the next number.
+//! A record on the log names a rules version, and every process checks the record against that
+//! version, even if it knows newer ones. Two binaries of different releases therefore reach the
+//! same verdict, or the older one reports that it does not know the rules. A released rules
+//! version, including the schema minor that it knows, never changes: a new field or check gets the
+//! next number.
 
 use derive::key;
 
 /// The newest rules version that this binary knows.
 pub const RULES_NEWEST: u32 = 2;
 
-/// One version of the rules.
+/// The checks and schema of one rules version.
 #[key]
 pub struct Rules {
-    /// Its number.
+    /// Number that records use to name these rules.
     pub version: u32,
-    /// Schema minor whose fields these rules know; a text with a higher one may hold
-    /// fields that they do not know.
+    /// Newest schema minor whose fields these rules know. A text with a higher minor may contain
+    /// unknown fields.
     pub schema_minor: u32,
-    /// A model that a trainer token names must state its `staleness_bound`.
+    /// Whether a model covered by a trainer token must state its `staleness_bound`.
     pub(crate) requires_staleness_bound: bool,
-    /// A publish on a version above 0 must name the id of that version's publish.
+    /// Whether a publish with a base above 0 must state the id of the publish that created the
+    /// base.
     pub(crate) requires_base_id: bool,
 }
 
 impl Rules {
-    /// The rules with this number, if this binary knows them.
+    /// The rules with this number, or `None` if this binary does not know them.
     pub fn of(version: u32) -> Option<Rules> {
-        let stricter = match version {
+        let is_strict = match version {
             1 => false,
             2 => true,
             _ => return None,
@@ -36,8 +37,8 @@
         Some(Rules {
             version,
             schema_minor: 0,
-            requires_staleness_bound: stricter,
-            requires_base_id: stricter,
+            requires_staleness_bound: is_strict,
+            requires_base_id: is_strict,
         })
     }
 
--- a/components/config/src/service.rs
+++ b/components/config/src/service.rs
@@ -1,4 +1,4 @@
-//! Services and what they depend on.
+//! Services and their dependencies.
 
 use std::fmt;
 
@@ -8,7 +8,7 @@
 use crate::pattern::{normal_path, strip_query};
 use crate::{CallPattern, Place};
 
-/// What stands behind a service.
+/// Kind of the endpoints that host a service.
 #[key]
 pub enum ServiceKind {
     /// Model engines.
@@ -18,10 +18,10 @@
 }
 
 impl ServiceKind {
-    /// Every kind.
+    /// All kinds, in the order in which messages list them.
     pub const ALL: [ServiceKind; 2] = [ServiceKind::Model, ServiceKind::Plain];
 
-    /// The kind as it stands in the configuration.
+    /// The kind as written in the configuration.
     pub fn as_str(self) -> &'static str {
         match self {
             ServiceKind::Model => "model",
@@ -36,13 +36,13 @@
     }
 }
 
-/// A service by its full name.
+/// Reference to a service by owner and name.
 #[value]
 #[derive(Hash, PartialOrd, Ord)]
 pub struct ServiceRef {
-    /// The customer that owns it.
+    /// Customer that owns the service.
     pub owner: CustomerName,
-    /// The service.
+    /// Name of the service, unique among the owner's services.
     pub service: ServiceName,
 }
 
@@ -52,55 +52,55 @@
     }
 }
 
-/// One entry of `depends_on`.
+/// An entry of `depends_on`.
 #[value]
 pub struct Dependency {
-    /// The service that is depended on.
+    /// Service that is called; may belong to another customer.
     pub target: ServiceRef,
-    /// Where the text says so.
+    /// Position of the entry in the text.
     pub place: Place,
 }
 
-/// One service of a customer, with its defaults filled in.
+/// A service of a customer, with defaults filled in.
 #[value]
 pub struct Service {
-    /// The customer.
+    /// Customer that owns the service.
     pub owner: CustomerName,
-    /// Its name.
+    /// Name of the service, unique among the owner's services.
     pub name: ServiceName,
-    /// What stands behind it.
+    /// Whether model engines or plain HTTP services host it.
     pub kind: ServiceKind,
-    /// Endpoints of this pool host it.
+    /// Pool whose endpoints host the service; defaults to a pool with the service's name.
     pub pool: PoolName,
-    /// Services that it calls.
+    /// Services that this service calls.
     pub depends_on: Vec<Dependency>,
-    /// Customers whose services may depend on it.
+    /// Other customers whose services may depend on this one.
     pub shared_with: Vec<CustomerName>,
-    /// Class of calls that name none.
+    /// Class of calls that do not state one.
     pub class: Class,
-    /// Time for calls that name no deadline, in milliseconds.
+    /// Deadline of calls that do not state one, in milliseconds.
     pub deadline_ms: u32,
-    /// How many versions a sample may be behind its trainer; models only.
+    /// Maximum number of versions that a sample may be behind its trainer; only used for models.
     pub staleness_bound: u64,
-    /// Whether the text states the bound itself.
+    /// Whether the text sets `staleness_bound` explicitly.
     pub has_staleness_bound: bool,
-    /// Plain service of the same customer that scores the samples; models only.
+    /// Plain service of the same customer that scores the samples; only used for models.
     pub scorer: Option<ServiceName>,
-    /// Calls that may run once only, against the default of their method.
+    /// Calls that must not run more than once although their method is idempotent by default.
     pub non_idempotent: Vec<CallPattern>,
-    /// Calls that may run again, against the default of their method.
+    /// Calls that may run more than once although their method is not idempotent by default.
     pub idempotent: Vec<CallPattern>,
-    /// Where the text names it.
+    /// Position of the service's name in the text.
     pub place: Place,
 }
 
 /// Methods that RFC 9110 defines as idempotent.
 const IDEMPOTENT_METHODS: [&str; 6] = ["GET", "HEAD", "PUT", "DELETE", "OPTIONS", "TRACE"];
-/// The one call of a model engine that a caller makes; it only computes.
+/// The only call to a model engine that callers make; it has no side effects.
 const COMPLETIONS: (&str, &str) = ("POST", "/v1/completions");
 
 impl Service {
-    /// Its full name.
+    /// Reference to this service.
     pub fn target(&self) -> ServiceRef {
         ServiceRef {
             owner: self.owner.clone(),
@@ -108,12 +108,12 @@
         }
     }
 
-    /// Whether a call may run more than once. `path` is the path at the endpoint, with
-    /// or without a query.
+    /// Whether a call may run more than once. `path` is the path at the endpoint, with or without a
+    /// query.
     ///
-    /// A path that an endpoint might read in another way than this function (encoded
-    /// separators, bad escapes) counts as non-idempotent: otherwise `/%73anctions`
-    /// could pass by the pattern `/sanctions` and run twice.
+    /// A path that an endpoint may interpret differently from this function (encoded separators,
+    /// malformed escapes) counts as non-idempotent. Otherwise `/%73anctions` could bypass the
+    /// pattern `/sanctions` and run twice.
     pub fn is_idempotent(&self, method: &str, path: &str) -> bool {
         let Some(path) = normal_path(strip_query(path)) else {
             return false;
@@ -121,11 +121,11 @@
         if self.kind == ServiceKind::Model && (method, path.as_str()) == COMPLETIONS {
             return true;
         }
-        let once = |pattern: &CallPattern| pattern.covers(method, &path);
-        if self.non_idempotent.iter().any(once) {
+        let must_run_once = |pattern: &CallPattern| pattern.covers(method, &path);
+        if self.non_idempotent.iter().any(must_run_once) {
             return false;
         }
-        let again = |pattern: &CallPattern| pattern.matches(method, &path);
-        IDEMPOTENT_METHODS.contains(&method) || self.idempotent.iter().any(again)
+        let may_run_again = |pattern: &CallPattern| pattern.matches(method, &path);
+        IDEMPOTENT_METHODS.contains(&method) || self.idempotent.iter().any(may_run_again)
     }
 }
--- a/components/config/src/summary.rs
+++ b/components/config/src/summary.rs
@@ -1,4 +1,5 @@
-//! What changes from one text to the next, by services and tokens rather than lines.
+//! Summarizes the changes between two configurations by limits, services and tokens rather than by
+//! lines.
 
 use std::fmt;
 
@@ -7,18 +8,18 @@
 
 use crate::{CustomerConfig, Service, Token};
 
-/// What became of one service or token.
+/// Change of one service or token.
 #[value]
 pub enum Change {
-    /// New.
+    /// Exists only in the new configuration.
     Added(ServiceName),
-    /// Gone.
+    /// Exists only in the old configuration.
     Removed(ServiceName),
-    /// Still there, with other values in these fields.
+    /// Exists in both, with different values.
     Changed {
-        /// Which one.
+        /// Name of the service or token.
         name: ServiceName,
-        /// The fields.
+        /// Names of the fields with different values.
         fields: Vec<&'static str>,
     },
 }
@@ -33,19 +34,20 @@
     }
 }
 
-/// What changes from one text to the next.
+/// Changes between two configurations.
 #[value]
 pub struct Summary {
-    /// Limits with other values.
+    /// Names of the limits that changed.
     pub limits: Vec<&'static str>,
-    /// Services, by name.
+    /// Changed services: first the added and changed ones in the order of the new text, then the
+    /// removed ones.
     pub services: Vec<Change>,
-    /// Tokens, by name.
+    /// Changed tokens, in the same order as the services.
     pub tokens: Vec<Change>,
 }
 
 impl Summary {
-    /// Whether nothing changes but layout and comments.
+    /// Whether the texts differ only in layout and comments.
     pub fn is_empty(&self) -> bool {
         self.limits.is_empty() && self.services.is_empty() && self.tokens.is_empty()
     }
@@ -68,7 +70,7 @@
     }
 }
 
-/// What changes from `old`, if there is one, to `new`.
+/// Returns the changes from `old` to `new`. Without `old`, every service and token counts as added.
 pub fn summarize(old: Option<&CustomerConfig>, new: &CustomerConfig) -> Summary {
     let old_services = old.iter().flat_map(|text| &text.services);
     let old_tokens = old.iter().flat_map(|text| &text.tokens);
@@ -97,29 +99,33 @@
     fields: impl Fn(&T, &T) -> Vec<&'static str>,
 ) -> Vec<Change> {
     let (old, new): (Vec<&T>, Vec<&T>) = (old.collect(), new.collect());
-    let find =
-        |among: &[&'t T], wanted: &T| among.iter().copied().find(|one| name(one) == name(wanted));
+    let find = |items: &[&'t T], wanted: &T| {
+        items
+            .iter()
+            .copied()
+            .find(|item| name(item) == name(wanted))
+    };
     let mut changes = Vec::new();
-    for one in &new {
-        let Some(before) = find(&old, one) else {
-            changes.push(Change::Added(name(one).clone()));
+    for item in &new {
+        let Some(old_item) = find(&old, item) else {
+            changes.push(Change::Added(name(item).clone()));
             continue;
         };
-        let fields = fields(before, one);
+        let fields = fields(old_item, item);
         if !fields.is_empty() {
-            let name = name(one).clone();
+            let name = name(item).clone();
             changes.push(Change::Changed { name, fields });
         }
     }
-    let gone = old.iter().filter(|one| find(&new, one).is_none());
-    changes.extend(gone.map(|one| Change::Removed(name(one).clone())));
+    let removed = old.iter().filter(|item| find(&new, item).is_none());
+    changes.extend(removed.map(|item| Change::Removed(name(item).clone())));
     changes
 }
 
-/// The names of the fields that differ.
+/// The names of the fields whose flag says that they are not equal.
 fn changed_fields<const N: usize>(fields: [(&'static str, bool); N]) -> Vec<&'static str> {
-    let differing = fields.into_iter().filter(|(_, same)| !same);
-    differing.map(|(name, _)| name).collect()
+    let changed = fields.into_iter().filter(|(_, is_equal)| !is_equal);
+    changed.map(|(name, _)| name).collect()
 }
 
 fn limit_fields(old: &CustomerConfig, new: &CustomerConfig) -> Vec<&'static str> {
--- a/components/config/src/text.rs
+++ b/components/config/src/text.rs
@@ -1,4 +1,4 @@
-//! One customer's text after reading.
+//! A customer's configuration, parsed from its text.
 
 use std::sync::Arc;
 
@@ -11,44 +11,45 @@
 /// Version of the schema that a text is written for.
 #[key]
 pub struct Schema {
-    /// Another major is not read at all.
+    /// Texts with another major than the supported one are refused.
     pub major: u32,
-    /// A higher minor only adds fields.
+    /// Higher minors only add fields.
     pub minor: u32,
 }
 
-/// Limits of a customer as a whole.
+/// Limits that apply to all requests of a customer together.
 #[key]
 pub struct Limits {
-    /// Share in the fair queue.
+    /// Weight of the customer in fair queueing.
     pub weight: u32,
-    /// Requests that begin in a second.
+    /// Maximum rate of new requests, in requests per second.
     pub requests_per_s: u32,
-    /// Requests in progress at a time.
+    /// Maximum number of concurrent requests.
     pub in_progress: u32,
-    /// Prompt and completion tokens in a second.
+    /// Maximum rate of prompt and completion tokens, in tokens per second.
     pub tokens_per_s: u32,
 }
 
-/// One token of a customer.
+/// A bearer token of a customer. The configuration holds only its digest.
 #[value]
 pub struct Token {
-    /// Its name, for logs and the status.
+    /// Name of the token in logs and on the status page.
     pub name: ServiceName,
-    /// What its holder may do.
+    /// Role that the token grants.
     pub role: Role,
-    /// Services that it is good for; `None` for all.
+    /// Services that the token is valid for; `None` for all.
     pub services: Option<Vec<ServiceRef>>,
-    /// Best class that its holder may claim, and the class of calls that name none.
+    /// Best class that requests with this token may use, and the class of requests that do not
+    /// state one.
     pub class: Option<Class>,
-    /// SHA-256 of the token.
+    /// SHA-256 digest of the token.
     pub digest: TokenDigest,
-    /// Where the text names it.
+    /// Position of the token's name in the text.
     pub place: Place,
 }
 
 impl Token {
-    /// Whether the token is good for this service, as far as its list says.
+    /// Whether the token's list of services includes this one. Does not check ownership or role.
     pub fn covers(&self, target: &ServiceRef) -> bool {
         match &self.services {
             Some(services) => services.contains(target),
@@ -57,29 +58,29 @@
     }
 }
 
-/// One customer's text after reading, with its defaults filled in.
+/// A customer's configuration, with defaults filled in.
 #[value]
 pub struct CustomerConfig {
-    /// File that it came from, or another name for its origin.
+    /// Path of the text's file, or another description of its origin.
     pub file: Arc<str>,
-    /// Schema that it is written for.
+    /// Schema version that the text states.
     pub schema: Schema,
-    /// The customer.
+    /// Customer that the configuration belongs to.
     pub customer: CustomerName,
-    /// Where the text names the customer.
+    /// Position of the customer's name in the text.
     pub place: Place,
     /// Limits of the customer as a whole.
     pub limits: Limits,
-    /// Its tokens.
+    /// Bearer tokens of the customer, in the order of the text.
     pub tokens: Vec<Token>,
-    /// Its services.
+    /// Services of the customer, in the order of the text.
     pub services: Vec<Arc<Service>>,
-    /// What was let pass, such as fields of a newer schema.
+    /// Complaints that did not cause a refusal, such as fields of a newer schema.
     pub warnings: Vec<Complaint>,
 }
 
 impl CustomerConfig {
-    /// The service with this name.
+    /// The service with this name, if the customer has one.
     pub fn service(&self, name: &ServiceName) -> Option<&Arc<Service>> {
         self.services.iter().find(|service| service.name == *name)
     }
--- a/components/config/src/view.rs
+++ b/components/config/src/view.rs
@@ -1,5 +1,5 @@
-//! The accepted texts as immutable tables for the path of a request. A new view is
-//! built when a text changes and swapped in as a whole.
+//! Immutable look-up tables of the accepted configurations for the request path. A new view is
+//! built whenever a configuration changes and replaces the old one as a whole.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,18 +12,18 @@
     CustomerConfig, Ledger, Limits, Service, ServiceRef, Token, TokenDigest, UnmetDependency,
 };
 
-/// Who holds a token.
+/// The identity and permissions that a bearer token grants.
 #[value]
 pub struct TokenHolder {
-    /// The customer.
+    /// Customer that the token belongs to.
     pub customer: CustomerName,
     /// Name of the token, for logs.
     pub token: ServiceName,
-    /// What he may do.
+    /// Role that the token grants.
     pub role: Role,
-    /// Services that the token is good for; `None` for all.
+    /// Services that the token is valid for; `None` for all.
     pub services: Option<Arc<[ServiceRef]>>,
-    /// Best class that he may claim, and the class of his calls that name none.
+    /// Best class that requests may use, and the class of requests that do not state one.
     pub class: Option<Class>,
 }
 
@@ -38,31 +38,31 @@
         }
     }
 
-    /// The class of a call to a service: what the caller asks for, else the token's,
-    /// else the service's; never a better one than the token's.
-    pub fn class_of(&self, asked: Option<Class>, service: &Service) -> Class {
-        let class = asked.or(self.class).unwrap_or(service.class);
+    /// Class of a call to a service: the requested one, else the token's, else the service's, but
+    /// never better than the token's.
+    pub fn class_of(&self, requested: Option<Class>, service: &Service) -> Class {
+        let class = requested.or(self.class).unwrap_or(service.class);
         match self.class {
-            Some(best) => class.max(best),
+            Some(best_class) => class.max(best_class),
             None => class,
         }
     }
 
     fn covers(&self, owner: &CustomerName, service: &ServiceName) -> bool {
-        let is = |target: &ServiceRef| target.owner == *owner && target.service == *service;
+        let matches = |target: &ServiceRef| target.owner == *owner && target.service == *service;
         match &self.services {
-            Some(services) => services.iter().any(is),
+            Some(services) => services.iter().any(matches),
             None => true,
         }
     }
 }
 
-/// One customer in a view.
+/// A customer's entry in a view.
 #[derive(Clone, Debug)]
 pub struct CustomerView {
-    /// Its accepted version.
+    /// Number of the customer's accepted version.
     pub version: u64,
-    /// Its limits.
+    /// Limits from that version.
     pub limits: Limits,
     services: HashMap<ServiceName, ServiceView>,
 }
@@ -70,11 +70,11 @@
 #[derive(Clone, Debug)]
 struct ServiceView {
     service: Arc<Service>,
-    /// Other customers with a dependency in force.
+    /// Other customers with an active dependency on the service.
     dependents: Vec<CustomerName>,
 }
 
-/// The accepted texts of all customers.
+/// The accepted configurations of all customers, indexed by name, token digest and pool.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     customers: HashMap<CustomerName, CustomerView>,
@@ -84,24 +84,24 @@
 }
 
 impl View {
-    /// The view of what the ledger holds now.
+    /// Builds the view of the ledger's current versions.
     pub fn of(ledger: &Ledger) -> Self {
         let mut view = View::default();
-        let mut texts: HashMap<&CustomerName, &CustomerConfig> = HashMap::new();
+        let mut configs: HashMap<&CustomerName, &CustomerConfig> = HashMap::new();
         for accepted in ledger.all() {
             view.add_customer(accepted.version, &accepted.config);
-            texts.insert(&accepted.customer, &accepted.config);
+            configs.insert(&accepted.customer, &accepted.config);
         }
-        let links = resolve_dependencies(&texts);
-        for link in &links.active {
-            view.add_dependent(link.customer, link.to);
+        let dependencies = resolve_dependencies(&configs);
+        for dependency in &dependencies.active {
+            view.add_dependent(dependency.customer, dependency.to);
         }
-        view.unmet = links.unmet;
+        view.unmet = dependencies.unmet;
         view
     }
 
-    fn add_customer(&mut self, version: u64, text: &CustomerConfig) {
-        let services = text.services.iter().map(|service| {
+    fn add_customer(&mut self, version: u64, config: &CustomerConfig) {
+        let services = config.services.iter().map(|service| {
             let entry = ServiceView {
                 service: Arc::clone(service),
                 dependents: Vec::new(),
@@ -110,17 +110,17 @@
         });
         let customer = CustomerView {
             version,
-            limits: text.limits,
+            limits: config.limits,
             services: services.collect(),
         };
-        self.customers.insert(text.customer.clone(), customer);
-        for service in &text.services {
+        self.customers.insert(config.customer.clone(), customer);
+        for service in &config.services {
             let pool = self.pools.entry(service.pool.clone()).or_default();
             pool.push(Arc::clone(service));
         }
-        for token in &text.tokens {
+        for token in &config.tokens {
             let holders = self.holders.entry(token.digest).or_default();
-            holders.push(TokenHolder::of(&text.customer, token));
+            holders.push(TokenHolder::of(&config.customer, token));
         }
     }
 
@@ -133,40 +133,40 @@
         }
     }
 
-    /// The holder of a bearer token.
+    /// Returns the holder of a bearer token, or `None` for an unknown or ambiguous token.
     pub fn authenticate(&self, token: &str) -> Option<&TokenHolder> {
         match self.holders.get(&TokenDigest::of(token))?.as_slice() {
             [holder] => Some(holder),
-            // A customer that gets to know the digest of another's token can write it
-            // into its own text, and calls would be taken for its own or be refused.
-            // A token that begins with its customer's name and a dot stays out of
-            // this, as no other customer has that name.
-            several => {
+            // A customer that learns the digest of another's token could put it into its own text,
+            // and calls with the token would be attributed to it or refused. A token that begins
+            // with its customer's name and a dot is not affected, because no other customer has
+            // that name.
+            holders => {
                 let (customer, _) = token.split_once('.')?;
-                several
+                holders
                     .iter()
                     .find(|holder| holder.customer.as_str() == customer)
             }
         }
     }
 
-    /// Names of tokens that more than one customer has, for the status.
+    /// Tokens whose digest occurs more than once, for the status page.
     pub fn shared_tokens(&self) -> impl Iterator<Item = &TokenHolder> {
-        let several = self.holders.values().filter(|holders| holders.len() > 1);
-        several.flatten()
+        let holders = self.holders.values().filter(|holders| holders.len() > 1);
+        holders.flatten()
     }
 
-    /// A customer.
+    /// The entry of a customer.
     pub fn customer(&self, name: &CustomerName) -> Option<&CustomerView> {
         self.customers.get(name)
     }
 
-    /// All customers, in no order.
+    /// All customers, in arbitrary order.
     pub fn customers(&self) -> impl Iterator<Item = (&CustomerName, &CustomerView)> {
         self.customers.iter()
     }
 
-    /// All services, in no order.
+    /// The services of all customers, in arbitrary order.
     pub fn services(&self) -> impl Iterator<Item = &Arc<Service>> {
         let entries = self
             .customers
@@ -175,12 +175,12 @@
         entries.map(|entry| &entry.service)
     }
 
-    /// A service by its owner and name.
+    /// Looks up a service by owner and name.
     pub fn service(&self, owner: &CustomerName, name: &ServiceName) -> Option<&Arc<Service>> {
         Some(&self.service_view(owner, name)?.service)
     }
 
-    /// The services that endpoints of this pool host.
+    /// Services hosted by the endpoints of this pool.
     pub fn pool(&self, pool: &PoolName) -> &[Arc<Service>] {
         self.pools.get(pool).map_or(&[], Vec::as_slice)
     }
@@ -189,31 +189,32 @@
         self.customers.get(owner)?.services.get(name)
     }
 
-    /// Whether the holder may call the service: a caller whose token is good for it and
-    /// whose customer owns it or has a dependency on it in force.
+    /// Whether the holder may call the service: it must have the caller role, the token must be
+    /// valid for the service, and the holder's customer must own the service or have an active
+    /// dependency on it.
     pub fn may_call(&self, holder: &TokenHolder, owner: &CustomerName, name: &ServiceName) -> bool {
         let Some(entry) = self.service_view(owner, name) else {
             return false;
         };
-        let related = holder.customer == *owner || entry.dependents.contains(&holder.customer);
-        holder.role == Role::Caller && related && holder.covers(owner, name)
+        let may_depend = holder.customer == *owner || entry.dependents.contains(&holder.customer);
+        holder.role == Role::Caller && may_depend && holder.covers(owner, name)
     }
 
-    /// Whether the holder may post steps for this model of his customer, fetch its
+    /// Whether the holder may submit training steps for this model of its own customer, fetch its
     /// samples and announce its weights.
     pub fn may_train(&self, holder: &TokenHolder, name: &ServiceName) -> bool {
         let model = self.service(&holder.customer, name);
-        let model = model.is_some_and(|service| service.kind == crate::ServiceKind::Model);
-        holder.role == Role::Trainer && model && holder.covers(&holder.customer, name)
+        let is_model = model.is_some_and(|service| service.kind == crate::ServiceKind::Model);
+        holder.role == Role::Trainer && is_model && holder.covers(&holder.customer, name)
     }
 
-    /// Whether the holder may roll this service of his customer back, and the like.
+    /// Whether the holder may operate this service of its own customer, for example roll it back.
     pub fn may_operate(&self, holder: &TokenHolder, name: &ServiceName) -> bool {
-        let known = self.service_view(&holder.customer, name).is_some();
-        holder.role == Role::Operator && known && holder.covers(&holder.customer, name)
+        let exists = self.service_view(&holder.customer, name).is_some();
+        holder.role == Role::Operator && exists && holder.covers(&holder.customer, name)
     }
 
-    /// Dependencies between customers that are not in force.
+    /// Inactive dependencies between customers.
     pub fn unmet_dependencies(&self) -> &[UnmetDependency] {
         &self.unmet
     }
--- a/components/config/tests/diff.rs
+++ b/components/config/tests/diff.rs
@@ -1,4 +1,4 @@
-//! What an operator sees who lost a race.
+//! Diffs and summaries that operators see, for example after losing a race.
 
 use config::{Change, line_diff, parse, summarize};
 use types::ServiceName;
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn can_sum_up_what_changes() {
+fn can_summarize_changes() {
     let digest = "0".repeat(64);
     let new = OLD
         .replace("weight = 1", "weight = 2")
--- a/components/config/tests/keep_scheduler.rs
+++ b/components/config/tests/keep_scheduler.rs
@@ -1,9 +1,9 @@
-//! When records are appended again.
+//! When a process appends keep records again.
 
 use config::{KeepScheduler, KeepSettings, Ledger, Publish, Record};
 use types::CustomerName;
 
-const POLICY: KeepSettings = KeepSettings {
+const SETTINGS: KeepSettings = KeepSettings {
     interval_ms: 1_000,
     rank_delay_ms: 100,
     ranks: 4,
@@ -32,13 +32,13 @@
     record
 }
 
-/// A keeper that read the customer's publish at 0 ms, with its ledger.
-fn keeper(is_new: bool) -> (KeepScheduler, Ledger) {
+/// A scheduler that read the customer's publish at 0 ms, with its ledger.
+fn scheduler(is_new: bool) -> (KeepScheduler, Ledger) {
     let mut ledger = Ledger::starting_at(0);
     let record = publish(&mut ledger, &office());
-    let mut keeper = KeepScheduler::new(POLICY);
-    keeper.on_record(&ledger, &record, is_new, 0);
-    (keeper, ledger)
+    let mut scheduler = KeepScheduler::new(SETTINGS);
+    scheduler.on_record(&ledger, &record, is_new, 0);
+    (scheduler, ledger)
 }
 
 struct Case {
@@ -46,23 +46,23 @@
     is_new: bool,
     rank: Option<u32>,
     now_ms: u64,
-    due: bool,
+    is_due: bool,
 }
 
 #[test]
 fn can_append_again_by_age_and_rank() {
-    let case = |name, is_new, rank, now_ms, due| Case {
+    let case = |name, is_new, rank, now_ms, is_due| Case {
         name,
         is_new,
         rank,
         now_ms,
-        due,
+        is_due,
     };
     let cases = [
         case("a young record", true, Some(0), 999, false),
-        case("an old one", true, Some(0), 1_000, true),
+        case("an old record", true, Some(0), 1_000, true),
         case("the next rank waits", true, Some(1), 1_099, false),
-        case("and takes over", true, Some(1), 1_100, true),
+        case("the next rank takes over", true, Some(1), 1_100, true),
         case("the last rank", true, Some(3), 1_300, true),
         case("a rank behind the last", true, Some(4), 9_000, false),
         case("no rank", true, None, 9_000, false),
@@ -76,69 +76,69 @@
         ),
     ];
     for case in cases {
-        let (mut keeper, ledger) = keeper(case.is_new);
-        keeper.on_end_read(case.now_ms);
-        let due = keeper.due_records(&ledger, case.now_ms, |name| name.and(case.rank));
+        let (mut scheduler, ledger) = scheduler(case.is_new);
+        scheduler.on_end_read(case.now_ms);
+        let due_records = scheduler.due_records(&ledger, case.now_ms, |name| name.and(case.rank));
         let wanted = ledger.keep_record(&office()).map(Record::Keep);
-        let wanted: Vec<Record> = wanted.into_iter().filter(|_| case.due).collect();
-        assert_eq!(due, wanted, "{}", case.name);
+        let wanted: Vec<Record> = wanted.into_iter().filter(|_| case.is_due).collect();
+        assert_eq!(due_records, wanted, "{}", case.name);
     }
 }
 
 #[test]
-fn can_wait_for_its_own_append_and_start_anew_when_it_is_read() {
-    let (mut keeper, mut ledger) = keeper(true);
+fn can_wait_for_its_own_append_and_restart_the_interval_when_it_is_read_back() {
+    let (mut scheduler, mut ledger) = scheduler(true);
     let rank = |name: Option<&CustomerName>| name.map(|_| 0);
-    keeper.on_end_read(1_000);
-    let record = keeper.due_records(&ledger, 1_000, rank).pop().unwrap();
-    keeper.on_end_read(1_050);
-    assert!(keeper.due_records(&ledger, 1_050, rank).is_empty());
-    // The answer was lost, and nothing was read: once more.
-    keeper.on_end_read(1_100);
-    assert_eq!(keeper.due_records(&ledger, 1_100, rank).len(), 1);
+    scheduler.on_end_read(1_000);
+    let record = scheduler.due_records(&ledger, 1_000, rank).pop().unwrap();
+    scheduler.on_end_read(1_050);
+    assert!(scheduler.due_records(&ledger, 1_050, rank).is_empty());
+    // The answer to the append was lost and no record was read back, so the append is due again.
+    scheduler.on_end_read(1_100);
+    assert_eq!(scheduler.due_records(&ledger, 1_100, rank).len(), 1);
     ledger.apply(1, &record);
-    keeper.on_record(&ledger, &record, true, 1_120);
-    keeper.on_end_read(2_119);
-    assert!(keeper.due_records(&ledger, 2_119, rank).is_empty());
-    keeper.on_end_read(2_120);
-    assert_eq!(keeper.due_records(&ledger, 2_120, rank).len(), 1);
+    scheduler.on_record(&ledger, &record, true, 1_120);
+    scheduler.on_end_read(2_119);
+    assert!(scheduler.due_records(&ledger, 2_119, rank).is_empty());
+    scheduler.on_end_read(2_120);
+    assert_eq!(scheduler.due_records(&ledger, 2_120, rank).len(), 1);
 }
 
 #[test]
-fn can_wake_from_a_pause_without_appending_what_others_did() {
-    // A process is frozen for an hour; others append every version again meanwhile. On
-    // waking it finds each record old. Until it has read the log's end it must stay
-    // silent, or every woken process would append everything at once.
-    let (mut keeper, ledger) = keeper(true);
-    keeper.on_end_read(10);
+fn can_resume_from_a_pause_without_appending_what_others_appended() {
+    // A process is paused for an hour while others append every version again. When it resumes,
+    // each record looks old. It must not append before it has read to the end of the log, or every
+    // resumed process would append everything at once.
+    let (mut scheduler, ledger) = scheduler(true);
+    scheduler.on_end_read(10);
     assert!(
-        keeper
+        scheduler
             .due_records(&ledger, 3_600_000, |_| Some(0))
             .is_empty()
     );
-    keeper.on_end_read(3_600_000);
+    scheduler.on_end_read(3_600_000);
     assert!(
-        !keeper
+        !scheduler
             .due_records(&ledger, 3_600_000, |_| Some(0))
             .is_empty()
     );
 }
 
 #[test]
-fn can_leave_an_old_version_s_record_out_of_account() {
-    // A late keep record of version 1 is read after version 2 was accepted. It must not
-    // count as a fresh record of the current version, which would then expire.
-    let (mut keeper, mut ledger) = keeper(true);
+fn can_ignore_the_record_of_an_old_version() {
+    // A delayed keep record of version 1 is read after version 2 was accepted. If it counted as a
+    // fresh record of the current version, version 2 would expire from the log.
+    let (mut scheduler, mut ledger) = scheduler(true);
     let late = ledger.keep_record(&office()).map(Record::Keep).unwrap();
     let second = publish(&mut ledger, &office());
-    keeper.on_record(&ledger, &second, true, 10);
+    scheduler.on_record(&ledger, &second, true, 10);
     ledger.apply(2, &late);
-    keeper.on_record(&ledger, &late, true, 900);
-    keeper.on_end_read(1_010);
-    let due = keeper.due_records(&ledger, 1_010, |name| name.map(|_| 0));
+    scheduler.on_record(&ledger, &late, true, 900);
+    scheduler.on_end_read(1_010);
+    let due_records = scheduler.due_records(&ledger, 1_010, |name| name.map(|_| 0));
     assert!(
-        matches!(&due[..], [Record::Keep(keep)] if keep.version == 2),
-        "{due:?}"
+        matches!(&due_records[..], [Record::Keep(keep)] if keep.version == 2),
+        "{due_records:?}"
     );
 }
 
@@ -149,16 +149,16 @@
         let name = CustomerName::new(&format!("c{n}")).unwrap();
         publish(&mut ledger, &name);
     }
-    let mut keeper = KeepScheduler::new(POLICY);
-    keeper.on_end_read(7);
+    let mut scheduler = KeepScheduler::new(SETTINGS);
+    scheduler.on_end_read(7);
     let mut kept = Vec::new();
     loop {
-        let due = keeper.due_records(&ledger, 7, |_| Some(0));
-        assert!(due.len() <= POLICY.records_max);
-        if due.is_empty() {
+        let due_records = scheduler.due_records(&ledger, 7, |_| Some(0));
+        assert!(due_records.len() <= SETTINGS.records_max);
+        if due_records.is_empty() {
             break;
         }
-        kept.extend(due);
+        kept.extend(due_records);
     }
     assert!(matches!(&kept[0], Record::Customers(list) if list.names.len() == 5));
     assert_eq!(kept.len(), 6);
@@ -166,8 +166,8 @@
 
 #[test]
 fn can_derive_times_from_the_retention() {
-    let policy = KeepSettings::for_retention(3_600_000);
-    let last_ms = policy.interval_ms + u64::from(policy.ranks) * policy.rank_delay_ms;
+    let settings = KeepSettings::for_retention(3_600_000);
+    let last_ms = settings.interval_ms + u64::from(settings.ranks) * settings.rank_delay_ms;
     assert!(last_ms <= 1_800_000);
-    assert!(policy.end_read_age_ms_max < policy.rank_delay_ms);
+    assert!(settings.end_read_age_ms_max < settings.rank_delay_ms);
 }
--- a/components/config/tests/ledger.rs
+++ b/components/config/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! Verdicts on records, one table of short logs, and what a reader holds after each.
+//! Verdicts on the records of short logs, and what a reader holds after each log.
 
 use config::{AcceptedVersion, Customers, Keep, Ledger, Publish, Record, Refusal, Verdict};
 use types::CustomerName;
@@ -53,7 +53,7 @@
     accepted.config.limits.weight
 }
 
-/// Version and weight that the ledger holds; 0 and 0 for none.
+/// Version and weight that the ledger holds; 0 and 0 if the customer has no version.
 fn held(ledger: &Ledger) -> (u64, u32) {
     let current = ledger.current(&office());
     current.map_or((0, 0), |accepted| (accepted.version, weight(accepted)))
@@ -62,14 +62,14 @@
 struct Case {
     name: &'static str,
     first_offset: u64,
-    /// Records from the first offset on, each with the verdict's word.
+    /// Records from the first offset on, each with the label of its expected verdict.
     log: Vec<(Record, &'static str)>,
-    /// Version and weight at the end, and whether they are certain.
+    /// Version and weight after the last record, and whether the version is certain.
     held: (u64, u32, bool),
 }
 
-/// The verdict in a word or two.
-fn word(verdict: &Verdict) -> String {
+/// Short label of a verdict.
+fn label(verdict: &Verdict) -> String {
     match verdict {
         Verdict::Accepted { version } => format!("accepted {version}"),
         Verdict::Learned { version } => format!("learned {version}"),
@@ -96,7 +96,7 @@
     let mut ledger = Ledger::starting_at(case.first_offset);
     for (offset, (record, wanted)) in (case.first_offset..).zip(&case.log) {
         let verdict = ledger.apply(offset, record);
-        assert_eq!(word(&verdict), *wanted, "{}: offset {offset}", case.name);
+        assert_eq!(label(&verdict), *wanted, "{}: offset {offset}", case.name);
     }
     let (version, weight) = held(&ledger);
     let certain = ledger.is_certain(&office());
@@ -107,7 +107,7 @@
 fn can_judge_publishes_by_the_order_of_the_log() {
     let cases = [
         Case {
-            name: "two operators race: the first in the log wins, the other learns it",
+            name: "two operators race: the first in the log wins, the other is refused",
             first_offset: 0,
             log: vec![
                 (publish(0, "a", 1), "accepted 1"),
@@ -117,7 +117,7 @@
             held: (2, 2, true),
         },
         Case {
-            name: "a lost answer: the same append again counts once, with the same verdict",
+            name: "an append repeated after a lost answer counts once and has the same verdict",
             first_offset: 0,
             log: vec![
                 (publish(0, "a", 1), "accepted 1"),
@@ -129,7 +129,7 @@
             held: (2, 2, true),
         },
         Case {
-            name: "a copy with another text is no copy",
+            name: "a record with the same id and another text is not a duplicate",
             first_offset: 0,
             log: vec![
                 (publish(0, "a", 1), "accepted 1"),
@@ -138,7 +138,7 @@
             held: (1, 1, true),
         },
         Case {
-            name: "the id of the current version again, on it",
+            name: "the id of the current version is used again for the next one",
             first_offset: 0,
             log: vec![
                 (publish(0, "a", 1), "accepted 1"),
@@ -147,7 +147,7 @@
             held: (1, 1, true),
         },
         Case {
-            name: "no id, and one that is too long",
+            name: "an empty id and an id that is too long",
             first_offset: 0,
             log: vec![
                 (publish(0, "", 1), "bad id"),
@@ -156,7 +156,7 @@
             held: (0, 0, true),
         },
         Case {
-            name: "a base that is not there yet, and no overflow behind it",
+            name: "a base above the current version, up to the largest number",
             first_offset: 0,
             log: vec![
                 (publish(4, "a", 1), "ahead"),
@@ -165,7 +165,7 @@
             held: (0, 0, true),
         },
         Case {
-            name: "a base of the right number and another id: a copy of a refused publish",
+            name: "the base has the right number but another id: a copy of a refused publish",
             first_offset: 0,
             log: vec![
                 (
@@ -181,7 +181,7 @@
             held: (1, 1, true),
         },
         Case {
-            name: "a text with a fault, and one of another customer",
+            name: "an invalid text and a text of another customer",
             first_offset: 0,
             log: vec![
                 (
@@ -197,7 +197,7 @@
             held: (1, 1, true),
         },
         Case {
-            name: "rules 2 want the base's id, rules 1 do not: the record's number decides",
+            name: "rules 2 require the base's id, rules 1 do not: the record's rules version decides",
             first_offset: 0,
             log: vec![
                 (publish(0, "a", 1), "accepted 1"),
@@ -249,7 +249,7 @@
             held: (9, 4, true),
         },
         Case {
-            name: "an anchor that counts some of the publishes in",
+            name: "an anchor that includes some of the publishes",
             first_offset: 50,
             log: vec![
                 (publish(7, "b", 2), "undecided"),
@@ -259,7 +259,7 @@
             held: (9, 3, true),
         },
         Case {
-            name: "a late keep of an old version, from before the start: proved, not current",
+            name: "a delayed keep of an old version from before the start: proved, not current",
             first_offset: 50,
             log: vec![
                 (keep(7, "a", 1, Some(49)), "learned 7"),
@@ -268,7 +268,7 @@
             held: (7, 1, false),
         },
         Case {
-            name: "a keep that knows no offset",
+            name: "a keep without an offset",
             first_offset: 50,
             log: vec![
                 (keep(7, "a", 1, None), "learned 7"),
@@ -277,7 +277,7 @@
             held: (7, 1, false),
         },
         Case {
-            name: "a keep that claims to know the log behind itself",
+            name: "a keep that makes a statement about offsets after its own",
             first_offset: 50,
             log: vec![
                 (keep(7, "a", 1, Some(99)), "learned 7"),
@@ -286,7 +286,7 @@
             held: (7, 1, false),
         },
         Case {
-            name: "a late keep of an old version does not bring anyone back",
+            name: "a delayed keep of an old version does not lower the current one",
             first_offset: 0,
             log: vec![
                 (publish(0, "a", 1), "accepted 1"),
@@ -298,7 +298,7 @@
             held: (3, 4, true),
         },
         Case {
-            name: "a keep that contradicts what the log says",
+            name: "a keep that contradicts the log",
             first_offset: 0,
             log: vec![
                 (publish(0, "a", 1), "accepted 1"),
@@ -308,7 +308,7 @@
             held: (1, 1, true),
         },
         Case {
-            name: "the list of customers lets a new one begin",
+            name: "the list of customers shows that an unlisted customer has no version",
             first_offset: 50,
             log: vec![
                 (customers(50, &["other"]), "known"),
@@ -317,7 +317,7 @@
             held: (1, 1, true),
         },
         Case {
-            name: "the list behind the publish",
+            name: "the list of customers after the publish",
             first_offset: 50,
             log: vec![
                 (publish(0, "a", 1), "undecided"),
@@ -326,7 +326,7 @@
             held: (1, 1, true),
         },
         Case {
-            name: "a list from before the start says nothing",
+            name: "a list from before the start has no effect",
             first_offset: 50,
             log: vec![
                 (customers(49, &[]), "known"),
@@ -335,7 +335,7 @@
             held: (0, 0, false),
         },
         Case {
-            name: "a listed customer is not known to have no version",
+            name: "a listed customer may have a version",
             first_offset: 50,
             log: vec![
                 (customers(50, &["office"]), "known"),
@@ -344,7 +344,7 @@
             held: (0, 0, false),
         },
         Case {
-            name: "rules that are too new: the text stays until a newer binary says what came",
+            name: "unknown rules: the version stays until a keep record states the outcome",
             first_offset: 0,
             log: vec![
                 (publish(0, "a", 1), "accepted 1"),
@@ -364,10 +364,10 @@
 }
 
 #[test]
-fn can_stop_judging_when_the_log_forgot_what_was_not_read() {
-    // A process is paused for longer than the log keeps records. When it wakes, an
-    // operator publishes on a version that it has never heard of; were its own version
-    // taken for the current one, it could accept what everyone else refused.
+fn can_stop_judging_when_unread_records_were_removed_from_the_log() {
+    // A process is paused for longer than the log's retention, and an operator publishes on a
+    // version that the process has not seen. If the process took its own version for the current
+    // one, it could accept a publish that every other reader refused.
     let mut ledger = Ledger::starting_at(0);
     ledger.apply(0, &publish(0, "a", 1));
     ledger.skip_to(500);
@@ -377,15 +377,16 @@
     assert_eq!(held(&ledger), (1, 1));
     ledger.apply(501, &keep(6, "f", 6, Some(501)));
     assert_eq!(held(&ledger), (6, 6));
-    // A hole in the offsets says the same as `skip_to`.
+    // A gap in the offsets has the same effect as `skip_to`.
     assert_eq!(ledger.apply(600, &publish(6, "g", 7)), Verdict::Undecided);
     assert_eq!(ledger.apply(600, &publish(6, "g", 7)), Verdict::AlreadyRead);
 }
 
 #[test]
-fn can_take_over_from_a_peer_while_the_log_is_down() {
-    // A new process starts in an outage of the log. It takes the texts from a peer, and
-    // when the log is back it reads what the peer had read already, and goes on.
+fn can_adopt_the_versions_of_a_peer_while_the_log_is_unavailable() {
+    // A new process starts during an outage of the log and adopts the versions of a peer. When the
+    // log is available again, the process reads records that the peer had already read and
+    // continues.
     let log = [publish(0, "a", 1), publish(1, "b", 2), publish(2, "c", 3)];
     let mut peer = Ledger::starting_at(0);
     for (offset, record) in (0..).zip(&log) {
@@ -411,14 +412,14 @@
             new.apply(3, &publish(3, "d", 4)),
             Verdict::Accepted { version: 4 }
         );
-        // The peer is behind now, and its older news bring nobody back.
+        // The peer is behind now; its older version must not replace the newer one.
         assert_eq!(new.adopt(&keep), Verdict::Known);
         assert_eq!(held(&new), (4, 4));
     }
 }
 
 #[test]
-fn can_tell_the_verdict_on_a_publish_that_was_undecided_at_first() {
+fn can_report_the_verdict_on_a_publish_that_was_undecided_at_first() {
     let mut ledger = Ledger::starting_at(50);
     ledger.apply(50, &publish(7, "won", 2));
     ledger.apply(51, &publish(7, "lost", 3));
@@ -440,9 +441,9 @@
 }
 
 #[test]
-fn can_hold_back_only_so_much() {
-    // A reader without an anchor must not gather texts without bound. What it drops it
-    // no longer judges, so an anchor from before the dropped publish is of no use.
+fn can_bound_the_publishes_that_are_held_back() {
+    // A reader without an anchor must not hold back publishes without bound. It no longer judges
+    // the ones that it drops, so an anchor from before a dropped publish must not make it certain.
     let mut ledger = Ledger::starting_at(50);
     let padding = format!("# {}\n", "x".repeat(200 * 1024));
     for offset in 50..60 {
--- a/components/config/tests/parse.rs
+++ b/components/config/tests/parse.rs
@@ -1,4 +1,4 @@
-//! Reading texts: the examples, the defaults and every kind of complaint with its place.
+//! Parsing of texts: the examples, the defaults and every kind of complaint with its position.
 
 use config::{
     ComplaintCause, CustomerConfig, DEPTH_MAX, Rules, Schema, ServiceKind, Severity,
@@ -17,16 +17,16 @@
     format!("[[service]]\nname = \"{name}\"\n{rest}")
 }
 
-/// All complaints, one a line, without the file's name.
+/// All complaints, one per line, without the file name.
 fn complaints(text: &str) -> String {
-    let complaints = parse(text, "f").expect_err("the text has a fault");
+    let complaints = parse(text, "f").expect_err("the text is invalid");
     complaints.to_string().replace("f:", "")
 }
 
 fn example(name: &str) -> CustomerConfig {
     let path = format!("{}/../../examples/{name}.toml", env!("CARGO_MANIFEST_DIR"));
-    let text = std::fs::read_to_string(path).expect("the example is there");
-    parse(&text, name).expect("the example is good")
+    let text = std::fs::read_to_string(path).expect("the example file exists");
+    parse(&text, name).expect("the example is valid")
 }
 
 #[test]
@@ -88,11 +88,11 @@
 struct Case {
     name: &'static str,
     text: String,
-    /// Line, column and words of each complaint, in order.
+    /// Line, column and start of the message of each complaint, in order.
     wanted: &'static [&'static str],
 }
 
-fn bad_fields() -> Vec<Case> {
+fn invalid_fields() -> Vec<Case> {
     let case = |name, text, wanted| Case { name, text, wanted };
     vec![
         case(
@@ -103,7 +103,7 @@
                 "1:1: error: field 'customer' is missing: a name in quotes",
             ],
         ),
-        case("no TOML at all", office("[[service]\n"), &["3:11: error: "]),
+        case("invalid TOML", office("[[service]\n"), &["3:11: error: "]),
         case(
             "a key twice",
             office("customer = \"office\"\n"),
@@ -115,7 +115,7 @@
             &["1:10: error: schema 2 is not known: write schema = 1"],
         ),
         case(
-            "a schema that is no number",
+            "a schema that is not a number",
             "schema = \"x\"\ncustomer = \"office\"\n".to_owned(),
             &["1:10: error: schema x is not known"],
         ),
@@ -128,7 +128,7 @@
             ],
         ),
         case(
-            "a field that is like no other",
+            "a field without a similar name",
             office("colour = 2\n"),
             &[
                 "3:1: error: unknown field 'colour'; allowed: schema, customer, limits, token, service",
@@ -186,7 +186,7 @@
             ],
         ),
         case(
-            "a column behind characters of several bytes",
+            "a column after a multi-byte character",
             office("limits = { \"é\" = 1, weight = 0 }\n"),
             &[
                 "3:12: error: unknown field 'é'",
@@ -207,7 +207,7 @@
             ],
         ),
         case(
-            "a class that is not there",
+            "an unknown class",
             office(&service("a", "kind = \"plain\"\nclass = \"urgent\"\n")),
             &[
                 "6:9: error: 'urgent' in field 'class' is not known; allowed: interactive, \
@@ -228,7 +228,7 @@
             &["6:14: error: field 'idempotent' has no meaning for a model service"],
         ),
         case(
-            "patterns that are none",
+            "malformed call patterns",
             office(&service(
                 "a",
                 "kind = \"plain\"\nidempotent = [\"/a\", \"post /a\", \"POST a\", \
@@ -244,7 +244,7 @@
             ],
         ),
         case(
-            "a token with faults all over",
+            "a token with several errors",
             office("[[token]]\nrole = \"boss\"\nsha256 = \"ab\"\n"),
             &[
                 "3:1: error: field 'name' is missing: a name in quotes",
@@ -255,7 +255,7 @@
     ]
 }
 
-fn bad_relations() -> Vec<Case> {
+fn invalid_references() -> Vec<Case> {
     let case = |name, text, wanted| Case { name, text, wanted };
     let token = |name: &str, rest: &str| {
         format!("[[token]]\nname = \"{name}\"\nsha256 = \"{DIGEST}\"\n{rest}")
@@ -308,12 +308,12 @@
         case(
             "a dependency twice",
             office(&[plain("a", ""), plain("b", "\"a\", \"office.a\"")].concat()),
-            &["10:20: error: dependency 'office.a' stands here a second time, first at 10:15"],
+            &["10:20: error: dependency 'office.a' is listed twice, first at 10:15"],
         ),
         case(
             "a service twice",
             office(&[plain("a", ""), plain("a", "")].concat()),
-            &["8:8: error: service 'a' stands here a second time, first at 4:8"],
+            &["8:8: error: service 'a' is listed twice, first at 4:8"],
         ),
         case(
             "a token twice, by name and digest",
@@ -325,12 +325,12 @@
                 .concat(),
             ),
             &[
-                "8:8: error: token 't' stands here a second time, first at 4:8",
-                "8:8: error: the digest of token 't' stands here a second time, first at 4:8",
+                "8:8: error: token 't' is listed twice, first at 4:8",
+                "8:8: error: the digest of token 't' is listed twice, first at 4:8",
             ],
         ),
         case(
-            "a scorer that is not there",
+            "an unknown scorer",
             office(&service("m", "kind = \"model\"\nscorer = \"notation\"\n")),
             &["4:8: error: unknown service 'notation'"],
         ),
@@ -373,8 +373,8 @@
 }
 
 #[test]
-fn errors_when_a_text_has_faults_with_line_column_and_what_is_allowed() {
-    for case in bad_fields().into_iter().chain(bad_relations()) {
+fn errors_with_line_column_and_the_allowed_values() {
+    for case in invalid_fields().into_iter().chain(invalid_references()) {
         let found = complaints(&case.text);
         let lines: Vec<&str> = found
             .lines()
@@ -402,9 +402,9 @@
 
 #[test]
 fn errors_when_a_text_is_nested_too_deep() {
-    // The process that reads the text dies of a stack overflow: the parser takes 80
-    // levels of values and 80 parts of a key each, and their product is what is dropped
-    // level by level. The text is refused before it is parsed.
+    // Without the check, the process aborts with a stack overflow: the parser allows 80 levels of
+    // values and 80 parts of a key, and the product of both is dropped recursively. The text must
+    // be refused before it is parsed.
     let keys = vec!["a"; 79].join(".");
     let inline = |levels: usize, key: &str| {
         format!(
@@ -419,7 +419,7 @@
         format!("x = {}{}\n", "[".repeat(100_000), "]".repeat(100_000)),
         format!("{} = 1\n", vec!["a"; 100_000].join(".")),
         format!("[{}]\n", vec!["a"; 100_000].join(".")),
-        // Quotes must not hide what follows them.
+        // Quoted text must not hide the nesting that follows.
         format!("x = [\"\"\"q\"\"\"\"\", {}\n", "[".repeat(5_000)),
         format!("x = \"open\\\ny = {}\n", "[".repeat(5_000)),
         format!("x = ['it', {}\n", "[".repeat(5_000)),
@@ -440,7 +440,7 @@
 }
 
 #[test]
-fn errors_when_a_text_has_more_faults_than_anyone_reads() {
+fn errors_with_a_bounded_number_of_complaints() {
     let edges: Vec<String> = (0..10_000).map(|n| format!("\"x{n}\"")).collect();
     let services = edges.chunks(60).enumerate();
     let services = services.map(|(n, edges)| {
@@ -476,7 +476,7 @@
 }
 
 #[test]
-fn can_judge_one_text_differently_by_two_rules_versions() {
+fn can_judge_one_text_differently_under_two_rules_versions() {
     let trained = office(&format!(
         "{}[[token]]\nname = \"t\"\nrole = \"trainer\"\nsha256 = \"{DIGEST}\"\n",
         service("m", "kind = \"model\"\n")
@@ -490,7 +490,7 @@
 #[test]
 fn can_read_any_bytes_without_a_panic() {
     fn reads(words: Vec<u8>, text: String) -> bool {
-        // Pieces of real texts reach further into the reader than random characters.
+        // Fragments of valid texts get further into the parser than random characters.
         const PIECES: [&str; 16] = [
             "schema = 1\n",
             "customer = \"a\"\n",
--- a/components/config/tests/readers.rs
+++ b/components/config/tests/readers.rs
@@ -1,10 +1,10 @@
-//! Any readers of any windows of one log, as a property.
+//! Property test: any readers of any ranges of one log agree.
 //!
-//! Operators race, copy records and publish on versions that are not there; keepers are
-//! themselves readers of windows, and some append what they knew long ago; peers hand
-//! one another what they hold, and the log forgets. No two of them may ever hold
-//! different texts for a version, none may go back, and one that is certain holds what
-//! the reader of the whole log held at the same offset.
+//! Operators race, repeat records and publish on versions that do not exist. Processes that read
+//! only a range of the log append keep records, some of them late; peers exchange their state, and
+//! the log removes old records. No two readers may hold different texts for a version, no reader
+//! may go back to an older version, and a reader that is certain holds what the reader of the whole
+//! log held at the same offset.
 
 use std::collections::HashMap;
 
@@ -14,28 +14,29 @@
 
 const CUSTOMERS: [&str; 2] = ["office", "collective"];
 const READERS: usize = 4;
-/// The same cases on every run.
+/// Fixed, so that every run tests the same cases.
 const SEED: u64 = 20_251_202;
 
-/// One thing that happens; numbers are taken modulo what there is.
+/// One event; numbers are taken modulo the number of available items.
 #[derive(Clone, Debug)]
 enum Step {
-    /// An operator publishes for a customer, with a base this far from what he should
-    /// have, of a kind, and naming the base's id or not.
+    /// An operator publishes: the customer, the deviation of the base from the current version, the
+    /// kind of text, and whether the base's id is stated.
     Publish(u8, u8, u8, bool),
-    /// A record that was appended before is appended again.
+    /// An earlier record is appended again.
     Copy(u8),
-    /// A reader prepares a keep record of a customer, or the list, to be appended later.
+    /// A reader prepares a keep record of a customer, or the list of customers, to be appended
+    /// later.
     Prepare(u8, u8, bool),
-    /// A prepared record is appended now.
+    /// A prepared record is appended.
     Append(u8),
-    /// A reader reads so many records.
+    /// A reader reads this many records.
     Read(u8, u8),
-    /// A reader starts anew at an offset.
+    /// A reader restarts with an empty state at an offset.
     Restart(u8, u8),
-    /// A reader finds that the log has forgotten so many records that it has not read.
+    /// A reader finds that this many unread records have been removed from the log.
     Forget(u8, u8),
-    /// A reader takes over what another holds of a customer, or its list.
+    /// A reader adopts another reader's version of a customer, or its list of customers.
     Adopt(u8, u8, u8, bool),
 }
 
@@ -61,20 +62,20 @@
     CustomerName::new(name).expect("a name")
 }
 
-/// Everything that happens, with a reader of the whole log to compare with.
-struct World {
+/// The log and its readers, with a reader of the whole log to compare with.
+struct Simulation {
     log: Vec<Record>,
     whole: Ledger,
-    /// What the reader of the whole log held before each offset.
+    /// Versions that the reader of the whole log held before each offset.
     history: Vec<HashMap<CustomerName, u64>>,
     texts: HashMap<(CustomerName, u64), String>,
     readers: Vec<Ledger>,
     prepared: Vec<Record>,
-    /// Set when a reader says something that cannot be.
-    fault: Option<String>,
+    /// Set when a reader violates a property.
+    violation: Option<String>,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         Self {
             log: Vec::new(),
@@ -83,7 +84,7 @@
             texts: HashMap::new(),
             readers: vec![Ledger::starting_at(0); READERS],
             prepared: Vec::new(),
-            fault: None,
+            violation: None,
         }
     }
 
@@ -105,12 +106,13 @@
 
     fn check_verdict(&mut self, verdict: &Verdict) {
         if matches!(verdict, Verdict::Conflict { .. }) {
-            self.fault = Some(format!("{verdict:?}"));
+            self.violation = Some(format!("{verdict:?}"));
         }
     }
 
-    /// A publish as an operator makes it; `off` 0 to 5 for an up-to-date one.
-    fn publish(&mut self, name: CustomerName, off: u8, names_base: bool, kind: u8) {
+    /// Publishes like an operator. `deviation` modulo 8 selects the base: 6 for one version too
+    /// low, 7 for one too high, else the current version.
+    fn publish(&mut self, name: CustomerName, deviation: u8, names_base: bool, kind: u8) {
         let number = self.log.len();
         let current = self.whole.current(&name);
         let mut text = format!("schema = 1\ncustomer = \"{name}\"\n# {number}\n");
@@ -119,7 +121,7 @@
         }
         let id = format!("id-{number}");
         let mut publish = Publish::based_on(name, current.map(|one| one.as_ref()), &id, &text);
-        publish.base = match off % 8 {
+        publish.base = match deviation % 8 {
             6 => publish.base.saturating_sub(1),
             7 => publish.base + 1,
             _ => publish.base,
@@ -132,11 +134,13 @@
 
     fn step(&mut self, step: &Step) {
         match *step {
-            Step::Publish(name, off, kind, named) => self.publish(customer(name), off, named, kind),
+            Step::Publish(name, deviation, kind, named) => {
+                self.publish(customer(name), deviation, named, kind)
+            }
             Step::Copy(record) => self.append_one(pick(&self.log, record).cloned()),
             Step::Prepare(reader, name, list) => {
                 let reader = &self.readers[usize::from(reader) % READERS];
-                self.prepared.extend(news(reader, name, list));
+                self.prepared.extend(state_record(reader, name, list));
             }
             Step::Append(prepared) => self.append_one(pick(&self.prepared, prepared).cloned()),
             Step::Read(reader, count) => self.read(usize::from(reader) % READERS, count),
@@ -163,8 +167,8 @@
     fn read(&mut self, reader: usize, count: u8) {
         for _ in 0..count % 8 {
             let offset = self.readers[reader].next_offset();
-            let at: usize = offset.try_into().expect("a short log");
-            let Some(record) = self.log.get(at) else {
+            let index: usize = offset.try_into().expect("a short log");
+            let Some(record) = self.log.get(index) else {
                 return;
             };
             let before = versions(&self.readers[reader]);
@@ -175,7 +179,8 @@
     }
 
     fn adopt(&mut self, reader: usize, from: u8, number: u8, list: bool) {
-        let Some(record) = news(&self.readers[usize::from(from) % READERS], number, list) else {
+        let Some(record) = state_record(&self.readers[usize::from(from) % READERS], number, list)
+        else {
             return;
         };
         let before = versions(&self.readers[reader]);
@@ -190,30 +195,34 @@
 
     fn check_reader(&mut self, reader: usize, before: &HashMap<CustomerName, u64>) {
         let ledger = &self.readers[reader];
-        let now = versions(ledger);
+        let current = versions(ledger);
         for (name, version) in before {
-            if now.get(name).is_none_or(|now| now < version) {
-                self.fault = Some(format!("{name} went back from {version}"));
+            if current.get(name).is_none_or(|current| current < version) {
+                self.violation = Some(format!("{name} went back from version {version}"));
             }
         }
         for accepted in ledger.all() {
             let key = (accepted.customer.clone(), accepted.version);
             if self.texts.get(&key).map(String::as_str) != Some(&accepted.source) {
-                self.fault = Some(format!("{key:?} is another text than everywhere else"));
+                self.violation = Some(format!(
+                    "{key:?} has another text than at the reader of the whole log"
+                ));
             }
         }
         for name in CUSTOMERS.map(|name| CustomerName::new(name).expect("a name")) {
             if !ledger.is_certain(&name) {
                 continue;
             }
-            // A peer may have brought it forward of what it has read.
+            // A peer may have advanced this reader beyond the records that it has read.
             let through = ledger.keep_record(&name).and_then(|keep| keep.through);
             let through = through.unwrap_or(ledger.next_offset());
-            let at: usize = through.try_into().expect("a short log");
-            let wanted = self.history.get(at).and_then(|held| held.get(&name));
-            if now.get(&name) != wanted {
-                let (now, wanted) = (now.get(&name), wanted);
-                self.fault = Some(format!("{name} at {at}: {now:?}, wanted {wanted:?}"));
+            let index: usize = through.try_into().expect("a short log");
+            let wanted = self.history.get(index).and_then(|held| held.get(&name));
+            if current.get(&name) != wanted {
+                let (current, wanted) = (current.get(&name), wanted);
+                self.violation = Some(format!(
+                    "{name} at {index}: {current:?}, expected {wanted:?}"
+                ));
             }
         }
     }
@@ -229,20 +238,20 @@
         .collect()
 }
 
-/// What a reader tells others.
-fn news(ledger: &Ledger, number: u8, list: bool) -> Option<Record> {
+/// The record that a reader sends to its peers or appends.
+fn state_record(ledger: &Ledger, number: u8, list: bool) -> Option<Record> {
     if list {
         return ledger.customers_record().map(Record::Customers);
     }
     ledger.keep_record(&customer(number)).map(Record::Keep)
 }
 
-fn holds(steps: Vec<Step>) -> TestResult {
-    let mut world = World::new();
+fn readers_agree(steps: Vec<Step>) -> TestResult {
+    let mut simulation = Simulation::new();
     for step in &steps {
-        world.step(step);
-        if let Some(fault) = world.fault {
-            return TestResult::error(fault);
+        simulation.step(step);
+        if let Some(violation) = simulation.violation {
+            return TestResult::error(violation);
         }
     }
     TestResult::passed()
@@ -254,32 +263,34 @@
     quickcheck = quickcheck
         .rng(Gen::from_size_and_seed(300, SEED))
         .tests(1_000);
-    quickcheck.quickcheck(holds as fn(Vec<Step>) -> TestResult);
+    quickcheck.quickcheck(readers_agree as fn(Vec<Step>) -> TestResult);
 }
 
 #[test]
-fn can_come_to_the_whole_log_s_state_from_every_offset_with_a_keep_behind_it() {
-    // A new process finds a log that has forgotten the beginning. Once a keeper has
-    // appended every current version and the list of customers behind the process's
-    // start, the process holds what a reader of the whole log holds.
-    fn arrives(steps: Vec<Step>, start: u8) -> bool {
-        let mut world = World::new();
-        steps.iter().for_each(|step| world.step(step));
-        let start = usize::from(start) % (world.log.len() + 1);
-        let keeper = world.whole.clone();
-        let records = (0..2).filter_map(|number| news(&keeper, number, false));
-        let records: Vec<Record> = records.chain(news(&keeper, 0, true)).collect();
-        records.into_iter().for_each(|record| world.append(record));
-        world.publish(customer(0), 0, true, 1);
+fn can_reach_the_state_of_the_whole_log_from_every_offset_before_keep_records() {
+    // A new process finds a log whose first records have been removed. Once a reader of the whole
+    // log has appended every current version and the list of customers after the process's start,
+    // the process must hold the same state as that reader.
+    fn reaches_same_state(steps: Vec<Step>, start: u8) -> bool {
+        let mut simulation = Simulation::new();
+        steps.iter().for_each(|step| simulation.step(step));
+        let start = usize::from(start) % (simulation.log.len() + 1);
+        let keeper = simulation.whole.clone();
+        let records = (0..2).filter_map(|number| state_record(&keeper, number, false));
+        let records: Vec<Record> = records.chain(state_record(&keeper, 0, true)).collect();
+        records
+            .into_iter()
+            .for_each(|record| simulation.append(record));
+        simulation.publish(customer(0), 0, true, 1);
         let mut reader = Ledger::starting_at(start.try_into().expect("a short log"));
-        let rest = world.log.iter().zip(0..).skip(start);
+        let rest = simulation.log.iter().zip(0..).skip(start);
         rest.for_each(|(record, offset)| {
             reader.apply(offset, record);
         });
-        reader.is_complete() && versions(&reader) == versions(&world.whole)
+        reader.is_complete() && versions(&reader) == versions(&simulation.whole)
     }
     let mut quickcheck = quickcheck::QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, SEED))
         .tests(500);
-    quickcheck.quickcheck(arrives as fn(Vec<Step>, u8) -> bool);
+    quickcheck.quickcheck(reaches_same_state as fn(Vec<Step>, u8) -> bool);
 }
--- a/components/config/tests/service.rs
+++ b/components/config/tests/service.rs
@@ -1,4 +1,4 @@
-//! Which calls may run again.
+//! Which calls may run more than once.
 
 use config::{CustomerConfig, Service, parse};
 use std::sync::Arc;
@@ -17,19 +17,26 @@
 "#;
 
 fn service(text: &CustomerConfig, name: &str) -> Arc<Service> {
-    let service = text.services.iter().find(|one| one.name.as_str() == name);
+    let service = text
+        .services
+        .iter()
+        .find(|service| service.name.as_str() == name);
     Arc::clone(service.expect("the service is there"))
 }
 
 struct Case {
     name: &'static str,
     call: (&'static str, &'static str),
-    again: bool,
+    may_run_again: bool,
 }
 
-fn case(name: &'static str, method: &'static str, path: &'static str, again: bool) -> Case {
+fn case(name: &'static str, method: &'static str, path: &'static str, may_run_again: bool) -> Case {
     let call = (method, path);
-    Case { name, call, again }
+    Case {
+        name,
+        call,
+        may_run_again,
+    }
 }
 
 #[test]
@@ -46,8 +53,8 @@
         ),
         case("a put", "PUT", "/applicants/7", true),
         case("a post", "POST", "/applicants", false),
-        case("a method that nobody knows", "FROB", "/applicants", false),
-        case("a method in small letters", "get", "/applicants", false),
+        case("an unknown method", "FROB", "/applicants", false),
+        case("a method in lower case", "get", "/applicants", false),
         case("a sanction check", "POST", "/sanctions", false),
         case("a search", "POST", "/search", true),
         case("a search with a query", "POST", "/search?q=1", true),
@@ -66,12 +73,12 @@
         case("double slashes", "GET", "//draw//", false),
         case("dots", "GET", "/applicants/../draw", false),
         case("capitals", "GET", "/DRAW", false),
-        case("a query behind it", "GET", "/draw?x", false),
+        case("a query after the path", "GET", "/draw?x", false),
         case("an escaped slash", "GET", "/applicants%2f7", false),
         case("a backslash", "GET", "/a\\..\\draw", false),
         case("a path parameter", "GET", "/draw;x=1", false),
-        case("a broken escape", "GET", "/applicants/%4", false),
-        case("an escape of no character", "GET", "/%ff", false),
+        case("a truncated escape", "GET", "/applicants/%4", false),
+        case("an escape that is not UTF-8", "GET", "/%ff", false),
         case(
             "an escaped letter of a name",
             "GET",
@@ -83,7 +90,7 @@
         let (method, path) = case.call;
         assert_eq!(
             desk.is_idempotent(method, path),
-            case.again,
+            case.may_run_again,
             "{}",
             case.name
         );
