--- a/components/config/src/pending.rs
+++ b/components/config/src/pending.rs
@@ -1,24 +1,25 @@
-//! Publishes of one customer that a reader holds back until it knows which version was
-//! current before them.
+//! Publishes of one customer that a reader holds back until it knows which version was current
+//! before them.
 
 use std::collections::VecDeque;
 
 use crate::Publish;
 
-/// Publishes that are held back for one customer, in bytes.
+/// Maximum size of the publishes held back for one customer, in bytes.
 pub(crate) const PENDING_BYTES_MAX: usize = 1024 * 1024;
 
-/// What a publish takes beside its texts, so that empty ones are bounded as well.
+/// Fixed cost of a publish in addition to its strings, so that the number of publishes with empty
+/// texts is bounded too.
 const PUBLISH_BYTES: usize = 256;
 
-/// Publishes with their offsets, in the log's order.
+/// Held-back publishes with their offsets, in the order of the log.
 #[derive(Clone, Debug)]
-pub(crate) struct Pending {
+pub(crate) struct PendingPublishes {
     publishes: VecDeque<(u64, Publish)>,
     complete_from: u64,
 }
 
-impl Pending {
+impl PendingPublishes {
     pub(crate) fn new(complete_from: u64) -> Self {
         Self {
             publishes: VecDeque::new(),
@@ -26,22 +27,22 @@
         }
     }
 
-    /// No publish at or after this offset was missed or dropped.
+    /// First offset from which on no publish was missed or dropped.
     pub(crate) fn complete_from(&self) -> u64 {
         self.complete_from
     }
 
-    pub(crate) fn bytes(&self) -> usize {
+    pub(crate) fn text_bytes(&self) -> usize {
         self.publishes
             .iter()
             .map(|(_, publish)| publish.text.len())
             .sum()
     }
 
-    /// Adds a publish. Without room the oldest ones are dropped: what they did can then
-    /// only be learned from an anchor behind them.
+    /// Adds a publish. If there is not enough room, the oldest publishes are dropped; their effect
+    /// can then only be learned from an anchor after them.
     pub(crate) fn push(&mut self, offset: u64, publish: &Publish, room_bytes: usize) {
-        let own_room_bytes = PENDING_BYTES_MAX.saturating_sub(self.bytes());
+        let own_room_bytes = PENDING_BYTES_MAX.saturating_sub(self.text_bytes());
         let mut room_bytes = room_bytes.min(own_room_bytes);
         while room_bytes < cost_bytes(publish) {
             let Some((dropped_offset, dropped)) = self.publishes.pop_front() else {
@@ -54,11 +55,11 @@
         self.publishes.push_back((offset, publish.clone()));
     }
 
-    pub(crate) fn take(&mut self) -> VecDeque<(u64, Publish)> {
+    pub(crate) fn take_all(&mut self) -> VecDeque<(u64, Publish)> {
         std::mem::take(&mut self.publishes)
     }
 
-    /// Drops all publishes; those from `offset` on will be complete.
+    /// Drops all publishes; collection starts again at `offset`.
     pub(crate) fn clear(&mut self, offset: u64) {
         self.publishes.clear();
         self.complete_from = offset;
