--- a/components/gateway/src/entry.rs
+++ b/components/gateway/src/entry.rs
@@ -8,7 +8,7 @@
 use futures_util::future::BoxFuture;
 use link::LinkSettings;
 use node::admin::{self, AdminHooks};
-use node::leave::{self, Leaving};
+use node::leave::{self, DrainSignal};
 use node::{NodeError, Sockets};
 use protocol::ProcessRole;
 use settings::EntrySettings;
@@ -67,8 +67,8 @@
         self,
         stop: impl Future<Output = ()> + Send + 'static,
     ) -> Result<(), EntryError> {
-        let leaving = Leaving::new();
-        leaving.order_on(stop);
+        let leaving = DrainSignal::new();
+        leaving.trigger_on(stop);
         let Sockets {
             identity,
             inner,
@@ -87,7 +87,7 @@
         log::info!(event = "entry-started", node:% = gateway.identity.node(); "");
         let (settled, on_settled) = watch::channel(false);
         let settle = async {
-            leave::settle(&gateway.drain, &gateway.gossip, &leaving).await;
+            leave::announce_and_settle(&gateway.drain, &gateway.gossip, &leaving).await;
             settled.send_replace(true);
             std::future::pending().await
         };
@@ -96,7 +96,7 @@
         tokio::select! {
             _ = async { tokio::join!(public, inner) } => {}
             () = settle => {}
-            () = leave::overtime(&gateway.drain, &leaving) => {}
+            () = leave::wait_for_drain_timeout(&gateway.drain, &leaving) => {}
         }
         log::info!(event = "entry-ended", node:% = gateway.identity.node(); "");
         Ok(())
@@ -118,7 +118,7 @@
     link::serve(listener, links, handle, stop).await;
 }
 
-fn admin_hooks(gateway: &Arc<Gateway>, leaving: &Leaving) -> AdminHooks {
+fn admin_hooks(gateway: &Arc<Gateway>, leaving: &DrainSignal) -> AdminHooks {
     let ready = Arc::clone(gateway);
     let shown = Arc::clone(gateway);
     let leaving = leaving.clone();
@@ -127,6 +127,6 @@
         status: Arc::new(move || -> BoxFuture<'static, String> {
             status::json(Arc::clone(&shown)).boxed()
         }),
-        drain: Arc::new(move || leaving.order()),
+        drain: Arc::new(move || leaving.trigger()),
     }
 }
--- a/components/gateway/src/gateway.rs
+++ b/components/gateway/src/gateway.rs
@@ -6,7 +6,7 @@
 use arc_swap::ArcSwap;
 use leaving::Drain;
 use link::Links;
-use node::{ConfigFeed, Gossip, Identity, Pulse};
+use node::{ConfigFeed, Gossip, Identity, PauseDetector};
 use routing::hedge::HedgeSettings;
 use telemetry::Metrics;
 
@@ -51,7 +51,7 @@
     /// How far it is on its way out.
     pub drain: Drain,
     /// Heartbeat of the process.
-    pub pulse: Pulse,
+    pub pulse: PauseDetector,
     /// Metrics.
     pub metrics: Metrics,
     /// Readiness as of the last tick, without the drain.
--- a/components/gateway/src/inner.rs
+++ b/components/gateway/src/inner.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use link::{Answer, Incoming};
+use link::{AnswerSender, IncomingCall};
 use node::ConfigFeed;
 use protocol::{Head, Open};
 use types::{Cause, Failure};
@@ -17,12 +17,12 @@
 const CHUNK_BYTES: usize = 64 * 1024;
 
 /// Takes one call; returns at once.
-pub fn take(gateway: &Arc<Gateway>, incoming: Incoming) {
+pub fn take(gateway: &Arc<Gateway>, incoming: IncomingCall) {
     let gateway = Arc::clone(gateway);
     tokio::spawn(async move {
-        let Incoming { open, answer, .. } = incoming;
-        answer.accepted();
-        answer.started();
+        let IncomingCall { open, answer, .. } = incoming;
+        answer.mark_accepted();
+        answer.mark_started();
         tokio::select! {
             answered = respond(&gateway, open) => give(&answer, answered).await,
             () = answer.cancelled() => {}
@@ -51,15 +51,15 @@
     }
 }
 
-async fn give(answer: &Answer, answered: Result<(Head, Bytes), Failure>) {
+async fn give(answer: &AnswerSender, answered: Result<(Head, Bytes), Failure>) {
     let (head, mut body) = match answered {
         Ok(answered) => answered,
         Err(failure) => return answer.fail(failure),
     };
-    answer.head(head).await;
+    answer.send_head(head).await;
     while !body.is_empty() {
         let part = body.split_to(body.len().min(CHUNK_BYTES));
-        answer.chunk(part).await;
+        answer.send_chunk(part).await;
     }
-    answer.end();
+    answer.finish();
 }
--- a/components/gateway/src/news.rs
+++ b/components/gateway/src/news.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use node::GossipHooks;
-use node::leave::Leaving;
-use protocol::{CrashReport, DemandDigest, News};
+use node::leave::DrainSignal;
+use protocol::{CrashReport, DemandDigest, GossipMessage};
 use quarantine::{CallDigest, Crashed};
 use tokio::sync::mpsc;
 use types::NodeId;
@@ -34,7 +34,7 @@
 /// Tells every version that comes in force to the other processes and to the ledgers.
 async fn tell_versions(gateway: Arc<Gateway>, mut versions: mpsc::Receiver<(ModelKey, Target)>) {
     while let Some((model, target)) = versions.recv().await {
-        gateway.gossip.tell(News::Weights {
+        gateway.gossip.spread(GossipMessage::Weights {
             customer: model.customer.clone(),
             service: model.service.clone(),
             target,
@@ -46,7 +46,7 @@
 async fn tell_found(gateway: Arc<Gateway>, mut found: mpsc::UnboundedReceiver<Found>) {
     while let Some(found) = found.recv().await {
         match found {
-            Found::Condemned(condemned) => gateway.gossip.tell(News::Quarantined {
+            Found::Condemned(condemned) => gateway.gossip.spread(GossipMessage::Quarantined {
                 digest: condemned.digest.0,
                 left_ms: condemned.left_ms,
             }),
@@ -62,7 +62,9 @@
             endpoint: crashed.endpoint,
             digests: digests.iter().map(|digest| digest.0).collect(),
         };
-        gateway.gossip.tell_entries(News::Crashed(report));
+        gateway
+            .gossip
+            .send_to_entries(GossipMessage::Crashed(report));
     }
 }
 
@@ -70,15 +72,15 @@
 pub fn hooks(
     weights: &WeightNews,
     quarantine: &Quarantine,
-    leaving: &Leaving,
+    leaving: &DrainSignal,
     demand: mpsc::Sender<(NodeId, DemandDigest)>,
 ) -> GossipHooks {
     let weights = weights.clone();
     let quarantine = quarantine.clone();
     let leaving = leaving.clone();
     GossipHooks {
-        heard: Arc::new(move |news| match news {
-            News::Weights {
+        on_message: Arc::new(move |news| match news {
+            GossipMessage::Weights {
                 customer,
                 service,
                 target,
@@ -89,10 +91,10 @@
                 };
                 weights.heard(model, *target);
             }
-            News::Quarantined { digest, left_ms } => {
+            GossipMessage::Quarantined { digest, left_ms } => {
                 quarantine.heard(CallDigest(*digest), *left_ms);
             }
-            News::Crashed(report) => {
+            GossipMessage::Crashed(report) => {
                 log::info!(
                     event = "endpoint-crash-heard", agent:% = report.endpoint,
                     entry:% = report.entry, in_flight = report.digests.len(); ""
@@ -107,8 +109,8 @@
             _ => {}
         }),
         // A full queue loses the digest; the next one makes it good.
-        demand: Arc::new(move |from, digest| _ = demand.try_send((from, digest))),
-        leaving: Arc::new(move || leaving.order()),
+        on_demand: Arc::new(move |from, digest| _ = demand.try_send((from, digest))),
+        on_own_leaving: Arc::new(move || leaving.trigger()),
         ..GossipHooks::default()
     }
 }
--- a/components/gateway/src/refresh.rs
+++ b/components/gateway/src/refresh.rs
@@ -8,7 +8,7 @@
 use limits::{ShareSettings, Shares};
 use membership::{MemberState, Snapshot};
 use node::now_ms;
-use protocol::{DemandDigest, News, ProcessRole};
+use protocol::{DemandDigest, GossipMessage, ProcessRole};
 use telemetry::Label;
 use tokio::sync::mpsc;
 use types::NodeId;
@@ -56,7 +56,7 @@
         let digest = shares.round(&peers, demands, elapsed_ms, now_ms);
         gateway
             .gossip
-            .tell_directly(addresses, News::Demand(digest));
+            .send_to(addresses, GossipMessage::Demand(digest));
     }
     check_readiness(gateway, &snapshot, now_ms);
     let share = |customer: &_| shares.share(customer, now_ms);
@@ -71,7 +71,7 @@
         members.filter(|member| member.role == ProcessRole::Agent)
     };
     let readiness = Readiness::of(&Facts {
-        configured: gateway.feed.is_known(),
+        configured: gateway.feed.is_initialized(),
         leaving: gateway.drain.is_leaving(),
         agents: agents().count(),
         // Ready once is ready: later the view itself says who is left.
--- a/components/gateway/src/routes.rs
+++ b/components/gateway/src/routes.rs
@@ -6,7 +6,7 @@
 use http::header::CONTENT_LENGTH;
 use http::request::Parts;
 use http::{Request, Response};
-use node::{Pulse, now_ms};
+use node::{PauseDetector, now_ms};
 use tower::{Service, ServiceBuilder, service_fn};
 
 use crate::auth::authenticate;
@@ -59,9 +59,9 @@
 ///
 /// A process that was frozen reads requests out of its socket buffers long after they
 /// came, when their callers may have given up. Its pause counts as part of their time.
-fn fits(parts: &mut Parts, pulse: &Pulse) -> Result<(), Rejection> {
+fn fits(parts: &mut Parts, pulse: &PauseDetector) -> Result<(), Rejection> {
     let now_ms = now_ms();
-    let at_ms = now_ms.saturating_sub(pulse.age_of_arrival_ms(now_ms));
+    let at_ms = now_ms.saturating_sub(pulse.arrival_age_ms(now_ms));
     parts.extensions.insert(Arrived { at_ms });
     let stated = parts.headers.get(CONTENT_LENGTH);
     let length = stated.and_then(|value| value.to_str().ok()?.parse::<usize>().ok());
--- a/components/gateway/src/start.rs
+++ b/components/gateway/src/start.rs
@@ -6,8 +6,8 @@
 use arc_swap::ArcSwap;
 use leaving::{Drain, DrainSettings};
 use link::{LinkSettings, Links, Udp};
-use node::leave::Leaving;
-use node::{ConfigFeed, Gossip, GossipSettings, Identity, Pulse};
+use node::leave::DrainSignal;
+use node::{ConfigFeed, Gossip, GossipSettings, Identity, PauseDetector};
 use routing::Locality;
 use samples::CursorKeys;
 use settings::{CommonSettings, EntrySettings, SharedKey};
@@ -47,7 +47,7 @@
     /// Settings of connections.
     pub links: LinkSettings,
     /// Order to leave.
-    pub leaving: Leaving,
+    pub leaving: DrainSignal,
 }
 
 /// Starts the tasks of an entry. Errors when metrics or claims can't be set up.
@@ -89,7 +89,7 @@
         weights,
         training,
         drain: Drain::new(drain_settings(common)),
-        pulse: Pulse::start(),
+        pulse: PauseDetector::start(),
         readiness: ArcSwap::from_pointee(Readiness::Unconfigured),
         metrics: start_metrics(common)?,
     });
--- a/components/limits/tests/shares.rs
+++ b/components/limits/tests/shares.rs
@@ -11,7 +11,7 @@
     Asked, BYTES_PER_S_MAX, CustomerLimits, DIGEST_BYTES_MAX, Offered, ShareSettings, Shares,
     demand, period_ms,
 };
-use protocol::{Datagram, DemandDigest, Key, Keys, News, ProcessRole, write_datagram};
+use protocol::{Datagram, DemandDigest, GossipMessage, Key, Keys, ProcessRole, write_datagram};
 use types::{CustomerName, Incarnation, NodeId};
 
 /// What lower layers add to a datagram.
@@ -138,7 +138,7 @@
         let datagram = Datagram {
             from: node(0),
             role: ProcessRole::Entry,
-            news: vec![News::Demand(digest)],
+            messages: vec![GossipMessage::Demand(digest)],
         };
         let keys = Keys::one(Key::new([7; 32]));
         let (packets, errors) = write_datagram(&datagram, keys.signing()).unwrap();
--- a/components/link/src/answer.rs
+++ b/components/link/src/answer.rs
@@ -20,13 +20,13 @@
 
 /// A call that has arrived.
 #[derive(Debug)]
-pub struct Incoming {
+pub struct IncomingCall {
     /// The call.
     pub open: Open,
     /// The process that calls.
     pub from: NodeId,
     /// Takes the answer.
-    pub answer: Answer,
+    pub answer: AnswerSender,
 }
 
 /// What a handler says of a call.
@@ -41,11 +41,11 @@
     Dropped,
 }
 
-/// Takes the answer to one call. Dropped before [`Answer::end`] or [`Answer::fail`], it
-/// fails the call: not run when [`Answer::started`] was never called, unknown when it
+/// Takes the answer to one call. Dropped before [`AnswerSender::finish`] or [`AnswerSender::fail`], it
+/// fails the call: not run when [`AnswerSender::mark_started`] was never called, unknown when it
 /// was, failed when part of the answer was given.
 #[derive(Debug)]
-pub struct Answer {
+pub struct AnswerSender {
     id: CallId,
     said: mpsc::UnboundedSender<(CallId, Said)>,
     window: Arc<Semaphore>,
@@ -54,7 +54,7 @@
     cancelled: watch::Receiver<bool>,
 }
 
-/// The server's end of an [`Answer`].
+/// The server's end of an [`AnswerSender`].
 #[derive(Debug)]
 pub(crate) struct AnswerControl {
     window: Arc<Semaphore>,
@@ -79,7 +79,7 @@
     }
 }
 
-impl Answer {
+impl AnswerSender {
     pub(crate) fn new(
         id: CallId,
         said: mpsc::UnboundedSender<(CallId, Said)>,
@@ -110,18 +110,18 @@
     }
 
     /// The call is taken in.
-    pub fn accepted(&self) {
+    pub fn mark_accepted(&self) {
         self.say(Said::Accepted);
     }
 
     /// The call is handed to the endpoint now. Must come before the first byte leaves for
     /// the endpoint; from here on nobody is told that the call was not run.
-    pub fn started(&self) {
+    pub fn mark_started(&self) {
         self.say(Said::Started);
     }
 
     /// Status and headers of the answer; ones too large for a frame fail the call.
-    pub async fn head(&self, head: Head) {
+    pub async fn send_head(&self, head: Head) {
         if head_bytes(&head) > self.frame_bytes_max {
             self.fail(Failure::new(RunState::Failed, Cause::TooLarge));
             return;
@@ -131,7 +131,7 @@
 
     /// The next bytes of the answer; waits while the caller's window is full. Returns at
     /// once when the call was cancelled.
-    pub async fn chunk(&self, mut bytes: Bytes) {
+    pub async fn send_chunk(&self, mut bytes: Bytes) {
         let piece_bytes = self.window_bytes / PIECE_SHARE;
         while !bytes.is_empty() {
             let piece = bytes.split_to(piece_bytes.min(bytes.len()));
@@ -141,7 +141,7 @@
     }
 
     /// The answer is whole.
-    pub fn end(&self) {
+    pub fn finish(&self) {
         self.say(Said::End);
     }
 
@@ -172,7 +172,7 @@
     }
 }
 
-impl Drop for Answer {
+impl Drop for AnswerSender {
     fn drop(&mut self) {
         self.say(Said::Dropped);
     }
--- a/components/link/src/greet.rs
+++ b/components/link/src/greet.rs
@@ -6,7 +6,7 @@
 use bytes::BytesMut;
 use protocol::{
     CodecError, Direction, FrameReader, FrameWriter, Hello, Key, Nonce, Session, VERSION_MAX,
-    VERSION_MIN, common_version, read_callee_hello, read_caller_hello, write_callee_hello,
+    VERSION_MIN, negotiate_version, read_callee_hello, read_caller_hello, write_callee_hello,
     write_caller_hello,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -51,7 +51,7 @@
     send_hello(&mut stream, &out, settings).await?;
     let read = |buffer: &mut BytesMut| read_callee_hello(buffer, &settings.keys, &hello.nonce);
     let (peer, key, rest) = read_hello(&mut stream, settings, read).await?;
-    common_version(&peer)?;
+    negotiate_version(&peer)?;
     let own = (&hello.nonce, Direction::FromCaller);
     Ok(greeted(stream, settings, (peer, key, rest), own))
 }
@@ -69,7 +69,7 @@
     write_callee_hello(&hello, key, &peer.nonce, &mut out)?;
     // Sent before the versions are compared, so that the caller learns of a mismatch too.
     send_hello(&mut stream, &out, settings).await?;
-    common_version(&peer)?;
+    negotiate_version(&peer)?;
     let own = (&hello.nonce, Direction::FromCallee);
     Ok(greeted(stream, settings, (peer, key, rest), own))
 }
--- a/components/link/src/lib.rs
+++ b/components/link/src/lib.rs
@@ -20,7 +20,7 @@
 mod traffic;
 mod udp;
 
-pub use answer::{Answer, Incoming};
+pub use answer::{AnswerSender, IncomingCall};
 pub use call::Call;
 pub use error::LinkError;
 pub use links::Links;
--- a/components/link/src/server.rs
+++ b/components/link/src/server.rs
@@ -13,10 +13,10 @@
 use types::{CallId, NodeId};
 
 use crate::accept::Acceptor;
-use crate::answer::{Answer, AnswerControl, Said};
+use crate::answer::{AnswerControl, AnswerSender, Said};
 use crate::clock::Clock;
 use crate::connection::{Arrived, Connection, Greeted};
-use crate::{Incoming, LinkError, LinkSettings};
+use crate::{IncomingCall, LinkError, LinkSettings};
 
 /// Frames that wait for the task; beyond that sockets are not read.
 const ARRIVED_MAX: usize = 1_024;
@@ -30,7 +30,7 @@
 pub async fn serve(
     listener: TcpListener,
     settings: LinkSettings,
-    handle: impl Fn(Incoming) + Clone + Send + 'static,
+    handle: impl Fn(IncomingCall) + Clone + Send + 'static,
     stop: impl Future<Output = ()> + Send,
 ) {
     let (arrived_in, arrived) = mpsc::channel(ARRIVED_MAX);
@@ -65,7 +65,7 @@
     handle: H,
 }
 
-impl<H: Fn(Incoming)> Server<H> {
+impl<H: Fn(IncomingCall)> Server<H> {
     fn new(
         settings: LinkSettings,
         arrived_in: mpsc::Sender<FromConnection>,
@@ -238,10 +238,10 @@
         let id = open.id;
         let settings = &self.settings;
         let limits = (settings.window_bytes, settings.frame_bytes_max);
-        let (answer, control) = Answer::new(id, self.said_in.clone(), limits.0, limits.1);
+        let (answer, control) = AnswerSender::new(id, self.said_in.clone(), limits.0, limits.1);
         self.answers.insert(id, control);
         let from = self.peer_of(connection);
-        (self.handle)(Incoming { open, from, answer });
+        (self.handle)(IncomingCall { open, from, answer });
     }
 
     fn peer_of(&self, connection: u64) -> NodeId {
--- a/components/link/src/settings.rs
+++ b/components/link/src/settings.rs
@@ -35,7 +35,7 @@
     /// was lost, in milliseconds.
     pub grace_ms: u64,
     /// How long the callee keeps a final answer that nobody acknowledged, in milliseconds.
-    pub keep_ms: u64,
+    pub answer_retention_ms: u64,
     /// Most calls that the callee holds at a time, kept answers included.
     pub calls_max: usize,
     /// Bytes of requests and kept answers beyond which the callee refuses calls.
@@ -59,7 +59,7 @@
             window_bytes: 64 * 1024,
             frame_bytes_max: 16 * 1024 * 1024,
             grace_ms: 5_000,
-            keep_ms: 30_000,
+            answer_retention_ms: 30_000,
             calls_max: 1_024,
             held_bytes_max: 64 * 1024 * 1024,
             counters: Counters::default(),
@@ -69,7 +69,7 @@
     pub(crate) fn table(&self) -> TableSettings {
         TableSettings {
             grace_ms: self.grace_ms,
-            keep_ms: self.keep_ms,
+            keep_ms: self.answer_retention_ms,
             calls_max: self.calls_max,
             held_bytes_max: self.held_bytes_max,
         }
--- a/components/link/tests/call.rs
+++ b/components/link/tests/call.rs
@@ -15,12 +15,12 @@
     let incoming = callee.next().await;
     assert_eq!(&incoming.open.body[..], b"body");
     let answer = incoming.answer;
-    answer.accepted();
-    answer.started();
-    answer.head(head()).await;
-    answer.chunk(Bytes::from_static(b"one")).await;
-    answer.chunk(Bytes::from_static(b"two")).await;
-    answer.end();
+    answer.mark_accepted();
+    answer.mark_started();
+    answer.send_head(head()).await;
+    answer.send_chunk(Bytes::from_static(b"one")).await;
+    answer.send_chunk(Bytes::from_static(b"two")).await;
+    answer.finish();
     let expected = vec![
         CallEvent::Accepted,
         CallEvent::Started,
@@ -68,10 +68,10 @@
         let mut call = links.call(callee.address, open(&links, b""));
         let answer = callee.next().await.answer;
         if case.started {
-            answer.started();
+            answer.mark_started();
         }
         if case.head {
-            answer.head(head()).await;
+            answer.send_head(head()).await;
         }
         drop(answer);
         let failure = Failure::new(case.expected, Cause::Internal);
@@ -86,7 +86,7 @@
     let links = links(|_| {});
     let call = links.call(callee.address, open(&links, b""));
     let answer = callee.next().await.answer;
-    answer.started();
+    answer.mark_started();
     drop(call);
     // Far below the deadline, at which the call would be cancelled anyway.
     let limit = std::time::Duration::from_secs(10);
@@ -119,15 +119,15 @@
     let slow_answer = callee.next().await.answer;
     let sent = long.clone();
     let writing = tokio::spawn(async move {
-        slow_answer.head(head()).await;
-        slow_answer.chunk(sent).await;
-        slow_answer.end();
+        slow_answer.send_head(head()).await;
+        slow_answer.send_chunk(sent).await;
+        slow_answer.finish();
     });
     let mut quick = links.call(callee.address, open(&links, b"quick"));
     let quick_answer = callee.next().await.answer;
-    quick_answer.head(head()).await;
-    quick_answer.chunk(Bytes::from_static(b"here")).await;
-    quick_answer.end();
+    quick_answer.send_head(head()).await;
+    quick_answer.send_chunk(Bytes::from_static(b"here")).await;
+    quick_answer.finish();
     assert_eq!(all(&mut quick).await.pop(), Some(CallEvent::End));
     tokio::task::yield_now().await;
     assert!(
@@ -160,8 +160,8 @@
             break;
         }
     }
-    answer.head(head()).await;
-    answer.end();
+    answer.send_head(head()).await;
+    answer.finish();
     assert_eq!(all(&mut early).await.pop(), Some(CallEvent::End));
     callee.task.await.unwrap();
 }
--- a/components/link/tests/common/mod.rs
+++ b/components/link/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
 
 use bytes::Bytes;
-use link::{Call, CallEvent, Incoming, Key, Keys, LinkSettings, Links, serve};
+use link::{Call, CallEvent, IncomingCall, Key, Keys, LinkSettings, Links, serve};
 use protocol::{Head, Open, ProcessRole};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
@@ -65,7 +65,7 @@
 /// A callee whose calls come out of `calls`.
 pub struct Callee {
     pub address: SocketAddr,
-    pub calls: mpsc::UnboundedReceiver<Incoming>,
+    pub calls: mpsc::UnboundedReceiver<IncomingCall>,
     pub runs: Arc<AtomicUsize>,
     pub settings: LinkSettings,
     pub stop: watch::Sender<bool>,
@@ -86,7 +86,7 @@
         let runs = Arc::new(AtomicUsize::new(0));
         let (stop, mut stopped) = watch::channel(false);
         let counted = runs.clone();
-        let handle = move |incoming: Incoming| {
+        let handle = move |incoming: IncomingCall| {
             counted.fetch_add(1, SeqCst);
             calls_in.send(incoming).unwrap();
         };
@@ -105,7 +105,7 @@
         }
     }
 
-    pub async fn next(&mut self) -> Incoming {
+    pub async fn next(&mut self) -> IncomingCall {
         self.calls.recv().await.unwrap()
     }
 
--- a/components/link/tests/faults.rs
+++ b/components/link/tests/faults.rs
@@ -4,7 +4,7 @@
 
 use bytes::{Bytes, BytesMut};
 use common::{Callee, LOOPBACK, Proxy, Way, all, head, key, keys, links, open};
-use link::{Answer, CallEvent, Keys, LinkSettings};
+use link::{AnswerSender, CallEvent, Keys, LinkSettings};
 use protocol::{Hello, VERSION_MAX, read_caller_hello, write_callee_hello};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -25,14 +25,14 @@
 
 const STEPS: [Step; 6] = [HandedOver, Accepted, Started, Step::Head, Chunk, Ended];
 
-async fn say(answer: &Answer, step: Step) {
+async fn say(answer: &AnswerSender, step: Step) {
     match step {
         Step::HandedOver => {}
-        Step::Accepted => answer.accepted(),
-        Step::Started => answer.started(),
-        Step::Head => answer.head(head()).await,
-        Step::Chunk => answer.chunk(Bytes::from_static(b"whole")).await,
-        Step::Ended => answer.end(),
+        Step::Accepted => answer.mark_accepted(),
+        Step::Started => answer.mark_started(),
+        Step::Head => answer.send_head(head()).await,
+        Step::Chunk => answer.send_chunk(Bytes::from_static(b"whole")).await,
+        Step::Ended => answer.finish(),
     }
 }
 
@@ -116,7 +116,7 @@
     let links = links(|_| {});
     let mut call = links.call(proxy.address, open(&links, b""));
     let answer = callee.next().await.answer;
-    answer.accepted();
+    answer.mark_accepted();
     assert_eq!(call.next().await, CallEvent::Accepted);
     callee.task.abort();
     let _ = (&mut callee.task).await;
@@ -139,7 +139,7 @@
         let mut call = links.call(proxy.address, open(&links, b""));
         let answer = callee.next().await.answer;
         if said {
-            answer.started();
+            answer.mark_started();
             assert_eq!(call.next().await, CallEvent::Started);
         }
         proxy.later.send_replace(Way::Cut);
@@ -162,9 +162,9 @@
     let long = Bytes::from(vec![7; 20_000]);
     let sent = long.clone();
     let writing = tokio::spawn(async move {
-        answer.head(head()).await;
-        answer.chunk(sent).await;
-        answer.end();
+        answer.send_head(head()).await;
+        answer.send_chunk(sent).await;
+        answer.finish();
     });
     assert_eq!(call.next().await, CallEvent::Started);
     assert_eq!(call.next().await, CallEvent::Head(head()));
@@ -204,15 +204,15 @@
         wanted.idempotent = case.idempotent;
         let _call = links.call(proxy.address, wanted);
         let answer = callee.next().await.answer;
-        answer.started();
-        answer.head(head()).await;
+        answer.mark_started();
+        answer.send_head(head()).await;
         proxy.later.send_replace(Way::Cut);
         proxy.change(Way::Cut);
         if case.idempotent {
             answer.cancelled().await;
         }
-        answer.chunk(Bytes::from(vec![1; 10_000])).await;
-        answer.end();
+        answer.send_chunk(Bytes::from(vec![1; 10_000])).await;
+        answer.finish();
         assert_eq!(callee.runs(), 1, "{}", case.name);
     }
 }
--- a/components/link/tests/udp.rs
+++ b/components/link/tests/udp.rs
@@ -4,7 +4,7 @@
 
 use common::{LOOPBACK, key, keys, settings};
 use link::{Keys, LinkSettings, Udp};
-use protocol::{Datagram, News, ProcessRole};
+use protocol::{Datagram, GossipMessage, ProcessRole};
 use types::{Incarnation, NodeId};
 
 fn with_keys(keys: Keys) -> LinkSettings {
@@ -17,11 +17,11 @@
         address,
         incarnation: Incarnation(u64::MAX),
     };
-    let news = vec![News::Leaving { node }; count];
+    let messages = vec![GossipMessage::Leaving { node }; count];
     Datagram {
         from: node,
         role: ProcessRole::Entry,
-        news,
+        messages,
     }
 }
 
@@ -40,7 +40,7 @@
         let (from, part) = receiver.recv().await;
         assert_eq!(from, sender.local_address().unwrap());
         assert_eq!(part.from, datagram(0).from);
-        received += part.news.len();
+        received += part.messages.len();
     }
     assert_eq!(received, 200);
 }
--- a/components/membership/src/fact.rs
+++ b/components/membership/src/fact.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use derive::value;
-use protocol::News;
+use protocol::GossipMessage;
 use types::{CustomerName, ServiceName};
 
 /// What a fact is about.
@@ -19,7 +19,7 @@
 /// A piece of news with its further pushes and its end.
 #[value]
 pub(crate) struct Fact {
-    pub(crate) news: News,
+    pub(crate) news: GossipMessage,
     pub(crate) pushes_left: u32,
     /// `None` for facts that last.
     pub(crate) ends_ms: Option<u64>,
@@ -27,27 +27,29 @@
 
 impl Fact {
     /// The news as it is told now; `None` once it has ended.
-    pub(crate) fn told_at(&self, now_ms: u64) -> Option<News> {
+    pub(crate) fn told_at(&self, now_ms: u64) -> Option<GossipMessage> {
         match (&self.news, self.ends_ms) {
             (_, Some(ends_ms)) if ends_ms <= now_ms => None,
-            (News::Quarantined { digest, .. }, Some(ends_ms)) => Some(News::Quarantined {
-                digest: *digest,
-                left_ms: u32::try_from(ends_ms - now_ms).unwrap_or(u32::MAX),
-            }),
+            (GossipMessage::Quarantined { digest, .. }, Some(ends_ms)) => {
+                Some(GossipMessage::Quarantined {
+                    digest: *digest,
+                    left_ms: u32::try_from(ends_ms - now_ms).unwrap_or(u32::MAX),
+                })
+            }
             (news, _) => Some(news.clone()),
         }
     }
 }
 
 /// The topic of news that is passed on; `None` for probes, statuses and the like.
-pub(crate) fn topic(news: &News) -> Option<Topic> {
+pub(crate) fn topic(news: &GossipMessage) -> Option<Topic> {
     match news {
-        News::Config(digest) => Some(Topic::Config(digest.customer.clone())),
-        News::Weights {
+        GossipMessage::Config(digest) => Some(Topic::Config(digest.customer.clone())),
+        GossipMessage::Weights {
             customer, service, ..
         } => Some(Topic::Weights(customer.clone(), service.clone())),
-        News::Leaving { node } => Some(Topic::Leaving(node.address)),
-        News::Quarantined { digest, .. } => Some(Topic::Quarantined(*digest)),
+        GossipMessage::Leaving { node } => Some(Topic::Leaving(node.address)),
+        GossipMessage::Quarantined { digest, .. } => Some(Topic::Quarantined(*digest)),
         _ => None,
     }
 }
@@ -55,16 +57,16 @@
 /// The heard news with what is known. Weights to serve and to load come from different
 /// calls of a trainer, perhaps at two entries at once: neither piece of news is above the
 /// other then, and to keep one of them would lose what only the other says.
-pub(crate) fn merged(heard: News, known: &News) -> News {
+pub(crate) fn merged(heard: GossipMessage, known: &GossipMessage) -> GossipMessage {
     match (heard, known) {
         (
-            News::Weights {
+            GossipMessage::Weights {
                 customer,
                 service,
                 target,
             },
-            News::Weights { target: known, .. },
-        ) => News::Weights {
+            GossipMessage::Weights { target: known, .. },
+        ) => GossipMessage::Weights {
             customer,
             service,
             target: known.merge(target),
@@ -74,13 +76,13 @@
 }
 
 /// Most bytes that the news takes on the wire.
-pub(crate) fn size_bytes(news: &News) -> usize {
+pub(crate) fn size_bytes(news: &GossipMessage) -> usize {
     match news {
-        News::Config(digest) => 24 + digest.customer.as_str().len(),
-        News::Weights {
+        GossipMessage::Config(digest) => 24 + digest.customer.as_str().len(),
+        GossipMessage::Weights {
             customer, service, ..
         } => 34 + customer.as_str().len() + service.as_str().len(),
-        News::Leaving { .. } => 32,
+        GossipMessage::Leaving { .. } => 32,
         _ => 24,
     }
 }
--- a/components/membership/src/member.rs
+++ b/components/membership/src/member.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use derive::{key, value};
-use protocol::{Hosted, ProcessRole, Status};
+use protocol::{HostedService, ProcessRole, Status};
 use types::{FailureDomain, Incarnation, Region};
 
 use crate::MemberSettings;
@@ -62,7 +62,7 @@
     /// Its newest status with the hosted services of all parts, and when it came.
     pub(crate) status: Option<(Arc<Status>, u64)>,
     /// Hosted services by part.
-    pub(crate) parts: Vec<Vec<Hosted>>,
+    pub(crate) parts: Vec<Vec<HostedService>>,
     pub(crate) watched: bool,
     pub(crate) heard_ms: Option<u64>,
     pub(crate) misses: u32,
--- a/components/membership/src/rumours.rs
+++ b/components/membership/src/rumours.rs
@@ -15,7 +15,7 @@
 use std::net::SocketAddr;
 
 use derive::value;
-use protocol::News;
+use protocol::GossipMessage;
 use rand::Rng;
 
 use crate::fact::{Fact, Topic, merged, size_bytes, topic};
@@ -30,7 +30,7 @@
     /// To whom, each the same datagram.
     pub targets: Vec<SocketAddr>,
     /// What.
-    pub news: Vec<News>,
+    pub news: Vec<GossipMessage>,
 }
 
 /// All facts that this process knows and passes on.
@@ -58,7 +58,7 @@
 
     /// Takes in a fact, from a peer or of one's own; true when it is new, so that the
     /// caller acts on it. Probes, statuses and the like are never new.
-    pub fn hear(&mut self, news: &News, peers: usize, now_ms: u64) -> bool {
+    pub fn hear(&mut self, news: &GossipMessage, peers: usize, now_ms: u64) -> bool {
         let Some(topic) = topic(news) else {
             return false;
         };
@@ -84,7 +84,7 @@
     }
 
     /// Everything known, for a peer that starts.
-    pub fn all(&self, now_ms: u64) -> impl Iterator<Item = News> {
+    pub fn all(&self, now_ms: u64) -> impl Iterator<Item = GossipMessage> {
         let facts = self.facts.values();
         facts.filter_map(move |fact| fact.told_at(now_ms))
     }
@@ -122,7 +122,7 @@
     }
 
     /// The news with the most pushes left, as much as fits.
-    fn push(&mut self, now_ms: u64) -> (Vec<News>, usize) {
+    fn push(&mut self, now_ms: u64) -> (Vec<GossipMessage>, usize) {
         let room_bytes = self.settings.datagram_bytes_max;
         let mut bytes = OVERHEAD_BYTES;
         let mut news = Vec::new();
@@ -145,7 +145,7 @@
     }
 
     /// Fills the datagram with known facts in turn.
-    fn fill(&mut self, news: &mut Vec<News>, bytes: &mut usize, now_ms: u64) {
+    fn fill(&mut self, news: &mut Vec<GossipMessage>, bytes: &mut usize, now_ms: u64) {
         let room_bytes = self.settings.datagram_bytes_max;
         let after = self.told.take();
         let later = self
@@ -168,22 +168,27 @@
         }
     }
 
-    fn ends_ms(&self, news: &News, now_ms: u64) -> Option<u64> {
+    fn ends_ms(&self, news: &GossipMessage, now_ms: u64) -> Option<u64> {
         match news {
-            News::Quarantined { left_ms, .. } => Some(now_ms + u64::from(*left_ms)),
-            News::Leaving { .. } => Some(now_ms + self.settings.leaving_kept_ms),
+            GossipMessage::Quarantined { left_ms, .. } => Some(now_ms + u64::from(*left_ms)),
+            GossipMessage::Leaving { .. } => Some(now_ms + self.settings.leaving_kept_ms),
             _ => None,
         }
     }
 
-    fn is_above(&self, news: &News, ends_ms: Option<u64>, known: &Fact) -> bool {
+    fn is_above(&self, news: &GossipMessage, ends_ms: Option<u64>, known: &Fact) -> bool {
         match (news, &known.news) {
-            (News::Config(heard), News::Config(known)) => heard.version > known.version,
-            (News::Weights { target, .. }, News::Weights { target: known, .. }) => target != known,
-            (News::Leaving { node }, News::Leaving { node: known }) => {
+            (GossipMessage::Config(heard), GossipMessage::Config(known)) => {
+                heard.version > known.version
+            }
+            (
+                GossipMessage::Weights { target, .. },
+                GossipMessage::Weights { target: known, .. },
+            ) => target != known,
+            (GossipMessage::Leaving { node }, GossipMessage::Leaving { node: known }) => {
                 node.incarnation > known.incarnation
             }
-            (News::Quarantined { .. }, _) => {
+            (GossipMessage::Quarantined { .. }, _) => {
                 // Each hop adds its transit time to the end; without slack one
                 // quarantine would be news for ever and never end.
                 let known_ms = known.ends_ms.unwrap_or(0) + self.settings.quarantine_slack_ms;
--- a/components/membership/src/tail.rs
+++ b/components/membership/src/tail.rs
@@ -114,7 +114,7 @@
         self.next_try_ms = now_ms + wait_ms / 2 + rng.next_u64() % (wait_ms / 2 + 1);
     }
 
-    /// Age of the newest read known, for [`protocol::News::ConfigRead`];
+    /// Age of the newest read known, for [`protocol::GossipMessage::ConfigRead`];
     /// `u32::MAX` when none is known, and then there is nothing to tell.
     pub fn age_ms(&self, now_ms: u64) -> u32 {
         let age_ms = self
--- a/components/membership/src/view.rs
+++ b/components/membership/src/view.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
 
-use protocol::{Hosted, ProcessRole};
+use protocol::{HostedService, ProcessRole};
 use types::{CustomerName, NodeId, ServiceName};
 
 use crate::member::Member;
@@ -17,7 +17,7 @@
 struct Host<'a> {
     address: SocketAddr,
     member: &'a Member,
-    hosted: &'a Hosted,
+    hosted: &'a HostedService,
 }
 
 impl Members {
--- a/components/membership/tests/common/mod.rs
+++ b/components/membership/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use membership::{Listed, MemberSettings, Members, Own};
-use protocol::{Hosted, Load, ProcessRole, Status};
+use protocol::{HostedService, Load, ProcessRole, Status};
 use types::{CustomerName, FailureDomain, Incarnation, NodeId, Region, ServiceName};
 
 pub fn address(number: u16) -> SocketAddr {
@@ -47,7 +47,7 @@
 
 pub fn status(number: u16, leaving: bool) -> Status {
     let (customer, service) = service();
-    let hosted = Hosted {
+    let hosted = HostedService {
         customer,
         service,
         weights: None,
--- a/components/membership/tests/cost.rs
+++ b/components/membership/tests/cost.rs
@@ -5,7 +5,7 @@
 
 use common::{node, status};
 use membership::{MemberSettings, RumourSettings};
-use protocol::{Datagram, News, ProcessRole};
+use protocol::{Datagram, GossipMessage, ProcessRole};
 
 /// IP and UDP headers and the authentication of a datagram.
 const OVERHEAD_BYTES: f64 = 28.0 + 40.0;
@@ -13,11 +13,11 @@
 const ENTRIES: f64 = 390.0;
 const REPLICAS: f64 = 600.0;
 
-fn datagram_bytes(news: News) -> f64 {
+fn datagram_bytes(news: GossipMessage) -> f64 {
     let datagram = Datagram {
         from: node(1, 1_790_000_000_000),
         role: ProcessRole::Agent,
-        news: vec![news],
+        messages: vec![news],
     };
     OVERHEAD_BYTES + postcard::to_stdvec(&datagram).unwrap().len() as f64
 }
@@ -25,8 +25,8 @@
 #[test]
 fn can_keep_a_node_within_its_share_of_the_network() {
     let settings = MemberSettings::default();
-    let probe = datagram_bytes(News::Probe);
-    let answer = datagram_bytes(News::Status(Box::new(status(1, false))));
+    let probe = datagram_bytes(GossipMessage::Probe);
+    let answer = datagram_bytes(GossipMessage::Status(Box::new(status(1, false))));
     let exchange = probe + answer;
     let (watch, sweep) = (settings.probes_per_s as f64, settings.sweeps_per_s as f64);
     // Each entry is swept by the others as well; each agent is probed by its share.
--- a/components/membership/tests/spread.rs
+++ b/components/membership/tests/spread.rs
@@ -7,7 +7,7 @@
 
 use common::{address, node, service};
 use membership::{RumourSettings, Rumours, Tail, TailSettings, TailStep, tailers};
-use protocol::{ConfigDigest, News};
+use protocol::{ConfigDigest, GossipMessage};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use types::{WeightTarget, WeightVersion};
@@ -16,30 +16,30 @@
 const LOSS_PERCENT: u64 = 10;
 const ROUNDS_MAX: u64 = 15;
 
-fn weights(version: u64) -> News {
+fn weights(version: u64) -> GossipMessage {
     target(WeightTarget::serve(WeightVersion { epoch: 1, version }))
 }
 
-fn target(target: WeightTarget) -> News {
+fn target(target: WeightTarget) -> GossipMessage {
     let (customer, service) = service();
-    News::Weights {
+    GossipMessage::Weights {
         customer,
         service,
         target,
     }
 }
 
-fn config(version: u64) -> News {
-    News::Config(ConfigDigest {
+fn config(version: u64) -> GossipMessage {
+    GossipMessage::Config(ConfigDigest {
         customer: service().0,
         version,
         digest: version,
     })
 }
 
-fn quarantined(left_ms: u32) -> News {
+fn quarantined(left_ms: u32) -> GossipMessage {
     let digest = [7; 16];
-    News::Quarantined { digest, left_ms }
+    GossipMessage::Quarantined { digest, left_ms }
 }
 
 fn number_of(target: SocketAddr) -> u16 {
@@ -90,7 +90,7 @@
         }
     }
 
-    fn knowing(&self, news: &News, now_ms: u64) -> usize {
+    fn knowing(&self, news: &GossipMessage, now_ms: u64) -> usize {
         let knows = |rumours: &&Rumours| rumours.all(now_ms).any(|known| known == *news);
         self.nodes.iter().filter(knows).count()
     }
@@ -140,8 +140,8 @@
 fn can_keep_the_higher_of_two_facts_until_it_ends() {
     struct Case {
         name: &'static str,
-        first: News,
-        second: News,
+        first: GossipMessage,
+        second: GossipMessage,
         new: bool,
     }
     let case = |name, first, second, new| Case {
@@ -150,7 +150,7 @@
         second,
         new,
     };
-    let leaving = |life| News::Leaving {
+    let leaving = |life| GossipMessage::Leaving {
         node: node(1, life),
     };
     let (early, slow) = (quarantined(600_000), quarantined(600_500));
@@ -182,7 +182,12 @@
             early,
             true,
         ),
-        case("a probe is none", News::Probe, News::Probe, false),
+        case(
+            "a probe is none",
+            GossipMessage::Probe,
+            GossipMessage::Probe,
+            false,
+        ),
     ];
     for case in cases {
         let mut rumours = Rumours::new(RumourSettings::default());
--- a/components/membership/tests/view.rs
+++ b/components/membership/tests/view.rs
@@ -6,7 +6,7 @@
 use common::*;
 use membership::{Heard, Listed, MemberSettings, Members, Standing};
 use protocol::ProcessRole::Agent;
-use protocol::{Hosted, Status};
+use protocol::{HostedService, Status};
 use types::{Incarnation, NodeId};
 
 /// Takes in one piece of news about agent 1: `s` a status, `S` one that says leaving, `h`
@@ -225,7 +225,7 @@
 fn can_put_a_status_together_from_its_parts() {
     let part = |part: u8, parts, names: &[&str]| {
         let one = status(1, false);
-        let hosted = |name: &&str| Hosted {
+        let hosted = |name: &&str| HostedService {
             service: name.parse().unwrap(),
             ..one.hosted[0].clone()
         };
--- a/components/node/examples/control.rs
+++ b/components/node/examples/control.rs
@@ -17,7 +17,7 @@
 use config::{Publish, Record};
 use link::{Counters, Links};
 use node::{ConfigFeed, FeedSettings, Gossip, GossipHooks, GossipSettings, Sockets};
-use protocol::{Hosted, Load, News, ProcessRole, Status};
+use protocol::{GossipMessage, HostedService, Load, ProcessRole, Status};
 use settings::{CommonSettings, SharedKey};
 use standins::log::LogSettings;
 use standins::vms::VmsSettings;
@@ -149,7 +149,7 @@
 /// Weights of models from number `from` on, as trainers would announce them.
 fn tell(gossip: &Gossip, from: u64, count: u64) -> Result<(), Failed> {
     for number in from..from + count {
-        gossip.tell(News::Weights {
+        gossip.spread(GossipMessage::Weights {
             customer: format!("customer-{number}").parse()?,
             service: "redacteurs".parse()?,
             target: WeightTarget::serve(WeightVersion {
@@ -211,8 +211,8 @@
 /// Three pools share the agents; each hosts a model and a plain service.
 fn status(number: u64) -> Result<Status, Failed> {
     let pool = number % POOLS;
-    let hosted = |service: String, weights| -> Result<Hosted, Failed> {
-        Ok(Hosted {
+    let hosted = |service: String, weights| -> Result<HostedService, Failed> {
+        Ok(HostedService {
             customer: format!("customer-{pool}").parse()?,
             service: service.parse()?,
             weights,
--- a/components/node/src/admin.rs
+++ b/components/node/src/admin.rs
@@ -19,7 +19,7 @@
 use tokio::sync::Semaphore;
 
 use crate::NodeError;
-use crate::http::answer;
+use crate::http::response;
 
 /// Connections that are served at a time; later ones wait.
 const CONNECTIONS_MAX: usize = 64;
@@ -85,19 +85,21 @@
 
 async fn respond(request: &Request<Incoming>, hooks: &AdminHooks) -> Response<Full<Bytes>> {
     match (request.method(), request.uri().path()) {
-        (&Method::GET, "/livez") => answer(StatusCode::OK, PLAIN, "live\n"),
-        (&Method::GET, "/readyz") if (hooks.ready)() => answer(StatusCode::OK, PLAIN, "ready\n"),
-        (&Method::GET, "/readyz") => answer(StatusCode::SERVICE_UNAVAILABLE, PLAIN, "not ready\n"),
-        (&Method::GET, "/status") => answer(StatusCode::OK, JSON, (hooks.status)().await),
+        (&Method::GET, "/livez") => response(StatusCode::OK, PLAIN, "live\n"),
+        (&Method::GET, "/readyz") if (hooks.ready)() => response(StatusCode::OK, PLAIN, "ready\n"),
+        (&Method::GET, "/readyz") => {
+            response(StatusCode::SERVICE_UNAVAILABLE, PLAIN, "not ready\n")
+        }
+        (&Method::GET, "/status") => response(StatusCode::OK, JSON, (hooks.status)().await),
         (&Method::POST, "/drain") => {
             (hooks.drain)();
-            answer(StatusCode::ACCEPTED, PLAIN, "draining\n")
+            response(StatusCode::ACCEPTED, PLAIN, "draining\n")
         }
-        (_, "/livez" | "/readyz" | "/status" | "/drain") => answer(
+        (_, "/livez" | "/readyz" | "/status" | "/drain") => response(
             StatusCode::METHOD_NOT_ALLOWED,
             PLAIN,
             "method not allowed\n",
         ),
-        _ => answer(StatusCode::NOT_FOUND, PLAIN, "no such page\n"),
+        _ => response(StatusCode::NOT_FOUND, PLAIN, "no such page\n"),
     }
 }
--- a/components/node/src/error.rs
+++ b/components/node/src/error.rs
@@ -57,7 +57,7 @@
             display("the body has more than {} bytes", bytes_max)
         }
         /// The sender stopped before the stated end.
-        Broken {
+        Interrupted {
             display("the body ended before its stated end")
         }
     }
--- a/components/node/src/feed.rs
+++ b/components/node/src/feed.rs
@@ -29,7 +29,7 @@
 const OK: u16 = 200;
 /// Time for which the platform's log keeps a record where nothing else is set.
 const LOG_RETENTION_MS: u64 = 3_600_000;
-const KEEP_AFTER_MS: u64 = 15_000;
+const KEEP_DELAY_MS: u64 = 15_000;
 /// Where a peer that does not know the text may ask again, in milliseconds.
 const RETRY_AFTER_MS: u32 = 500;
 
@@ -60,7 +60,7 @@
     pub keep: KeepPolicy,
     /// How long after its start a process appends none, in milliseconds: the time to
     /// learn of the others and of what they have appended.
-    pub keep_after_ms: u64,
+    pub keep_delay_ms: u64,
 }
 
 impl FeedSettings {
@@ -78,21 +78,21 @@
         Self {
             tail: TailSettings::default(),
             keep: KeepPolicy::for_retention(LOG_RETENTION_MS),
-            keep_after_ms: KEEP_AFTER_MS,
+            keep_delay_ms: KEEP_DELAY_MS,
         }
     }
 }
 
 /// What this process holds against what a peer does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Held {
+pub enum DigestComparison {
     /// The same or something newer.
-    Same,
+    NotNewer,
     /// Something older.
-    Older,
+    Outdated,
     /// Another text of the same version, which no history of one log can bring about: two
     /// rules of judging, two logs or a damaged record. People have to look.
-    Differing,
+    Diverged,
 }
 
 /// State that handles and tasks share.
@@ -101,7 +101,7 @@
     pub(crate) published: ArcSwap<Published>,
     pub(crate) changes: watch::Sender<u64>,
     /// The log was read to its end once, or a peer's text was adopted.
-    pub(crate) known: AtomicBool,
+    pub(crate) initialized: AtomicBool,
     /// Newest read of the log by anybody, on this process's clock; 0 for none.
     pub(crate) newest_read_ms: AtomicU64,
     /// Who tails the log.
@@ -134,7 +134,7 @@
             view: ArcSwap::from_pointee(View::of(&ledger)),
             published: ArcSwap::default(),
             changes: watch::Sender::new(0),
-            known: AtomicBool::new(false),
+            initialized: AtomicBool::new(false),
             newest_read_ms: AtomicU64::new(0),
             tailers: ArcSwap::from_pointee(Tailers {
                 own,
@@ -162,7 +162,7 @@
     }
 
     /// The accepted texts of all customers.
-    pub fn all(&self) -> Vec<Arc<Accepted>> {
+    pub fn all_accepted(&self) -> Vec<Arc<Accepted>> {
         self.shared.published.load().accepted.clone()
     }
 
@@ -187,8 +187,8 @@
 
     /// Whether anything is known: the log was read to its end once, or a peer's text was
     /// adopted. Before that, an unknown service may only be one not heard of yet.
-    pub fn is_known(&self) -> bool {
-        self.shared.known.load(Ordering::Acquire)
+    pub fn is_initialized(&self) -> bool {
+        self.shared.initialized.load(Ordering::Acquire)
     }
 
     /// Whether an inner call asks for a configuration text.
@@ -212,22 +212,22 @@
     }
 
     /// A peer holds this; its text is fetched when it is newer than what is held here.
-    pub fn heard(&self, from: SocketAddr, digest: &ConfigDigest) -> Held {
+    pub fn observe_digest(&self, from: SocketAddr, digest: &ConfigDigest) -> DigestComparison {
         let accepted = self.accepted(&digest.customer);
         let held = accepted.as_ref().map_or(0, |accepted| accepted.version);
         if digest.version > held {
             let digest = digest.clone();
             // A full queue loses the hint until the next rumour of it.
             let _ = self.events.try_send(Event::Heard { from, digest });
-            return Held::Older;
+            return DigestComparison::Outdated;
         }
         let differs = |accepted: &Arc<Accepted>| {
             accepted.version == digest.version && accepted.digest() != digest.digest
         };
         if accepted.as_ref().is_some_and(differs) {
-            Held::Differing
+            DigestComparison::Diverged
         } else {
-            Held::Same
+            DigestComparison::NotNewer
         }
     }
 
--- a/components/node/src/feed_task.rs
+++ b/components/node/src/feed_task.rs
@@ -85,7 +85,7 @@
             unpublished: false,
             published_ms: None,
             keeper: Keeper::new(settings.keep),
-            keep_from_ms: now_ms() + settings.keep_after_ms,
+            keep_from_ms: now_ms() + settings.keep_delay_ms,
             log,
         }
     }
@@ -138,7 +138,7 @@
         }
         if at_end {
             self.keeper.on_end_read(now_ms());
-            self.shared.known.store(true, Ordering::Release);
+            self.shared.initialized.store(true, Ordering::Release);
         }
         self.unpublished |= !page.records.is_empty();
     }
@@ -198,7 +198,7 @@
         };
         note(self.ledger.next_offset(), &verdict);
         if matches!(verdict, Verdict::Learned { .. }) {
-            self.shared.known.store(true, Ordering::Release);
+            self.shared.initialized.store(true, Ordering::Release);
             self.unpublished = true;
         }
     }
--- a/components/node/src/gossip.rs
+++ b/components/node/src/gossip.rs
@@ -12,7 +12,7 @@
 use leaving::{Probers, ProbersSettings};
 use link::Udp;
 use membership::{MemberSettings, Members, Own, RumourSettings, Rumours, Snapshot, TailSettings};
-use protocol::{ConfigDigest, DemandDigest, News, Status};
+use protocol::{ConfigDigest, DemandDigest, GossipMessage, Status};
 use tokio::sync::mpsc;
 use types::NodeId;
 
@@ -33,27 +33,27 @@
     /// The parts of the answer to a probe; `None` on an entry.
     pub statuses: Option<Arc<dyn Fn() -> Vec<Status> + Send + Sync>>,
     /// Gets each rumour of weights or quarantine that is new here.
-    pub heard: Arc<dyn Fn(&News) + Send + Sync>,
+    pub on_message: Arc<dyn Fn(&GossipMessage) + Send + Sync>,
     /// Gets the demand that another entry tells.
-    pub demand: Arc<dyn Fn(NodeId, DemandDigest) + Send + Sync>,
+    pub on_demand: Arc<dyn Fn(NodeId, DemandDigest) + Send + Sync>,
     /// Called when the VM list or a rumour says that this process is leaving.
-    pub leaving: Arc<dyn Fn() + Send + Sync>,
+    pub on_own_leaving: Arc<dyn Fn() + Send + Sync>,
     /// Called once for each version of a customer's configuration of which another process
     /// holds a different text.
-    pub diverged: Arc<dyn Fn(&ConfigDigest) + Send + Sync>,
+    pub on_divergence: Arc<dyn Fn(&ConfigDigest) + Send + Sync>,
     /// Called when a life of another process was found to be leaving.
-    pub peer_leaving: Arc<dyn Fn(NodeId) + Send + Sync>,
+    pub on_peer_leaving: Arc<dyn Fn(NodeId) + Send + Sync>,
 }
 
 impl Default for GossipHooks {
     fn default() -> Self {
         Self {
             statuses: None,
-            heard: Arc::new(|_| {}),
-            demand: Arc::new(|_, _| {}),
-            leaving: Arc::new(|| {}),
-            diverged: Arc::new(|_| {}),
-            peer_leaving: Arc::new(|_| {}),
+            on_message: Arc::new(|_| {}),
+            on_demand: Arc::new(|_, _| {}),
+            on_own_leaving: Arc::new(|| {}),
+            on_divergence: Arc::new(|_| {}),
+            on_peer_leaving: Arc::new(|_| {}),
         }
     }
 }
@@ -125,23 +125,23 @@
     }
 
     /// Spreads a rumour of this process's own.
-    pub fn tell(&self, news: News) {
+    pub fn spread(&self, news: GossipMessage) {
         self.order(Order::Tell(Box::new(news)));
     }
 
     /// Tells each of these processes, once.
-    pub fn tell_directly(&self, to: Vec<SocketAddr>, news: News) {
+    pub fn send_to(&self, to: Vec<SocketAddr>, news: GossipMessage) {
         self.order(Order::TellDirectly(to, Box::new(news)));
     }
 
     /// Tells every entry that was heard and is not down, once; leaving ones too, for they
     /// still have calls.
-    pub fn tell_entries(&self, news: News) {
+    pub fn send_to_entries(&self, news: GossipMessage) {
         self.order(Order::TellEntries(Box::new(news)));
     }
 
     /// Tells recent probers and, as a rumour, everybody that this process is leaving.
-    pub fn leave(&self) {
+    pub fn announce_leaving(&self) {
         self.order(Order::Leave);
     }
 
--- a/components/node/src/gossip_heard.rs
+++ b/components/node/src/gossip_heard.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 
 use membership::Heard;
-use protocol::{ConfigDigest, Datagram, News, ProcessRole, Status};
+use protocol::{ConfigDigest, Datagram, GossipMessage, ProcessRole, Status};
 use types::NodeId;
 
-use crate::feed::Held;
+use crate::feed::DigestComparison;
 use crate::gossip_loop::GossipLoop;
 use crate::now_ms;
 
@@ -16,7 +16,11 @@
 impl GossipLoop {
     pub(crate) async fn on_datagram(&mut self, datagram: Datagram) {
         let now_ms = now_ms();
-        let Datagram { from, role, news } = datagram;
+        let Datagram {
+            from,
+            role,
+            messages,
+        } = datagram;
         let heard = self.members.on_heard(from, role, now_ms);
         self.act_on(from, heard).await;
         if matches!(heard, Heard::Older { .. }) {
@@ -26,49 +30,50 @@
         if heard == Heard::New {
             self.welcome(from.address, now_ms).await;
         }
-        for item in news {
-            self.on_news(from, role, item, now_ms).await;
+        for message in messages {
+            self.on_news(from, role, message, now_ms).await;
         }
     }
 
     /// Tells a process that was not heard before what is known here, so that a new one
     /// need not wait for its turn in the rumours.
     async fn welcome(&mut self, to: SocketAddr, now_ms: u64) {
-        let mut facts: Vec<News> = self.rumours.all(now_ms).take(FIRST_FACTS_MAX).collect();
+        let mut facts: Vec<GossipMessage> =
+            self.rumours.all(now_ms).take(FIRST_FACTS_MAX).collect();
         facts.push(self.config_read(now_ms));
         self.send(to, facts).await;
     }
 
-    async fn on_news(&mut self, from: NodeId, role: ProcessRole, news: News, now_ms: u64) {
+    async fn on_news(&mut self, from: NodeId, role: ProcessRole, news: GossipMessage, now_ms: u64) {
         match &news {
-            News::Probe => self.on_probe(from, now_ms).await,
-            News::Status(status) => self.on_status(from, role, status, now_ms).await,
-            News::Incarnation(known) => {
+            GossipMessage::Probe => self.on_probe(from, now_ms).await,
+            GossipMessage::Status(status) => self.on_status(from, role, status, now_ms).await,
+            GossipMessage::Incarnation(known) => {
                 let heard = self.members.on_own(*known);
                 self.act_on(from, heard).await;
             }
-            News::ConfigRead { age_ms } => self.feed.heard_read(*age_ms, now_ms),
-            News::Leaving { node } => {
+            GossipMessage::ConfigRead { age_ms } => self.feed.heard_read(*age_ms, now_ms),
+            GossipMessage::Leaving { node } => {
                 let heard = self.members.on_leaving(*node, now_ms);
                 if heard == Heard::New {
                     self.peer_leaves(*node, now_ms);
                 }
                 self.act_on(from, heard).await;
             }
-            News::Demand(demand) => (self.hooks.demand)(from, demand.clone()),
-            News::Crashed(_) => (self.hooks.heard)(&news),
-            News::Config(digest) => self.on_config(from, digest),
-            News::Weights { .. } | News::Quarantined { .. } => {
+            GossipMessage::Demand(demand) => (self.hooks.on_demand)(from, demand.clone()),
+            GossipMessage::Crashed(_) => (self.hooks.on_message)(&news),
+            GossipMessage::Config(digest) => self.on_config(from, digest),
+            GossipMessage::Weights { .. } | GossipMessage::Quarantined { .. } => {
                 let peers = self.members.peers().len();
                 if self.rumours.hear(&news, peers, now_ms) {
-                    (self.hooks.heard)(&news);
+                    (self.hooks.on_message)(&news);
                 }
             }
         }
     }
 
     fn on_config(&mut self, from: NodeId, digest: &ConfigDigest) {
-        if self.feed.heard(from.address, digest) != Held::Differing {
+        if self.feed.observe_digest(from.address, digest) != DigestComparison::Diverged {
             return;
         }
         let customer = digest.customer.clone();
@@ -80,7 +85,7 @@
             event = "config-diverged", customer:% = digest.customer, version = digest.version,
             peer:% = from; ""
         );
-        (self.hooks.diverged)(digest);
+        (self.hooks.on_divergence)(digest);
     }
 
     async fn on_probe(&mut self, from: NodeId, now_ms: u64) {
@@ -111,8 +116,9 @@
 
     pub(crate) fn peer_leaves(&mut self, node: NodeId, now_ms: u64) {
         let peers = self.members.peers().len();
-        self.rumours.hear(&News::Leaving { node }, peers, now_ms);
-        (self.hooks.peer_leaving)(node);
+        self.rumours
+            .hear(&GossipMessage::Leaving { node }, peers, now_ms);
+        (self.hooks.on_peer_leaving)(node);
         self.changed_urgently();
     }
 
@@ -121,7 +127,7 @@
             Heard::Known => {}
             Heard::New => self.changed(),
             Heard::Older { known } => {
-                self.send(from.address, vec![News::Incarnation(known)])
+                self.send(from.address, vec![GossipMessage::Incarnation(known)])
                     .await;
             }
             Heard::OwnRaised => {
@@ -129,7 +135,7 @@
                 self.identity.take(node.incarnation);
                 log::info!(event = "incarnation-raised", node:% = node; "");
             }
-            Heard::OwnLeaving => (self.hooks.leaving)(),
+            Heard::OwnLeaving => (self.hooks.on_own_leaving)(),
         }
     }
 }
--- a/components/node/src/gossip_loop.rs
+++ b/components/node/src/gossip_loop.rs
@@ -10,7 +10,7 @@
 use leaving::Probers;
 use link::Udp;
 use membership::{Listed, Members, Rumours, Snapshot, TailSettings, tailers};
-use protocol::{Datagram, News, ProcessRole};
+use protocol::{Datagram, GossipMessage, ProcessRole};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use tokio::sync::mpsc;
@@ -33,9 +33,9 @@
 
 /// What others ask of the loop.
 pub(crate) enum Order {
-    Tell(Box<News>),
-    TellDirectly(Vec<SocketAddr>, Box<News>),
-    TellEntries(Box<News>),
+    Tell(Box<GossipMessage>),
+    TellDirectly(Vec<SocketAddr>, Box<GossipMessage>),
+    TellEntries(Box<GossipMessage>),
     Leave,
     PushStatus,
 }
@@ -88,7 +88,7 @@
     async fn tick(&mut self, rng: &mut StdRng) {
         let now_ms = now_ms();
         for member in self.members.due_probes(now_ms) {
-            self.send(member, vec![News::Probe]).await;
+            self.send(member, vec![GossipMessage::Probe]).await;
         }
         for prober in self.probers.due_recipients(now_ms) {
             self.send_status(prober).await;
@@ -117,7 +117,7 @@
     async fn round(&mut self, now_ms: u64, rng: &mut StdRng) {
         let peers = self.members.peers();
         for digest in self.feed.digests().iter() {
-            let news = News::Config(digest.clone());
+            let news = GossipMessage::Config(digest.clone());
             self.rumours.hear(&news, peers.len(), now_ms);
         }
         let Some(round) = self.rumours.round(&peers, now_ms, rng) else {
@@ -130,8 +130,8 @@
         }
     }
 
-    pub(crate) fn config_read(&self, now_ms: u64) -> News {
-        News::ConfigRead {
+    pub(crate) fn config_read(&self, now_ms: u64) -> GossipMessage {
+        GossipMessage::ConfigRead {
             age_ms: self.feed.read_age_ms(now_ms),
         }
     }
@@ -175,7 +175,8 @@
             Order::Leave => {
                 let node = self.members.own().node;
                 let peers = self.members.peers().len();
-                self.rumours.hear(&News::Leaving { node }, peers, now_ms);
+                self.rumours
+                    .hear(&GossipMessage::Leaving { node }, peers, now_ms);
                 self.probers.start_notices(now_ms);
             }
             Order::PushStatus => {
@@ -186,7 +187,7 @@
         }
     }
 
-    async fn tell(&self, to: Vec<SocketAddr>, news: News) {
+    async fn tell(&self, to: Vec<SocketAddr>, news: GossipMessage) {
         for peer in to {
             self.send(peer, vec![news.clone()]).await;
         }
@@ -204,7 +205,7 @@
             self.peer_leaves(node, now_ms);
         }
         if read.own_leaving {
-            (self.hooks.leaving)();
+            (self.hooks.on_own_leaving)();
         }
     }
 
@@ -214,16 +215,18 @@
         };
         let parts = statuses().into_iter();
         // What does not fit one datagram goes as several.
-        let mut news: Vec<News> = parts.map(|part| News::Status(Box::new(part))).collect();
-        news.push(self.config_read(now_ms()));
-        self.send(to, news).await;
+        let mut messages: Vec<GossipMessage> = parts
+            .map(|part| GossipMessage::Status(Box::new(part)))
+            .collect();
+        messages.push(self.config_read(now_ms()));
+        self.send(to, messages).await;
     }
 
-    pub(crate) async fn send(&self, to: SocketAddr, news: Vec<News>) {
+    pub(crate) async fn send(&self, to: SocketAddr, messages: Vec<GossipMessage>) {
         let datagram = Datagram {
             from: self.identity.node(),
             role: self.identity.role,
-            news,
+            messages,
         };
         // A lost datagram is made good by the next one.
         if let Err(reason) = self.udp.send(to, &datagram).await {
--- a/components/node/src/http.rs
+++ b/components/node/src/http.rs
@@ -9,7 +9,7 @@
 use crate::BodyError;
 
 /// Reads a whole body of at most `bytes_max` bytes.
-pub async fn whole_body<B>(body: B, bytes_max: usize) -> Result<Bytes, BodyError>
+pub async fn read_body<B>(body: B, bytes_max: usize) -> Result<Bytes, BodyError>
 where
     B: Body,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
@@ -17,12 +17,12 @@
     match Limited::new(body, bytes_max).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(reason) if reason.is::<LengthLimitError>() => Err(BodyError::TooLarge(bytes_max)),
-        Err(_) => Err(BodyError::Broken),
+        Err(_) => Err(BodyError::Interrupted),
     }
 }
 
 /// An answer with a short body of one type.
-pub fn answer(
+pub fn response(
     status: StatusCode,
     content_type: &'static str,
     body: impl Into<Bytes>,
--- a/components/node/src/leave.rs
+++ b/components/node/src/leave.rs
@@ -15,49 +15,49 @@
 
 /// Order to leave, given by a signal, an operator or the platform. Clones share one state.
 #[derive(Clone)]
-pub struct Leaving(Arc<watch::Sender<bool>>);
+pub struct DrainSignal(Arc<watch::Sender<bool>>);
 
-impl Leaving {
+impl DrainSignal {
     /// No order yet.
     pub fn new() -> Self {
         Self(Arc::new(watch::Sender::new(false)))
     }
 
     /// Gives the order; a second one changes nothing.
-    pub fn order(&self) {
+    pub fn trigger(&self) {
         self.0.send_replace(true);
     }
 
     /// Gives the order when `stop` completes.
-    pub fn order_on(&self, stop: impl Future<Output = ()> + Send + 'static) {
+    pub fn trigger_on(&self, stop: impl Future<Output = ()> + Send + 'static) {
         let leaving = self.clone();
         tokio::spawn(async move {
             stop.await;
-            leaving.order();
+            leaving.trigger();
         });
     }
 
     /// Waits for the order.
-    pub async fn ordered(&self) {
+    pub async fn triggered(&self) {
         let mut orders = self.0.subscribe();
         // The sender lives in this value, so waiting can't fail.
         let _ = orders.wait_for(|ordered| *ordered).await;
     }
 }
 
-impl Default for Leaving {
+impl Default for DrainSignal {
     fn default() -> Self {
         Self::new()
     }
 }
 
 /// Waits for the order, tells the others, and completes when new work is to be refused.
-pub async fn settle(drain: &Drain, gossip: &Gossip, leaving: &Leaving) {
-    leaving.ordered().await;
+pub async fn announce_and_settle(drain: &Drain, gossip: &Gossip, leaving: &DrainSignal) {
+    leaving.triggered().await;
     if drain.start(now_ms()) {
         log::info!(event = "leaving", in_progress = drain.work_counter().count(); "");
     }
-    gossip.leave();
+    gossip.announce_leaving();
     while drain.phase(now_ms()) != Phase::Finishing {
         look_again().await;
     }
@@ -66,8 +66,8 @@
 /// Completes when work in progress has had its longest time after the order. While
 /// nothing is in progress it waits: what is left are answers that callers have not
 /// acknowledged and connections that close by themselves.
-pub async fn overtime(drain: &Drain, leaving: &Leaving) {
-    leaving.ordered().await;
+pub async fn wait_for_drain_timeout(drain: &Drain, leaving: &DrainSignal) {
+    leaving.triggered().await;
     loop {
         match drain.next_action(now_ms()) {
             DrainAction::Exit { cut_off } if cut_off > 0 => {
--- a/components/node/src/lib.rs
+++ b/components/node/src/lib.rs
@@ -23,10 +23,10 @@
 
 pub use clock::now_ms;
 pub use error::{BodyError, NodeError};
-pub use feed::{ConfigFeed, FeedSettings, Held};
+pub use feed::{ConfigFeed, DigestComparison, FeedSettings};
 pub use gossip::{Gossip, GossipHooks, GossipSettings};
 pub use identity::Identity;
-pub use leave::Leaving;
-pub use pulse::Pulse;
+pub use leave::DrainSignal;
+pub use pulse::PauseDetector;
 pub use sockets::Sockets;
-pub use vm_poll::read_every_ms;
+pub use vm_poll::vm_list_interval_ms;
--- a/components/node/src/pulse.rs
+++ b/components/node/src/pulse.rs
@@ -21,7 +21,7 @@
 
 /// Heartbeat of this process. Clones share one state.
 #[derive(Clone, Debug)]
-pub struct Pulse(Arc<Beats>);
+pub struct PauseDetector(Arc<Beats>);
 
 #[derive(Debug)]
 struct Beats {
@@ -30,7 +30,7 @@
     woke_ms: AtomicU64,
 }
 
-impl Pulse {
+impl PauseDetector {
     /// A pulse that beats at `now_ms` for the first time.
     pub fn new(now_ms: u64) -> Self {
         Self(Arc::new(Beats {
@@ -65,7 +65,7 @@
 
     /// Age that something just read from a socket may have, in milliseconds: the pause
     /// that this process is waking from, else 0.
-    pub fn age_of_arrival_ms(&self, now_ms: u64) -> u64 {
+    pub fn arrival_age_ms(&self, now_ms: u64) -> u64 {
         let gap_ms = now_ms.saturating_sub(self.0.last_ms.load(Ordering::Acquire));
         if gap_ms >= PAUSE_MIN_MS {
             return gap_ms;
--- a/components/node/src/sockets.rs
+++ b/components/node/src/sockets.rs
@@ -23,7 +23,7 @@
     pub identity: Arc<Identity>,
     /// Calls of the system's own processes.
     pub inner: TcpListener,
-    /// News, on the same port.
+    /// Gossip datagrams, on the same port.
     pub udp: Udp,
     /// The admin address.
     pub admin: TcpListener,
--- a/components/node/src/vm_poll.rs
+++ b/components/node/src/vm_poll.rs
@@ -28,7 +28,7 @@
     loop {
         match list.list().await {
             Ok(vms) => {
-                every_ms = read_every_ms(vms.len());
+                every_ms = vm_list_interval_ms(vms.len());
                 let listed = vms.into_iter().map(listed).collect();
                 if reads.send(listed).await.is_err() {
                     return;
@@ -42,7 +42,7 @@
 }
 
 /// Time between two reads of a list of so many VMs, in milliseconds.
-pub fn read_every_ms(vms: usize) -> u64 {
+pub fn vm_list_interval_ms(vms: usize) -> u64 {
     let list_bytes = vms as u64 * VM_BYTES;
     READ_EVERY_MS.max(list_bytes * 1_000 / READ_BYTES_PER_S)
 }
--- a/components/node/tests/node.rs
+++ b/components/node/tests/node.rs
@@ -13,7 +13,7 @@
 use link::Links;
 use node::admin::{self, AdminHooks};
 use node::{ConfigFeed, FeedSettings, Gossip, GossipHooks, GossipSettings, Sockets};
-use protocol::{ConfigDigest, CrashReport, Datagram, News, ProcessRole};
+use protocol::{ConfigDigest, CrashReport, Datagram, GossipMessage, ProcessRole};
 use settings::{CommonSettings, SharedKey};
 use standins::log::LogSettings;
 use standins::vms::VmsSettings;
@@ -72,7 +72,7 @@
         let client = LogClient::new(log.address, &ClientSettings::default());
         let settings = FeedSettings {
             keep,
-            keep_after_ms: 0,
+            keep_delay_ms: 0,
             ..FeedSettings::default()
         };
         let feed = ConfigFeed::start(own, client, Links::new(sockets.links), settings);
@@ -101,7 +101,7 @@
         let datagram = Datagram {
             from: peer.identity.node(),
             role: ProcessRole::Entry,
-            news: vec![News::Config(other)],
+            messages: vec![GossipMessage::Config(other)],
         };
         let sent = peer.udp.send(self.address, &datagram).await;
         sent.expect("a send");
@@ -266,7 +266,7 @@
     client.append("config", &first).await.expect("an append");
     let (diverged, mut told) = tokio::sync::mpsc::unbounded_channel();
     let hooks = GossipHooks {
-        diverged: Arc::new(move |digest| diverged.send(digest.version).expect("a receiver")),
+        on_divergence: Arc::new(move |digest| diverged.send(digest.version).expect("a receiver")),
         ..GossipHooks::default()
     };
     let process =
@@ -303,7 +303,7 @@
     let probe = Datagram {
         from: newer.identity.node(),
         role: ProcessRole::Entry,
-        news: vec![News::Probe],
+        messages: vec![GossipMessage::Probe],
     };
     newer
         .udp
@@ -312,13 +312,13 @@
         .expect("a send");
     let answered = timeout(PATIENCE, newer.udp.recv()).await;
     answered.expect("the probe is never answered");
-    let crashed = News::Crashed(CrashReport {
+    let crashed = GossipMessage::Crashed(CrashReport {
         entry: process.address,
         endpoint: loopback(),
         digests: vec![[7; 16]],
     });
-    process.gossip.tell_entries(crashed.clone());
-    let told = async { while !newer.udp.recv().await.1.news.contains(&crashed) {} };
+    process.gossip.send_to_entries(crashed.clone());
+    let told = async { while !newer.udp.recv().await.1.messages.contains(&crashed) {} };
     timeout(PATIENCE, told)
         .await
         .expect("the crash is never told");
@@ -328,8 +328,8 @@
 // two seconds it would take more than all of a node's bytes for control.
 #[test]
 fn can_read_a_long_vm_list_seldom_enough() {
-    assert_eq!(node::read_every_ms(0), 2_000);
-    assert_eq!(node::read_every_ms(30), 2_000);
+    assert_eq!(node::vm_list_interval_ms(0), 2_000);
+    assert_eq!(node::vm_list_interval_ms(30), 2_000);
     let vm = Vm {
         address: "10.200.100.100:17000".parse().expect("an address"),
         role: VmRole::Agent,
@@ -339,6 +339,6 @@
     };
     let row = serde_json::to_string(&vm).expect("a row");
     let list_bytes = 990 * (row.len() as u64 + 1);
-    let bytes_per_s = list_bytes * 1_000 / node::read_every_ms(990);
+    let bytes_per_s = list_bytes * 1_000 / node::vm_list_interval_ms(990);
     assert!(bytes_per_s <= 2_200, "{bytes_per_s}");
 }
--- a/components/node/tests/pulse.rs
+++ b/components/node/tests/pulse.rs
@@ -1,6 +1,6 @@
 //! A pause of the process, as its heartbeat sees it.
 
-use node::Pulse;
+use node::PauseDetector;
 
 struct Case {
     name: &'static str,
@@ -47,12 +47,12 @@
         },
     ];
     for case in cases {
-        let pulse = Pulse::new(0);
+        let pulse = PauseDetector::new(0);
         for &beat_ms in case.beats_ms {
             pulse.beat(beat_ms);
         }
         assert_eq!(
-            pulse.age_of_arrival_ms(case.asked_ms),
+            pulse.arrival_age_ms(case.asked_ms),
             case.age_ms,
             "{}",
             case.name
--- a/components/protocol/src/datagram.rs
+++ b/components/protocol/src/datagram.rs
@@ -35,7 +35,7 @@
 
 /// One service that an endpoint hosts now.
 #[wire]
-pub struct Hosted {
+pub struct HostedService {
     /// Owner of the service.
     pub customer: CustomerName,
     /// The service.
@@ -55,7 +55,7 @@
     pub leaving: bool,
     /// Services that the endpoint can serve now, or the share of them in this part; empty
     /// while it is down.
-    pub hosted: Vec<Hosted>,
+    pub hosted: Vec<HostedService>,
     /// Which part of the hosted services this is, from 0 on.
     pub part: u8,
     /// Parts that the hosted services need; a datagram takes one.
@@ -101,7 +101,7 @@
 /// One piece of news. All but the probe, the status and the demand are rumours: the receiver keeps
 /// the higher and passes on what was new to it.
 #[wire]
-pub enum News {
+pub enum GossipMessage {
     /// Asks an agent for its status.
     Probe,
     /// Answers a probe.
@@ -152,5 +152,6 @@
     /// What the sender is.
     pub role: ProcessRole,
     /// The news, as many as fit.
-    pub news: Vec<News>,
+    #[serde(rename = "news")]
+    pub messages: Vec<GossipMessage>,
 }
--- a/components/protocol/src/error.rs
+++ b/components/protocol/src/error.rs
@@ -42,7 +42,7 @@
             display("the peer speaks protocol versions {} to {}", peer_min, peer_max)
         }
         /// A piece of news that does not fit a datagram alone.
-        NewsTooLarge(size_bytes: usize) {
+        MessageTooLarge(size_bytes: usize) {
             display("a piece of news has {} bytes and fits no datagram", size_bytes)
         }
     }
--- a/components/protocol/src/greeting.rs
+++ b/components/protocol/src/greeting.rs
@@ -52,7 +52,7 @@
 }
 
 /// The newest version that both this code and the peer speak.
-pub fn common_version(peer: &Hello) -> Result<u16, CodecError> {
+pub fn negotiate_version(peer: &Hello) -> Result<u16, CodecError> {
     let newest = VERSION_MAX.min(peer.version_max);
     let oldest = VERSION_MIN.max(peer.version_min);
     if newest < oldest {
--- a/components/protocol/src/lib.rs
+++ b/components/protocol/src/lib.rs
@@ -15,12 +15,13 @@
 pub use authentication::{Direction, NONCE_BYTES, Nonce, TAG_BYTES};
 pub use codec::{FRAME_OVERHEAD_BYTES, FrameReader, FrameWriter, LENGTH_BYTES, Session, check_end};
 pub use datagram::{
-    ConfigDigest, CrashReport, Datagram, DemandDigest, Hosted, Load, News, ProcessRole, Status,
+    ConfigDigest, CrashReport, Datagram, DemandDigest, GossipMessage, HostedService, Load,
+    ProcessRole, Status,
 };
 pub use error::CodecError;
 pub use frame::{Frame, Head, Hello, Open};
 pub use greeting::{
-    HELLO_BYTES_MAX, VERSION_MAX, VERSION_MIN, common_version, read_callee_hello,
+    HELLO_BYTES_MAX, VERSION_MAX, VERSION_MIN, negotiate_version, read_callee_hello,
     read_caller_hello, write_callee_hello, write_caller_hello,
 };
 pub use key::{KEY_BYTES, KEY_ID_BYTES, Key, KeyId, Keys};
--- a/components/protocol/src/packet.rs
+++ b/components/protocol/src/packet.rs
@@ -9,7 +9,7 @@
 use crate::authentication::{Authenticator, Purpose, TAG_BYTES};
 use crate::greeting::signing_key;
 use crate::payload::{append, read_whole};
-use crate::{CodecError, Datagram, KEY_ID_BYTES, Key, Keys, News};
+use crate::{CodecError, Datagram, GossipMessage, KEY_ID_BYTES, Key, Keys};
 
 /// Largest datagram, in bytes; below what any IPv6 path carries in one piece.
 pub const DATAGRAM_BYTES_MAX: usize = 1_200;
@@ -23,10 +23,10 @@
     key: &Key,
 ) -> Result<(Vec<Bytes>, Vec<CodecError>), CodecError> {
     let room_bytes = DATAGRAM_BYTES_MAX - KEY_ID_BYTES - TAG_BYTES - header_bytes(datagram)?;
-    let (groups, errors) = group(&datagram.news, room_bytes)?;
+    let (groups, errors) = group(&datagram.messages, room_bytes)?;
     let packets = groups
         .into_iter()
-        .map(|news| packet(datagram, news, key))
+        .map(|messages| packet(datagram, messages, key))
         .collect::<Result<_, _>>()?;
     Ok((packets, errors))
 }
@@ -53,35 +53,39 @@
 /// Packs the news in their order. Always gives at least one group, so that a datagram
 /// without news is sent as well.
 fn group(
-    news: &[News],
+    messages: &[GossipMessage],
     room_bytes: usize,
-) -> Result<(Vec<Vec<News>>, Vec<CodecError>), CodecError> {
+) -> Result<(Vec<Vec<GossipMessage>>, Vec<CodecError>), CodecError> {
     let mut groups = vec![Vec::new()];
     let mut errors = Vec::new();
     let mut used_bytes = 0;
-    for piece in news {
-        let piece_bytes = size_bytes(piece)?;
-        if piece_bytes > room_bytes {
-            errors.push(CodecError::NewsTooLarge(piece_bytes));
+    for message in messages {
+        let size_bytes = size_bytes(message)?;
+        if size_bytes > room_bytes {
+            errors.push(CodecError::MessageTooLarge(size_bytes));
             continue;
         }
-        if used_bytes + piece_bytes > room_bytes {
+        if used_bytes + size_bytes > room_bytes {
             groups.push(Vec::new());
             used_bytes = 0;
         }
-        used_bytes += piece_bytes;
+        used_bytes += size_bytes;
         if let Some(last) = groups.last_mut() {
-            last.push(piece.clone());
+            last.push(message.clone());
         }
     }
     Ok((groups, errors))
 }
 
-fn packet(datagram: &Datagram, news: Vec<News>, key: &Key) -> Result<Bytes, CodecError> {
+fn packet(
+    datagram: &Datagram,
+    messages: Vec<GossipMessage>,
+    key: &Key,
+) -> Result<Bytes, CodecError> {
     let part = Datagram {
         from: datagram.from,
         role: datagram.role,
-        news,
+        messages,
     };
     let mut out = BytesMut::with_capacity(DATAGRAM_BYTES_MAX);
     out.extend_from_slice(&key.id());
--- a/components/protocol/tests/datagrams.rs
+++ b/components/protocol/tests/datagrams.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
 
 use protocol::{
-    CodecError, DATAGRAM_BYTES_MAX, Datagram, Key, Keys, News, ProcessRole, read_datagram,
+    CodecError, DATAGRAM_BYTES_MAX, Datagram, GossipMessage, Key, Keys, ProcessRole, read_datagram,
     write_datagram,
 };
 use types::{Incarnation, NodeId};
@@ -14,11 +14,11 @@
     }
 }
 
-fn datagram(news: Vec<News>) -> Datagram {
+fn datagram(messages: Vec<GossipMessage>) -> Datagram {
     Datagram {
         from: node(1),
         role: ProcessRole::Entry,
-        news,
+        messages,
     }
 }
 
@@ -29,13 +29,13 @@
 checks::seeded! {
     fn can_split_any_number_of_news(numbers: Vec<u64>, repeat: u8) -> bool {
         let numbers = numbers.repeat(usize::from(repeat));
-        let news: Vec<_> = numbers.iter().map(|&of| News::Leaving { node: node(of) }).collect();
+        let messages: Vec<_> = numbers.iter().map(|&of| GossipMessage::Leaving { node: node(of) }).collect();
         let keys = keys();
-        let (packets, errors) = write_datagram(&datagram(news.clone()), keys.signing()).unwrap();
+        let (packets, errors) = write_datagram(&datagram(messages.clone()), keys.signing()).unwrap();
         let read = packets.iter().map(|packet| read_datagram(packet, &keys).unwrap());
-        let read: Vec<News> = read.flat_map(|part| part.news).collect();
+        let read: Vec<GossipMessage> = read.flat_map(|part| part.messages).collect();
         let fit = packets.iter().all(|packet| packet.len() <= DATAGRAM_BYTES_MAX);
-        errors.is_empty() && fit && read == news
+        errors.is_empty() && fit && read == messages
     }
 
     fn can_survive_any_bytes(bytes: Vec<u8>) -> bool {
@@ -80,7 +80,8 @@
         ),
     ];
     for case in cases {
-        let written = write_datagram(&datagram(vec![News::Probe]), keys().signing()).unwrap();
+        let written =
+            write_datagram(&datagram(vec![GossipMessage::Probe]), keys().signing()).unwrap();
         let mut packet = written.0[0].to_vec();
         (case.change)(&mut packet);
         assert_eq!(
@@ -95,8 +96,11 @@
 // The bytes were computed by another program, from the description of the format.
 #[test]
 fn can_keep_the_format() {
-    let news = vec![News::Probe, News::Leaving { node: node(300) }];
-    let (packets, _) = write_datagram(&datagram(news), keys().signing()).unwrap();
+    let messages = vec![
+        GossipMessage::Probe,
+        GossipMessage::Leaving { node: node(300) },
+    ];
+    let (packets, _) = write_datagram(&datagram(messages), keys().signing()).unwrap();
     let hex: String = packets[0]
         .iter()
         .map(|byte| format!("{byte:02x}"))
--- a/components/protocol/tests/frames.rs
+++ b/components/protocol/tests/frames.rs
@@ -4,7 +4,7 @@
 use bytes::{Bytes, BytesMut};
 use protocol::{
     CodecError, Direction, Frame, FrameReader, FrameWriter, Head, Hello, Key, Keys, LENGTH_BYTES,
-    Nonce, Open, ProcessRole, Session, check_end, common_version, read_callee_hello,
+    Nonce, Open, ProcessRole, Session, check_end, negotiate_version, read_callee_hello,
     read_caller_hello, write_callee_hello, write_caller_hello,
 };
 use types::{
@@ -366,7 +366,7 @@
             ..hello()
         };
         let mismatch = CodecError::NoCommonVersion(version_min, version_max);
-        assert_eq!(common_version(&peer), expected.map_err(|()| mismatch));
+        assert_eq!(negotiate_version(&peer), expected.map_err(|()| mismatch));
     }
 }
 
--- a/components/sidecar/examples/swap.rs
+++ b/components/sidecar/examples/swap.rs
@@ -15,7 +15,7 @@
 use adapters::{ClientSettings, Engine, EngineModel, LogClient, Vm, VmRole, VmState};
 use config::{Publish, Record};
 use link::{LinkSettings, Udp};
-use protocol::{Datagram, Key, Keys, News, ProcessRole};
+use protocol::{Datagram, GossipMessage, Key, Keys, ProcessRole};
 use settings::{AgentSettings, CommonSettings, EndpointKind, Fencing, SharedKey};
 use sidecar::{Sidecar, Tuning};
 use standins::engine::EngineSettings;
@@ -136,7 +136,7 @@
         wanted: impl Fn(&EngineModel) -> bool,
     ) -> Result<u128, Failed> {
         let began = Instant::now();
-        let news = News::Weights {
+        let news = GossipMessage::Weights {
             customer: "office".parse()?,
             service: "redacteurs".parse()?,
             target,
@@ -144,7 +144,7 @@
         let datagram = Datagram {
             from: self.node,
             role: ProcessRole::Entry,
-            news: vec![news],
+            messages: vec![news],
         };
         self.teller.send(self.agents[0], &datagram).await?;
         for (_, engine) in &self.engines {
--- a/components/sidecar/src/agent.rs
+++ b/components/sidecar/src/agent.rs
@@ -10,7 +10,7 @@
 use arc_swap::ArcSwap;
 use config::{Kind, Service};
 use leaving::{Drain, DrainSettings};
-use node::{ConfigFeed, Identity, Pulse};
+use node::{ConfigFeed, Identity, PauseDetector};
 use settings::{AgentSettings, EndpointKind};
 use telemetry::Metrics;
 
@@ -49,7 +49,7 @@
     /// Bounds.
     pub limits: AgentLimits,
     /// Heartbeat of the process.
-    pub pulse: Pulse,
+    pub pulse: PauseDetector,
     /// How far it is on its way out.
     pub drain: Drain,
     /// Configuration in force.
@@ -98,7 +98,7 @@
             },
             engine_names: EngineNames::of(&settings.customers),
             limits,
-            pulse: Pulse::start(),
+            pulse: PauseDetector::start(),
             drain: Drain::new(drain_settings),
             feed,
             endpoint: Endpoint::new(settings.endpoint, endpoint_settings),
--- a/components/sidecar/src/calls.rs
+++ b/components/sidecar/src/calls.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use config::Kind;
-use link::{Answer, Incoming};
+use link::{AnswerSender, IncomingCall};
 use node::{ConfigFeed, now_ms};
 use protocol::Open;
 use telemetry::Label;
@@ -15,33 +15,33 @@
 use crate::relay::{Relay, pass};
 
 /// Takes one call in; never waits.
-pub fn take(agent: &Arc<Agent>, call: Incoming) {
+pub fn take(agent: &Arc<Agent>, call: IncomingCall) {
     let arrived_ms = now_ms();
-    let age_ms = agent.pulse.age_of_arrival_ms(arrived_ms);
+    let age_ms = agent.pulse.arrival_age_ms(arrived_ms);
     let agent = Arc::clone(agent);
     tokio::spawn(async move {
-        let Incoming { open, answer, .. } = call;
+        let IncomingCall { open, answer, .. } = call;
         if ConfigFeed::is_text_call(&open) {
             serve_text(&agent, &open, &answer).await;
             return;
         }
         let ended = run(&agent, &open, &answer, arrived_ms, age_ms).await;
         match ended {
-            Ok(()) => answer.end(),
+            Ok(()) => answer.finish(),
             Err(failure) => answer.fail(failure),
         }
         note(&agent, &open, arrived_ms, ended);
     });
 }
 
-async fn serve_text(agent: &Agent, open: &Open, answer: &Answer) {
+async fn serve_text(agent: &Agent, open: &Open, answer: &AnswerSender) {
     match agent.feed.serve_text(open).await {
         Ok((head, text)) => {
-            answer.accepted();
-            answer.started();
-            answer.head(head).await;
+            answer.mark_accepted();
+            answer.mark_started();
+            answer.send_head(head).await;
             pass(answer, text).await;
-            answer.end();
+            answer.finish();
         }
         Err(failure) => answer.fail(failure),
     }
@@ -50,7 +50,7 @@
 async fn run(
     agent: &Agent,
     open: &Open,
-    answer: &Answer,
+    answer: &AnswerSender,
     arrived_ms: u64,
     age_ms: u64,
 ) -> Result<(), Failure> {
@@ -62,7 +62,7 @@
     let life = agent.health.life();
     let hosting = agent.hosting();
     let place = gate::place_of(open, &hosting, &agent.health.look())?;
-    answer.accepted();
+    answer.mark_accepted();
     let left_ms = gate::time_left_ms(open, now_ms() - arrived_ms, age_ms)?;
     let is_model = place.service.kind == Kind::Model;
     let engine_model = is_model.then_some(place.engine_model.as_str());
@@ -77,7 +77,7 @@
 async fn relay_until(
     agent: &Agent,
     relay: &mut Relay<'_>,
-    answer: &Answer,
+    answer: &AnswerSender,
     life: u32,
     left_ms: u64,
 ) -> Result<(), Failure> {
--- a/components/sidecar/src/relay.rs
+++ b/components/sidecar/src/relay.rs
@@ -2,7 +2,7 @@
 
 use adapters::{AnswerHead, Body, Endpoint, Request, Response};
 use bytes::Bytes;
-use link::Answer;
+use link::AnswerSender;
 use protocol::{Head, Open};
 use types::{Cause, Failure};
 
@@ -20,7 +20,7 @@
 pub struct Relay<'a> {
     endpoint: &'a Endpoint,
     open: &'a Open,
-    answer: &'a Answer,
+    answer: &'a AnswerSender,
     /// Name of the model at the engine; `None` for a plain service.
     engine_model: Option<&'a str>,
     stage: Stage,
@@ -31,7 +31,7 @@
     pub fn new(
         endpoint: &'a Endpoint,
         open: &'a Open,
-        answer: &'a Answer,
+        answer: &'a AnswerSender,
         engine_model: Option<&'a str>,
     ) -> Self {
         Self {
@@ -60,7 +60,7 @@
         let (stage, answer) = (&mut self.stage, self.answer);
         let before_write = || {
             *stage = Stage::Sent;
-            answer.started();
+            answer.mark_started();
         };
         let sent = self
             .endpoint
@@ -116,14 +116,14 @@
         }
         let document = Bytes::from(document);
         check_document(&document)?;
-        self.answer.head(head_of(head)).await;
+        self.answer.send_head(head_of(head)).await;
         pass(self.answer, document).await;
         Ok(())
     }
 
     async fn pass_stream(&self, head: AnswerHead, mut body: Body) -> Result<(), Stop> {
         let mut check = StreamCheck::new();
-        self.answer.head(head_of(head)).await;
+        self.answer.send_head(head_of(head)).await;
         while let Some(bytes) = body.next().await? {
             check.push(&bytes)?;
             pass(self.answer, bytes).await;
@@ -132,7 +132,7 @@
     }
 
     async fn pass_opaque(&self, head: AnswerHead, mut body: Body) -> Result<(), Stop> {
-        self.answer.head(head_of(head)).await;
+        self.answer.send_head(head_of(head)).await;
         while let Some(bytes) = body.next().await? {
             pass(self.answer, bytes).await;
         }
@@ -141,10 +141,10 @@
 }
 
 /// Passes bytes on in parts of a size that lets other calls through in between.
-pub async fn pass(answer: &Answer, mut bytes: Bytes) {
+pub async fn pass(answer: &AnswerSender, mut bytes: Bytes) {
     while !bytes.is_empty() {
         let part = bytes.split_to(bytes.len().min(PART_BYTES_MAX));
-        answer.chunk(part).await;
+        answer.send_chunk(part).await;
     }
 }
 
--- a/components/sidecar/src/start.rs
+++ b/components/sidecar/src/start.rs
@@ -10,10 +10,10 @@
 use link::{LinkSettings, Links, Udp};
 use node::admin::{self, AdminHooks};
 use node::{
-    ConfigFeed, FeedSettings, Gossip, GossipHooks, GossipSettings, Identity, Leaving, NodeError,
-    Sockets, leave,
+    ConfigFeed, DrainSignal, FeedSettings, Gossip, GossipHooks, GossipSettings, Identity,
+    NodeError, Sockets, leave,
 };
-use protocol::{News, ProcessRole};
+use protocol::{GossipMessage, ProcessRole};
 use settings::{AgentSettings, Fencing};
 use telemetry::{Label, Metrics, MetricsSettings};
 use weights::ReconcileSettings;
@@ -81,8 +81,8 @@
             admin,
             links,
         } = self.sockets;
-        let leaving = Leaving::new();
-        leaving.order_on(stop);
+        let leaving = DrainSignal::new();
+        leaving.trigger_on(stop);
         let (agent, weights) = start_agent(&self.settings, &self.tuning, identity, &links)?;
         let gossip = start_gossip(
             &self.settings,
@@ -97,10 +97,10 @@
         log::info!(event = "agent-started", node:% = agent.identity.node(), pool:% = agent.site.pool; "");
         let serving = Arc::clone(&agent);
         let handle = move |call| calls::take(&serving, call);
-        let settled = leave::settle(&agent.drain, &gossip, &leaving);
+        let settled = leave::announce_and_settle(&agent.drain, &gossip, &leaving);
         tokio::select! {
             () = link::serve(inner, links, handle, settled) => {}
-            () = leave::overtime(&agent.drain, &leaving) => {}
+            () = leave::wait_for_drain_timeout(&agent.drain, &leaving) => {}
         }
         log::info!(event = "agent-ended", node:% = agent.identity.node(); "");
         Ok(())
@@ -152,7 +152,7 @@
     agent: &Arc<Agent>,
     udp: Udp,
     weights: &Weights,
-    leaving: &Leaving,
+    leaving: &DrainSignal,
 ) -> Gossip {
     let vm_list = VmList::new(settings.common.vm_list, &ClientSettings::default());
     let hooks = gossip_hooks(agent, weights, leaving);
@@ -167,15 +167,15 @@
     )
 }
 
-fn gossip_hooks(agent: &Arc<Agent>, weights: &Weights, leaving: &Leaving) -> GossipHooks {
+fn gossip_hooks(agent: &Arc<Agent>, weights: &Weights, leaving: &DrainSignal) -> GossipHooks {
     let told = Arc::clone(agent);
     let counted = agent.metrics.clone();
     let weights = weights.clone();
     let leaving = leaving.clone();
     GossipHooks {
         statuses: Some(Arc::new(move || status::statuses(&told))),
-        heard: Arc::new(move |news| {
-            if let News::Weights {
+        on_message: Arc::new(move |news| {
+            if let GossipMessage::Weights {
                 customer,
                 service,
                 target,
@@ -184,13 +184,15 @@
                 weights.heard(customer, service, *target);
             }
         }),
-        leaving: Arc::new(move || leaving.order()),
-        diverged: Arc::new(move |_| counted.count("config_diverged_total", Label::default(), 1)),
+        on_own_leaving: Arc::new(move || leaving.trigger()),
+        on_divergence: Arc::new(move |_| {
+            counted.count("config_diverged_total", Label::default(), 1)
+        }),
         ..GossipHooks::default()
     }
 }
 
-fn admin_hooks(agent: &Arc<Agent>, weights: &Weights, leaving: &Leaving) -> AdminHooks {
+fn admin_hooks(agent: &Arc<Agent>, weights: &Weights, leaving: &DrainSignal) -> AdminHooks {
     let ready = Arc::clone(agent);
     let shown = Arc::clone(agent);
     let weights = weights.clone();
@@ -200,7 +202,7 @@
         status: Arc::new(move || -> BoxFuture<'static, String> {
             status::page(Arc::clone(&shown), weights.clone()).boxed()
         }),
-        drain: Arc::new(move || leaving.order()),
+        drain: Arc::new(move || leaving.trigger()),
     }
 }
 
--- a/components/sidecar/src/status.rs
+++ b/components/sidecar/src/status.rs
@@ -5,7 +5,7 @@
 
 use config::Kind;
 use node::now_ms;
-use protocol::{Hosted, Load, Status};
+use protocol::{HostedService, Load, Status};
 use serde::Serialize;
 
 use crate::agent::Agent;
@@ -39,7 +39,7 @@
 /// The services in shares that fit one datagram each, at least one share. A status over
 /// the size of a datagram would not be sent at all, and the endpoint would get no work for
 /// any service.
-fn shares(hosted: Vec<Hosted>) -> Vec<Vec<Hosted>> {
+fn shares(hosted: Vec<HostedService>) -> Vec<Vec<HostedService>> {
     let mut shares = vec![Vec::new()];
     let mut room_bytes = HOSTED_BYTES_MAX;
     for hosted in hosted {
@@ -57,7 +57,7 @@
     shares
 }
 
-fn hosted(agent: &Agent, look: &Look) -> Vec<Hosted> {
+fn hosted(agent: &Agent, look: &Look) -> Vec<HostedService> {
     if !look.up {
         return Vec::new();
     }
@@ -71,7 +71,7 @@
                 Kind::Model => Some(look.model(&place.engine_model)?.version),
                 Kind::Plain => None,
             };
-            Some(Hosted {
+            Some(HostedService {
                 customer: service.owner.clone(),
                 service: service.name.clone(),
                 weights,
@@ -163,7 +163,7 @@
     serde_json::to_string(&page).unwrap_or_default()
 }
 
-fn hosted_row(hosted: Hosted) -> HostedRow {
+fn hosted_row(hosted: HostedService) -> HostedRow {
     HostedRow {
         customer: hosted.customer.to_string(),
         service: hosted.service.to_string(),
--- a/components/sidecar/tests/common/mod.rs
+++ b/components/sidecar/tests/common/mod.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use config::{Publish, Record};
 use link::{Call, CallEvent, LinkSettings, Links, Udp};
-use protocol::{Datagram, Head, Key, Keys, News, Open, ProcessRole, Status};
+use protocol::{Datagram, GossipMessage, Head, Key, Keys, Open, ProcessRole, Status};
 use settings::{AgentSettings, CommonSettings, EndpointKind, Fencing, SharedKey};
 use sidecar::{Sidecar, Tuning};
 use standins::engine::{EngineSettings, Speeds};
@@ -50,12 +50,12 @@
     version: 2,
 };
 
-pub fn second_version() -> News {
+pub fn second_version() -> GossipMessage {
     weights(WeightTarget::serve(SECOND))
 }
 
-pub fn weights(target: WeightTarget) -> News {
-    News::Weights {
+pub fn weights(target: WeightTarget) -> GossipMessage {
+    GossipMessage::Weights {
         customer: "office".parse().unwrap(),
         service: "redacteurs".parse().unwrap(),
         target,
@@ -327,11 +327,11 @@
         end_of(&mut call).await
     }
 
-    pub async fn tell(&self, agent: &TestAgent, news: News) {
+    pub async fn tell(&self, agent: &TestAgent, news: GossipMessage) {
         let datagram = Datagram {
             from: self.node,
             role: ProcessRole::Entry,
-            news: vec![news],
+            messages: vec![news],
         };
         self.udp.send(agent.address, &datagram).await.unwrap();
     }
@@ -344,7 +344,7 @@
     ) -> Status {
         let seen = async {
             loop {
-                self.tell(agent, News::Probe).await;
+                self.tell(agent, GossipMessage::Probe).await;
                 let heard = timeout(Duration::from_millis(50), self.status_of(agent)).await;
                 if let Ok(status) = heard
                     && wanted(&status)
@@ -374,10 +374,14 @@
         loop {
             let (_, datagram) = self.udp.recv().await;
             let status_of = |news| match news {
-                News::Status(status) => Some(*status),
+                GossipMessage::Status(status) => Some(*status),
                 _ => None,
             };
-            let statuses: Vec<Status> = datagram.news.into_iter().filter_map(status_of).collect();
+            let statuses: Vec<Status> = datagram
+                .messages
+                .into_iter()
+                .filter_map(status_of)
+                .collect();
             if datagram.from.address == agent.address && !statuses.is_empty() {
                 return (datagram.from, statuses);
             }
--- a/components/sidecar/tests/customers.rs
+++ b/components/sidecar/tests/customers.rs
@@ -10,7 +10,7 @@
     Caller, Ended, OFFICE, PATIENCE, Platform, SECOND, TestAgent, engine_of, get, plain_endpoint,
     second_version,
 };
-use protocol::{News, Open, Status};
+use protocol::{GossipMessage, Open, Status};
 use settings::EndpointKind;
 use tokio::time::timeout;
 use types::{Cause, RunState, WeightVersion};
@@ -135,7 +135,7 @@
     let mut heard = BTreeSet::new();
     let all = async {
         while heard.len() < names.len() {
-            caller.tell(&agent, News::Probe).await;
+            caller.tell(&agent, GossipMessage::Probe).await;
             let (_, statuses) = caller.statuses_of(&agent).await;
             let hosted = statuses.into_iter().flat_map(|status| status.hosted);
             heard.extend(hosted.map(|hosted| hosted.customer));
--- a/components/sidecar/tests/life.rs
+++ b/components/sidecar/tests/life.rs
@@ -8,7 +8,7 @@
     engine_with_store, get, loopback, plain_endpoint, second_version, until, weights,
 };
 use link::CallEvent;
-use protocol::{News, Open};
+use protocol::{GossipMessage, Open};
 use settings::EndpointKind;
 use sidecar::Tuning;
 use standins::store::StoreSettings;
@@ -209,10 +209,12 @@
     let caller = Caller::start().await;
     caller.hosted(&agent).await;
     let earlier = Incarnation(u64::MAX - 7);
-    caller.tell(&agent, News::Incarnation(earlier)).await;
-    caller.tell(&agent, News::Probe).await;
+    caller
+        .tell(&agent, GossipMessage::Incarnation(earlier))
+        .await;
+    caller.tell(&agent, GossipMessage::Probe).await;
     while caller.sender_and_status_of(&agent).await.0.incarnation <= earlier {
-        caller.tell(&agent, News::Probe).await;
+        caller.tell(&agent, GossipMessage::Probe).await;
     }
 }
 
@@ -225,10 +227,10 @@
     let endpoint = plain_endpoint(0).await;
     let mut agent = TestAgent::start(&platform, endpoint.address, EndpointKind::Plain).await;
     let caller = Caller::start().await;
-    caller.tell(&agent, News::Probe).await;
+    caller.tell(&agent, GossipMessage::Probe).await;
     let (node, status) = caller.sender_and_status_of(&agent).await;
     assert!(!status.leaving);
-    caller.tell(&agent, News::Leaving { node }).await;
+    caller.tell(&agent, GossipMessage::Leaving { node }).await;
     while !caller.status_of(&agent).await.leaving {}
     agent.ended().await;
 }
