--- a/components/link/src/accept.rs
+++ b/components/link/src/accept.rs
@@ -1,5 +1,7 @@
-//! Callee side: takes connections and greets them, apart from the task that serves calls,
-//! so that a peer that does not greet holds up nobody.
+//! Callee side: accepts connections and performs their handshakes.
+//!
+//! This happens in tasks of its own, so that a peer that does not complete its handshake does
+//! not delay the task that serves calls.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,29 +11,29 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::sleep;
 
-use crate::connection::Greeted;
-use crate::{LinkSettings, greet};
+use crate::connection::EstablishedConnection;
+use crate::{LinkSettings, handshake};
 
-/// Connections that may be in greeting at a time; more are closed at once.
-const GREETING_MAX: usize = 256;
-/// Greeted connections that wait for the server.
-const GREETED_MAX: usize = 64;
-/// Pause after the system could not give a connection (out of file descriptors, mostly),
-/// so that the loop does not spin.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Handshakes in progress at a time; further connections are closed at once.
+const HANDSHAKES_MAX: usize = 256;
+/// Established connections that wait for the server task.
+const ESTABLISHED_QUEUE_MAX: usize = 64;
+/// Pause after a failed accept, mostly for lack of file descriptors, so that the loop does
+/// not spin.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The accepting task. Dropped, it stops.
+/// Handle of the accepting task, which stops when the handle is dropped.
 pub(crate) struct Acceptor {
-    pub greeted: mpsc::Receiver<Greeted>,
+    pub established: mpsc::Receiver<EstablishedConnection>,
     task: AbortHandle,
 }
 
 impl Acceptor {
     pub fn start(listener: TcpListener, settings: LinkSettings, boot: u64) -> Self {
-        let (greeted_in, greeted) = mpsc::channel(GREETED_MAX);
-        let task = tokio::spawn(accept(listener, settings, boot, greeted_in));
+        let (established_sender, established) = mpsc::channel(ESTABLISHED_QUEUE_MAX);
+        let task = tokio::spawn(accept(listener, settings, boot, established_sender));
         Self {
-            greeted,
+            established,
             task: task.abort_handle(),
         }
     }
@@ -47,39 +49,39 @@
     listener: TcpListener,
     settings: LinkSettings,
     boot: u64,
-    greeted: mpsc::Sender<Greeted>,
+    established: mpsc::Sender<EstablishedConnection>,
 ) {
-    let places = Arc::new(Semaphore::new(GREETING_MAX));
-    let mut greetings = JoinSet::new();
+    let slots = Arc::new(Semaphore::new(HANDSHAKES_MAX));
+    let mut handshakes = JoinSet::new();
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
                 log::warn!(event = "accept-failed", cause:% = error; "");
-                sleep(PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        while greetings.try_join_next().is_some() {}
-        if let Ok(place) = places.clone().try_acquire_owned() {
-            let (settings, greeted) = (settings.clone(), greeted.clone());
-            greetings.spawn(async move {
-                greet_one(stream, &settings, boot, &greeted).await;
-                drop(place);
+        while handshakes.try_join_next().is_some() {}
+        if let Ok(slot) = slots.clone().try_acquire_owned() {
+            let (settings, established) = (settings.clone(), established.clone());
+            handshakes.spawn(async move {
+                perform_handshake(stream, &settings, boot, &established).await;
+                drop(slot);
             });
         }
     }
 }
 
-async fn greet_one(
+async fn perform_handshake(
     stream: TcpStream,
     settings: &LinkSettings,
     boot: u64,
-    greeted: &mpsc::Sender<Greeted>,
+    established: &mpsc::Sender<EstablishedConnection>,
 ) {
-    match greet::accept(stream, settings, boot).await {
-        // The receiver goes with the server only.
-        Ok(connection) => drop(greeted.send(connection).await),
+    match handshake::accept(stream, settings, boot).await {
+        // Sending fails only after the server has ended; the connection is then closed.
+        Ok(connection) => drop(established.send(connection).await),
         Err(error) => log::info!(event = "greeting-failed", cause:% = error; ""),
     }
 }
--- a/components/link/src/answer.rs
+++ b/components/link/src/answer.rs
@@ -1,4 +1,4 @@
-//! Callee side: what a handler gets for each call.
+//! Callee side: a received call and the handle through which its handler sends the answer.
 
 use std::sync::Arc;
 
@@ -8,53 +8,57 @@
 use tokio::sync::{Semaphore, mpsc, watch};
 use types::{CallId, Cause, Failure, NodeId, RunState};
 
-/// Smallest window that lets an answer move.
+/// Lower bound of the window. A smaller one could block an answer.
 const WINDOW_BYTES_MIN: usize = 1_024;
-/// Pieces of an answer are at most this share of the window, so that they flow while
-/// others are acknowledged, and calls on one connection take turns.
-const PIECE_SHARE: usize = 4;
-/// Bytes that a header may have beside its two texts.
+/// Chunks per window: the body of an answer is split into chunks of at most this fraction of
+/// the window, so that chunks are sent while earlier ones are acknowledged, and calls on one
+/// connection alternate.
+const CHUNKS_PER_WINDOW: usize = 4;
+/// Upper bound of the bytes that encode a header, besides its name and value.
 const HEADER_OVERHEAD_BYTES: usize = 8;
-/// Bytes of a frame that a head cannot use.
+/// Upper bound of the bytes of a head frame besides its headers.
 const HEAD_OVERHEAD_BYTES: usize = 256;
 
-/// A call that has arrived.
+/// A call that the server received.
 #[derive(Debug)]
 pub struct IncomingCall {
-    /// The call.
+    /// The request with its customer, service and deadline.
     pub open: Open,
-    /// The process that calls.
+    /// The process that sent the call.
     pub from: NodeId,
-    /// Takes the answer.
+    /// Handle through which the answer is sent.
     pub answer: AnswerSender,
 }
 
-/// What a handler says of a call.
+/// An event that a handler reports about its call.
 #[derive(Debug)]
-pub(crate) enum Said {
+pub(crate) enum AnswerEvent {
     Accepted,
     Started,
     Head(Head),
     Chunk(Bytes),
     End,
     Fail(Failure),
+    /// The handle was dropped before the answer was complete.
     Dropped,
 }
 
-/// Takes the answer to one call. Dropped before [`AnswerSender::finish`] or [`AnswerSender::fail`], it
-/// fails the call: not run when [`AnswerSender::mark_started`] was never called, unknown when it
-/// was, failed when part of the answer was given.
+/// Sends the answer to one call.
+///
+/// Dropping the handle before [`AnswerSender::finish`] or [`AnswerSender::fail`] fails the call
+/// with a state that depends on its progress: not run before [`AnswerSender::mark_started`],
+/// unknown after it, failed if part of the answer was sent.
 #[derive(Debug)]
 pub struct AnswerSender {
     id: CallId,
-    said: mpsc::UnboundedSender<(CallId, Said)>,
+    events: mpsc::UnboundedSender<(CallId, AnswerEvent)>,
     window: Arc<Semaphore>,
     window_bytes: usize,
     frame_bytes_max: usize,
     cancelled: watch::Receiver<bool>,
 }
 
-/// The server's end of an [`AnswerSender`].
+/// Flow control and cancellation of an [`AnswerSender`], held by the server.
 #[derive(Debug)]
 pub(crate) struct AnswerControl {
     window: Arc<Semaphore>,
@@ -62,17 +66,18 @@
 }
 
 impl AnswerControl {
-    /// The caller has taken parts.
+    /// Returns window to the sender after the caller has acknowledged `bytes`.
     pub fn credit(&self, bytes: usize) {
         self.window.add_permits(bytes);
     }
 
-    /// The answer must not wait for its caller.
+    /// Removes the flow control: the caller is gone and will acknowledge nothing, but the
+    /// call must run to its end.
     pub fn unblock(&self) {
         self.window.close();
     }
 
-    /// Nobody wants the answer.
+    /// Cancels the call: no caller waits for the answer.
     pub fn cancel(&self) {
         self.unblock();
         self.cancelled.send_replace(true);
@@ -82,20 +87,20 @@
 impl AnswerSender {
     pub(crate) fn new(
         id: CallId,
-        said: mpsc::UnboundedSender<(CallId, Said)>,
+        events: mpsc::UnboundedSender<(CallId, AnswerEvent)>,
         window_bytes: usize,
         frame_bytes_max: usize,
     ) -> (Self, AnswerControl) {
         let window_bytes = window_bytes.max(WINDOW_BYTES_MIN);
         let window = Arc::new(Semaphore::new(window_bytes));
-        let (cancel, cancelled) = watch::channel(false);
+        let (cancel_sender, cancelled) = watch::channel(false);
         let control = AnswerControl {
             window: window.clone(),
-            cancelled: cancel,
+            cancelled: cancel_sender,
         };
         let answer = Self {
             id,
-            said,
+            events,
             window,
             window_bytes,
             frame_bytes_max,
@@ -104,81 +109,81 @@
         (answer, control)
     }
 
-    /// Identity of the call.
+    /// The id of the call, for log lines.
     pub fn id(&self) -> CallId {
         self.id
     }
 
-    /// The call is taken in.
+    /// Reports that the call was admitted and will be refused or started.
     pub fn mark_accepted(&self) {
-        self.say(Said::Accepted);
+        self.send_event(AnswerEvent::Accepted);
     }
 
-    /// The call is handed to the endpoint now. Must come before the first byte leaves for
-    /// the endpoint; from here on nobody is told that the call was not run.
+    /// Reports that the call is now sent to the endpoint. Must be called before the first byte
+    /// is sent there: from then on a failure is no longer reported as "not run".
     pub fn mark_started(&self) {
-        self.say(Said::Started);
+        self.send_event(AnswerEvent::Started);
     }
 
-    /// Status and headers of the answer; ones too large for a frame fail the call.
+    /// Sends the status and headers. Fails the call if they exceed the largest frame.
     pub async fn send_head(&self, head: Head) {
-        if head_bytes(&head) > self.frame_bytes_max {
+        if head_frame_bytes(&head) > self.frame_bytes_max {
             self.fail(Failure::new(RunState::Failed, Cause::TooLarge));
             return;
         }
-        self.say(Said::Head(head));
+        self.send_event(AnswerEvent::Head(head));
     }
 
-    /// The next bytes of the answer; waits while the caller's window is full. Returns at
-    /// once when the call was cancelled.
+    /// Sends the next bytes of the body and waits while the window is used up. Does not wait
+    /// once the call is cancelled.
     pub async fn send_chunk(&self, mut bytes: Bytes) {
-        let piece_bytes = self.window_bytes / PIECE_SHARE;
+        let chunk_bytes = self.window_bytes / CHUNKS_PER_WINDOW;
         while !bytes.is_empty() {
-            let piece = bytes.split_to(piece_bytes.min(bytes.len()));
-            self.enter_window(piece.len()).await;
-            self.say(Said::Chunk(piece));
+            let chunk = bytes.split_to(chunk_bytes.min(bytes.len()));
+            self.acquire_window(chunk.len()).await;
+            self.send_event(AnswerEvent::Chunk(chunk));
         }
     }
 
-    /// The answer is whole.
+    /// Completes the answer.
     pub fn finish(&self) {
-        self.say(Said::End);
+        self.send_event(AnswerEvent::End);
     }
 
-    /// There is no whole answer.
+    /// Ends the call with a failure; parts that were sent before stay sent.
     pub fn fail(&self, failure: Failure) {
-        self.say(Said::Fail(failure));
+        self.send_event(AnswerEvent::Fail(failure));
     }
 
-    /// Waits until nobody wants the answer any more.
+    /// Completes when the call is cancelled, by its caller or because its caller is gone.
     pub async fn cancelled(&self) {
         let mut cancelled = self.cancelled.clone();
-        // An error says that the server is gone, and with it everybody who could ask.
+        // An error means that the server has ended, and the call with it.
         let _ = cancelled.wait_for(|&cancelled| cancelled).await;
     }
 
-    async fn enter_window(&self, size_bytes: usize) {
+    async fn acquire_window(&self, size_bytes: usize) {
         let cost_bytes = part_cost_bytes(size_bytes).min(self.window_bytes);
         let cost_bytes = u32::try_from(cost_bytes).unwrap_or(u32::MAX);
-        // A closed window lets everything pass.
+        // The acquisition fails only on a closed semaphore, which removes the flow control.
         if let Ok(permit) = self.window.acquire_many(cost_bytes).await {
             permit.forget();
         }
     }
 
-    fn say(&self, said: Said) {
-        // Without a server there is nobody left to tell.
-        let _ = self.said.send((self.id, said));
+    fn send_event(&self, event: AnswerEvent) {
+        // Sending fails only after the server has ended; then no caller can receive the event.
+        let _ = self.events.send((self.id, event));
     }
 }
 
 impl Drop for AnswerSender {
     fn drop(&mut self) {
-        self.say(Said::Dropped);
+        self.send_event(AnswerEvent::Dropped);
     }
 }
 
-fn head_bytes(head: &Head) -> usize {
+fn head_frame_bytes(head: &Head) -> usize {
     let headers = head.headers.iter();
     let header_bytes =
         headers.map(|(name, value)| name.len() + value.len() + HEADER_OVERHEAD_BYTES);
--- a/components/link/src/call.rs
+++ b/components/link/src/call.rs
@@ -1,22 +1,23 @@
-//! The caller's handle of one call.
+//! The caller's handle for one call.
 
 use protocol::Open;
 use recovery::{CallEvent, part_cost_bytes};
 use tokio::sync::mpsc;
 use types::{CallId, Cause, Failure, RunState};
 
-/// Share of the window after which the callee hears that parts were taken.
-const WINDOW_SHARES: usize = 4;
+/// Acknowledgements per window: received parts are acknowledged once they amount to this
+/// fraction of the window, so that the callee can send while an acknowledgement is in transit.
+const ACKS_PER_WINDOW: usize = 4;
 
-/// From a call's handle, or from [`crate::Links`], to the task of the peer.
+/// A command from [`crate::Links`] or from the handle of a call to the task of the peer.
 #[derive(Debug)]
 pub(crate) enum Command {
     Open {
         open: Box<Open>,
         events: mpsc::UnboundedSender<CallEvent>,
     },
-    /// The caller has taken all parts before `next_part`.
-    Taken {
+    /// The caller has consumed all parts before `next_part`.
+    Consumed {
         id: CallId,
         next_part: u32,
     },
@@ -25,7 +26,8 @@
     },
 }
 
-/// A call in progress. Dropped before its last event, it is cancelled at the callee.
+/// A call in progress. Dropping the handle before the last event cancels the call at the
+/// callee.
 #[derive(Debug)]
 pub struct Call {
     id: CallId,
@@ -34,7 +36,7 @@
     last: Option<CallEvent>,
     window_bytes: usize,
     next_part: u32,
-    untold_bytes: usize,
+    unacknowledged_bytes: usize,
 }
 
 impl Call {
@@ -51,18 +53,18 @@
             last: None,
             window_bytes,
             next_part: 0,
-            untold_bytes: 0,
+            unacknowledged_bytes: 0,
         }
     }
 
-    /// Identity of the call.
+    /// The id of this attempt; a retry of the same request has another id.
     pub fn id(&self) -> CallId {
         self.id
     }
 
-    /// Waits for the next event. After the last one ([`CallEvent::End`] or
-    /// [`CallEvent::Failed`]) it gives that one again. Safe to drop half-way: no event
-    /// is lost.
+    /// Waits for the next event. After the last event ([`CallEvent::End`] or
+    /// [`CallEvent::Failed`]) every further call returns that event again. Cancel safe: no
+    /// event is lost if the future is dropped.
     pub async fn next(&mut self) -> CallEvent {
         if let Some(last) = &self.last {
             return last.clone();
@@ -70,28 +72,28 @@
         let unknown = Failure::new(RunState::Unknown, Cause::Internal);
         let event = self.events.recv().await;
         let event = event.unwrap_or(CallEvent::Failed(unknown));
-        self.account(&event);
+        self.record_event(&event);
         event
     }
 
-    fn account(&mut self, event: &CallEvent) {
+    fn record_event(&mut self, event: &CallEvent) {
         match event {
-            CallEvent::Head(_) => self.taken(0),
-            CallEvent::Chunk(bytes) => self.taken(bytes.len()),
+            CallEvent::Head(_) => self.record_part(0),
+            CallEvent::Chunk(bytes) => self.record_part(bytes.len()),
             CallEvent::End | CallEvent::Failed(_) => self.last = Some(event.clone()),
             CallEvent::Accepted | CallEvent::Started => {}
         }
     }
 
-    fn taken(&mut self, size_bytes: usize) {
+    fn record_part(&mut self, size_bytes: usize) {
         self.next_part += 1;
-        self.untold_bytes += part_cost_bytes(size_bytes);
-        if self.untold_bytes < self.window_bytes / WINDOW_SHARES {
+        self.unacknowledged_bytes += part_cost_bytes(size_bytes);
+        if self.unacknowledged_bytes < self.window_bytes / ACKS_PER_WINDOW {
             return;
         }
-        self.untold_bytes = 0;
+        self.unacknowledged_bytes = 0;
         let (id, next_part) = (self.id, self.next_part);
-        let _ = self.commands.send(Command::Taken { id, next_part });
+        let _ = self.commands.send(Command::Consumed { id, next_part });
     }
 }
 
--- a/components/link/src/connection.rs
+++ b/components/link/src/connection.rs
@@ -1,4 +1,4 @@
-//! One greeted connection: a task that reads and writes frames, and the queue to it.
+//! One established connection: a task that reads and writes frames, and the queue to it.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -13,82 +13,86 @@
 use tokio::task::JoinHandle;
 
 use crate::clock::Clock;
-use crate::mark::WriteMark;
+use crate::write_progress::WriteProgress;
 use crate::{Counters, LinkError};
 
-/// Frames that may wait for one connection. What may wait is bounded by the calls and
-/// their windows already; a queue that reaches this does not move at all.
+/// Frames that may wait to be written to one connection. The calls and their windows already
+/// bound the queue, so it reaches this length only if nothing is written any more.
 const QUEUE_FRAMES_MAX: usize = 65_536;
-/// Frames are written together up to this many bytes.
+/// Queued frames are written in one batch of about this size.
 const BATCH_BYTES: usize = 64 * 1024;
-/// Room for one read.
+/// Buffer space reserved for one read.
 const READ_BYTES: usize = 32 * 1024;
 
-/// A frame on its way to the writer.
-pub(crate) struct Outbound {
+/// A frame in the queue to the writer.
+pub(crate) struct QueuedFrame {
     pub frame: Frame,
-    pub mark: Option<WriteMark>,
+    /// `None` if nobody needs to know whether the frame was written.
+    pub progress: Option<WriteProgress>,
 }
 
-/// A frame that was read.
+/// A frame that was read from the socket.
 #[derive(Debug)]
-pub(crate) struct Arrived {
+pub(crate) struct ReceivedFrame {
     pub frame: Frame,
+    /// When the bytes of the frame were read.
     pub at_ms: u64,
 }
 
-/// A socket whose greetings are done.
-pub(crate) struct Greeted {
+/// A socket after its handshake.
+pub(crate) struct EstablishedConnection {
     pub stream: TcpStream,
     pub peer: Hello,
     pub reader: FrameReader,
     pub writer: FrameWriter,
-    /// Bytes read behind the greeting.
-    pub rest: BytesMut,
+    /// Bytes that were read after the peer's `Hello`; the start of its first frame.
+    pub unread: BytesMut,
 }
 
-/// A running connection. Dropped, it is cut; see [`Connection::finish`].
+/// A running connection. Dropping it closes the socket at once; see
+/// [`Connection::close_after_flush`].
 #[derive(Debug)]
 pub(crate) struct Connection {
     pub peer: Hello,
-    queue: mpsc::Sender<Outbound>,
-    heard_at_ms: Arc<AtomicU64>,
+    queue: mpsc::Sender<QueuedFrame>,
+    last_received_ms: Arc<AtomicU64>,
     task: Option<JoinHandle<()>>,
 }
 
-/// The queue to the writer does not move.
+/// The queue to the writer is full: the connection does not send any more.
 #[derive(Debug)]
-pub(crate) struct Stuck;
+pub(crate) struct QueueFull;
 
 impl Connection {
-    /// Starts the task. Every frame goes through `wrap` into `frames`; when the connection
-    /// has ended by itself, `closed` gets the reason and may give a last item.
+    /// Starts the task. Every received frame is converted by `wrap` and sent to `frames`. When
+    /// the connection ends by itself, `closed` receives the reason and may return a last item
+    /// for `frames`.
     pub fn start<T: Send + 'static>(
-        greeted: Greeted,
+        greeted: EstablishedConnection,
         clock: Clock,
         counters: Counters,
         frames: mpsc::Sender<T>,
-        wrap: impl Fn(Arrived) -> T + Send + 'static,
+        wrap: impl Fn(ReceivedFrame) -> T + Send + 'static,
         closed: impl FnOnce(LinkError) -> Option<T> + Send + 'static,
     ) -> Self {
-        let Greeted {
+        let EstablishedConnection {
             stream,
             peer,
             reader,
             writer,
-            rest,
+            unread,
         } = greeted;
         let (queue, outbound) = mpsc::channel(QUEUE_FRAMES_MAX);
-        let heard_at_ms = Arc::new(AtomicU64::new(clock.now_ms()));
-        let heard = heard_at_ms.clone();
+        let last_received_ms = Arc::new(AtomicU64::new(clock.now_ms()));
+        let last_received = last_received_ms.clone();
         let (source, sink) = stream.into_split();
         let task = tokio::spawn(async move {
             let incoming = FrameSource {
                 source,
                 reader,
-                buffer: rest,
+                buffer: unread,
                 clock,
-                heard,
+                last_received,
             };
             let read = incoming.run(counters.clone(), &frames, wrap);
             let write = write_frames(sink, outbound, writer, counters);
@@ -103,48 +107,52 @@
         Self {
             peer,
             queue,
-            heard_at_ms,
+            last_received_ms,
             task: Some(task),
         }
     }
 
     /// Queues a frame without waiting.
-    pub fn send(&self, frame: Frame) -> Result<(), Stuck> {
-        self.push(Outbound { frame, mark: None })
+    pub fn send(&self, frame: Frame) -> Result<(), QueueFull> {
+        self.enqueue(QueuedFrame {
+            frame,
+            progress: None,
+        })
     }
 
-    /// Queues a frame and shows how far it comes.
-    pub fn send_marked(&self, frame: Frame) -> Result<WriteMark, Stuck> {
-        let mark = WriteMark::default();
-        self.push(Outbound {
+    /// Queues a frame without waiting and returns its progress.
+    pub fn send_tracked(&self, frame: Frame) -> Result<WriteProgress, QueueFull> {
+        let progress = WriteProgress::default();
+        self.enqueue(QueuedFrame {
             frame,
-            mark: Some(mark.clone()),
+            progress: Some(progress.clone()),
         })?;
-        Ok(mark)
+        Ok(progress)
     }
 
-    /// When the last byte came from the peer.
-    pub fn heard_at_ms(&self) -> u64 {
-        self.heard_at_ms.load(Relaxed)
+    /// When the last byte was received from the peer.
+    pub fn last_received_ms(&self) -> u64 {
+        self.last_received_ms.load(Relaxed)
     }
 
-    /// Cuts the connection. Afterwards nothing more is written and all marks are final.
-    pub async fn cut(mut self) {
+    /// Closes the socket at once. Afterwards nothing more is written and the progress of every
+    /// frame is final.
+    pub async fn abort(mut self) {
         if let Some(task) = self.task.take() {
             task.abort();
             let _ = task.await;
         }
     }
 
-    /// Closes the connection after what is queued has been written.
-    pub fn finish(mut self) {
+    /// Closes the connection after all queued frames have been written.
+    pub fn close_after_flush(mut self) {
         self.task.take();
     }
 
-    fn push(&self, outbound: Outbound) -> Result<(), Stuck> {
+    fn enqueue(&self, outbound: QueuedFrame) -> Result<(), QueueFull> {
         match self.queue.try_send(outbound) {
-            Err(mpsc::error::TrySendError::Full(_)) => Err(Stuck),
-            // The task has ended; its owner hears of that through `frames`.
+            Err(mpsc::error::TrySendError::Full(_)) => Err(QueueFull),
+            // The task has ended and has reported that through `frames`.
             Ok(()) | Err(mpsc::error::TrySendError::Closed(_)) => Ok(()),
         }
     }
@@ -163,7 +171,7 @@
     reader: FrameReader,
     buffer: BytesMut,
     clock: Clock,
-    heard: Arc<AtomicU64>,
+    last_received: Arc<AtomicU64>,
 }
 
 impl FrameSource {
@@ -171,7 +179,7 @@
         mut self,
         counters: Counters,
         frames: &mpsc::Sender<T>,
-        wrap: impl Fn(Arrived) -> T,
+        wrap: impl Fn(ReceivedFrame) -> T,
     ) -> LinkError {
         loop {
             let at_ms = self.clock.now_ms();
@@ -182,9 +190,13 @@
                     Ok(None) => break,
                     Err(error) => return error.into(),
                 };
-                counters.received(frame.carries_call(), before_bytes - self.buffer.len());
-                if frames.send(wrap(Arrived { frame, at_ms })).await.is_err() {
-                    return LinkError::Finished;
+                counters.record_received(frame.carries_call(), before_bytes - self.buffer.len());
+                if frames
+                    .send(wrap(ReceivedFrame { frame, at_ms }))
+                    .await
+                    .is_err()
+                {
+                    return LinkError::ClosedLocally;
                 }
             }
             if let Err(error) = self.fill().await {
@@ -198,16 +210,16 @@
         let read_bytes = self.source.read_buf(&mut self.buffer).await?;
         if read_bytes == 0 {
             check_end(&self.buffer)?;
-            return Err(LinkError::Closed);
+            return Err(LinkError::ClosedByPeer);
         }
-        self.heard.store(self.clock.now_ms(), Relaxed);
+        self.last_received.store(self.clock.now_ms(), Relaxed);
         Ok(())
     }
 }
 
 async fn write_frames(
     mut sink: OwnedWriteHalf,
-    mut outbound: mpsc::Receiver<Outbound>,
+    mut outbound: mpsc::Receiver<QueuedFrame>,
     mut writer: FrameWriter,
     counters: Counters,
 ) -> LinkError {
@@ -229,15 +241,15 @@
         }
     }
     let _ = sink.shutdown().await;
-    LinkError::Finished
+    LinkError::ClosedLocally
 }
 
-/// Frames that are written together.
+/// Frames that are written with one buffer.
 #[derive(Default)]
 struct Batch {
     buffer: BytesMut,
-    /// Marks with the number of bytes after which they are reached.
-    marks: VecDeque<(usize, WriteMark)>,
+    /// Progress of tracked frames, each with the offset in the batch at which its frame ends.
+    tracked: VecDeque<(usize, WriteProgress)>,
 }
 
 impl Batch {
@@ -247,18 +259,22 @@
 
     fn add(
         &mut self,
-        item: Outbound,
+        item: QueuedFrame,
         writer: &mut FrameWriter,
         counters: &Counters,
     ) -> Result<(), LinkError> {
-        if item.mark.as_ref().is_some_and(|mark| !mark.begin()) {
+        if item
+            .progress
+            .as_ref()
+            .is_some_and(|progress| !progress.try_begin())
+        {
             return Ok(());
         }
         let before_bytes = self.buffer.len();
         writer.write(&item.frame, &mut self.buffer)?;
-        counters.sent(item.frame.carries_call(), self.buffer.len() - before_bytes);
-        if let Some(mark) = item.mark {
-            self.marks.push_back((self.buffer.len(), mark));
+        counters.record_sent(item.frame.carries_call(), self.buffer.len() - before_bytes);
+        if let Some(progress) = item.progress {
+            self.tracked.push_back((self.buffer.len(), progress));
         }
         Ok(())
     }
@@ -267,11 +283,11 @@
         let mut written_bytes = 0;
         while self.buffer.has_remaining() {
             written_bytes += sink.write_buf(&mut self.buffer).await?;
-            while let Some((_, mark)) = self
-                .marks
+            while let Some((_, progress)) = self
+                .tracked
                 .pop_front_if(|(end_bytes, _)| *end_bytes <= written_bytes)
             {
-                mark.written();
+                progress.mark_written();
             }
         }
         Ok(())
--- a/components/link/src/error.rs
+++ b/components/link/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a connection could not be made or did not last.
+//! Errors of a connection between two processes.
 
 use std::io;
 
@@ -6,31 +6,31 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why a connection could not be made or did not last.
+    /// Why a connection was not established or was closed.
     #[derive(Debug)]
     pub enum LinkError {
-        /// The socket failed.
+        /// A socket operation failed.
         Socket(err: io::Error) {
             from()
             source(err)
-            display("the socket failed: {}", err)
+            display("socket operation failed: {}", err)
         }
-        /// Bytes that are no message, or a peer that is not one of ours.
+        /// The peer sent bytes that are malformed or not authenticated with a shared key.
         Codec(err: CodecError) {
             from()
             source(err)
             display("{}", err)
         }
-        /// Not made and greeted in time.
+        /// The connection and its handshake took longer than `connect_timeout_ms`.
         TimedOut {
-            display("no greeting within the time to connect")
+            display("handshake not completed within the connect timeout")
         }
-        /// The peer closed it.
-        Closed {
+        /// The peer closed the connection.
+        ClosedByPeer {
             display("the peer closed the connection")
         }
-        /// This process closed it.
-        Finished {
+        /// This process closed the connection.
+        ClosedLocally {
             display("this process closed the connection")
         }
     }
--- a/components/link/src/greet.rs
+++ b/components/link/src/handshake.rs
@@ -1,4 +1,4 @@
-//! Makes a connection and exchanges greetings.
+//! Establishes a connection: connects and exchanges the `Hello` messages of the handshake.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,36 +13,37 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::connection::Greeted;
+use crate::connection::EstablishedConnection;
 use crate::{LinkError, LinkSettings};
 
-/// Connects to `to` and greets; `boot` is the number of this life of the caller.
+/// Connects to `to` and performs the caller's side of the handshake. `boot` is the random
+/// number that identifies this run of the calling process.
 pub(crate) async fn connect(
     to: SocketAddr,
     settings: &LinkSettings,
     boot: u64,
-) -> Result<Greeted, LinkError> {
+) -> Result<EstablishedConnection, LinkError> {
     let limit = Duration::from_millis(settings.connect_timeout_ms);
-    let greeted = timeout(limit, connect_and_greet(to, settings, boot));
-    greeted.await.unwrap_or(Err(LinkError::TimedOut))
+    let established = timeout(limit, connect_and_handshake(to, settings, boot));
+    established.await.unwrap_or(Err(LinkError::TimedOut))
 }
 
-/// Answers the greeting on a connection that was taken.
+/// Performs the callee's side of the handshake on an accepted connection.
 pub(crate) async fn accept(
     stream: TcpStream,
     settings: &LinkSettings,
     boot: u64,
-) -> Result<Greeted, LinkError> {
+) -> Result<EstablishedConnection, LinkError> {
     let limit = Duration::from_millis(settings.connect_timeout_ms);
-    let greeted = timeout(limit, answer_greeting(stream, settings, boot));
-    greeted.await.unwrap_or(Err(LinkError::TimedOut))
+    let established = timeout(limit, respond_to_handshake(stream, settings, boot));
+    established.await.unwrap_or(Err(LinkError::TimedOut))
 }
 
-async fn connect_and_greet(
+async fn connect_and_handshake(
     to: SocketAddr,
     settings: &LinkSettings,
     boot: u64,
-) -> Result<Greeted, LinkError> {
+) -> Result<EstablishedConnection, LinkError> {
     let mut stream = TcpStream::connect(to).await?;
     stream.set_nodelay(true)?;
     let hello = own_hello(settings, boot);
@@ -50,28 +51,28 @@
     write_caller_hello(&hello, settings.keys.signing(), &mut out)?;
     send_hello(&mut stream, &out, settings).await?;
     let read = |buffer: &mut BytesMut| read_callee_hello(buffer, &settings.keys, &hello.nonce);
-    let (peer, key, rest) = read_hello(&mut stream, settings, read).await?;
+    let (peer, key, unread) = read_hello(&mut stream, settings, read).await?;
     negotiate_version(&peer)?;
     let own = (&hello.nonce, Direction::FromCaller);
-    Ok(greeted(stream, settings, (peer, key, rest), own))
+    Ok(establish(stream, settings, (peer, key, unread), own))
 }
 
-async fn answer_greeting(
+async fn respond_to_handshake(
     mut stream: TcpStream,
     settings: &LinkSettings,
     boot: u64,
-) -> Result<Greeted, LinkError> {
+) -> Result<EstablishedConnection, LinkError> {
     stream.set_nodelay(true)?;
     let read = |buffer: &mut BytesMut| read_caller_hello(buffer, &settings.keys);
-    let (peer, key, rest) = read_hello(&mut stream, settings, read).await?;
+    let (peer, key, unread) = read_hello(&mut stream, settings, read).await?;
     let hello = own_hello(settings, boot);
     let mut out = BytesMut::new();
     write_callee_hello(&hello, key, &peer.nonce, &mut out)?;
-    // Sent before the versions are compared, so that the caller learns of a mismatch too.
+    // Sent before the versions are compared, so that the caller can detect a mismatch too.
     send_hello(&mut stream, &out, settings).await?;
     negotiate_version(&peer)?;
     let own = (&hello.nonce, Direction::FromCallee);
-    Ok(greeted(stream, settings, (peer, key, rest), own))
+    Ok(establish(stream, settings, (peer, key, unread), own))
 }
 
 fn own_hello(settings: &LinkSettings, boot: u64) -> Hello {
@@ -92,7 +93,7 @@
     settings: &LinkSettings,
 ) -> Result<(), LinkError> {
     stream.write_all(out).await?;
-    settings.counters.sent(false, out.len());
+    settings.counters.record_sent(false, out.len());
     Ok(())
 }
 
@@ -103,26 +104,27 @@
 ) -> Result<(Hello, &'k Key, BytesMut), LinkError> {
     let mut buffer = BytesMut::new();
     loop {
-        let before_bytes = buffer.len();
+        let buffered_bytes = buffer.len();
         if let Some((hello, key)) = read(&mut buffer)? {
             settings
                 .counters
-                .received(false, before_bytes - buffer.len());
+                .record_received(false, buffered_bytes - buffer.len());
             return Ok((hello, key, buffer));
         }
         if stream.read_buf(&mut buffer).await? == 0 {
-            return Err(LinkError::Closed);
+            return Err(LinkError::ClosedByPeer);
         }
     }
 }
 
-/// The connection after both greetings; both nonces go into the keys of its directions.
-fn greeted(
+/// Builds the established connection. Both nonces are part of the session key, so that frames
+/// of another connection fail the authentication.
+fn establish(
     stream: TcpStream,
     settings: &LinkSettings,
-    (peer, key, rest): (Hello, &Key, BytesMut),
+    (peer, key, unread): (Hello, &Key, BytesMut),
     (own_nonce, own): (&Nonce, Direction),
-) -> Greeted {
+) -> EstablishedConnection {
     let (caller_nonce, callee_nonce) = match own {
         Direction::FromCaller => (own_nonce, &peer.nonce),
         Direction::FromCallee => (&peer.nonce, own_nonce),
@@ -135,11 +137,11 @@
     };
     let reader = FrameReader::new(&session, own.reversed());
     let writer = FrameWriter::new(&session, own);
-    Greeted {
+    EstablishedConnection {
         stream,
         peer,
         reader,
         writer,
-        rest,
+        unread,
     }
 }
--- a/components/link/src/lib.rs
+++ b/components/link/src/lib.rs
@@ -1,8 +1,8 @@
-//! Calls between the system's own processes over TCP, and datagrams over UDP.
+//! Calls over TCP and datagrams over UDP between the processes of the system.
 //!
-//! A call survives a cut or silent connection: the caller connects anew and takes the call
-//! up again by its identity. All decisions are in package `recovery`; here are sockets,
-//! tasks and channels.
+//! A call survives the loss of its connection: the caller reconnects and resumes the call by
+//! its id. The package `recovery` holds the state machines that decide about retries and
+//! resumption; this package holds the sockets, tasks and channels.
 
 mod accept;
 mod answer;
@@ -10,15 +10,15 @@
 mod clock;
 mod connection;
 mod error;
-mod greet;
+mod handshake;
 mod links;
-mod mark;
 mod outgoing;
 mod peer;
 mod server;
 mod settings;
 mod traffic;
 mod udp;
+mod write_progress;
 
 pub use answer::{AnswerSender, IncomingCall};
 pub use call::Call;
--- a/components/link/src/links.rs
+++ b/components/link/src/links.rs
@@ -1,4 +1,4 @@
-//! Caller side: one connection to each peer, shared by all calls to it.
+//! Caller side: one connection to each peer, shared by all calls to that peer.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,13 +15,13 @@
 use crate::peer::Peer;
 use crate::{Call, LinkSettings, Traffic};
 
-/// Tasks that a call tries at most; one ends at the wrong moment now and then, never so
-/// many in a row while the runtime lives.
-const PEER_TRIES: usize = 4;
+/// Peer tasks that a new call tries at most. An idle task may end just before it receives the
+/// call, but while the runtime runs this does not happen so many times in a row.
+const PEER_ATTEMPTS_MAX: usize = 4;
 
 type Commands = mpsc::UnboundedSender<Command>;
 
-/// Connections of this process to its peers. Cheap to clone.
+/// Connections of this process to its peers. Clones share them.
 #[derive(Clone, Debug)]
 pub struct Links(Arc<Shared>);
 
@@ -34,7 +34,7 @@
 }
 
 impl Links {
-    /// Connections are made when the first call to a peer needs one.
+    /// Creates an empty set; the first call to a peer connects to it.
     pub fn new(settings: LinkSettings) -> Links {
         Links(Arc::new(Shared {
             settings,
@@ -44,33 +44,34 @@
         }))
     }
 
-    /// Starts a call; needs a running tokio runtime. The identity in `open` is used as it
-    /// is, so take it from [`Links::next_id`].
+    /// Starts a call; needs a running tokio runtime. The id in `open` must come from
+    /// [`Links::next_id`].
     pub fn call(&self, to: SocketAddr, open: Open) -> Call {
         let id = open.id;
-        let (events_in, events) = mpsc::unbounded_channel();
+        let (event_sender, events) = mpsc::unbounded_channel();
         let mut command = Command::Open {
             open: Box::new(open),
-            events: events_in,
+            events: event_sender,
         };
         let mut commands = self.peer(to);
-        for _ in 1..PEER_TRIES {
-            let Err(refused) = commands.send(command) else {
+        for _ in 1..PEER_ATTEMPTS_MAX {
+            let Err(rejected) = commands.send(command) else {
                 return Call::new(id, commands, events, self.0.settings.window_bytes);
             };
-            // The peer's task has just ended for want of calls; the next look starts one.
-            command = refused.0;
+            // The peer's task has just ended because it was idle; `peer` starts a new one.
+            command = rejected.0;
             commands = self.peer(to);
         }
-        // While the runtime ends, a task dies as it is started. Trying on would keep this
-        // thread busy and the runtime, which waits for it, from ever ending.
-        if let Err(refused) = commands.send(command) {
-            never_begun(refused.0);
+        // While the runtime shuts down, every new task is dropped at once. Retrying without
+        // end would occupy this thread, and the runtime, which waits for the thread, would
+        // never end.
+        if let Err(rejected) = commands.send(command) {
+            fail_as_not_run(rejected.0);
         }
         Call::new(id, commands, events, self.0.settings.window_bytes)
     }
 
-    /// A new identity for a call of this process.
+    /// A new call id: the random boot number of this process and a counter.
     pub fn next_id(&self) -> CallId {
         CallId {
             boot: self.0.boot,
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Bytes that were counted into these links' settings so far.
+    /// Traffic of all connections that share these settings' counters.
     pub fn traffic(&self) -> Traffic {
         self.0.settings.counters.snapshot()
     }
@@ -91,7 +92,8 @@
         }
     }
 
-    /// Of several callers that add the same peer at once, one starts its task.
+    /// Adds the peer and starts its task. If several callers add the same peer concurrently,
+    /// only one of them starts a task.
     fn add_peer(&self, to: SocketAddr) -> Commands {
         let (commands, queue) = mpsc::unbounded_channel();
         self.0.peers.rcu(|peers| with_peer(peers, to, &commands));
@@ -105,23 +107,23 @@
     }
 }
 
-/// Ends a call that no task took: nothing of it was written.
-fn never_begun(command: Command) {
+/// Fails a call that no task accepted: none of its bytes were written.
+fn fail_as_not_run(command: Command) {
     if let Command::Open { events, .. } = command {
         let failure = Failure::not_run(Cause::Internal);
-        // Its caller may be gone as well; then nobody waits for the word.
+        // Sending fails if the caller has dropped the handle of the call.
         let _ = events.send(CallEvent::Failed(failure));
     }
 }
 
-/// The peers with `to` among them, without those whose task has ended.
+/// Copies the map without the peers whose task has ended, and adds `to` if it is missing.
 fn with_peer(
     peers: &HashMap<SocketAddr, Commands>,
     to: SocketAddr,
     commands: &Commands,
 ) -> HashMap<SocketAddr, Commands> {
-    let living = peers.iter().filter(|(_, known)| !known.is_closed());
-    let mut peers: HashMap<_, _> = living.map(|(&at, known)| (at, known.clone())).collect();
+    let running = peers.iter().filter(|(_, known)| !known.is_closed());
+    let mut peers: HashMap<_, _> = running.map(|(&at, known)| (at, known.clone())).collect();
     peers.entry(to).or_insert_with(|| commands.clone());
     peers
 }
--- a/components/link/src/outgoing.rs
+++ b/components/link/src/outgoing.rs
@@ -1,4 +1,4 @@
-//! The calls that a process has in progress at one peer.
+//! The calls that this process has in progress at one peer.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -8,34 +8,34 @@
 use types::{CallId, Cause, Failure};
 
 use crate::connection::Connection;
-use crate::mark::WriteMark;
+use crate::write_progress::WriteProgress;
 
-/// Bytes that an `Open` frame may have beside its texts and body: numbers, lengths, the
-/// authentication code.
+/// Upper bound of the bytes of an `Open` frame besides its texts and body: numbers, lengths and
+/// the authentication code.
 const OPEN_OVERHEAD_BYTES: usize = 256;
-/// Bytes that a header may have beside its two texts.
+/// Upper bound of the bytes that encode a header, besides its name and value.
 const HEADER_OVERHEAD_BYTES: usize = 8;
 
-/// Events of one call in the order in which they happened.
+/// Events of one call, in the order in which they happened.
 type Events = Vec<AttemptEvent>;
 
 #[derive(Debug)]
-struct Outgoing {
+struct OutgoingCall {
     open: Box<Open>,
     attempt: Attempt,
     events: mpsc::UnboundedSender<CallEvent>,
-    mark: Option<WriteMark>,
-    /// The caller has taken the parts before this.
-    taken: u32,
+    progress: Option<WriteProgress>,
+    /// The caller has consumed all parts before this one.
+    acknowledged: u32,
     wake_at_ms: u64,
 }
 
-/// The calls in progress. Functions that queue frames tell whether the connection takes
-/// them (`false`: it is stuck and must be closed).
+/// The calls in progress at one peer. Functions that queue frames return whether the
+/// connection accepted them; on `false` its queue is full and it must be closed.
 #[derive(Debug)]
 pub(crate) struct OutgoingCalls {
-    calls: HashMap<CallId, Outgoing>,
-    wakes: BTreeSet<(u64, CallId)>,
+    calls: HashMap<CallId, OutgoingCall>,
+    wake_times: BTreeSet<(u64, CallId)>,
     reattach_for_ms: u64,
     frame_bytes_max: usize,
 }
@@ -44,7 +44,7 @@
     pub fn new(reattach_for_ms: u64, frame_bytes_max: usize) -> Self {
         Self {
             calls: HashMap::new(),
-            wakes: BTreeSet::new(),
+            wake_times: BTreeSet::new(),
             reattach_for_ms,
             frame_bytes_max,
         }
@@ -54,12 +54,13 @@
         self.calls.is_empty()
     }
 
-    /// When [`OutgoingCalls::wake`] is due.
+    /// When [`OutgoingCalls::handle_timers`] is due.
     pub fn wake_at_ms(&self) -> Option<u64> {
-        self.wakes.first().map(|&(at_ms, _)| at_ms)
+        self.wake_times.first().map(|&(at_ms, _)| at_ms)
     }
 
-    /// Takes a call in.
+    /// Adds a call and sends its request if there is a connection. A request that exceeds the
+    /// largest frame fails at once.
     pub fn start(
         &mut self,
         open: Box<Open>,
@@ -68,7 +69,7 @@
         now_ms: u64,
     ) -> bool {
         let id = open.id;
-        if open_bytes(&open) > self.frame_bytes_max {
+        if open_frame_bytes(&open) > self.frame_bytes_max {
             let failure = Failure::not_run(Cause::TooLarge);
             let _ = events.send(CallEvent::Failed(failure));
             return true;
@@ -76,118 +77,125 @@
         let left_ms = open.deadline_left_ms;
         let attempt = Attempt::new(id, now_ms, left_ms, self.reattach_for_ms);
         let wake_at_ms = attempt.wake_at_ms();
-        self.wakes.insert((wake_at_ms, id));
-        let call = Outgoing {
+        self.wake_times.insert((wake_at_ms, id));
+        let call = OutgoingCall {
             open,
             attempt,
             events,
-            mark: None,
-            taken: 0,
+            progress: None,
+            acknowledged: 0,
             wake_at_ms,
         };
         self.calls.insert(id, call);
         match connection {
-            Some(_) => self.connected_one(id, connection, now_ms),
+            Some(_) => self.attach_call(id, connection, now_ms),
             None => true,
         }
     }
 
-    /// A connection is there.
-    pub fn connected(&mut self, connection: &Connection, now_ms: u64) -> bool {
+    /// Sends or resumes every call on a new connection.
+    pub fn handle_connected(&mut self, connection: &Connection, now_ms: u64) -> bool {
         let ids: Vec<CallId> = self.calls.keys().copied().collect();
-        let mut moving = true;
+        let mut accepts_frames = true;
         for id in ids {
-            moving &= self.connected_one(id, Some(connection), now_ms);
+            accepts_frames &= self.attach_call(id, Some(connection), now_ms);
         }
-        moving
+        accepts_frames
     }
 
-    /// No connection could be made.
-    pub fn connect_failed(&mut self, now_ms: u64) {
-        self.all(now_ms, |_| vec![AttemptEvent::ConnectFailed]);
+    /// Reports to every call that connecting has failed.
+    pub fn handle_connect_failure(&mut self, now_ms: u64) {
+        self.handle_for_all(now_ms, |_| vec![AttemptEvent::ConnectFailed]);
     }
 
-    /// The connection was cut; the marks of its writer are final.
-    pub fn lost(&mut self, now_ms: u64) {
-        self.all(now_ms, loss);
+    /// Reports to every call that the connection was lost. The connection must have been
+    /// aborted before, so that the progress of its frames is final.
+    pub fn handle_connection_loss(&mut self, now_ms: u64) {
+        self.handle_for_all(now_ms, loss_events);
     }
 
-    /// A frame came.
-    pub fn frame(&mut self, frame: Frame, connection: &Connection, now_ms: u64) -> bool {
+    /// Passes a received frame to its call.
+    pub fn handle_frame(&mut self, frame: Frame, connection: &Connection, now_ms: u64) -> bool {
         match frame.id() {
-            Some(id) => self.on(id, AttemptEvent::Frame(frame), Some(connection), now_ms),
+            Some(id) => self.handle(id, AttemptEvent::Frame(frame), Some(connection), now_ms),
             None => true,
         }
     }
 
-    /// The caller has taken all parts before `next_part`.
-    pub fn taken(&mut self, id: CallId, next_part: u32, connection: Option<&Connection>) -> bool {
+    /// Acknowledges to the callee that the caller has consumed all parts before `next_part`.
+    pub fn acknowledge(
+        &mut self,
+        id: CallId,
+        next_part: u32,
+        connection: Option<&Connection>,
+    ) -> bool {
         let Some(call) = self.calls.get_mut(&id) else {
             return true;
         };
-        call.taken = next_part;
+        call.acknowledged = next_part;
         let received = Frame::Received { id, next_part };
         connection.is_none_or(|connection| connection.send(received).is_ok())
     }
 
-    /// The caller has dropped its handle.
+    /// Cancels a call whose handle the caller has dropped.
     pub fn cancel(&mut self, id: CallId, connection: Option<&Connection>, now_ms: u64) -> bool {
         let withdrawn = self.withdraw(id);
-        self.on(id, AttemptEvent::Cancel { withdrawn }, connection, now_ms)
+        self.handle(id, AttemptEvent::Cancel { withdrawn }, connection, now_ms)
     }
 
-    /// Looks at the calls whose time has come.
-    pub fn wake(&mut self, connection: Option<&Connection>, now_ms: u64) -> bool {
-        let mut moving = true;
-        while let Some(&(at_ms, id)) = self.wakes.first() {
+    /// Processes the calls whose timer has expired.
+    pub fn handle_timers(&mut self, connection: Option<&Connection>, now_ms: u64) -> bool {
+        let mut accepts_frames = true;
+        while let Some(&(at_ms, id)) = self.wake_times.first() {
             if at_ms > now_ms {
                 break;
             }
             let withdrawn = self.withdraw(id);
-            moving &= self.on(id, AttemptEvent::Time { withdrawn }, connection, now_ms);
+            accepts_frames &= self.handle(id, AttemptEvent::Time { withdrawn }, connection, now_ms);
         }
-        moving
+        accepts_frames
     }
 
-    fn connected_one(&mut self, id: CallId, connection: Option<&Connection>, now_ms: u64) -> bool {
+    fn attach_call(&mut self, id: CallId, connection: Option<&Connection>, now_ms: u64) -> bool {
         let Some(connection) = connection else {
             return true;
         };
         let life = connection.peer.boot;
-        let moving = self.on(
+        let accepts_frames = self.handle(
             id,
             AttemptEvent::Connected { life },
             Some(connection),
             now_ms,
         );
         let Some(call) = self.calls.get(&id) else {
-            return moving;
+            return accepts_frames;
         };
-        // An acknowledgement that was lost with the older connection would leave the
-        // callee's window shut for good: it is said again.
-        let next_part = call.taken;
-        let told = next_part == 0 || connection.send(Frame::Received { id, next_part }).is_ok();
-        moving && told
+        // An acknowledgement may have been lost with the previous connection. Without a
+        // repetition the callee's window would stay closed forever.
+        let next_part = call.acknowledged;
+        let is_queued =
+            next_part == 0 || connection.send(Frame::Received { id, next_part }).is_ok();
+        accepts_frames && is_queued
     }
 
     fn withdraw(&self, id: CallId) -> bool {
         let call = self.calls.get(&id);
         let queued = call.filter(|call| call.attempt.is_queued());
-        let mark = queued.and_then(|call| call.mark.as_ref());
-        mark.is_some_and(WriteMark::withdraw)
+        let progress = queued.and_then(|call| call.progress.as_ref());
+        progress.is_some_and(WriteProgress::try_withdraw)
     }
 
-    fn all(&mut self, now_ms: u64, events: impl Fn(&Outgoing) -> Events) {
+    fn handle_for_all(&mut self, now_ms: u64, events: impl Fn(&OutgoingCall) -> Events) {
         let ids: Vec<CallId> = self.calls.keys().copied().collect();
         for id in ids {
-            let happened = self.calls.get(&id).map(&events).unwrap_or_default();
-            for event in happened {
-                self.on(id, event, None, now_ms);
+            let call_events = self.calls.get(&id).map(&events).unwrap_or_default();
+            for event in call_events {
+                self.handle(id, event, None, now_ms);
             }
         }
     }
 
-    fn on(
+    fn handle(
         &mut self,
         id: CallId,
         event: AttemptEvent,
@@ -199,26 +207,26 @@
         };
         let mut actions = Vec::new();
         call.attempt.on(event, now_ms, &mut actions);
-        let mut moving = true;
+        let mut accepts_frames = true;
         for action in actions {
-            moving &= call.apply(action, connection);
+            accepts_frames &= call.apply(action, connection);
         }
-        self.wakes.remove(&(call.wake_at_ms, id));
+        self.wake_times.remove(&(call.wake_at_ms, id));
         if call.attempt.is_ended() {
             self.calls.remove(&id);
-            return moving;
+            return accepts_frames;
         }
         call.wake_at_ms = call.attempt.wake_at_ms();
-        self.wakes.insert((call.wake_at_ms, id));
-        moving
+        self.wake_times.insert((call.wake_at_ms, id));
+        accepts_frames
     }
 }
 
-impl Outgoing {
+impl OutgoingCall {
     fn apply(&mut self, action: AttemptAction, connection: Option<&Connection>) -> bool {
         match action {
             AttemptAction::Deliver(event) => {
-                // A dropped handle has sent its own cancel.
+                // Sending fails if the caller has dropped the handle, which sends a cancel.
                 let _ = self.events.send(event);
                 true
             }
@@ -234,16 +242,19 @@
     fn send_open(&mut self, deadline_left_ms: u32, connection: Option<&Connection>) -> bool {
         let mut open = self.open.clone();
         open.deadline_left_ms = deadline_left_ms;
-        let sent = connection.map(|connection| connection.send_marked(Frame::Open(open)));
-        // A frame that was not queued has no mark and counts as not written.
-        self.mark = sent.and_then(Result::ok);
-        self.mark.is_some()
+        let sent = connection.map(|connection| connection.send_tracked(Frame::Open(open)));
+        // A frame that was not queued has no progress and counts as not written.
+        self.progress = sent.and_then(Result::ok);
+        self.progress.is_some()
     }
 }
 
-/// What a lost connection means for a call.
-fn loss(call: &Outgoing) -> Events {
-    let written = call.mark.as_ref().is_some_and(WriteMark::is_written);
+/// Events of a call whose connection was lost. They depend on whether its request was written.
+fn loss_events(call: &OutgoingCall) -> Events {
+    let written = call
+        .progress
+        .as_ref()
+        .is_some_and(WriteProgress::is_written);
     match (call.attempt.is_queued(), written) {
         (true, true) => vec![AttemptEvent::Written, AttemptEvent::LinkLost],
         (true, false) => vec![AttemptEvent::WriteFailed],
@@ -251,8 +262,8 @@
     }
 }
 
-/// At least the bytes of the frame that carries `open`.
-fn open_bytes(open: &Open) -> usize {
+/// Upper bound of the bytes of the frame that carries `open`.
+fn open_frame_bytes(open: &Open) -> usize {
     let headers = open.headers.iter();
     let header_bytes =
         headers.map(|(name, value)| name.len() + value.len() + HEADER_OVERHEAD_BYTES);
--- a/components/link/src/peer.rs
+++ b/components/link/src/peer.rs
@@ -1,4 +1,4 @@
-//! Caller side: the task that owns the connection to one peer and all calls to it.
+//! Caller side: the task that owns the connection to one peer and all calls to that peer.
 
 use std::future::pending;
 use std::net::SocketAddr;
@@ -11,18 +11,18 @@
 
 use crate::call::Command;
 use crate::clock::Clock;
-use crate::connection::{Arrived, Connection, Greeted};
+use crate::connection::{Connection, EstablishedConnection, ReceivedFrame};
 use crate::outgoing::OutgoingCalls;
-use crate::{LinkError, LinkSettings, greet};
+use crate::{LinkError, LinkSettings, handshake};
 
-/// Frames that wait for the task; beyond that the socket is not read.
-const ARRIVED_MAX: usize = 256;
-/// A peer without calls for so long is let go.
-const IDLE_MS: u64 = 60_000;
+/// Received frames that wait for the task. While so many wait, the socket is not read.
+const RECEIVED_FRAMES_MAX: usize = 256;
+/// A peer without calls for this long is disconnected and its task ends.
+const IDLE_TIMEOUT_MS: u64 = 60_000;
 
-type Connecting = Pin<Box<dyn Future<Output = Result<Greeted, LinkError>> + Send>>;
+type Connecting = Pin<Box<dyn Future<Output = Result<EstablishedConnection, LinkError>> + Send>>;
 
-/// One peer of a caller.
+/// State of the task for one peer.
 pub(crate) struct Peer {
     to: SocketAddr,
     settings: LinkSettings,
@@ -30,34 +30,35 @@
     clock: Clock,
     calls: OutgoingCalls,
     state: State,
-    /// Attempts to connect that failed since the last one that did not.
+    /// Consecutive failed attempts to connect.
     failures: u32,
     idle_since_ms: u64,
 }
 
 enum State {
-    /// No connection is wanted.
-    Apart,
-    /// The next attempt comes then.
-    Pausing {
+    /// There is no call that needs a connection.
+    Disconnected,
+    /// Waits until `until_ms` before the next attempt to connect.
+    BackingOff {
         until_ms: u64,
     },
     Connecting(Connecting),
-    Connected(Box<Live>),
+    Connected(Box<LiveConnection>),
 }
 
-struct Live {
+struct LiveConnection {
     connection: Connection,
-    frames: mpsc::Receiver<Arrived>,
+    frames: mpsc::Receiver<ReceivedFrame>,
     silence: Silence,
-    watch_at_ms: Option<u64>,
+    /// When to check again whether the peer is silent; `None` without calls in progress.
+    silence_check_ms: Option<u64>,
 }
 
-enum Step {
+enum PeerEvent {
     Command(Option<Command>),
-    Greeted(Box<Result<Greeted, LinkError>>),
-    Frame(Option<Arrived>),
-    Time,
+    ConnectResult(Box<Result<EstablishedConnection, LinkError>>),
+    Frame(Option<ReceivedFrame>),
+    Timer,
 }
 
 impl Peer {
@@ -69,45 +70,45 @@
             boot,
             clock: Clock::start(),
             calls,
-            state: State::Apart,
+            state: State::Disconnected,
             failures: 0,
             idle_since_ms: 0,
         }
     }
 
-    /// Runs until every handle is gone, or there was no call for a while.
+    /// Runs until every handle is dropped or the peer was idle for [`IDLE_TIMEOUT_MS`].
     pub async fn run(mut self, mut commands: mpsc::UnboundedReceiver<Command>) {
         loop {
-            self.watch().await;
-            let moving = match self.step(&mut commands).await {
-                Step::Command(None) => break,
-                Step::Command(Some(command)) => self.command(command),
-                Step::Greeted(result) => self.greeted(*result),
-                Step::Frame(Some(arrived)) => self.frame(arrived),
-                Step::Frame(None) => false,
-                Step::Time => self.time(),
+            self.check_silence().await;
+            let accepts_frames = match self.next_event(&mut commands).await {
+                PeerEvent::Command(None) => break,
+                PeerEvent::Command(Some(command)) => self.handle_command(command),
+                PeerEvent::ConnectResult(result) => self.handle_connect_result(*result),
+                PeerEvent::Frame(Some(received)) => self.handle_frame(received),
+                PeerEvent::Frame(None) => false,
+                PeerEvent::Timer => self.handle_timer(),
             };
-            if !moving {
-                self.lose().await;
+            if !accepts_frames {
+                self.drop_connection().await;
             }
             if self.is_idle() {
                 break;
             }
         }
         commands.close();
-        self.refuse_rest(commands).await;
+        self.refuse_remaining(commands).await;
         if let State::Connected(live) = self.state {
-            live.connection.finish();
+            live.connection.close_after_flush();
         }
     }
 
-    async fn step(&mut self, commands: &mut mpsc::UnboundedReceiver<Command>) -> Step {
+    async fn next_event(&mut self, commands: &mut mpsc::UnboundedReceiver<Command>) -> PeerEvent {
         let wake_at_ms = self.wake_at_ms();
-        let wake = sleep_until(self.clock.at(wake_at_ms));
+        let timer = sleep_until(self.clock.at(wake_at_ms));
         tokio::select! {
-            command = commands.recv() => Step::Command(command),
-            step = self.state.next() => step,
-            () = wake => Step::Time,
+            command = commands.recv() => PeerEvent::Command(command),
+            event = self.state.next_event() => event,
+            () = timer => PeerEvent::Timer,
         }
     }
 
@@ -115,13 +116,13 @@
         let idle = self
             .calls
             .is_empty()
-            .then_some(self.idle_since_ms + IDLE_MS);
-        let times = [self.state.wake_at_ms(), self.calls.wake_at_ms(), idle];
-        times
+            .then_some(self.idle_since_ms + IDLE_TIMEOUT_MS);
+        let due_times_ms = [self.state.wake_at_ms(), self.calls.wake_at_ms(), idle];
+        due_times_ms
             .into_iter()
             .flatten()
             .min()
-            .unwrap_or(self.clock.now_ms() + IDLE_MS)
+            .unwrap_or(self.clock.now_ms() + IDLE_TIMEOUT_MS)
     }
 
     fn is_idle(&mut self) -> bool {
@@ -129,122 +130,127 @@
         if !self.calls.is_empty() {
             self.idle_since_ms = now_ms;
         }
-        now_ms >= self.idle_since_ms + IDLE_MS
+        now_ms >= self.idle_since_ms + IDLE_TIMEOUT_MS
     }
 
-    fn command(&mut self, command: Command) -> bool {
+    fn handle_command(&mut self, command: Command) -> bool {
         let now_ms = self.clock.now_ms();
         match command {
             Command::Open { open, events } => {
                 self.idle_since_ms = now_ms;
-                if matches!(self.state, State::Apart | State::Pausing { .. }) {
+                if matches!(self.state, State::Disconnected | State::BackingOff { .. }) {
                     self.connect();
                 }
                 let connection = self.state.connection();
                 self.calls.start(open, events, connection, now_ms)
             }
-            Command::Taken { id, next_part } => {
-                self.calls.taken(id, next_part, self.state.connection())
+            Command::Consumed { id, next_part } => {
+                self.calls
+                    .acknowledge(id, next_part, self.state.connection())
             }
             Command::Cancel { id } => self.calls.cancel(id, self.state.connection(), now_ms),
         }
     }
 
-    fn frame(&mut self, arrived: Arrived) -> bool {
+    fn handle_frame(&mut self, received: ReceivedFrame) -> bool {
         let now_ms = self.clock.now_ms();
         let Some(connection) = self.state.connection() else {
             return true;
         };
-        match arrived.frame {
+        match received.frame {
             Frame::Ping { number } => connection.send(Frame::Pong { number }).is_ok(),
-            frame => self.calls.frame(frame, connection, now_ms),
+            frame => self.calls.handle_frame(frame, connection, now_ms),
         }
     }
 
-    fn time(&mut self) -> bool {
+    fn handle_timer(&mut self) -> bool {
         let now_ms = self.clock.now_ms();
-        let moving = self.calls.wake(self.state.connection(), now_ms);
-        if let State::Pausing { until_ms } = self.state
+        let accepts_frames = self.calls.handle_timers(self.state.connection(), now_ms);
+        if let State::BackingOff { until_ms } = self.state
             && now_ms >= until_ms
         {
             self.reconnect_if_wanted();
         }
-        moving
+        accepts_frames
     }
 
     fn connect(&mut self) {
         let (to, settings, boot) = (self.to, self.settings.clone(), self.boot);
         self.state = State::Connecting(Box::pin(async move {
-            greet::connect(to, &settings, boot).await
+            handshake::connect(to, &settings, boot).await
         }));
     }
 
     fn reconnect_if_wanted(&mut self) {
         if self.calls.is_empty() {
-            self.state = State::Apart;
+            self.state = State::Disconnected;
         } else {
             self.connect();
         }
     }
 
-    fn greeted(&mut self, result: Result<Greeted, LinkError>) -> bool {
+    fn handle_connect_result(&mut self, result: Result<EstablishedConnection, LinkError>) -> bool {
         match result {
-            Ok(greeted) => self.connected(greeted),
+            Ok(established) => self.start_connection(established),
             Err(error) => {
-                self.connect_failed(&error);
+                self.back_off(&error);
                 true
             }
         }
     }
 
-    fn connected(&mut self, greeted: Greeted) -> bool {
+    fn start_connection(&mut self, established: EstablishedConnection) -> bool {
         self.failures = 0;
-        let (frames_in, frames) = mpsc::channel(ARRIVED_MAX);
+        let (frames_in, frames) = mpsc::channel(RECEIVED_FRAMES_MAX);
         let counters = self.settings.counters.clone();
         let to = self.to;
         let closed = move |reason: LinkError| {
             log::info!(event = "link-closed", peer:% = to, cause:% = reason; "");
             None
         };
-        let wrap = |arrived| arrived;
-        let connection = Connection::start(greeted, self.clock, counters, frames_in, wrap, closed);
+        let wrap = |received| received;
+        let connection =
+            Connection::start(established, self.clock, counters, frames_in, wrap, closed);
         let silence = Silence::new(self.settings.ping_after_ms, self.settings.ping_deadline_ms);
-        let moving = self.calls.connected(&connection, self.clock.now_ms());
-        let live = Live {
+        let accepts_frames = self
+            .calls
+            .handle_connected(&connection, self.clock.now_ms());
+        let live = LiveConnection {
             connection,
             frames,
             silence,
-            watch_at_ms: None,
+            silence_check_ms: None,
         };
         self.state = State::Connected(Box::new(live));
-        moving
+        accepts_frames
     }
 
-    fn connect_failed(&mut self, error: &LinkError) {
+    fn back_off(&mut self, error: &LinkError) {
         log::info!(event = "connect-failed", peer:% = self.to, cause:% = error; "");
         let now_ms = self.clock.now_ms();
         self.failures += 1;
-        self.calls.connect_failed(now_ms);
+        self.calls.handle_connect_failure(now_ms);
         if self.calls.is_empty() {
-            self.state = State::Apart;
+            self.state = State::Disconnected;
             return;
         }
-        let pause_ms = reconnect_after_ms(self.failures, rand::random());
-        self.state = State::Pausing {
-            until_ms: now_ms + pause_ms,
+        let backoff_ms = reconnect_after_ms(self.failures, rand::random());
+        self.state = State::BackingOff {
+            until_ms: now_ms + backoff_ms,
         };
     }
 
-    /// Pings a silent connection, and closes one that has missed its deadline.
-    async fn watch(&mut self) {
+    /// Pings the peer if it is silent, and drops the connection if a ping was not answered in
+    /// time.
+    async fn check_silence(&mut self) {
         let now_ms = self.clock.now_ms();
-        let outstanding = !self.calls.is_empty();
+        let has_calls = !self.calls.is_empty();
         let State::Connected(live) = &mut self.state else {
             return;
         };
-        let heard_at_ms = live.connection.heard_at_ms();
-        let watch = live.silence.check(outstanding, heard_at_ms, now_ms);
-        live.watch_at_ms = match watch {
+        let last_received_ms = live.connection.last_received_ms();
+        let action = live.silence.check(has_calls, last_received_ms, now_ms);
+        live.silence_check_ms = match action {
             Watch::Idle => None,
             Watch::Until { at_ms } => Some(at_ms),
             Watch::Ping { number } => {
@@ -253,30 +259,31 @@
             }
             Watch::Dead => {
                 log::info!(event = "link-silent", peer:% = self.to; "");
-                self.lose().await;
+                self.drop_connection().await;
                 return;
             }
         };
     }
 
-    /// Closes the connection and makes another one for the calls that still want one.
-    async fn lose(&mut self) {
-        if let State::Connected(live) = std::mem::replace(&mut self.state, State::Apart) {
-            live.connection.cut().await;
+    /// Closes the connection and reconnects if calls are left to resume.
+    async fn drop_connection(&mut self) {
+        if let State::Connected(live) = std::mem::replace(&mut self.state, State::Disconnected) {
+            live.connection.abort().await;
         }
-        self.calls.lost(self.clock.now_ms());
+        self.calls.handle_connection_loss(self.clock.now_ms());
         self.reconnect_if_wanted();
     }
 
-    /// Calls that came while the task was about to end; nothing of them was written.
-    async fn refuse_rest(&mut self, mut commands: mpsc::UnboundedReceiver<Command>) {
+    /// Fails the calls that arrived while the task was about to end; none of their bytes were
+    /// written.
+    async fn refuse_remaining(&mut self, mut commands: mpsc::UnboundedReceiver<Command>) {
         let now_ms = self.clock.now_ms();
         while let Some(command) = commands.recv().await {
             if let Command::Open { open, events } = command {
                 self.calls.start(open, events, None, now_ms);
             }
         }
-        self.calls.connect_failed(now_ms);
+        self.calls.handle_connect_failure(now_ms);
     }
 }
 
@@ -290,18 +297,18 @@
 
     fn wake_at_ms(&self) -> Option<u64> {
         match self {
-            State::Pausing { until_ms } => Some(*until_ms),
-            State::Connected(live) => live.watch_at_ms,
-            State::Apart | State::Connecting(_) => None,
+            State::BackingOff { until_ms } => Some(*until_ms),
+            State::Connected(live) => live.silence_check_ms,
+            State::Disconnected | State::Connecting(_) => None,
         }
     }
 
-    /// Waits for what the connection brings. Loses nothing when dropped half-way.
-    async fn next(&mut self) -> Step {
+    /// Waits for the next event of the connection. Cancel safe.
+    async fn next_event(&mut self) -> PeerEvent {
         match self {
-            State::Connecting(connecting) => Step::Greeted(Box::new(connecting.await)),
-            State::Connected(live) => Step::Frame(live.frames.recv().await),
-            State::Apart | State::Pausing { .. } => pending().await,
+            State::Connecting(connecting) => PeerEvent::ConnectResult(Box::new(connecting.await)),
+            State::Connected(live) => PeerEvent::Frame(live.frames.recv().await),
+            State::Disconnected | State::BackingOff { .. } => pending().await,
         }
     }
 }
--- a/components/link/src/server.rs
+++ b/components/link/src/server.rs
@@ -13,41 +13,43 @@
 use types::{CallId, NodeId};
 
 use crate::accept::Acceptor;
-use crate::answer::{AnswerControl, AnswerSender, Said};
+use crate::answer::{AnswerControl, AnswerEvent, AnswerSender};
 use crate::clock::Clock;
-use crate::connection::{Arrived, Connection, Greeted};
+use crate::connection::{Connection, EstablishedConnection, ReceivedFrame};
 use crate::{IncomingCall, LinkError, LinkSettings};
 
-/// Frames that wait for the task; beyond that sockets are not read.
-const ARRIVED_MAX: usize = 1_024;
-/// How often times are looked at while calls are held.
-const TICK: Duration = Duration::from_millis(50);
+/// Received frames that wait for the task. While so many wait, no socket is read.
+const RECEIVED_FRAMES_MAX: usize = 1_024;
+/// How often timeouts and silent connections are checked while calls are held.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Serves calls on `listener`. `handle` is called once for each call, must not block, and
-/// spawns the work itself. When `stop` completes, new calls are refused as not run
-/// (leaving), and the function returns once every call has ended and its caller has
-/// acknowledged it or the time to keep it has passed.
+/// Serves calls on `listener`. `handle` is called once for each call; it must not block and
+/// spawns the work itself.
+///
+/// After `stop` completes, new calls are refused as not run with the cause "leaving". The
+/// function returns once every call has ended and its answer was acknowledged by the caller or
+/// was kept for `answer_retention_ms`.
 pub async fn serve(
     listener: TcpListener,
     settings: LinkSettings,
     handle: impl Fn(IncomingCall) + Clone + Send + 'static,
     stop: impl Future<Output = ()> + Send,
 ) {
-    let (arrived_in, arrived) = mpsc::channel(ARRIVED_MAX);
-    let (said_in, said) = mpsc::unbounded_channel();
-    let server = Server::new(settings.clone(), arrived_in, said_in, handle);
+    let (event_sender, events) = mpsc::channel(RECEIVED_FRAMES_MAX);
+    let (answer_sender, answer_events) = mpsc::unbounded_channel();
+    let server = Server::new(settings.clone(), event_sender, answer_sender, handle);
     let acceptor = Acceptor::start(listener, settings, server.boot);
-    server.run(acceptor, arrived, said, stop).await;
+    server.run(acceptor, events, answer_events, stop).await;
 }
 
-/// What a connection brings.
-struct FromConnection {
+/// A received frame or the end of a connection.
+struct ConnectionEvent {
     connection: u64,
-    /// `None` when it has ended.
-    arrived: Option<Arrived>,
+    /// `None` if the connection has ended.
+    received: Option<ReceivedFrame>,
 }
 
-struct Taken {
+struct ServedConnection {
     connection: Connection,
     silence: Silence,
 }
@@ -57,19 +59,19 @@
     boot: u64,
     clock: Clock,
     table: CallTable,
-    connections: HashMap<u64, Taken>,
-    connections_made: u64,
+    connections: HashMap<u64, ServedConnection>,
+    next_connection: u64,
     answers: HashMap<CallId, AnswerControl>,
-    arrived_in: mpsc::Sender<FromConnection>,
-    said_in: mpsc::UnboundedSender<(CallId, Said)>,
+    event_sender: mpsc::Sender<ConnectionEvent>,
+    answer_sender: mpsc::UnboundedSender<(CallId, AnswerEvent)>,
     handle: H,
 }
 
 impl<H: Fn(IncomingCall)> Server<H> {
     fn new(
         settings: LinkSettings,
-        arrived_in: mpsc::Sender<FromConnection>,
-        said_in: mpsc::UnboundedSender<(CallId, Said)>,
+        event_sender: mpsc::Sender<ConnectionEvent>,
+        answer_sender: mpsc::UnboundedSender<(CallId, AnswerEvent)>,
         handle: H,
     ) -> Self {
         Self {
@@ -77,10 +79,10 @@
             clock: Clock::start(),
             table: CallTable::new(settings.table()),
             connections: HashMap::new(),
-            connections_made: 0,
+            next_connection: 0,
             answers: HashMap::new(),
-            arrived_in,
-            said_in,
+            event_sender,
+            answer_sender,
             handle,
             settings,
         }
@@ -89,68 +91,72 @@
     async fn run(
         mut self,
         mut acceptor: Acceptor,
-        mut arrived: mpsc::Receiver<FromConnection>,
-        mut said: mpsc::UnboundedReceiver<(CallId, Said)>,
+        mut events: mpsc::Receiver<ConnectionEvent>,
+        mut answer_events: mpsc::UnboundedReceiver<(CallId, AnswerEvent)>,
         stop: impl Future<Output = ()> + Send,
     ) {
         let mut stop = pin!(stop);
         let mut stopping = false;
-        let mut ticks = interval(TICK);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         while !(stopping && self.table.is_empty()) {
             let holds_calls = !self.table.is_empty();
             tokio::select! {
-                Some(greeted) = acceptor.greeted.recv() => self.connected(greeted),
-                Some(from) = arrived.recv() => self.arrived(from),
-                Some((id, said)) = said.recv() => self.said(id, said),
-                _ = ticks.tick(), if holds_calls => self.tick(),
+                Some(established) = acceptor.established.recv() => self.add_connection(established),
+                Some(event) = events.recv() => self.handle_connection_event(event),
+                Some((id, answer_event)) = answer_events.recv() => self.handle_answer_event(id, answer_event),
+                _ = ticks.tick(), if holds_calls => self.handle_tick(),
                 () = &mut stop, if !stopping => {
                     stopping = true;
                     self.table.leave();
                 }
             }
         }
-        for (_, taken) in self.connections.drain() {
-            taken.connection.finish();
+        for (_, served) in self.connections.drain() {
+            served.connection.close_after_flush();
         }
     }
 
-    fn connected(&mut self, greeted: Greeted) {
-        let connection = self.connections_made;
-        self.connections_made += 1;
-        let boot = greeted.peer.boot;
-        let taken = self.start(connection, greeted);
-        self.connections.insert(connection, taken);
+    fn add_connection(&mut self, established: EstablishedConnection) {
+        let connection = self.next_connection;
+        self.next_connection += 1;
+        let boot = established.peer.boot;
+        let served = self.start_connection(connection, established);
+        self.connections.insert(connection, served);
         let now_ms = self.clock.now_ms();
-        self.change(|table, actions| table.connected(connection, boot, now_ms, actions));
+        self.update_table(|table, actions| table.connected(connection, boot, now_ms, actions));
     }
 
-    fn start(&self, connection: u64, greeted: Greeted) -> Taken {
-        let peer = greeted.peer.node;
-        let wrap = move |arrived| FromConnection {
+    fn start_connection(
+        &self,
+        connection: u64,
+        established: EstablishedConnection,
+    ) -> ServedConnection {
+        let peer = established.peer.node;
+        let wrap = move |received| ConnectionEvent {
             connection,
-            arrived: Some(arrived),
+            received: Some(received),
         };
         let closed = move |reason: LinkError| {
             log::info!(event = "link-closed", peer:% = peer, cause:% = reason; "");
-            Some(FromConnection {
+            Some(ConnectionEvent {
                 connection,
-                arrived: None,
+                received: None,
             })
         };
         let counters = self.settings.counters.clone();
-        let frames = self.arrived_in.clone();
-        let running = Connection::start(greeted, self.clock, counters, frames, wrap, closed);
+        let frames = self.event_sender.clone();
+        let started = Connection::start(established, self.clock, counters, frames, wrap, closed);
         let silence = Silence::new(self.settings.ping_after_ms, self.settings.ping_deadline_ms);
-        Taken {
-            connection: running,
+        ServedConnection {
+            connection: started,
             silence,
         }
     }
 
-    fn arrived(&mut self, from: FromConnection) {
-        let connection = from.connection;
-        let Some(Arrived { frame, at_ms }) = from.arrived else {
+    fn handle_connection_event(&mut self, event: ConnectionEvent) {
+        let connection = event.connection;
+        let Some(ReceivedFrame { frame, at_ms }) = event.received else {
             self.close(connection);
             return;
         };
@@ -159,34 +165,34 @@
             return;
         }
         let now_ms = self.clock.now_ms();
-        self.change(|table, actions| table.frame(connection, frame, at_ms, now_ms, actions));
+        self.update_table(|table, actions| table.frame(connection, frame, at_ms, now_ms, actions));
     }
 
-    fn said(&mut self, id: CallId, said: Said) {
+    fn handle_answer_event(&mut self, id: CallId, event: AnswerEvent) {
         let now_ms = self.clock.now_ms();
-        self.change(|table, actions| match said {
-            Said::Accepted => table.accepted(id, actions),
-            Said::Started => table.started(id, actions),
-            Said::Head(head) => table.head(id, head, actions),
-            Said::Chunk(bytes) => table.chunk(id, bytes, actions),
-            Said::End => table.end(id, now_ms, actions),
-            Said::Fail(failure) => table.fail(id, failure, now_ms, actions),
-            Said::Dropped => table.abandoned(id, now_ms, actions),
+        self.update_table(|table, actions| match event {
+            AnswerEvent::Accepted => table.accepted(id, actions),
+            AnswerEvent::Started => table.started(id, actions),
+            AnswerEvent::Head(head) => table.head(id, head, actions),
+            AnswerEvent::Chunk(bytes) => table.chunk(id, bytes, actions),
+            AnswerEvent::End => table.end(id, now_ms, actions),
+            AnswerEvent::Fail(failure) => table.fail(id, failure, now_ms, actions),
+            AnswerEvent::Dropped => table.abandoned(id, now_ms, actions),
         });
     }
 
-    fn tick(&mut self) {
+    fn handle_tick(&mut self) {
         let now_ms = self.clock.now_ms();
-        self.change(|table, actions| table.tick(now_ms, actions));
-        let outstanding = self.table.outstanding();
+        self.update_table(|table, actions| table.tick(now_ms, actions));
+        let active = self.table.outstanding();
         let mut dead = Vec::new();
-        for (&number, taken) in &mut self.connections {
-            let outstanding = outstanding.contains(&number);
-            let heard_at_ms = taken.connection.heard_at_ms();
-            match taken.silence.check(outstanding, heard_at_ms, now_ms) {
+        for (&number, served) in &mut self.connections {
+            let active = active.contains(&number);
+            let last_received_ms = served.connection.last_received_ms();
+            match served.silence.check(active, last_received_ms, now_ms) {
                 Watch::Idle | Watch::Until { .. } => {}
                 Watch::Ping { number: ping } => {
-                    let _ = taken.connection.send(Frame::Ping { number: ping });
+                    let _ = served.connection.send(Frame::Ping { number: ping });
                 }
                 Watch::Dead => dead.push(number),
             }
@@ -197,7 +203,7 @@
         }
     }
 
-    fn change(&mut self, change: impl FnOnce(&mut CallTable, &mut Vec<TableAction>)) {
+    fn update_table(&mut self, change: impl FnOnce(&mut CallTable, &mut Vec<TableAction>)) {
         let mut actions = Vec::new();
         change(&mut self.table, &mut actions);
         for action in actions {
@@ -209,7 +215,7 @@
         match action {
             TableAction::Send { connection, frame } => self.send(connection, frame),
             TableAction::Close { connection } => self.close(connection),
-            TableAction::Run { connection, open } => self.hand_over(connection, *open),
+            TableAction::Run { connection, open } => self.start_handler(connection, *open),
             TableAction::Credit { id, bytes } => {
                 self.answers
                     .get(&id)
@@ -234,26 +240,27 @@
         }
     }
 
-    fn hand_over(&mut self, connection: u64, open: Open) {
+    fn start_handler(&mut self, connection: u64, open: Open) {
         let id = open.id;
         let settings = &self.settings;
         let limits = (settings.window_bytes, settings.frame_bytes_max);
-        let (answer, control) = AnswerSender::new(id, self.said_in.clone(), limits.0, limits.1);
+        let (answer, control) =
+            AnswerSender::new(id, self.answer_sender.clone(), limits.0, limits.1);
         self.answers.insert(id, control);
         let from = self.peer_of(connection);
         (self.handle)(IncomingCall { open, from, answer });
     }
 
     fn peer_of(&self, connection: u64) -> NodeId {
-        let taken = self.connections.get(&connection);
-        taken.map_or(self.settings.node, |taken| taken.connection.peer.node)
+        let served = self.connections.get(&connection);
+        served.map_or(self.settings.node, |served| served.connection.peer.node)
     }
 
     fn send(&mut self, connection: u64, frame: Frame) {
-        let Some(taken) = self.connections.get(&connection) else {
+        let Some(served) = self.connections.get(&connection) else {
             return;
         };
-        if taken.connection.send(frame).is_err() {
+        if served.connection.send(frame).is_err() {
             self.close(connection);
         }
     }
--- a/components/link/src/settings.rs
+++ b/components/link/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the links between the system's own processes.
+//! Settings of connections and datagrams between the processes of the system.
 
 use protocol::{Keys, ProcessRole};
 use recovery::TableSettings;
@@ -9,43 +9,46 @@
 /// Settings of a [`crate::Links`], of [`crate::serve`] and of a [`crate::Udp`].
 #[derive(Clone, Debug)]
 pub struct LinkSettings {
-    /// This process.
+    /// Address and incarnation of this process, sent in the handshake.
     pub node: NodeId,
-    /// What this process is.
+    /// Role of this process, sent in the handshake.
     pub role: ProcessRole,
-    /// Failure domain of this process.
+    /// Failure domain of this process, sent in the handshake.
     pub failure_domain: FailureDomain,
-    /// Shared keys.
+    /// Keys that authenticate handshakes and datagrams.
     pub keys: Keys,
-    /// Longest time for a connection to be made and greeted, in milliseconds.
+    /// Timeout for connecting and the handshake together, in milliseconds.
     pub connect_timeout_ms: u64,
-    /// Silence while calls are outstanding after which the peer is pinged, in milliseconds.
+    /// Time without received bytes, while calls are in progress, after which the peer is
+    /// pinged, in milliseconds.
     pub ping_after_ms: u64,
-    /// Time for the peer to answer a ping, in milliseconds.
+    /// Time within which the peer must send any byte after a ping, in milliseconds.
     pub ping_deadline_ms: u64,
-    /// How long the caller tries to take a call up again after a lost connection, in
+    /// How long the caller tries to resume a call after its connection was lost, in
     /// milliseconds.
     pub reattach_for_ms: u64,
-    /// Bytes of an answer that may be on their way before the caller says that it has
-    /// taken them.
+    /// Flow-control window of one answer: bytes that the callee sends before the caller
+    /// acknowledges them.
     pub window_bytes: usize,
     /// Largest frame, in bytes.
     pub frame_bytes_max: usize,
-    /// How long the callee lets an idempotent call run on after its caller's connection
-    /// was lost, in milliseconds.
+    /// How long an idempotent call continues at the callee after its caller's connection
+    /// was lost, in milliseconds; then it is cancelled.
     pub grace_ms: u64,
-    /// How long the callee keeps a final answer that nobody acknowledged, in milliseconds.
+    /// How long the callee keeps a complete answer that the caller has not acknowledged, in
+    /// milliseconds.
     pub answer_retention_ms: u64,
-    /// Most calls that the callee holds at a time, kept answers included.
+    /// Most calls that the callee holds at a time, including those whose complete answers it
+    /// keeps.
     pub calls_max: usize,
-    /// Bytes of requests and kept answers beyond which the callee refuses calls.
+    /// Total bytes of requests and kept answers above which the callee refuses new calls.
     pub held_bytes_max: usize,
-    /// Bytes carried so far; clones of the settings count into the same.
+    /// Traffic counters; clones of the settings share them.
     pub counters: Counters,
 }
 
 impl LinkSettings {
-    /// Settings with the usual times and limits.
+    /// Settings with the default timeouts and limits.
     pub fn new(node: NodeId, role: ProcessRole, failure_domain: FailureDomain, keys: Keys) -> Self {
         Self {
             node,
--- a/components/link/src/traffic.rs
+++ b/components/link/src/traffic.rs
@@ -1,29 +1,30 @@
-//! Counters of bytes on the wire, for measurements of capacity.
+//! Counters of bytes on the wire.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// Bytes carried so far, with frame lengths and authentication, without IP and TCP headers.
+/// Bytes sent and received, including frame lengths and authentication codes, without the
+/// headers of IP, TCP and UDP.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Requests and answers sent, in bytes.
+    /// Bytes sent in frames that carry requests and answers.
     pub calls_sent_bytes: u64,
-    /// Requests and answers received, in bytes.
+    /// Bytes received in frames that carry requests and answers.
     pub calls_received_bytes: u64,
-    /// Everything else sent (greetings, pings, acknowledgements, news), in bytes.
+    /// Bytes sent in handshakes, pings, acknowledgements and datagrams.
     pub control_sent_bytes: u64,
-    /// Everything else received, in bytes.
+    /// Bytes received in handshakes, pings, acknowledgements and datagrams.
     pub control_received_bytes: u64,
-    /// Datagrams that were dropped because they did not pass as authentic.
+    /// Received datagrams that were dropped because they were malformed or not authentic.
     pub datagrams_dropped: u64,
 }
 
-/// Counts bytes; clones count into the same.
+/// Traffic counters; clones share them.
 #[derive(Clone, Debug, Default)]
-pub struct Counters(Arc<Cells>);
+pub struct Counters(Arc<AtomicTraffic>);
 
 #[derive(Debug, Default)]
-struct Cells {
+struct AtomicTraffic {
     calls_sent_bytes: AtomicU64,
     calls_received_bytes: AtomicU64,
     control_sent_bytes: AtomicU64,
@@ -32,7 +33,7 @@
 }
 
 impl Counters {
-    /// The counts now.
+    /// Reads all counters.
     pub fn snapshot(&self) -> Traffic {
         Traffic {
             calls_sent_bytes: self.0.calls_sent_bytes.load(Relaxed),
@@ -43,7 +44,7 @@
         }
     }
 
-    pub(crate) fn sent(&self, carries_call: bool, size_bytes: usize) {
+    pub(crate) fn record_sent(&self, carries_call: bool, size_bytes: usize) {
         let cell = if carries_call {
             &self.0.calls_sent_bytes
         } else {
@@ -52,7 +53,7 @@
         cell.fetch_add(size_bytes as u64, Relaxed);
     }
 
-    pub(crate) fn received(&self, carries_call: bool, size_bytes: usize) {
+    pub(crate) fn record_received(&self, carries_call: bool, size_bytes: usize) {
         let cell = if carries_call {
             &self.0.calls_received_bytes
         } else {
@@ -61,7 +62,7 @@
         cell.fetch_add(size_bytes as u64, Relaxed);
     }
 
-    pub(crate) fn datagram_dropped(&self) {
+    pub(crate) fn record_dropped_datagram(&self) {
         self.0.datagrams_dropped.fetch_add(1, Relaxed);
     }
 }
--- a/components/link/tests/call.rs
+++ b/components/link/tests/call.rs
@@ -1,14 +1,14 @@
-//! Calls over loopback sockets without faults.
+//! Calls over loopback sockets without connection faults.
 
 mod common;
 
 use bytes::Bytes;
-use common::{Callee, all, head, links, open};
+use common::{Callee, collect_events, head, links, open};
 use link::CallEvent;
 use types::{Cause, Failure, RunState};
 
 #[tokio::test]
-async fn can_give_a_whole_answer() {
+async fn can_receive_a_complete_answer() {
     let mut callee = Callee::start(|_| {}).await;
     let links = links(|_| {});
     let mut call = links.call(callee.address, open(&links, b"body"));
@@ -28,12 +28,12 @@
         CallEvent::Chunk(Bytes::from_static(b"onetwo")),
         CallEvent::End,
     ];
-    assert_eq!(all(&mut call).await, expected);
+    assert_eq!(collect_events(&mut call).await, expected);
     assert_eq!(call.next().await, CallEvent::End);
 }
 
-/// Where a handler goes away without an end, and what the caller may believe then.
-struct Dropped {
+/// How far a call has come when its handler drops it, and the run state that the caller gets.
+struct DropCase {
     name: &'static str,
     started: bool,
     head: bool,
@@ -41,22 +41,22 @@
 }
 
 #[tokio::test]
-async fn errors_when_the_handler_goes_away() {
+async fn errors_when_the_handler_drops_the_call() {
     let cases = [
-        Dropped {
+        DropCase {
             name: "before start",
             started: false,
             head: false,
             expected: RunState::NotRun,
         },
-        Dropped {
+        DropCase {
             name: "after start",
             started: true,
             head: false,
             expected: RunState::Unknown,
         },
-        Dropped {
-            name: "half answered",
+        DropCase {
+            name: "during the answer",
             started: true,
             head: true,
             expected: RunState::Failed,
@@ -75,7 +75,7 @@
         }
         drop(answer);
         let failure = Failure::new(case.expected, Cause::Internal);
-        let last = all(&mut call).await.pop();
+        let last = collect_events(&mut call).await.pop();
         assert_eq!(last, Some(CallEvent::Failed(failure)), "{}", case.name);
     }
 }
@@ -88,7 +88,7 @@
     let answer = callee.next().await.answer;
     answer.mark_started();
     drop(call);
-    // Far below the deadline, at which the call would be cancelled anyway.
+    // Less than the deadline of 20 s, at which the call would be cancelled anyway.
     let limit = std::time::Duration::from_secs(10);
     tokio::time::timeout(limit, answer.cancelled())
         .await
@@ -96,20 +96,20 @@
 }
 
 #[tokio::test]
-async fn errors_as_not_run_when_nobody_listens() {
+async fn errors_as_not_run_when_the_connection_is_refused() {
     let links = links(|_| {});
-    let nobody = tokio::net::TcpListener::bind(common::LOOPBACK)
+    let listener = tokio::net::TcpListener::bind(common::LOOPBACK)
         .await
         .unwrap();
-    let address = nobody.local_addr().unwrap();
-    drop(nobody);
+    let address = listener.local_addr().unwrap();
+    drop(listener);
     let mut call = links.call(address, open(&links, b""));
     let expected = CallEvent::Failed(Failure::not_run(Cause::LinkLost));
-    assert_eq!(all(&mut call).await, vec![expected]);
+    assert_eq!(collect_events(&mut call).await, vec![expected]);
 }
 
-// A caller that does not take its answer holds up only itself: its callee waits for the
-// window while another call on the same connection is answered whole.
+// A caller that does not read its answer must not block other calls on the same connection:
+// its handler waits for the window while the other call is answered completely.
 #[tokio::test]
 async fn can_answer_one_call_while_another_is_not_read() {
     let mut callee = Callee::start(|settings| settings.window_bytes = 4_096).await;
@@ -128,28 +128,28 @@
     quick_answer.send_head(head()).await;
     quick_answer.send_chunk(Bytes::from_static(b"here")).await;
     quick_answer.finish();
-    assert_eq!(all(&mut quick).await.pop(), Some(CallEvent::End));
+    assert_eq!(collect_events(&mut quick).await.pop(), Some(CallEvent::End));
     tokio::task::yield_now().await;
     assert!(
         !writing.is_finished(),
-        "the slow call must wait for its window"
+        "the handler of the slow call did not wait for its window"
     );
-    let events = all(&mut slow).await;
+    let events = collect_events(&mut slow).await;
     assert_eq!(events[2], CallEvent::Chunk(long));
     assert_eq!(events[3], CallEvent::End);
     writing.await.unwrap();
 }
 
 #[tokio::test]
-async fn can_leave_after_the_last_call_only() {
+async fn can_stop_only_after_the_last_call() {
     let mut callee = Callee::start(|_| {}).await;
     let links = links(|_| {});
     let mut early = links.call(callee.address, open(&links, b""));
     let answer = callee.next().await.answer;
     callee.stop.send_replace(true);
     let refused = CallEvent::Failed(Failure::not_run(Cause::Leaving));
-    // The order to stop and a new call reach the callee on two ways, so the first refusal
-    // may come a little later.
+    // The order to stop and a new call reach the callee on different paths, so some calls may
+    // be accepted before the first refusal.
     loop {
         let mut late = links.call(callee.address, open(&links, b"late"));
         let event = tokio::select! {
@@ -162,6 +162,6 @@
     }
     answer.send_head(head()).await;
     answer.finish();
-    assert_eq!(all(&mut early).await.pop(), Some(CallEvent::End));
+    assert_eq!(collect_events(&mut early).await.pop(), Some(CallEvent::End));
     callee.task.await.unwrap();
 }
--- a/components/link/tests/common/mod.rs
+++ b/components/link/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A caller and a callee on loopback sockets, and a proxy between them that can cut or
-//! silence what goes through it.
-#![allow(dead_code, clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+//! A caller and a callee on loopback sockets, and a proxy between them that can close
+//! connections or stop forwarding.
+#![allow(dead_code, clippy::unwrap_used)] // clippy.toml exempts test functions only, not their helpers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -62,7 +62,7 @@
     }
 }
 
-/// A callee whose calls come out of `calls`.
+/// A callee that puts the calls it receives into `calls`.
 pub struct Callee {
     pub address: SocketAddr,
     pub calls: mpsc::UnboundedReceiver<IncomingCall>,
@@ -82,13 +82,13 @@
         let address = listener.local_addr().unwrap();
         let mut settings = settings(address, keys());
         change(&mut settings);
-        let (calls_in, calls) = mpsc::unbounded_channel();
+        let (call_sender, calls) = mpsc::unbounded_channel();
         let runs = Arc::new(AtomicUsize::new(0));
         let (stop, mut stopped) = watch::channel(false);
-        let counted = runs.clone();
+        let run_count = runs.clone();
         let handle = move |incoming: IncomingCall| {
-            counted.fetch_add(1, SeqCst);
-            calls_in.send(incoming).unwrap();
+            run_count.fetch_add(1, SeqCst);
+            call_sender.send(incoming).unwrap();
         };
         let served = settings.clone();
         let task = tokio::spawn(async move {
@@ -114,7 +114,7 @@
     }
 }
 
-/// Binds; waits while an earlier life of the callee still holds the address.
+/// Binds to `at`; retries while a callee that was stopped still holds the address.
 async fn bind(at: SocketAddr) -> TcpListener {
     loop {
         match TcpListener::bind(at).await {
@@ -130,41 +130,41 @@
     Links::new(settings)
 }
 
-/// All events to the last one, with consecutive chunks joined.
-pub async fn all(call: &mut Call) -> Vec<CallEvent> {
+/// Collects all events up to the last one and joins consecutive chunks.
+pub async fn collect_events(call: &mut Call) -> Vec<CallEvent> {
     let mut events: Vec<CallEvent> = Vec::new();
     loop {
         let event = call.next().await;
-        let last = matches!(event, CallEvent::End | CallEvent::Failed(_));
+        let is_last = matches!(event, CallEvent::End | CallEvent::Failed(_));
         match (events.last_mut(), event) {
             (Some(CallEvent::Chunk(before)), CallEvent::Chunk(more)) => {
                 *before = Bytes::from([&before[..], &more[..]].concat());
             }
             (_, event) => events.push(event),
         }
-        if last {
+        if is_last {
             return events;
         }
     }
 }
 
-/// What the proxy does with bytes.
+/// How the proxy handles a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    Open,
-    /// Connections stay open and carry nothing.
+pub enum ProxyMode {
+    Forward,
+    /// The connection stays open and no bytes are forwarded.
     Silent,
-    /// Connections are closed as soon as they are there.
+    /// The connection is closed at once.
     Cut,
 }
 
-/// Passes connections on; `set` changes the way of those that are there, `next` of those
-/// that come later.
+/// Forwards connections. `existing` holds the mode of connections that were accepted before,
+/// `new` the initial mode of later ones.
 pub struct Proxy {
     pub address: SocketAddr,
-    pub now: watch::Sender<Way>,
-    pub later: watch::Sender<Way>,
-    pub made: watch::Receiver<usize>,
+    pub existing: watch::Sender<ProxyMode>,
+    pub new: watch::Sender<ProxyMode>,
+    pub connection_count: watch::Receiver<usize>,
     task: tokio::task::JoinHandle<()>,
 }
 
@@ -172,34 +172,37 @@
     pub async fn start(to: SocketAddr) -> Proxy {
         let listener = TcpListener::bind(LOOPBACK).await.unwrap();
         let address = listener.local_addr().unwrap();
-        let (now, now_seen) = watch::channel(Way::Open);
-        let (later, later_seen) = watch::channel(Way::Open);
-        let (made_in, made) = watch::channel(0);
+        let (existing, existing_mode) = watch::channel(ProxyMode::Forward);
+        let (new, new_mode) = watch::channel(ProxyMode::Forward);
+        let (count_sender, connection_count) = watch::channel(0);
         let task = tokio::spawn(async move {
             let mut connections = JoinSet::new();
             loop {
                 let (near, _) = listener.accept().await.unwrap();
-                made_in.send_modify(|made| *made += 1);
-                let first = *later_seen.borrow();
-                connections.spawn(pass(near, to, first, now_seen.clone()));
+                count_sender.send_modify(|count| *count += 1);
+                let first = *new_mode.borrow();
+                connections.spawn(forward(near, to, first, existing_mode.clone()));
             }
         });
         Proxy {
             address,
-            now,
-            later,
-            made,
+            existing,
+            new,
+            connection_count,
             task,
         }
     }
 
-    /// Changes the way of the connections that are there; new ones stay open.
-    pub fn change(&self, way: Way) {
-        self.now.send_replace(way);
+    /// Changes the mode of the existing connections; new ones are forwarded.
+    pub fn set_mode(&self, mode: ProxyMode) {
+        self.existing.send_replace(mode);
     }
 
-    pub async fn made(&mut self, count: usize) {
-        self.made.wait_for(|&made| made >= count).await.unwrap();
+    pub async fn wait_for_connections(&mut self, count: usize) {
+        self.connection_count
+            .wait_for(|&made| made >= count)
+            .await
+            .unwrap();
     }
 }
 
@@ -209,28 +212,33 @@
     }
 }
 
-async fn pass(near: TcpStream, to: SocketAddr, first: Way, mut now: watch::Receiver<Way>) {
-    if first == Way::Cut {
+async fn forward(
+    near: TcpStream,
+    to: SocketAddr,
+    first: ProxyMode,
+    mut mode: watch::Receiver<ProxyMode>,
+) {
+    if first == ProxyMode::Cut {
         return;
     }
     let Ok(far) = TcpStream::connect(to).await else {
         return;
     };
-    now.mark_unchanged();
-    let (mut near_in, mut near_out) = near.into_split();
-    let (mut far_in, mut far_out) = far.into_split();
-    let carry = async {
-        let there = tokio::io::copy(&mut near_in, &mut far_out);
-        let back = tokio::io::copy(&mut far_in, &mut near_out);
-        tokio::select! { _ = there => {}, _ = back => {} }
+    mode.mark_unchanged();
+    let (mut near_read, mut near_write) = near.into_split();
+    let (mut far_read, mut far_write) = far.into_split();
+    let copy = async {
+        let forth = tokio::io::copy(&mut near_read, &mut far_write);
+        let back = tokio::io::copy(&mut far_read, &mut near_write);
+        tokio::select! { _ = forth => {}, _ = back => {} }
     };
-    if first == Way::Open {
+    if first == ProxyMode::Forward {
         tokio::select! {
-            () = carry => return,
-            _ = now.changed() => {}
+            () = copy => return,
+            _ = mode.changed() => {}
         }
     }
-    if first == Way::Silent || *now.borrow() == Way::Silent {
+    if first == ProxyMode::Silent || *mode.borrow() == ProxyMode::Silent {
         std::future::pending::<()>().await;
     }
 }
--- a/components/link/tests/faults.rs
+++ b/components/link/tests/faults.rs
@@ -1,9 +1,9 @@
-//! Calls whose connection is cut or goes silent.
+//! Calls whose connection is closed, goes silent or is not established.
 
 mod common;
 
 use bytes::{Bytes, BytesMut};
-use common::{Callee, LOOPBACK, Proxy, Way, all, head, key, keys, links, open};
+use common::{Callee, LOOPBACK, Proxy, ProxyMode, collect_events, head, key, keys, links, open};
 use link::{AnswerSender, CallEvent, Keys, LinkSettings};
 use protocol::{Hello, VERSION_MAX, read_caller_hello, write_callee_hello};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -13,7 +13,7 @@
 /// How far a call has come when its connection breaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
-    HandedOver,
+    HandlerStarted,
     Accepted,
     Started,
     Head,
@@ -21,13 +21,13 @@
     Ended,
 }
 
-use Step::{Accepted, Chunk, Ended, HandedOver, Started};
+use Step::{Accepted, Chunk, Ended, HandlerStarted, Started};
 
-const STEPS: [Step; 6] = [HandedOver, Accepted, Started, Step::Head, Chunk, Ended];
+const STEPS: [Step; 6] = [HandlerStarted, Accepted, Started, Step::Head, Chunk, Ended];
 
-async fn say(answer: &AnswerSender, step: Step) {
+async fn report(answer: &AnswerSender, step: Step) {
     match step {
-        Step::HandedOver => {}
+        Step::HandlerStarted => {}
         Step::Accepted => answer.mark_accepted(),
         Step::Started => answer.mark_started(),
         Step::Head => answer.send_head(head()).await,
@@ -36,7 +36,7 @@
     }
 }
 
-fn whole() -> Vec<CallEvent> {
+fn complete_answer() -> Vec<CallEvent> {
     let chunk = CallEvent::Chunk(Bytes::from_static(b"whole"));
     vec![
         CallEvent::Started,
@@ -46,15 +46,14 @@
     ]
 }
 
-// The caller sees a whole answer, as if nothing had happened. The callee has come to the
-// named step when the connection is cut, or carries nothing any more without being closed;
-// the answer goes on meanwhile. The caller connects anew and takes the call up by its
-// identity, so the callee runs it once.
+// A connection that is closed or goes silent at any step of a call must not lose or repeat the
+// call. The callee continues the answer meanwhile; the caller reconnects and resumes the call
+// by its id, so the caller receives the complete answer and the callee runs the call once.
 #[tokio::test]
-async fn can_give_a_whole_answer_over_a_broken_connection() {
-    let ways = [Way::Cut, Way::Silent].into_iter();
-    for (way, last) in ways.flat_map(|way| STEPS.map(|step| (way, step))) {
-        let name = format!("{way:?} at {last:?}");
+async fn can_resume_a_call_after_its_connection_breaks() {
+    let modes = [ProxyMode::Cut, ProxyMode::Silent].into_iter();
+    for (mode, last) in modes.flat_map(|mode| STEPS.map(|step| (mode, step))) {
+        let name = format!("{mode:?} at {last:?}");
         let mut callee = Callee::start(|_| {}).await;
         let mut proxy = Proxy::start(callee.address).await;
         let links = links(|_| {});
@@ -62,24 +61,23 @@
         let answer = callee.next().await.answer;
         let (before, after): (Vec<_>, Vec<_>) = STEPS.iter().partition(|&&step| step <= last);
         for &step in before {
-            say(&answer, step).await;
+            report(&answer, step).await;
         }
-        proxy.change(way);
+        proxy.set_mode(mode);
         for &step in after {
-            say(&answer, step).await;
+            report(&answer, step).await;
         }
-        let events = all(&mut call).await;
-        assert!(events.ends_with(&whole()), "{name}: {events:?}");
+        let events = collect_events(&mut call).await;
+        assert!(events.ends_with(&complete_answer()), "{name}: {events:?}");
         assert_eq!(callee.runs(), 1, "{name}");
         if last < Ended {
-            proxy.made(2).await;
+            proxy.wait_for_connections(2).await;
         }
     }
 }
 
-// The caller sees its calls go on after the connection went silent, and a new call is
-// answered as well. Nothing is closed; pings stay without answer, so the caller gives the
-// connection up and moves all calls to the next one.
+// A connection that stays open but carries no bytes must not block its calls or new ones. The
+// pings remain unanswered, so the caller drops the connection and moves all calls to the next.
 #[tokio::test]
 async fn can_move_every_call_from_a_silent_connection() {
     let mut callee = Callee::start(|_| {}).await;
@@ -91,24 +89,24 @@
         calls.push(links.call(proxy.address, open(&links, b"")));
         answers.push(callee.next().await.answer);
     }
-    proxy.change(Way::Silent);
-    proxy.made(2).await;
+    proxy.set_mode(ProxyMode::Silent);
+    proxy.wait_for_connections(2).await;
     calls.push(links.call(proxy.address, open(&links, b"new")));
     answers.push(callee.next().await.answer);
     for answer in answers {
         for step in STEPS {
-            say(&answer, step).await;
+            report(&answer, step).await;
         }
     }
     for call in &mut calls {
-        assert_eq!(all(call).await.pop(), Some(CallEvent::End));
+        assert_eq!(collect_events(call).await.pop(), Some(CallEvent::End));
     }
     assert_eq!(callee.runs(), 6);
 }
 
-// The caller sees "unknown": its call was running when the callee's process was replaced
-// by a new one at the same address. The new life answers with another boot number and
-// knows nothing of the call, which may still run at the endpoint.
+// The callee's process is replaced by a new one at the same address while a call runs. The new
+// process has another boot number and does not know the call, which may still run at the
+// endpoint, so the caller must get "unknown" and not "not run".
 #[tokio::test]
 async fn errors_as_unknown_when_the_callee_was_replaced() {
     let mut callee = Callee::start(|_| {}).await;
@@ -122,38 +120,38 @@
     let _ = (&mut callee.task).await;
     let next = Callee::start_at(callee.address, |_| {}).await;
     let expected = CallEvent::Failed(Failure::new(RunState::Unknown, Cause::LinkLost));
-    assert_eq!(all(&mut call).await, vec![expected]);
+    assert_eq!(collect_events(&mut call).await, vec![expected]);
     answer.cancelled().await;
     assert_eq!(next.runs(), 0);
 }
 
-// The caller sees "unknown" after the time to re-attach: the connection was cut while its
-// call was running, and no further connection can be made. It makes no difference whether
-// the callee had said so; the request was written whole.
+// The connection is closed while a call runs, and reconnecting fails until
+// `reattach_for_ms` has passed. The request was written completely, so the caller must get
+// "unknown", whether or not the callee had reported the start.
 #[tokio::test]
-async fn errors_as_unknown_when_the_callee_stays_away() {
-    for said in [true, false] {
+async fn errors_as_unknown_when_reconnecting_fails() {
+    for started in [true, false] {
         let mut callee = Callee::start(|_| {}).await;
         let proxy = Proxy::start(callee.address).await;
         let links = links(|settings| settings.reattach_for_ms = 100);
         let mut call = links.call(proxy.address, open(&links, b""));
         let answer = callee.next().await.answer;
-        if said {
+        if started {
             answer.mark_started();
             assert_eq!(call.next().await, CallEvent::Started);
         }
-        proxy.later.send_replace(Way::Cut);
-        proxy.change(Way::Cut);
+        proxy.new.send_replace(ProxyMode::Cut);
+        proxy.set_mode(ProxyMode::Cut);
         let expected = CallEvent::Failed(Failure::new(RunState::Unknown, Cause::LinkLost));
-        assert_eq!(all(&mut call).await, vec![expected]);
+        assert_eq!(collect_events(&mut call).await, vec![expected]);
     }
 }
 
-// The caller sees its whole answer. It takes all that fits the window while the connection
-// is silent, so its acknowledgements are lost; they are said again on the next connection,
-// without which the window would stay shut for good.
+// The acknowledgements of a full window are lost on a silent connection. The caller must repeat
+// them on the next connection; otherwise the callee's window would stay closed and the answer
+// would never complete.
 #[tokio::test]
-async fn can_open_the_window_again_on_the_next_connection() {
+async fn can_repeat_acknowledgements_on_the_next_connection() {
     let mut callee = Callee::start(|settings| settings.window_bytes = 4_096).await;
     let proxy = Proxy::start(callee.address).await;
     let links = links(|settings| settings.window_bytes = 4_096);
@@ -169,8 +167,8 @@
     assert_eq!(call.next().await, CallEvent::Started);
     assert_eq!(call.next().await, CallEvent::Head(head()));
     assert!(matches!(call.next().await, CallEvent::Chunk(_)));
-    proxy.change(Way::Silent);
-    let events = all(&mut call).await;
+    proxy.set_mode(ProxyMode::Silent);
+    let events = collect_events(&mut call).await;
     let CallEvent::Chunk(rest) = &events[0] else {
         panic!("{events:?}");
     };
@@ -179,19 +177,19 @@
     writing.await.unwrap();
 }
 
-/// Calls without a caller: whether the handler hears that nobody wants the answer.
-struct Away {
+/// A call whose caller is gone; only an idempotent one is cancelled.
+struct CallerGone {
     idempotent: bool,
     name: &'static str,
 }
 
-// The caller's process is gone. An idempotent call is cancelled after the grace time, so
-// that no work is done for nobody; one that may run once only runs on to its end, and is
-// not held up by the window that nobody opens.
+// The caller's process is gone. An idempotent call must be cancelled after the grace time, to
+// save work whose result is not needed. Any other call must run to its end and must not block
+// on the window, which no caller opens any more.
 #[tokio::test]
-async fn can_cancel_what_nobody_waits_for() {
-    let cases = [("idempotent", true), ("once only", false)];
-    let cases = cases.map(|(name, idempotent)| Away { name, idempotent });
+async fn can_cancel_idempotent_calls_without_a_caller() {
+    let cases = [("idempotent", true), ("not idempotent", false)];
+    let cases = cases.map(|(name, idempotent)| CallerGone { name, idempotent });
     for case in cases {
         let change = |settings: &mut LinkSettings| {
             settings.grace_ms = 50;
@@ -206,8 +204,8 @@
         let answer = callee.next().await.answer;
         answer.mark_started();
         answer.send_head(head()).await;
-        proxy.later.send_replace(Way::Cut);
-        proxy.change(Way::Cut);
+        proxy.new.send_replace(ProxyMode::Cut);
+        proxy.set_mode(ProxyMode::Cut);
         if case.idempotent {
             answer.cancelled().await;
         }
@@ -221,41 +219,42 @@
     vec![CallEvent::Failed(Failure::not_run(cause))]
 }
 
-/// Keys of both sides.
+/// Keys of both sides, and whether the callee accepts the caller.
 struct KeyCase {
     name: &'static str,
     caller: Keys,
     callee: Keys,
-    passes: bool,
+    is_accepted: bool,
 }
 
-// The caller sees its call answered if the callee accepts the key it signs with, and "not
-// run" otherwise: the greeting is refused, and no call goes out before a greeting.
+// While keys are rotated, a call must succeed if the callee accepts the key that the caller
+// signs with. Otherwise the handshake fails; no call is sent before it, so the caller gets
+// "not run".
 #[tokio::test]
-async fn can_change_keys_and_errors_with_a_wrong_one() {
+async fn can_rotate_keys_and_errors_with_an_unaccepted_key() {
     let (old, new) = (|| key(1), || key(2));
-    let case = |name, caller, callee, passes| KeyCase {
+    let case = |name, caller, callee, is_accepted| KeyCase {
         name,
         caller,
         callee,
-        passes,
+        is_accepted,
     };
     let cases = [
-        case("wrong key", Keys::one(new()), Keys::one(old()), false),
+        case("unaccepted key", Keys::one(new()), Keys::one(old()), false),
         case(
-            "signed with the old",
+            "signed with the old key",
             Keys::one(old()),
             Keys::two(new(), old()),
             true,
         ),
         case(
-            "signed with the new",
+            "signed with the new key",
             Keys::two(new(), old()),
             Keys::two(old(), new()),
             true,
         ),
         case(
-            "the old is given up",
+            "the old key is removed",
             Keys::one(old()),
             Keys::one(new()),
             false,
@@ -265,24 +264,24 @@
         let mut callee = Callee::start(|settings| settings.keys = case.callee).await;
         let links = links(|settings| settings.keys = case.caller);
         let mut call = links.call(callee.address, open(&links, b""));
-        if case.passes {
+        if case.is_accepted {
             let answer = callee.next().await.answer;
             answer.fail(Failure::not_run(Cause::NotHosted));
         }
-        let refused = all(&mut call).await == not_run(Cause::LinkLost);
-        assert_eq!(refused, !case.passes, "{}", case.name);
+        let refused = collect_events(&mut call).await == not_run(Cause::LinkLost);
+        assert_eq!(refused, !case.is_accepted, "{}", case.name);
     }
 }
 
-// The caller sees "not run" in the time to connect: the peer takes the connection and says
-// nothing, as a process that hangs does.
+// A hung process accepts the connection and sends nothing. The call must fail as "not run"
+// within the connect timeout.
 #[tokio::test]
-async fn errors_as_not_run_when_the_peer_does_not_greet() {
+async fn errors_as_not_run_when_the_peer_sends_no_hello() {
     let listener = TcpListener::bind(LOOPBACK).await.unwrap();
     let address = listener.local_addr().unwrap();
     let links = links(|settings| settings.connect_timeout_ms = 50);
     let mut call = links.call(address, open(&links, b""));
-    assert_eq!(all(&mut call).await, not_run(Cause::LinkLost));
+    assert_eq!(collect_events(&mut call).await, not_run(Cause::LinkLost));
 }
 
 #[tokio::test]
@@ -290,10 +289,11 @@
     let callee = Callee::start(|_| {}).await;
     let links = links(|settings| settings.frame_bytes_max = 1_000);
     let mut call = links.call(callee.address, open(&links, &[0; 2_000]));
-    assert_eq!(all(&mut call).await, not_run(Cause::TooLarge));
+    assert_eq!(collect_events(&mut call).await, not_run(Cause::TooLarge));
 }
 
-// The caller sees "not run": the deadline passes while the connection is being made.
+// The deadline passes before the handshake is complete. Nothing was sent, so the call must fail
+// as "not run".
 #[tokio::test]
 async fn errors_as_not_run_when_the_deadline_passes_before_the_connection() {
     let listener = TcpListener::bind(LOOPBACK).await.unwrap();
@@ -302,11 +302,14 @@
     let mut wanted = open(&links, b"");
     wanted.deadline_left_ms = 30;
     let mut call = links.call(address, wanted);
-    assert_eq!(all(&mut call).await, not_run(Cause::DeadlinePassed));
+    assert_eq!(
+        collect_events(&mut call).await,
+        not_run(Cause::DeadlinePassed)
+    );
 }
 
-// The caller sees "not run": the callee is of a later release and speaks only protocol
-// versions that this one does not know; nothing goes out after its greeting.
+// The callee is of a later release and speaks only protocol versions that the caller does not
+// know. The caller must send nothing after the handshake, so the call fails as "not run".
 #[tokio::test]
 async fn errors_as_not_run_when_there_is_no_common_version() {
     let listener = TcpListener::bind(LOOPBACK).await.unwrap();
@@ -328,6 +331,6 @@
     };
     write_callee_hello(&later, &key(1), &hello.nonce, &mut out).unwrap();
     stream.write_all(&out).await.unwrap();
-    assert_eq!(all(&mut call).await, not_run(Cause::LinkLost));
+    assert_eq!(collect_events(&mut call).await, not_run(Cause::LinkLost));
     assert_eq!(stream.read_buf(&mut buffer).await.unwrap(), 0);
 }
--- a/components/link/tests/ending.rs
+++ b/components/link/tests/runtime_shutdown.rs
@@ -1,5 +1,5 @@
-//! Calls that are begun while their runtime ends.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+//! Calls that are started while their runtime shuts down.
+#![allow(clippy::unwrap_used)] // clippy.toml exempts test functions only, not their helpers.
 
 mod common;
 
@@ -15,22 +15,22 @@
 
 impl Drop for CallsWhenDropped {
     fn drop(&mut self) {
-        let nobody = ([127, 0, 0, 1], 1).into();
-        drop(self.links.call(nobody, open(&self.links, b"")));
+        let unused_address = ([127, 0, 0, 1], 1).into();
+        drop(self.links.call(unused_address, open(&self.links, b"")));
         self.returned.send(()).unwrap();
     }
 }
 
-// A process leaves and its runtime ends while a task begins a call. The task that would
-// carry the call dies as it is started, every time. The call must come back, or the thread
-// spins and the runtime, which waits for it, never ends: the VM's process stays for ever.
+// While a runtime shuts down, each new task is dropped at once, also the one for the peer of a
+// call. `Links::call` must return nevertheless: if it retried without end, the runtime would
+// wait for its thread and the process would never exit.
 #[test]
-fn can_begin_a_call_while_the_runtime_ends() {
+fn can_start_a_call_while_the_runtime_shuts_down() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
-    let (returned, word) = channel();
+    let (returned, returned_receiver) = channel();
     runtime.spawn(async move {
         let _late = CallsWhenDropped {
             links: Links::new(settings(([127, 0, 0, 1], 2).into(), keys())),
@@ -40,5 +40,5 @@
     });
     runtime.block_on(tokio::task::yield_now());
     drop(runtime);
-    assert!(word.recv().is_ok());
+    assert!(returned_receiver.recv().is_ok());
 }
--- a/components/link/tests/udp.rs
+++ b/components/link/tests/udp.rs
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test]
-async fn can_send_more_news_than_fit_one_datagram() {
+async fn can_send_more_messages_than_fit_one_packet() {
     let receiver = Udp::bind(LOOPBACK.parse().unwrap(), &with_keys(keys()))
         .await
         .unwrap();
@@ -45,10 +45,10 @@
     assert_eq!(received, 200);
 }
 
-// The receiver sees the second datagram only: the first is signed with a key that it does
-// not accept, and is counted and dropped.
+// The first datagram is signed with a key that the receiver does not accept, so it must be
+// counted and dropped; only the second one is delivered.
 #[tokio::test]
-async fn can_drop_datagrams_with_a_wrong_key() {
+async fn can_drop_datagrams_with_an_unaccepted_key() {
     let receiver = Udp::bind(LOOPBACK.parse().unwrap(), &with_keys(keys()))
         .await
         .unwrap();
