--- a/components/protocol/src/authentication.rs
+++ b/components/protocol/src/authentication.rs
@@ -1,36 +1,36 @@
-//! Authentication of what goes over the wire: HMAC-SHA256, cut to 16 bytes.
+//! Message authentication: HMAC-SHA256, truncated to 16 bytes.
 //!
-//! A greeting and a datagram are signed with a shared key, a frame with the key of its
-//! connection. What is signed always begins with a byte that says what it is and in which
-//! direction it goes, so that nothing signed for one purpose passes for another.
+//! Hello frames and datagrams are signed with a shared key, all other frames with the key of
+//! their connection. The signed bytes always begin with a byte for the purpose and direction of
+//! the message, so that a code for one purpose is not valid for another.
 
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
 
 use crate::{CodecError, Key};
 
-/// Bytes of the authentication code behind every frame and datagram.
+/// Length in bytes of the authentication code at the end of every frame and datagram.
 pub const TAG_BYTES: usize = 16;
-/// Bytes of a nonce.
+/// Length of a nonce in bytes.
 pub const NONCE_BYTES: usize = 16;
 
-/// Random number of one side of a connection.
+/// Random number that one side generates for a connection.
 pub type Nonce = [u8; NONCE_BYTES];
 pub(crate) type Tag = [u8; TAG_BYTES];
 
 const SESSION_LABEL: &[u8] = b"hornbeamrock session";
 
-/// Which side of a connection sends.
+/// Direction of a connection, given by its sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     /// From the process that connected.
     FromCaller,
-    /// From the process that was connected to.
+    /// From the process that accepted the connection.
     FromCallee,
 }
 
 impl Direction {
-    /// The direction of the answers.
+    /// Returns the opposite direction.
     pub fn reversed(self) -> Direction {
         match self {
             Direction::FromCaller => Direction::FromCallee,
@@ -39,7 +39,7 @@
     }
 }
 
-/// What a code stands behind.
+/// Kind of a signed message.
 #[derive(Clone, Copy)]
 pub(crate) enum Purpose {
     Hello(Direction),
@@ -59,27 +59,28 @@
     }
 }
 
-/// Makes and checks codes with one key. Keyed once, so that a frame costs no key schedule.
+/// Computes and verifies authentication codes with one key. The key schedule is computed once
+/// and not for each frame.
 #[derive(Clone)]
 pub(crate) struct Authenticator(Hmac<Sha256>);
 
 impl Authenticator {
-    pub(crate) fn shared(key: &Key) -> Self {
-        Self::keyed(key.secret())
+    pub(crate) fn with_shared_key(key: &Key) -> Self {
+        Self::with_secret(key.secret())
     }
 
-    /// The authenticator of one connection. Both nonces go in, so that neither side can
-    /// be led to accept the frames of another connection.
-    pub(crate) fn session(key: &Key, caller: &Nonce, callee: &Nonce) -> Self {
-        let mut mac = Self::shared(key).0;
+    /// Creates the authenticator of one connection. Its key is derived from both nonces, so that
+    /// neither side accepts recorded frames of another connection.
+    pub(crate) fn with_session_key(key: &Key, caller: &Nonce, callee: &Nonce) -> Self {
+        let mut mac = Self::with_shared_key(key).0;
         mac.update(SESSION_LABEL);
         mac.update(caller);
         mac.update(callee);
-        Self::keyed(&mac.finalize().into_bytes().into())
+        Self::with_secret(&mac.finalize().into_bytes().into())
     }
 
-    fn keyed(secret: &[u8; 32]) -> Self {
-        // A key as long as the hash's block or shorter is used as it is.
+    fn with_secret(secret: &[u8; 32]) -> Self {
+        // HMAC pads a key that is shorter than the block of the hash with zeros.
         let mut block = [0; 64];
         block[..secret.len()].copy_from_slice(secret);
         Self(Mac::new(&block.into()))
@@ -92,8 +93,8 @@
         tag
     }
 
-    /// Compares in constant time.
-    pub(crate) fn check(
+    /// Compares the code in constant time.
+    pub(crate) fn verify(
         &self,
         purpose: Purpose,
         context: &[u8],
--- a/components/protocol/src/codec.rs
+++ b/components/protocol/src/codec.rs
@@ -1,47 +1,48 @@
-//! Frames on a stream: a length, the `postcard` payload, an authentication code.
+//! Encoding of frames on a stream: a length, the `postcard` payload and an authentication code.
 //!
-//! The code covers the direction and the number of the frame, so a frame that was
-//! garbled, left out, doubled, moved or taken from another connection does not pass. A
-//! frame of which the last byte is missing never reaches the receiver's logic.
+//! The code covers the direction and the sequence number of the frame, so that a frame that was
+//! corrupted, dropped, duplicated, reordered or copied from another connection is rejected. A
+//! frame is decoded only once it has been received completely.
 
 use bytes::{Buf, Bytes, BytesMut};
 
 use crate::authentication::{Authenticator, Purpose, TAG_BYTES};
-use crate::payload::{append_frame, read_frame};
+use crate::payload::{decode_frame, encode_frame};
 use crate::{CodecError, Direction, Frame, Key, Nonce};
 
-/// Bytes of the length before a frame, little-endian; it counts payload and code.
+/// Size in bytes of the length prefix of a frame. The prefix is little-endian and counts the
+/// payload and the authentication code.
 pub const LENGTH_BYTES: usize = 4;
-/// Bytes that a frame has beside its payload.
+/// Bytes of a frame besides its payload.
 pub const FRAME_OVERHEAD_BYTES: usize = LENGTH_BYTES + TAG_BYTES;
 
-/// What makes the two directions of one connection.
+/// Parameters of one connection, from which both directions derive their state.
 #[derive(Clone, Copy, Debug)]
 pub struct Session<'a> {
-    /// Shared key that the greetings were signed with.
+    /// Shared key that signed the handshake.
     pub key: &'a Key,
     /// Nonce of the process that connected.
     pub caller_nonce: &'a Nonce,
-    /// Nonce of the process that was connected to.
+    /// Nonce of the process that accepted the connection.
     pub callee_nonce: &'a Nonce,
-    /// Largest frame, without its length, in bytes.
+    /// Largest frame in bytes, without its length prefix.
     pub frame_bytes_max: usize,
 }
 
-/// Writes the frames of one direction.
-pub struct FrameWriter(Direct);
+/// Encodes and signs the frames of one direction.
+pub struct FrameWriter(DirectionState);
 
-/// Reads the frames of one direction.
-pub struct FrameReader(Direct);
+/// Verifies and decodes the frames of one direction.
+pub struct FrameReader(DirectionState);
 
-struct Direct {
+struct DirectionState {
     authenticator: Authenticator,
     direction: Direction,
     counter: u64,
     frame_bytes_max: usize,
 }
 
-impl Direct {
+impl DirectionState {
     fn new(session: &Session<'_>, direction: Direction) -> Self {
         let Session {
             key,
@@ -50,7 +51,7 @@
             frame_bytes_max,
         } = *session;
         Self {
-            authenticator: Authenticator::session(key, caller_nonce, callee_nonce),
+            authenticator: Authenticator::with_session_key(key, caller_nonce, callee_nonce),
             direction,
             counter: 0,
             frame_bytes_max,
@@ -65,13 +66,13 @@
 }
 
 impl FrameWriter {
-    /// Writes what goes in `direction`.
+    /// Creates the writer for frames sent in `direction`.
     pub fn new(session: &Session<'_>, direction: Direction) -> Self {
-        Self(Direct::new(session, direction))
+        Self(DirectionState::new(session, direction))
     }
 
-    /// Appends `frame` to `out`. After an error `out` is as before and the next frame can
-    /// still be written.
+    /// Appends `frame` to `out`. After an error `out` is unchanged and the next frame can still
+    /// be written.
     pub fn write(&mut self, frame: &Frame, out: &mut BytesMut) -> Result<(), CodecError> {
         let start = out.len();
         let result = self.append(frame, out, start);
@@ -88,7 +89,7 @@
         start: usize,
     ) -> Result<(), CodecError> {
         out.extend_from_slice(&[0; LENGTH_BYTES]);
-        append_frame(frame, out)?;
+        encode_frame(frame, out)?;
         let payload_start = start + LENGTH_BYTES;
         let size_bytes = out.len() - payload_start + TAG_BYTES;
         let length = checked_length(size_bytes, self.0.frame_bytes_max)?;
@@ -105,34 +106,34 @@
 }
 
 impl FrameReader {
-    /// Reads what comes in `direction`.
+    /// Creates the reader for frames sent in `direction`.
     pub fn new(session: &Session<'_>, direction: Direction) -> Self {
-        Self(Direct::new(session, direction))
+        Self(DirectionState::new(session, direction))
     }
 
-    /// Takes the next frame out of `buffer`; `None` until all of it is there. After an
-    /// error the stream cannot be read on.
+    /// Removes the next frame from `buffer`; returns `None` until the frame is complete. After
+    /// an error the rest of the stream cannot be read.
     pub fn read(&mut self, buffer: &mut BytesMut) -> Result<Option<Frame>, CodecError> {
         let Some(body) = split_body(buffer, self.0.frame_bytes_max)? else {
             return Ok(None);
         };
-        let payload = self.authentic(&body)?;
-        read_frame(&payload).map(Some)
+        let payload = self.verified_payload(&body)?;
+        decode_frame(&payload).map(Some)
     }
 
-    fn authentic(&mut self, body: &Bytes) -> Result<Bytes, CodecError> {
+    fn verified_payload(&mut self, body: &Bytes) -> Result<Bytes, CodecError> {
         let payload = body.slice(..body.len() - TAG_BYTES);
         let tag = &body[payload.len()..];
         let context = self.0.next_context();
         let purpose = Purpose::Frame(self.0.direction);
         self.0
             .authenticator
-            .check(purpose, &context, &payload, tag)?;
+            .verify(purpose, &context, &payload, tag)?;
         Ok(payload)
     }
 }
 
-/// Whether a stream that ended with `rest` unread ended between two frames.
+/// Checks that a stream ended between two frames; `rest` is what was left in the buffer.
 pub fn check_end(rest: &[u8]) -> Result<(), CodecError> {
     if rest.is_empty() {
         Ok(())
@@ -141,8 +142,8 @@
     }
 }
 
-/// Takes the body of the next message, code included, out of `buffer`. The limit is
-/// checked before anything is reserved for the message.
+/// Removes the next message from `buffer` and returns it without its length prefix, with its
+/// authentication code. The limit is checked before memory is reserved for the message.
 pub(crate) fn split_body(
     buffer: &mut BytesMut,
     max_bytes: usize,
--- a/components/protocol/src/datagram.rs
+++ b/components/protocol/src/datagram.rs
@@ -1,4 +1,5 @@
-//! Datagrams: small periodic news over UDP. A lost one is made good by the next.
+//! Datagrams: small, periodic gossip messages over UDP. A later datagram makes up for a lost
+//! one, so no datagram is acknowledged.
 
 use std::net::SocketAddr;
 
@@ -8,150 +9,157 @@
     WeightVersion,
 };
 
-/// What a process is.
+/// Role of a process.
 #[wire_key]
 pub enum ProcessRole {
-    /// In front of the endpoints, behind the platform's balancer.
+    /// Accepts requests behind the platform's load balancer and routes them to agents.
     Entry,
-    /// Beside an endpoint.
+    /// Runs next to an endpoint and forwards calls to it.
     Agent,
 }
 
-/// What an endpoint's engine reports of its load, or its agent counts.
+/// Load of an endpoint: the report of its engine and the counts of its agent.
 #[wire_key]
 #[derive(Default)]
 pub struct Load {
-    /// Calls that the agent has in progress.
+    /// Calls in progress at the agent.
     pub running: u32,
-    /// Calls that wait in the engine.
+    /// Calls in the queue of the engine.
     pub waiting: u32,
-    /// Prompt tokens that wait in the engine.
+    /// Prompt tokens of the queued calls.
     pub prompt_tokens_queued: u32,
-    /// KV cache in use, in thousandths.
+    /// Share of the KV cache in use, in thousandths.
     pub kv_used_permille: u16,
-    /// Age of the engine's report when this was sent, in milliseconds.
+    /// Age of the engine's report when the datagram was sent, in milliseconds.
     pub age_ms: u32,
 }
 
-/// One service that an endpoint hosts now.
+/// A service that an endpoint hosts.
 #[wire]
 pub struct HostedService {
-    /// Owner of the service.
+    /// Customer that owns the service.
     pub customer: CustomerName,
-    /// The service.
+    /// Name of the service, unique for its customer.
     pub service: ServiceName,
-    /// Version that the engine answers with; `None` for a plain service.
+    /// Version of the weights that the engine serves; `None` for a service without weights.
     pub weights: Option<WeightVersion>,
 }
 
-/// Answer of an agent to a probe, and its notice when it leaves.
+/// Answer of an agent to a probe; also sent unprompted when the agent leaves or its state
+/// changes.
 #[wire]
 pub struct Status {
     /// Failure domain of the endpoint.
     pub failure_domain: FailureDomain,
     /// Region of the endpoint.
     pub region: Region,
-    /// No new work is taken.
+    /// The agent accepts no new work.
     pub leaving: bool,
-    /// Services that the endpoint can serve now, or the share of them in this part; empty
-    /// while it is down.
+    /// Services that the endpoint can serve now, or those of them that belong to this part;
+    /// empty while the endpoint is down.
     pub hosted: Vec<HostedService>,
-    /// Which part of the hosted services this is, from 0 on.
+    /// Index of this part of the hosted services, from 0.
     pub part: u8,
-    /// Parts that the hosted services need; a datagram takes one.
+    /// Number of parts into which the hosted services are split; each fits one datagram.
     pub parts: u8,
-    /// Load of the endpoint.
+    /// Load of the endpoint when the status was generated.
     pub load: Load,
-    /// Raised each time the endpoint behind this agent was found restarted or crashed.
+    /// Counter that rises each time the agent finds that its endpoint restarted or crashed.
     pub endpoint_life: u32,
 }
 
-/// Version of one customer's configuration that the sender holds.
+/// Version and digest of one customer's configuration that the sender holds.
 #[wire]
 pub struct ConfigDigest {
-    /// The customer.
+    /// Customer whose configuration this is.
     pub customer: CustomerName,
-    /// Its newest accepted version.
+    /// Newest version that the sender has accepted.
     pub version: u64,
-    /// First 8 bytes of the text's SHA-256.
+    /// First 8 bytes of the SHA-256 of the configuration text.
     pub digest: u64,
 }
 
-/// Calls of one entry that were in flight at an endpoint when it crashed, or a part of them.
+/// Calls of one entry that were in flight at an endpoint when it crashed. A long list is split
+/// into several reports.
 #[wire]
 pub struct CrashReport {
-    /// The entry.
+    /// Entry that had sent the calls.
     pub entry: SocketAddr,
-    /// The endpoint's agent.
+    /// Address of the endpoint's agent.
     pub endpoint: SocketAddr,
-    /// Digests of customer and content.
+    /// Digests of the calls, each over customer and content.
     pub digests: Vec<[u8; 16]>,
 }
 
-/// What customers ask of one entry, so that the others take less of their limits.
+/// Demand of customers at one entry. The entries use it to divide the limits of each customer
+/// among themselves.
 #[wire]
 #[derive(Default)]
 pub struct DemandDigest {
-    /// Customers and their demand in ten thousandths of their limits, highest first.
+    /// Customers with their demand in ten-thousandths of their limits, highest demand first.
     pub lines: Vec<(CustomerName, u32)>,
-    /// No customer that is left out has more.
+    /// Upper bound of the demand of every customer that is not listed.
     pub rest_max: u32,
 }
 
-/// One piece of news. All but the probe, the status and the demand are rumours: the receiver keeps
-/// the higher and passes on what was new to it.
+/// One message of a datagram.
+///
+/// `Config`, `Weights`, `Leaving` and `Quarantined` are gossiped: a receiver keeps the newest
+/// message on each subject and forwards it if it was new. The others go directly to their
+/// recipients.
 #[wire]
 pub enum GossipMessage {
-    /// Asks an agent for its status.
+    /// Asks the receiver for a sign of life; an agent answers with its status.
     Probe,
-    /// Answers a probe.
+    /// State of an agent.
     Status(Box<Status>),
-    /// Configuration that the sender holds; the text is fetched over TCP.
+    /// Configuration that the sender holds. A receiver with an older version fetches the text
+    /// over TCP.
     Config(ConfigDigest),
-    /// Weight versions that a trainer announced or named ahead of time, or that an operator
-    /// rolled back to.
+    /// Weight versions that a trainer announced for now or ahead of time, or to which an
+    /// operator rolled back.
     Weights {
-        /// Owner of the service.
+        /// Customer that owns the service.
         customer: CustomerName,
-        /// The service.
+        /// Service that uses the weights.
         service: ServiceName,
-        /// Highest versions known to the sender.
+        /// Newest versions known to the sender.
         target: WeightTarget,
     },
-    /// A life of a process that is leaving.
+    /// A process is leaving and must get no new work.
     Leaving {
-        /// The process.
+        /// Address and incarnation of the leaving process.
         node: NodeId,
     },
-    /// A request that crashed endpoints.
+    /// A call that crashed endpoints and is refused for a time.
     Quarantined {
-        /// Digest of customer and content.
+        /// Digest of the call over customer and content.
         digest: [u8; 16],
-        /// How long it is still refused, in milliseconds.
+        /// Time for which the call is still refused, in milliseconds.
         left_ms: u32,
     },
-    /// Tells a process that another life at its address is known, so that it takes a
-    /// higher number.
+    /// Notifies a process that the sender knows a newer incarnation of its address, so that the
+    /// process adopts a higher incarnation.
     Incarnation(Incarnation),
-    /// The newest read of the log's configuration by any process that the sender knows of.
+    /// Newest read of the configuration log by any process, as far as the sender knows.
     ConfigRead {
-        /// How long ago that read was, in milliseconds.
+        /// Time since that read, in milliseconds.
         age_ms: u32,
     },
-    /// Demand at the sender, an entry, told to each other entry.
+    /// Demand at the sender, an entry. Sent to every other entry.
     Demand(DemandDigest),
-    /// What an entry had in flight at an endpoint that crashed, told to each other entry.
+    /// Calls in flight at an endpoint that crashed. Sent by one entry to every other entry.
     Crashed(CrashReport),
 }
 
 /// One datagram.
 #[wire]
 pub struct Datagram {
-    /// The sender.
+    /// Address and incarnation of the sender.
     pub from: NodeId,
-    /// What the sender is.
+    /// Role of the sender.
     pub role: ProcessRole,
-    /// The news, as many as fit.
+    /// Messages; a datagram that exceeds one packet is split between messages.
     #[serde(rename = "news")]
     pub messages: Vec<GossipMessage>,
 }
--- a/components/protocol/src/error.rs
+++ b/components/protocol/src/error.rs
@@ -1,49 +1,49 @@
-//! What can be wrong with bytes from the wire. Each of these closes the connection that
-//! brought them, or drops the datagram, and touches nothing else.
+//! Errors of encoding and decoding. A decoding error closes the connection on which the bytes
+//! were received, or drops the datagram, and has no other effect.
 
 use quick_error::quick_error;
 
 use crate::KeyId;
 
 quick_error! {
-    /// Why bytes are not a message.
+    /// Why a message cannot be encoded or decoded.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum CodecError {
-        /// Longer than the limit; nothing was allocated for it.
+        /// Longer than the limit; no memory was allocated for the message.
         TooLarge(size_bytes: usize, max_bytes: usize) {
-            display("a message of {} bytes, at most {} are allowed", size_bytes, max_bytes)
+            display("message of {} bytes exceeds the limit of {} bytes", size_bytes, max_bytes)
         }
-        /// Too short to be any message.
+        /// Too short to contain an authentication code or a key id.
         TooShort(size_bytes: usize) {
-            display("a message of {} bytes is too short", size_bytes)
+            display("message of {} bytes is shorter than its authentication data", size_bytes)
         }
         /// The stream ended inside a message.
         Truncated {
-            display("the stream ended inside a message")
+            display("stream ended inside a message")
         }
-        /// Garbled, replayed, out of its order, or signed with another key.
+        /// Corrupted, replayed, out of order, or signed with another key.
         Unauthentic {
-            display("the authentication code does not fit the message")
+            display("authentication code does not match the message")
         }
-        /// Signed with a key that is not accepted here.
+        /// Signed with a key that this process does not accept.
         UnknownKey(id: KeyId) {
-            display("signed with key {:02x?}, which is not accepted", id)
+            display("message signed with key {:02x?}, which this process does not accept", id)
         }
-        /// Authentic but not a message of this version.
+        /// Authentic, but not a valid message of this protocol version.
         Malformed {
-            display("the message does not parse")
+            display("message does not decode as this protocol version")
         }
-        /// The first frame of a connection is not a greeting, or a later one is.
+        /// The first frame of a connection is not a hello frame, or a later frame is one.
         NotHello {
-            display("a greeting is missing or out of place")
+            display("hello frame missing or out of place")
         }
-        /// No protocol version that both sides speak.
+        /// Both sides support no common protocol version.
         NoCommonVersion(peer_min: u16, peer_max: u16) {
-            display("the peer speaks protocol versions {} to {}", peer_min, peer_max)
+            display("no common protocol version: peer supports {} to {}", peer_min, peer_max)
         }
-        /// A piece of news that does not fit a datagram alone.
+        /// A gossip message that exceeds a packet by itself.
         MessageTooLarge(size_bytes: usize) {
-            display("a piece of news has {} bytes and fits no datagram", size_bytes)
+            display("gossip message of {} bytes exceeds a packet", size_bytes)
         }
     }
 }
--- a/components/protocol/src/frame.rs
+++ b/components/protocol/src/frame.rs
@@ -1,4 +1,4 @@
-//! Frames on a connection between two processes.
+//! Frames of a connection between two processes.
 
 use bytes::Bytes;
 use derive::wire;
@@ -6,52 +6,55 @@
 
 use crate::{Nonce, ProcessRole};
 
-/// First frame in each direction of a connection.
+/// Content of the first frame in each direction of a connection.
 #[wire]
 pub struct Hello {
-    /// Oldest protocol version that the sender speaks.
+    /// Oldest protocol version that the sender supports.
     pub version_min: u16,
-    /// Newest protocol version that the sender speaks.
+    /// Newest protocol version that the sender supports.
     pub version_max: u16,
-    /// The sender.
+    /// Address and incarnation of the sender.
     pub node: NodeId,
-    /// What the sender is.
+    /// Role of the sender.
     pub role: ProcessRole,
     /// Failure domain of the sender.
     pub failure_domain: FailureDomain,
-    /// Random number of the sender for this connection; both go into its key.
+    /// Random number of the sender for this connection. The session key is derived from the
+    /// nonces of both sides.
     pub nonce: Nonce,
-    /// Random number of this life of the sender. Calls are known to one life of the
-    /// callee only, and a caller's newer connection takes the place of its older ones.
+    /// Random number that the sender chose when its process started. A restarted callee does not
+    /// know the calls of its predecessor. A newer connection with the same boot number of the
+    /// caller replaces the older ones.
     pub boot: u64,
 }
 
-/// A call as it leaves the caller's process.
+/// Request of a call.
 #[wire]
 pub struct Open {
-    /// Identity of the call; of this attempt, not of the caller's request.
+    /// Id of this attempt; a retry of the same request has another id.
     pub id: CallId,
-    /// Identity of the caller's request, the same in every process's log lines.
+    /// Id of the client's request, the same in the log lines of all processes.
     pub request_id: String,
-    /// Customer that pays for the call.
+    /// Customer to which the call is charged.
     pub customer: CustomerName,
-    /// Customer that owns the service; another one than `customer` for a shared service.
+    /// Customer that owns the service; differs from `customer` for a shared service.
     pub owner: CustomerName,
-    /// Service that is called.
+    /// Name of the called service.
     pub service: ServiceName,
-    /// Class of the call.
+    /// Scheduling class of the call.
     pub class: Class,
     /// Whether the call may run more than once.
     pub idempotent: bool,
-    /// Time left until the caller's deadline, in milliseconds. Clocks are not compared.
+    /// Time left until the caller's deadline, in milliseconds. A duration and not a time, because
+    /// the clocks of the two processes may differ.
     pub deadline_left_ms: u32,
     /// HTTP method.
     pub method: String,
     /// HTTP path with query.
     pub path: String,
-    /// HTTP headers that go to the endpoint.
+    /// HTTP headers that are forwarded to the endpoint.
     pub headers: Vec<(String, String)>,
-    /// Whole body of the request.
+    /// Complete body of the request.
     pub body: Bytes,
 }
 
@@ -67,85 +70,86 @@
 /// One frame.
 #[wire]
 pub enum Frame {
-    /// Opens the connection.
+    /// First frame of each direction.
     Hello(Hello),
-    /// Starts a call.
+    /// Sends the request of a call.
     Open(Box<Open>),
-    /// Takes up a call again after a lost connection; the answer's parts from
-    /// `next_part` on are wanted.
+    /// Resumes a call after its connection was lost; requests the parts of the answer from
+    /// `next_part` on.
     Attach {
-        /// The call.
+        /// Id of the call.
         id: CallId,
         /// First part that the caller does not have; 0 is the head.
         next_part: u32,
     },
-    /// The callee has taken the call in and will refuse or hand it over.
+    /// The callee has admitted the call and will refuse it or start it.
     Accepted {
-        /// The call.
+        /// Id of the call.
         id: CallId,
     },
-    /// The callee hands the call to its endpoint now: from here on it may have run.
+    /// The callee sends the call to its endpoint; from now on the call may have run.
     Started {
-        /// The call.
+        /// Id of the call.
         id: CallId,
     },
     /// Part 0 of an answer.
     Head {
-        /// The call.
+        /// Id of the call.
         id: CallId,
-        /// Status and headers.
+        /// HTTP status and headers.
         head: Head,
     },
     /// A later part of an answer, numbered from 1.
     Chunk {
-        /// The call.
+        /// Id of the call.
         id: CallId,
-        /// Number of the part.
+        /// Number of this part.
         part: u32,
-        /// The bytes.
+        /// Next bytes of the body.
         bytes: Bytes,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     End {
-        /// The call.
+        /// Id of the call.
         id: CallId,
-        /// Number of parts with the head, and so the number after the last part.
+        /// Number of parts including the head; equals the number after the last part.
         parts: u32,
         /// Bytes in all chunks.
         body_bytes: u64,
     },
-    /// The call ends without a whole answer.
+    /// The call ended without a complete answer.
     Fail {
-        /// The call.
+        /// Id of the call.
         id: CallId,
-        /// What became of it.
+        /// Run state and cause of the failure.
         failure: Failure,
     },
-    /// The caller holds all parts before `next_part`; opens the callee's send window.
+    /// The caller has consumed all parts before `next_part`; returns their bytes to the callee's
+    /// send window.
     Received {
-        /// The call.
+        /// Id of the call.
         id: CallId,
         /// First part that the caller does not have.
         next_part: u32,
     },
-    /// The caller holds the final answer; the callee may forget the call.
+    /// The caller has the complete answer; the callee may delete the call.
     Forget {
-        /// The call.
+        /// Id of the call.
         id: CallId,
     },
-    /// The caller gives the call up; the callee cancels it at the endpoint.
+    /// The caller abandons the call; the callee cancels it at the endpoint.
     Cancel {
-        /// The call.
+        /// Id of the call.
         id: CallId,
     },
-    /// Answer to [`Frame::Attach`] for a call that this life of the callee never had.
+    /// Answers [`Frame::Attach`] for a call that this run of the callee does not know.
     Unattached {
-        /// The call.
+        /// Id of the call.
         id: CallId,
     },
-    /// Asks for a sign of life.
+    /// Checks that the peer is alive; it answers with [`Frame::Pong`].
     Ping {
-        /// Comes back in the answer.
+        /// Number that the answer repeats.
         number: u64,
     },
     /// Answers [`Frame::Ping`].
@@ -156,7 +160,7 @@
 }
 
 impl Frame {
-    /// The call that the frame belongs to, if it belongs to one.
+    /// Id of the call to which the frame belongs; `None` for frames of the connection itself.
     pub fn id(&self) -> Option<CallId> {
         match self {
             Frame::Hello(_) | Frame::Ping { .. } | Frame::Pong { .. } => None,
@@ -175,7 +179,7 @@
         }
     }
 
-    /// Whether the frame carries a request or part of an answer, and not control only.
+    /// Whether the frame carries a request or a part of an answer. Used to count traffic.
     pub fn carries_call(&self) -> bool {
         matches!(
             self,
--- a/components/protocol/src/greeting.rs
+++ b/components/protocol/src/handshake.rs
@@ -1,30 +1,30 @@
-//! The first frame in each direction of a connection: a length, the short id of the
-//! shared key, the `postcard` bytes of [`Hello`], an authentication code.
+//! The handshake: the first frame in each direction of a connection. It consists of a length,
+//! the id of the shared key, the `postcard` bytes of [`Hello`] and an authentication code.
 //!
-//! The callee answers with the key that the caller used, so a caller with either key is
-//! served while keys are changed. The callee's code covers the caller's nonce: an old
-//! answer of the callee cannot be played to a new connection.
+//! The callee signs with the key that the caller used, so that callers with either key are
+//! served while keys are rotated. The callee's authentication code covers the caller's nonce,
+//! so that a recorded `Hello` of the callee cannot be replayed on a new connection.
 
 use bytes::{Bytes, BytesMut};
 
 use crate::authentication::{Authenticator, Purpose, TAG_BYTES};
 use crate::codec::{LENGTH_BYTES, checked_length, split_body};
-use crate::payload::append;
+use crate::payload::encode;
 use crate::{CodecError, Direction, Hello, KEY_ID_BYTES, Key, Keys, Nonce};
 
-/// Oldest protocol version that this code speaks.
+/// Oldest protocol version that this release supports.
 pub const VERSION_MIN: u16 = 1;
-/// Newest protocol version that this code speaks.
+/// Newest protocol version that this release supports.
 pub const VERSION_MAX: u16 = 1;
-/// Largest greeting, without its length, in bytes.
+/// Largest hello frame in bytes, without its length prefix.
 pub const HELLO_BYTES_MAX: usize = 512;
 
-/// Appends the greeting of the process that connected.
+/// Appends the hello frame of the process that connects.
 pub fn write_caller_hello(hello: &Hello, key: &Key, out: &mut BytesMut) -> Result<(), CodecError> {
     write(hello, key, Direction::FromCaller, &[], out)
 }
 
-/// Appends the greeting of the process that was connected to.
+/// Appends the hello frame of the process that accepts the connection.
 pub fn write_callee_hello(
     hello: &Hello,
     key: &Key,
@@ -34,7 +34,8 @@
     write(hello, key, Direction::FromCallee, caller_nonce, out)
 }
 
-/// Takes the caller's greeting out of `buffer`, with the key it was signed with.
+/// Removes the caller's hello frame from `buffer` and returns it with the key that signed it.
+/// Returns `None` until the frame is complete.
 pub fn read_caller_hello<'k>(
     buffer: &mut BytesMut,
     keys: &'k Keys,
@@ -42,7 +43,8 @@
     read(buffer, keys, Direction::FromCaller, &[])
 }
 
-/// Takes the callee's greeting out of `buffer`, with the key it was signed with.
+/// Removes the callee's hello frame from `buffer` and returns it with the key that signed it.
+/// Returns `None` until the frame is complete.
 pub fn read_callee_hello<'k>(
     buffer: &mut BytesMut,
     keys: &'k Keys,
@@ -51,7 +53,7 @@
     read(buffer, keys, Direction::FromCallee, caller_nonce)
 }
 
-/// The newest version that both this code and the peer speak.
+/// Returns the newest protocol version that both this release and the peer support.
 pub fn negotiate_version(peer: &Hello) -> Result<u16, CodecError> {
     let newest = VERSION_MAX.min(peer.version_max);
     let oldest = VERSION_MIN.max(peer.version_min);
@@ -72,8 +74,8 @@
     out: &mut BytesMut,
 ) -> Result<(), CodecError> {
     let mut body = BytesMut::from(&key.id()[..]);
-    append(hello, &mut body)?;
-    let tag = Authenticator::shared(key).sign(Purpose::Hello(direction), context, &body);
+    encode(hello, &mut body)?;
+    let tag = Authenticator::with_shared_key(key).sign(Purpose::Hello(direction), context, &body);
     body.extend_from_slice(&tag);
     let length = checked_length(body.len(), HELLO_BYTES_MAX)?;
     out.reserve(LENGTH_BYTES + body.len());
@@ -93,7 +95,7 @@
     };
     let (signed, tag) = body.split_at(body.len() - TAG_BYTES);
     let key = signing_key(signed, keys)?;
-    Authenticator::shared(key).check(Purpose::Hello(direction), context, signed, tag)?;
+    Authenticator::with_shared_key(key).verify(Purpose::Hello(direction), context, signed, tag)?;
     parse(&body.slice(KEY_ID_BYTES..signed.len())).map(|hello| Some((hello, key)))
 }
 
@@ -104,8 +106,8 @@
     keys.find(*id).ok_or(CodecError::UnknownKey(*id))
 }
 
-/// Bytes behind the known fields are left unread: a later version may add fields, and must
-/// still be told from this one by its version numbers.
+/// Ignores bytes after the known fields: a later release may add fields, and its version
+/// numbers must be readable nevertheless.
 fn parse(payload: &Bytes) -> Result<Hello, CodecError> {
     postcard::take_from_bytes(payload)
         .map(|(hello, _rest)| hello)
--- a/components/protocol/src/key.rs
+++ b/components/protocol/src/key.rs
@@ -1,25 +1,26 @@
-//! Shared keys of the system's own processes.
+//! Keys shared by the processes of the system.
 //!
-//! Two keys are valid at a time so that a key can be changed process by process: first
-//! every process accepts the new one, then every process signs with it, then the old one
-//! goes. A key is named on the wire by a short id, which is a digest and tells nothing.
+//! A process accepts two keys at a time, so that a key can be rotated process by process:
+//! first every process accepts the new key, then every process signs with it, then the old key
+//! is removed. On the wire a key is identified by a short digest that does not reveal it.
 
 use std::fmt;
 
 use sha2::{Digest, Sha256};
 
-/// Bytes of a shared key.
+/// Length of a shared key in bytes.
 pub const KEY_BYTES: usize = 32;
-/// Bytes of the short id that names a key on the wire.
+/// Length in bytes of the id that identifies a key on the wire.
 pub const KEY_ID_BYTES: usize = 4;
 
-/// Goes before the key into the digest that is its id.
+/// Prefix of the key in the digest that yields its id. It separates this use of the key from
+/// others.
 const KEY_ID_LABEL: &[u8] = b"hornbeamrock key id";
 
-/// Short id of a key.
+/// Id of a key: the first bytes of a SHA-256 digest of the key.
 pub type KeyId = [u8; KEY_ID_BYTES];
 
-/// A shared key. Its `Debug` form shows the id only.
+/// A shared key. Its `Debug` form shows only the id.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Key {
     secret: [u8; KEY_BYTES],
@@ -27,7 +28,7 @@
 }
 
 impl Key {
-    /// The key with these bytes.
+    /// Wraps the secret and computes its id.
     pub fn new(secret: [u8; KEY_BYTES]) -> Self {
         let digest = Sha256::new()
             .chain_update(KEY_ID_LABEL)
@@ -38,7 +39,7 @@
         Self { secret, id }
     }
 
-    /// Short id of the key.
+    /// The id that identifies the key on the wire.
     pub fn id(&self) -> KeyId {
         self.id
     }
@@ -54,14 +55,14 @@
     }
 }
 
-/// The keys that a process accepts; the first signs.
+/// The keys that a process accepts. It signs with the first one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Keys {
     accepted: Vec<Key>,
 }
 
 impl Keys {
-    /// One key only.
+    /// Signs with `key` and accepts no other key.
     pub fn one(key: Key) -> Self {
         Self {
             accepted: vec![key],
@@ -75,12 +76,12 @@
         }
     }
 
-    /// The key that signs.
+    /// The key with which this process signs.
     pub fn signing(&self) -> &Key {
         &self.accepted[0]
     }
 
-    /// The accepted key with this id.
+    /// Returns the accepted key with this id, or `None` if no accepted key has it.
     pub fn find(&self, id: KeyId) -> Option<&Key> {
         self.accepted.iter().find(|key| key.id == id)
     }
--- a/components/protocol/src/lib.rs
+++ b/components/protocol/src/lib.rs
@@ -1,12 +1,12 @@
-//! The inner protocol: what the system's own processes say to one another, over TCP
-//! (frames of calls) and UDP (small periodic news). No I/O here.
+//! The protocol between the processes of the system: frames of calls over TCP and gossip
+//! messages over UDP. This package encodes, decodes and authenticates; it performs no I/O.
 
 mod authentication;
 mod codec;
 mod datagram;
 mod error;
 mod frame;
-mod greeting;
+mod handshake;
 mod key;
 mod packet;
 mod payload;
@@ -20,7 +20,7 @@
 };
 pub use error::CodecError;
 pub use frame::{Frame, Head, Hello, Open};
-pub use greeting::{
+pub use handshake::{
     HELLO_BYTES_MAX, VERSION_MAX, VERSION_MIN, negotiate_version, read_callee_hello,
     read_caller_hello, write_callee_hello, write_caller_hello,
 };
--- a/components/protocol/src/packet.rs
+++ b/components/protocol/src/packet.rs
@@ -1,37 +1,39 @@
-//! Datagrams as bytes: the short id of the shared key, the `postcard` bytes of
-//! [`Datagram`], an authentication code. News that fill more than one go out as several.
+//! Encoding of datagrams: the id of the shared key, the `postcard` bytes of [`Datagram`] and an
+//! authentication code. Messages that exceed one packet are split over several.
 //!
-//! A replayed datagram passes; each kind of news carries an order of its own
-//! (incarnations, versions), and an old one loses against what the receiver holds.
+//! A replayed datagram is accepted. That is harmless, because the messages carry incarnations
+//! or versions and a receiver ignores a message that is older than its own state.
 
 use bytes::{Bytes, BytesMut};
 
 use crate::authentication::{Authenticator, Purpose, TAG_BYTES};
-use crate::greeting::signing_key;
-use crate::payload::{append, read_whole};
+use crate::handshake::signing_key;
+use crate::payload::{decode_exact, encode};
 use crate::{CodecError, Datagram, GossipMessage, KEY_ID_BYTES, Key, Keys};
 
-/// Largest datagram, in bytes; below what any IPv6 path carries in one piece.
+/// Largest packet in bytes; below the smallest MTU of IPv6 (1280 bytes), so that no packet is
+/// fragmented.
 pub const DATAGRAM_BYTES_MAX: usize = 1_200;
 
-/// Most bytes of the number that counts the news in one datagram.
+/// Upper bound of the bytes that encode the number of messages in one packet.
 const COUNT_BYTES_MAX: usize = 2;
 
-/// The packets that carry `datagram`, and the errors of news that fit none.
+/// Encodes `datagram` as one or more packets. Also returns the errors of messages that are too
+/// large for any packet and were omitted.
 pub fn write_datagram(
     datagram: &Datagram,
     key: &Key,
 ) -> Result<(Vec<Bytes>, Vec<CodecError>), CodecError> {
-    let room_bytes = DATAGRAM_BYTES_MAX - KEY_ID_BYTES - TAG_BYTES - header_bytes(datagram)?;
-    let (groups, errors) = group(&datagram.messages, room_bytes)?;
+    let capacity_bytes = DATAGRAM_BYTES_MAX - KEY_ID_BYTES - TAG_BYTES - header_bytes(datagram)?;
+    let (groups, errors) = pack_messages(&datagram.messages, capacity_bytes)?;
     let packets = groups
         .into_iter()
-        .map(|messages| packet(datagram, messages, key))
+        .map(|messages| write_packet(datagram, messages, key))
         .collect::<Result<_, _>>()?;
     Ok((packets, errors))
 }
 
-/// Reads one packet.
+/// Verifies and decodes one packet.
 pub fn read_datagram(packet: &[u8], keys: &Keys) -> Result<Datagram, CodecError> {
     if packet.len() > DATAGRAM_BYTES_MAX {
         return Err(CodecError::TooLarge(packet.len(), DATAGRAM_BYTES_MAX));
@@ -40,32 +42,32 @@
     let signed_bytes = signed_bytes.ok_or(CodecError::TooShort(packet.len()))?;
     let (signed, tag) = packet.split_at(signed_bytes);
     let key = signing_key(signed, keys)?;
-    Authenticator::shared(key).check(Purpose::Datagram, &[], signed, tag)?;
-    read_whole(&signed[KEY_ID_BYTES..])
+    Authenticator::with_shared_key(key).verify(Purpose::Datagram, &[], signed, tag)?;
+    decode_exact(&signed[KEY_ID_BYTES..])
 }
 
-/// Bytes before the news: sender, role and the number of news.
+/// Bytes before the messages: sender, role and the number of messages.
 fn header_bytes(datagram: &Datagram) -> Result<usize, CodecError> {
-    let sender_bytes = size_bytes(&datagram.from)? + size_bytes(&datagram.role)?;
+    let sender_bytes = encoded_bytes(&datagram.from)? + encoded_bytes(&datagram.role)?;
     Ok(sender_bytes + COUNT_BYTES_MAX)
 }
 
-/// Packs the news in their order. Always gives at least one group, so that a datagram
-/// without news is sent as well.
-fn group(
+/// Groups the messages into packets and keeps their order. Returns at least one group, so that
+/// a datagram without messages is sent too.
+fn pack_messages(
     messages: &[GossipMessage],
-    room_bytes: usize,
+    capacity_bytes: usize,
 ) -> Result<(Vec<Vec<GossipMessage>>, Vec<CodecError>), CodecError> {
     let mut groups = vec![Vec::new()];
     let mut errors = Vec::new();
     let mut used_bytes = 0;
     for message in messages {
-        let size_bytes = size_bytes(message)?;
-        if size_bytes > room_bytes {
+        let size_bytes = encoded_bytes(message)?;
+        if size_bytes > capacity_bytes {
             errors.push(CodecError::MessageTooLarge(size_bytes));
             continue;
         }
-        if used_bytes + size_bytes > room_bytes {
+        if used_bytes + size_bytes > capacity_bytes {
             groups.push(Vec::new());
             used_bytes = 0;
         }
@@ -77,7 +79,7 @@
     Ok((groups, errors))
 }
 
-fn packet(
+fn write_packet(
     datagram: &Datagram,
     messages: Vec<GossipMessage>,
     key: &Key,
@@ -89,12 +91,12 @@
     };
     let mut out = BytesMut::with_capacity(DATAGRAM_BYTES_MAX);
     out.extend_from_slice(&key.id());
-    append(&part, &mut out)?;
-    let tag = Authenticator::shared(key).sign(Purpose::Datagram, &[], &out);
+    encode(&part, &mut out)?;
+    let tag = Authenticator::with_shared_key(key).sign(Purpose::Datagram, &[], &out);
     out.extend_from_slice(&tag);
     Ok(out.freeze())
 }
 
-fn size_bytes<T: serde::Serialize>(value: &T) -> Result<usize, CodecError> {
+fn encoded_bytes<T: serde::Serialize>(value: &T) -> Result<usize, CodecError> {
     postcard::experimental::serialized_size(value).map_err(|_| CodecError::Malformed)
 }
--- a/components/protocol/src/payload.rs
+++ b/components/protocol/src/payload.rs
@@ -1,4 +1,4 @@
-//! Frames to `postcard` bytes and back.
+//! Conversion between frames and their `postcard` bytes.
 
 use bytes::{Bytes, BytesMut};
 use postcard::ser_flavors::Flavor;
@@ -7,8 +7,8 @@
 use crate::view::{CHUNK_INDEX, ChunkView, RECEIVED_INDEX, ReceivedView};
 use crate::{CodecError, Frame};
 
-/// Appends to a buffer in slices; `postcard`'s own writer to a growing buffer takes one
-/// byte at a time.
+/// Output that appends whole slices to a buffer; `postcard`'s own output for growing buffers
+/// appends byte by byte.
 struct Appender<'a>(&'a mut BytesMut);
 
 impl Flavor for Appender<'_> {
@@ -29,29 +29,29 @@
     }
 }
 
-pub(crate) fn append<T: Serialize>(value: &T, out: &mut BytesMut) -> Result<(), CodecError> {
+pub(crate) fn encode<T: Serialize>(value: &T, out: &mut BytesMut) -> Result<(), CodecError> {
     postcard::serialize_with_flavor(value, Appender(out)).map_err(|_| CodecError::Malformed)
 }
 
-pub(crate) fn append_frame(frame: &Frame, out: &mut BytesMut) -> Result<(), CodecError> {
+pub(crate) fn encode_frame(frame: &Frame, out: &mut BytesMut) -> Result<(), CodecError> {
     match frame {
         Frame::Chunk { id, part, bytes } => {
             let (id, part) = (*id, *part);
-            append(&ChunkView { id, part, bytes }, out)
+            encode(&ChunkView { id, part, bytes }, out)
         }
         Frame::Received { id, next_part } => {
             let (id, next_part) = (*id, *next_part);
-            append(&ReceivedView { id, next_part }, out)
+            encode(&ReceivedView { id, next_part }, out)
         }
-        other => append(other, out),
+        other => encode(other, out),
     }
 }
 
-/// Reads a frame that fills `payload`. The bytes of a chunk are a slice of `payload`.
-pub(crate) fn read_frame(payload: &Bytes) -> Result<Frame, CodecError> {
+/// Decodes a frame that fills `payload`. The bytes of a chunk share the memory of `payload`.
+pub(crate) fn decode_frame(payload: &Bytes) -> Result<Frame, CodecError> {
     let index = payload.first().copied().ok_or(CodecError::Malformed)?;
     if u32::from(index) == CHUNK_INDEX {
-        let view: ChunkView<'_> = read_whole(payload)?;
+        let view: ChunkView<'_> = decode_exact(payload)?;
         return Ok(Frame::Chunk {
             id: view.id,
             part: view.part,
@@ -59,16 +59,16 @@
         });
     }
     if u32::from(index) == RECEIVED_INDEX {
-        let view: ReceivedView = read_whole(payload)?;
+        let view: ReceivedView = decode_exact(payload)?;
         return Ok(Frame::Received {
             id: view.id,
             next_part: view.next_part,
         });
     }
-    read_whole(payload)
+    decode_exact(payload)
 }
 
-pub(crate) fn read_whole<'a, T: serde::Deserialize<'a>>(
+pub(crate) fn decode_exact<'a, T: serde::Deserialize<'a>>(
     payload: &'a [u8],
 ) -> Result<T, CodecError> {
     let (value, rest) = postcard::take_from_bytes(payload).map_err(|_| CodecError::Malformed)?;
--- a/components/protocol/src/view.rs
+++ b/components/protocol/src/view.rs
@@ -1,9 +1,8 @@
-//! Hand-written serialisation of the hot frames, [`Frame::Chunk`] and
-//! [`Frame::Received`]: borrowed views with the same bytes as the derived form of
-//! [`Frame`](crate::Frame).
+//! Hand-written serialisation of the most frequent frames, [`Frame::Chunk`] and
+//! [`Frame::Received`]. The encoding equals the derived one of [`Frame`](crate::Frame).
 //!
-//! The payload of a chunk is neither copied element by element nor copied at all when it
-//! is read: the view borrows it from the received buffer.
+//! The views borrow the bytes of a chunk, so writing copies them in one piece instead of
+//! element by element, and reading does not copy them out of the received buffer.
 //!
 //! [`Frame::Chunk`]: crate::Frame::Chunk
 //! [`Frame::Received`]: crate::Frame::Received
@@ -15,12 +14,12 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use types::CallId;
 
-/// Position of `Chunk` in the enum of frames.
+/// Index of the variant `Chunk` in [`Frame`](crate::Frame).
 pub(crate) const CHUNK_INDEX: u32 = 6;
-/// Position of `Received` in the enum of frames.
+/// Index of the variant `Received` in [`Frame`](crate::Frame).
 pub(crate) const RECEIVED_INDEX: u32 = 9;
 
-/// A [`Frame::Chunk`](crate::Frame::Chunk) that borrows its bytes.
+/// Borrowed form of [`Frame::Chunk`](crate::Frame::Chunk).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ChunkView<'a> {
     pub id: CallId,
@@ -28,14 +27,14 @@
     pub bytes: &'a [u8],
 }
 
-/// A [`Frame::Received`](crate::Frame::Received).
+/// Form of [`Frame::Received`](crate::Frame::Received) with a hand-written encoding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ReceivedView {
     pub id: CallId,
     pub next_part: u32,
 }
 
-/// Serialises as a byte string, in one piece.
+/// Serialises as a byte string instead of a sequence of numbers.
 struct ByteString<'a>(&'a [u8]);
 
 impl Serialize for ByteString<'_> {
@@ -89,9 +88,9 @@
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Self::Value, A::Error> {
         expect_index(&mut seq, CHUNK_INDEX)?;
         Ok(ChunkView {
-            id: element(&mut seq)?,
-            part: element(&mut seq)?,
-            bytes: element(&mut seq)?,
+            id: next_element(&mut seq)?,
+            part: next_element(&mut seq)?,
+            bytes: next_element(&mut seq)?,
         })
     }
 }
@@ -108,22 +107,22 @@
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Self::Value, A::Error> {
         expect_index(&mut seq, RECEIVED_INDEX)?;
         Ok(ReceivedView {
-            id: element(&mut seq)?,
-            next_part: element(&mut seq)?,
+            id: next_element(&mut seq)?,
+            next_part: next_element(&mut seq)?,
         })
     }
 }
 
-fn expect_index<'de, A: SeqAccess<'de>>(seq: &mut A, wanted: u32) -> Result<(), A::Error> {
-    let found: u32 = element(seq)?;
-    if found == wanted {
+fn expect_index<'de, A: SeqAccess<'de>>(seq: &mut A, expected: u32) -> Result<(), A::Error> {
+    let found: u32 = next_element(seq)?;
+    if found == expected {
         Ok(())
     } else {
-        Err(A::Error::custom("another kind of frame"))
+        Err(A::Error::custom("unexpected variant index of a frame"))
     }
 }
 
-fn element<'de, T: Deserialize<'de>, A: SeqAccess<'de>>(seq: &mut A) -> Result<T, A::Error> {
+fn next_element<'de, T: Deserialize<'de>, A: SeqAccess<'de>>(seq: &mut A) -> Result<T, A::Error> {
     seq.next_element()?
-        .ok_or_else(|| A::Error::custom("a field is missing"))
+        .ok_or_else(|| A::Error::custom("frame ends before its last field"))
 }
--- a/components/protocol/tests/datagrams.rs
+++ b/components/protocol/tests/datagrams.rs
@@ -1,5 +1,5 @@
-//! Datagrams as bytes.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+//! Encoding and authentication of datagrams.
+#![allow(clippy::unwrap_used)] // clippy.toml exempts test functions only, not their helpers.
 
 use protocol::{
     CodecError, DATAGRAM_BYTES_MAX, Datagram, GossipMessage, Key, Keys, ProcessRole, read_datagram,
@@ -27,18 +27,18 @@
 }
 
 checks::seeded! {
-    fn can_split_any_number_of_news(numbers: Vec<u64>, repeat: u8) -> bool {
+    fn can_split_any_number_of_messages(numbers: Vec<u64>, repeat: u8) -> bool {
         let numbers = numbers.repeat(usize::from(repeat));
-        let messages: Vec<_> = numbers.iter().map(|&of| GossipMessage::Leaving { node: node(of) }).collect();
+        let messages: Vec<_> = numbers.iter().map(|&number| GossipMessage::Leaving { node: node(number) }).collect();
         let keys = keys();
         let (packets, errors) = write_datagram(&datagram(messages.clone()), keys.signing()).unwrap();
-        let read = packets.iter().map(|packet| read_datagram(packet, &keys).unwrap());
-        let read: Vec<GossipMessage> = read.flat_map(|part| part.messages).collect();
-        let fit = packets.iter().all(|packet| packet.len() <= DATAGRAM_BYTES_MAX);
-        errors.is_empty() && fit && read == messages
+        let decoded = packets.iter().map(|packet| read_datagram(packet, &keys).unwrap());
+        let decoded: Vec<GossipMessage> = decoded.flat_map(|part| part.messages).collect();
+        let all_fit = packets.iter().all(|packet| packet.len() <= DATAGRAM_BYTES_MAX);
+        errors.is_empty() && all_fit && decoded == messages
     }
 
-    fn can_survive_any_bytes(bytes: Vec<u8>) -> bool {
+    fn can_reject_any_unsigned_bytes(bytes: Vec<u8>) -> bool {
         read_datagram(&bytes, &keys()).is_err()
     }
 }
@@ -57,9 +57,13 @@
         expected,
     };
     let cases = [
-        case("garbled", |packet| packet[5] ^= 1, CodecError::Unauthentic),
         case(
-            "cut",
+            "corrupted",
+            |packet| packet[5] ^= 1,
+            CodecError::Unauthentic,
+        ),
+        case(
+            "truncated",
             |packet| packet.truncate(packet.len() - 1),
             CodecError::Unauthentic,
         ),
@@ -74,7 +78,7 @@
             CodecError::TooLarge(1_201, 1_200),
         ),
         case(
-            "wrong key",
+            "unaccepted key",
             |packet| packet[..4].fill(7),
             CodecError::UnknownKey([7; 4]),
         ),
@@ -93,9 +97,10 @@
     }
 }
 
-// The bytes were computed by another program, from the description of the format.
+// A change of the encoding would break communication between releases. The expected bytes were
+// computed by another program from the description of the format.
 #[test]
-fn can_keep_the_format() {
+fn keeps_the_encoding_of_datagrams() {
     let messages = vec![
         GossipMessage::Probe,
         GossipMessage::Leaving { node: node(300) },
--- a/components/protocol/tests/frames.rs
+++ b/components/protocol/tests/frames.rs
@@ -1,5 +1,5 @@
-//! Frames and greetings as bytes.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+//! Encoding and authentication of frames and the handshake.
+#![allow(clippy::unwrap_used)] // clippy.toml exempts test functions only, not their helpers.
 
 use bytes::{Bytes, BytesMut};
 use protocol::{
@@ -80,7 +80,7 @@
     }
 }
 
-/// The bytes of an identity: two numbers in groups of seven bits.
+/// Encoding of `ID`: two numbers in groups of seven bits.
 const ID_HEX: &str = "ac0205";
 
 struct Sample {
@@ -135,10 +135,11 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-// The bytes were written down when the format was: a change of a message, of its
-// place or of the hand-written forms shows here, and needs a new protocol version.
+// A change of a field, of the order of variants or of the hand-written encodings would break
+// communication between releases; it needs a new protocol version. The expected bytes are those
+// of version 1.
 #[test]
-fn can_keep_the_format_of_every_frame() {
+fn keeps_the_encoding_of_every_frame() {
     for sample in samples() {
         let mut out = BytesMut::new();
         writer().write(&sample.frame, &mut out).unwrap();
@@ -148,7 +149,7 @@
         assert_eq!(
             hex(&derived),
             sample.payload,
-            "{}: derived form",
+            "{}: derived encoding",
             sample.name
         );
         assert_eq!(
@@ -161,9 +162,10 @@
     }
 }
 
-// The codes were computed by another program, from the description of the format.
+// A change of the authentication would break communication between releases. The expected codes
+// were computed by another program from the description of the format.
 #[test]
-fn can_keep_the_format_of_the_authentication() {
+fn keeps_the_encoding_of_authentication_codes() {
     let mut out = BytesMut::new();
     writer()
         .write(&Frame::Ping { number: 1 }, &mut out)
@@ -178,41 +180,41 @@
 }
 
 checks::seeded! {
-    fn can_write_an_identity_like_the_derived_form(boot: u64, counter: u64) -> bool {
+    fn can_encode_a_call_id_like_the_derived_form(boot: u64, counter: u64) -> bool {
         #[derive(serde::Serialize)]
         struct Derived {
             boot: u64,
             counter: u64,
         }
-        let by_hand = postcard::to_stdvec(&CallId { boot, counter }).unwrap();
-        let read = postcard::from_bytes(&by_hand);
-        by_hand == postcard::to_stdvec(&Derived { boot, counter }).unwrap()
+        let encoded = postcard::to_stdvec(&CallId { boot, counter }).unwrap();
+        let read = postcard::from_bytes(&encoded);
+        encoded == postcard::to_stdvec(&Derived { boot, counter }).unwrap()
             && read == Ok(CallId { boot, counter })
     }
 }
 
 #[test]
-fn can_read_a_chunk_without_a_copy() {
+fn can_decode_a_chunk_without_copying() {
     let mut out = BytesMut::new();
     writer().write(&chunk(b"abcd"), &mut out).unwrap();
-    let held = out.as_ptr() as usize..out.as_ptr() as usize + out.len();
+    let buffer_range = out.as_ptr() as usize..out.as_ptr() as usize + out.len();
     let Ok(Some(Frame::Chunk { bytes, .. })) = reader().read(&mut out) else {
-        panic!("no chunk");
+        panic!("the frame is not decoded as a chunk");
     };
-    assert!(held.contains(&(bytes.as_ptr() as usize)));
+    assert!(buffer_range.contains(&(bytes.as_ptr() as usize)));
 }
 
-struct Broken {
+struct ModifiedStream {
     name: &'static str,
     change: fn(&mut BytesMut),
     expected: CodecError,
 }
 
-// The reader sees a typed error for every stream that is not exactly what was written, in
-// its order and on its connection; nothing is made of it, and the connection closes.
+// A stream that was modified, reordered or taken from another connection must yield a typed error
+// and none of the wrong frames, so that the connection is closed.
 #[test]
-fn errors_when_a_stream_is_not_what_was_written() {
-    fn double(out: &mut BytesMut) {
+fn errors_when_a_stream_is_modified() {
+    fn duplicate(out: &mut BytesMut) {
         let first = out.clone();
         out.extend_from_slice(&first);
     }
@@ -239,32 +241,32 @@
         other.write(&chunk(b"one"), out).unwrap();
     }
     use CodecError::{TooLarge, TooShort, Truncated, Unauthentic};
-    let case = |name, change, expected| Broken {
+    let case = |name, change, expected| ModifiedStream {
         name,
         change,
         expected,
     };
     let cases = [
-        case("garbled", |out| out[9] ^= 1, Unauthentic),
+        case("corrupted", |out| out[9] ^= 1, Unauthentic),
         case(
-            "garbled code",
+            "corrupted code",
             |out| *out.last_mut().unwrap() ^= 1,
             Unauthentic,
         ),
         case("shortened", |out| out[0] -= 1, Unauthentic),
-        case("replayed", double, Unauthentic),
+        case("replayed", duplicate, Unauthentic),
         case("out of order", swap, Unauthentic),
-        case("of another connection", other_connection, Unauthentic),
-        case("of the other direction", other_direction, Unauthentic),
-        case("of another key", other_key, Unauthentic),
+        case("from another connection", other_connection, Unauthentic),
+        case("from the other direction", other_direction, Unauthentic),
+        case("signed with another key", other_key, Unauthentic),
         case(
             "too large",
             |out| out[3] = 0x40,
             TooLarge(0x4000_0019, MAX_BYTES),
         ),
-        case("no room for a code", |out| out[0] = 15, TooShort(15)),
-        case("cut", |out| out.truncate(out.len() - 1), Truncated),
-        case("cut in the length", |out| out.truncate(3), Truncated),
+        case("too short for a code", |out| out[0] = 15, TooShort(15)),
+        case("truncated", |out| out.truncate(out.len() - 1), Truncated),
+        case("truncated in the length", |out| out.truncate(3), Truncated),
     ];
     for case in cases {
         let mut out = BytesMut::new();
@@ -293,7 +295,7 @@
 }
 
 checks::seeded! {
-    fn can_survive_any_bytes(bytes: Vec<u8>) -> bool {
+    fn can_reject_any_unsigned_bytes(bytes: Vec<u8>) -> bool {
         let mut buffer = BytesMut::from(&bytes[..]);
         let frame = reader().read(&mut buffer);
         let keys = Keys::one(key(1));
@@ -316,10 +318,11 @@
     }
 }
 
-// While keys are changed, a caller is greeted with the key it used, if that is accepted.
+// While keys are rotated, the callee must accept a hello signed with either key and learn which
+// key it was, since it signs its own hello with the same one.
 #[test]
-fn can_greet_with_either_key() {
-    for (signing, passes) in [(key(1), true), (key(2), true), (key(3), false)] {
+fn can_accept_a_hello_with_either_key() {
+    for (signing, is_accepted) in [(key(1), true), (key(2), true), (key(3), false)] {
         let mut out = BytesMut::new();
         write_caller_hello(&hello(), &signing, &mut out).unwrap();
         let keys = Keys::two(key(1), key(2));
@@ -327,16 +330,16 @@
             Ok(Some((read, used))) => assert_eq!((read, used), (hello(), &signing)),
             other => {
                 assert_eq!(other, Err(CodecError::UnknownKey(signing.id())));
-                assert!(!passes);
+                assert!(!is_accepted);
             }
         }
     }
 }
 
-// An old answer of the callee, played to a new connection, does not pass: it covers the
-// nonce of the greeting that it answered.
+// A recorded hello of the callee must not be accepted on a new connection. Its code covers the
+// nonce of the caller's hello that it answered.
 #[test]
-fn errors_when_a_greeting_is_replayed() {
+fn errors_when_a_hello_is_replayed() {
     let keys = Keys::one(key(1));
     let mut out = BytesMut::new();
     write_callee_hello(&hello(), &key(1), &CALLER, &mut out).unwrap();
@@ -352,7 +355,7 @@
 }
 
 #[test]
-fn can_agree_on_a_version() {
+fn can_negotiate_a_version() {
     let cases = [
         ((1, 1), Ok(1)),
         ((0, 9), Ok(1)),
@@ -376,6 +379,6 @@
     assert_eq!(
         format!("{keys:?}").matches("0101").count(),
         0,
-        "a secret in a log line"
+        "the Debug form contains the secret"
     );
 }
