--- a/components/limits/tests/shares.rs
+++ b/components/limits/tests/shares.rs
@@ -11,7 +11,7 @@
     CustomerLimits, DIGEST_BYTES_MAX, DIGEST_BYTES_PER_S_MAX, OfferedByClass, OfferedLoad,
     ShareSettings, Shares, demand, round_interval_ms,
 };
-use protocol::{Datagram, DemandDigest, Key, Keys, News, ProcessRole, write_datagram};
+use protocol::{Datagram, DemandDigest, GossipMessage, Key, Keys, ProcessRole, write_datagram};
 use types::{CustomerName, Incarnation, NodeId};
 
 /// Bytes that the IP and UDP headers add to a datagram.
@@ -139,7 +139,7 @@
         let datagram = Datagram {
             from: node(0),
             role: ProcessRole::Entry,
-            news: vec![News::Demand(digest)],
+            messages: vec![GossipMessage::Demand(digest)],
         };
         let keys = Keys::one(Key::new([7; 32]));
         let (packets, errors) = write_datagram(&datagram, keys.signing()).unwrap();
--- a/components/link/tests/udp.rs
+++ b/components/link/tests/udp.rs
@@ -4,7 +4,7 @@
 
 use common::{LOOPBACK, key, keys, settings};
 use link::{Keys, LinkSettings, Udp};
-use protocol::{Datagram, News, ProcessRole};
+use protocol::{Datagram, GossipMessage, ProcessRole};
 use types::{Incarnation, NodeId};
 
 fn with_keys(keys: Keys) -> LinkSettings {
@@ -17,16 +17,16 @@
         address,
         incarnation: Incarnation(u64::MAX),
     };
-    let news = vec![News::Leaving { node }; count];
+    let messages = vec![GossipMessage::Leaving { node }; count];
     Datagram {
         from: node,
         role: ProcessRole::Entry,
-        news,
+        messages,
     }
 }
 
 #[tokio::test]
-async fn can_send_more_news_than_fit_one_datagram() {
+async fn can_send_more_messages_than_fit_one_packet() {
     let receiver = Udp::bind(LOOPBACK.parse().unwrap(), &with_keys(keys()))
         .await
         .unwrap();
@@ -40,15 +40,15 @@
         let (from, part) = receiver.recv().await;
         assert_eq!(from, sender.local_address().unwrap());
         assert_eq!(part.from, datagram(0).from);
-        received += part.news.len();
+        received += part.messages.len();
     }
     assert_eq!(received, 200);
 }
 
-// The receiver sees the second datagram only: the first is signed with a key that it does
-// not accept, and is counted and dropped.
+// The first datagram is signed with a key that the receiver does not accept, so it must be
+// counted and dropped; only the second one is delivered.
 #[tokio::test]
-async fn can_drop_datagrams_with_a_wrong_key() {
+async fn can_drop_datagrams_with_an_unaccepted_key() {
     let receiver = Udp::bind(LOOPBACK.parse().unwrap(), &with_keys(keys()))
         .await
         .unwrap();
