--- a/components/recovery/src/attempt.rs
+++ b/components/recovery/src/attempt.rs
@@ -10,7 +10,7 @@
 //!
 //! If the callee does not know a call whose `Open` was written completely, the frame was lost
 //! in transit: the callee has not restarted since the frame was sent, and it closed the older
-//! connection, on which the frame could still have arrived, when it greeted the new
+//! connection, on which the frame could still have arrived, during the handshake of the new
 //! connection. The `Open` may then be written again.
 
 use protocol::Frame;
@@ -29,8 +29,8 @@
     Sent,
     Accepted,
     Started,
-    /// Parts of the response were received.
-    Responding,
+    /// Parts of the answer were received.
+    Answering,
     Ended,
 }
 
@@ -80,7 +80,7 @@
         self.phase == Phase::Queued
     }
 
-    /// Number of the first part of the response that was not received yet.
+    /// Number of the first part of the answer that was not received yet.
     pub fn next_part(&self) -> u32 {
         self.next_part
     }
@@ -227,7 +227,7 @@
             return;
         }
         self.advance(Phase::Started, CallEvent::Started, actions);
-        self.phase = Phase::Responding;
+        self.phase = Phase::Answering;
         self.attach_pending = false;
         self.next_part += 1;
         self.body_bytes += size_bytes;
@@ -240,7 +240,7 @@
             return;
         }
         actions.push(AttemptAction::Send(Frame::Forget { id: self.id }));
-        // A stream may be closed cleanly although its source died half-way, so the response is
+        // A stream may be closed cleanly although its source died half-way, so the answer is
         // complete only if both counts match. The caller must get an error for a shorter one.
         let complete = parts > 0 && parts == self.next_part && body_bytes == self.body_bytes;
         if complete {
--- a/components/recovery/src/attempt_event.rs
+++ b/components/recovery/src/attempt_event.rs
@@ -10,7 +10,7 @@
 pub enum AttemptEvent {
     /// A connection to the callee was established.
     Connected {
-        /// Boot number in the callee's greeting; changes when the callee restarts.
+        /// Boot number in the callee's `Hello`; changes when the callee restarts.
         life: u64,
     },
     /// The attempt to connect failed.
@@ -29,7 +29,7 @@
         /// The `Open` was removed from the write queue before its first byte was written.
         withdrawn: bool,
     },
-    /// The caller no longer needs the response.
+    /// The caller no longer needs the answer.
     Cancel {
         /// The `Open` was removed from the write queue before its first byte was written.
         withdrawn: bool,
--- a/components/recovery/src/event.rs
+++ b/components/recovery/src/event.rs
@@ -5,7 +5,7 @@
 use protocol::Head;
 use types::Failure;
 
-/// Event of a call, delivered to the caller in this order. Parts of the response are
+/// Event of a call, delivered to the caller in this order. Parts of the answer are
 /// delivered without duplicates and without gaps.
 #[value]
 pub enum CallEvent {
@@ -13,13 +13,13 @@
     Accepted,
     /// The callee passes the call to its endpoint; from now on the call may have run.
     Started,
-    /// Status and headers of the response.
+    /// Status and headers of the answer.
     Head(Head),
-    /// The next bytes of the response's body.
+    /// The next bytes of the answer's body.
     Chunk(Bytes),
-    /// The response is complete. Last event.
+    /// The answer is complete. Last event.
     End,
-    /// The call failed without a complete response. Last event.
+    /// The call failed without a complete answer. Last event.
     Failed(Failure),
 }
 
--- a/components/recovery/src/removed_calls.rs
+++ b/components/recovery/src/removed_calls.rs
@@ -15,8 +15,8 @@
 /// Maximum number of callers in [`RemovedCalls::expired_up_to`].
 const CALLERS_MAX: usize = 4_096;
 
-/// Failure sent to a caller that asks for a call whose response was discarded.
-const RESPONSE_DISCARDED: Failure = Failure {
+/// Failure sent to a caller that asks for a call whose answer was discarded.
+const ANSWER_DISCARDED: Failure = Failure {
     run: RunState::Unknown,
     cause: Cause::LinkLost,
     retry_after_ms: None,
@@ -50,7 +50,7 @@
 
     /// Records a call that its caller no longer needs.
     pub fn record_release(&mut self, id: CallId) {
-        self.record_refusal(id, RESPONSE_DISCARDED);
+        self.record_refusal(id, ANSWER_DISCARDED);
     }
 
     /// Records a call that was removed although its caller may still ask for it.
@@ -75,6 +75,6 @@
         let expired = self.expired_up_to.get(&id.boot);
         let may_have_expired = self.overflowed || expired.is_some_and(|&up_to| id.counter <= up_to);
         self.find_recent(id)
-            .or(may_have_expired.then_some(RESPONSE_DISCARDED))
+            .or(may_have_expired.then_some(ANSWER_DISCARDED))
     }
 }
--- a/components/recovery/src/retry.rs
+++ b/components/recovery/src/retry.rs
@@ -31,14 +31,14 @@
     }
 }
 
-/// Content of the response that the caller has received.
+/// Content of the answer that the caller has received.
 #[key]
 pub enum Delivered {
     /// No content, so another attempt can start from the beginning.
     Nothing,
     /// Tokens of a completion, which another engine can continue.
     Tokens,
-    /// Bytes of a response that no other endpoint can continue.
+    /// Bytes of an answer that no other endpoint can continue.
     Bytes,
 }
 
@@ -57,10 +57,10 @@
     pub deadline_left_ms: u64,
 }
 
-/// Position in the response at which the next attempt starts.
+/// Position in the answer at which the next attempt starts.
 #[key]
 pub enum Resume {
-    /// At the beginning of the response.
+    /// At the beginning of the answer.
     FromStart,
     /// After the tokens that the caller has received.
     FromTokens,
@@ -121,7 +121,7 @@
 }
 
 /// The attempt's failure, with `NotRun` replaced by `Failed` if the caller has received a part
-/// of the response.
+/// of the answer.
 fn consistent_failure(attempt: &FailedAttempt<'_>) -> Failure {
     let failure = attempt.failure;
     if failure.run == RunState::NotRun && attempt.delivered != Delivered::Nothing {
--- a/components/recovery/src/served.rs
+++ b/components/recovery/src/served.rs
@@ -1,4 +1,4 @@
-//! Callee side of one call: its state, the parts of the response that the caller has not
+//! Callee side of one call: its state, the parts of the answer that the caller has not
 //! acknowledged, and its last frame.
 
 use std::collections::VecDeque;
@@ -7,7 +7,7 @@
 use protocol::{Frame, Head, Open};
 use types::{CallId, Cause, CustomerName, Failure, RunState};
 
-/// Bytes added to the size of each part of a response when memory and window are counted, so
+/// Bytes added to the size of each part of an answer when memory and window are counted, so
 /// that many small parts are limited as well.
 const PART_OVERHEAD_BYTES: usize = 64;
 
@@ -27,7 +27,7 @@
     Started,
 }
 
-/// How the parts of a response are stored until the caller acknowledges them.
+/// How the parts of an answer are stored until the caller acknowledges them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Retention {
     /// Parts are stored for the caller.
@@ -55,7 +55,7 @@
     pub deadline_at_ms: u64,
     pub stage: Stage,
     pub retention: Retention,
-    /// Connection on which the response is sent; `None` while the caller is disconnected.
+    /// Connection on which the answer is sent; `None` while the caller is disconnected.
     pub connection: Option<u64>,
     pub lost_at_ms: Option<u64>,
     pub ended_at_ms: Option<u64>,
@@ -66,7 +66,7 @@
     next_part: u32,
     body_bytes: u64,
     parts_bytes: usize,
-    /// Parts that were not acknowledged have been discarded, so the response cannot be
+    /// Parts that were not acknowledged have been discarded, so the answer cannot be
     /// delivered completely any more.
     parts_discarded: bool,
     /// Frame that ended the call.
@@ -136,7 +136,7 @@
         self.store_part(Frame::Chunk { id, part, bytes }, size_bytes)
     }
 
-    /// Ends the call with a complete response.
+    /// Ends the call with a complete answer.
     pub fn finish(&mut self, now_ms: u64) -> Option<Frame> {
         if self.next_part == 0 {
             return self.fail(Failure::new(RunState::Failed, Cause::Internal), now_ms);
@@ -155,7 +155,7 @@
         )
     }
 
-    /// Ends the call without a complete response. Once the call was passed to the endpoint,
+    /// Ends the call without a complete answer. Once the call was passed to the endpoint,
     /// `NotRun` is replaced by `Unknown`.
     pub fn fail(&mut self, failure: Failure, now_ms: u64) -> Option<Frame> {
         let contradicts_start = failure.run == RunState::NotRun && self.stage >= Stage::Started;
--- a/components/recovery/src/table.rs
+++ b/components/recovery/src/table.rs
@@ -1,16 +1,17 @@
 //! Callee side: all calls that a process has received since it started.
 //!
-//! A call runs at most once, however often its `Open` arrives. Its response is stored until
+//! A call runs at most once, however often its `Open` arrives. Its answer is stored until
 //! the caller confirms that it received it, or until the retention time ends, so a caller that
 //! lost its connection can continue the call on another connection. A caller has one
-//! connection at a time: when a new connection is greeted, the older one is closed and frames
-//! that still arrive on it are ignored. Therefore the reply `Unattached` (call not known here)
-//! proves to the caller that the call never ran.
+//! connection at a time: when the handshake of a new connection is complete, the older
+//! connection is closed, and frames that still arrive on the older connection are ignored.
+//! Therefore the reply `Unattached` (call not known here) proves to the caller that the call
+//! never ran.
 //!
 //! Memory: the table holds at most `calls_max` calls. While requests and stored parts exceed
 //! `held_bytes_max`, further requests are refused as not run; a customer that uses a large
-//! share is refused earlier, so that other customers' calls still fit. Each response stores at
-//! most the send window. A call that continues without its caller is not limited by the
+//! share is refused earlier, so that other customers' calls still fit. Of each answer, at
+//! most the send window is stored. A call that continues without its caller is not limited by the
 //! window; its parts are discarded when the table exceeds `held_bytes_max`.
 
 use std::collections::{HashMap, HashSet};
@@ -33,12 +34,12 @@
     /// How long a call may run while its caller is disconnected, in milliseconds. After that an
     /// idempotent call is cancelled; any other call continues without its caller.
     pub grace_ms: u64,
-    /// How long the response of an ended call is stored if the caller does not confirm it, in
+    /// How long the answer of an ended call is stored if the caller does not confirm it, in
     /// milliseconds.
     pub retention_ms: u64,
-    /// Maximum number of calls at a time, including ended calls whose response is stored.
+    /// Maximum number of calls at a time, including ended calls whose answer is stored.
     pub calls_max: usize,
-    /// Bytes of requests and stored responses above which calls are refused.
+    /// Bytes of requests and stored answers above which calls are refused.
     pub held_bytes_max: usize,
 }
 
@@ -72,17 +73,17 @@
         }
     }
 
-    /// Whether the table holds no call, not even an ended one with a stored response.
+    /// Whether the table holds no call, not even an ended one with a stored answer.
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
     }
 
-    /// Number of calls, including ended calls whose response is stored.
+    /// Number of calls, including ended calls whose answer is stored.
     pub fn len(&self) -> usize {
         self.calls.len()
     }
 
-    /// Bytes of all requests and stored responses.
+    /// Bytes of all requests and stored answers.
     pub fn held_bytes(&self) -> usize {
         self.held_bytes
     }
@@ -98,7 +99,7 @@
         self.draining = true;
     }
 
-    /// Adds a connection whose greeting is complete. `boot` is the caller's boot number, which
+    /// Adds a connection whose handshake is complete. `boot` is the caller's boot number, which
     /// changes when the caller restarts. An older connection of the same caller is closed.
     pub fn add_connection(
         &mut self,
@@ -155,22 +156,22 @@
         self.update_call(id, actions, |call| call.advance(Stage::Started));
     }
 
-    /// Sends status and headers of the response.
+    /// Sends status and headers of the answer.
     pub fn send_head(&mut self, id: CallId, head: Head, actions: &mut Vec<TableAction>) {
         self.update_call(id, actions, |call| call.add_head(head));
     }
 
-    /// Sends the next bytes of the response's body.
+    /// Sends the next bytes of the answer's body.
     pub fn send_chunk(&mut self, id: CallId, bytes: Bytes, actions: &mut Vec<TableAction>) {
         self.update_call(id, actions, |call| call.add_chunk(bytes));
     }
 
-    /// Ends the call with a complete response.
+    /// Ends the call with a complete answer.
     pub fn finish(&mut self, id: CallId, now_ms: u64, actions: &mut Vec<TableAction>) {
         self.update_call(id, actions, |call| call.finish(now_ms));
     }
 
-    /// Ends the call without a complete response.
+    /// Ends the call without a complete answer.
     pub fn fail(
         &mut self,
         id: CallId,
@@ -309,7 +310,7 @@
         }
     }
 
-    /// Handles a caller that received the final response or no longer needs any.
+    /// Handles a caller that received the final answer or no longer needs any.
     fn release(&mut self, id: CallId, actions: &mut Vec<TableAction>) {
         let Some(call) = self.calls.get(&id) else {
             return;
--- a/components/recovery/src/table_action.rs
+++ b/components/recovery/src/table_action.rs
@@ -39,7 +39,7 @@
         /// Call that continues.
         id: CallId,
     },
-    /// Notify the handler that the response is no longer needed.
+    /// Notify the handler that the answer is no longer needed.
     Cancel {
         /// Call to cancel.
         id: CallId,
--- a/components/recovery/tests/attempt.rs
+++ b/components/recovery/tests/attempt.rs
@@ -11,7 +11,7 @@
 const DEADLINE_MS: u32 = 10_000;
 const REATTACH_FOR_MS: u64 = 1_000;
 
-/// The event with this name in a test case. The response consists of a head, the chunks "a"
+/// The event with this name in a test case. The answer consists of a head, the chunks "a"
 /// and "bc", and an end.
 fn event(name: &str) -> AttemptEvent {
     let id = ID;
@@ -198,7 +198,7 @@
             LinkLost,
         ),
         case(
-            "lost during the response",
+            "lost during the answer",
             "connected head lost due",
             Unknown,
             LinkLost,
@@ -247,9 +247,9 @@
 }
 
 // Parts arrive late, in the wrong order or as duplicates, also after a reconnect. The caller
-// must receive each part of the response once and in order.
+// must receive each part of the answer once and in order.
 #[test]
-fn can_assemble_a_complete_response() {
+fn can_assemble_a_complete_answer() {
     let case = |name, events| CompleteCase { name, events };
     let cases = [
         case("in order", "connected head one two end"),
@@ -268,7 +268,7 @@
             "connected head accepted one two end",
         ),
         case(
-            "lost during the response",
+            "lost during the answer",
             "connected head one lost connected one two end",
         ),
         case(
--- a/components/recovery/tests/joined.rs
+++ b/components/recovery/tests/joined.rs
@@ -316,7 +316,7 @@
             return Err("the caller got `NotRun` although the call ran");
         }
         Some(CallEvent::End) if !is_complete(&world.events) => {
-            return Err("the response is not the one that the handler sent");
+            return Err("the answer is not the one that the handler sent");
         }
         Some(last) if !last.is_last() => return Err("the caller got no last event"),
         None => return Err("the caller got no event"),
@@ -349,7 +349,7 @@
 }
 
 // Faults in any order could run a call twice, or report `NotRun` for a call that ran. The
-// caller must get the complete response or a correct failure, and the call runs at most once.
+// caller must get the complete answer or a correct failure, and the call runs at most once.
 #[test]
 fn can_end_a_call_correctly_in_any_order_of_events() {
     let check = check as fn(Vec<Step>, bool) -> bool;
--- a/components/recovery/tests/table.rs
+++ b/components/recovery/tests/table.rs
@@ -9,7 +9,7 @@
 use recovery::{CallTable, TableAction, TableSettings, part_cost_bytes};
 use types::{CallId, Cause, CustomerName, Failure, RunState};
 
-const RESPONSE_DISCARDED: Failure = Failure {
+const ANSWER_DISCARDED: Failure = Failure {
     run: RunState::Unknown,
     cause: Cause::LinkLost,
     retry_after_ms: None,
@@ -46,7 +46,7 @@
         self.act(|table, actions| table.tick(now_ms, actions))
     }
 
-    fn start_response(&mut self) {
+    fn start_answer(&mut self) {
         self.act(|table, actions| {
             table.mark_started(ID, actions);
             table.send_head(ID, head(), actions);
@@ -88,30 +88,30 @@
     assert_eq!(runs(&world.receive(1, open_frame(false))), 0);
     world.connect(2);
     assert_eq!(runs(&world.receive(2, open_frame(false))), 0);
-    world.start_response();
+    world.start_answer();
     world.finish();
     assert_eq!(runs(&world.receive(2, open_frame(false))), 0);
     world.receive(2, Frame::Forget { id: ID });
     assert!(world.table.is_empty());
     assert_eq!(
         world.receive(2, open_frame(false)),
-        [send(2, fail(RESPONSE_DISCARDED))]
+        [send(2, fail(ANSWER_DISCARDED))]
     );
 }
 
-// The caller reconnects during the response. A part that is not sent again would leave a gap
-// in the response, so the callee sends all parts from the requested one on.
+// The caller reconnects during the answer. A part that is not sent again would leave a gap
+// in the answer, so the callee sends all parts from the requested one on.
 #[test]
-fn can_resend_the_rest_of_a_response() {
+fn can_resend_the_rest_of_an_answer() {
     let frames = [head_frame(), chunk(1, b"ab"), end(2, 2)];
     for next_part in 0..=3 {
         let mut world = World::new(settings());
         world.receive(1, open_frame(false));
-        world.start_response();
+        world.start_answer();
         world.table.remove_connection(1, 0);
         assert_eq!(world.finish(), []);
         world.connect(2);
-        let beyond_the_end = [fail(RESPONSE_DISCARDED)];
+        let beyond_the_end = [fail(ANSWER_DISCARDED)];
         let rest = frames.get(next_part..).filter(|rest| !rest.is_empty());
         let rest = rest.unwrap_or(&beyond_the_end).iter().cloned();
         let expected = [Frame::Started { id: ID }].into_iter().chain(rest);
@@ -130,14 +130,14 @@
     let unattached = |id| Frame::Unattached { id };
     assert_eq!(world.receive(1, attach(0)), [send(1, unattached(ID))]);
     world.receive(1, open_frame(false));
-    world.start_response();
+    world.start_answer();
     world.finish();
     let dropped = world.advance(settings().retention_ms);
     assert_eq!(dropped, [TableAction::Drop { id: ID }]);
     let id_at = |counter| CallId { counter, ..ID };
     let gone = |id| Frame::Fail {
         id,
-        failure: RESPONSE_DISCARDED,
+        failure: ANSWER_DISCARDED,
     };
     let later = id_at(ID.counter + 1);
     let earlier = id_at(ID.counter - 1);
@@ -269,7 +269,7 @@
     for case in cases {
         let mut world = World::new(settings());
         world.receive(1, open_frame(case.idempotent));
-        world.start_response();
+        world.start_answer();
         world.table.remove_connection(1, 0);
         assert_eq!(world.advance(settings().grace_ms - 1), [], "{}", case.name);
         assert_eq!(world.advance(1), [case.expected], "{}", case.name);
@@ -282,14 +282,14 @@
     }
 }
 
-// A call continues without its caller, and nobody acknowledges its response. The stored parts
+// A call continues without its caller, and nobody acknowledges its answer. The stored parts
 // would fill the memory, so they are discarded above the limit, and a caller that reconnects
 // receives a failure.
 #[test]
-fn can_discard_a_response_that_no_caller_acknowledges() {
+fn can_discard_an_answer_that_no_caller_acknowledges() {
     let mut world = World::new(settings());
     world.receive(1, open_frame(false));
-    world.start_response();
+    world.start_answer();
     world.table.remove_connection(1, 0);
     world.advance(settings().grace_ms);
     for _ in 0..20 {
@@ -300,14 +300,14 @@
     world.finish();
     world.connect(2);
     let last = world.receive(2, attach(2)).pop();
-    assert_eq!(last, Some(send(2, fail(RESPONSE_DISCARDED))));
+    assert_eq!(last, Some(send(2, fail(ANSWER_DISCARDED))));
 }
 
 #[test]
 fn can_enlarge_the_window_and_free_memory_on_acknowledgement() {
     let mut world = World::new(settings());
     world.receive(1, open_frame(false));
-    world.start_response();
+    world.start_answer();
     let received = Frame::Received {
         id: ID,
         next_part: 2,
