--- a/components/claims/src/digest.rs
+++ b/components/claims/src/digest.rs
@@ -1,4 +1,5 @@
-//! Digests of keys and requests. Keys can be personal data; records hold digests only.
+//! Digests of keys and requests. Keys can contain personal data, so records hold only their
+//! digests.
 
 use std::fmt;
 
@@ -11,12 +12,12 @@
 const DIGEST_BYTES: usize = 16;
 
 quick_error! {
-    /// Why a text is not a digest.
+    /// Why a text could not be parsed as a digest.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum DigestError {
-        /// Not 32 hexadecimal digits.
+        /// The text does not consist of 32 hexadecimal digits.
         Malformed {
-            display("a digest has 32 hexadecimal digits")
+            display("malformed digest: expected 32 hexadecimal digits")
         }
     }
 }
@@ -45,8 +46,8 @@
             type Error = DigestError;
 
             fn try_from(text: String) -> Result<Self, DigestError> {
-                let plain = text.bytes().all(|byte| byte.is_ascii_hexdigit());
-                if text.len() != 2 * DIGEST_BYTES || !plain {
+                let is_hex = text.bytes().all(|byte| byte.is_ascii_hexdigit());
+                if text.len() != 2 * DIGEST_BYTES || !is_hex {
                     return Err(DigestError::Malformed);
                 }
                 u128::from_str_radix(&text, 16)
@@ -58,14 +59,14 @@
 }
 
 digests! {
-    /// Digest of a customer and one of its idempotency keys.
+    /// Digest of an idempotency key together with its customer.
     KeyDigest,
-    /// Digest of what a request asks for: service, method, path and body.
+    /// Digest of a request's service, method, path and body.
     RequestDigest,
 }
 
 impl KeyDigest {
-    /// Digest of this customer's key; two customers' equal keys have nothing in common.
+    /// Digest of a customer's key. Equal keys of two customers have different digests.
     pub fn of(customer: &CustomerName, key: &str) -> Self {
         Self(digest(&[customer.as_str().as_bytes(), key.as_bytes()]))
     }
@@ -100,8 +101,8 @@
         hash.update((part.len() as u64).to_be_bytes());
         hash.update(part);
     }
-    let whole = hash.finalize();
+    let full = hash.finalize();
     let mut digest = [0; DIGEST_BYTES];
-    digest.copy_from_slice(&whole[..DIGEST_BYTES]);
+    digest.copy_from_slice(&full[..DIGEST_BYTES]);
     digest
 }
--- a/components/claims/src/holder.rs
+++ b/components/claims/src/holder.rs
@@ -1,32 +1,33 @@
-//! One keyed submission at the entry that it came to: from its claim to its end.
+//! State machine of one keyed submission at the entry that received it, from its claim to the end
+//! of its call.
 //!
-//! The machine goes one way. Once it has given up it never runs, and only then does it
-//! release the claim; once it has started it never gives up.
+//! Transitions go one way. A holder that has abandoned its claim never runs the call, and only then
+//! releases the claim; a holder that has started the call never abandons it.
 
 use derive::value;
 use types::{Cause, Failure};
 
 use crate::{Claim, ClaimSettings, Outcome, Record, Verdict};
 
-/// What the entry does next.
+/// Next action of the entry for a submission.
 #[value]
 pub enum ClaimAction {
-    /// Send the claim to the shard's writer of this rank (see [`crate::writers_of`]; rank
-    /// modulo their number) and ask again when its verdict comes or the time is over.
+    /// Send the claim to the shard's writer with this rank (see [`crate::writers_of`]; rank modulo
+    /// the number of writers), then call [`ClaimHolder::next_action`] again.
     Send {
-        /// How many writers were tried before.
+        /// Number of writers tried before.
         rank: usize,
     },
-    /// Ask again at this time, or when the verdict comes.
+    /// Call [`ClaimHolder::next_action`] again at this time or when the verdict arrives.
     WaitUntil {
-        /// On the process's monotonic clock.
+        /// Time on the process's monotonic clock.
         at_ms: u64,
     },
-    /// Call [`Holder::start`] right before the hand-over.
+    /// The claim won: call [`ClaimHolder::start`] right before handing the call over.
     Run,
-    /// The key's call has ended or runs: answer from the verdict.
+    /// Another submission has the key: answer according to the verdict.
     Answer(Verdict),
-    /// Final answer: not run. Append [`Holder::release`] when the log can be had.
+    /// Answer finally with "not run". Append [`ClaimHolder::release`] when the log is available.
     Abandon(Failure),
 }
 
@@ -39,7 +40,7 @@
     Abandoned,
 }
 
-/// One keyed submission.
+/// A keyed submission and the state of its claim.
 #[value]
 pub struct ClaimHolder {
     settings: ClaimSettings,
@@ -49,7 +50,7 @@
 }
 
 impl ClaimHolder {
-    /// Makes the claim now.
+    /// Creates a holder whose claim was created at `now_ms`.
     pub fn new(claim: Claim, settings: ClaimSettings, now_ms: u64) -> Self {
         Self {
             settings,
@@ -62,23 +63,20 @@
         }
     }
 
-    /// The claim.
+    /// The claim of the submission.
     pub fn claim(&self) -> &Claim {
         &self.claim
     }
 
-    /// What to do now.
+    /// Returns the action that is due now.
     pub fn next_action(&mut self, now_ms: u64) -> ClaimAction {
         if self.is_expired(now_ms) && matches!(self.state, State::Claiming { .. } | State::Won) {
             self.state = State::Abandoned;
         }
         match &mut self.state {
-            State::Claiming {
-                attempts: tries,
-                next_ms,
-            } if now_ms >= *next_ms => {
-                let rank = *tries;
-                *tries += 1;
+            State::Claiming { attempts, next_ms } if now_ms >= *next_ms => {
+                let rank = *attempts;
+                *attempts += 1;
                 *next_ms = now_ms + self.settings.retry_interval_ms;
                 ClaimAction::Send { rank }
             }
@@ -94,7 +92,7 @@
         }
     }
 
-    /// A reader of the shard gave its verdict on this claim. Only the first one counts.
+    /// Processes the verdict of a reader of the shard on this claim. Only the first verdict counts.
     pub fn on_verdict(&mut self, verdict: Verdict) {
         if !matches!(self.state, State::Claiming { .. }) {
             return;
@@ -105,20 +103,20 @@
         };
     }
 
-    /// The writer could not be reached or could not append: try the next one now.
+    /// Handles that a writer was unreachable or could not append: the next writer is tried at once.
     pub fn on_refused(&mut self, now_ms: u64) {
         if let State::Claiming { next_ms, .. } = &mut self.state {
             *next_ms = now_ms;
         }
     }
 
-    /// Allows the one run of the call, right before its hand-over, once. A later hand-over
-    /// of the same call, after one that provably did not run, is bound by its deadline.
+    /// Permits the call to run, once, right before it is handed over. If the call is handed over
+    /// again after an attempt that provably did not run, its deadline limits it.
     ///
-    /// A process that was frozen since it won may find that its key's lifetime is over
-    /// and another submission has won it anew; the caller would see its order run twice.
-    /// It looks at how old the claim is, not at when the verdict came, because a verdict
-    /// may have been on its way or in a queue for just as long.
+    /// A process that was paused after its claim won may resume when its key's lifetime is over and
+    /// another submission has won the key; the call would run twice. The check therefore uses the
+    /// age of the claim, not of the verdict, because the verdict may have been delayed or queued
+    /// for just as long.
     pub fn start(&mut self, now_ms: u64) -> Result<(), Failure> {
         if self.state != State::Won || self.is_expired(now_ms) {
             self.abandon();
@@ -128,22 +126,23 @@
         Ok(())
     }
 
-    /// The entry will not run the call: its caller went away or there is no endpoint.
-    /// Without effect once started.
+    /// Abandons the claim because the entry will not run the call, for example because its caller
+    /// disconnected or there is no endpoint. Has no effect after the call has started.
     pub fn abandon(&mut self) {
         if matches!(self.state, State::Claiming { .. } | State::Won) {
             self.state = State::Abandoned;
         }
     }
 
-    /// A call that was started has ended as provably not run: it may be claimed anew.
+    /// Records that a started call provably did not run, so that the key may be claimed again.
     pub fn record_not_run(&mut self) {
         if self.state == State::Started {
             self.state = State::Abandoned;
         }
     }
 
-    /// Record that lets others claim the key; only of a claim that was given up.
+    /// The record that releases the key for other submissions; `None` unless the claim is
+    /// abandoned.
     pub fn release(&self) -> Option<Record> {
         (self.state == State::Abandoned).then_some(Record::Release {
             key: self.claim.key,
@@ -151,7 +150,7 @@
         })
     }
 
-    /// Record of the call's end; only of a call that was started.
+    /// The record of the call's end; `None` unless the call was started.
     pub fn done(&self, outcome: Outcome) -> Option<Record> {
         (self.state == State::Started).then_some(Record::Done {
             key: self.claim.key,
--- a/components/claims/src/record.rs
+++ b/components/claims/src/record.rs
@@ -1,4 +1,4 @@
-//! Records of a shard, as JSON in the log. One append carries a [`Line`] of several.
+//! JSON records of a shard in the log. One append carries a [`Line`] of several records.
 
 use derive::{value, wire};
 use quick_error::quick_error;
@@ -7,40 +7,40 @@
 
 use crate::{ClaimSettings, KeyDigest, RequestDigest};
 
-/// Version of the records' form.
+/// Format version of the records.
 const FORM: u16 = 1;
 
 quick_error! {
-    /// Why a line of a shard cannot be read or written.
+    /// Why a line of a shard could not be decoded or encoded.
     #[derive(Debug)]
     pub enum RecordError {
-        /// Not JSON of a known form.
+        /// The line is not valid JSON of the expected format.
         Json(error: serde_json::Error) {
-            display("not a line of claims: {}", error)
+            display("malformed line of claims: {}", error)
             from()
         }
-        /// Written by a newer version of hornbeamrock.
+        /// The line has another format version, for example of a newer release.
         Form(form: u16) {
-            display("the line has form {}, this version reads form {}", form, FORM)
+            display("unsupported format {} of a line of claims: this version supports format {}", form, FORM)
         }
-        /// No such record in the line.
+        /// The line has no record with this index, or the record is not the end of a call.
         Missing(index: u32) {
-            display("the line has no record {}", index)
+            display("the line of claims has no outcome at index {}", index)
         }
     }
 }
 
-/// One submission's claim on a key.
+/// A submission's claim on a key.
 #[wire]
 #[derive(Copy)]
 pub struct Claim {
-    /// The key.
+    /// Digest of the key and its customer.
     pub key: KeyDigest,
-    /// What the submission asks for.
+    /// Digest of the submission's request; a repeat must have the same one.
     pub request: RequestDigest,
-    /// Identity of the claim, unique over all processes and restarts.
+    /// Identifier of the claim, unique across processes and restarts.
     pub claim: CallId,
-    /// Longest time from the claim to the end of its call, in milliseconds.
+    /// Maximum time from the claim to the end of its call, in milliseconds.
     pub runs_for_ms: u32,
 }
 
@@ -48,14 +48,14 @@
 #[wire]
 #[serde(rename_all = "kebab-case")]
 pub enum Body {
-    /// UTF-8 text as it is.
+    /// A body that is valid UTF-8.
     Text(String),
-    /// Other bytes, two hexadecimal digits each.
+    /// Any other body, as two hexadecimal digits per byte.
     Hex(String),
 }
 
 impl Body {
-    /// Stores the bytes.
+    /// Encodes the bytes of a body.
     pub fn new(bytes: &[u8]) -> Self {
         match std::str::from_utf8(bytes) {
             Ok(text) => Body::Text(text.to_owned()),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The bytes; `None` if the digits are no bytes.
+    /// Decodes the body; `None` if the hexadecimal digits are malformed.
     pub fn bytes(&self) -> Option<Vec<u8>> {
         match self {
             Body::Text(text) => Some(text.as_bytes().to_vec()),
@@ -72,40 +72,42 @@
     }
 }
 
-/// A whole answer.
+/// A complete recorded answer.
 #[wire]
 pub struct Answer {
-    /// HTTP headers.
+    /// Names and values of the HTTP headers.
     pub headers: Vec<(String, String)>,
     /// HTTP body.
     pub body: Body,
 }
 
-/// How a claim's call ended.
+/// How the call of a won claim ended.
 #[wire]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// It was answered whole.
+    /// The call was answered completely.
     Answered {
         /// HTTP status of the answer.
         status: u16,
-        /// The answer, unless it is too large to be recorded.
+        /// The answer; `None` if its body exceeds [`ClaimSettings::answer_bytes_max`].
         answer: Option<Answer>,
     },
-    /// It has no whole answer; never "not run", that is a [`Record::Release`].
+    /// The call has no complete answer. A call that did not run is recorded as [`Record::Release`]
+    /// instead.
     Failed(Failure),
 }
 
 impl Outcome {
-    /// A whole answer; its body is kept if it is small enough.
+    /// The outcome of a complete answer. Answers with large bodies are recorded without their
+    /// content.
     pub fn answered(
         status: u16,
         headers: &[(String, String)],
         body: &[u8],
         settings: &ClaimSettings,
     ) -> Self {
-        let small = body.len() <= settings.answer_bytes_max;
-        let answer = small.then(|| Answer {
+        let is_small = body.len() <= settings.answer_bytes_max;
+        let answer = is_small.then(|| Answer {
             headers: headers.to_vec(),
             body: Body::new(body),
         });
@@ -113,32 +115,32 @@
     }
 }
 
-/// One record.
+/// A record of a shard.
 #[wire]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum Record {
-    /// A submission wants to run.
+    /// A submission claims a key.
     Claim(Claim),
     /// The call of a won claim ended.
     Done {
-        /// The key.
+        /// Digest of the key and its customer.
         key: KeyDigest,
-        /// The claim that won it.
+        /// Claim that won the key.
         claim: CallId,
-        /// How it ended.
+        /// How the call ended.
         outcome: Outcome,
     },
-    /// The holder of a claim has not run it and never will.
+    /// The holder of a claim has not run the call and never will.
     Release {
-        /// The key.
+        /// Digest of the key and its customer.
         key: KeyDigest,
-        /// The claim.
+        /// Identifier of the released claim.
         claim: CallId,
     },
 }
 
 impl Record {
-    /// The key that the record is about.
+    /// Key that the record refers to.
     pub fn key(&self) -> KeyDigest {
         match self {
             Record::Claim(claim) => claim.key,
@@ -152,17 +154,17 @@
     form: u16,
 }
 
-/// What one append carries.
+/// Content of one append.
 #[value]
 #[derive(Serialize, Deserialize)]
 pub struct Line {
     form: u16,
-    /// The records in their order.
+    /// Records in the order in which they were queued.
     pub records: Vec<Record>,
 }
 
 impl Line {
-    /// A line of these records.
+    /// Creates a line in the current format.
     pub fn new(records: Vec<Record>) -> Self {
         Self {
             form: FORM,
@@ -170,7 +172,7 @@
         }
     }
 
-    /// Reads a line.
+    /// Parses a line from the log.
     pub fn parse(text: &str) -> Result<Self, RecordError> {
         let FormHeader { form } = serde_json::from_str(text)?;
         if form != FORM {
@@ -179,12 +181,12 @@
         Ok(serde_json::from_str(text)?)
     }
 
-    /// The text for the log.
+    /// Encodes the line for the log.
     pub fn to_json(&self) -> Result<String, RecordError> {
         Ok(serde_json::to_string(self)?)
     }
 
-    /// The outcome recorded at this place of the line.
+    /// The outcome in the record with this index.
     pub fn outcome(mut self, index: u32) -> Result<Outcome, RecordError> {
         let index = index as usize;
         if index >= self.records.len() {
--- a/components/claims/src/settings.rs
+++ b/components/claims/src/settings.rs
@@ -1,57 +1,58 @@
-//! Settings of the claims and the conditions among them.
+//! Settings of the claims and the consistency conditions between them.
 
 use derive::value;
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why settings would not keep the promise.
+    /// Why the settings would not guarantee that a keyed call runs at most once.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum SettingsError {
-        /// The log could forget a claim while its key lives.
+        /// The log could remove a claim while its key is still live.
         LifetimeOverRetention(needed_ms: u64, retention_ms: u64) {
-            display("keys need the log to keep records for {} ms, it keeps them for {} ms", needed_ms, retention_ms)
+            display("the key lifetime needs a log retention of {} ms, but the log keeps records for {} ms", needed_ms, retention_ms)
         }
-        /// A holder could start after its key's lifetime.
+        /// A holder could start a call after its key's lifetime.
         StartOverLifetime(start_within_ms: u64, key_lifetime_ms: u64) {
-            display("a start within {} ms is too late for keys that live {} ms", start_within_ms, key_lifetime_ms)
+            display("a call may start up to {} ms after its claim, which is more than half of the key lifetime of {} ms", start_within_ms, key_lifetime_ms)
         }
-        /// No shard at all, or more than a stream name can number.
+        /// There are no shards, or more than a stream name can number.
         Shards(shards: u16) {
-            display("{} shards are not possible: 1 to 100 are", shards)
+            display("invalid number of claim shards: got {}, allowed are 1 to 100", shards)
         }
     }
 }
 
-/// Settings of claims. The number of shards must be the same everywhere, or two entries
+/// Settings of claims. All entries must use the same number of shards; otherwise two entries would
 /// look for one key in two streams.
 #[value]
 #[derive(Copy)]
 pub struct ClaimSettings {
-    /// Streams that the claims are spread over.
+    /// Number of streams that the claims are distributed over.
     pub shards: u16,
-    /// How long a key is remembered after its newest claim, in milliseconds.
+    /// How long a key is kept after its newest claim, in milliseconds.
     pub key_lifetime_ms: u64,
-    /// Longest time from making a claim to handing the call over, in milliseconds.
+    /// Maximum time from creating a claim to handing the call over, in milliseconds.
     pub start_within_ms: u64,
-    /// How long an append or a verdict may take until the claim is sent again.
+    /// Time without a verdict after which the claim is sent to the next writer, in milliseconds.
     pub retry_interval_ms: u64,
-    /// When a caller may come back while the key's call runs, in milliseconds.
+    /// Retry delay for callers while the key's call is running, in milliseconds.
     pub running_retry_after_ms: u32,
-    /// When a caller may come back after the log was not to be had, in milliseconds.
+    /// Retry delay for callers after the log was unavailable, in milliseconds.
     pub outage_retry_after_ms: u32,
-    /// Largest answer that is recorded, in bytes of its body.
+    /// Maximum body size of a recorded answer, in bytes.
     pub answer_bytes_max: usize,
-    /// Time between two appends of a writer to one shard in the long run, in milliseconds.
+    /// Average time between two appends of a writer to one shard, in milliseconds.
     pub flush_every_ms: u64,
-    /// Appends of a writer to one shard that may follow each other without that time.
+    /// Number of appends of a writer to one shard that may follow each other immediately after a
+    /// pause.
     pub flush_burst: u64,
-    /// Most records in one append.
+    /// Maximum number of records per append.
     pub batch_records_max: usize,
-    /// Most bytes in one append, unless one record alone has more.
+    /// Maximum size of an append in bytes; a single larger record is appended alone.
     pub batch_bytes_max: usize,
-    /// Most records that wait for an append to one shard.
+    /// Maximum number of records that are queued for appends to one shard.
     pub waiting_max: usize,
-    /// Most keys that a reader holds of one shard.
+    /// Maximum number of keys that a reader holds for one shard.
     pub keys_max: usize,
 }
 
@@ -76,7 +77,7 @@
 }
 
 impl ClaimSettings {
-    /// Checks the settings against the time for which the log keeps records.
+    /// Checks the settings against the log's retention.
     pub fn check(&self, retention_ms: u64) -> Result<(), SettingsError> {
         if !(1..=100).contains(&self.shards) {
             return Err(SettingsError::Shards(self.shards));
@@ -85,8 +86,8 @@
             let (start_ms, lifetime_ms) = (self.start_within_ms, self.key_lifetime_ms);
             return Err(SettingsError::StartOverLifetime(start_ms, lifetime_ms));
         }
-        // A claim is appended up to `start_within_ms` after a writer got it, and a writer
-        // gets it up to `start_within_ms` after it was made.
+        // A writer receives a claim up to `start_within_ms` after the claim was created, and
+        // appends it up to `start_within_ms` later.
         let needed_ms = self.key_lifetime_ms + 2 * self.start_within_ms;
         if needed_ms > retention_ms {
             return Err(SettingsError::LifetimeOverRetention(
@@ -97,19 +98,20 @@
         Ok(())
     }
 
-    /// How long a release is remembered whose claim was not read yet. A writer drops a
-    /// claim that has waited for `start_within_ms`, and it got it within that time.
+    /// How long a reader remembers a release whose claim it has not read. A writer receives the
+    /// claim within `start_within_ms` of its creation and drops it if it has been queued for longer
+    /// than that.
     pub(crate) fn release_lag_ms(&self) -> u64 {
         4 * self.start_within_ms
     }
 
-    /// Most appends a second of all claims together, whatever the load, while each shard
-    /// has one writer: `shards × 1000 / flush_every_ms`, and `flush_burst` more of each
-    /// shard now and then. Each further writer of a shard, while views of the live entries
-    /// differ, adds one shard's part.
+    /// Maximum appends per second of all claims together, regardless of load, while each shard has
+    /// one writer: `shards × 1000 / flush_every_ms`, plus occasional bursts of `flush_burst` per
+    /// shard. While entries disagree about which of them are live, each additional writer of a
+    /// shard adds the share of one shard.
     ///
-    /// At the same bound, few shards with short intervals make a record wait less than
-    /// many with long ones: the wait is up to one interval.
+    /// For the same maximum, few shards with short intervals delay records less than many shards
+    /// with long intervals, because a record waits up to one interval.
     pub fn appends_per_s_max(&self) -> u64 {
         u64::from(self.shards) * 1_000 / self.flush_every_ms.max(1)
     }
--- a/components/claims/src/shard.rs
+++ b/components/claims/src/shard.rs
@@ -1,9 +1,9 @@
-//! The keys of one shard, as the reader of its stream knows them.
+//! The keys of one shard, as its reader knows them.
 //!
-//! A claim's verdict is fixed where it stands in the stream: it wins if no claim of its
-//! key is held there. So all readers that hold the key agree, and it does not matter
-//! which of them is asked, when, or how often. A reader starts at the oldest record that
-//! the log keeps and reads in order.
+//! A claim's verdict is determined by its position in the stream: it wins if no claim of its key is
+//! held there. All readers that hold the key therefore agree, and the verdict does not depend on
+//! which reader is asked, when or how often. A reader starts at the oldest record that the log
+//! keeps and reads in order.
 
 use std::collections::HashMap;
 
@@ -18,7 +18,7 @@
 #[value]
 enum State {
     Running,
-    /// Running as far as is known; whether it is the first claim is not.
+    /// Presumably running, but this reader does not know whether the claim is the first of its key.
     Uncertain,
     Answered {
         status: u16,
@@ -28,32 +28,32 @@
     Released,
 }
 
-/// The claim that holds a key.
+/// The claim that holds a key, and the state of its call.
 #[value]
 struct KeyEntry {
     claim: CallId,
     request: RequestDigest,
-    /// By when its call has ended, on this reader's clock.
+    /// Time by which the call must have ended, on this reader's clock.
     call_ends_ms: u64,
-    /// When the key's newest claim was read.
+    /// When this reader read the key's newest claim.
     newest_claim_ms: u64,
     state: State,
 }
 
-/// One reader's state of one shard.
+/// The state of one shard at one reader.
 #[derive(Clone, Debug)]
 pub struct Shard {
     settings: ClaimSettings,
     next_offset: u64,
     keys: HashMap<KeyDigest, KeyEntry>,
-    /// Claims that were given back before they were read, with the time of that.
+    /// Claims whose release was read before the claim itself, with the time of the release.
     released: HashMap<CallId, u64>,
-    /// When the last claim came that had no room.
+    /// When the last claim was read for which there was no room.
     overflowed_ms: Option<u64>,
 }
 
 impl Shard {
-    /// Knows nothing yet; read from [`Shard::next_offset`].
+    /// Creates an empty state; reading starts at [`Shard::next_offset`].
     pub fn new(settings: ClaimSettings) -> Self {
         Self {
             settings,
@@ -64,12 +64,12 @@
         }
     }
 
-    /// First offset not yet read.
+    /// First offset that has not been read.
     pub fn next_offset(&self) -> u64 {
         self.next_offset
     }
 
-    /// Keys held.
+    /// Number of keys held.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
@@ -79,10 +79,9 @@
         self.keys.is_empty()
     }
 
-    /// Takes in a line that was read; in order, a line read twice counts once. Every
-    /// claim in it gets its verdict, for those that wait for one. An error says that the
-    /// line could not be read; it is passed over like everywhere else, and its claims are
-    /// never won.
+    /// Applies a line read from the log. Lines must be applied in order; a line that was read
+    /// before is ignored. Returns the verdicts on the claims in the line. An error means that the
+    /// line could not be decoded; all readers skip it alike, and its claims never win.
     pub fn apply(
         &mut self,
         offset: u64,
@@ -94,29 +93,29 @@
         }
         self.next_offset = offset + 1;
         let line = Line::parse(text)?;
-        let mut placed = Vec::new();
+        let mut verdicts = Vec::new();
         for (index, record) in (0..).zip(line.records) {
-            let place = RecordPosition { offset, index };
-            placed.extend(self.apply_record(place, record, now_ms));
+            let position = RecordPosition { offset, index };
+            verdicts.extend(self.apply_record(position, record, now_ms));
         }
-        Ok(placed)
+        Ok(verdicts)
     }
 
-    /// What a submission is to do whose key is held already, before any claim of its own
-    /// is appended; `None` when it may claim.
+    /// Verdict on a submission whose key is already held, before it appends a claim of its own;
+    /// `None` if it may append one.
     pub fn peek(&self, key: KeyDigest, request: RequestDigest, now_ms: u64) -> Option<Verdict> {
-        let held = self.live_entry(key, now_ms)?;
-        if held.state == State::Released {
+        let entry = self.live_entry(key, now_ms)?;
+        if entry.state == State::Released {
             return None;
         }
-        Some(held.verdict(request, now_ms))
+        Some(entry.verdict(request, now_ms))
     }
 
-    /// Forgets keys whose lifetime is over; to be called now and then.
+    /// Removes expired keys and releases. Has to be called periodically.
     pub fn expire(&mut self, now_ms: u64) {
-        let lifetime_ms = self.settings.key_lifetime_ms;
+        let key_lifetime_ms = self.settings.key_lifetime_ms;
         self.keys
-            .retain(|_, held| now_ms.saturating_sub(held.newest_claim_ms) < lifetime_ms);
+            .retain(|_, entry| now_ms.saturating_sub(entry.newest_claim_ms) < key_lifetime_ms);
         let lag_ms = self.settings.release_lag_ms();
         self.released
             .retain(|_, &mut since_ms| now_ms.saturating_sub(since_ms) < lag_ms);
@@ -124,7 +123,7 @@
 
     fn apply_record(
         &mut self,
-        place: RecordPosition,
+        position: RecordPosition,
         record: Record,
         now_ms: u64,
     ) -> Option<ClaimVerdict> {
@@ -135,7 +134,7 @@
                 claim,
                 outcome,
             } => {
-                self.set_state(key, claim, State::of(outcome, place));
+                self.set_state(key, claim, State::of(outcome, position));
                 None
             }
             Record::Release { key, claim } => {
@@ -145,13 +144,13 @@
         }
     }
 
-    /// A claim may wait at one writer while its release goes through another, and stand
-    /// behind it. Its holder has given up and told its caller "not run"; if the claim won,
-    /// repeats would be told "may have run" with nobody to run it. So its late claim is
-    /// passed over, by all readers alike.
+    /// A claim may be queued at one writer while its release goes through another writer and
+    /// precedes it. Its holder has abandoned it and told its caller "not run"; if the claim won,
+    /// repeats would be told "may have run" although no holder runs the call. All readers therefore
+    /// ignore a claim that follows its release.
     fn apply_release(&mut self, key: KeyDigest, claim: CallId, now_ms: u64) {
-        let held = self.keys.get(&key);
-        if held.is_some_and(|held| held.claim == claim) {
+        let entry = self.keys.get(&key);
+        if entry.is_some_and(|entry| entry.claim == claim) {
             self.set_state(key, claim, State::Released);
         } else if self.released.len() < self.settings.keys_max {
             self.released.insert(claim, now_ms);
@@ -162,23 +161,23 @@
         if self.released.contains_key(&claim.claim) {
             return None;
         }
-        let held = self.live_entry(claim.key, now_ms).cloned();
-        let Some(mut held) = held else {
+        let entry = self.live_entry(claim.key, now_ms).cloned();
+        let Some(mut entry) = entry else {
             return self.insert_claim(claim, now_ms);
         };
-        let again = held.claim == claim.claim;
-        if held.state == State::Released && !again {
+        let is_same_claim = entry.claim == claim.claim;
+        if entry.state == State::Released && !is_same_claim {
             return self.insert_claim(claim, now_ms);
         }
-        // A doubled record of a released claim is passed over: its holder has given up,
-        // and the key would be taken with nobody to run it.
-        let verdict = match (again, &held.state) {
+        // A duplicate record of a released claim is ignored: its holder has abandoned it, and the
+        // key would be held although no holder runs the call.
+        let verdict = match (is_same_claim, &entry.state) {
             (true, State::Running) => Verdict::Won,
             (true, State::Released | State::Uncertain) => return None,
-            _ => held.verdict(claim.request, now_ms),
+            _ => entry.verdict(claim.request, now_ms),
         };
-        held.newest_claim_ms = now_ms;
-        self.keys.insert(claim.key, held);
+        entry.newest_claim_ms = now_ms;
+        self.keys.insert(claim.key, entry);
         Some(ClaimVerdict {
             claim: claim.claim,
             verdict,
@@ -189,58 +188,59 @@
         if self.keys.len() >= self.settings.keys_max {
             self.expire(now_ms);
         }
-        // Dropping a key that lives could let its repeat run. So none is dropped; and for
-        // a lifetime after a claim that had no room no claim wins here, because one that
-        // looks first may follow it. Its holder gets no verdict and answers "not run".
+        // Removing a live key could let a repeat of its call run, so no key is removed. For one
+        // lifetime after a claim without room, no new claim wins at this reader, because a claim
+        // that looks like the first of its key may follow the one without room. Its holder gets no
+        // verdict and answers "not run".
         if self.keys.len() >= self.settings.keys_max {
             self.overflowed_ms = Some(now_ms);
             return None;
         }
-        let unsure = self.is_uncertain(now_ms);
-        let held = KeyEntry {
+        let is_uncertain = self.is_uncertain(now_ms);
+        let entry = KeyEntry {
             claim: claim.claim,
             request: claim.request,
             call_ends_ms: now_ms + u64::from(claim.runs_for_ms),
             newest_claim_ms: now_ms,
-            state: if unsure {
+            state: if is_uncertain {
                 State::Uncertain
             } else {
                 State::Running
             },
         };
-        self.keys.insert(claim.key, held);
-        (!unsure).then_some(ClaimVerdict {
+        self.keys.insert(claim.key, entry);
+        (!is_uncertain).then_some(ClaimVerdict {
             claim: claim.claim,
             verdict: Verdict::Won,
         })
     }
 
     fn is_uncertain(&self, now_ms: u64) -> bool {
-        let lifetime_ms = self.settings.key_lifetime_ms;
+        let key_lifetime_ms = self.settings.key_lifetime_ms;
         self.overflowed_ms
-            .is_some_and(|since_ms| now_ms.saturating_sub(since_ms) < lifetime_ms)
+            .is_some_and(|since_ms| now_ms.saturating_sub(since_ms) < key_lifetime_ms)
     }
 
     fn set_state(&mut self, key: KeyDigest, claim: CallId, state: State) {
-        let held = self.keys.get_mut(&key);
-        if let Some(held) = held.filter(|held| held.claim == claim) {
-            held.state = state;
+        let entry = self.keys.get_mut(&key);
+        if let Some(entry) = entry.filter(|entry| entry.claim == claim) {
+            entry.state = state;
         }
     }
 
     fn live_entry(&self, key: KeyDigest, now_ms: u64) -> Option<&KeyEntry> {
-        let lifetime_ms = self.settings.key_lifetime_ms;
-        let held = self.keys.get(&key);
-        held.filter(|held| now_ms.saturating_sub(held.newest_claim_ms) < lifetime_ms)
+        let key_lifetime_ms = self.settings.key_lifetime_ms;
+        let entry = self.keys.get(&key);
+        entry.filter(|entry| now_ms.saturating_sub(entry.newest_claim_ms) < key_lifetime_ms)
     }
 }
 
 impl State {
-    fn of(outcome: Outcome, place: RecordPosition) -> Self {
+    fn of(outcome: Outcome, position: RecordPosition) -> Self {
         match outcome {
             Outcome::Answered { status, answer } => State::Answered {
                 status,
-                position: answer.map(|_| place),
+                position: answer.map(|_| position),
             },
             Outcome::Failed(failure) => State::Failed(failure),
         }
@@ -248,22 +248,19 @@
 }
 
 impl KeyEntry {
-    /// What another submission of the key is to do.
+    /// Verdict on another submission with the same key.
     fn verdict(&self, request: RequestDigest, now_ms: u64) -> Verdict {
         if request != self.request {
             return Verdict::KeyReused;
         }
         match &self.state {
-            // Nothing of the holder is asked here: it has had all the time that its
-            // call may take, and it may still record its end.
+            // The holder is not consulted: the time that its call may take is over, though it may
+            // still record the end of the call.
             State::Running | State::Uncertain if now_ms >= self.call_ends_ms => Verdict::Lost,
             State::Running | State::Uncertain | State::Released => Verdict::Running,
-            State::Answered {
-                status,
-                position: place,
-            } => Verdict::Answered {
+            State::Answered { status, position } => Verdict::Answered {
                 status: *status,
-                position: *place,
+                position: *position,
             },
             State::Failed(failure) => Verdict::Failed(*failure),
         }
--- a/components/claims/src/verdict.rs
+++ b/components/claims/src/verdict.rs
@@ -1,44 +1,46 @@
-//! What a reader of a shard says of a claim.
+//! Verdicts of a shard's reader on claims.
 
 use derive::{key, value};
 use types::{CallId, Cause, Failure, RunState};
 
 use crate::ClaimSettings;
 
-/// Where a record stands in its stream.
+/// Position of a record in its stream.
 #[key]
 pub struct RecordPosition {
-    /// Offset of the line in the log.
+    /// Offset of the record's line in the log.
     pub offset: u64,
-    /// Position in the line.
+    /// Index of the record in the line.
     pub index: u32,
 }
 
-/// What a submission with a key is to do.
+/// Verdict on a submission with a key.
 #[value]
 pub enum Verdict {
-    /// Its claim is the first: it alone may run.
+    /// Its claim is the first of the key, so this submission alone may run the call.
     Won,
-    /// Another submission of the key may be running.
+    /// Another submission holds the key, and its call may be running.
     Running,
-    /// The key's call was answered whole.
+    /// The key's call was answered completely.
     Answered {
         /// HTTP status of the answer.
         status: u16,
-        /// Where the answer is recorded; read the line there and take
-        /// [`crate::Line::outcome`]. `None` when it was too large.
+        /// Position of the recorded answer: read the line at its offset and call
+        /// [`crate::Line::outcome`]. `None` if the answer was too large to be recorded.
         position: Option<RecordPosition>,
     },
-    /// The key's call ended without a whole answer.
+    /// The key's call ended without a complete answer.
     Failed(Failure),
-    /// The winner is gone; whether the call ran will never be known.
+    /// The time limit of the call passed without a record of its end; whether it ran will never be
+    /// known.
     Lost,
-    /// The key was used for another request.
+    /// The key was used before with a different request.
     KeyReused,
 }
 
 impl Verdict {
-    /// The final answer, where the verdict alone is one.
+    /// The failure to answer with; `None` if the submission may run or the recorded answer has to
+    /// be read.
     pub fn failure(&self, settings: &ClaimSettings) -> Option<Failure> {
         match self {
             Verdict::Won
@@ -49,7 +51,8 @@
                 Failure::new(RunState::Unknown, Cause::ClaimTaken)
                     .retry_after(settings.running_retry_after_ms),
             ),
-            // It ran and was answered, but the answer is not to be had again.
+            // The call ran and was answered, but the answer was not recorded and cannot be
+            // repeated.
             Verdict::Answered { position: None, .. } => {
                 Some(Failure::new(RunState::Failed, Cause::TooLarge))
             }
@@ -60,11 +63,11 @@
     }
 }
 
-/// A claim that was read, with its verdict.
+/// The verdict on a claim that was read.
 #[value]
 pub struct ClaimVerdict {
-    /// The claim.
+    /// Identifier of the claim.
     pub claim: CallId,
-    /// What its holder is to do.
+    /// Verdict for the claim's holder.
     pub verdict: Verdict,
 }
--- a/components/claims/tests/at_most_once.rs
+++ b/components/claims/tests/at_most_once.rs
@@ -1,4 +1,5 @@
-//! Any interleaving of entries, readers, lost answers, pauses and forgetting.
+//! Property test of any interleaving of entries, readers, lost answers, pauses and log retention: a
+//! keyed call runs at most once in the lifetime of its key.
 
 use claims::{
     Claim, ClaimHolder, ClaimSettings, ClaimVerdict, KeyDigest, Line, Outcome, Record,
@@ -23,18 +24,18 @@
 };
 const RETENTION_MS: u64 = 1_200;
 
-/// The log, three readers of its one shard and every submission of one key.
-struct World {
+/// The log, three readers of its only shard, and all submissions of one key.
+struct Simulation {
     now_ms: u64,
     log: Vec<(u64, String)>,
     readers: Vec<Shard>,
     holders: Vec<ClaimHolder>,
-    /// Verdicts on their way; they arrive late, out of order or never.
+    /// Verdicts in transit; they arrive late, out of order or never.
     verdicts: Vec<ClaimVerdict>,
     starts_ms: Vec<u64>,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         Self {
             now_ms: 0,
@@ -46,7 +47,7 @@
         }
     }
 
-    /// A new submission, whose claim reaches the log at once.
+    /// Adds a submission whose claim is appended to the log at once.
     fn submit(&mut self) {
         let counter = self.holders.len() as u64;
         let (Ok(customer), Ok(service)) =
@@ -65,7 +66,7 @@
         self.append(Some(Record::Claim(claim)));
     }
 
-    /// A submission that asks one reader and starts if it has won.
+    /// Adds a submission that gets its verdict from one reader and starts if it has won.
     fn run(&mut self, reader: usize) {
         self.submit();
         self.read(reader);
@@ -90,19 +91,19 @@
         }
     }
 
-    fn step(&mut self, kind: u8, which: u8, wait_ms: u16) {
-        let which = usize::from(which);
+    fn step(&mut self, event: u8, choice: u8, wait_ms: u16) {
+        let choice = usize::from(choice);
         let latest = self.holders.len().max(1) - 1;
-        let holder = latest.saturating_sub(which % 4);
-        let reader = which % 3;
+        let holder = latest.saturating_sub(choice % 4);
+        let reader = choice % 3;
         let claim = self.holders.get(holder).map(|holder| *holder.claim());
-        match kind % 14 {
+        match event % 14 {
             0 => self.submit(),
             1..=3 => self.run(reader),
-            // The answer to the append was lost, maybe long ago.
+            // The answer to an earlier append was lost, so the claim is appended again.
             4 => self.append(claim.map(Record::Claim)),
             5 | 6 => self.read(reader),
-            7 => self.deliver(which),
+            7 => self.deliver(choice),
             8 | 9 => self.start(holder),
             10 => self.end(holder),
             11 => self.readers[reader] = Shard::new(SETTINGS),
@@ -111,11 +112,11 @@
         }
     }
 
-    fn deliver(&mut self, which: usize) {
+    fn deliver(&mut self, choice: usize) {
         if self.verdicts.is_empty() {
             return;
         }
-        let placed = self.verdicts.remove(which % self.verdicts.len());
+        let placed = self.verdicts.remove(choice % self.verdicts.len());
         let mut holders = self.holders.iter_mut();
         let holder = holders.find(|holder| holder.claim().claim == placed.claim);
         if let Some(holder) = holder {
@@ -141,39 +142,40 @@
     }
 }
 
-impl World {
-    /// Two starts with one key are a key's lifetime apart, less the time to start.
-    fn is_kept(&self) -> bool {
+impl Simulation {
+    /// Whether any two starts are at least a key's lifetime apart, less the time that a holder may
+    /// take to start.
+    fn runs_at_most_once(&self) -> bool {
         let apart_ms = SETTINGS.key_lifetime_ms - SETTINGS.start_within_ms;
         let mut pairs = self.starts_ms.windows(2);
         pairs.all(|pair| pair[1] - pair[0] >= apart_ms)
     }
 }
 
-/// The caller's order runs once though it repeats it around the end of the key's lifetime.
-/// Reader 0 forgets the first claim before reader 1 does, and lets the second one win;
-/// when reader 1 forgets the first as well, the second must still hold the key there.
+/// Guards against a second run when a call is repeated around the end of its key's lifetime. Reader
+/// 0 removes the first claim before reader 1 does and lets the second claim win; when reader 1 has
+/// removed the first claim too, the second one must still hold the key there.
 #[test]
-fn can_forget_a_key_at_different_times() {
-    let mut world = World::new();
-    world.run(0);
-    world.now_ms = 600;
-    world.read(1);
-    world.now_ms = 1_100;
-    world.run(0);
-    assert_eq!(world.starts_ms, [0, 1_100]);
-    world.read(1);
-    world.now_ms = 1_700;
-    world.run(1);
-    assert!(world.is_kept(), "{:?}", world.starts_ms);
+fn can_remove_a_key_at_different_times() {
+    let mut simulation = Simulation::new();
+    simulation.run(0);
+    simulation.now_ms = 600;
+    simulation.read(1);
+    simulation.now_ms = 1_100;
+    simulation.run(0);
+    assert_eq!(simulation.starts_ms, [0, 1_100]);
+    simulation.read(1);
+    simulation.now_ms = 1_700;
+    simulation.run(1);
+    assert!(simulation.runs_at_most_once(), "{:?}", simulation.starts_ms);
 }
 
 checks::seeded! {
     fn runs_at_most_once_in_a_lifetime(steps: Vec<(u8, u8, u16)>) -> bool {
-        let mut world = World::new();
-        for (kind, which, wait_ms) in steps {
-            world.step(kind, which, wait_ms);
+        let mut simulation = Simulation::new();
+        for (event, choice, wait_ms) in steps {
+            simulation.step(event, choice, wait_ms);
         }
-        SETTINGS.check(RETENTION_MS).is_ok() && world.is_kept()
+        SETTINGS.check(RETENTION_MS).is_ok() && simulation.runs_at_most_once()
     }
 }
--- a/components/claims/tests/claims.rs
+++ b/components/claims/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Verdicts, one submission's way, batches and settings.
+//! Verdicts, the states of a submission, batches and settings.
 #![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
 
 use claims::{
@@ -60,7 +60,7 @@
     let release = Record::Release { key, claim: first };
     let taken = Failure::new(RunState::Unknown, Cause::ClaimTaken);
     let large = vec![b'x'; settings().answer_bytes_max + 1];
-    let whole = |place| Verdict::Answered {
+    let answered_at = |place| Verdict::Answered {
         status: 200,
         position: place,
     };
@@ -80,7 +80,7 @@
             Some(taken.retry_after(500)),
         ),
         case(
-            "its holder is gone",
+            "its holder died",
             vec![],
             30_000,
             Verdict::Lost,
@@ -90,14 +90,14 @@
             "answered",
             vec![answered(b"ok")],
             1,
-            whole(Some(place)),
+            answered_at(Some(place)),
             None,
         ),
         case(
-            "answered at length",
+            "answered with a body too large to record",
             vec![answered(&large)],
             1,
-            whole(None),
+            answered_at(None),
             Some(too_large),
         ),
         case(
@@ -109,26 +109,20 @@
         ),
         case("released", vec![release.clone()], 1, Verdict::Won, None),
         case(
-            "released, doubled",
+            "released, with a duplicate of its claim",
             vec![release, Record::Claim(claim(1, "a"))],
             1,
             Verdict::Won,
             None,
         ),
         case(
-            "doubled",
+            "a duplicate of its claim",
             vec![Record::Claim(claim(1, "a"))],
             1,
             Verdict::Running,
             Some(taken.retry_after(500)),
         ),
-        case(
-            "its lifetime is over",
-            vec![],
-            3_600_000,
-            Verdict::Won,
-            None,
-        ),
+        case("its key has expired", vec![], 3_600_000, Verdict::Won, None),
         Case {
             second: claim(2, "b"),
             ..case(
@@ -148,17 +142,21 @@
             shard.apply(offset, &text, 0).unwrap();
         }
         let (key, request) = (case.second.key, case.second.request);
-        let early = shard
+        let early_verdict = shard
             .peek(key, request, case.wait_ms)
             .unwrap_or(Verdict::Won);
-        assert_eq!(early, case.verdict, "{}: before a claim", case.name);
+        assert_eq!(
+            early_verdict, case.verdict,
+            "{}: verdict before a claim",
+            case.name
+        );
         let text = Line::new(vec![Record::Claim(case.second)])
             .to_json()
             .unwrap();
-        let placed = shard.apply(9, &text, case.wait_ms).unwrap();
+        let verdicts = shard.apply(9, &text, case.wait_ms).unwrap();
         assert_eq!(
-            placed[0].verdict, case.verdict,
-            "{}: by its claim",
+            verdicts[0].verdict, case.verdict,
+            "{}: verdict on the claim",
             case.name
         );
         assert_eq!(
@@ -170,11 +168,11 @@
     }
 }
 
-/// The caller sees "not run" with a time to come back, and its repeat may run.
-/// The log is out; the holder tries one writer after the other until its time is over,
-/// gives up for good, and a verdict that comes after all changes nothing.
+/// Guards against a run without a claim during an outage of the log. The holder tries one writer
+/// after another until its time is over and abandons the claim; a verdict that arrives later has no
+/// effect. The caller gets "not run" with a retry delay, and its repeat may run.
 #[test]
-fn errors_when_the_log_is_out() {
+fn errors_when_the_log_is_unavailable() {
     let mut holder = ClaimHolder::new(claim(1, "a"), settings(), 0);
     assert_eq!(holder.next_action(0), ClaimAction::Send { rank: 0 });
     holder.on_refused(10);
@@ -184,7 +182,7 @@
         ClaimAction::WaitUntil { at_ms: 1_010 }
     );
     let ClaimAction::Abandon(failure) = holder.next_action(5_001) else {
-        panic!("goes on without a claim");
+        panic!("the holder did not abandon the claim");
     };
     assert_eq!(
         failure,
@@ -195,10 +193,10 @@
     assert!(holder.release().is_some() && holder.done(Outcome::Failed(failure)).is_none());
 }
 
-/// The caller sees "not run" and no second run of its order.
-/// The holder wins, is frozen before the hand-over and wakes when its claim is old.
+/// Guards against a second run: the holder wins, is paused before the hand-over and resumes when
+/// its claim is too old to start. The caller gets "not run".
 #[test]
-fn errors_when_the_winner_wakes_too_late() {
+fn errors_when_the_winner_resumes_too_late() {
     let mut holder = ClaimHolder::new(claim(1, "a"), settings(), 0);
     holder.on_verdict(Verdict::Won);
     assert_eq!(holder.next_action(10), ClaimAction::Run);
@@ -206,15 +204,15 @@
     let mut in_time = ClaimHolder::new(claim(2, "a"), settings(), 0);
     in_time.on_verdict(Verdict::Won);
     assert!(in_time.start(5_000).is_ok() && in_time.release().is_none());
-    assert!(in_time.start(5_000).is_err(), "started twice");
+    assert!(in_time.start(5_000).is_err(), "the call was started twice");
 }
 
 #[test]
-fn can_keep_the_appends_within_the_shards_share() {
+fn can_limit_the_rate_of_appends() {
     let settings = settings();
     assert_eq!(settings.appends_per_s_max(), 160);
     let shards = usize::from(settings.shards);
-    // 5 % of 6,800 requests a second have a key; each has a claim and an end.
+    // 5% of 6,800 requests per second have a key; each of these appends a claim and an end.
     let (mut batches, mut appends, mut records) = (vec![Batch::new(settings); shards], 0, 0);
     for now_ms in 0..10_000 {
         if now_ms % 3 == 0 {
@@ -244,11 +242,11 @@
     );
 }
 
-/// The caller gets the answer, loses it and sends its bid again a millisecond later.
-/// The end's record follows the claim's within the shard's interval and goes at once, so
-/// that the repeat is answered; only a rush of appends waits for its interval.
+/// A caller loses the answer and repeats its call a millisecond later. The record of the call's end
+/// follows its claim within the shard's interval and must be appended at once, so that the repeat
+/// gets the answer; only a burst of appends waits for the interval.
 #[test]
-fn can_append_an_end_right_behind_its_claim() {
+fn can_append_an_end_right_after_its_claim() {
     let mut batch = Batch::new(settings());
     let mut appended = |now_ms| {
         batch.push(answered(b"ok"), now_ms).unwrap();
@@ -264,11 +262,11 @@
     assert!(!appended(1_026));
 }
 
-/// The caller was told "not run, come back" and comes back: its repeat runs.
-/// The claim waits at a slow writer, its holder gives up, and the release goes through
-/// another one and stands first. The claim behind it must not take the key for nobody.
+/// Guards against a claim that holds its key although no holder runs the call. The claim is queued
+/// at a slow writer, its holder abandons it, and the release goes through another writer and
+/// precedes the claim. The caller was told "not run", so its repeat must be able to run.
 #[test]
-fn can_claim_a_key_whose_release_stands_before_its_claim() {
+fn can_claim_a_key_whose_release_precedes_its_claim() {
     let mut shard = Shard::new(settings());
     let Claim { key, claim: id, .. } = claim(1, "a");
     let records = [
@@ -285,10 +283,11 @@
     assert_eq!(won, [(2, &Verdict::Won)]);
 }
 
-/// The caller, told "not run" in an outage, may run its repeat after it.
-/// An append fails; its records go again, but a claim that its holder gave up is dropped.
+/// Guards against a claim that is appended after its holder abandoned it. An append fails and its
+/// records are sent again, but the expired claim is dropped, so that the caller's repeat may run
+/// after the outage.
 #[test]
-fn can_send_again_what_still_matters() {
+fn can_resend_records_and_drop_expired_claims() {
     let waiting_max = 2;
     let mut batch = Batch::new(ClaimSettings {
         waiting_max,
@@ -298,7 +297,11 @@
     batch.push(answered(b"ok"), 0).unwrap();
     assert_eq!(batch.push(answered(b"ok"), 0), Err(BatchFull::Queued(2)));
     let first = batch.flush(0).unwrap();
-    assert_eq!(batch.flush(200).unwrap(), None, "two appends at once");
+    assert_eq!(
+        batch.flush(200).unwrap(),
+        None,
+        "two appends were in flight at the same time"
+    );
     batch.retry_append();
     assert_eq!(batch.flush(200).unwrap(), first);
     batch.retry_append();
@@ -324,7 +327,8 @@
     }
 }
 
-/// The caller sees "not run". The table is full; dropping a key could run its repeat.
+/// A full table must refuse new claims: removing a live key could let a repeat of its call run a
+/// second time. The caller gets "not run".
 #[test]
 fn errors_when_a_shard_has_no_room_for_a_key() {
     let mut shard = Shard::new(ClaimSettings {
@@ -335,7 +339,7 @@
         key: KeyDigest::of(&CustomerName::new("office").unwrap(), ""),
         ..claim(2, "")
     };
-    for (offset, now_ms, claim, placed) in [
+    for (offset, now_ms, claim, verdict_count) in [
         (0, 0, claim(1, "a"), 1),
         (1, 1, other, 0),
         (2, 3_600_000, other, 0),
@@ -344,7 +348,7 @@
         let text = Line::new(vec![Record::Claim(claim)]).to_json().unwrap();
         assert_eq!(
             shard.apply(offset, &text, now_ms).unwrap().len(),
-            placed,
+            verdict_count,
             "{offset}"
         );
         shard.expire(now_ms);
