--- a/components/membership/src/fact.rs
+++ b/components/membership/src/fact.rs
@@ -19,7 +19,7 @@
 /// A piece of news with its further pushes and its end.
 #[value]
 pub(crate) struct Fact {
-    pub(crate) news: News,
+    pub(crate) message: News,
     pub(crate) pushes_left: u32,
     /// `None` for facts that last.
     pub(crate) expires_ms: Option<u64>,
@@ -27,8 +27,8 @@
 
 impl Fact {
     /// The news as it is told now; `None` once it has ended.
-    pub(crate) fn news_at(&self, now_ms: u64) -> Option<News> {
-        match (&self.news, self.expires_ms) {
+    pub(crate) fn message_at(&self, now_ms: u64) -> Option<News> {
+        match (&self.message, self.expires_ms) {
             (_, Some(ends_ms)) if ends_ms <= now_ms => None,
             (News::Quarantined { digest, .. }, Some(ends_ms)) => Some(News::Quarantined {
                 digest: *digest,
--- a/components/membership/src/rumours.rs
+++ b/components/membership/src/rumours.rs
@@ -30,7 +30,7 @@
     /// To whom, each the same datagram.
     pub targets: Vec<SocketAddr>,
     /// What.
-    pub news: Vec<News>,
+    pub messages: Vec<News>,
 }
 
 /// All facts that this process knows and passes on.
@@ -68,13 +68,13 @@
         }
         let mut news = news.clone();
         if let Some(known) = self.facts.get(&topic) {
-            news = merge_known(news, &known.news);
+            news = merge_known(news, &known.message);
             if !self.supersedes(&news, ends_ms, known) {
                 return false;
             }
         }
         let fact = Fact {
-            news,
+            message: news,
             pushes_left: self.settings.push_rounds(peers),
             expires_ms: ends_ms,
         };
@@ -84,9 +84,9 @@
     }
 
     /// Everything known, for a peer that starts.
-    pub fn known_news(&self, now_ms: u64) -> impl Iterator<Item = News> {
+    pub fn known_messages(&self, now_ms: u64) -> impl Iterator<Item = News> {
         let facts = self.facts.values();
-        facts.filter_map(move |fact| fact.news_at(now_ms))
+        facts.filter_map(move |fact| fact.message_at(now_ms))
     }
 
     /// When the next round is due.
@@ -118,7 +118,10 @@
         }
         self.fill_datagram(&mut news, &mut bytes, now_ms);
         let targets = draw_peers(peers, fan_out, rng);
-        Some(RumourRound { targets, news })
+        Some(RumourRound {
+            targets,
+            messages: news,
+        })
     }
 
     /// The news with the most pushes left, as much as fits.
@@ -133,13 +136,13 @@
             .collect();
         hot.sort_by_key(|fact| std::cmp::Reverse(fact.pushes_left));
         for fact in hot {
-            let size_bytes = size_bytes(&fact.news);
+            let size_bytes = size_bytes(&fact.message);
             if bytes + size_bytes > room_bytes {
                 break;
             }
             bytes += size_bytes;
             fact.pushes_left -= 1;
-            news.extend(fact.news_at(now_ms));
+            news.extend(fact.message_at(now_ms));
         }
         (news, bytes)
     }
@@ -157,12 +160,12 @@
             .iter()
             .filter(|(topic, _)| Some(*topic) <= after.as_ref());
         for (topic, fact) in later.chain(sooner) {
-            let size_bytes = size_bytes(&fact.news);
+            let size_bytes = size_bytes(&fact.message);
             if *bytes + size_bytes > room_bytes {
                 break;
             }
             self.last_filled = Some(topic.clone());
-            let told = fact.news_at(now_ms).filter(|told| !news.contains(told));
+            let told = fact.message_at(now_ms).filter(|told| !news.contains(told));
             *bytes += told.as_ref().map_or(0, |_| size_bytes);
             news.extend(told);
         }
@@ -177,7 +180,7 @@
     }
 
     fn supersedes(&self, news: &News, ends_ms: Option<u64>, known: &Fact) -> bool {
-        match (news, &known.news) {
+        match (news, &known.message) {
             (News::Config(heard), News::Config(known)) => heard.version > known.version,
             (News::Weights { target, .. }, News::Weights { target: known, .. }) => target != known,
             (News::Leaving { node }, News::Leaving { node: known }) => {
--- a/components/membership/tests/spread.rs
+++ b/components/membership/tests/spread.rs
@@ -77,7 +77,7 @@
             self.sent += round.targets.len() as u64;
             for target in round.targets {
                 if self.rng.next_u64() % 100 >= LOSS_PERCENT {
-                    arriving.push((target, round.news.clone()));
+                    arriving.push((target, round.messages.clone()));
                 }
             }
         }
@@ -91,7 +91,7 @@
     }
 
     fn knowing(&self, news: &News, now_ms: u64) -> usize {
-        let knows = |rumours: &&Rumours| rumours.known_news(now_ms).any(|known| known == *news);
+        let knows = |rumours: &&Rumours| rumours.known_messages(now_ms).any(|known| known == *news);
         self.nodes.iter().filter(knows).count()
     }
 }
@@ -191,8 +191,8 @@
     }
     let mut rumours = Rumours::new(RumourSettings::default());
     rumours.add(&quarantined(1_000), 10, 0);
-    assert_eq!(rumours.known_news(400).next(), Some(quarantined(600)));
-    assert_eq!(rumours.known_news(1_000).next(), None);
+    assert_eq!(rumours.known_messages(400).next(), Some(quarantined(600)));
+    assert_eq!(rumours.known_messages(1_000).next(), None);
 }
 
 // A trainer puts version 6 in force through one entry and names version 7 ahead of time
@@ -214,7 +214,7 @@
         let mut rumours = Rumours::new(RumourSettings::default());
         assert!(rumours.add(&target(first), 10, 0));
         assert!(rumours.add(&target(second), 10, 0));
-        assert_eq!(rumours.known_news(0).next(), Some(target(both)));
+        assert_eq!(rumours.known_messages(0).next(), Some(target(both)));
         assert!(!rumours.add(&target(first), 10, 0));
     }
 }
--- a/components/node/src/gossip_heard.rs
+++ b/components/node/src/gossip_heard.rs
@@ -36,7 +36,7 @@
     async fn welcome(&mut self, to: SocketAddr, now_ms: u64) {
         let mut facts: Vec<News> = self
             .rumours
-            .known_news(now_ms)
+            .known_messages(now_ms)
             .take(FIRST_FACTS_MAX)
             .collect();
         facts.push(self.config_read(now_ms));
--- a/components/node/src/gossip_loop.rs
+++ b/components/node/src/gossip_loop.rs
@@ -123,7 +123,7 @@
         let Some(round) = self.rumours.start_round(&peers, now_ms, rng) else {
             return;
         };
-        let mut news = round.news;
+        let mut news = round.messages;
         news.push(self.config_read(now_ms));
         for target in round.targets {
             self.send(target, news.clone()).await;
