--- a/components/membership/src/fact.rs
+++ b/components/membership/src/fact.rs
@@ -1,4 +1,5 @@
-//! A piece of news as it is kept: its topic, its end, and which of two pieces stays.
+//! Facts that gossip spreads: their topic, their expiry, and which of two messages about one topic
+//! is kept.
 
 use std::net::SocketAddr;
 
@@ -6,7 +7,7 @@
 use protocol::News;
 use types::{CustomerName, ServiceName};
 
-/// What a fact is about.
+/// Topic of a fact. At most one fact per topic is kept.
 #[value]
 #[derive(PartialOrd, Ord)]
 pub(crate) enum Topic {
@@ -16,17 +17,17 @@
     Config(CustomerName),
 }
 
-/// A piece of news with its further pushes and its end.
+/// A gossip message with the number of rounds that still push it and its expiry.
 #[value]
 pub(crate) struct Fact {
     pub(crate) message: News,
     pub(crate) pushes_left: u32,
-    /// `None` for facts that last.
+    /// `None` for facts that do not expire.
     pub(crate) expires_ms: Option<u64>,
 }
 
 impl Fact {
-    /// The news as it is told now; `None` once it has ended.
+    /// The message as sent at `now_ms`; `None` once the fact has expired.
     pub(crate) fn message_at(&self, now_ms: u64) -> Option<News> {
         match (&self.message, self.expires_ms) {
             (_, Some(ends_ms)) if ends_ms <= now_ms => None,
@@ -34,14 +35,15 @@
                 digest: *digest,
                 left_ms: u32::try_from(ends_ms - now_ms).unwrap_or(u32::MAX),
             }),
-            (news, _) => Some(news.clone()),
+            (message, _) => Some(message.clone()),
         }
     }
 }
 
-/// The topic of news that is passed on; `None` for probes, statuses and the like.
-pub(crate) fn topic_of(news: &News) -> Option<Topic> {
-    match news {
+/// Topic of a message that is gossiped; `None` for probes, statuses and other messages that are not
+/// passed on.
+pub(crate) fn topic_of(message: &News) -> Option<Topic> {
+    match message {
         News::Config(digest) => Some(Topic::Config(digest.customer.clone())),
         News::Weights {
             customer, service, ..
@@ -52,11 +54,12 @@
     }
 }
 
-/// The heard news with what is known. Weights to serve and to load come from different
-/// calls of a trainer, perhaps at two entries at once: neither piece of news is above the
-/// other then, and to keep one of them would lose what only the other says.
-pub(crate) fn merge_known(heard: News, known: &News) -> News {
-    match (heard, known) {
+/// Merges a received message with the known one on the same topic. Versions to serve and to load
+/// come from different calls of a trainer, possibly at two entries at the same time. Neither
+/// message supersedes the other then, and keeping only one would lose a version that only the other
+/// one names.
+pub(crate) fn merge_known(received: News, known: &News) -> News {
+    match (received, known) {
         (
             News::Weights {
                 customer,
@@ -69,13 +72,13 @@
             service,
             target: known.merge(target),
         },
-        (heard, _) => heard,
+        (received, _) => received,
     }
 }
 
-/// Most bytes that the news takes on the wire.
-pub(crate) fn size_bytes(news: &News) -> usize {
-    match news {
+/// Upper bound on the encoded size of the message, in bytes.
+pub(crate) fn size_bytes(message: &News) -> usize {
+    match message {
         News::Config(digest) => 24 + digest.customer.as_str().len(),
         News::Weights {
             customer, service, ..
--- a/components/membership/src/lib.rs
+++ b/components/membership/src/lib.rs
@@ -1,6 +1,8 @@
-//! Who is there: one process's view of the others, built from the platform's lagging VM
-//! list, the answers to its own probes and rumours. Pure: events and `now_ms` of the
-//! process's monotonic clock go in, probes, rumours and views come out.
+//! Membership: one process's view of the other processes, built from the platform's VM list (which
+//! lags behind), the answers to the process's own probes, and gossip.
+//!
+//! This crate does no I/O. Its inputs are events and `now_ms` of the process's monotonic clock; its
+//! outputs are probes to send, gossip messages and immutable snapshots.
 
 mod fact;
 mod member;
--- a/components/membership/src/member.rs
+++ b/components/membership/src/member.rs
@@ -1,4 +1,4 @@
-//! What is known of one address.
+//! State of the process at one address.
 
 use std::sync::Arc;
 
@@ -11,33 +11,33 @@
 /// Whether a process answers probes.
 #[key]
 pub enum Liveness {
-    /// It answers, or nothing speaks against it yet.
+    /// The process answers probes, or has not missed enough answers to be suspected.
     Live,
-    /// It missed some answers, or is kept though it missed many.
+    /// The process missed some answers, or missed many while this process doubts its own network.
     Suspect,
-    /// It missed too many answers.
+    /// The process missed too many consecutive answers.
     Down,
 }
 
-/// What a piece of news was worth.
+/// Effect of a message on the view.
 #[key]
 pub enum UpdateOutcome {
-    /// Nothing new.
+    /// The message contained nothing new.
     Unchanged,
-    /// Changed the view; a rumour of it is worth spreading.
+    /// The view changed; the change should be gossiped.
     Changed,
-    /// From an earlier life; tell the sender that this one is known.
+    /// The message is from an earlier incarnation; tell the sender which one is known.
     StaleIncarnation {
-        /// Highest life known at the address.
+        /// Highest incarnation known at the address.
         known: Incarnation,
     },
-    /// This process took a higher number; it is in [`crate::Members::own`].
+    /// This process raised its incarnation; [`crate::Members::own`] returns the new one.
     OwnIncarnationRaised,
-    /// This process is said to be leaving: start the drain.
+    /// This process is reported to be leaving and must start to drain.
     OwnLeaving,
 }
 
-/// Word of the VM list on an address.
+/// State of an address in the VM list.
 #[key]
 pub(crate) enum Listing {
     Live,
@@ -47,21 +47,22 @@
 #[value]
 pub(crate) struct Member {
     pub(crate) role: ProcessRole,
-    /// `None` until the VM list or a status says so.
+    /// Failure domain and region; `None` until the VM list or a status states them.
     pub(crate) location: Option<(FailureDomain, Region)>,
     pub(crate) incarnation: Option<Incarnation>,
     pub(crate) incarnation_since_ms: u64,
-    /// An earlier life at this address was leaving.
+    /// Whether the previous incarnation at this address was leaving.
     pub(crate) follows_leaving: bool,
-    /// Sticky for the life in `incarnation`.
+    /// When the current incarnation was found to be leaving; never reset for this incarnation.
     pub(crate) leaving_since_ms: Option<u64>,
     pub(crate) listing: Option<Listing>,
     pub(crate) absent_reads: u32,
-    /// Neither listed nor heard since; kept only so that its life stays known.
+    /// Since when the process is neither listed nor answers; the member is kept only to remember
+    /// its incarnation.
     pub(crate) absent_since_ms: Option<u64>,
-    /// Its newest status with the hosted services of all parts, and when it came.
+    /// Newest status with the hosted services of all parts, and when it was received.
     pub(crate) status: Option<(Arc<Status>, u64)>,
-    /// Hosted services by part.
+    /// Hosted services by part of the status.
     pub(crate) parts: Vec<Vec<Hosted>>,
     pub(crate) watched: bool,
     pub(crate) last_heard_ms: Option<u64>,
@@ -94,19 +95,21 @@
         }
     }
 
-    /// Takes up a life unless a later one is known; true if it is a new one.
+    /// Adopts an incarnation unless a later one is known. Returns whether it is new.
     pub(crate) fn adopt_incarnation(
         &mut self,
-        heard: Incarnation,
+        received: Incarnation,
         now_ms: u64,
     ) -> Result<bool, UpdateOutcome> {
         match self.incarnation {
-            Some(known) if heard < known => return Err(UpdateOutcome::StaleIncarnation { known }),
-            Some(known) if heard == known => return Ok(false),
+            Some(known) if received < known => {
+                return Err(UpdateOutcome::StaleIncarnation { known });
+            }
+            Some(known) if received == known => return Ok(false),
             _ => {}
         }
         self.follows_leaving = self.incarnation.is_some() && self.is_leaving();
-        self.incarnation = Some(heard);
+        self.incarnation = Some(received);
         self.incarnation_since_ms = now_ms;
         self.leaving_since_ms = None;
         self.status = None;
@@ -115,29 +118,29 @@
         Ok(true)
     }
 
-    /// Takes a status up. One part of several replaces that part alone: a datagram has no
-    /// room for the services of a pool that many share, and a service whose part was lost
-    /// would seem to be gone until the next probe.
+    /// Applies a status. If the status is one of several parts, it replaces only that part: the
+    /// services of a pool that many customers share do not fit into one datagram, and a service
+    /// whose part was lost would otherwise appear to be gone until the next probe.
     pub(crate) fn apply_status(&mut self, status: &Status, now_ms: u64) {
         self.location = Some((status.failure_domain.clone(), status.region.clone()));
-        let mut whole = status.clone();
+        let mut full_status = status.clone();
         self.parts
             .resize(usize::from(status.parts.max(1)), Vec::new());
         if let Some(part) = self.parts.get_mut(usize::from(status.part)) {
             part.clone_from(&status.hosted);
         }
-        whole.hosted = self.parts.concat();
-        self.status = Some((Arc::new(whole), now_ms));
+        full_status.hosted = self.parts.concat();
+        self.status = Some((Arc::new(full_status), now_ms));
     }
 
-    /// Marks the life as leaving for good; true the first time.
+    /// Marks the incarnation as leaving permanently. Returns true the first time.
     pub(crate) fn mark_leaving(&mut self, now_ms: u64) -> bool {
-        let first = self.leaving_since_ms.is_none();
+        let is_first = self.leaving_since_ms.is_none();
         self.leaving_since_ms.get_or_insert(now_ms);
-        first
+        is_first
     }
 
-    /// A sign of life.
+    /// Records that the process answered.
     pub(crate) fn record_answer(&mut self, now_ms: u64) {
         self.last_heard_ms = Some(now_ms);
         self.misses = 0;
@@ -146,7 +149,7 @@
         self.probe_sent_ms = None;
     }
 
-    /// Counts a probe whose answer did not come in time.
+    /// Counts a probe that was not answered in time.
     pub(crate) fn check_probe_timeout(&mut self, settings: &MemberSettings, now_ms: u64) {
         let Some(sent_ms) = self.probe_sent_ms else {
             return;
@@ -175,26 +178,27 @@
 
     /// Whether the process gets no new work because it is leaving, as far as known.
     ///
-    /// The list knows addresses only. Where it says leaving and no earlier life was known
-    /// to leave, its word holds for the life that answers, though that may be a new one:
-    /// a wrong guess costs one endpoint for the list's lag, the other guess would send
-    /// new work to a VM that is being taken away. A life that follows one that left is
-    /// live at once; see [`Member::heed_list`] for when the list's word reaches it.
+    /// The VM list knows only addresses. If it says "leaving" and no earlier incarnation was known
+    /// to leave, this is applied to the incarnation that answers, although that one may be new. If
+    /// this is wrong, one endpoint gets no work for the lag of the list; the opposite assumption
+    /// could send new work to a VM that is being removed. An incarnation that follows a leaving one
+    /// is live at once; see [`Member::bind_leaving_listing`] for when the list's state applies to
+    /// it.
     pub(crate) fn is_leaving(&self) -> bool {
-        let shunned = self.listing == Some(Listing::Leaving) && !self.follows_leaving;
-        self.leaving_since_ms.is_some() || shunned
+        let is_listed_leaving = self.listing == Some(Listing::Leaving) && !self.follows_leaving;
+        self.leaving_since_ms.is_some() || is_listed_leaving
     }
 
-    /// Binds the list's "leaving" to the life that has been known for longer than the
-    /// list lags; true when this is new.
+    /// Applies the list's "leaving" to an incarnation that has been known for longer than the list
+    /// lags. Returns whether this is new.
     pub(crate) fn bind_leaving_listing(&mut self, settings: &MemberSettings, now_ms: u64) -> bool {
-        let listed = self.listing == Some(Listing::Leaving);
+        let is_listed_leaving = self.listing == Some(Listing::Leaving);
         let known_ms = now_ms.saturating_sub(self.incarnation_since_ms);
-        let about_this_life = self.incarnation.is_some() && known_ms >= settings.list_lag_ms;
-        listed && about_this_life && self.mark_leaving(now_ms)
+        let applies_to_incarnation = self.incarnation.is_some() && known_ms >= settings.list_lag_ms;
+        is_listed_leaving && applies_to_incarnation && self.mark_leaving(now_ms)
     }
 
-    /// Whether it was heard within `within_ms`.
+    /// Whether the process answered within the last `within_ms`.
     pub(crate) fn answered_within(&self, within_ms: u64, now_ms: u64) -> bool {
         self.last_heard_ms
             .is_some_and(|heard_ms| now_ms.saturating_sub(heard_ms) <= within_ms)
--- a/components/membership/src/members.rs
+++ b/components/membership/src/members.rs
@@ -1,8 +1,8 @@
-//! The members and the news that change them.
+//! The members, and the events that change them.
 //!
-//! News about one address is ordered by incarnation. Within one life "leaving" is
-//! sticky, whoever says it, so that news may come in any order and any number of times
-//! and the view is the same.
+//! Messages about one address are ordered by incarnation. Within one incarnation, "leaving" is
+//! permanent, whoever reports it. Messages may therefore arrive in any order and any number of
+//! times without changing the resulting view.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,19 +13,19 @@
 use crate::member::{Listing, Member};
 use crate::{ListedVm, MemberSettings, OwnProcess, UpdateOutcome, VmListOutcome};
 
-/// One process's view of all others.
+/// One process's view of all other processes.
 #[derive(Clone, Debug)]
 pub struct Members {
     pub(crate) settings: MemberSettings,
     pub(crate) own: OwnProcess,
     pub(crate) members: BTreeMap<SocketAddr, Member>,
-    /// When the next never-heard member is probed first.
+    /// Earliest time for the first probe of the next member that has never answered.
     pub(crate) next_discovery_ms: u64,
     pub(crate) isolated: bool,
 }
 
 impl Members {
-    /// A view of nobody.
+    /// Creates a view without members.
     pub fn new(own: OwnProcess, settings: MemberSettings) -> Self {
         Self {
             settings,
@@ -36,35 +36,36 @@
         }
     }
 
-    /// This process; its incarnation rises when an earlier life is heard of.
+    /// This process. Its incarnation is raised when another process reports an incarnation of this
+    /// address that is not lower.
     pub fn own(&self) -> &OwnProcess {
         &self.own
     }
 
-    /// Settings of the view.
+    /// Settings of this view.
     pub fn settings(&self) -> &MemberSettings {
         &self.settings
     }
 
-    /// Takes in one read of the VM list. A failed read is no event.
+    /// Applies a successful read of the VM list. Failed reads must not be passed.
     pub fn on_list(&mut self, vms: &[ListedVm], now_ms: u64) -> VmListOutcome {
-        let mut read = VmListOutcome::default();
+        let mut outcome = VmListOutcome::default();
         for member in self.members.values_mut() {
             member.absent_reads = member.absent_reads.saturating_add(1);
         }
         for vm in vms {
             if vm.address == self.own.node.address {
-                read.own_leaving = self.is_own_vm_leaving(vm, now_ms);
+                outcome.own_leaving = self.is_own_vm_leaving(vm, now_ms);
             } else {
                 self.apply_listed(vm, now_ms);
             }
         }
         self.remove_absent(now_ms);
-        read.leaving = self.bind_leaving_listings(now_ms);
-        read
+        outcome.leaving = self.bind_leaving_listings(now_ms);
+        outcome
     }
 
-    /// Takes in that a datagram came from `from`: a sign of life.
+    /// Handles that a datagram arrived from `from`, which shows that the process is alive.
     pub fn on_datagram(&mut self, from: NodeId, role: ProcessRole, now_ms: u64) -> UpdateOutcome {
         if from.address == self.own.node.address {
             return self.on_own_incarnation(from.incarnation);
@@ -73,7 +74,7 @@
             return UpdateOutcome::Unchanged;
         };
         match member.adopt_incarnation(from.incarnation, now_ms) {
-            Err(older) => older,
+            Err(stale) => stale,
             Ok(new) => {
                 member.role = role;
                 member.record_answer(now_ms);
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Takes in a status; it is also a sign of life.
+    /// Applies a status, which also shows that the process is alive.
     pub fn on_status(
         &mut self,
         from: NodeId,
@@ -94,62 +95,63 @@
         status: &Status,
         now_ms: u64,
     ) -> UpdateOutcome {
-        let heard = self.on_datagram(from, role, now_ms);
-        if !matches!(heard, UpdateOutcome::Changed | UpdateOutcome::Unchanged) {
-            return heard;
+        let outcome = self.on_datagram(from, role, now_ms);
+        if !matches!(outcome, UpdateOutcome::Changed | UpdateOutcome::Unchanged) {
+            return outcome;
         }
         let Some(member) = self.members.get_mut(&from.address) else {
-            return heard;
+            return outcome;
         };
-        let known_life = member.status.as_ref().map(|(known, _)| known.endpoint_life);
-        if known_life.is_some_and(|known| status.endpoint_life < known) {
-            return heard;
+        let known_endpoint_life = member.status.as_ref().map(|(known, _)| known.endpoint_life);
+        if known_endpoint_life.is_some_and(|known| status.endpoint_life < known) {
+            return outcome;
         }
         member.apply_status(status, now_ms);
         if status.leaving && member.mark_leaving(now_ms) {
             return UpdateOutcome::Changed;
         }
-        heard
+        outcome
     }
 
-    /// Takes in that a life is leaving; from whom does not matter.
+    /// Handles a message, from any process, that this incarnation is leaving.
     pub fn on_leaving(&mut self, node: NodeId, now_ms: u64) -> UpdateOutcome {
         if node.address == self.own.node.address {
             return self.on_own_leaving(node.incarnation);
         }
-        // A role of Agent is a guess until the process is heard or listed; nothing is
-        // built on it, because a leaving life takes no work in either role.
+        // The role is assumed to be agent until the process answers or is listed. Nothing depends
+        // on the role before, because a leaving process accepts no work in either role.
         let Some(member) = self.get_or_insert(node.address, ProcessRole::Agent, now_ms) else {
             return UpdateOutcome::Unchanged;
         };
         match member.adopt_incarnation(node.incarnation, now_ms) {
-            Err(older) => older,
+            Err(stale) => stale,
             Ok(_) if member.mark_leaving(now_ms) => UpdateOutcome::Changed,
             Ok(_) => UpdateOutcome::Unchanged,
         }
     }
 
-    /// Takes in that some process knows this life at this process's own address.
-    pub fn on_own_incarnation(&mut self, heard: Incarnation) -> UpdateOutcome {
-        if self.own.raise_above(heard) {
+    /// Handles that another process knows this incarnation at this process's own address.
+    pub fn on_own_incarnation(&mut self, reported: Incarnation) -> UpdateOutcome {
+        if self.own.raise_above(reported) {
             UpdateOutcome::OwnIncarnationRaised
         } else {
             UpdateOutcome::Unchanged
         }
     }
 
-    /// A higher number is an earlier life whose clock ran ahead. The same number is this
-    /// life: some process read in the VM list that it leaves.
-    fn on_own_leaving(&mut self, heard: Incarnation) -> UpdateOutcome {
-        if heard == self.own.node.incarnation {
+    /// Handles that an incarnation at this process's own address is leaving. A higher number
+    /// belongs to an earlier incarnation whose clock was ahead. The same number is this
+    /// incarnation: some process read in the VM list that it is leaving.
+    fn on_own_leaving(&mut self, reported: Incarnation) -> UpdateOutcome {
+        if reported == self.own.node.incarnation {
             return UpdateOutcome::OwnLeaving;
         }
-        self.on_own_incarnation(heard)
+        self.on_own_incarnation(reported)
     }
 
     fn is_own_vm_leaving(&self, vm: &ListedVm, now_ms: u64) -> bool {
-        let age_ms = now_ms.saturating_sub(self.own.started_ms);
-        vm.leaving && age_ms >= self.settings.list_lag_ms
+        let uptime_ms = now_ms.saturating_sub(self.own.started_ms);
+        vm.leaving && uptime_ms >= self.settings.list_lag_ms
     }
 
     fn apply_listed(&mut self, vm: &ListedVm, now_ms: u64) {
@@ -161,9 +163,9 @@
         } else {
             Listing::Live
         };
-        let returned = member.listing != Some(listing) || member.absent_reads > 1;
-        if returned && listing == Listing::Live {
-            // A VM that comes back is heard at once instead of in the next sweep.
+        let has_returned = member.listing != Some(listing) || member.absent_reads > 1;
+        if has_returned && listing == Listing::Live {
+            // A VM that returns to the list is probed at once instead of in the next sweep.
             member.next_probe_ms = member.next_probe_ms.min(now_ms);
         }
         member.listing = Some(listing);
@@ -181,8 +183,8 @@
             if !member.bind_leaving_listing(&self.settings, now_ms) {
                 continue;
             }
-            let lives = member.incarnation.into_iter();
-            leaving.extend(lives.map(|incarnation| NodeId {
+            let incarnations = member.incarnation.into_iter();
+            leaving.extend(incarnations.map(|incarnation| NodeId {
                 address,
                 incarnation,
             }));
@@ -190,9 +192,9 @@
         leaving
     }
 
-    /// Drops those that the list no longer names, unless they answer: the list lags and
-    /// may be wrong, an answer is not. Their last life is remembered for a while, or a
-    /// late datagram would bring it or an earlier one back.
+    /// Removes members that the VM list no longer contains, unless they answer: the list lags and
+    /// may be wrong, an answer is not. Their last incarnation is remembered for a while; otherwise
+    /// a delayed datagram would bring it or an earlier one back.
     fn remove_absent(&mut self, now_ms: u64) {
         let settings = self.settings;
         let answer_ms = 2 * settings.sweep_period_ms(self.members.len());
@@ -201,19 +203,20 @@
                 return true;
             }
             member.listing = None;
-            let kept = |since_ms| now_ms.saturating_sub(since_ms) < settings.leaving_retention_ms;
+            let is_retained =
+                |since_ms| now_ms.saturating_sub(since_ms) < settings.leaving_retention_ms;
             if let Some(since_ms) = member.leaving_since_ms {
-                return kept(since_ms);
+                return is_retained(since_ms);
             }
             if member.answered_within(answer_ms, now_ms) {
                 return true;
             }
-            let gone_since_ms = *member.absent_since_ms.get_or_insert(now_ms);
-            member.incarnation.is_some() && kept(gone_since_ms)
+            let absent_since_ms = *member.absent_since_ms.get_or_insert(now_ms);
+            member.incarnation.is_some() && is_retained(absent_since_ms)
         });
     }
 
-    /// The members without those that are only remembered.
+    /// The members without those of which only the incarnation is remembered.
     pub(crate) fn present(&self) -> impl Iterator<Item = (&SocketAddr, &Member)> {
         let members = self.members.iter();
         members.filter(|(_, member)| member.absent_since_ms.is_none())
@@ -225,14 +228,14 @@
         role: ProcessRole,
         now_ms: u64,
     ) -> Option<&mut Member> {
-        let known = self.members.contains_key(&address);
-        if !known && self.members.len() >= self.settings.members_max {
+        let is_known = self.members.contains_key(&address);
+        if !is_known && self.members.len() >= self.settings.members_max {
             return None;
         }
-        if !known {
+        if !is_known {
             let first_probe_ms = self.next_discovery_ms.max(now_ms);
-            let pause_ms = 1_000 / self.settings.discoveries_per_s.max(1);
-            self.next_discovery_ms = first_probe_ms + pause_ms;
+            let discovery_interval_ms = 1_000 / self.settings.discoveries_per_s.max(1);
+            self.next_discovery_ms = first_probe_ms + discovery_interval_ms;
             self.members
                 .insert(address, Member::new(role, first_probe_ms));
         }
--- a/components/membership/src/own_process.rs
+++ b/components/membership/src/own_process.rs
@@ -1,35 +1,36 @@
-//! This process as others see it.
+//! This process as other processes see it.
 
 use derive::value;
 use protocol::ProcessRole;
 use types::{FailureDomain, Incarnation, NodeId, Region};
 
-/// This process; known from its settings, but for the incarnation.
+/// Identity of this process. All fields come from its settings, except the incarnation.
 #[value]
 pub struct OwnProcess {
-    /// Its address and life.
+    /// Address and incarnation.
     pub node: NodeId,
-    /// What it is.
+    /// Whether this process is an entry or an agent.
     pub role: ProcessRole,
-    /// Its failure domain.
+    /// Failure domain of this process.
     pub failure_domain: FailureDomain,
-    /// Its region.
+    /// Region of this process.
     pub region: Region,
-    /// When it started, in milliseconds.
+    /// Start time on the process's monotonic clock, in milliseconds.
     pub started_ms: u64,
 }
 
 impl OwnProcess {
-    /// Takes the next number after `heard`, unless its own is above already.
+    /// Raises the incarnation above `reported` unless it is higher already; returns whether it was
+    /// raised.
     ///
-    /// A VM whose clock runs behind starts with a number below its predecessor's. Every
-    /// other process would take its answers for late ones of the old life, and the
-    /// endpoint would get no work.
-    pub(crate) fn raise_above(&mut self, heard: Incarnation) -> bool {
-        if heard < self.node.incarnation {
+    /// A VM whose clock is behind starts with a lower incarnation than its predecessor. Every other
+    /// process would take its answers for delayed ones of the predecessor, and its endpoint would
+    /// get no work.
+    pub(crate) fn raise_above(&mut self, reported: Incarnation) -> bool {
+        if reported < self.node.incarnation {
             return false;
         }
-        self.node.incarnation = Incarnation(heard.0.saturating_add(1));
+        self.node.incarnation = Incarnation(reported.0.saturating_add(1));
         true
     }
 }
--- a/components/membership/src/rumour_settings.rs
+++ b/components/membership/src/rumour_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the spread of rumours.
+//! Settings of gossip.
 
 use derive::value;
 
@@ -6,22 +6,22 @@
 #[value]
 #[derive(Copy)]
 pub struct RumourSettings {
-    /// Peers that hear the news in one round.
+    /// Number of peers that each round sends to.
     pub fan_out: usize,
-    /// Time between two rounds, in milliseconds.
+    /// Interval between two rounds, in milliseconds.
     pub round_interval_ms: u64,
-    /// Rounds beyond the logarithm of the number of peers in which news is pushed.
+    /// Rounds in which a fact is pushed, in addition to the logarithm of the number of peers.
     pub extra_rounds: u32,
-    /// Rounds between two datagrams when there is no news.
+    /// Number of rounds per datagram while there is nothing new to push.
     pub idle_rounds: u64,
-    /// Largest datagram with all headers, in bytes.
+    /// Maximum size of a datagram including all headers, in bytes.
     pub datagram_bytes_max: usize,
-    /// How long a leaving life is told of, in milliseconds.
+    /// How long the leaving of an incarnation is gossiped, in milliseconds.
     pub leaving_retention_ms: u64,
-    /// A quarantine that ends later than the known one by less than this is the known
-    /// one, on its way for a while, in milliseconds.
+    /// Tolerance for the end of a quarantine, in milliseconds: a message with an end that is later
+    /// by less than this is the known quarantine, delayed in transit.
     pub quarantine_slack_ms: u64,
-    /// Most facts kept; the oldest one with an end goes first.
+    /// Maximum number of facts. When it is exceeded, the fact that expires first is evicted.
     pub facts_max: usize,
 }
 
@@ -41,7 +41,7 @@
 }
 
 impl RumourSettings {
-    /// Rounds in which a piece of news is pushed among this many peers.
+    /// Number of rounds in which a fact is pushed, given the number of peers.
     pub fn push_rounds(&self, peers: usize) -> u32 {
         let base = u64::try_from(self.fan_out)
             .unwrap_or(u64::MAX)
@@ -49,7 +49,8 @@
         (peers as u64 + 1).ilog(base.max(2)) + 1 + self.extra_rounds
     }
 
-    /// Bytes that a process sends in a second while there is more news than fits.
+    /// Maximum bytes per second that a process sends, reached while there is more to push than fits
+    /// into a datagram.
     pub fn bytes_per_s_max(&self) -> u64 {
         let round_bytes = self.fan_out * self.datagram_bytes_max;
         round_bytes as u64 * 1_000 / self.round_interval_ms.max(1)
--- a/components/membership/src/rumours.rs
+++ b/components/membership/src/rumours.rs
@@ -1,15 +1,14 @@
-//! Epidemic spread of small facts.
+//! Epidemic spread of small facts (rumour mongering).
 //!
-//! A process that hears something new pushes it to `fan_out` random peers in each of a
-//! few rounds and then falls silent about it (infect and decay). Besides, every process
-//! sends one random peer some of all that it knows, in turn, so that one that missed a
-//! rumour or came later is told in time. Of two pieces of news about one thing the
-//! higher stays, so that order, loss and repetition do no harm.
+//! A process that receives a new fact pushes it to `fan_out` random peers in each of a few rounds
+//! and then stops. In addition, every process sends known facts to one random peer, in rotation, so
+//! that a process that missed a fact or started later receives it eventually. Of two messages on
+//! one topic the higher one is kept, so reordering, loss and duplication do no harm.
 //!
-//! Cost: at most `fan_out` datagrams of `datagram_bytes_max` a round while there is
-//! news, one in `idle_rounds` rounds else; see [`RumourSettings::bytes_per_s_max`]. It
-//! grows with the news, not with the number of processes; the rounds grow with its
-//! logarithm.
+//! Cost: at most `fan_out` datagrams of `datagram_bytes_max` per round while there is something
+//! new, otherwise one datagram per `idle_rounds` rounds; see [`RumourSettings::bytes_per_s_max`].
+//! The traffic grows with the number of new facts, not with the number of processes; the number of
+//! rounds grows with the logarithm of the number of processes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,31 +20,32 @@
 use crate::fact::{Fact, Topic, merge_known, size_bytes, topic_of};
 use crate::rumour_settings::RumourSettings;
 
-/// UDP and IP headers, sender and authentication of a datagram, in bytes.
+/// Size of a datagram's UDP and IP headers, sender and authentication, in bytes.
 const OVERHEAD_BYTES: usize = 120;
 
-/// What to send now.
+/// The datagram of one round.
 #[value]
 pub struct RumourRound {
-    /// To whom, each the same datagram.
+    /// Peers that receive the datagram.
     pub targets: Vec<SocketAddr>,
-    /// What.
+    /// Messages in the datagram.
     pub messages: Vec<News>,
 }
 
-/// All facts that this process knows and passes on.
+/// The facts that this process knows and gossips.
 #[derive(Clone, Debug)]
 pub struct Rumours {
     settings: RumourSettings,
     facts: BTreeMap<Topic, Fact>,
-    /// The last fact that was told without being news.
+    /// Topic of the last fact that filled up a datagram without being new; the rotation continues
+    /// after it.
     last_filled: Option<Topic>,
     next_round_ms: u64,
     idle_rounds: u64,
 }
 
 impl Rumours {
-    /// Knows nothing yet.
+    /// Creates a state without facts.
     pub fn new(settings: RumourSettings) -> Self {
         Self {
             settings,
@@ -56,45 +56,45 @@
         }
     }
 
-    /// Takes in a fact, from a peer or of one's own; true when it is new, so that the
-    /// caller acts on it. Probes, statuses and the like are never new.
-    pub fn add(&mut self, news: &News, peers: usize, now_ms: u64) -> bool {
-        let Some(topic) = topic_of(news) else {
+    /// Adds a fact from a peer or from this process. Returns whether it is new, so that the caller
+    /// acts on it. Probes, statuses and other messages that are not gossiped are never new.
+    pub fn add(&mut self, message: &News, peers: usize, now_ms: u64) -> bool {
+        let Some(topic) = topic_of(message) else {
             return false;
         };
-        let ends_ms = self.expiry_ms(news, now_ms);
-        if ends_ms.is_some_and(|ends_ms| ends_ms <= now_ms) {
+        let expires_ms = self.expiry_ms(message, now_ms);
+        if expires_ms.is_some_and(|expires_ms| expires_ms <= now_ms) {
             return false;
         }
-        let mut news = news.clone();
+        let mut message = message.clone();
         if let Some(known) = self.facts.get(&topic) {
-            news = merge_known(news, &known.message);
-            if !self.supersedes(&news, ends_ms, known) {
+            message = merge_known(message, &known.message);
+            if !self.supersedes(&message, expires_ms, known) {
                 return false;
             }
         }
         let fact = Fact {
-            message: news,
+            message,
             pushes_left: self.settings.push_rounds(peers),
-            expires_ms: ends_ms,
+            expires_ms,
         };
         self.facts.insert(topic, fact);
         self.evict();
         true
     }
 
-    /// Everything known, for a peer that starts.
+    /// All facts that have not expired, for a peer that has just started.
     pub fn known_messages(&self, now_ms: u64) -> impl Iterator<Item = News> {
         let facts = self.facts.values();
         facts.filter_map(move |fact| fact.message_at(now_ms))
     }
 
-    /// When the next round is due.
+    /// Time at which the next round is due.
     pub fn next_round_ms(&self) -> u64 {
         self.next_round_ms
     }
 
-    /// One round; `None` when it is not due or there is nothing to tell.
+    /// Starts a round; `None` if it is not due or there is nothing to send.
     pub fn start_round(
         &mut self,
         peers: &[SocketAddr],
@@ -106,8 +106,8 @@
         }
         self.next_round_ms = now_ms + self.settings.round_interval_ms;
         self.remove_expired(now_ms);
-        let (mut news, mut bytes) = self.take_pushes(now_ms);
-        let fan_out = if news.is_empty() {
+        let (mut messages, mut bytes) = self.take_pushes(now_ms);
+        let fan_out = if messages.is_empty() {
             self.idle_rounds += 1;
             usize::from(self.idle_rounds.is_multiple_of(self.settings.idle_rounds))
         } else {
@@ -116,81 +116,81 @@
         if fan_out == 0 {
             return None;
         }
-        self.fill_datagram(&mut news, &mut bytes, now_ms);
+        self.fill_datagram(&mut messages, &mut bytes, now_ms);
         let targets = draw_peers(peers, fan_out, rng);
-        Some(RumourRound {
-            targets,
-            messages: news,
-        })
+        Some(RumourRound { targets, messages })
     }
 
-    /// The news with the most pushes left, as much as fits.
+    /// Takes the facts with the most pushes left, as many as fit into a datagram. Also returns the
+    /// size in bytes.
     fn take_pushes(&mut self, now_ms: u64) -> (Vec<News>, usize) {
         let room_bytes = self.settings.datagram_bytes_max;
         let mut bytes = OVERHEAD_BYTES;
-        let mut news = Vec::new();
-        let mut hot: Vec<&mut Fact> = self
+        let mut messages = Vec::new();
+        let mut pushable: Vec<&mut Fact> = self
             .facts
             .values_mut()
             .filter(|fact| fact.pushes_left > 0)
             .collect();
-        hot.sort_by_key(|fact| std::cmp::Reverse(fact.pushes_left));
-        for fact in hot {
+        pushable.sort_by_key(|fact| std::cmp::Reverse(fact.pushes_left));
+        for fact in pushable {
             let size_bytes = size_bytes(&fact.message);
             if bytes + size_bytes > room_bytes {
                 break;
             }
             bytes += size_bytes;
             fact.pushes_left -= 1;
-            news.extend(fact.message_at(now_ms));
+            messages.extend(fact.message_at(now_ms));
         }
-        (news, bytes)
+        (messages, bytes)
     }
 
-    /// Fills the datagram with known facts in turn.
-    fn fill_datagram(&mut self, news: &mut Vec<News>, bytes: &mut usize, now_ms: u64) {
+    /// Fills the rest of the datagram with known facts, in rotation.
+    fn fill_datagram(&mut self, messages: &mut Vec<News>, bytes: &mut usize, now_ms: u64) {
         let room_bytes = self.settings.datagram_bytes_max;
         let after = self.last_filled.take();
         let later = self
             .facts
             .iter()
             .filter(|(topic, _)| Some(*topic) > after.as_ref());
-        let sooner = self
+        let before = self
             .facts
             .iter()
             .filter(|(topic, _)| Some(*topic) <= after.as_ref());
-        for (topic, fact) in later.chain(sooner) {
+        for (topic, fact) in later.chain(before) {
             let size_bytes = size_bytes(&fact.message);
             if *bytes + size_bytes > room_bytes {
                 break;
             }
             self.last_filled = Some(topic.clone());
-            let told = fact.message_at(now_ms).filter(|told| !news.contains(told));
-            *bytes += told.as_ref().map_or(0, |_| size_bytes);
-            news.extend(told);
+            let message = fact
+                .message_at(now_ms)
+                .filter(|message| !messages.contains(message));
+            *bytes += message.as_ref().map_or(0, |_| size_bytes);
+            messages.extend(message);
         }
     }
 
-    fn expiry_ms(&self, news: &News, now_ms: u64) -> Option<u64> {
-        match news {
+    fn expiry_ms(&self, message: &News, now_ms: u64) -> Option<u64> {
+        match message {
             News::Quarantined { left_ms, .. } => Some(now_ms + u64::from(*left_ms)),
             News::Leaving { .. } => Some(now_ms + self.settings.leaving_retention_ms),
             _ => None,
         }
     }
 
-    fn supersedes(&self, news: &News, ends_ms: Option<u64>, known: &Fact) -> bool {
-        match (news, &known.message) {
-            (News::Config(heard), News::Config(known)) => heard.version > known.version,
+    fn supersedes(&self, message: &News, expires_ms: Option<u64>, known: &Fact) -> bool {
+        match (message, &known.message) {
+            (News::Config(received), News::Config(known)) => received.version > known.version,
             (News::Weights { target, .. }, News::Weights { target: known, .. }) => target != known,
             (News::Leaving { node }, News::Leaving { node: known }) => {
                 node.incarnation > known.incarnation
             }
             (News::Quarantined { .. }, _) => {
-                // Each hop adds its transit time to the end; without slack one
-                // quarantine would be news for ever and never end.
+                // Each hop adds its transit time to the end. Without a tolerance, one quarantine
+                // would be new again and again and never end.
                 let known_ms = known.expires_ms.unwrap_or(0) + self.settings.quarantine_slack_ms;
-                ends_ms > Some(known_ms)
+                expires_ms > Some(known_ms)
             }
             _ => false,
         }
@@ -198,18 +198,18 @@
 
     fn remove_expired(&mut self, now_ms: u64) {
         self.facts
-            .retain(|_, fact| fact.expires_ms.is_none_or(|ends_ms| ends_ms > now_ms));
+            .retain(|_, fact| fact.expires_ms.is_none_or(|expires_ms| expires_ms > now_ms));
     }
 
     fn evict(&mut self) {
         if self.facts.len() <= self.settings.facts_max {
             return;
         }
-        let ending = self.facts.iter().filter_map(|(topic, fact)| {
-            let ends_ms = fact.expires_ms?;
-            Some((ends_ms, topic))
+        let expiring = self.facts.iter().filter_map(|(topic, fact)| {
+            let expires_ms = fact.expires_ms?;
+            Some((expires_ms, topic))
         });
-        let first = ending.min().map(|(_, topic)| topic.clone());
+        let first = expiring.min().map(|(_, topic)| topic.clone());
         if let Some(first) = first {
             self.facts.remove(&first);
         }
@@ -217,11 +217,11 @@
 }
 
 fn draw_peers(peers: &[SocketAddr], count: usize, rng: &mut impl Rng) -> Vec<SocketAddr> {
-    let mut left: Vec<SocketAddr> = peers.to_vec();
+    let mut remaining: Vec<SocketAddr> = peers.to_vec();
     let mut drawn = Vec::with_capacity(count);
-    while drawn.len() < count && !left.is_empty() {
-        let position = rng.next_u64() % left.len() as u64;
-        drawn.push(left.swap_remove(position as usize));
+    while drawn.len() < count && !remaining.is_empty() {
+        let position = rng.next_u64() % remaining.len() as u64;
+        drawn.push(remaining.swap_remove(position as usize));
     }
     drawn
 }
--- a/components/membership/src/settings.rs
+++ b/components/membership/src/settings.rs
@@ -1,40 +1,42 @@
-//! Settings of the view and what follows from them.
+//! Settings of membership and values derived from them.
 
 use derive::value;
 
-/// Settings of [`crate::Members`]; the defaults keep 390 entries and 600 replicas within
-/// 16 KB/s a node.
+/// Settings of [`crate::Members`]. With the defaults, each node of a site with 390 entries and 600
+/// replicas stays within 16 KB/s.
 #[value]
 #[derive(Copy)]
 pub struct MemberSettings {
-    /// Replicas of each service that one entry talks to.
+    /// Number of replicas per service that one entry sends calls to.
     pub subset_size: usize,
-    /// Shortest time between two probes of a replica in a subset, in milliseconds.
+    /// Minimum interval between two probes of a replica in a subset, in milliseconds.
     pub probe_interval_ms: u64,
-    /// How long an answer may take, in milliseconds; after it the probe is sent again.
+    /// Timeout for the answer to a probe, in milliseconds; the probe is then sent again.
     pub probe_timeout_ms: u64,
-    /// Missed answers in a row until a member is suspected.
+    /// Consecutive missed answers after which a member is suspected.
     pub misses_to_suspect: u32,
-    /// Missed answers in a row until a member counts as down.
+    /// Consecutive missed answers after which a member counts as down.
     pub misses_to_down: u32,
-    /// Probes of the subsets' members, all together; with more members than this each
+    /// Maximum probes per second to watched members; if there are more members than this, each one
     /// is probed less often.
     pub probes_per_s: u64,
-    /// Probes of all other members, all together.
+    /// Maximum probes per second to all other members.
     pub sweeps_per_s: u64,
-    /// First probes of members that were never heard.
+    /// Maximum first probes per second to members that have never answered.
     pub discoveries_per_s: u64,
-    /// Reads of the VM list without a VM until it is dropped, unless it answers.
+    /// Consecutive reads of the VM list without a VM after which it is removed, unless it answers.
     pub absent_reads_max: u32,
-    /// How far the VM list may lag, in milliseconds.
+    /// Maximum lag of the VM list, in milliseconds.
     pub list_lag_ms: u64,
-    /// How long a life that left is remembered, in milliseconds.
+    /// How long an incarnation that left is remembered, in milliseconds.
     pub leaving_retention_ms: u64,
-    /// Losses within this time of each other count as one, in milliseconds.
+    /// Endpoints that stop answering within this window count as lost at the same time, in
+    /// milliseconds.
     pub isolation_window_ms: u64,
-    /// Fewest watched members among which a loss can be a fault of one's own.
+    /// Minimum number of watched members for which a simultaneous loss is attributed to this
+    /// process's own network.
     pub isolation_members_min: usize,
-    /// Most members kept.
+    /// Maximum number of members.
     pub members_max: usize,
 }
 
@@ -60,20 +62,20 @@
 }
 
 impl MemberSettings {
-    /// Time between two probes of one member when `watched` are in some subset.
+    /// Interval between two probes of a member when `watched` members are watched, in milliseconds.
     pub fn probe_period_ms(&self, watched: usize) -> u64 {
         let spread_ms = watched as u64 * 1_000 / self.probes_per_s.max(1);
         spread_ms.max(self.probe_interval_ms)
     }
 
-    /// Time between two probes of one member outside every subset.
+    /// Interval between two probes of a member that is not watched, in milliseconds.
     pub fn sweep_period_ms(&self, others: usize) -> u64 {
         let spread_ms = others as u64 * 1_000 / self.sweeps_per_s.max(1);
         spread_ms.max(10 * self.probe_interval_ms)
     }
 
-    /// Longest time from the death of a watched member until it counts as down, when the
-    /// driver asks for probes on time.
+    /// Maximum time from the failure of a watched member until it counts as down, in milliseconds,
+    /// provided that the caller asks for due probes on time.
     pub fn detection_ms(&self, watched: usize) -> u64 {
         self.probe_period_ms(watched) + u64::from(self.misses_to_down) * self.probe_timeout_ms
     }
--- a/components/membership/src/snapshot.rs
+++ b/components/membership/src/snapshot.rs
@@ -1,4 +1,5 @@
-//! The view as the request path reads it: immutable, swapped as a whole.
+//! Immutable snapshot of the members for the request path. Each new snapshot replaces the old one
+//! as a whole.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,88 +10,90 @@
 
 use crate::Liveness;
 
-/// One replica of a service.
+/// A replica of a service.
 #[value]
 pub struct Replica {
-    /// The agent's address and life.
+    /// Address and incarnation of the agent.
     pub node: NodeId,
-    /// Its failure domain.
+    /// Failure domain of the process.
     pub failure_domain: FailureDomain,
-    /// Its region.
+    /// Region of the process.
     pub region: Region,
-    /// Load by its last status.
+    /// Load according to its last status.
     pub load: Load,
-    /// When that status came, in milliseconds.
+    /// When that status was received, in milliseconds on this process's monotonic clock.
     pub load_received_ms: u64,
-    /// Version that it answers with; `None` for a plain service.
+    /// Weight version that it answers with; `None` for a plain service.
     pub weights: Option<WeightVersion>,
-    /// Whether it answers probes.
+    /// Whether the process answers probes.
     pub liveness: Liveness,
-    /// It takes no new work.
+    /// Whether the process is leaving and accepts no new work.
     pub leaving: bool,
-    /// Which life of the endpoint behind the agent.
+    /// Number of the endpoint's current run behind the agent; rises when the endpoint restarts.
     pub endpoint_life: u32,
 }
 
-/// One process as the status page shows it.
+/// A process as shown on the status page.
 #[value]
 pub struct MemberState {
-    /// Its address.
+    /// Address of the process.
     pub address: SocketAddr,
-    /// Its life, if one was heard.
+    /// Incarnation of the process; `None` if none has been received yet.
     pub incarnation: Option<Incarnation>,
-    /// What it is.
+    /// Whether the process is an entry or an agent.
     pub role: ProcessRole,
-    /// Its failure domain.
+    /// Failure domain of the process.
     pub failure_domain: FailureDomain,
-    /// Its region.
+    /// Region of the process.
     pub region: Region,
-    /// Whether it answers probes.
+    /// Whether the process answers probes.
     pub liveness: Liveness,
-    /// It takes no new work.
+    /// Whether the process is leaving and accepts no new work.
     pub leaving: bool,
 }
 
 #[value]
 #[derive(Default)]
 pub(crate) struct ServiceReplicas {
-    /// Those that take new work come first.
+    /// Replicas that accept new work, then the leaving ones.
     pub(crate) replicas: Vec<Replica>,
     pub(crate) accepting: usize,
 }
 
-/// The view of one moment.
+/// The members and replicas at one time.
 #[value]
 #[derive(Default)]
 pub struct Snapshot {
     pub(crate) services: HashMap<CustomerName, HashMap<ServiceName, ServiceReplicas>>,
-    /// Every known process but this one.
+    /// Every known process except this one.
     pub members: Vec<MemberState>,
-    /// This process lost sight of most endpoints at once, takes this for a fault of its
-    /// own and keeps the view from before.
+    /// Whether most endpoints stopped answering at the same time. This process then assumes a fault
+    /// of its own network and keeps them as suspects.
     pub isolated: bool,
 }
 
 impl Snapshot {
-    /// The subset of the service's replicas that take new work; those that answer come
+    /// The subset of the service's replicas that accept new work. Replicas that answer probes come
     /// first.
     pub fn replicas(&self, customer: &CustomerName, service: &ServiceName) -> &[Replica] {
         self.service_replicas(customer, service)
-            .map_or(&[], |hosts| &hosts.replicas[..hosts.accepting])
+            .map_or(&[], |service_replicas| {
+                &service_replicas.replicas[..service_replicas.accepting]
+            })
     }
 
-    /// The same with the ones that are leaving at the end.
+    /// The same replicas, followed by the ones that are leaving.
     pub fn replicas_with_leaving(
         &self,
         customer: &CustomerName,
         service: &ServiceName,
     ) -> &[Replica] {
         self.service_replicas(customer, service)
-            .map_or(&[], |hosts| &hosts.replicas)
+            .map_or(&[], |service_replicas| &service_replicas.replicas)
     }
 
-    /// Whether this life of a replica takes new work for the service; to be asked of the
-    /// newest snapshot right before a hand-over, since a request may have waited.
+    /// Whether this incarnation of a replica accepts new work for the service. To be checked in the
+    /// newest snapshot right before a hand-over, since the request may have been queued.
     pub fn accepts_work(
         &self,
         customer: &CustomerName,
@@ -101,14 +104,14 @@
         replicas.iter().any(|replica| replica.node == node)
     }
 
-    /// Every service with a replica in the view.
+    /// Every service that has a replica.
     pub fn services(&self) -> impl Iterator<Item = (&CustomerName, &ServiceName)> {
         self.services.iter().flat_map(|(customer, services)| {
             services.keys().map(move |service| (customer, service))
         })
     }
 
-    /// Processes of one role that are neither leaving nor down.
+    /// Processes with this role that are neither leaving nor down.
     pub fn live(&self, role: ProcessRole) -> impl Iterator<Item = &MemberState> {
         self.members.iter().filter(move |member| {
             member.role == role && !member.leaving && member.liveness != Liveness::Down
--- a/components/membership/src/subset.rs
+++ b/components/membership/src/subset.rs
@@ -1,10 +1,10 @@
-//! The replicas of one service that one entry talks to.
+//! Selects the replicas of a service that one entry sends calls to.
 //!
-//! Rendezvous hashing ranks the replicas of each failure domain; the ranks are taken
-//! row by row, so that the subset spreads over the failure domains of the entry's own
-//! region and fills up from other regions. A replica that goes changes only the subsets
-//! that it was in, and each of these by one replica. A full mesh would cost every agent
-//! a probe from each entry each second.
+//! Rendezvous hashing ranks the replicas of each failure domain. The subset takes all replicas of
+//! rank 1, then those of rank 2, and so on, so that it spreads over the failure domains of the
+//! entry's own region; other regions fill it up. If a replica disappears, only the subsets that
+//! contained it change, each by one replica. A full mesh would cost every agent one probe per entry
+//! per second.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,19 +12,20 @@
 use derive::key;
 use types::{FailureDomain, Region, rendezvous};
 
-/// One replica that could be in the subset.
+/// A replica that can be selected for the subset.
 #[key]
 pub struct Candidate<'a> {
-    /// Address of its agent; a restart does not change its place.
+    /// Address of the replica's agent. The ranking depends on it alone, so a restart does not
+    /// change the subset.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the replica.
     pub failure_domain: &'a FailureDomain,
-    /// Its region.
+    /// Region of the replica.
     pub region: &'a Region,
 }
 
-/// The `size` replicas for the entry at `own`, in the order of preference, as positions
-/// in `candidates`.
+/// Selects up to `size` replicas for the entry at `own`. Returns their indices in `candidates`, in
+/// order of preference.
 pub fn choose_subset(
     own: SocketAddr,
     own_region: &Region,
@@ -41,29 +42,31 @@
         })
         .collect();
     ranked.sort_unstable_by(|a, b| b.cmp(a));
-    let mut rows = rank_in_domains(own_region, candidates, &ranked);
-    rows.sort_by_key(|&(foreign, row, _)| (foreign, row));
-    rows.into_iter()
+    let mut ranks = rank_in_domains(own_region, candidates, &ranked);
+    ranks.sort_by_key(|&(other_region, rank, _)| (other_region, rank));
+    ranks
+        .into_iter()
         .take(size)
         .map(|(_, _, position)| position)
         .collect()
 }
 
-/// (in another region, rank within its failure domain, position) of each, by weight.
+/// For each candidate, by descending weight: whether it is in another region, its rank within its
+/// failure domain, and its index.
 fn rank_in_domains(
     own_region: &Region,
     candidates: &[Candidate<'_>],
     ranked: &[(u64, usize)],
 ) -> Vec<(bool, usize, usize)> {
-    let mut taken: HashMap<(&Region, &FailureDomain), usize> = HashMap::new();
+    let mut counts: HashMap<(&Region, &FailureDomain), usize> = HashMap::new();
     ranked
         .iter()
         .map(|&(_, position)| {
             let candidate = &candidates[position];
             let domain = (candidate.region, candidate.failure_domain);
-            let row = taken.entry(domain).or_default();
-            *row += 1;
-            (candidate.region != own_region, *row, position)
+            let rank = counts.entry(domain).or_default();
+            *rank += 1;
+            (candidate.region != own_region, *rank, position)
         })
         .collect()
 }
--- a/components/membership/src/tail.rs
+++ b/components/membership/src/tail.rs
@@ -1,11 +1,11 @@
-//! Who reads the log's configuration stream.
+//! Decides which processes read the log's configuration stream, and when.
 //!
-//! If every process polled the log, 990 of them would be a load that nobody agreed to.
-//! So a few in each failure domain do, by rank. The others live on rumours, and every
-//! datagram says how old the newest read known to its sender is. When that age passes
-//! `silent_after_ms`, a process reads for itself, whatever its rank; after a failure it
-//! waits longer each time, with jitter, so that an outage of the log is not answered by
-//! polls of everybody.
+//! If every process polled the log, 990 processes would exceed the agreed load. Therefore only a
+//! few processes per failure domain, selected by rank, read the log. The others rely on gossip, and
+//! every datagram states the age of the newest read that its sender knows of. When that age exceeds
+//! `read_age_ms_max`, a process reads for itself, whatever its rank. After a failed read it waits
+//! longer each time, with jitter, so that an outage of the log does not cause polling by all
+//! processes.
 
 use std::net::SocketAddr;
 
@@ -19,15 +19,15 @@
 #[value]
 #[derive(Copy)]
 pub struct TailSettings {
-    /// Processes in each failure domain that read.
+    /// Number of processes per failure domain that read the log.
     pub per_domain: usize,
-    /// Age of the newest known read from which on every process reads, in milliseconds.
+    /// Age of the newest known read above which every process reads for itself, in milliseconds.
     pub read_age_ms_max: u64,
-    /// First wait after a failed read, in milliseconds; doubles with each failure.
+    /// Backoff after the first failed read, in milliseconds; doubles with each consecutive failure.
     pub backoff_ms: u64,
-    /// Longest wait after a failed read of a process that ranks, in milliseconds.
+    /// Maximum backoff of a process selected as reader, in milliseconds.
     pub backoff_ms_max: u64,
-    /// Longest wait after a failed read of any other process, in milliseconds.
+    /// Maximum backoff of any other process, in milliseconds.
     pub unranked_backoff_ms_max: u64,
 }
 
@@ -43,29 +43,29 @@
     }
 }
 
-/// What to do about the log now.
+/// Action that is due now.
 #[key]
 pub enum TailAction {
-    /// Read now (a long poll, while the process ranks).
+    /// Read the log now; selected readers use a long poll.
     Read,
-    /// Ask again at this time.
+    /// Call [`Tail::next_action`] again at this time.
     WaitUntil {
-        /// On the process's monotonic clock.
+        /// Time on the process's monotonic clock.
         at_ms: u64,
     },
 }
 
-/// When this process reads the log.
+/// Schedule of this process's reads of the log.
 #[value]
 pub struct Tail {
     settings: TailSettings,
-    /// `None` before the first read known.
+    /// Time of the newest known read; `None` if none is known.
     newest_read_ms: Option<u64>,
     failures: u32,
     next_read_ms: u64,
 }
 
-/// The processes of one failure domain that read the log, out of its live ones.
+/// Selects the processes that read the log from the live processes of one failure domain.
 pub fn tailers(
     domain: impl IntoIterator<Item = SocketAddr>,
     settings: &TailSettings,
@@ -76,7 +76,8 @@
 }
 
 impl Tail {
-    /// Starts; the first read is due at once, since a new process knows nothing.
+    /// Creates a schedule whose first read is due at once, since a new process has no
+    /// configuration.
     pub fn new(settings: TailSettings, now_ms: u64) -> Self {
         Self {
             settings,
@@ -86,36 +87,36 @@
         }
     }
 
-    /// A peer knows of a read that is this old.
+    /// Records that a peer knows of a read with this age.
     pub fn record_peer_read(&mut self, age_ms: u32, now_ms: u64) {
-        // A read from before this clock began has no place on it; it is passed over, and
-        // this process reads for itself a little sooner.
+        // A read before the start of this process's clock has no time on it. It is ignored, so this
+        // process reads for itself a little earlier.
         let read_ms = now_ms.checked_sub(u64::from(age_ms));
         self.newest_read_ms = self.newest_read_ms.max(read_ms);
     }
 
-    /// A read of one's own worked.
+    /// Records a successful read by this process.
     pub fn record_read(&mut self, now_ms: u64) {
         self.newest_read_ms = self.newest_read_ms.max(Some(now_ms));
         self.failures = 0;
         self.next_read_ms = now_ms;
     }
 
-    /// A read of one's own failed.
-    pub fn record_failure(&mut self, ranks: bool, now_ms: u64, rng: &mut impl Rng) {
-        let longest_ms = if ranks {
+    /// Records a failed read by this process.
+    pub fn record_failure(&mut self, is_tailer: bool, now_ms: u64, rng: &mut impl Rng) {
+        let backoff_ms_max = if is_tailer {
             self.settings.backoff_ms_max
         } else {
             self.settings.unranked_backoff_ms_max
         };
         let doubled_ms = self.settings.backoff_ms << self.failures.min(16);
-        let wait_ms = doubled_ms.clamp(1, longest_ms.max(1));
+        let wait_ms = doubled_ms.clamp(1, backoff_ms_max.max(1));
         self.failures = self.failures.saturating_add(1);
         self.next_read_ms = now_ms + wait_ms / 2 + rng.next_u64() % (wait_ms / 2 + 1);
     }
 
-    /// Age of the newest read known, for [`protocol::News::ConfigRead`];
-    /// `u32::MAX` when none is known, and then there is nothing to tell.
+    /// Age of the newest known read in milliseconds, for the age that datagrams state; `u32::MAX`
+    /// if none is known.
     pub fn age_ms(&self, now_ms: u64) -> u32 {
         let age_ms = self
             .newest_read_ms
@@ -123,16 +124,17 @@
         age_ms.map_or(u32::MAX, |age_ms| u32::try_from(age_ms).unwrap_or(u32::MAX))
     }
 
-    /// What to do; `ranks` says whether this process is one of its domain's [`tailers`].
-    pub fn next_action(&self, ranks: bool, now_ms: u64) -> TailAction {
-        let silent_after_ms = self.settings.read_age_ms_max;
-        let silent_ms = self
+    /// Returns the action that is due. `is_tailer` states whether this process is one of the
+    /// [`tailers`] of its failure domain.
+    pub fn next_action(&self, is_tailer: bool, now_ms: u64) -> TailAction {
+        let read_age_ms_max = self.settings.read_age_ms_max;
+        let overdue_ms = self
             .newest_read_ms
-            .map_or(0, |read_ms| read_ms + silent_after_ms);
-        let due_ms = if ranks {
+            .map_or(0, |read_ms| read_ms + read_age_ms_max);
+        let due_ms = if is_tailer {
             self.next_read_ms
         } else {
-            self.next_read_ms.max(silent_ms)
+            self.next_read_ms.max(overdue_ms)
         };
         if now_ms >= due_ms {
             TailAction::Read
--- a/components/membership/src/view.rs
+++ b/components/membership/src/view.rs
@@ -1,4 +1,5 @@
-//! From the members to the immutable view, and which members are watched for it.
+//! Builds the immutable snapshot from the members and selects the members to probe frequently for
+//! it.
 
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
@@ -13,7 +14,7 @@
 
 type Service<'a> = (&'a CustomerName, &'a ServiceName);
 
-/// A member that hosts a service, with what it said of it.
+/// A member that hosts a service, with the service's entry in its status.
 struct Host<'a> {
     address: SocketAddr,
     member: &'a Member,
@@ -21,8 +22,8 @@
 }
 
 impl Members {
-    /// The view of now; also chooses anew which members are watched. Call it after any
-    /// news that was [`crate::Heard::New`] and once a second.
+    /// Builds the current snapshot, and selects again which members are watched. Has to be called
+    /// after every [`crate::UpdateOutcome::Changed`] and once per second.
     pub fn snapshot(&mut self, now_ms: u64) -> Snapshot {
         let mut snapshot = Snapshot {
             members: self.member_states().collect(),
@@ -39,19 +40,19 @@
         snapshot
     }
 
-    /// Addresses to spread rumours to: everybody that is not down, leaving ones too, for
-    /// they still have callers.
+    /// Addresses to gossip with: every member that is not down. Leaving members are included
+    /// because they still have callers.
     pub fn peers(&self) -> Vec<SocketAddr> {
         let reachable = self.present().filter(|(_, member)| {
-            let gone = member.listing.is_none() && member.last_heard_ms.is_none();
-            !gone && member.liveness(&self.settings) != Liveness::Down
+            let is_absent = member.listing.is_none() && member.last_heard_ms.is_none();
+            !is_absent && member.liveness(&self.settings) != Liveness::Down
         });
         reachable.map(|(&address, _)| address).collect()
     }
 
-    /// Entries that are not down, leaving ones too. One that came up a moment ago is among
-    /// them though the VM list, which tells its failure domain, was not read since; the
-    /// snapshot leaves it out until then.
+    /// Addresses of the entries that are not down, including leaving ones. An entry that has just
+    /// started is included even before the VM list, which states its failure domain, has been read;
+    /// the snapshot leaves it out until then.
     pub fn entries(&self) -> Vec<SocketAddr> {
         let entries = self.present().filter(|(_, member)| {
             member.role == ProcessRole::Entry && member.liveness(&self.settings) != Liveness::Down
@@ -59,18 +60,19 @@
         entries.map(|(&address, _)| address).collect()
     }
 
-    /// Live processes of this one's failure domain, itself among them.
+    /// Live processes of this process's failure domain, including itself.
     pub fn domain_peers(&self) -> Vec<SocketAddr> {
-        let own = (&self.own.failure_domain, &self.own.region);
-        let near = self.present().filter(|(_, member)| {
-            let place = member
+        let local = (&self.own.failure_domain, &self.own.region);
+        let domain_members = self.present().filter(|(_, member)| {
+            let location = member
                 .location
                 .as_ref()
                 .map(|(domain, region)| (domain, region));
-            let live = member.liveness(&self.settings) != Liveness::Down;
-            place == Some(own) && live && !member.is_leaving()
+            let is_live = member.liveness(&self.settings) != Liveness::Down;
+            location == Some(local) && is_live && !member.is_leaving()
         });
-        near.map(|(&address, _)| address)
+        domain_members
+            .map(|(&address, _)| address)
             .chain([self.own.node.address])
             .collect()
     }
@@ -92,7 +94,9 @@
 
     fn hosts_by_service(&self) -> BTreeMap<Service<'_>, Vec<Host<'_>>> {
         let mut services: BTreeMap<Service<'_>, Vec<Host<'_>>> = BTreeMap::new();
-        let agents = self.present().filter(|(_, m)| m.role == ProcessRole::Agent);
+        let agents = self
+            .present()
+            .filter(|(_, member)| member.role == ProcessRole::Agent);
         for (&address, member) in agents {
             let status = member.status.iter();
             for hosted in status.flat_map(|(status, _)| &status.hosted) {
@@ -107,34 +111,39 @@
         services
     }
 
-    /// The subset if all were up: a member that is down stays watched, so that its return
-    /// is noticed as fast as its death.
+    /// The subset as if all hosts were up: a member that is down stays watched, so that its
+    /// recovery is detected as quickly as its failure.
     fn subset_addresses(&self, hosts: &[Host<'_>]) -> Vec<SocketAddr> {
-        let staying: Vec<&Host<'_>> = hosts.iter().filter(|h| !h.member.is_leaving()).collect();
+        let staying: Vec<&Host<'_>> = hosts
+            .iter()
+            .filter(|host| !host.member.is_leaving())
+            .collect();
         let chosen = self.choose_hosts(&staying).into_iter();
         chosen.map(|host| host.address).collect()
     }
 
     fn service_replicas(&self, hosts: &[Host<'_>]) -> ServiceReplicas {
-        let up = |host: &&Host<'_>| self.effective_liveness(host.member) != Liveness::Down;
-        let (leaving, staying): (Vec<_>, Vec<_>) =
-            hosts.iter().filter(up).partition(|h| h.member.is_leaving());
+        let is_up = |host: &&Host<'_>| self.effective_liveness(host.member) != Liveness::Down;
+        let (leaving, staying): (Vec<_>, Vec<_>) = hosts
+            .iter()
+            .filter(is_up)
+            .partition(|host| host.member.is_leaving());
         let mut replicas: Vec<Replica> = self
             .choose_hosts(&staying)
             .into_iter()
             .filter_map(|host| self.to_replica(host))
             .collect();
         replicas.sort_by_key(|replica| replica.liveness);
-        let takers = replicas.len();
+        let accepting = replicas.len();
         replicas.extend(leaving.into_iter().filter_map(|host| self.to_replica(host)));
         ServiceReplicas {
             replicas,
-            accepting: takers,
+            accepting,
         }
     }
 
     fn choose_hosts<'a>(&self, hosts: &[&'a Host<'a>]) -> Vec<&'a Host<'a>> {
-        let placed: Vec<(&'a Host<'a>, Candidate<'a>)> = hosts
+        let located: Vec<(&'a Host<'a>, Candidate<'a>)> = hosts
             .iter()
             .filter_map(|&host| {
                 let (failure_domain, region) = host.member.location.as_ref()?;
@@ -146,12 +155,13 @@
                 Some((host, candidate))
             })
             .collect();
-        let candidates: Vec<Candidate<'_>> = placed.iter().map(|&(_, c)| c).collect();
-        let own = &self.own;
+        let candidates: Vec<Candidate<'_>> =
+            located.iter().map(|&(_, candidate)| candidate).collect();
+        let local = &self.own;
         let size = self.settings.subset_size;
-        choose_subset(own.node.address, &own.region, &candidates, size)
+        choose_subset(local.node.address, &local.region, &candidates, size)
             .into_iter()
-            .map(|position| placed[position].0)
+            .map(|position| located[position].0)
             .collect()
     }
 
@@ -175,11 +185,11 @@
     }
 
     fn set_watched(&mut self, watched: &HashSet<SocketAddr>, now_ms: u64) {
-        let period_ms = self.settings.probe_period_ms(watched.len());
+        let probe_period_ms = self.settings.probe_period_ms(watched.len());
         for (address, member) in &mut self.members {
             member.watched = watched.contains(address);
             if member.watched {
-                member.next_probe_ms = member.next_probe_ms.min(now_ms + period_ms);
+                member.next_probe_ms = member.next_probe_ms.min(now_ms + probe_period_ms);
             }
         }
     }
--- a/components/membership/src/vm_list.rs
+++ b/components/membership/src/vm_list.rs
@@ -1,4 +1,4 @@
-//! What the platform's VM list says, and what follows from one read of it.
+//! Entries of the platform's VM list, and the outcome of applying one read of it.
 
 use std::net::SocketAddr;
 
@@ -6,27 +6,27 @@
 use protocol::ProcessRole;
 use types::{FailureDomain, NodeId, Region};
 
-/// One VM of the list. The list knows addresses, not lives.
+/// A VM in the list. The list knows addresses, not incarnations.
 #[value]
 pub struct ListedVm {
-    /// Inner address of the process on the VM.
+    /// Internal address of the process on the VM.
     pub address: SocketAddr,
-    /// What the process is.
+    /// Whether the process is an entry or an agent.
     pub role: ProcessRole,
     /// Failure domain of the VM.
     pub failure_domain: FailureDomain,
     /// Region of the VM.
     pub region: Region,
-    /// The platform is about to take the VM away.
+    /// Whether the platform is about to remove the VM.
     pub leaving: bool,
 }
 
-/// What one read of the list brought.
+/// Outcome of applying one read of the list.
 #[value]
 #[derive(Default)]
 pub struct VmListOutcome {
-    /// Lives that are leaving and were not known to; to be spread as rumours.
+    /// Incarnations that are now known to be leaving; to be gossiped.
     pub leaving: Vec<NodeId>,
-    /// This process's own VM is leaving.
+    /// Whether this process's own VM is leaving.
     pub own_leaving: bool,
 }
