--- a/components/gateway/src/refresh.rs
+++ b/components/gateway/src/refresh.rs
@@ -8,7 +8,7 @@
 use limits::{ShareSettings, Shares};
 use membership::{MemberState, Snapshot};
 use node::now_ms;
-use protocol::{DemandDigest, News, ProcessRole};
+use protocol::{DemandDigest, GossipMessage, ProcessRole};
 use telemetry::Label;
 use tokio::sync::mpsc;
 use types::NodeId;
@@ -31,7 +31,7 @@
     let mut ticks: u64 = 0;
     loop {
         while let Ok((peer, demand)) = told.try_recv() {
-            shares.told(peer, &demand, now_ms());
+            shares.record_digest(peer, &demand, now_ms());
         }
         refresh(&gateway, &mut shares);
         if ticks.is_multiple_of(LEVELS_EVERY) {
@@ -47,16 +47,16 @@
     let snapshot = gateway.gossip.snapshot();
     gateway.services.refresh(&snapshot, &view);
     let now_ms = now_ms();
-    if let Some(elapsed_ms) = shares.due(now_ms) {
+    if let Some(elapsed_ms) = shares.elapsed_if_due_ms(now_ms) {
         let live = snapshot.live(ProcessRole::Entry);
         let (peers, addresses): (Vec<NodeId>, Vec<SocketAddr>) = live
             .filter_map(|entry| Some((node(entry)?, entry.address)))
             .unzip();
         let demands = gateway.accounts.demands(&view, elapsed_ms);
-        let digest = shares.round(&peers, demands, elapsed_ms, now_ms);
+        let digest = shares.run_round(&peers, demands, elapsed_ms, now_ms);
         gateway
             .gossip
-            .tell_directly(addresses, News::Demand(digest));
+            .send_to(addresses, GossipMessage::Demand(digest));
     }
     check_readiness(gateway, &snapshot, now_ms);
     let share = |customer: &_| shares.share(customer, now_ms);
@@ -71,7 +71,7 @@
         members.filter(|member| member.role == ProcessRole::Agent)
     };
     let readiness = Readiness::of(&Facts {
-        configured: gateway.feed.is_known(),
+        configured: gateway.feed.is_initialized(),
         leaving: gateway.drain.is_leaving(),
         agents: agents().count(),
         // Ready once is ready: later the view itself says who is left.
--- a/components/gateway/src/training/coordinator_act.rs
+++ b/components/gateway/src/training/coordinator_act.rs
@@ -35,14 +35,14 @@
     Todo {
         key: key.clone(),
         step: Arc::clone(ledger.step()),
-        actions: ledger.drain(),
+        actions: ledger.take_actions(),
     }
 }
 
 /// How many steps have each replica.
 fn users_of(tables: &[(StepKey, Arc<Table>)]) -> HashMap<SocketAddr, u32> {
     let mut users = HashMap::new();
-    let slots = tables.iter().flat_map(|(_, table)| table.slots());
+    let slots = tables.iter().flat_map(|(_, table)| table.replica_states());
     for slot in slots {
         *users.entry(slot.replica.node.address).or_default() += 1;
     }
--- a/components/limits/src/budget.rs
+++ b/components/limits/src/budget.rs
@@ -1,83 +1,83 @@
 //! Retry budget of one customer.
 //!
-//! Retries are a share of first tries and a small constant, so a whole-service outage
-//! multiplies the offered load by at most one plus the share, whatever each call may
-//! still have left of its deadline.
+//! The number of retries is limited to a share of the first attempts plus a small constant rate.
+//! An outage of a whole service therefore multiplies the offered load by at most one plus the
+//! share, however much time the calls have left until their deadlines.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use derive::value;
 
-use crate::bucket::Bucket;
+use crate::bucket::TokenBucket;
 
-/// Cost of one retry in the thousandths that first tries earn.
-const RETRY: u64 = 1_000;
+/// Cost of one retry, in the thousandths of a retry that first attempts earn.
+const RETRY_COST: u64 = 1_000;
 
 /// Settings of a retry budget.
 #[value]
 pub struct BudgetSettings {
-    /// Retries that a thousand first tries earn.
-    pub permille: u32,
-    /// Most earned retries that are kept.
-    pub kept_max: u32,
-    /// Retries at hand with no first tries, for a customer of few calls.
-    pub constant: u32,
-    /// Time in which the constant part comes back, in milliseconds.
-    pub constant_ms: u64,
+    /// Number of retries that a thousand first attempts earn.
+    pub earned_permille: u32,
+    /// Maximum number of earned retries that are accumulated.
+    pub earned_max: u32,
+    /// Number of retries that are available without first attempts, for customers with few calls.
+    pub base_retries: u32,
+    /// Time in which `base_retries` are refilled, in milliseconds.
+    pub base_period_ms: u64,
 }
 
 impl Default for BudgetSettings {
     fn default() -> Self {
         Self {
-            permille: 100,
-            kept_max: 100,
-            constant: 10,
-            constant_ms: 10_000,
+            earned_permille: 100,
+            earned_max: 100,
+            base_retries: 10,
+            base_period_ms: 10_000,
         }
     }
 }
 
-/// Retries that a customer's calls have left; shared by threads.
+/// Retries that are available to a customer's calls; shared by threads.
 #[derive(Debug)]
 pub struct RetryBudget {
-    permille: u64,
-    kept_max: u64,
+    earned_permille: u64,
+    earned_max: u64,
     earned: AtomicU64,
-    constant: Bucket,
+    base_retries: TokenBucket,
 }
 
 impl RetryBudget {
-    /// A budget with nothing earned yet.
+    /// A budget without earned retries.
     pub fn new(settings: &BudgetSettings) -> Self {
         const MS_PER_S: f64 = 1_000.0;
-        let constant_s = settings.constant_ms.max(1) as f64 / MS_PER_S;
-        let constant_per_s = f64::from(settings.constant) / constant_s;
+        let base_period_s = settings.base_period_ms.max(1) as f64 / MS_PER_S;
+        let base_per_s = f64::from(settings.base_retries) / base_period_s;
         Self {
-            permille: u64::from(settings.permille),
-            kept_max: u64::from(settings.kept_max) * RETRY,
+            earned_permille: u64::from(settings.earned_permille),
+            earned_max: u64::from(settings.earned_max) * RETRY_COST,
             earned: AtomicU64::new(0),
-            constant: Bucket::new(constant_per_s, settings.constant_ms),
+            base_retries: TokenBucket::new(base_per_s, settings.base_period_ms),
         }
     }
 
-    /// Counts a first try.
-    pub fn first_try(&self) {
+    /// Counts the first attempt of a call, which earns a part of a retry.
+    pub fn record_first_attempt(&self) {
         let earn = |earned: u64| {
-            let more = (earned + self.permille).min(self.kept_max);
-            (more != earned).then_some(more)
+            let increased = (earned + self.earned_permille).min(self.earned_max);
+            (increased != earned).then_some(increased)
         };
-        // A full budget stays as it is.
+        // The closure returns `None` when the budget is full, and the value stays unchanged.
         let _ = self
             .earned
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, earn);
     }
 
-    /// Takes one retry; false when none is left.
-    pub fn spend(&self, now_ms: u64) -> bool {
-        let pay = |earned: u64| earned.checked_sub(RETRY);
-        let paid = self
+    /// Takes one retry from the budget; false if the budget is exhausted.
+    pub fn try_spend(&self, now_ms: u64) -> bool {
+        let deduct = |earned: u64| earned.checked_sub(RETRY_COST);
+        let deducted = self
             .earned
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, pay);
-        paid.is_ok() || self.constant.take(1, now_ms).is_ok()
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, deduct);
+        deducted.is_ok() || self.base_retries.try_take(1, now_ms).is_ok()
     }
 }
--- a/components/limits/tests/shares.rs
+++ b/components/limits/tests/shares.rs
@@ -1,4 +1,4 @@
-//! Shares of all customers by digests of bounded size.
+//! Shares of all customers, computed from digests of bounded size.
 
 #![allow(clippy::unwrap_used)]
 
@@ -6,15 +6,15 @@
 
 use std::net::{Ipv4Addr, SocketAddr};
 
-use common::{Draws, customer};
+use common::{SplitMix64, customer};
 use limits::{
-    Asked, BYTES_PER_S_MAX, CustomerLimits, DIGEST_BYTES_MAX, Offered, ShareSettings, Shares,
-    demand, period_ms,
+    CustomerLimits, DIGEST_BYTES_MAX, DIGEST_BYTES_PER_S_MAX, OfferedByClass, OfferedLoad,
+    ShareSettings, Shares, demand, round_interval_ms,
 };
-use protocol::{Datagram, DemandDigest, Key, Keys, News, ProcessRole, write_datagram};
+use protocol::{Datagram, DemandDigest, GossipMessage, Key, Keys, ProcessRole, write_datagram};
 use types::{CustomerName, Incarnation, NodeId};
 
-/// What lower layers add to a datagram.
+/// Bytes that the IP and UDP headers add to a datagram.
 const IP_AND_UDP_BYTES: usize = 28;
 
 fn node(number: usize) -> NodeId {
@@ -29,18 +29,18 @@
     (0..count).map(name).collect()
 }
 
-/// One round of all entries; digests arrive at once. `demand` by entry and customer.
+/// Runs one round of all entries; digests arrive at once. `demand` is by entry, then by customer.
 fn round(entries: &mut [Shares], names: &[CustomerName], demand: &[Vec<f64>], now_ms: u64) {
     let count = entries.len();
     let mut told: Vec<DemandDigest> = Vec::new();
     for (own, shares) in entries.iter_mut().enumerate() {
         let peers: Vec<NodeId> = (0..count).filter(|&other| other != own).map(node).collect();
         let demands = names.iter().cloned().zip(demand[own].iter().copied());
-        told.push(shares.round(&peers, demands, period_ms(count - 1), now_ms));
+        told.push(shares.run_round(&peers, demands, round_interval_ms(count - 1), now_ms));
     }
     for (own, shares) in entries.iter_mut().enumerate() {
         let others = told.iter().enumerate().filter(|&(other, _)| other != own);
-        others.for_each(|(other, digest)| shares.told(node(other), digest, now_ms));
+        others.for_each(|(other, digest)| shares.record_digest(node(other), digest, now_ms));
     }
 }
 
@@ -49,16 +49,16 @@
     (0..count).map(|_| new()).collect()
 }
 
-// All of a customer's requests come through one of three entries, since its clients keep
-// their connections. With a third of the limit there it is refused at a third of its
-// limit; by demand that entry gets all but the even parts of the others.
+// Guards against refusals far below the limit. All requests of a customer come through one of three
+// entries, because its clients keep their connections. With an even split the customer would be
+// refused at a third of its limit.
 #[test]
-fn can_use_most_of_a_limit_at_one_entry() {
+fn a_customer_can_use_most_of_its_limit_at_one_entry() {
     let mut entries = entries(3);
     let names = names(1);
     let mut shares = Vec::new();
     for number in 0..40 {
-        let now_ms = number * period_ms(2);
+        let now_ms = number * round_interval_ms(2);
         round(
             &mut entries,
             &names,
@@ -72,40 +72,40 @@
 }
 
 #[test]
-fn can_count_sampling_as_a_part_and_calls_in_full() {
+fn demand_counts_calls_in_full_and_sampling_in_part() {
     struct Case {
         name: &'static str,
-        asked: Asked,
+        offered: OfferedByClass,
         demand: f64,
     }
-    let offered = |requests, tokens, in_progress| Offered {
+    let offered = |requests, tokens, in_progress| OfferedLoad {
         requests,
         tokens,
         in_progress,
     };
-    let calls = |calls| Asked {
+    let calls = |calls| OfferedByClass {
         calls,
-        ..Asked::default()
+        ..OfferedByClass::default()
     };
     let cases = [
         Case {
             name: "by the scarcest limit",
-            asked: calls(offered(20, 1_000, 1)),
+            offered: calls(offered(20, 1_000, 1)),
             demand: 0.5,
         },
         Case {
             name: "by requests in progress",
-            asked: calls(offered(0, 0, 30)),
+            offered: calls(offered(0, 0, 30)),
             demand: 0.75,
         },
         Case {
             name: "beyond the limit",
-            asked: calls(offered(200, 0, 0)),
+            offered: calls(offered(200, 0, 0)),
             demand: 5.0,
         },
         Case {
-            name: "sampling no more than a quarter",
-            asked: Asked {
+            name: "sampling at most a quarter",
+            offered: OfferedByClass {
                 calls: offered(4, 0, 0),
                 sampling: offered(900, 90_000, 40),
             },
@@ -118,27 +118,28 @@
         tokens_per_s: Some(1_000),
     };
     for case in cases {
-        let found = demand(&limits, &case.asked, 2_000);
+        let found = demand(&limits, &case.offered, 2_000);
         let demand = case.demand;
         assert!((found - demand).abs() < 1e-9, "{}: {found}", case.name);
     }
 }
 
-// 390 entries and 300 customers with demand at each: a digest that named them all would
-// be several datagrams to each of 389 peers. It is cut, and rounds come less often.
+// Guards against digest traffic that grows with the number of entries and customers. With 300
+// customers a full digest would be several datagrams to each of 389 peers; it is truncated, and
+// rounds become less frequent.
 #[test]
-fn can_stay_within_the_bytes_at_any_size() {
+fn digests_stay_within_the_byte_limits_at_any_size() {
     let names = names(300);
     for peers in [1, 2, 5, 29, 389] {
         let nodes: Vec<NodeId> = (1..=peers).map(node).collect();
         let mut shares = Shares::new(ShareSettings::default());
         let demands = names.iter().cloned().map(|name| (name, 0.9));
-        let digest = shares.round(&nodes, demands, period_ms(peers), 0);
+        let digest = shares.run_round(&nodes, demands, round_interval_ms(peers), 0);
         let lines = digest.lines.len();
         let datagram = Datagram {
             from: node(0),
             role: ProcessRole::Entry,
-            news: vec![News::Demand(digest)],
+            messages: vec![GossipMessage::Demand(digest)],
         };
         let keys = Keys::one(Key::new([7; 32]));
         let (packets, errors) = write_datagram(&datagram, keys.signing()).unwrap();
@@ -146,30 +147,31 @@
         assert_eq!(packets.len(), 1);
         let sent_bytes = packets[0].len() + IP_AND_UDP_BYTES;
         assert!(sent_bytes <= DIGEST_BYTES_MAX + 120, "{sent_bytes}");
-        let bytes_per_s = (peers * sent_bytes) as u64 * 1_000 / period_ms(peers);
+        let bytes_per_s = (peers * sent_bytes) as u64 * 1_000 / round_interval_ms(peers);
         println!(
             "{peers} peers: {lines} customers, {sent_bytes} bytes each {} ms, {bytes_per_s} bytes/s",
-            period_ms(peers)
+            round_interval_ms(peers)
         );
-        assert!(bytes_per_s <= BYTES_PER_S_MAX);
+        assert!(bytes_per_s <= DIGEST_BYTES_PER_S_MAX);
     }
 }
 
 checks::seeded! {
-    // More customers than a digest has room for, demand that jumps: those that are left
-    // out count at the most that they can have, so no customer's sum passes its limit.
+    // Guards against a sum of shares above the limit when a digest does not list all customers.
+    // Demand changes at random; a customer that is not listed counts with the highest demand that
+    // it may have.
     fn shares_of_each_customer_add_up_to_at_most_one(seed: u64, count: usize) -> bool {
-        let mut draws = Draws(seed);
+        let mut rng = SplitMix64(seed);
         let mut entries = entries(1 + count % 5);
         let names = names(60);
         let mut demand = vec![vec![0.0; names.len()]; entries.len()];
         (0..30).all(|number| {
             for part in demand.iter_mut().flatten() {
-                if draws.below(4) == 0 {
-                    *part = draws.unit() * 2.0;
+                if rng.below(4) == 0 {
+                    *part = rng.unit() * 2.0;
                 }
             }
-            let now_ms = number * period_ms(entries.len() - 1);
+            let now_ms = number * round_interval_ms(entries.len() - 1);
             round(&mut entries, &names, &demand, now_ms);
             let sum = |name| entries.iter().map(|one| one.share(name, now_ms)).sum::<f64>();
             names.iter().all(|name| sum(name) <= 1.0 + 1e-9)
--- a/components/membership/src/fact.rs
+++ b/components/membership/src/fact.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use derive::value;
-use protocol::News;
+use protocol::GossipMessage;
 use types::{CustomerName, ServiceName};
 
 /// Topic of a fact. At most one fact per topic is kept.
@@ -20,7 +20,7 @@
 /// A gossip message with the number of rounds that still push it and its expiry.
 #[value]
 pub(crate) struct Fact {
-    pub(crate) message: News,
+    pub(crate) message: GossipMessage,
     pub(crate) pushes_left: u32,
     /// `None` for facts that do not expire.
     pub(crate) expires_ms: Option<u64>,
@@ -28,13 +28,15 @@
 
 impl Fact {
     /// The message as sent at `now_ms`; `None` once the fact has expired.
-    pub(crate) fn message_at(&self, now_ms: u64) -> Option<News> {
+    pub(crate) fn message_at(&self, now_ms: u64) -> Option<GossipMessage> {
         match (&self.message, self.expires_ms) {
             (_, Some(ends_ms)) if ends_ms <= now_ms => None,
-            (News::Quarantined { digest, .. }, Some(ends_ms)) => Some(News::Quarantined {
-                digest: *digest,
-                left_ms: u32::try_from(ends_ms - now_ms).unwrap_or(u32::MAX),
-            }),
+            (GossipMessage::Quarantined { digest, .. }, Some(ends_ms)) => {
+                Some(GossipMessage::Quarantined {
+                    digest: *digest,
+                    left_ms: u32::try_from(ends_ms - now_ms).unwrap_or(u32::MAX),
+                })
+            }
             (message, _) => Some(message.clone()),
         }
     }
@@ -42,14 +44,14 @@
 
 /// Topic of a message that is gossiped; `None` for probes, statuses and other messages that are not
 /// passed on.
-pub(crate) fn topic_of(message: &News) -> Option<Topic> {
+pub(crate) fn topic_of(message: &GossipMessage) -> Option<Topic> {
     match message {
-        News::Config(digest) => Some(Topic::Config(digest.customer.clone())),
-        News::Weights {
+        GossipMessage::Config(digest) => Some(Topic::Config(digest.customer.clone())),
+        GossipMessage::Weights {
             customer, service, ..
         } => Some(Topic::Weights(customer.clone(), service.clone())),
-        News::Leaving { node } => Some(Topic::Leaving(node.address)),
-        News::Quarantined { digest, .. } => Some(Topic::Quarantined(*digest)),
+        GossipMessage::Leaving { node } => Some(Topic::Leaving(node.address)),
+        GossipMessage::Quarantined { digest, .. } => Some(Topic::Quarantined(*digest)),
         _ => None,
     }
 }
@@ -58,16 +60,16 @@
 /// come from different calls of a trainer, possibly at two entries at the same time. Neither
 /// message supersedes the other then, and keeping only one would lose a version that only the other
 /// one names.
-pub(crate) fn merge_known(received: News, known: &News) -> News {
+pub(crate) fn merge_known(received: GossipMessage, known: &GossipMessage) -> GossipMessage {
     match (received, known) {
         (
-            News::Weights {
+            GossipMessage::Weights {
                 customer,
                 service,
                 target,
             },
-            News::Weights { target: known, .. },
-        ) => News::Weights {
+            GossipMessage::Weights { target: known, .. },
+        ) => GossipMessage::Weights {
             customer,
             service,
             target: known.merge(target),
@@ -77,13 +79,13 @@
 }
 
 /// Upper bound on the encoded size of the message, in bytes.
-pub(crate) fn size_bytes(message: &News) -> usize {
+pub(crate) fn size_bytes(message: &GossipMessage) -> usize {
     match message {
-        News::Config(digest) => 24 + digest.customer.as_str().len(),
-        News::Weights {
+        GossipMessage::Config(digest) => 24 + digest.customer.as_str().len(),
+        GossipMessage::Weights {
             customer, service, ..
         } => 34 + customer.as_str().len() + service.as_str().len(),
-        News::Leaving { .. } => 32,
+        GossipMessage::Leaving { .. } => 32,
         _ => 24,
     }
 }
--- a/components/membership/src/member.rs
+++ b/components/membership/src/member.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use derive::{key, value};
-use protocol::{Hosted, ProcessRole, Status};
+use protocol::{HostedService, ProcessRole, Status};
 use types::{FailureDomain, Incarnation, Region};
 
 use crate::MemberSettings;
@@ -63,7 +63,7 @@
     /// Newest status with the hosted services of all parts, and when it was received.
     pub(crate) status: Option<(Arc<Status>, u64)>,
     /// Hosted services by part of the status.
-    pub(crate) parts: Vec<Vec<Hosted>>,
+    pub(crate) parts: Vec<Vec<HostedService>>,
     pub(crate) watched: bool,
     pub(crate) last_heard_ms: Option<u64>,
     pub(crate) misses: u32,
--- a/components/membership/src/rumours.rs
+++ b/components/membership/src/rumours.rs
@@ -14,7 +14,7 @@
 use std::net::SocketAddr;
 
 use derive::value;
-use protocol::News;
+use protocol::GossipMessage;
 use rand::Rng;
 
 use crate::fact::{Fact, Topic, merge_known, size_bytes, topic_of};
@@ -29,7 +29,7 @@
     /// Peers that receive the datagram.
     pub targets: Vec<SocketAddr>,
     /// Messages in the datagram.
-    pub messages: Vec<News>,
+    pub messages: Vec<GossipMessage>,
 }
 
 /// The facts that this process knows and gossips.
@@ -58,7 +58,7 @@
 
     /// Adds a fact from a peer or from this process. Returns whether it is new, so that the caller
     /// acts on it. Probes, statuses and other messages that are not gossiped are never new.
-    pub fn add(&mut self, message: &News, peers: usize, now_ms: u64) -> bool {
+    pub fn add(&mut self, message: &GossipMessage, peers: usize, now_ms: u64) -> bool {
         let Some(topic) = topic_of(message) else {
             return false;
         };
@@ -84,7 +84,7 @@
     }
 
     /// All facts that have not expired, for a peer that has just started.
-    pub fn known_messages(&self, now_ms: u64) -> impl Iterator<Item = News> {
+    pub fn known_messages(&self, now_ms: u64) -> impl Iterator<Item = GossipMessage> {
         let facts = self.facts.values();
         facts.filter_map(move |fact| fact.message_at(now_ms))
     }
@@ -123,7 +123,7 @@
 
     /// Takes the facts with the most pushes left, as many as fit into a datagram. Also returns the
     /// size in bytes.
-    fn take_pushes(&mut self, now_ms: u64) -> (Vec<News>, usize) {
+    fn take_pushes(&mut self, now_ms: u64) -> (Vec<GossipMessage>, usize) {
         let room_bytes = self.settings.datagram_bytes_max;
         let mut bytes = OVERHEAD_BYTES;
         let mut messages = Vec::new();
@@ -146,7 +146,7 @@
     }
 
     /// Fills the rest of the datagram with known facts, in rotation.
-    fn fill_datagram(&mut self, messages: &mut Vec<News>, bytes: &mut usize, now_ms: u64) {
+    fn fill_datagram(&mut self, messages: &mut Vec<GossipMessage>, bytes: &mut usize, now_ms: u64) {
         let room_bytes = self.settings.datagram_bytes_max;
         let after = self.last_filled.take();
         let later = self
@@ -171,22 +171,27 @@
         }
     }
 
-    fn expiry_ms(&self, message: &News, now_ms: u64) -> Option<u64> {
+    fn expiry_ms(&self, message: &GossipMessage, now_ms: u64) -> Option<u64> {
         match message {
-            News::Quarantined { left_ms, .. } => Some(now_ms + u64::from(*left_ms)),
-            News::Leaving { .. } => Some(now_ms + self.settings.leaving_retention_ms),
+            GossipMessage::Quarantined { left_ms, .. } => Some(now_ms + u64::from(*left_ms)),
+            GossipMessage::Leaving { .. } => Some(now_ms + self.settings.leaving_retention_ms),
             _ => None,
         }
     }
 
-    fn supersedes(&self, message: &News, expires_ms: Option<u64>, known: &Fact) -> bool {
+    fn supersedes(&self, message: &GossipMessage, expires_ms: Option<u64>, known: &Fact) -> bool {
         match (message, &known.message) {
-            (News::Config(received), News::Config(known)) => received.version > known.version,
-            (News::Weights { target, .. }, News::Weights { target: known, .. }) => target != known,
-            (News::Leaving { node }, News::Leaving { node: known }) => {
+            (GossipMessage::Config(received), GossipMessage::Config(known)) => {
+                received.version > known.version
+            }
+            (
+                GossipMessage::Weights { target, .. },
+                GossipMessage::Weights { target: known, .. },
+            ) => target != known,
+            (GossipMessage::Leaving { node }, GossipMessage::Leaving { node: known }) => {
                 node.incarnation > known.incarnation
             }
-            (News::Quarantined { .. }, _) => {
+            (GossipMessage::Quarantined { .. }, _) => {
                 // Each hop adds its transit time to the end. Without a tolerance, one quarantine
                 // would be new again and again and never end.
                 let known_ms = known.expires_ms.unwrap_or(0) + self.settings.quarantine_slack_ms;
--- a/components/membership/src/tail.rs
+++ b/components/membership/src/tail.rs
@@ -115,8 +115,8 @@
         self.next_read_ms = now_ms + wait_ms / 2 + rng.next_u64() % (wait_ms / 2 + 1);
     }
 
-    /// Age of the newest known read in milliseconds, for the age that datagrams state; `u32::MAX`
-    /// if none is known.
+    /// Age of the newest known read in milliseconds, as sent in
+    /// [`protocol::GossipMessage::ConfigRead`]; `u32::MAX` if no read is known.
     pub fn age_ms(&self, now_ms: u64) -> u32 {
         let age_ms = self
             .newest_read_ms
--- a/components/quarantine/src/settings.rs
+++ b/components/quarantine/src/settings.rs
@@ -6,33 +6,35 @@
 #[value]
 #[derive(Copy)]
 pub struct SuspectSettings {
-    /// Crashes after which a call is condemned.
-    pub crashes_max: usize,
-    /// How long other processes may take to tell what they had in flight at a crash, in
-    /// milliseconds. Until then nobody is condemned for it.
+    /// Number of crashes after which a call is condemned.
+    pub condemn_after_crashes: usize,
+    /// Time within which the reports of the other entries about a crash arrive, in milliseconds.
+    /// No call is condemned for the crash before that.
     pub settle_ms: u64,
-    /// Reports of one endpoint's crash by several processes come within this time.
-    pub same_crash_ms: u64,
-    /// How long a crash counts against the calls in flight, in milliseconds.
-    pub suspect_ms: u64,
+    /// Reports of several processes about one endpoint within this time are about the same crash,
+    /// in milliseconds. An attempt that ended also counts as present at its endpoint for this time.
+    pub same_crash_window_ms: u64,
+    /// How long a crash counts against the calls that were in flight, in milliseconds.
+    pub suspect_retention_ms: u64,
     /// How long a condemned call is refused, in milliseconds.
     pub condemned_ms: u32,
-    /// When a call that must wait for its turn apart may ask again, in milliseconds.
-    pub wait_ms: u32,
-    /// Most digests kept; suspects go before condemned ones, the oldest first.
-    pub digests_max: usize,
+    /// Time after which a suspect that has to wait may try again, in milliseconds.
+    pub retry_wait_ms: u32,
+    /// Maximum number of digests with a record. Suspects are evicted before condemned calls, the
+    /// oldest first.
+    pub records_max: usize,
 }
 
 impl Default for SuspectSettings {
     fn default() -> Self {
         Self {
-            crashes_max: 2,
+            condemn_after_crashes: 2,
             settle_ms: 600,
-            same_crash_ms: 1_000,
-            suspect_ms: 600_000,
+            same_crash_window_ms: 1_000,
+            suspect_retention_ms: 600_000,
             condemned_ms: 600_000,
-            wait_ms: 100,
-            digests_max: 4_096,
+            retry_wait_ms: 100,
+            records_max: 4_096,
         }
     }
 }
--- a/components/routing/examples/herding.rs
+++ b/components/routing/examples/herding.rs
@@ -1,5 +1,5 @@
-//! Prints how evenly each policy spreads the load of several entries that read the same
-//! late reports. Run: `cargo run --release -p routing --example herding`.
+//! Prints how evenly each policy distributes the load of several entries that read the same late
+//! load reports. Run: `cargo run --release -p routing --example herding`.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -82,7 +82,7 @@
     }
 }
 
-/// The policies, and variants of the settings that were tried.
+/// All policies with their default settings, and variants with other settings to compare.
 fn variants() -> Vec<(String, Settings)> {
     let named = |policy: Policy, suffix: &str| format!("{}{suffix}", policy.as_str());
     let with = |policy| Settings {
@@ -106,14 +106,14 @@
             };
             all.push((named(policy, suffix), aged));
         }
-        for (draws_near, draws_all) in [(2, 1), (3, 3), (0, 2), (0, 4)] {
+        for (draws_same_domain, draws_all) in [(2, 1), (3, 3), (0, 2), (0, 4)] {
             let drawn = Settings {
-                draws_near,
+                draws_same_domain,
                 draws_all,
                 ..with(policy)
             };
             all.push((
-                named(policy, &format!("-draws-{draws_near}-{draws_all}")),
+                named(policy, &format!("-draws-{draws_same_domain}-{draws_all}")),
                 drawn,
             ));
         }
--- a/components/routing/examples/model/sim.rs
+++ b/components/routing/examples/model/sim.rs
@@ -1,29 +1,32 @@
-//! A model of one service in memory: entries that choose by the code under test, and
-//! engines that batch continuously within a compute budget and a KV cache.
+//! Simulation of one service: entries that choose replicas by the code under test, and engines
+//! with continuous batching, limited by a compute budget and a KV cache.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use routing::{Ask, Choice, Draws, Outcome, Replica, Report, Settings, Table, Work, choose};
+use routing::{
+    Choice, Outcome, Replica, Report, Requirements, Settings, SplitMix64, Table, Work,
+    choose_replica,
+};
 
 use super::{here, spread};
 
 const STEP_MS: u64 = 10;
-/// Compute units of a step; a generated token costs one, a prompt token a quarter.
+/// Compute units of an engine per step; a generated token takes one, a prompt token a quarter.
 const UNITS: f64 = 40.0;
 const PROMPT_TOKEN_UNITS: f64 = 0.25;
-/// Most tokens that one call generates in a step.
+/// Maximum number of tokens that one call generates per step.
 const TOKENS_PER_STEP: f64 = 0.5;
 const KV_TOKENS: f64 = 40_000.0;
 const REFRESH_MS: u64 = 100;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Workload {
-    /// Sizes that the entry doesn't see.
+    /// Sizes as of [`Workload::Mixed`], which the entry does not know.
     Plain,
     /// Half long prompts with short answers, half short prompts with long answers.
     Mixed,
-    /// All of one kind: middling prompts and answers.
+    /// All calls of one kind: prompts and answers of medium length.
     Uniform,
 }
 
@@ -34,16 +37,16 @@
     pub entries: usize,
     pub replicas: u16,
     pub lag_ms: u64,
-    /// Offered load in thousandths of what the engines can compute.
+    /// Offered load in thousandths of the engines' compute capacity.
     pub load_permille: u64,
     pub seed: u64,
     pub length_ms: u64,
 }
 
 pub struct Figures {
-    /// Mean over time of the busiest replica's calls over the mean replica's.
+    /// Calls of the busiest replica divided by the mean of all replicas, averaged over time.
     pub peak_over_mean: f64,
-    /// Latency over that of an idle engine, in thousandths.
+    /// Latency divided by the latency on an idle engine, in thousandths.
     pub p50_slowdown: u64,
     pub p99_slowdown: u64,
     pub calls: usize,
@@ -74,7 +77,7 @@
         self.running.iter().map(|call| call.kv).sum()
     }
 
-    /// A plain service has neither prompts nor a KV cache to report of.
+    /// Load report of the engine. A plain service reports neither prompt tokens nor KV cache use.
     fn report(&self, taken_at_ms: u64, workload: Workload) -> Report {
         let tokens = if workload == Workload::Plain {
             0.0
@@ -91,7 +94,7 @@
         }
     }
 
-    /// Runs one step: answers first, the rest of the compute goes to prompts.
+    /// Runs one step: answers are generated first, and prompts get the rest of the compute.
     fn step(&mut self) -> Vec<Call> {
         let mut kv = self.kv();
         while let Some(call) = self.waiting.front()
@@ -115,7 +118,7 @@
                 call.prompt_left -= done;
                 units -= done * PROMPT_TOKEN_UNITS;
                 if call.prompt_left <= 0.0 {
-                    call.choice.outstanding.begun();
+                    call.choice.outstanding.record_answer_start();
                 }
             }
         }
@@ -125,15 +128,15 @@
     }
 }
 
-/// Prompt and answer tokens of a call.
-fn size(workload: Workload, draws: &mut Draws) -> (f64, f64) {
-    let percent = |draws: &mut Draws| 0.5 + draws.below(1_000) as f64 / 1_000.0;
+/// Random number of prompt and answer tokens of a call.
+fn size(workload: Workload, rng: &mut SplitMix64) -> (f64, f64) {
+    let percent = |rng: &mut SplitMix64| 0.5 + rng.below(1_000) as f64 / 1_000.0;
     if workload == Workload::Uniform {
-        return (1_200.0 * percent(draws), 290.0 * percent(draws));
+        return (1_200.0 * percent(rng), 290.0 * percent(rng));
     }
-    match draws.below(2) {
-        0 => (2_000.0 * percent(draws), 50.0 * percent(draws)),
-        _ => (100.0 * percent(draws), 600.0 * percent(draws)),
+    match rng.below(2) {
+        0 => (2_000.0 * percent(rng), 50.0 * percent(rng)),
+        _ => (100.0 * percent(rng), 600.0 * percent(rng)),
     }
 }
 
@@ -144,7 +147,7 @@
 
 const MEAN_UNITS: f64 = (2_000.0 * 0.25 + 50.0 + 100.0 * 0.25 + 600.0) / 2.0;
 
-/// Runs the model; the same run gives the same figures.
+/// Runs the simulation; deterministic for a given `run`.
 pub fn run(run: Run) -> Figures {
     let mut sim = Sim::new(run);
     while sim.now_ms < sim.run.length_ms {
@@ -156,7 +159,7 @@
 struct Sim {
     run: Run,
     now_ms: u64,
-    draws: Draws,
+    rng: SplitMix64,
     engines: Vec<Engine>,
     entries: Vec<Table>,
     reports: VecDeque<Vec<Report>>,
@@ -172,7 +175,7 @@
         });
         Self {
             now_ms: 0,
-            draws: Draws::new(run.seed),
+            rng: SplitMix64::new(run.seed),
             engines: (0..run.replicas).map(|_| Engine::default()).collect(),
             entries: (0..run.entries)
                 .map(|_| Table::empty(Arc::clone(&settings)))
@@ -220,7 +223,7 @@
                 report: arrived.map(|reports| reports[usize::from(number)]),
                 ..spread(number)
             });
-            *table = table.next(replicas.collect(), &here(entry), now_ms);
+            *table = table.rebuild(replicas.collect(), &here(entry), now_ms);
         }
         let calls = self.engines.iter().map(|engine| engine.calls() as f64);
         let mean = calls.clone().sum::<f64>() / self.engines.len() as f64;
@@ -233,15 +236,15 @@
         let units = UNITS * self.engines.len() as f64 * self.run.load_permille as f64 / 1_000.0;
         let chance = units / MEAN_UNITS / 8.0;
         (0..8)
-            .filter(|_| (self.draws.below(1_000_000) as f64) < chance * 1e6)
+            .filter(|_| (self.rng.below(1_000_000) as f64) < chance * 1e6)
             .count()
     }
 
     fn arrive(&mut self) {
-        // The balancer is not even: of three entries the first gets five ninths.
-        let mut any = || self.draws.below(self.run.entries);
+        // Clients are not balanced evenly over the entries: of three, the first gets five ninths.
+        let mut any = || self.rng.below(self.run.entries);
         let entry = any().min(any());
-        let (prompt, new) = size(self.run.workload, &mut self.draws);
+        let (prompt, new) = size(self.run.workload, &mut self.rng);
         let work = match self.run.workload {
             Workload::Plain => Work::default(),
             Workload::Mixed | Workload::Uniform => Work {
@@ -249,12 +252,13 @@
                 max_new_tokens: new as u32,
             },
         };
-        let ask = Ask {
+        let requirements = Requirements {
             work,
-            ..Ask::default()
+            ..Requirements::default()
         };
-        let random = self.draws.bits();
-        let choice = choose(&self.entries[entry], &ask, random, self.now_ms).unwrap();
+        let random = self.rng.next_u64();
+        let choice =
+            choose_replica(&self.entries[entry], &requirements, random, self.now_ms).unwrap();
         let chosen = choice.node.address.port() - super::node(0).address.port();
         self.engines[usize::from(chosen)].waiting.push_back(Call {
             entry,
--- a/components/samples/examples/cost.rs
+++ b/components/samples/examples/cost.rs
@@ -1,4 +1,5 @@
-//! What a cursor and a ledger cost: bytes and time per operation at three sizes.
+//! Measures the size and the time per operation of cursors, grants and ledgers for three step
+//! sizes.
 //!
 //! `cargo run --release -p samples --example cost`
 
@@ -12,34 +13,34 @@
 
 use samples::{
     Action, Completion, Cursor, CursorError, CursorKeys, FetchLog, Group, Ledger, LedgerSettings,
-    Provenance, Replica, Room, SlotSet, Start, Step, StepKey,
+    Provenance, Replica, RunCapacity, SlotSet, Start, Step, StepKey,
 };
 use types::WeightVersion;
 
 const SIZES: [u32; 3] = [512, 2_048, 4_096];
-const SAMPLES_A_GROUP: u32 = 8;
+const SAMPLES_PER_GROUP: u32 = 8;
 const REPLICAS: u16 = 60;
 const TEXT_BYTES: usize = 4_096;
 const ROUNDS: u32 = 9;
 
-/// Counts the bytes in use.
-struct Counting;
+/// Allocator that counts the bytes in use.
+struct CountingAllocator;
 
-static IN_USE: AtomicUsize = AtomicUsize::new(0);
+static BYTES_IN_USE: AtomicUsize = AtomicUsize::new(0);
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-#[allow(unsafe_code)] // An allocator can't be written without; it only counts and passes on.
-unsafe impl GlobalAlloc for Counting {
+#[allow(unsafe_code)] // `GlobalAlloc` requires it; all calls are forwarded to `System`.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        IN_USE.fetch_add(layout.size(), Ordering::Relaxed);
+        BYTES_IN_USE.fetch_add(layout.size(), Ordering::Relaxed);
         unsafe { System.alloc(layout) }
     }
 
-    unsafe fn dealloc(&self, at: *mut u8, layout: Layout) {
-        IN_USE.fetch_sub(layout.size(), Ordering::Relaxed);
-        unsafe { System.dealloc(at, layout) }
+    unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
+        BYTES_IN_USE.fetch_sub(layout.size(), Ordering::Relaxed);
+        unsafe { System.dealloc(pointer, layout) }
     }
 }
 
@@ -54,8 +55,8 @@
     let keys = CursorKeys::new([7; 32], None);
     for slots in SIZES {
         let step = step(slots)?;
-        for (name, places) in patterns(slots) {
-            let cursor = Cursor::start(&step).after(places);
+        for (name, positions) in patterns(slots) {
+            let cursor = Cursor::start(&step).with_received(positions);
             let text = cursor.seal(&keys);
             let seal = median(|| Ok::<_, CursorError>(cursor.seal(&keys)))?;
             let open = median(|| Cursor::open(&text, &keys, &step))?;
@@ -65,14 +66,14 @@
     Ok(())
 }
 
-/// Records of a trainer that can't carry a cursor, at their largest.
+/// Largest grants of a trainer that cannot store a cursor.
 fn grants() -> Result<(), Box<dyn Error>> {
     println!("slots grant_bytes");
     for slots in SIZES {
         let step = step(slots)?;
         let mut set = SlotSet::new(slots);
-        (0..slots).step_by(2).for_each(|place| {
-            set.insert(place);
+        (0..slots).step_by(2).for_each(|position| {
+            set.insert(position);
         });
         let record = serde_json::to_string(&FetchLog::new(&step).grant(1, &set))?;
         println!("{slots} {}", record.len());
@@ -81,7 +82,7 @@
 }
 
 fn patterns(slots: u32) -> [(&'static str, Vec<u32>); 4] {
-    let scattered = |place: &u32| place.wrapping_mul(2_654_435_761) >> 31 == 0;
+    let scattered = |position: &u32| position.wrapping_mul(2_654_435_761) >> 31 == 0;
     [
         ("none", Vec::new()),
         ("first-half", (0..slots / 2).collect()),
@@ -127,15 +128,15 @@
         staleness_bound: 2,
         ..LedgerSettings::default()
     };
-    let before = IN_USE.load(Ordering::Relaxed);
+    let before = BYTES_IN_USE.load(Ordering::Relaxed);
     let mut ledger = Ledger::new(Arc::clone(&step), settings, &start, version(1));
-    let empty = IN_USE.load(Ordering::Relaxed) - before;
+    let empty = BYTES_IN_USE.load(Ordering::Relaxed) - before;
     let dispatch = time(|| ledger.dispatch(&room(u32::MAX), 0));
     let runs = starts(&mut ledger);
     let dispatch_none = time(|| ledger.dispatch(&room(0), 100));
     let finish = time(|| finish_all(&mut ledger, &runs)) / slots;
-    drop(ledger.drain());
-    let full = IN_USE.load(Ordering::Relaxed) - before;
+    drop(ledger.take_actions());
+    let full = BYTES_IN_USE.load(Ordering::Relaxed) - before;
     let announce = time(|| ledger.announce(version(2), None, 200));
     let began = Instant::now();
     ledger.fetch(&start, version(2), 32, 200)?;
@@ -161,7 +162,7 @@
             tokens: 1_024,
             provenance: Provenance::Known([version(1)].into()),
         };
-        ledger.finished(start.run, completion, 150);
+        ledger.record_completion(start.run, completion, 150);
     }
 }
 
@@ -170,16 +171,20 @@
         Action::Start(start) => Some(start),
         _ => None,
     };
-    ledger.drain().into_iter().filter_map(start).collect()
+    ledger
+        .take_actions()
+        .into_iter()
+        .filter_map(start)
+        .collect()
 }
 
-fn room(in_progress_max: u32) -> Room {
+fn room(in_progress_max: u32) -> RunCapacity {
     let replica = |number| Replica {
         address: SocketAddr::from(([127, 0, 0, 1], number)),
-        room: 128,
+        free_runs: 128,
         version: Some(version(1)),
     };
-    Room {
+    RunCapacity {
         in_progress_max,
         replicas: (0..REPLICAS).map(replica).collect(),
     }
@@ -193,9 +198,9 @@
     };
     let group = |number| Group {
         prompt: format!("prompt {number}"),
-        samples: SAMPLES_A_GROUP,
+        samples: SAMPLES_PER_GROUP,
     };
-    let groups = (0..slots / SAMPLES_A_GROUP).map(group).collect();
+    let groups = (0..slots / SAMPLES_PER_GROUP).map(group).collect();
     Ok(Arc::new(Step::new(key, groups, 1_024)?))
 }
 
--- a/components/samples/src/ledger/runs.rs
+++ b/components/samples/src/ledger/runs.rs
@@ -1,4 +1,4 @@
-//! What happens to runs: progress, results, failures, swaps of weights.
+//! Events of runs: progress, results, failures and weight swaps.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,49 +6,57 @@
 use types::WeightVersion;
 
 use super::Ledger;
-use super::state::{Action, Completion, Fault, Partial, Phase, Run, RunId, ScoreWait};
+use super::state::{Action, Completion, Fault, PartialSample, Phase, Run, RunId, ScoreWait};
 use crate::provenance::Provenance;
 use crate::sample::{Sample, staleness};
-use crate::swap::{InProgress, News, Plan, plan};
+use crate::swap::{RunInProgress, RunPlan, SwapContext, plan_run};
 
 impl Ledger {
-    /// A run has made `tokens` in all by now; `stamp` is the version on its latest chunk.
-    pub fn progress(&mut self, run: RunId, tokens: u64, stamp: Option<WeightVersion>, now_ms: u64) {
+    /// Records that a run has generated `tokens` tokens in total. `stamp` is the version on the
+    /// latest chunk. Abandons the run if that version makes the sample too stale.
+    pub fn record_progress(
+        &mut self,
+        run: RunId,
+        tokens: u64,
+        stamp: Option<WeightVersion>,
+        now_ms: u64,
+    ) {
         let Some(state) = self.runs.get_mut(&run) else {
             return;
         };
         if tokens > state.tokens {
             state.tokens = tokens;
-            state.token_ms = now_ms;
+            state.last_token_ms = now_ms;
         }
         if stamp.is_none_or(|version| !state.versions.insert(version)) {
             return;
         }
-        let place = state.place;
-        let state_to = state.to;
-        let lag = staleness(&state.versions, self.newest);
-        let old = lag.is_none_or(|lag| lag > self.settings.staleness_bound);
-        if old {
-            self.abandon_run(run, place);
-            self.slow_down(place, state_to, now_ms);
+        let position = state.position;
+        let replica = state.to;
+        let lag = staleness(&state.versions, self.newest_version);
+        let is_stale = lag.is_none_or(|lag| lag > self.settings.staleness_bound);
+        if is_stale {
+            self.abandon_run(run, position);
+            self.back_off(position, replica, now_ms);
         }
     }
 
-    /// A run has its whole result. The first one of a slot is bound; the others are
-    /// cancelled, and a result that comes later belongs to no run any more.
-    pub fn finished(&mut self, run: RunId, completion: Completion, now_ms: u64) {
+    /// Records the complete result of a run. The first result of a slot is bound, and the
+    /// slot's other runs are cancelled. Later results of those are ignored, since their run
+    /// numbers are no longer known.
+    pub fn record_completion(&mut self, run: RunId, completion: Completion, now_ms: u64) {
         let Some(state) = self.runs.get(&run).cloned() else {
             return;
         };
-        let place = state.place;
+        let position = state.position;
         let Provenance::Known(versions) = completion.provenance else {
             self.tally.unknown_origin += 1;
-            self.end_run(run, place);
-            self.restart_if_alone(place);
-            self.slow_down(place, state.to, now_ms);
+            self.remove_run(run, position);
+            self.requeue_if_last(position);
+            self.back_off(position, state.to, now_ms);
             return;
         };
-        let Some(slot) = self.step.slot(place) else {
+        let Some(slot) = self.step.slot(position) else {
             return;
         };
         let sample = Sample {
@@ -57,175 +65,197 @@
             versions,
             score: None,
         };
-        if !self.keeps(&sample) {
-            self.abandon_run(run, place);
-            self.slow_down(place, state.to, now_ms);
+        if !self.is_fresh(&sample) {
+            self.abandon_run(run, position);
+            self.back_off(position, state.to, now_ms);
             return;
         }
         let duration_ms = now_ms.saturating_sub(state.started_ms);
-        self.pace.record(duration_ms, completion.tokens);
-        self.end_run(run, place);
-        self.release(place);
-        self.settle(run, place, sample);
+        self.run_timings.record(duration_ms, completion.tokens);
+        self.remove_run(run, position);
+        self.cancel_slot(position);
+        self.complete_slot(run, position, sample);
     }
 
-    /// A run ended without a whole result.
-    pub fn failed(&mut self, run: RunId, fault: Fault, partial: Option<Partial>, now_ms: u64) {
+    /// Records that a run ended without a complete result, and queues the slot again unless
+    /// another run of the slot continues.
+    pub fn record_failure(
+        &mut self,
+        run: RunId,
+        fault: Fault,
+        partial: Option<PartialSample>,
+        now_ms: u64,
+    ) {
         let Some(state) = self.runs.get(&run).cloned() else {
             return;
         };
-        let place = state.place;
-        self.end_run(run, place);
+        let position = state.position;
+        self.remove_run(run, position);
         if state.resumed && fault == Fault::Quarantined {
-            self.start_afresh(place);
+            self.restart_without_partial(position);
             return;
         }
-        self.note_fault(&state, fault);
-        if !self.slots[place as usize].runs.is_empty() {
+        self.record_fault(&state, fault);
+        if !self.slots[position as usize].runs.is_empty() {
             return;
         }
-        let wait_ms = self.fault_wait_ms(place, fault);
-        let slot = self.slot_mut(place);
+        let delay_ms = self.fault_delay_ms(position, fault);
+        let slot = self.slot_mut(position);
         slot.phase = Phase::Pending;
-        slot.not_before_ms = now_ms + wait_ms;
+        slot.not_before_ms = now_ms + delay_ms;
         let usable = partial.filter(|p| p.provenance.versions().is_some());
         if usable.is_some() {
             slot.partial = usable;
         }
-        self.pending.insert(place);
+        self.pending.insert(position);
     }
 
-    /// An engine refuses to go on from tokens: not all take them, and none takes as many as
-    /// the sample may have, which a run leaves whose engine died before its last word. Tried
-    /// again with them, the slot would be refused for ever.
-    fn start_afresh(&mut self, place: u32) {
+    /// Runs a slot from its prompt because an engine refused to resume from the partial
+    /// sample. Not every engine accepts tokens to resume from, and none accepts as many as
+    /// `max_tokens`, which is how many remain if an engine dies between the last token and the
+    /// end of its response. A retry with the same tokens would be refused every time.
+    fn restart_without_partial(&mut self, position: u32) {
         self.tally.failed += 1;
-        self.slot_mut(place).partial = None;
-        self.restart_if_alone(place);
+        self.slot_mut(position).partial = None;
+        self.requeue_if_last(position);
     }
 
-    /// Plans every run against the newest version.
-    pub(super) fn plan_swap(&mut self, now_ms: u64) {
-        let news = News {
-            announced: self.newest,
+    /// Keeps, stops or abandons each run for a swap to the newest version.
+    pub(super) fn plan_for_swap(&mut self, now_ms: u64) {
+        let context = SwapContext {
+            announced: self.newest_version,
             staleness_bound: self.settings.staleness_bound,
-            next_in_ms: self.next_news_ms.map(|ms| ms.saturating_sub(now_ms)),
+            next_in_ms: self
+                .next_announcement_ms
+                .map(|ms| ms.saturating_sub(now_ms)),
         };
-        let plans: Vec<(RunId, u32, Plan)> = self
+        let plans: Vec<(RunId, u32, RunPlan)> = self
             .runs
             .iter()
-            .filter(|(_, run)| !run.stopping)
-            .map(|(&id, run)| (id, run.place, plan(&self.in_progress(run, now_ms), &news)))
+            .filter(|(_, run)| !run.is_stopping)
+            .map(|(&id, run)| {
+                (
+                    id,
+                    run.position,
+                    plan_run(&self.run_in_progress(run, now_ms), &context),
+                )
+            })
             .collect();
-        for (run, place, plan) in plans {
+        for (run, position, plan) in plans {
             match plan {
-                Plan::Keep => {}
-                Plan::Resume => self.stop(run),
-                Plan::Abandon => self.abandon_run(run, place),
+                RunPlan::Keep => {}
+                RunPlan::Resume => self.stop(run),
+                RunPlan::Abandon => self.abandon_run(run, position),
             }
         }
     }
 
-    /// Asks for a run to be stopped, to go on elsewhere from its tokens.
+    /// Requests a run to be stopped, so that it resumes on another replica from its tokens.
     pub(super) fn stop(&mut self, run: RunId) {
         if let Some(state) = self.runs.get_mut(&run) {
-            state.stopping = true;
+            state.is_stopping = true;
             self.actions.push(Action::Stop { run });
         }
     }
 
-    fn in_progress(&self, run: &Run, now_ms: u64) -> InProgress {
+    fn run_in_progress(&self, run: &Run, now_ms: u64) -> RunInProgress {
         let elapsed_ms = now_ms.saturating_sub(run.started_ms);
         let left = u64::from(self.step.max_tokens).saturating_sub(run.tokens);
-        // Until it ends, a run is taken to use half of the tokens that it still may.
+        // The remaining length is unknown: assume half of the tokens that are still allowed.
         let remaining_ms = (elapsed_ms * left / 2).checked_div(run.tokens);
-        InProgress {
+        RunInProgress {
             oldest: run.versions.first().copied(),
             remaining_ms,
-            kept_over_switch: self.settings.kept_over_switch,
+            survives_swap: self.settings.survives_swap,
         }
     }
 
-    /// A run is too old. A hedge beside it may be younger and goes on.
-    fn abandon_run(&mut self, run: RunId, place: u32) {
+    /// Cancels a run that exceeds the staleness bound. Another run of the same slot continues,
+    /// since it may be within the bound.
+    fn abandon_run(&mut self, run: RunId, position: u32) {
         self.tally.abandoned += 1;
         self.actions.push(Action::Cancel { run });
-        self.end_run(run, place);
-        self.restart_if_alone(place);
+        self.remove_run(run, position);
+        self.requeue_if_last(position);
     }
 
-    /// A replica made something that can't be used, as one that missed a swap or stamps
-    /// nothing does each time. Without a pause the slot would be run there at full speed.
-    fn slow_down(&mut self, place: u32, replica: SocketAddr, now_ms: u64) {
-        let failures = self.slots[place as usize].failures + 1;
-        let wait_ms = self.settings.run_retry.wait_ms(failures, u64::from(place));
-        let slot = self.slot_mut(place);
+    /// Delays the next run of a slot and prefers another replica, after a result that cannot be
+    /// used. A replica that missed a swap or sends no version stamps returns such results
+    /// every time, and without a delay the slot would be run there in a busy loop.
+    fn back_off(&mut self, position: u32, replica: SocketAddr, now_ms: u64) {
+        let failures = self.slots[position as usize].failures + 1;
+        let delay_ms = self
+            .settings
+            .run_retry
+            .delay_ms(failures, u64::from(position));
+        let slot = self.slot_mut(position);
         slot.failures = failures;
-        slot.avoid = Some(replica);
-        slot.not_before_ms = now_ms + wait_ms;
+        slot.avoid_replica = Some(replica);
+        slot.not_before_ms = now_ms + delay_ms;
     }
 
-    fn end_run(&mut self, run: RunId, place: u32) {
+    fn remove_run(&mut self, run: RunId, position: u32) {
         self.runs.remove(&run);
-        self.slot_mut(place).runs.retain(|&other| other != run);
+        self.slot_mut(position).runs.retain(|&other| other != run);
     }
 
-    fn restart_if_alone(&mut self, place: u32) {
-        if self.slots[place as usize].runs.is_empty() {
-            self.run_again(place, 0);
+    fn requeue_if_last(&mut self, position: u32) {
+        if self.slots[position as usize].runs.is_empty() {
+            self.requeue(position, 0);
         }
     }
 
-    fn settle(&mut self, run: RunId, place: u32, sample: Sample) {
-        let slot = self.slot_mut(place);
+    fn complete_slot(&mut self, run: RunId, position: u32, sample: Sample) {
+        let slot = self.slot_mut(position);
         slot.partial = None;
         slot.failures = 0;
-        slot.blocked = false;
+        slot.is_blocked = false;
         let sample = Arc::new(sample);
         if !self.settings.scored {
-            self.bind(place, sample);
+            self.bind(position, sample);
             return;
         }
-        self.wait_for_score(run, place, sample);
+        self.request_score(run, position, sample);
     }
 
-    fn note_fault(&mut self, run: &Run, fault: Fault) {
-        let slot = self.slot_mut(run.place);
-        slot.avoid = Some(run.to);
+    fn record_fault(&mut self, run: &Run, fault: Fault) {
+        let slot = self.slot_mut(run.position);
+        slot.avoid_replica = Some(run.to);
         match fault {
             Fault::Moved => slot.moves += 1,
             Fault::Quarantined => {
                 slot.failures += 1;
-                slot.blocked = true;
+                slot.is_blocked = true;
             }
             Fault::Refused | Fault::Lost => slot.failures += 1,
         }
         self.tally.failed += u64::from(fault != Fault::Moved);
     }
 
-    fn fault_wait_ms(&self, place: u32, fault: Fault) -> u64 {
-        let failures = self.slots[place as usize].failures;
+    fn fault_delay_ms(&self, position: u32, fault: Fault) -> u64 {
+        let failures = self.slots[position as usize].failures;
         match fault {
             Fault::Moved => 0,
-            // The loss of one endpoint says nothing of the next one.
+            // Retry at once: the loss of one endpoint is no sign that the next one fails.
             Fault::Lost if failures == 1 => 0,
-            Fault::Refused | Fault::Lost => {
-                self.settings.run_retry.wait_ms(failures, u64::from(place))
-            }
-            Fault::Quarantined => self.settings.blocked_ms,
+            Fault::Refused | Fault::Lost => self
+                .settings
+                .run_retry
+                .delay_ms(failures, u64::from(position)),
+            Fault::Quarantined => self.settings.blocked_retry_ms,
         }
     }
 }
 
 impl ScoreWait {
-    pub(super) fn new(place: u32, sample: Arc<Sample>) -> Self {
+    pub(super) fn new(position: u32, sample: Arc<Sample>) -> Self {
         Self {
-            place,
+            position,
             sample,
-            asked: true,
+            is_requested: true,
             failures: 0,
             not_before_ms: 0,
-            scores_before: 0,
+            scores_done_before: 0,
         }
     }
 }
--- a/components/samples/src/ledger/scores.rs
+++ b/components/samples/src/ledger/scores.rs
@@ -1,11 +1,11 @@
-//! Scores of finished samples.
+//! Requests scores of finished samples.
 //!
 //! A sample of a scored service is never delivered without its score. While the scorer
-//! as a whole fails, the sample waits and the score is asked for again with a growing
-//! pause: a new sample would fare no better and cost a run. If other samples are scored
-//! meanwhile and this one has failed often enough, the fault is in the sample; it is
-//! given up and the slot is run again. A score that comes late still counts, as long as
-//! its sample waits.
+//! fails for every sample, the sample waits and the request is retried with exponential
+//! backoff, since a new sample would fail as well and cost a run. If other samples are
+//! scored in the meantime and the requests for this sample have failed
+//! [`crate::LedgerSettings::score_attempts_max`] times, the cause is the sample: it is
+//! dropped and its slot is run again. A late score is still accepted while its sample waits.
 
 use std::sync::Arc;
 
@@ -14,8 +14,8 @@
 use crate::sample::{Sample, Score};
 
 impl Ledger {
-    /// The scorer answered for the sample that `run` made.
-    pub fn scored(&mut self, run: RunId, score: Score) {
+    /// Records the score of the sample that `run` generated.
+    pub fn record_score(&mut self, run: RunId, score: Score) {
         let Some(wait) = self.scoring.remove(&run) else {
             return;
         };
@@ -24,85 +24,86 @@
             score: Some(score),
             ..Sample::clone(&wait.sample)
         };
-        self.bind(wait.place, Arc::new(sample));
+        self.bind(wait.position, Arc::new(sample));
     }
 
-    /// The scorer failed or did not answer in time.
-    pub fn score_failed(&mut self, run: RunId, now_ms: u64) {
+    /// Records that a score request failed or timed out, and schedules the next one.
+    pub fn record_score_failure(&mut self, run: RunId, now_ms: u64) {
         let scores_done = self.scores_done;
         let Some(wait) = self.scoring.get_mut(&run) else {
             return;
         };
         self.tally.score_failures += 1;
-        wait.asked = false;
+        wait.is_requested = false;
         wait.failures += 1;
         if wait.failures == 1 {
-            wait.scores_before = scores_done;
+            wait.scores_done_before = scores_done;
         }
-        let place = wait.place;
-        let others_scored = scores_done > wait.scores_before;
-        if others_scored && wait.failures >= self.settings.score_tries_max {
+        let position = wait.position;
+        let others_scored = scores_done > wait.scores_done_before;
+        if others_scored && wait.failures >= self.settings.score_attempts_max {
             self.tally.unscorable += 1;
-            self.run_again(place, now_ms);
+            self.requeue(position, now_ms);
             return;
         }
-        let pause_ms = self
+        let delay_ms = self
             .settings
             .score_retry
-            .wait_ms(wait.failures, u64::from(place));
-        wait.not_before_ms = now_ms + pause_ms;
+            .delay_ms(wait.failures, u64::from(position));
+        wait.not_before_ms = now_ms + delay_ms;
     }
 
-    /// Samples are scored from here on, or no more. Without a scorer those that wait for
-    /// their score would wait for ever; with one, those without would go out unscored.
+    /// Turns scoring on or off. When scoring is turned off, samples that wait for a score are
+    /// bound without one, since no score will arrive. When it is turned on, finished samples
+    /// without a score are sent to the scorer, since they would be delivered unscored.
     pub(super) fn set_scored(&mut self, scored: bool) {
         if scored == self.settings.scored {
             return;
         }
         self.settings.scored = scored;
         if scored {
-            self.score_unscored();
+            self.request_missing_scores();
             return;
         }
         for (_, wait) in std::mem::take(&mut self.scoring) {
-            self.bind(wait.place, wait.sample);
+            self.bind(wait.position, wait.sample);
         }
     }
 
-    /// Has the samples scored that the trainer does not have and that were finished while
-    /// there was no scorer.
-    pub(super) fn score_unscored(&mut self) {
-        if !self.settings.scored || self.offered_whole {
+    /// Requests scores for samples that finished while the service had no scorer and that the
+    /// trainer does not have.
+    pub(super) fn request_missing_scores(&mut self) {
+        if !self.settings.scored || self.offered_all {
             return;
         }
-        let places: Vec<u32> = self.received.missing().collect();
-        for place in places {
-            let finished = self.slots[place as usize].finished();
+        let positions: Vec<u32> = self.received.missing().collect();
+        for position in positions {
+            let finished = self.slots[position as usize].finished();
             let unscored = finished.filter(|sample| sample.score.is_none());
             let Some(sample) = unscored.map(Arc::clone) else {
                 continue;
             };
             let run = RunId(self.next_run);
             self.next_run += 1;
-            self.wait_for_score(run, place, sample);
+            self.request_score(run, position, sample);
         }
     }
 
-    /// Asks for the score of a whole sample.
-    pub(super) fn wait_for_score(&mut self, run: RunId, place: u32, sample: Arc<Sample>) {
-        self.slot_mut(place).phase = Phase::Scoring;
+    /// Moves a slot to scoring and requests the score of its finished sample.
+    pub(super) fn request_score(&mut self, run: RunId, position: u32, sample: Arc<Sample>) {
+        self.slot_mut(position).phase = Phase::Scoring;
         self.scoring
-            .insert(run, ScoreWait::new(place, Arc::clone(&sample)));
+            .insert(run, ScoreWait::new(position, Arc::clone(&sample)));
         self.actions.push(Action::Score { run, sample });
     }
 
-    /// Asks again for the scores whose pause is over.
-    pub(super) fn ask_scores(&mut self, now_ms: u64) {
+    /// Repeats the failed score requests whose backoff has elapsed.
+    pub(super) fn retry_scores(&mut self, now_ms: u64) {
         for (&run, wait) in &mut self.scoring {
-            if wait.asked || now_ms < wait.not_before_ms {
+            if wait.is_requested || now_ms < wait.not_before_ms {
                 continue;
             }
-            wait.asked = true;
+            wait.is_requested = true;
             self.actions.push(Action::Score {
                 run,
                 sample: Arc::clone(&wait.sample),
@@ -110,9 +111,9 @@
         }
     }
 
-    /// When a score is next to be asked for.
+    /// When the next score request is due.
     pub(super) fn score_due_ms(&self) -> Option<u64> {
-        let waiting = self.scoring.values().filter(|wait| !wait.asked);
+        let waiting = self.scoring.values().filter(|wait| !wait.is_requested);
         waiting.map(|wait| wait.not_before_ms).min()
     }
 }
--- a/components/samples/src/ledger/state.rs
+++ b/components/samples/src/ledger/state.rs
@@ -1,4 +1,5 @@
-//! What the ledger knows of slots and runs, and what it asks of its driver.
+//! State of slots and runs, and the actions that the ledger requests from its driver, the
+//! code that performs them and reports events back.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -7,29 +8,31 @@
 use derive::{key, value};
 use types::WeightVersion;
 
-use crate::copy::Copy;
+use crate::copy::CopyMessage;
 use crate::provenance::Provenance;
 use crate::sample::Sample;
 use crate::step::Slot;
 use crate::straggler::StragglerSettings;
 
+/// Keeps the shift within 64 bits; [`RetryBackoff::max_ms`] usually applies earlier.
 const DOUBLINGS_MAX: u32 = 16;
 
-/// Exponential pace of retries.
+/// Exponential backoff with jitter.
 #[value]
-pub struct RetryPace {
-    /// After the first failure.
-    pub first_ms: u64,
-    /// At most.
+pub struct RetryBackoff {
+    /// Upper bound of the delay after the first failure; it doubles with each further one.
+    pub initial_ms: u64,
+    /// Upper bound of the delay after any number of failures.
     pub max_ms: u64,
 }
 
-impl RetryPace {
-    /// Wait after `failures` in a row. Slots that fail together are spread by `salt`.
-    pub(super) fn wait_ms(&self, failures: u32, salt: u64) -> u64 {
+impl RetryBackoff {
+    /// Delay after `failures` consecutive failures, between half the bound and the bound.
+    /// `salt` spreads the retries of slots that fail together.
+    pub(super) fn delay_ms(&self, failures: u32, salt: u64) -> u64 {
         let doublings = failures.saturating_sub(1).min(DOUBLINGS_MAX);
         let bound_ms = self
-            .first_ms
+            .initial_ms
             .saturating_mul(1 << doublings)
             .min(self.max_ms);
         let half_ms = bound_ms / 2;
@@ -37,24 +40,25 @@
     }
 }
 
-/// Bounds of a step's ledger.
+/// Staleness bound, scoring mode and retry policy of a step's ledger.
 #[value]
 pub struct LedgerSettings {
-    /// Versions that a sample may lag behind its trainer.
+    /// Maximum number of versions that a sample may lag behind its trainer.
     pub staleness_bound: u64,
-    /// Samples go through a scorer and are not delivered without a score.
+    /// Whether samples are scored; if so, none is delivered without a score.
     pub scored: bool,
-    /// Engines go on with a run over a switch of weights.
-    pub kept_over_switch: bool,
-    /// Pace of retries of a run that failed.
-    pub run_retry: RetryPace,
-    /// Wait of a slot whose call was refused for good.
-    pub blocked_ms: u64,
-    /// Pace of retries at the scorer.
-    pub score_retry: RetryPace,
-    /// Scores that fail for one sample, while others succeed, before it is run again.
-    pub score_tries_max: u32,
-    /// Late runs.
+    /// Whether engines continue a run across a weight swap.
+    pub survives_swap: bool,
+    /// Backoff after failed or discarded runs of a slot.
+    pub run_retry: RetryBackoff,
+    /// Delay before the next run of a slot whose call is quarantined.
+    pub blocked_retry_ms: u64,
+    /// Backoff after failed requests to the scorer.
+    pub score_retry: RetryBackoff,
+    /// Failed score requests for one sample, while others succeed, after which its slot is
+    /// run again.
+    pub score_attempts_max: u32,
+    /// When a run counts as a straggler.
     pub straggler: StragglerSettings,
 }
 
@@ -63,128 +67,130 @@
         Self {
             staleness_bound: 0,
             scored: false,
-            kept_over_switch: true,
-            run_retry: RetryPace {
-                first_ms: 100,
+            survives_swap: true,
+            run_retry: RetryBackoff {
+                initial_ms: 100,
                 max_ms: 10_000,
             },
-            blocked_ms: 60_000,
-            score_retry: RetryPace {
-                first_ms: 200,
+            blocked_retry_ms: 60_000,
+            score_retry: RetryBackoff {
+                initial_ms: 200,
                 max_ms: 15_000,
             },
-            score_tries_max: 5,
+            score_attempts_max: 5,
             straggler: StragglerSettings::default(),
         }
     }
 }
 
-/// Number of a run within a ledger.
+/// Number of a run; unique within the process if each ledger has its own range
+/// ([`crate::Ledger::with_number_range`]).
 #[key]
 pub struct RunId(pub u64);
 
-/// What a run that was stopped or lost leaves for the next one.
+/// Output of a run that was stopped or lost, from which the next run resumes.
 #[value]
-pub struct Partial {
-    /// Text so far.
+pub struct PartialSample {
+    /// Text generated so far, including that of earlier runs.
     pub text: String,
-    /// Its tokens, for the engine.
+    /// Token ids of the text, which the engine needs to resume.
     pub tokens: Vec<u32>,
-    /// Where they come from.
+    /// Weight versions that generated the tokens.
     pub provenance: Provenance,
 }
 
 /// A run to start.
 #[value]
 pub struct Start {
-    /// Its number, for everything that is said of it.
+    /// Identifies the run in all later events and actions.
     pub run: RunId,
-    /// Its slot.
+    /// Slot that the run generates a sample for.
     pub slot: Slot,
-    /// Where; an agent's address.
+    /// Address of the replica's agent.
     pub to: SocketAddr,
-    /// Seed: the same for hedges and resumes of one sample, so that which of them ends
-    /// first says little of its length.
+    /// Sampling seed. Hedges and resumes of a sample share it, so their texts have about the
+    /// same length and binding the first result does not favour short texts.
     pub seed: u64,
-    /// Go on from here.
-    pub resume: Option<Partial>,
-    /// It runs beside a slow one.
+    /// Partial sample to resume from; `None` starts from the prompt.
+    pub resume: Option<PartialSample>,
+    /// Whether this is a hedge of a slow run of the same slot.
     pub hedge: bool,
 }
 
-/// What the driver does for the ledger.
+/// Action that the ledger requests from its driver.
 #[value]
 pub enum Action {
     /// Start a run.
     Start(Start),
-    /// Cancel a run; nothing more that it brings is used.
+    /// Cancel a run; the ledger ignores its later events.
     Cancel {
-        /// The run.
+        /// Run to cancel.
         run: RunId,
     },
     /// Stop a run and report it as failed with [`Fault::Moved`] and its partial text.
     Stop {
-        /// The run.
+        /// Run to stop.
         run: RunId,
     },
-    /// Ask the scorer for this sample and report under the run's number.
+    /// Request a score for this sample and report the result under the run's number.
     Score {
-        /// The run that made the sample.
+        /// Run that generated the sample.
         run: RunId,
-        /// The sample.
+        /// Finished sample without a score.
         sample: Arc<Sample>,
     },
-    /// Send this to the second home.
-    Copy(Copy),
+    /// Send this message to the second home.
+    Copy(CopyMessage),
 }
 
-/// A whole result of a run.
+/// Complete result of a run.
 #[value]
 pub struct Completion {
-    /// Text, the partial that it went on from included.
+    /// Text, including that of the partial sample that the run resumed from.
     pub text: String,
-    /// Tokens that this run made.
+    /// Number of tokens that this run generated, without those of the partial sample.
     pub tokens: u64,
-    /// Origin, that of the partial included.
+    /// Weight versions that generated the text, including the partial sample's.
     pub provenance: Provenance,
 }
 
-/// Why a run ended without a whole result.
+/// Why a run ended without a complete result.
 #[key]
 pub enum Fault {
-    /// It never reached the engine, which is full, leaving or not hosting the model.
+    /// The run never reached the engine, which is full, leaving or not hosting the model.
     Refused,
-    /// The endpoint or the way to it was lost, or the answer was cut.
+    /// The endpoint or the connection to it was lost, or the response was truncated.
     Lost,
-    /// The call is refused for good because it crashes endpoints.
+    /// The call is quarantined because it crashes endpoints, or the engine rejected it in a
+    /// way that a retry would repeat.
     Quarantined,
-    /// Stopped on request of the ledger.
+    /// The ledger requested the stop, to resume the run on another replica.
     Moved,
 }
 
 /// A replica that can take runs.
 #[value]
 pub struct Replica {
-    /// Its agent.
+    /// Address of the replica's agent.
     pub address: SocketAddr,
-    /// Runs that it can take now.
-    pub room: u32,
-    /// Version that it serves, if known.
+    /// Number of further runs that the replica can take now.
+    pub free_runs: u32,
+    /// Weight version that the replica serves, if known.
     pub version: Option<WeightVersion>,
 }
 
-/// Room for runs of one step, as the driver grants it at this moment.
+/// Runs that one step may have now, as the driver grants them.
 #[value]
-pub struct Room {
-    /// Runs of the step in progress at most.
+pub struct RunCapacity {
+    /// Maximum number of runs of the step in progress.
     pub in_progress_max: u32,
-    /// Replicas of the model.
+    /// Replicas of the model that may take runs.
     pub replicas: Vec<Replica>,
 }
 
 #[value]
 pub(super) enum Phase {
-    /// The trainer has it and nothing is kept of it.
+    /// Nothing to do and no sample held: the trainer has the sample, or the step was dropped.
     Idle,
     Pending,
     Running,
@@ -196,16 +202,16 @@
 pub(super) struct SlotState {
     pub phase: Phase,
     pub runs: Vec<RunId>,
-    pub partial: Option<Partial>,
-    /// Replica that the next run should avoid.
-    pub avoid: Option<SocketAddr>,
-    /// Samples begun for the slot; the seed depends on it.
+    pub partial: Option<PartialSample>,
+    /// Replica of the last failed run; the next run prefers another.
+    pub avoid_replica: Option<SocketAddr>,
+    /// Number of restarts from the prompt; the seed depends on it.
     pub attempt: u32,
     pub failures: u32,
     pub moves: u32,
     pub not_before_ms: u64,
-    pub blocked: bool,
-    /// Age at the last offer, counted when the sample has arrived.
+    pub is_blocked: bool,
+    /// Staleness at the last offer, recorded once a cursor shows that the sample has arrived.
     pub offered_staleness: Option<u64>,
 }
 
@@ -215,12 +221,12 @@
             phase,
             runs: Vec::new(),
             partial: None,
-            avoid: None,
+            avoid_replica: None,
             attempt: 0,
             failures: 0,
             moves: 0,
             not_before_ms: 0,
-            blocked: false,
+            is_blocked: false,
             offered_staleness: None,
         }
     }
@@ -235,32 +241,32 @@
 
 #[value]
 pub(super) struct Run {
-    pub place: u32,
+    pub position: u32,
     pub to: SocketAddr,
     pub hedge: bool,
-    /// It went on from tokens of an earlier one.
+    /// Whether the run resumed from the tokens of an earlier one.
     pub resumed: bool,
     pub started_ms: u64,
-    pub token_ms: u64,
+    pub last_token_ms: u64,
     pub tokens: u64,
-    /// Versions stamped so far, those of the partial included.
+    /// Versions stamped so far, including the partial sample's.
     pub versions: BTreeSet<WeightVersion>,
-    /// The driver was asked to stop it.
-    pub stopping: bool,
+    /// The driver was requested to stop the run.
+    pub is_stopping: bool,
 }
 
 #[value]
 pub(super) struct ScoreWait {
-    pub place: u32,
+    pub position: u32,
     pub sample: Arc<Sample>,
-    pub asked: bool,
+    pub is_requested: bool,
     pub failures: u32,
     pub not_before_ms: u64,
-    /// Scores that had succeeded when this one first failed.
-    pub scores_before: u64,
+    /// Number of scores that the ledger had received when this one first failed.
+    pub scores_done_before: u64,
 }
 
-/// SplitMix64's finaliser: spreads neighbouring numbers.
+/// Finaliser of SplitMix64: maps neighbouring numbers to distant ones.
 pub(super) fn mix(number: u64) -> u64 {
     let z = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/components/samples/tests/cursor.rs
+++ b/components/samples/tests/cursor.rs
@@ -1,5 +1,5 @@
-//! What a trainer's cursor carries, and which ones are refused.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+//! Encoding of cursors, and refusal of those that are invalid or belong to another step.
+#![allow(clippy::unwrap_used)] // clippy.toml allows `unwrap` in test functions, not in their helpers.
 
 mod support;
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn errors_when_a_cursor_is_not_of_this_step() {
+fn errors_when_a_cursor_belongs_to_another_step() {
     struct Case {
         name: &'static str,
         step: Step,
@@ -57,51 +57,51 @@
 #[test]
 fn can_open_a_cursor_with_either_of_two_keys() {
     let step = step_of(2, 8);
-    let cursor = Cursor::start(&step).after([3, 5]);
+    let cursor = Cursor::start(&step).with_received([3, 5]);
     let old = cursor.seal(&CursorKeys::new([1; 32], None));
-    let changing = CursorKeys::new([2; 32], Some([1; 32]));
-    let changed = CursorKeys::new([2; 32], None);
-    assert_eq!(Cursor::open(&old, &changing, &step), Ok(cursor.clone()));
-    let new = cursor.seal(&changing);
-    assert_eq!(Cursor::open(&new, &changed, &step), Ok(cursor));
-    let refused = Cursor::open(&old, &changed, &step);
+    let rotating = CursorKeys::new([2; 32], Some([1; 32]));
+    let rotated = CursorKeys::new([2; 32], None);
+    assert_eq!(Cursor::open(&old, &rotating, &step), Ok(cursor.clone()));
+    let new = cursor.seal(&rotating);
+    assert_eq!(Cursor::open(&new, &rotated, &step), Ok(cursor));
+    let refused = Cursor::open(&old, &rotated, &step);
     assert_eq!(refused, Err(CursorError::Damaged));
 }
 
 #[test]
-fn can_carry_the_largest_step_in_a_kilobyte() {
+fn can_encode_the_largest_step_in_a_kilobyte() {
     let step = step_of(512, 8);
-    // Every other slot is the worst case for run lengths.
-    let cursor = Cursor::start(&step).after((0..4_096).step_by(2));
+    // Alternating slots are the worst case of the run-length encoding.
+    let cursor = Cursor::start(&step).with_received((0..4_096).step_by(2));
     let text = cursor.seal(&keys());
     assert!(text.len() <= 1_024, "{} bytes", text.len());
     assert_eq!(Cursor::open(&text, &keys(), &step), Ok(cursor));
 }
 
 checks::seeded! {
-    fn can_read_back_any_set_of_slots(places: Vec<u32>, groups: u8) -> bool {
+    fn can_decode_any_encoded_set_of_slots(positions: Vec<u32>, groups: u8) -> bool {
         let step = step_of(u32::from(groups % 64) + 1, 7);
-        let places = places.into_iter().map(|place| place % step.total());
-        let cursor = Cursor::start(&step).after(places);
+        let positions = positions.into_iter().map(|position| position % step.total());
+        let cursor = Cursor::start(&step).with_received(positions);
         Cursor::open(&cursor.seal(&keys()), &keys(), &step) == Ok(cursor)
     }
 
-    fn errors_when_any_letter_is_changed(place: usize, letter: u8) -> bool {
+    fn errors_when_any_letter_is_changed(position: usize, letter: u8) -> bool {
         let step = step_of(4, 8);
-        let mut text = Cursor::start(&step).after([1, 2, 9]).seal(&keys()).into_bytes();
-        let place = place % text.len();
+        let mut text = Cursor::start(&step).with_received([1, 2, 9]).seal(&keys()).into_bytes();
+        let position = position % text.len();
         let letter = b'A' + letter % 26;
-        let same = text[place] == letter;
-        text[place] = letter;
+        let same = text[position] == letter;
+        text[position] = letter;
         let text = String::from_utf8(text).unwrap();
         same || Cursor::open(&text, &keys(), &step) == Err(CursorError::Damaged)
     }
 
-    fn errors_when_a_text_is_cut_or_made_up(text: String, length: usize) -> bool {
+    fn errors_when_a_cursor_is_truncated_or_arbitrary(text: String, length: usize) -> bool {
         let step = step_of(4, 8);
         let whole = Cursor::start(&step).seal(&keys());
-        let cut = &whole[..length % whole.len()];
+        let truncated = &whole[..length % whole.len()];
         let refused = |text: &str| Cursor::open(text, &keys(), &step) == Err(CursorError::Damaged);
-        refused(cut) && refused(&text)
+        refused(truncated) && refused(&text)
     }
 }
