--- a/components/membership/tests/common/mod.rs
+++ b/components/membership/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Processes, statuses and a view to try them on.
+//! Test fixtures: processes, statuses and the members of one entry.
 #![allow(dead_code)]
 #![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
 
@@ -74,8 +74,8 @@
     }
 }
 
-/// Nodes that take new work for the one service.
-pub fn takers(members: &mut Members, now_ms: u64) -> Vec<NodeId> {
+/// Nodes that accept new work for the test service.
+pub fn accepting_nodes(members: &mut Members, now_ms: u64) -> Vec<NodeId> {
     let (customer, service) = service();
     let snapshot = members.snapshot(now_ms);
     let replicas = snapshot.replicas(&customer, &service);
--- a/components/membership/tests/cost.rs
+++ b/components/membership/tests/cost.rs
@@ -1,4 +1,4 @@
-//! What the probes of one node cost at the size to design for.
+//! Network traffic of one node's probes and gossip at the design size.
 #![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
 
 mod common;
@@ -7,7 +7,7 @@
 use membership::{MemberSettings, RumourSettings};
 use protocol::{Datagram, GossipMessage, ProcessRole};
 
-/// IP and UDP headers and the authentication of a datagram.
+/// Size of a datagram's IP and UDP headers and authentication, in bytes.
 const OVERHEAD_BYTES: f64 = 28.0 + 40.0;
 const BUDGET_BYTES_PER_S: f64 = 16.0 * 1_024.0;
 const ENTRIES: f64 = 390.0;
@@ -23,21 +23,28 @@
 }
 
 #[test]
-fn can_keep_a_node_within_its_share_of_the_network() {
+fn can_keep_a_node_within_its_traffic_budget() {
     let settings = MemberSettings::default();
     let probe = datagram_bytes(GossipMessage::Probe);
     let answer = datagram_bytes(GossipMessage::Status(Box::new(status(1, false))));
     let exchange = probe + answer;
-    let (watch, sweep) = (settings.probes_per_s as f64, settings.sweeps_per_s as f64);
-    // Each entry is swept by the others as well; each agent is probed by its share.
-    let entry = (watch + sweep + sweep * ENTRIES / (ENTRIES + REPLICAS)) * exchange;
-    let agent = (watch * ENTRIES / REPLICAS + sweep * ENTRIES / (ENTRIES + REPLICAS)) * exchange;
+    let (watch_probes_per_s, sweep_probes_per_s) =
+        (settings.probes_per_s as f64, settings.sweeps_per_s as f64);
+    // Each entry is also probed by the sweeps of other entries; each agent is probed by its share
+    // of the entries.
+    let entry_bytes_per_s = (watch_probes_per_s
+        + sweep_probes_per_s
+        + sweep_probes_per_s * ENTRIES / (ENTRIES + REPLICAS))
+        * exchange;
+    let agent_bytes_per_s = (watch_probes_per_s * ENTRIES / REPLICAS
+        + sweep_probes_per_s * ENTRIES / (ENTRIES + REPLICAS))
+        * exchange;
     let rumours = RumourSettings::default();
-    let full = 2.0 * rumours.bytes_per_s_max() as f64;
+    let rumour_bytes_per_s = 2.0 * rumours.bytes_per_s_max() as f64;
     println!(
-        "probe {probe} B, answer {answer} B; both ways: entry {entry:.0} B/s, agent {agent:.0} B/s"
+        "probe {probe} B, answer {answer} B; both ways: entry {entry_bytes_per_s:.0} B/s, agent {agent_bytes_per_s:.0} B/s"
     );
-    println!("rumours both ways, while there is more news than fits: {full} B/s");
-    assert!(entry + full <= BUDGET_BYTES_PER_S);
-    assert!(agent + full <= BUDGET_BYTES_PER_S);
+    println!("gossip both ways at the maximum rate: {rumour_bytes_per_s} B/s");
+    assert!(entry_bytes_per_s + rumour_bytes_per_s <= BUDGET_BYTES_PER_S);
+    assert!(agent_bytes_per_s + rumour_bytes_per_s <= BUDGET_BYTES_PER_S);
 }
--- a/components/membership/tests/spread.rs
+++ b/components/membership/tests/spread.rs
@@ -1,4 +1,5 @@
-//! Spread of rumours through 990 processes in memory, and who reads the log.
+//! Spread of gossip among 990 simulated processes, and the selection of the processes that read the
+//! log.
 #![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
 
 mod common;
@@ -50,16 +51,20 @@
     u16::from_be_bytes([high, low])
 }
 
-struct Net {
+struct Network {
     nodes: Vec<Rumours>,
     peers: Vec<Vec<SocketAddr>>,
     rng: StdRng,
     sent: u64,
 }
 
-impl Net {
+impl Network {
     fn new(seed: u64) -> Self {
-        let others = |own: u16| (0..PROCESSES).filter(move |&n| n != own).map(address);
+        let others = |own: u16| {
+            (0..PROCESSES)
+                .filter(move |&number| number != own)
+                .map(address)
+        };
         Self {
             nodes: vec![Rumours::new(RumourSettings::default()); usize::from(PROCESSES)],
             peers: (0..PROCESSES).map(|own| others(own).collect()).collect(),
@@ -81,57 +86,64 @@
                 }
             }
         }
-        for (target, news) in arriving {
+        for (target, messages) in arriving {
             let node = &mut self.nodes[usize::from(number_of(target))];
             let peers = usize::from(PROCESSES);
-            for item in news {
+            for item in messages {
                 node.add(&item, peers, now_ms);
             }
         }
     }
 
-    fn knowing(&self, news: &GossipMessage, now_ms: u64) -> usize {
-        let knows = |rumours: &&Rumours| rumours.known_messages(now_ms).any(|known| known == *news);
-        self.nodes.iter().filter(knows).count()
+    fn count_knowing(&self, message: &GossipMessage, now_ms: u64) -> usize {
+        let knows_message = |rumours: &&Rumours| {
+            rumours
+                .known_messages(now_ms)
+                .any(|known| known == *message)
+        };
+        self.nodes.iter().filter(knows_message).count()
     }
 }
 
-/// Every process answers with the new weights and the accepted text seconds after one
-/// heard of them. Two processes hear one piece of news each; 10 % of all datagrams are
-/// lost; all 990 must hold both within the bound, and then fall silent about them.
+/// Guards against processes that miss a fact. Two processes each receive a different new fact, and
+/// 10% of all datagrams are lost; all 990 processes must know both facts within the limit on
+/// rounds, and then stop pushing them.
 #[test]
-fn can_reach_everybody_within_a_bound_of_rounds() {
+fn can_reach_every_process_within_a_bounded_number_of_rounds() {
     let settings = RumourSettings::default();
-    let (mut worst, mut idle) = (0, 0.0);
+    let (mut worst, mut idle_datagrams) = (0, 0.0);
     for seed in 0..5 {
-        let mut net = Net::new(seed);
-        let news = [weights(8), config(3)];
-        net.nodes[0].add(&weights(7), 989, 0);
-        net.nodes[1].add(&news[0], 989, 0);
-        net.nodes[500].add(&news[1], 989, 0);
+        let mut network = Network::new(seed);
+        let messages = [weights(8), config(3)];
+        network.nodes[0].add(&weights(7), 989, 0);
+        network.nodes[1].add(&messages[0], 989, 0);
+        network.nodes[500].add(&messages[1], 989, 0);
         let all = usize::from(PROCESSES);
         let mut round = 0;
-        while news
+        while messages
             .iter()
-            .any(|n| net.knowing(n, round * settings.round_interval_ms) < all)
+            .any(|message| network.count_knowing(message, round * settings.round_interval_ms) < all)
         {
-            net.round(round * settings.round_interval_ms);
+            network.round(round * settings.round_interval_ms);
             round += 1;
             assert!(
                 round <= ROUNDS_MAX,
-                "seed {seed}: {round} rounds are not enough"
+                "seed {seed}: not all processes know the facts after {round} rounds"
             );
         }
         worst = worst.max(round);
-        (round..40).for_each(|round| net.round(round * settings.round_interval_ms));
-        net.sent = 0;
-        (40..70).for_each(|round| net.round(round * settings.round_interval_ms));
-        idle = net.sent as f64 / 30.0 / f64::from(PROCESSES);
-        assert!(idle <= 1.0 / settings.idle_rounds as f64 + 0.01, "{idle}");
+        (round..40).for_each(|round| network.round(round * settings.round_interval_ms));
+        network.sent = 0;
+        (40..70).for_each(|round| network.round(round * settings.round_interval_ms));
+        idle_datagrams = network.sent as f64 / 30.0 / f64::from(PROCESSES);
+        assert!(
+            idle_datagrams <= 1.0 / settings.idle_rounds as f64 + 0.01,
+            "{idle_datagrams}"
+        );
     }
     let bytes_per_s = settings.bytes_per_s_max();
     println!(
-        "rounds until all know: {worst} of {} ms; {bytes_per_s} B/s at most; idle {idle:.2}",
+        "rounds until all processes know: {worst} of {} ms; at most {bytes_per_s} B/s; {idle_datagrams:.2} datagrams per process and round when idle",
         settings.round_interval_ms
     );
 }
@@ -156,34 +168,34 @@
     let (early, slow) = (quarantined(600_000), quarantined(600_500));
     let cases = [
         case("a higher version is new", weights(1), weights(2), true),
-        case("a lower version is not", weights(2), weights(1), false),
+        case("a lower version is not new", weights(2), weights(1), false),
+        case("a replaced text is not new", config(4), config(3), false),
         case(
-            "a text that was replaced is not",
-            config(4),
-            config(3),
-            false,
+            "the leaving of a later incarnation is new",
+            leaving(1),
+            leaving(2),
+            true,
         ),
-        case("a later life that leaves is", leaving(1), leaving(2), true),
         case(
-            "a leaving life heard twice is not",
+            "a repeated leaving is not new",
             leaving(1),
             leaving(1),
             false,
         ),
         case(
-            "a quarantine on its way for a while is not",
+            "a quarantine delayed in transit is not new",
             early.clone(),
             slow,
             false,
         ),
         case(
-            "a quarantine that began anew is",
+            "a quarantine that started again is new",
             quarantined(60_000),
             early,
             true,
         ),
         case(
-            "a probe is none",
+            "a probe is not a fact",
             GossipMessage::Probe,
             GossipMessage::Probe,
             false,
@@ -200,14 +212,14 @@
     assert_eq!(rumours.known_messages(1_000).next(), None);
 }
 
-// A trainer puts version 6 in force through one entry and names version 7 ahead of time
-// through another that has not heard of 6 yet. Both rumours reach a third process, in either
-// order; it has to know both versions, or its engine would miss one.
+// Guards against a lost weight version. A trainer announces version 6 to serve through one entry
+// and version 7 to load through another one that has not received 6 yet; a third process must know
+// both, whichever message arrives first.
 #[test]
-fn can_keep_what_either_of_two_rumours_of_weights_says() {
+fn can_merge_two_messages_about_weights() {
     let at = |version| WeightVersion { epoch: 1, version };
-    let in_force = WeightTarget::serve(at(6));
-    let ahead = WeightTarget {
+    let served = WeightTarget::serve(at(6));
+    let preloaded = WeightTarget {
         serve: at(5),
         load: at(7),
     };
@@ -215,7 +227,7 @@
         serve: at(6),
         load: at(7),
     };
-    for (first, second) in [(in_force, ahead), (ahead, in_force)] {
+    for (first, second) in [(served, preloaded), (preloaded, served)] {
         let mut rumours = Rumours::new(RumourSettings::default());
         assert!(rumours.add(&target(first), 10, 0));
         assert!(rumours.add(&target(second), 10, 0));
@@ -225,27 +237,27 @@
 }
 
 #[test]
-fn can_choose_the_same_tailers_everywhere() {
+fn can_select_the_same_tailers_everywhere() {
     let settings = TailSettings::default();
-    let chosen = tailers((0..330).map(address), &settings);
-    assert_eq!(chosen.len(), settings.per_domain);
-    assert_eq!(chosen, tailers((0..330).rev().map(address), &settings));
-    let left = (0..330).map(address).filter(|&node| node != chosen[0]);
-    assert_eq!(tailers(left, &settings)[0], chosen[1]);
+    let selected = tailers((0..330).map(address), &settings);
+    assert_eq!(selected.len(), settings.per_domain);
+    assert_eq!(selected, tailers((0..330).rev().map(address), &settings));
+    let left = (0..330).map(address).filter(|&node| node != selected[0]);
+    assert_eq!(tailers(left, &settings)[0], selected[1]);
 }
 
-/// An operator's text is in force everywhere though all tailers of the log died. While
-/// digests are fresh the others do not read; once the newest read known is too old each
-/// reads for itself, and while the log is out it asks less and less often.
+/// Guards against a text that is never applied because all selected readers of the log died. The
+/// others do not read while known reads are recent, read for themselves once the newest known read
+/// is too old, and poll less and less often while the log is unavailable.
 #[test]
-fn can_read_for_itself_when_the_digests_stop() {
+fn can_read_for_itself_when_known_reads_become_too_old() {
     let mut rng = StdRng::seed_from_u64(1);
     let mut tail = Tail::new(TailSettings::default(), 0);
     assert_eq!(tail.next_action(false, 0), TailAction::Read);
     tail.record_read(0);
     tail.record_peer_read(500, 10_000);
-    let quiet = TailAction::WaitUntil { at_ms: 29_500 };
-    assert_eq!(tail.next_action(false, 10_000), quiet);
+    let wait = TailAction::WaitUntil { at_ms: 29_500 };
+    assert_eq!(tail.next_action(false, 10_000), wait);
     assert_eq!(tail.next_action(true, 10_000), TailAction::Read);
     assert_eq!(tail.next_action(false, 29_500), TailAction::Read);
     let mut reads = 0;
--- a/components/membership/tests/subset.rs
+++ b/components/membership/tests/subset.rs
@@ -1,4 +1,4 @@
-//! Subsets at the size to design for: 390 entries and 600 replicas.
+//! Subsets at the design size: 390 entries and 600 replicas.
 
 mod common;
 
@@ -11,7 +11,7 @@
 const ENTRIES: u16 = 390;
 const SUBSET: usize = 24;
 
-/// The first `near` of the replicas are in the entries' region.
+/// Calls `test` with candidates of which the first `near` are in the entries' region.
 fn with_candidates(replicas: u16, near: u16, test: impl Fn(&[FailureDomain], &[Candidate<'_>])) {
     let regions = ["bretagne", "kochi"].map(|name| Region::new(name).ok());
     let domains: Vec<FailureDomain> = (0..3).map(domain).collect();
@@ -27,16 +27,19 @@
     test(&domains, &candidates);
 }
 
-fn of_entry<'a>(entry: u16, candidates: &[Candidate<'a>]) -> Vec<Candidate<'a>> {
+fn subset_of_entry<'a>(entry: u16, candidates: &[Candidate<'a>]) -> Vec<Candidate<'a>> {
     let positions = choose_subset(address(50_000 + entry), &region(), candidates, SUBSET);
-    positions.into_iter().map(|at| candidates[at]).collect()
+    positions
+        .into_iter()
+        .map(|index| candidates[index])
+        .collect()
 }
 
 #[test]
-fn can_cover_every_replica_by_several_entries() {
+fn can_assign_every_replica_to_several_entries() {
     with_candidates(600, 600, |_, candidates| {
         let mut covered: HashMap<_, usize> = HashMap::new();
-        for replica in (0..ENTRIES).flat_map(|entry| of_entry(entry, candidates)) {
+        for replica in (0..ENTRIES).flat_map(|entry| subset_of_entry(entry, candidates)) {
             *covered.entry(replica.address).or_default() += 1;
         }
         let fewest = covered.values().min().copied().unwrap_or(0);
@@ -50,14 +53,21 @@
 #[test]
 fn can_lose_a_replica_with_few_changes() {
     with_candidates(600, 600, |_, before| {
-        let gone = before[17];
-        let after: Vec<_> = before.iter().copied().filter(|c| *c != gone).collect();
+        let removed = before[17];
+        let after: Vec<_> = before
+            .iter()
+            .copied()
+            .filter(|candidate| *candidate != removed)
+            .collect();
         let mut changed = 0;
         for entry in 0..ENTRIES {
-            let (old, new) = (of_entry(entry, before), of_entry(entry, &after));
-            let fresh = new.iter().filter(|replica| !old.contains(replica)).count();
-            assert_eq!(fresh, usize::from(old.contains(&gone)), "entry {entry}");
-            changed += fresh;
+            let (old, new) = (
+                subset_of_entry(entry, before),
+                subset_of_entry(entry, &after),
+            );
+            let added = new.iter().filter(|replica| !old.contains(replica)).count();
+            assert_eq!(added, usize::from(old.contains(&removed)), "entry {entry}");
+            changed += added;
         }
         println!("subsets changed by the loss of one replica: {changed} of {ENTRIES}");
         assert!(changed <= 34, "{changed}");
@@ -66,15 +76,22 @@
 
 #[test]
 fn can_spread_over_failure_domains_and_prefer_the_own_region() {
-    // Replicas, near ones; wanted near, wanted in each failure domain.
+    // Replicas; replicas in the own region; expected selected ones in the own region; expected
+    // minimum per failure domain.
     for (replicas, near, wanted, in_domain) in [(600, 300, 24, 8), (60, 9, 9, 8), (10, 10, 10, 3)] {
         with_candidates(replicas, near, |domains, candidates| {
-            let chosen = of_entry(1, candidates);
-            let chosen_near = chosen.iter().filter(|c| c.region == &region()).count();
+            let chosen = subset_of_entry(1, candidates);
+            let chosen_near = chosen
+                .iter()
+                .filter(|candidate| candidate.region == &region())
+                .count();
             assert_eq!(chosen_near, wanted, "{replicas} replicas");
             for domain in domains {
-                let here = chosen.iter().filter(|c| c.failure_domain == domain).count();
-                assert!(here >= in_domain, "{replicas} replicas");
+                let in_this_domain = chosen
+                    .iter()
+                    .filter(|candidate| candidate.failure_domain == domain)
+                    .count();
+                assert!(in_this_domain >= in_domain, "{replicas} replicas");
             }
         });
     }
--- a/components/membership/tests/view.rs
+++ b/components/membership/tests/view.rs
@@ -1,4 +1,4 @@
-//! News in, view out.
+//! Views that result from messages and reads of the VM list.
 #![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
 
 mod common;
@@ -9,11 +9,11 @@
 use protocol::{HostedService, Status};
 use types::{Incarnation, NodeId};
 
-/// Takes in one piece of news about agent 1: `s` a status, `S` one that says leaving, `h`
-/// any datagram, `l` a rumour of leaving, each with the life; `v` the list says live, `L`
-/// it says leaving, `-` it leaves the VM out.
-fn take(members: &mut Members, kind: char, life: u64, now_ms: u64) {
-    let from = node(1, life);
+/// Applies one event about agent 1. `s` is a status, `S` a status that says "leaving", `h` any
+/// datagram, `l` a gossiped leaving, each with an incarnation; `v` is a read of the list that says
+/// "live", `L` one that says "leaving", `-` one without the VM.
+fn apply(members: &mut Members, kind: char, incarnation: u64, now_ms: u64) {
+    let from = node(1, incarnation);
     match kind {
         's' | 'S' => drop(members.on_status(from, Agent, &status(1, kind == 'S'), now_ms)),
         'h' => drop(members.on_datagram(from, Agent, now_ms)),
@@ -24,55 +24,71 @@
 }
 
 #[test]
-fn can_follow_a_vm_from_its_first_news_to_its_return() {
+fn can_follow_a_vm_from_its_first_message_to_its_return() {
     struct Case {
         name: &'static str,
-        /// One character a piece of news, a digit for the life, `+` for the list's lag.
-        news: &'static str,
-        takes_work: Option<u64>,
+        /// One character per event, a digit for the incarnation, `+` for the lag of the list.
+        events: &'static str,
+        accepting_incarnation: Option<u64>,
     }
-    let case = |name, news, takes_work| Case {
+    let case = |name, events, accepting_incarnation| Case {
         name,
-        news,
-        takes_work,
+        events,
+        accepting_incarnation,
     };
     let cases = [
-        case("answers count without a list", "s1----", Some(1)),
         case(
-            "a listed agent that never answered takes no work",
+            "an agent that answers is used without a list",
+            "s1----",
+            Some(1),
+        ),
+        case(
+            "a listed agent that never answered accepts no work",
             "v",
             None,
         ),
         case(
-            "a rumour of leaving wins over later statuses",
+            "a gossiped leaving overrides later statuses",
             "s1l1s1",
             None,
         ),
-        case("a rumour before the first status wins too", "l1s1", None),
         case(
-            "the list's word on a life it must know stays",
+            "a gossiped leaving overrides the first status",
+            "l1s1",
+            None,
+        ),
+        case(
+            "the list's leaving stays for an incarnation older than its lag",
             "s1+Lv",
             None,
         ),
-        case("its word on a new life holds at once", "Ls1", None),
-        case("and ends when it was about the old life", "Ls1v", Some(1)),
         case(
-            "a VM that returns is live though listed as leaving",
+            "the list's leaving applies to a new incarnation at once",
+            "Ls1",
+            None,
+        ),
+        case(
+            "the list's leaving ends if it was about the old incarnation",
+            "Ls1v",
+            Some(1),
+        ),
+        case(
+            "a VM that returns is live although listed as leaving",
             "s1+Ls2",
             Some(2),
         ),
         case(
-            "unless the list says so for longer than it lags",
+            "a VM is leaving if listed so for longer than the lag",
             "s1+Ls2+L",
             None,
         ),
         case(
-            "a late status does not bring an old life back",
+            "a delayed status does not restore an old incarnation",
             "s1l2s1",
             None,
         ),
         case(
-            "a life that left is known after the list drops it",
+            "a left incarnation is remembered after the list drops it",
             "s1l1----s1",
             None,
         ),
@@ -80,28 +96,38 @@
     for case in cases {
         let mut members = entry();
         let mut now_ms = 0;
-        let mut news = case.news.chars().peekable();
-        while let Some(kind) = news.next() {
-            let digit = news.next_if(char::is_ascii_digit);
-            let life = digit.and_then(|digit| digit.to_digit(10)).unwrap_or(0);
+        let mut events = case.events.chars().peekable();
+        while let Some(kind) = events.next() {
+            let digit = events.next_if(char::is_ascii_digit);
+            let incarnation = digit.and_then(|digit| digit.to_digit(10)).unwrap_or(0);
             now_ms += if kind == '+' { 30_000 } else { 1 };
             if kind != '+' {
-                take(&mut members, kind, u64::from(life), now_ms);
+                apply(&mut members, kind, u64::from(incarnation), now_ms);
             }
         }
-        let wanted: Vec<NodeId> = case.takes_work.iter().map(|&life| node(1, life)).collect();
-        assert_eq!(takers(&mut members, now_ms), wanted, "{}", case.name);
+        let wanted: Vec<NodeId> = case
+            .accepting_incarnation
+            .iter()
+            .map(|&incarnation| node(1, incarnation))
+            .collect();
+        assert_eq!(
+            accepting_nodes(&mut members, now_ms),
+            wanted,
+            "{}",
+            case.name
+        );
     }
 }
 
 #[test]
-fn can_tell_earlier_lives_apart() {
+fn can_recognize_earlier_incarnations() {
     let mut members = entry();
     members.on_datagram(node(1, 7), Agent, 0);
     let known = Incarnation(7);
     let older = members.on_datagram(node(1, 6), Agent, 1);
     assert_eq!(older, UpdateOutcome::StaleIncarnation { known });
-    let leaving = |members: &mut Members, life| members.on_leaving(node(60_000, life), 0);
+    let leaving =
+        |members: &mut Members, incarnation| members.on_leaving(node(60_000, incarnation), 0);
     assert_eq!(
         members.on_own_incarnation(Incarnation(99)),
         UpdateOutcome::Unchanged
@@ -119,7 +145,7 @@
 }
 
 #[test]
-fn can_drop_a_vm_that_neither_list_nor_answer_shows() {
+fn can_remove_a_vm_that_is_neither_listed_nor_answers() {
     let mut members = entry();
     members.on_list(&[listed(1, false)], 0);
     (1..=2).for_each(|read| drop(members.on_list(&[], read)));
@@ -138,12 +164,11 @@
     }
 }
 
-/// The caller sees calls fail before they leave, and only until the stated time.
-/// Agents fall silent; each misses five answers and is down. One alone or a failure domain
-/// is dropped. When most fall silent at once the entry takes the fault for its own and
-/// keeps them, or it would refuse everything until long after its network is back.
+/// Guards against refusing all calls after an interruption of the entry's own network. Agents stop
+/// answering and are down after five missed answers; one agent or one failure domain is dropped,
+/// but if most stop at the same time, the entry keeps them as suspects.
 #[test]
-fn can_tell_dead_agents_from_a_cut_of_its_own() {
+fn can_distinguish_dead_agents_from_a_fault_of_its_own_network() {
     struct Case {
         name: &'static str,
         answers: fn(u16) -> bool,
@@ -160,8 +185,14 @@
     };
     let cases = [
         case("one agent dies", |n| n != 4, false, 9, 0),
-        case("a failure domain dies", |n| n % 3 != 1, false, 6, 0),
-        case("most fall silent at once", |n| n <= 3, true, 3, 7),
+        case("a failure domain fails", |n| n % 3 != 1, false, 6, 0),
+        case(
+            "most agents stop answering at the same time",
+            |n| n <= 3,
+            true,
+            3,
+            7,
+        ),
     ];
     let (customer, service) = service();
     for case in cases {
@@ -174,64 +205,69 @@
         let snapshot = members.snapshot(8_200);
         let replicas = snapshot.replicas(&customer, &service);
         let count = |standing| replicas.iter().filter(|r| r.liveness == standing).count();
-        let seen = (
+        let observed = (
             snapshot.isolated,
             count(Liveness::Live),
             count(Liveness::Suspect),
         );
         assert_eq!(
-            seen,
+            observed,
             (case.isolated, case.live, case.suspect),
             "{}",
             case.name
         );
         probe(&mut members, 8_300, 9_800, |_| true);
-        assert_eq!(takers(&mut members, 9_800).len(), 10, "{}: back", case.name);
+        assert_eq!(
+            accepting_nodes(&mut members, 9_800).len(),
+            10,
+            "{}: after the recovery",
+            case.name
+        );
     }
     assert_eq!(MemberSettings::default().detection_ms(24), 3_000);
     assert_eq!(MemberSettings::default().probe_period_ms(600), 25_000);
 }
 
 checks::seeded! {
-    /// The list is left out here: its word depends on when it is read.
-    fn news_in_any_order_gives_one_view(news: Vec<(u8, u64)>, turn: usize) -> bool {
-        let mut news: Vec<(char, u64)> = news
+    /// Reads of the VM list are excluded, because their effect depends on when they happen.
+    fn messages_in_any_order_give_one_view(events: Vec<(u8, u64)>, rotation: usize) -> bool {
+        let mut events: Vec<(char, u64)> = events
             .into_iter()
-            .map(|(kind, life)| (['s', 'S', 'h', 'l'][usize::from(kind % 4)], life % 3 + 1))
+            .map(|(kind, incarnation)| (['s', 'S', 'h', 'l'][usize::from(kind % 4)], incarnation % 3 + 1))
             .collect();
-        let view = |news: &[(char, u64)]| {
+        let view = |events: &[(char, u64)]| {
             let mut members = entry();
-            news.iter().for_each(|&(kind, life)| take(&mut members, kind, life, 0));
-            take(&mut members, 's', 3, 0);
+            events.iter().for_each(|&(kind, incarnation)| apply(&mut members, kind, incarnation, 0));
+            apply(&mut members, 's', 3, 0);
             members.snapshot(0)
         };
-        let forward = view(&news);
-        let middle = turn % news.len().max(1);
-        news.rotate_left(middle);
-        news.reverse();
-        view(&news) == forward
+        let forward = view(&events);
+        let offset = rotation % events.len().max(1);
+        events.rotate_left(offset);
+        events.reverse();
+        view(&events) == forward
     }
 
-    /// All within the time for which a life that left is remembered.
-    fn a_leaving_life_never_takes_work_again(news: Vec<(u8, u64, u16)>) -> bool {
-        let (mut members, mut left, mut now_ms) = (entry(), Vec::new(), 0);
-        news.into_iter().all(|(kind, life, wait_ms)| {
+    /// All events happen within the time for which a left incarnation is remembered.
+    fn a_leaving_incarnation_never_accepts_work_again(events: Vec<(u8, u64, u16)>) -> bool {
+        let (mut members, mut left_nodes, mut now_ms) = (entry(), Vec::new(), 0);
+        events.into_iter().all(|(kind, incarnation, wait_ms)| {
             let kind = ['s', 'S', 'h', 'l', 'v', 'L', '-'][usize::from(kind % 7)];
-            let life = life % 3 + 1;
+            let incarnation = incarnation % 3 + 1;
             now_ms += u64::from(wait_ms) % 5_000;
-            take(&mut members, kind, life, now_ms);
+            apply(&mut members, kind, incarnation, now_ms);
             if matches!(kind, 'S' | 'l') {
-                left.push(node(1, life));
+                left_nodes.push(node(1, incarnation));
             }
-            !takers(&mut members, now_ms).iter().any(|taker| left.contains(taker))
+            !accepting_nodes(&mut members, now_ms).iter().any(|node| left_nodes.contains(node))
         })
     }
 }
 
-// A pool that many customers share: the agent's services come in several datagrams. One of
-// them is lost; the services of the others stay, and those that went with fewer parts go.
+// Guards against services that disappear while a datagram is lost. The agent's status comes in
+// several parts; services of the other parts stay, and services of parts that no longer exist go.
 #[test]
-fn can_put_a_status_together_from_its_parts() {
+fn can_assemble_a_status_from_its_parts() {
     let part = |part: u8, parts, names: &[&str]| {
         let one = status(1, false);
         let hosted = |name: &&str| HostedService {
