--- a/components/control/src/error.rs
+++ b/components/control/src/error.rs
@@ -1,4 +1,4 @@
-//! Failures of an operator's command, each with its exit code and what to do next.
+//! Errors of operators' commands, with their exit codes. Each message states what to do next.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,101 +7,104 @@
 use config::{Complaints, RecordError, Refusal};
 use quick_error::quick_error;
 
-/// Exit codes of `hornbeamrockctl`, as its manual page lists them.
+/// Exit codes of `hornbeamrockctl`, as listed in its manual page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitCode {
-    /// Done.
+    /// The command succeeded.
     Done = 0,
-    /// A fault that no other code names.
+    /// The command failed for a reason without a code of its own.
     Fault = 1,
-    /// Wrong flags or settings.
+    /// A flag, a setting or a file named by one is invalid.
     Settings = 2,
-    /// The text does not pass the check.
+    /// The text was refused by the check or by the log's readers.
     InvalidText = 3,
-    /// Another publish came first.
+    /// Another publish with the same base precedes this one in the log.
     LostRace = 4,
-    /// Accepted, but not seen in force everywhere in time.
+    /// The publish was accepted, but did not become active at every process in time.
     NotActive = 5,
-    /// The platform or a process did not answer; what happened may be unknown.
+    /// The platform or a process did not answer; the outcome may be unknown.
     Unreachable = 6,
 }
 
 quick_error! {
-    /// Why a command of an operator failed.
+    /// Why an operator's command failed.
     #[derive(Debug)]
     pub enum ControlError {
-        /// A file that can't be read.
+        /// A file could not be read.
         FileRead(path: PathBuf, reason: std::io::Error) {
             source(reason)
-            display("{} cannot be read: {}; name a file that exists and that you may read", path.display(), reason)
+            display("cannot read the file {}: {}; name an existing file that you have permission to read", path.display(), reason)
         }
-        /// The text is refused before it is published.
+        /// The text did not pass the check, so it was not published.
         InvalidText(complaints: Complaints) {
-            display("{}\nmend the text and run the command again; nothing was published", complaints)
+            display("{}\ncorrect the text and run the command again; nothing was published", complaints)
         }
-        /// The text does not fit a record.
+        /// The text does not fit into a record of the log.
         InvalidRecord(reason: RecordError) {
             source(reason)
-            display("{}; split the text or make it shorter; nothing was published", reason)
+            display("cannot publish the text: {}; split or shorten the text; nothing was published", reason)
         }
-        /// The log did not answer a read.
+        /// A read of the log failed.
         LogReadFailed(reason: PlatformError) {
             source(reason)
-            display("the log cannot be read: {}; check --log, or wait until its outage is over and run the command again", reason)
+            display("cannot read the log: {}; check --log, or wait until the outage is over and run the command again", reason)
         }
-        /// The log did not take the publish, and it is certain that it did not.
+        /// The publish was certainly not appended to the log.
         NotAppended(reason: PlatformError) {
             source(reason)
-            display("nothing was published, as the log does not take records now: {}; run the command again later", reason)
+            display("cannot append the publish to the log: {}; nothing was published; run the command again later", reason)
         }
-        /// The publish may stand in the log.
+        /// The publish may have been appended to the log.
         OutcomeUnknown(id: String, reason: PlatformError) {
             source(reason)
-            display("the publish {} may or may not have been accepted, as the log's answer was lost: {}; run 'hornbeamrockctl history' to see", id, reason)
+            display("the outcome of publish {} is unknown because the log's answer was lost: {}; run 'hornbeamrockctl history' to see whether it was accepted", id, reason)
         }
-        /// The log has forgotten the newest version, and no process holds it either.
+        /// The publish is in the log, but its verdict could not be determined, for example because
+        /// the records that show the current version have been removed.
         Undecided(id: String) {
-            display("the publish {} stands in the log, but this reader cannot tell which version is current there; run 'hornbeamrockctl history' in a minute", id)
+            display("the publish {} is in the log, but this reader cannot determine which version is current at its offset; run 'hornbeamrockctl history' in a minute", id)
         }
-        /// Another publish came first.
+        /// Another publish with the same base precedes this one in the log; holds the refusal and a
+        /// diff of the changes made since that base.
         LostRace(refusal: Refusal, diff: String) {
-            display("{}; nothing of this text is applied. What the winner changed:\n{}take it up in your text and publish again", refusal, diff)
+            display("{}; nothing of this text was applied. Changes since the base of this text:\n{}merge these changes into your text and publish again", refusal, diff)
         }
-        /// Readers refused the text.
+        /// The log's readers refuse the publish for another reason.
         Refused(refusal: Refusal) {
-            display("{}; nothing of this text is applied", refusal)
+            display("publish refused: {}; nothing of this text was applied", refusal)
         }
-        /// Accepted, but some process has not shown it.
+        /// The publish was accepted, but some processes did not report the version as active in
+        /// time.
         NotActive(version: u64, missing: String) {
-            display("version {} is accepted, but was not seen in force in time at: {}; it will be once they can be reached, see 'hornbeamrockctl status'", version, missing)
+            display("version {} was accepted, but did not become active in time at: {}; it becomes active there once these processes are reachable, see 'hornbeamrockctl status'", version, missing)
         }
-        /// A process did not answer.
+        /// A process did not answer a request.
         Process(address: SocketAddr, reason: PlatformError) {
             source(reason)
-            display("{} does not answer: {}; check the address and whether the VM lives", address, reason)
+            display("no answer from {}: {}; check the address and whether the VM is running", address, reason)
         }
-        /// A process refused what was asked.
+        /// A process answered with an unexpected status.
         UnexpectedStatus(address: SocketAddr, status: u16, detail: String) {
             display("{} answered with status {}: {}", address, status, detail)
         }
-        /// A process's answer is not what it should be.
+        /// The answer of a process could not be decoded.
         Malformed(address: SocketAddr, reason: serde_json::Error) {
             source(reason)
-            display("{} gave an answer that this version cannot read: {}; use the ctl of the same release", address, reason)
+            display("cannot decode the answer of {}: {}; use the hornbeamrockctl of the same release", address, reason)
         }
-        /// No accepted text of this customer.
+        /// The log has no accepted text of this customer.
         NoAcceptedVersion(customer: String) {
-            display("customer '{}' has no accepted text in the log; publish one, or check the name", customer)
+            display("customer '{}' has no accepted text in the log; publish one or check the name", customer)
         }
-        /// A token that cannot stand in a header.
+        /// The file does not contain a token that can be sent in a header.
         InvalidToken(path: PathBuf) {
-            display("{} holds no token: it must be one line of printable characters", path.display())
+            display("invalid token in file {}: expected one line of printable characters without spaces", path.display())
         }
     }
 }
 
 impl ControlError {
-    /// The exit code that stands for this failure.
+    /// The exit code of this error.
     pub fn exit_code(&self) -> ExitCode {
         match self {
             ControlError::InvalidText(_)
--- a/components/control/src/fleet.rs
+++ b/components/control/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What processes say of themselves at their admin addresses.
+//! Queries and orders to processes at their admin addresses.
 
 use std::net::SocketAddr;
 
@@ -10,81 +10,81 @@
 use crate::ControlError;
 
 const REQUEST_TIMEOUT_MS: u64 = 2_000;
-/// Processes that are asked at a time, so that a large fleet doesn't open a thousand
+/// Maximum number of concurrent requests, so that a query of a large fleet does not open a thousand
 /// connections at once.
 const CONCURRENT_REQUESTS_MAX: usize = 64;
 const STATUS_ACCEPTED: u16 = 202;
 const STATUS_OK: u16 = 200;
 
-/// One customer's version at a process.
+/// The active version of a customer's configuration at a process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ConfigRow {
-    /// The customer.
+    /// Name of the customer.
     pub customer: String,
-    /// The version in force there.
+    /// Number of the active version.
     pub version: u64,
 }
 
-/// One service that an endpoint hosts.
+/// A service that a process's endpoint hosts.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EndpointRow {
-    /// Owner of the service.
+    /// Customer that owns the service.
     pub customer: String,
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Weights that it answers with.
+    /// Weight version that it answers with; `None` for a plain service.
     pub version: Option<String>,
 }
 
-/// The part of a process's status that operators act on; more fields may follow.
+/// The part of a process's status page that operators need; the page may have more fields.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct NodeStatus {
-    /// Address and incarnation.
+    /// Address and incarnation of the process.
     pub node: String,
     /// `entry` or `agent`.
     pub role: String,
-    /// Failure domain.
+    /// Failure domain of the process.
     pub failure_domain: String,
-    /// Whether it is leaving.
+    /// Whether the process is leaving.
     pub leaving: bool,
-    /// Calls in progress.
+    /// Number of calls in progress.
     #[serde(default)]
     pub in_progress: u64,
-    /// Versions in force.
+    /// Active configuration version of each customer.
     pub config: Vec<ConfigRow>,
-    /// What its endpoint hosts; empty for an entry.
+    /// Services that its endpoint hosts; empty for an entry.
     #[serde(default)]
     pub hosted: Vec<EndpointRow>,
 }
 
-/// What one process answered.
+/// Result of querying one process.
 pub struct StatusReply {
-    /// Its admin address.
+    /// Admin address of the process.
     pub address: SocketAddr,
-    /// Its status, or why there is none.
+    /// Status of the process, or the error of the query.
     pub status: Result<NodeStatus, ControlError>,
 }
 
-/// Asks one process.
+/// Fetches the status of one process.
 pub async fn status(address: SocketAddr) -> Result<NodeStatus, ControlError> {
     let body = exchange(address, Request::new("GET", "/status"), STATUS_OK).await?;
     serde_json::from_slice(&body).map_err(|reason| ControlError::Malformed(address, reason))
 }
 
-/// Asks many processes; the replies come in the order of the addresses.
+/// Fetches the status of many processes. The replies are in the order of the addresses.
 pub async fn statuses(addresses: &[SocketAddr]) -> Vec<StatusReply> {
     let mut replies = Vec::with_capacity(addresses.len());
-    for few in addresses.chunks(CONCURRENT_REQUESTS_MAX) {
-        let mut asked = JoinSet::new();
-        for &address in few {
-            asked.spawn(async move {
+    for chunk in addresses.chunks(CONCURRENT_REQUESTS_MAX) {
+        let mut requests = JoinSet::new();
+        for &address in chunk {
+            requests.spawn(async move {
                 StatusReply {
                     address,
                     status: status(address).await,
                 }
             });
         }
-        replies.extend(asked.join_all().await);
+        replies.extend(requests.join_all().await);
     }
     replies.sort_by_key(|reply| {
         addresses
@@ -94,7 +94,7 @@
     replies
 }
 
-/// Whether this process answers requests by at least this version.
+/// Whether this version, or a later one, is active at the process.
 pub fn is_active(reply: &StatusReply, customer: &CustomerName, version: u64) -> bool {
     let Ok(status) = &reply.status else {
         return false;
@@ -106,17 +106,18 @@
     row.is_some_and(|row| row.version >= version)
 }
 
-/// Tells a process to leave; it finishes what is in progress.
+/// Orders a process to drain: it finishes the calls in progress and leaves.
 pub async fn drain(address: SocketAddr) -> Result<(), ControlError> {
     exchange(address, Request::new("POST", "/drain"), STATUS_ACCEPTED).await?;
     Ok(())
 }
 
-/// One exchange that must end with `wanted`.
+/// Sends a request and returns the body of the response. Fails unless the response has the status
+/// `expected_status`.
 pub(crate) async fn exchange(
     address: SocketAddr,
     request: Request,
-    wanted: u16,
+    expected_status: u16,
 ) -> Result<bytes::Bytes, ControlError> {
     let failed = |reason| ControlError::Process(address, reason);
     let endpoint = Endpoint::new(address, EndpointSettings::default());
@@ -126,7 +127,7 @@
         .map_err(failed)?;
     let status = response.head.status;
     let body = response.body.whole().await.map_err(failed)?;
-    if status != wanted {
+    if status != expected_status {
         let detail = String::from_utf8_lossy(&body).into_owned();
         return Err(ControlError::UnexpectedStatus(address, status, detail));
     }
--- a/components/control/src/history.rs
+++ b/components/control/src/history.rs
@@ -1,4 +1,4 @@
-//! The configuration as the log tells it.
+//! The history of the configuration, read from the log.
 
 use std::sync::Arc;
 
@@ -9,40 +9,39 @@
 
 use crate::ControlError;
 
-/// The log's stream of configuration records.
+/// Stream of the configuration records.
 pub(crate) const STREAM: &str = "config";
-/// Records that one read takes at most.
+/// Maximum number of records per read.
 const PAGE_RECORDS_MAX: usize = 500;
 
-/// One publish in the log.
+/// A publish in the log, with its verdict.
 #[derive(Clone, Debug, Serialize)]
 pub struct HistoryEntry {
-    /// Its offset.
+    /// Offset of its record.
     pub offset: u64,
-    /// The customer.
+    /// Customer that the text belongs to.
     pub customer: String,
-    /// Its id.
+    /// Id that the operator's tool chose for the publish.
     pub id: String,
-    /// Version that it was made on.
+    /// Version that the publish is based on; 0 for none.
     pub base: u64,
-    /// What became of it.
+    /// Verdict of this reader, as text.
     pub verdict: String,
-    /// Version that it made.
+    /// Version that the publish created; `None` if it was not accepted.
     pub version: Option<u64>,
 }
 
-/// What a whole read of the log gives.
+/// Result of reading the whole stream.
 pub struct History {
-    /// The reducer after the last record.
+    /// State of the ledger after the last record.
     pub ledger: Ledger,
-    /// Publishes in the log's order.
+    /// Publishes in the order of the log.
     pub entries: Vec<HistoryEntry>,
-    /// Accepted versions whose text the log still keeps.
+    /// Accepted versions whose text is still in the log.
     versions: Vec<Arc<AcceptedVersion>>,
 }
 
-/// Reads the stream from its oldest kept record to its end. Errors when the log does
-/// not answer.
+/// Reads the stream from its oldest record to its end. Fails if the log does not answer.
 pub async fn read_history(log: &LogClient) -> Result<History, ControlError> {
     let mut history = History {
         ledger: Ledger::starting_at(0),
@@ -53,7 +52,7 @@
     Ok(history)
 }
 
-/// Reads on from where the history ends; gives the number of new records.
+/// Continues reading where the history ends. Returns the number of new records.
 pub(crate) async fn read_page(
     log: &LogClient,
     history: &mut History,
@@ -129,7 +128,7 @@
         }
     }
 
-    /// A version of a customer, current or earlier, as far as the log still keeps it.
+    /// A customer's version, current or earlier, if the log still has its text.
     pub fn version(&self, customer: &CustomerName, version: u64) -> Option<&Arc<AcceptedVersion>> {
         let current = self.ledger.current(customer);
         self.versions
@@ -138,7 +137,7 @@
             .find(|accepted| accepted.customer == *customer && accepted.version == version)
     }
 
-    /// Publishes of one customer, or of all.
+    /// Publishes of one customer, or of all customers.
     pub fn entries_of(
         &self,
         customer: Option<&CustomerName>,
--- a/components/control/src/lib.rs
+++ b/components/control/src/lib.rs
@@ -1,6 +1,6 @@
-//! What operators do from their own workstation: read the configuration from the log,
-//! publish a text and follow it into force, look at processes, make them leave, roll a
-//! model back.
+//! Operators' commands, run from their own workstation: read the configuration history from the
+//! log, publish a text and wait until it is active, query and drain processes, and roll a model
+//! back.
 
 mod error;
 mod fleet;
--- a/components/control/src/publish.rs
+++ b/components/control/src/publish.rs
@@ -1,9 +1,10 @@
-//! Publishing a text: append, read the verdict back, follow it into force.
+//! Publishes a text: appends it to the log, reads the verdict back and waits until the version is
+//! active.
 //!
-//! The operator hears "accepted" only after the record was read back from the log. An
-//! append whose answer was lost is made again with the same id, and readers count it
-//! once. Whoever loses a race sees what the winner changed; nothing of the loser's text
-//! is applied.
+//! A publish counts as accepted only after its record was read back from the log. If the answer to
+//! an append is lost, the append is repeated with the same id, and readers count it once. An
+//! operator who loses a race gets the changes of the publish that came first; nothing of the losing
+//! text is applied.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,45 +19,46 @@
 use crate::history::{History, STREAM, read_page};
 use crate::{CheckedConfig, ControlError, is_active, statuses};
 
-/// Appends of one publish at most, the first included.
+/// Maximum number of appends per publish, including the first one.
 const APPENDS_MAX: u32 = 5;
 const APPEND_RETRY_DELAY: Duration = Duration::from_millis(300);
 const READ_WAIT_MS: u64 = 500;
-/// Reads after the append until the verdict must stand.
+/// Maximum number of reads after the append to find the verdict.
 const READS_MAX: u32 = 20;
 const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How to publish.
+/// Options of a publish.
 pub struct PublishSettings {
-    /// Base version that the operator states; the current one if he states none.
+    /// Base version stated by the operator; `None` for the current version.
     pub base: Option<u64>,
-    /// Id of the publish; a random one if he states none.
+    /// Id of the publish; `None` for a random one.
     pub id: Option<String>,
 }
 
 /// An accepted publish.
 #[derive(Clone, Debug, Serialize)]
 pub struct Published {
-    /// The customer.
+    /// Customer whose text was published.
     pub customer: CustomerName,
-    /// The version that it made.
+    /// Version that the publish created.
     pub version: u64,
-    /// Its id.
+    /// Id of the publish.
     pub id: String,
 }
 
-/// Steps that an operator sees.
+/// Progress that is shown to the operator.
 #[derive(Clone, Debug)]
 pub enum PublishProgress {
-    /// The append is made again, as its answer was lost.
+    /// An append failed or its answer was lost, and it is repeated; holds the number of attempts so
+    /// far.
     AppendRetried(u32),
-    /// The record was read back.
+    /// The publish was read back from the log and accepted as this version.
     Accepted(u64),
-    /// In force at so many of so many processes.
+    /// The version is active at the first number of processes, of the second number in all.
     Active(usize, usize),
 }
 
-/// Publishes a checked text on what `history` holds. Errors say whether anything is
+/// Publishes a checked text based on the state of `history`. Errors state whether anything was
 /// applied.
 pub async fn publish(
     log: &LogClient,
@@ -66,18 +68,18 @@
     mut progress: impl FnMut(PublishProgress),
 ) -> Result<Published, ControlError> {
     let customer = checked.config.customer.clone();
-    let before = match settings.base {
+    let base = match settings.base {
         Some(base) => history.version(&customer, base).cloned(),
         None => history.ledger.current(&customer).cloned(),
     };
     let id = settings.id.clone().unwrap_or_else(random_id);
-    let mut publish = Publish::based_on(customer.clone(), before.as_deref(), &id, &checked.source);
-    // A stated base that the log has forgotten is still stated: the verdict tells the
-    // operator what is current.
+    let mut publish = Publish::based_on(customer.clone(), base.as_deref(), &id, &checked.source);
+    // A stated base is sent even if the log no longer has its text; the verdict then tells the
+    // operator which version is current.
     publish.base = settings.base.unwrap_or(publish.base);
     append(log, &publish, &mut progress).await?;
     let verdict = read_verdict(log, history, &customer, &id).await?;
-    let version = version_or_error(verdict, before.as_deref(), history, &customer, &id)?;
+    let version = version_or_error(verdict, base.as_deref(), history, &customer, &id)?;
     progress(PublishProgress::Accepted(version));
     Ok(Published {
         customer,
@@ -113,7 +115,8 @@
     }
 }
 
-/// One lost answer among the tries is enough for doubt: that append may stand in the log.
+/// The error after the last attempt. If any attempt may have taken effect, its record may be in the
+/// log, so the outcome is unknown.
 fn append_error(id: &str, maybe_appended: bool, last: PlatformError) -> ControlError {
     match maybe_appended {
         true => ControlError::OutcomeUnknown(id.to_owned(), last),
@@ -129,13 +132,13 @@
 ) -> Result<Verdict, ControlError> {
     for _ in 0..READS_MAX {
         let read = read_page(log, history, READ_WAIT_MS).await;
-        let unknown = |error| match error {
+        let outcome_unknown = |error| match error {
             ControlError::LogReadFailed(reason) => {
                 ControlError::OutcomeUnknown(id.to_owned(), reason)
             }
             other => other,
         };
-        read.map_err(unknown)?;
+        read.map_err(outcome_unknown)?;
         if let Some(verdict) = history.ledger.verdict(customer, id) {
             return Ok(verdict.clone());
         }
@@ -145,7 +148,7 @@
 
 fn version_or_error(
     verdict: Verdict,
-    before: Option<&AcceptedVersion>,
+    base: Option<&AcceptedVersion>,
     history: &History,
     customer: &CustomerName,
     id: &str,
@@ -153,8 +156,8 @@
     match verdict {
         Verdict::Accepted { version } => Ok(version),
         Verdict::Refused(refusal @ (Refusal::Outdated { .. } | Refusal::OtherBase { .. })) => {
-            let winner = history.ledger.current(customer);
-            let diff = race_diff(before, winner.map(AsRef::as_ref));
+            let current = history.ledger.current(customer);
+            let diff = race_diff(base, current.map(AsRef::as_ref));
             Err(ControlError::LostRace(refusal, diff))
         }
         Verdict::Refused(refusal) => Err(ControlError::Refused(refusal)),
@@ -162,23 +165,18 @@
     }
 }
 
-fn race_diff(before: Option<&AcceptedVersion>, winner: Option<&AcceptedVersion>) -> String {
+fn race_diff(base: Option<&AcceptedVersion>, current: Option<&AcceptedVersion>) -> String {
     let source = |accepted: Option<&AcceptedVersion>| {
         accepted.map_or(String::new(), |a| a.source.to_string())
     };
     let name = |accepted: Option<&AcceptedVersion>| {
         accepted.map_or("nothing".to_owned(), |a| format!("version {}", a.version))
     };
-    line_diff(
-        &source(before),
-        &source(winner),
-        &name(before),
-        &name(winner),
-    )
+    line_diff(&source(base), &source(current), &name(base), &name(current))
 }
 
-/// Waits until every process at these admin addresses shows the version. Errors with
-/// those that don't after `wait_ms`.
+/// Waits until the version is active at every process at these admin addresses. Fails after
+/// `wait_ms` with the processes where it is not.
 pub async fn wait_until_active(
     processes: &[SocketAddr],
     published: &Published,
@@ -186,26 +184,26 @@
     mut progress: impl FnMut(PublishProgress),
 ) -> Result<(), ControlError> {
     let end = Instant::now() + Duration::from_millis(wait_ms);
-    let mut shown = usize::MAX;
+    let mut reported = usize::MAX;
     loop {
         let replies = statuses(processes).await;
-        let behind: Vec<String> = replies
+        let inactive: Vec<String> = replies
             .iter()
             .filter(|reply| !is_active(reply, &published.customer, published.version))
             .map(|reply| reply.address.to_string())
             .collect();
-        let reached = processes.len() - behind.len();
-        if reached != shown {
-            progress(PublishProgress::Active(reached, processes.len()));
-            shown = reached;
+        let active_count = processes.len() - inactive.len();
+        if active_count != reported {
+            progress(PublishProgress::Active(active_count, processes.len()));
+            reported = active_count;
         }
-        if behind.is_empty() {
+        if inactive.is_empty() {
             return Ok(());
         }
         if Instant::now() >= end {
             return Err(ControlError::NotActive(
                 published.version,
-                behind.join(", "),
+                inactive.join(", "),
             ));
         }
         sleep(STATUS_POLL_INTERVAL).await;
--- a/components/control/src/rollback.rs
+++ b/components/control/src/rollback.rs
@@ -1,5 +1,5 @@
-//! Rolling a model back: the operator raises the epoch, so that no announcement made
-//! before it counts any more.
+//! Rolls a model back: the operator raises the epoch, which invalidates every weight announcement
+//! made before.
 
 use std::net::SocketAddr;
 
@@ -13,13 +13,13 @@
 
 const STATUS_OK: u16 = 200;
 
-/// What to roll back.
+/// Parameters of a rollback.
 pub struct Rollback<'a> {
     /// Public address of any entry.
     pub entry: SocketAddr,
-    /// The operator's token.
+    /// Bearer token with the operator role.
     pub token: &'a str,
-    /// The model.
+    /// Model to roll back.
     pub service: &'a ServiceName,
     /// Version to serve from now on, under a new epoch.
     pub version: WeightVersion,
@@ -30,12 +30,12 @@
     version: String,
 }
 
-/// Rolls back; gives the entry's answer. Errors when it is refused.
+/// Rolls the model back and returns the entry's answer. Fails if the entry refuses.
 pub async fn roll_back(rollback: &Rollback<'_>) -> Result<String, ControlError> {
-    let wanted = RollbackBody {
+    let body = RollbackBody {
         version: rollback.version.to_string(),
     };
-    let body = serde_json::to_vec(&wanted)
+    let body = serde_json::to_vec(&body)
         .map_err(|reason| ControlError::Malformed(rollback.entry, reason))?;
     let path = format!("/v1/training/{}/rollback", rollback.service);
     let request = Request {
--- a/components/control/src/text.rs
+++ b/components/control/src/text.rs
@@ -1,4 +1,4 @@
-//! Files of the operator: a configuration text, a token.
+//! Reads the operator's files: configuration texts and tokens.
 
 use std::path::Path;
 
@@ -6,23 +6,24 @@
 
 use crate::ControlError;
 
-/// A text that may be published, and what was let pass.
+/// A text that passed the check.
 pub struct CheckedConfig {
-    /// The file's text as it stands.
+    /// The unmodified text of the file.
     pub source: String,
-    /// The text after reading.
+    /// The configuration parsed from `source`.
     pub config: CustomerConfig,
-    /// Complaints that stop nothing.
+    /// Complaints that do not prevent the publish.
     pub warnings: Complaints,
 }
 
-/// Reads and checks a file against the texts of the other customers. Errors when it
-/// cannot be read or does not pass.
+/// Reads a file and checks it against the configurations of the other customers. Fails if the file
+/// cannot be read or its text is refused.
 pub fn check_file(path: &Path, ledger: Option<&Ledger>) -> Result<CheckedConfig, ControlError> {
     check_source(read_file(path)?, &path.to_string_lossy(), ledger)
 }
 
-/// Checks a text that came from `file`. Errors when it does not pass.
+/// Checks a text that was read from `file`. Fails if the text is refused. Without a ledger, the
+/// text is checked on its own.
 pub fn check_source(
     source: String,
     file: &str,
@@ -43,12 +44,12 @@
     })
 }
 
-/// Reads a token from a file of one line.
+/// Reads a token from a file with a single line.
 pub fn read_token(path: &Path) -> Result<String, ControlError> {
     let text = read_file(path)?;
     let token = text.trim();
-    let printable = token.bytes().all(|byte| byte.is_ascii_graphic());
-    if token.is_empty() || !printable {
+    let is_printable = token.bytes().all(|byte| byte.is_ascii_graphic());
+    if token.is_empty() || !is_printable {
         return Err(ControlError::InvalidToken(path.to_owned()));
     }
     Ok(token.to_owned())
--- a/components/control/tests/publish.rs
+++ b/components/control/tests/publish.rs
@@ -1,5 +1,4 @@
-//! Publishing under the faults of the log and the races of operators, against the
-//! stand-in of the log.
+//! Publishing during faults of the log and races between operators, against a stand-in for the log.
 
 #![allow(clippy::unwrap_used, clippy::panic)]
 
@@ -11,12 +10,12 @@
 use standins::log::{self, LogSettings};
 use standins::{Fault, FaultKind, Handle};
 
-struct Desk {
+struct Fixture {
     log: LogClient,
     standin: Handle,
 }
 
-async fn desk() -> Desk {
+async fn fixture() -> Fixture {
     let standin = log::start(LogSettings::new(([127, 0, 0, 1], 0).into()))
         .await
         .unwrap();
@@ -24,7 +23,7 @@
         deadline_ms: 500,
         ..ClientSettings::default()
     };
-    Desk {
+    Fixture {
         log: LogClient::new(standin.address, &settings),
         standin,
     }
@@ -38,13 +37,24 @@
     check_source(source, "office.toml", None).unwrap()
 }
 
-const BY_ITSELF: PublishSettings = PublishSettings {
+const DEFAULT_SETTINGS: PublishSettings = PublishSettings {
     base: None,
     id: None,
 };
 
-async fn put(desk: &Desk, history: &mut History, limit: u32) -> Result<u64, ControlError> {
-    let published = publish(&desk.log, history, &text(limit), &BY_ITSELF, |_| {}).await?;
+async fn publish_limit(
+    fixture: &Fixture,
+    history: &mut History,
+    limit: u32,
+) -> Result<u64, ControlError> {
+    let published = publish(
+        &fixture.log,
+        history,
+        &text(limit),
+        &DEFAULT_SETTINGS,
+        |_| {},
+    )
+    .await?;
     Ok(published.version)
 }
 
@@ -55,11 +65,11 @@
     versions: u64,
 }
 
-/// The operator publishes while the log misbehaves. He either gets the version, or an
-/// error that says whether anything can have been applied. A lost answer is made good by
-/// an append with the same id, which readers count once; so one version comes of it.
+/// Guards against a wrong report to the operator while the log is faulty: a publish must either
+/// return its version or an error that states whether it can have been applied. Repeated appends
+/// after lost answers must create only one version.
 #[tokio::test]
-async fn can_publish_or_say_the_truth_under_faults_of_the_log() {
+async fn can_publish_or_report_the_outcome_during_faults_of_the_log() {
     let cases = [
         Case {
             name: "one answer is lost though the record was appended",
@@ -68,13 +78,13 @@
             versions: 1,
         },
         Case {
-            name: "two tries meet an outage",
+            name: "two attempts fail during an outage",
             fault: Fault::new(FaultKind::Outage).times(2),
             code: None,
             versions: 1,
         },
         Case {
-            name: "the outage goes on",
+            name: "the outage does not end",
             fault: Fault::new(FaultKind::Outage),
             code: Some(ExitCode::Unreachable),
             versions: 0,
@@ -87,14 +97,14 @@
         },
     ];
     for case in cases {
-        let desk = desk().await;
-        let mut history = read_history(&desk.log).await.unwrap();
-        desk.standin.fault(case.fault);
-        let result = put(&desk, &mut history, 10).await;
-        desk.standin.clear_faults();
+        let fixture = fixture().await;
+        let mut history = read_history(&fixture.log).await.unwrap();
+        fixture.standin.fault(case.fault);
+        let result = publish_limit(&fixture, &mut history, 10).await;
+        fixture.standin.clear_faults();
         let code = result.as_ref().err().map(ControlError::exit_code);
         assert_eq!(code, case.code, "{}: {result:?}", case.name);
-        let after = read_history(&desk.log).await.unwrap();
+        let after = read_history(&fixture.log).await.unwrap();
         let newest = after
             .ledger
             .all()
@@ -104,44 +114,44 @@
     }
 }
 
-/// Two operators read the same version and publish one after the other. The second gets
-/// the first one's change as a diff and exit code 4; nothing of his text is applied,
-/// because the log's order decides and his base is no longer current.
+/// Guards against lost updates: two operators publish on the same version, and the second must get
+/// the first one's changes as a diff and exit code 4. Nothing of the second text may be applied,
+/// because its base is no longer current.
 #[tokio::test]
-async fn errors_with_the_winners_diff_when_a_race_is_lost() {
-    let desk = desk().await;
-    let mut first = read_history(&desk.log).await.unwrap();
-    put(&desk, &mut first, 10).await.unwrap();
-    let mut second = read_history(&desk.log).await.unwrap();
-    assert_eq!(put(&desk, &mut first, 20).await.unwrap(), 2);
-    let lost = put(&desk, &mut second, 30).await.unwrap_err();
+async fn errors_with_the_diff_of_the_first_publish_when_a_race_is_lost() {
+    let fixture = fixture().await;
+    let mut first = read_history(&fixture.log).await.unwrap();
+    publish_limit(&fixture, &mut first, 10).await.unwrap();
+    let mut second = read_history(&fixture.log).await.unwrap();
+    assert_eq!(publish_limit(&fixture, &mut first, 20).await.unwrap(), 2);
+    let lost = publish_limit(&fixture, &mut second, 30).await.unwrap_err();
     assert_eq!(lost.exit_code(), ExitCode::LostRace);
     let ControlError::LostRace(_, diff) = &lost else {
         panic!("{lost}");
     };
     assert!(diff.contains("-requests_per_s = 10"), "{diff}");
     assert!(diff.contains("+requests_per_s = 20"), "{diff}");
-    let after = read_history(&desk.log).await.unwrap();
+    let after = read_history(&fixture.log).await.unwrap();
     let accepted = after.ledger.all().next().unwrap();
     assert_eq!(accepted.version, 2);
     assert!(accepted.source.contains("= 20"));
 }
 
-/// An operator states the version that his text was made on, and it is no longer the
-/// current one. He is refused like the loser of a race, with what came since.
+/// Guards against lost updates when an operator states a base that is no longer current: the
+/// publish must be refused with the changes made since that base.
 #[tokio::test]
 async fn errors_when_the_stated_base_is_no_longer_current() {
-    let desk = desk().await;
-    let mut history = read_history(&desk.log).await.unwrap();
-    put(&desk, &mut history, 10).await.unwrap();
-    put(&desk, &mut history, 20).await.unwrap();
+    let fixture = fixture().await;
+    let mut history = read_history(&fixture.log).await.unwrap();
+    publish_limit(&fixture, &mut history, 10).await.unwrap();
+    publish_limit(&fixture, &mut history, 20).await.unwrap();
     let stated = PublishSettings {
         base: Some(1),
         id: None,
     };
-    let refused = publish(&desk.log, &mut history, &text(30), &stated, |_| {}).await;
+    let refused = publish(&fixture.log, &mut history, &text(30), &stated, |_| {}).await;
     let ControlError::LostRace(_, diff) = refused.unwrap_err() else {
-        panic!("not a lost race");
+        panic!("expected ControlError::LostRace");
     };
     assert!(diff.contains("+requests_per_s = 20"), "{diff}");
 }
