--- a/components/node/src/gossip_loop.rs
+++ b/components/node/src/gossip_loop.rs
@@ -123,7 +123,7 @@
         let Some(round) = self.rumours.start_round(&peers, now_ms, rng) else {
             return;
         };
-        let mut messages = round.news;
+        let mut messages = round.messages;
         messages.push(self.config_read_message(now_ms));
         for target in round.targets {
             self.send(target, messages.clone()).await;
--- a/components/node/src/gossip_receive.rs
+++ b/components/node/src/gossip_receive.rs
@@ -41,7 +41,7 @@
     async fn send_known_facts(&mut self, to: SocketAddr, now_ms: u64) {
         let mut facts: Vec<GossipMessage> = self
             .rumours
-            .known_news(now_ms)
+            .known_messages(now_ms)
             .take(INITIAL_FACTS_MAX)
             .collect();
         facts.push(self.config_read_message(now_ms));
