--- a/components/link/src/answer.rs
+++ b/components/link/src/answer.rs
@@ -66,7 +66,7 @@
 }
 
 impl AnswerControl {
-    /// Returns window to the sender after the caller has acknowledged `bytes`.
+    /// Adds `bytes`, which the caller has acknowledged, back to the sender's window.
     pub fn credit(&self, bytes: usize) {
         self.window.add_permits(bytes);
     }
--- a/components/link/src/connection.rs
+++ b/components/link/src/connection.rs
@@ -45,7 +45,7 @@
     pub peer: Hello,
     pub reader: FrameReader,
     pub writer: FrameWriter,
-    /// Bytes that were read after the peer's `Hello`; the start of its first frame.
+    /// Bytes that were read after the peer's `Hello`, if any: the start of its next frames.
     pub unread: BytesMut,
 }
 
@@ -68,7 +68,7 @@
     /// the connection ends by itself, `closed` receives the reason and may return a last item
     /// for `frames`.
     pub fn start<T: Send + 'static>(
-        greeted: EstablishedConnection,
+        established: EstablishedConnection,
         clock: Clock,
         counters: Counters,
         frames: mpsc::Sender<T>,
@@ -81,7 +81,7 @@
             reader,
             writer,
             unread,
-        } = greeted;
+        } = established;
         let (queue, outbound) = mpsc::channel(QUEUE_FRAMES_MAX);
         let last_received_ms = Arc::new(AtomicU64::new(clock.now_ms()));
         let last_received = last_received_ms.clone();
--- a/components/link/src/server.rs
+++ b/components/link/src/server.rs
@@ -104,7 +104,7 @@
             tokio::select! {
                 Some(established) = acceptor.established.recv() => self.add_connection(established),
                 Some(event) = events.recv() => self.handle_connection_event(event),
-                Some((id, answer_event)) = answer_events.recv() => self.handle_answer_event(id, answer_event),
+                Some((id, event)) = answer_events.recv() => self.handle_answer_event(id, event),
                 _ = ticks.tick(), if holds_calls => self.handle_tick(),
                 () = &mut stop, if !stopping => {
                     stopping = true;
@@ -184,12 +184,12 @@
     fn handle_tick(&mut self) {
         let now_ms = self.clock.now_ms();
         self.update_table(|table, actions| table.tick(now_ms, actions));
-        let active = self.table.outstanding();
+        let active_connections = self.table.outstanding();
         let mut dead = Vec::new();
         for (&number, served) in &mut self.connections {
-            let active = active.contains(&number);
+            let is_active = active_connections.contains(&number);
             let last_received_ms = served.connection.last_received_ms();
-            match served.silence.check(active, last_received_ms, now_ms) {
+            match served.silence.check(is_active, last_received_ms, now_ms) {
                 Watch::Idle | Watch::Until { .. } => {}
                 Watch::Ping { number: ping } => {
                     let _ = served.connection.send(Frame::Ping { number: ping });
--- a/components/link/tests/common/mod.rs
+++ b/components/link/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! A caller and a callee on loopback sockets, and a proxy between them that can close
 //! connections or stop forwarding.
-#![allow(dead_code, clippy::unwrap_used)] // clippy.toml exempts test functions only, not their helpers.
+#![allow(dead_code, clippy::unwrap_used)] // clippy.toml exempts only test functions.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/components/link/tests/runtime_shutdown.rs
+++ b/components/link/tests/runtime_shutdown.rs
@@ -1,5 +1,5 @@
 //! Calls that are started while their runtime shuts down.
-#![allow(clippy::unwrap_used)] // clippy.toml exempts test functions only, not their helpers.
+#![allow(clippy::unwrap_used)] // clippy.toml exempts only test functions.
 
 mod common;
 
--- a/components/node/src/feed_queue.rs
+++ b/components/node/src/feed_queue.rs
@@ -69,7 +69,7 @@
         self.newer_peer = from;
         self.fetch_or_enqueue(ledger, digest.customer.clone(), newer);
         if ledger.customers_record().is_none()
-            && start_if_due(&mut self.list_requested_ms, LIST_INTERVAL_MS)
+            && record_request_if_due(&mut self.list_requested_ms, LIST_INTERVAL_MS)
         {
             self.fetch(from, FetchTarget::Customers);
         }
@@ -117,7 +117,7 @@
         if !several && self.newer_digests == 0 {
             return;
         }
-        if start_if_due(&mut self.versions_requested_ms, VERSIONS_INTERVAL_MS) {
+        if record_request_if_due(&mut self.versions_requested_ms, VERSIONS_INTERVAL_MS) {
             let peer = self.newer_peer;
             let from = if several {
                 tailer_or(tailers, peer)
@@ -169,12 +169,12 @@
 
 /// Returns whether the last request is at least `interval_ms` ago, and if so records the time of
 /// the new request.
-fn start_if_due(requested_ms: &mut Option<u64>, interval_ms: u64) -> bool {
+fn record_request_if_due(requested_ms: &mut Option<u64>, interval_ms: u64) -> bool {
     let now_ms = now_ms();
-    let due =
+    let is_due =
         requested_ms.is_none_or(|requested_ms| now_ms.saturating_sub(requested_ms) >= interval_ms);
-    if due {
+    if is_due {
         *requested_ms = Some(now_ms);
     }
-    due
+    is_due
 }
--- a/components/node/src/leave.rs
+++ b/components/node/src/leave.rs
@@ -31,10 +31,10 @@
 
     /// Triggers the drain when `stop` completes.
     pub fn trigger_on(&self, stop: impl Future<Output = ()> + Send + 'static) {
-        let leaving = self.clone();
+        let signal = self.clone();
         tokio::spawn(async move {
             stop.await;
-            leaving.trigger();
+            signal.trigger();
         });
     }
 
@@ -54,8 +54,8 @@
 
 /// Waits until the drain is triggered, announces it to the other processes, and completes when
 /// new work is to be refused.
-pub async fn announce_and_settle(drain: &Drain, gossip: &Gossip, leaving: &DrainSignal) {
-    leaving.triggered().await;
+pub async fn announce_and_settle(drain: &Drain, gossip: &Gossip, signal: &DrainSignal) {
+    signal.triggered().await;
     if drain.start(now_ms()) {
         log::info!(event = "leaving", in_progress = drain.work_counter().count(); "");
     }
@@ -69,8 +69,8 @@
 ///
 /// Without work in progress it does not complete: what remains are answers that callers have
 /// not yet acknowledged and connections, which end by themselves.
-pub async fn wait_for_drain_timeout(drain: &Drain, leaving: &DrainSignal) {
-    leaving.triggered().await;
+pub async fn wait_for_drain_timeout(drain: &Drain, signal: &DrainSignal) {
+    signal.triggered().await;
     loop {
         match drain.next_action(now_ms()) {
             DrainAction::Exit { cut_off } if cut_off > 0 => {
--- a/components/protocol/src/datagram.rs
+++ b/components/protocol/src/datagram.rs
@@ -109,7 +109,7 @@
 /// recipients.
 #[wire]
 pub enum GossipMessage {
-    /// Asks the receiver for a sign of life; an agent answers with its status.
+    /// Checks that the receiver is alive; an agent answers with its status.
     Probe,
     /// State of an agent.
     Status(Box<Status>),
--- a/components/protocol/tests/datagrams.rs
+++ b/components/protocol/tests/datagrams.rs
@@ -1,5 +1,5 @@
 //! Encoding and authentication of datagrams.
-#![allow(clippy::unwrap_used)] // clippy.toml exempts test functions only, not their helpers.
+#![allow(clippy::unwrap_used)] // clippy.toml exempts only test functions.
 
 use protocol::{
     CodecError, DATAGRAM_BYTES_MAX, Datagram, GossipMessage, Key, Keys, ProcessRole, read_datagram,
@@ -29,9 +29,13 @@
 checks::seeded! {
     fn can_split_any_number_of_messages(numbers: Vec<u64>, repeat: u8) -> bool {
         let numbers = numbers.repeat(usize::from(repeat));
-        let messages: Vec<_> = numbers.iter().map(|&number| GossipMessage::Leaving { node: node(number) }).collect();
+        let messages: Vec<_> = numbers
+            .iter()
+            .map(|&number| GossipMessage::Leaving { node: node(number) })
+            .collect();
         let keys = keys();
-        let (packets, errors) = write_datagram(&datagram(messages.clone()), keys.signing()).unwrap();
+        let (packets, errors) =
+            write_datagram(&datagram(messages.clone()), keys.signing()).unwrap();
         let decoded = packets.iter().map(|packet| read_datagram(packet, &keys).unwrap());
         let decoded: Vec<GossipMessage> = decoded.flat_map(|part| part.messages).collect();
         let all_fit = packets.iter().all(|packet| packet.len() <= DATAGRAM_BYTES_MAX);
--- a/components/protocol/tests/frames.rs
+++ b/components/protocol/tests/frames.rs
@@ -1,5 +1,5 @@
 //! Encoding and authentication of frames and the handshake.
-#![allow(clippy::unwrap_used)] // clippy.toml exempts test functions only, not their helpers.
+#![allow(clippy::unwrap_used)] // clippy.toml exempts only test functions.
 
 use bytes::{Bytes, BytesMut};
 use protocol::{
