--- a/components/claims/src/holder.rs
+++ b/components/claims/src/holder.rs
@@ -10,7 +10,7 @@
 
 /// What the entry does next.
 #[value]
-pub enum HolderStep {
+pub enum ClaimAction {
     /// Send the claim to the shard's writer of this rank (see [`crate::writers_of`]; rank
     /// modulo their number) and ask again when its verdict comes or the time is over.
     Send {
@@ -27,36 +27,36 @@
     /// The key's call has ended or runs: answer from the verdict.
     Answer(Verdict),
     /// Final answer: not run. Append [`Holder::release`] when the log can be had.
-    GiveUp(Failure),
+    Abandon(Failure),
 }
 
 #[value]
 enum State {
-    Claiming { tries: usize, next_ms: u64 },
+    Claiming { attempts: usize, next_ms: u64 },
     Won,
     Started,
-    Other(Verdict),
-    GivenUp,
+    Decided(Verdict),
+    Abandoned,
 }
 
 /// One keyed submission.
 #[value]
-pub struct Holder {
+pub struct ClaimHolder {
     settings: ClaimSettings,
     claim: Claim,
-    made_ms: u64,
+    created_ms: u64,
     state: State,
 }
 
-impl Holder {
+impl ClaimHolder {
     /// Makes the claim now.
     pub fn new(claim: Claim, settings: ClaimSettings, now_ms: u64) -> Self {
         Self {
             settings,
             claim,
-            made_ms: now_ms,
+            created_ms: now_ms,
             state: State::Claiming {
-                tries: 0,
+                attempts: 0,
                 next_ms: now_ms,
             },
         }
@@ -68,26 +68,29 @@
     }
 
     /// What to do now.
-    pub fn step(&mut self, now_ms: u64) -> HolderStep {
-        if self.is_late(now_ms) && matches!(self.state, State::Claiming { .. } | State::Won) {
-            self.state = State::GivenUp;
+    pub fn next_action(&mut self, now_ms: u64) -> ClaimAction {
+        if self.is_expired(now_ms) && matches!(self.state, State::Claiming { .. } | State::Won) {
+            self.state = State::Abandoned;
         }
         match &mut self.state {
-            State::Claiming { tries, next_ms } if now_ms >= *next_ms => {
+            State::Claiming {
+                attempts: tries,
+                next_ms,
+            } if now_ms >= *next_ms => {
                 let rank = *tries;
                 *tries += 1;
-                *next_ms = now_ms + self.settings.try_again_ms;
-                HolderStep::Send { rank }
+                *next_ms = now_ms + self.settings.retry_interval_ms;
+                ClaimAction::Send { rank }
             }
             State::Claiming { next_ms, .. } => {
-                let last_ms = self.made_ms + self.settings.start_within_ms;
-                HolderStep::WaitUntil {
+                let last_ms = self.created_ms + self.settings.start_within_ms;
+                ClaimAction::WaitUntil {
                     at_ms: last_ms.min(*next_ms),
                 }
             }
-            State::Won | State::Started => HolderStep::Run,
-            State::Other(verdict) => HolderStep::Answer(verdict.clone()),
-            State::GivenUp => HolderStep::GiveUp(self.unavailable()),
+            State::Won | State::Started => ClaimAction::Run,
+            State::Decided(verdict) => ClaimAction::Answer(verdict.clone()),
+            State::Abandoned => ClaimAction::Abandon(self.unavailable()),
         }
     }
 
@@ -98,7 +101,7 @@
         }
         self.state = match verdict {
             Verdict::Won => State::Won,
-            other => State::Other(other),
+            other => State::Decided(other),
         };
     }
 
@@ -117,8 +120,8 @@
     /// It looks at how old the claim is, not at when the verdict came, because a verdict
     /// may have been on its way or in a queue for just as long.
     pub fn start(&mut self, now_ms: u64) -> Result<(), Failure> {
-        if self.state != State::Won || self.is_late(now_ms) {
-            self.give_up();
+        if self.state != State::Won || self.is_expired(now_ms) {
+            self.abandon();
             return Err(self.unavailable());
         }
         self.state = State::Started;
@@ -127,22 +130,22 @@
 
     /// The entry will not run the call: its caller went away or there is no endpoint.
     /// Without effect once started.
-    pub fn give_up(&mut self) {
+    pub fn abandon(&mut self) {
         if matches!(self.state, State::Claiming { .. } | State::Won) {
-            self.state = State::GivenUp;
+            self.state = State::Abandoned;
         }
     }
 
     /// A call that was started has ended as provably not run: it may be claimed anew.
-    pub fn not_run(&mut self) {
+    pub fn record_not_run(&mut self) {
         if self.state == State::Started {
-            self.state = State::GivenUp;
+            self.state = State::Abandoned;
         }
     }
 
     /// Record that lets others claim the key; only of a claim that was given up.
     pub fn release(&self) -> Option<Record> {
-        (self.state == State::GivenUp).then_some(Record::Release {
+        (self.state == State::Abandoned).then_some(Record::Release {
             key: self.claim.key,
             claim: self.claim.claim,
         })
@@ -157,8 +160,8 @@
         })
     }
 
-    fn is_late(&self, now_ms: u64) -> bool {
-        now_ms.saturating_sub(self.made_ms) > self.settings.start_within_ms
+    fn is_expired(&self, now_ms: u64) -> bool {
+        now_ms.saturating_sub(self.created_ms) > self.settings.start_within_ms
     }
 
     fn unavailable(&self) -> Failure {
--- a/components/config/src/diff.rs
+++ b/components/config/src/diff.rs
@@ -1,22 +1,22 @@
-//! Differences between two texts, line by line.
+//! Line-based differences between two texts.
 
 use similar::TextDiff;
 
-/// Lines around a difference that are shown with it.
+/// Unchanged lines shown around each difference.
 const CONTEXT_LINES: usize = 3;
-/// Most lines of each text that are compared one by one: the work grows with their
-/// product, and there is no clock here to stop it.
+/// Maximum number of lines per text for a minimal diff: its cost grows with the product of both
+/// lengths, and without a clock there is no timeout.
 const LINES_MAX: usize = 4_000;
 
-/// The differences as a unified diff with these names at its head; empty if there are
-/// none. Texts of very many lines are shown as replaced from their first difference to
-/// their last.
+/// Returns a unified diff with the given names in its header, or an empty text if there are no
+/// differences. For texts above the line limit, everything from the first to the last difference is
+/// shown as replaced.
 pub fn line_diff(old: &str, new: &str, old_name: &str, new_name: &str) -> String {
     if old == new {
         return String::new();
     }
     if old.lines().count().max(new.lines().count()) > LINES_MAX {
-        return replaced(old, new, old_name, new_name);
+        return replacement_diff(old, new, old_name, new_name);
     }
     TextDiff::from_lines(old, new)
         .unified_diff()
@@ -25,7 +25,7 @@
         .to_string()
 }
 
-fn replaced(old: &str, new: &str, old_name: &str, new_name: &str) -> String {
+fn replacement_diff(old: &str, new: &str, old_name: &str, new_name: &str) -> String {
     let (old, new): (Vec<&str>, Vec<&str>) = (old.lines().collect(), new.lines().collect());
     let same = |(a, b): &(&&str, &&str)| a == b;
     let head = old.iter().zip(&new).take_while(same).count();
@@ -40,12 +40,16 @@
         removed.len(),
         added.len()
     );
-    removed.iter().for_each(|line| push(&mut diff, '-', line));
-    added.iter().for_each(|line| push(&mut diff, '+', line));
+    removed
+        .iter()
+        .for_each(|line| push_line(&mut diff, '-', line));
+    added
+        .iter()
+        .for_each(|line| push_line(&mut diff, '+', line));
     diff
 }
 
-fn push(diff: &mut String, sign: char, line: &str) {
+fn push_line(diff: &mut String, sign: char, line: &str) {
     diff.push(sign);
     diff.push_str(line);
     diff.push('\n');
--- a/components/config/src/place.rs
+++ b/components/config/src/place.rs
@@ -1,15 +1,15 @@
-//! Places in a text.
+//! Positions in a text.
 
 use std::fmt;
 
 use derive::key;
 
-/// Line and column in a text, both from 1; the column counts characters.
+/// Line and column in a text, both starting at 1.
 #[key]
 pub struct Place {
-    /// The line.
+    /// Line number.
     pub line: u32,
-    /// The column, in characters.
+    /// Column number, counted in characters rather than bytes.
     pub column: u32,
 }
 
@@ -24,15 +24,16 @@
     }
 }
 
-/// Finds the place of a byte offset without counting lines from the start each time.
-pub(crate) struct Lines<'a> {
+/// Index of line starts, to look up the position of a byte offset without scanning the text from
+/// its start.
+pub(crate) struct LineIndex<'a> {
     text: &'a str,
     starts: Vec<usize>,
 }
 
-impl<'a> Lines<'a> {
-    pub(crate) fn of(text: &'a str) -> Self {
-        let breaks = text.match_indices('\n').map(|(at, _)| at + 1);
+impl<'a> LineIndex<'a> {
+    pub(crate) fn new(text: &'a str) -> Self {
+        let breaks = text.match_indices('\n').map(|(offset, _)| offset + 1);
         Self {
             text,
             starts: std::iter::once(0).chain(breaks).collect(),
@@ -44,12 +45,12 @@
         let start = self.starts.get(line - 1).copied().unwrap_or(0);
         let before = self.text.get(start..byte).unwrap_or("");
         Place {
-            line: narrow(line),
-            column: narrow(before.chars().count() + 1),
+            line: saturating_u32(line),
+            column: saturating_u32(before.chars().count() + 1),
         }
     }
 }
 
-fn narrow(number: usize) -> u32 {
+fn saturating_u32(number: usize) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
--- a/components/config/tests/view.rs
+++ b/components/config/tests/view.rs
@@ -1,7 +1,8 @@
-//! Who may do what, dependencies between customers, and the check before a publish.
+//! Permissions of tokens, dependencies between customers, and the check of a text before it is
+//! published.
 
 use config::{
-    Holder, Ledger, Publish, Record, TokenDigest, UnmetCause, Verdict, View, check, parse,
+    Ledger, Publish, Record, TokenDigest, TokenHolder, UnmetCause, Verdict, View, check, parse,
 };
 use types::{Class, CustomerName, ServiceName};
 
@@ -27,14 +28,14 @@
     format!("[[token]]\nname = \"{name}\"\nrole = \"{role}\"\nsha256 = \"{digest}\"\n{rest}\n")
 }
 
-/// Publishes texts one after the other, each on the customer's current version.
+/// Publishes the texts in order, each based on its customer's current version.
 fn publish(ledger: &mut Ledger, texts: &[String]) {
     for text in texts {
         let name = parse(text, "f").expect("a good text").customer;
         let current = ledger.current(&name).cloned();
         let offset = ledger.next_offset();
         let id = format!("id-{offset}");
-        let record = Publish::on(name, current.as_deref(), &id, text);
+        let record = Publish::based_on(name, current.as_deref(), &id, text);
         let verdict = ledger.apply(offset, &Record::Publish(record));
         assert!(matches!(verdict, Verdict::Accepted { .. }), "{verdict:?}");
     }
@@ -104,7 +105,7 @@
         case("visitor", "office", "register", false),
     ];
     for case in cases {
-        let holder = view.holder(case.token).expect("the token is known");
+        let holder = view.authenticate(case.token).expect("the token is known");
         let may = view.may_call(holder, &customer(case.owner), &service(case.service));
         assert_eq!(
             may, case.may,
@@ -112,13 +113,13 @@
             case.token, case.owner, case.service
         );
     }
-    assert!(view.holder("clerk ").is_none() && view.holder("").is_none());
+    assert!(view.authenticate("clerk ").is_none() && view.authenticate("").is_none());
 }
 
 #[test]
 fn can_tell_who_may_train_and_operate() {
     let view = View::of(&ledger(&sites()));
-    let holder = |token| view.holder(token).expect("the token is known");
+    let holder = |token| view.authenticate(token).expect("the token is known");
     assert!(view.may_train(holder("trainer"), &service("draft")));
     assert!(!view.may_train(holder("trainer"), &service("desk")));
     assert!(!view.may_train(holder("other-trainer"), &service("draft")));
@@ -128,11 +129,11 @@
 }
 
 #[test]
-fn can_keep_a_caller_from_a_better_class_than_its_token_s() {
+fn can_limit_a_caller_to_the_class_of_its_token() {
     let view = View::of(&ledger(&sites()));
     let desk = view.service(&customer("office"), &service("desk")).unwrap();
     let of = |token, asked| {
-        let holder: &Holder = view.holder(token).expect("the token is known");
+        let holder: &TokenHolder = view.authenticate(token).expect("the token is known");
         holder.class_of(asked, desk)
     };
     assert_eq!(of("clerk", None), Class::Interactive);
@@ -158,30 +159,30 @@
 }
 
 #[test]
-fn can_keep_a_token_from_a_customer_that_copied_its_digest() {
-    // A customer reads the digest of another's token on the log and writes it into its
-    // own text. The other's calls must not count as its own; with a plain token they
-    // are refused, with one that names its customer they go on.
+fn can_protect_a_token_whose_digest_another_customer_copied() {
+    // A customer reads the digest of another's token from the log and puts it into its own text.
+    // The other customer's calls must not be attributed to it: calls with a plain token are
+    // refused, and calls with a token that names its customer still succeed.
     let copies = |name: &str| {
         let plain = token("plain", "caller", "");
         [head(name), plain, token("office.secret", "caller", "")].concat()
     };
     let mut ledger = ledger(&[copies("office")]);
-    assert!(View::of(&ledger).holder("plain").is_some());
+    assert!(View::of(&ledger).authenticate("plain").is_some());
     publish(&mut ledger, &[copies("thief")]);
     let view = View::of(&ledger);
     assert_eq!(
-        view.holder("office.secret").unwrap().customer,
+        view.authenticate("office.secret").unwrap().customer,
         customer("office")
     );
-    assert!(view.holder("plain").is_none());
+    assert!(view.authenticate("plain").is_none());
     assert_eq!(view.shared_tokens().count(), 4);
 }
 
 #[test]
-fn can_put_a_dependency_in_and_out_of_force_as_its_owner_changes() {
-    // The Collective's text depends on the Office's register and stays accepted all
-    // the time. What it may call follows from the Office's text of the moment.
+fn can_activate_and_deactivate_a_dependency_as_its_owner_changes() {
+    // The collective's text depends on the office's service `register` and stays accepted
+    // throughout. Whether it may call the service follows from the office's text at each time.
     let depends = &sites()[1];
     let office = |register: &str| format!("{}{register}", head("office"));
     let shared = plain("register", "shared_with = [\"collective\"]");
@@ -197,16 +198,19 @@
     for (name, text, wanted) in steps {
         publish(&mut ledger, text.as_slice());
         let view = View::of(&ledger);
-        let unmet = view.unmet().first().map(|unmet| unmet.cause.clone());
+        let unmet = view
+            .unmet_dependencies()
+            .first()
+            .map(|unmet| unmet.cause.clone());
         assert_eq!(unmet, wanted, "{name}");
-        let dealer = view.holder("dealer").unwrap();
+        let dealer = view.authenticate("dealer").unwrap();
         let may = view.may_call(dealer, &customer("office"), &service("register"));
         assert_eq!(may, wanted.is_none(), "{name}");
     }
 }
 
-/// Three customers whose services depend on one another in a ring.
-fn ring() -> Vec<String> {
+/// Three customers whose services depend on each other in a cycle.
+fn cyclic_texts() -> Vec<String> {
     let one = |name: &str, next: &str, before: &str| {
         let rest = format!("depends_on = [\"{next}.s\"]\nshared_with = [\"{before}\", \"d\"]");
         [head(name), plain("s", &rest)].concat()
@@ -215,23 +219,23 @@
 }
 
 #[test]
-fn can_keep_a_cycle_between_customers_out_of_force() {
+fn can_deactivate_the_dependencies_of_a_cycle_between_customers() {
     let outside = [
         head("d"),
         plain("s", "depends_on = [\"a.s\"]"),
         token("t", "caller", ""),
     ];
-    let mut ledger = ledger(&ring()[..2]);
+    let mut ledger = ledger(&cyclic_texts()[..2]);
     assert!(
         View::of(&ledger)
-            .unmet()
+            .unmet_dependencies()
             .iter()
             .all(|one| one.cause == UnmetCause::NoCustomer)
     );
-    publish(&mut ledger, &[ring()[2].clone(), outside.concat()]);
+    publish(&mut ledger, &[cyclic_texts()[2].clone(), outside.concat()]);
     let view = View::of(&ledger);
     let found: Vec<String> = view
-        .unmet()
+        .unmet_dependencies()
         .iter()
         .map(|one| one.cause.to_string())
         .collect();
@@ -243,8 +247,8 @@
             "the dependencies form a cycle: c.s -> a.s -> b.s -> c.s",
         ]
     );
-    // One that only leads to the cycle is in force.
-    let holder = view.holder("t").unwrap();
+    // A dependency that only leads to the cycle is active.
+    let holder = view.authenticate("t").unwrap();
     assert!(view.may_call(holder, &customer("a"), &service("s")));
 }
 
@@ -272,7 +276,7 @@
     let cases = [
         case("a service that is shared", sites(), sites()[1].clone(), &[]),
         case(
-            "a customer that is not there",
+            "a customer without an accepted text",
             sites(),
             depends("offise.register"),
             &["6:15: error: customer 'offise' has no accepted text, did you mean 'office'?"],
@@ -284,33 +288,33 @@
             &["6:15: error: 'office.desk' is not shared with 'stranger'"],
         ),
         case(
-            "a service that is not there reads the same",
+            "a missing service, with the same message",
             sites(),
             depends("office.none"),
             &["6:15: error: 'office.none' is not shared with 'stranger'"],
         ),
         case(
             "the edge that closes a cycle between customers",
-            ring()[..2].to_vec(),
-            ring()[2].clone(),
+            cyclic_texts()[..2].to_vec(),
+            cyclic_texts()[2].clone(),
             &["6:15: error: the dependencies form a cycle: c.s -> a.s -> b.s -> c.s"],
         ),
         case(
             "another customer's token",
             sites(),
             [head("stranger"), token("clerk", "caller", "")].concat(),
-            &["4:8: error: token 'clerk' is another customer's as well"],
+            &["4:8: error: token 'clerk' is also used by another customer"],
         ),
         case(
-            "a service that another customer uses goes",
+            "a service that another customer uses is removed",
             sites(),
             head("office"),
             &[
-                "2:12: error: service 'register' cannot go while it is shared and used by collective.auction",
+                "2:12: error: service 'register' cannot be removed while it is shared with and used by collective.auction",
             ],
         ),
         case(
-            "it is no longer shared",
+            "a service that another customer uses is no longer shared",
             sites(),
             [head("office"), plain("register", "")].concat(),
             &[
@@ -357,7 +361,7 @@
         (view.customers().count(), view.services().count()),
         (500, 5_000)
     );
-    assert!(view.unmet().is_empty());
-    let holder = view.holder("t499").unwrap();
+    assert!(view.unmet_dependencies().is_empty());
+    let holder = view.authenticate("t499").unwrap();
     assert!(view.may_call(holder, &customer("c498"), &service("s0")));
 }
--- a/components/gateway/src/answer.rs
+++ b/components/gateway/src/answer.rs
@@ -3,13 +3,13 @@
 use std::sync::Arc;
 
 use bytes::{Bytes, BytesMut};
-use config::Kind;
+use config::ServiceKind;
 use futures_util::stream;
 use http::header::{CONTENT_LENGTH, HeaderName, HeaderValue};
 use http::{Response, StatusCode};
 use link::CallEvent;
 use protocol::Head;
-use recovery::Flowed;
+use recovery::Delivered;
 use types::{Cause, Failure, RunState};
 
 use crate::admission::{Admitted, admit};
@@ -86,7 +86,7 @@
 
     /// A completion that states its use costs only that.
     pub fn give_back_tokens(&mut self, answer: &[u8]) {
-        if self.exchange.job.service.kind == Kind::Model
+        if self.exchange.job.service.kind == ServiceKind::Model
             && let Some(tokens) = completion::used_tokens(answer)
         {
             self.admitted.used(tokens);
@@ -102,7 +102,7 @@
             match whole(&mut attempt).await {
                 Ok(bytes) => return Ok((head, Content::Whole(bytes))),
                 // The caller has seen nothing of it yet.
-                Err(failure) => self.exchange.again(failure, Flowed::Nothing).await?,
+                Err(failure) => self.exchange.again(failure, Delivered::Nothing).await?,
             };
         }
     }
--- a/components/gateway/src/status.rs
+++ b/components/gateway/src/status.rs
@@ -106,7 +106,7 @@
         isolated: snapshot.isolated,
         in_progress: gateway.drain.work_counter().count(),
         config: configured(&view),
-        unmet_dependencies: view.unmet().iter().map(unmet).collect(),
+        unmet_dependencies: view.unmet_dependencies().iter().map(unmet).collect(),
         members: snapshot.members.iter().map(member).collect(),
         services: services(gateway, &view),
         weights: weights
@@ -143,7 +143,7 @@
     customers
 }
 
-fn unmet(unmet: &config::Unmet) -> String {
+fn unmet(unmet: &config::UnmetDependency) -> String {
     format!("{} -> {}", unmet.from, unmet.to)
 }
 
@@ -156,7 +156,7 @@
             protocol::ProcessRole::Agent => "agent",
         },
         failure_domain: member.failure_domain.to_string(),
-        standing: format!("{:?}", member.standing).to_ascii_lowercase(),
+        standing: format!("{:?}", member.liveness).to_ascii_lowercase(),
         leaving: member.leaving,
     }
 }
@@ -165,15 +165,15 @@
     let known = view.services().filter_map(|service| {
         let state = gateway.services.get(&service.owner, &service.name)?;
         let table = state.table();
-        let room = state.gate.room();
+        let room = state.gate.capacity();
         Some(Service {
             owner: service.owner.to_string(),
             service: service.name.to_string(),
             in_progress: room.in_progress,
             waiting: state.gate.waiting(),
             slots: room.limit,
-            ejected: table.ejected(),
-            replicas: table.slots().iter().map(replica).collect(),
+            ejected: table.ejected_count(),
+            replicas: table.replica_states().iter().map(replica).collect(),
         })
     });
     let mut known: Vec<Service> = known.collect();
@@ -181,7 +181,7 @@
     known
 }
 
-fn replica(slot: &routing::Slot) -> Replica {
+fn replica(slot: &routing::ReplicaState) -> Replica {
     Replica {
         agent: slot.replica.node.to_string(),
         failure_domain: slot.replica.failure_domain.to_string(),
--- a/components/gateway/src/training/api.rs
+++ b/components/gateway/src/training/api.rs
@@ -3,13 +3,13 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use config::{Kind, Service};
+use config::{Service, ServiceKind};
 use http::{Method, Response};
 use node::now_ms;
 use samples::StepKey;
 use serde_json::to_vec;
 use types::{Cause, Class, Failure, ServiceName};
-use weights::{Announcement, ModelKey};
+use weights::{AnnounceOutcome, ModelKey};
 
 use super::bodies::{InForce, StepBody, Version, parse};
 use super::forward::to_home;
@@ -45,7 +45,7 @@
         TrainingRoute::Rollback => intake.session.operable(&service)?,
         _ => intake.session.trainable(&service)?,
     };
-    need_kind(&model, Kind::Model)?;
+    need_kind(&model, ServiceKind::Model)?;
     let _working = gateway.drain.admit(now_ms())?;
     let _place = place(&gateway, &intake)?;
     let deadline_at_ms = intake.deadline_at_ms(DEADLINE_MS);
@@ -74,7 +74,7 @@
     let place = account.training.take(rand::random())?;
     let entered = account
         .customer
-        .enter(Class::Background, 0, now_ms(), rand::random());
+        .admit(Class::Background, 0, now_ms(), rand::random());
     drop(entered?);
     Ok(place)
 }
@@ -103,7 +103,7 @@
         version,
     };
     let announcement = gateway.weights.announce(announced).await?;
-    let (Announcement::Changed(target) | Announcement::Known(target)) = announcement;
+    let (AnnounceOutcome::Changed(target) | AnnounceOutcome::Known(target)) = announcement;
     log::info!(
         event = "weights-announced", request_id = intake.request_id.as_str(),
         customer = model.owner.as_str(), service = model.name.as_str(),
--- a/components/link/src/outgoing.rs
+++ b/components/link/src/outgoing.rs
@@ -151,7 +151,8 @@
                 break;
             }
             let withdrawn = self.withdraw(id);
-            accepts_frames &= self.handle(id, AttemptEvent::Time { withdrawn }, connection, now_ms);
+            accepts_frames &=
+                self.handle(id, AttemptEvent::Timer { withdrawn }, connection, now_ms);
         }
         accepts_frames
     }
@@ -206,7 +207,7 @@
             return true;
         };
         let mut actions = Vec::new();
-        call.attempt.on(event, now_ms, &mut actions);
+        call.attempt.handle(event, now_ms, &mut actions);
         let mut accepts_frames = true;
         for action in actions {
             accepts_frames &= call.apply(action, connection);
--- a/components/link/src/peer.rs
+++ b/components/link/src/peer.rs
@@ -5,7 +5,7 @@
 use std::pin::Pin;
 
 use protocol::Frame;
-use recovery::{Silence, Watch, reconnect_after_ms};
+use recovery::{SilenceAction, SilenceDetector, reconnect_after_ms};
 use tokio::sync::mpsc;
 use tokio::time::sleep_until;
 
@@ -49,7 +49,7 @@
 struct LiveConnection {
     connection: Connection,
     frames: mpsc::Receiver<ReceivedFrame>,
-    silence: Silence,
+    silence: SilenceDetector,
     /// When to check again whether the peer is silent; `None` without calls in progress.
     silence_check_ms: Option<u64>,
 }
@@ -211,7 +211,8 @@
         let wrap = |received| received;
         let connection =
             Connection::start(established, self.clock, counters, frames_in, wrap, closed);
-        let silence = Silence::new(self.settings.ping_after_ms, self.settings.ping_deadline_ms);
+        let silence =
+            SilenceDetector::new(self.settings.ping_after_ms, self.settings.ping_deadline_ms);
         let accepts_frames = self
             .calls
             .handle_connected(&connection, self.clock.now_ms());
@@ -251,13 +252,13 @@
         let last_received_ms = live.connection.last_received_ms();
         let action = live.silence.check(has_calls, last_received_ms, now_ms);
         live.silence_check_ms = match action {
-            Watch::Idle => None,
-            Watch::Until { at_ms } => Some(at_ms),
-            Watch::Ping { number } => {
+            SilenceAction::Idle => None,
+            SilenceAction::CheckAt { at_ms } => Some(at_ms),
+            SilenceAction::Ping { number } => {
                 let _ = live.connection.send(Frame::Ping { number });
                 Some(now_ms + self.settings.ping_deadline_ms)
             }
-            Watch::Dead => {
+            SilenceAction::Dead => {
                 log::info!(event = "link-silent", peer:% = self.to; "");
                 self.drop_connection().await;
                 return;
--- a/components/link/src/server.rs
+++ b/components/link/src/server.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use protocol::{Frame, Open};
-use recovery::{CallTable, Silence, TableAction, Watch};
+use recovery::{CallTable, SilenceAction, SilenceDetector, TableAction};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use tokio::time::{MissedTickBehavior, interval};
@@ -51,7 +51,7 @@
 
 struct ServedConnection {
     connection: Connection,
-    silence: Silence,
+    silence: SilenceDetector,
 }
 
 struct Server<H> {
@@ -108,7 +108,7 @@
                 _ = ticks.tick(), if holds_calls => self.handle_tick(),
                 () = &mut stop, if !stopping => {
                     stopping = true;
-                    self.table.leave();
+                    self.table.start_draining();
                 }
             }
         }
@@ -124,7 +124,7 @@
         let served = self.start_connection(connection, established);
         self.connections.insert(connection, served);
         let now_ms = self.clock.now_ms();
-        self.update_table(|table, actions| table.connected(connection, boot, now_ms, actions));
+        self.update_table(|table, actions| table.add_connection(connection, boot, now_ms, actions));
     }
 
     fn start_connection(
@@ -147,7 +147,8 @@
         let counters = self.settings.counters.clone();
         let frames = self.event_sender.clone();
         let started = Connection::start(established, self.clock, counters, frames, wrap, closed);
-        let silence = Silence::new(self.settings.ping_after_ms, self.settings.ping_deadline_ms);
+        let silence =
+            SilenceDetector::new(self.settings.ping_after_ms, self.settings.ping_deadline_ms);
         ServedConnection {
             connection: started,
             silence,
@@ -165,36 +166,38 @@
             return;
         }
         let now_ms = self.clock.now_ms();
-        self.update_table(|table, actions| table.frame(connection, frame, at_ms, now_ms, actions));
+        self.update_table(|table, actions| {
+            table.handle_frame(connection, frame, at_ms, now_ms, actions)
+        });
     }
 
     fn handle_answer_event(&mut self, id: CallId, event: AnswerEvent) {
         let now_ms = self.clock.now_ms();
         self.update_table(|table, actions| match event {
-            AnswerEvent::Accepted => table.accepted(id, actions),
-            AnswerEvent::Started => table.started(id, actions),
-            AnswerEvent::Head(head) => table.head(id, head, actions),
-            AnswerEvent::Chunk(bytes) => table.chunk(id, bytes, actions),
-            AnswerEvent::End => table.end(id, now_ms, actions),
+            AnswerEvent::Accepted => table.mark_accepted(id, actions),
+            AnswerEvent::Started => table.mark_started(id, actions),
+            AnswerEvent::Head(head) => table.send_head(id, head, actions),
+            AnswerEvent::Chunk(bytes) => table.send_chunk(id, bytes, actions),
+            AnswerEvent::End => table.finish(id, now_ms, actions),
             AnswerEvent::Fail(failure) => table.fail(id, failure, now_ms, actions),
-            AnswerEvent::Dropped => table.abandoned(id, now_ms, actions),
+            AnswerEvent::Dropped => table.abandon(id, now_ms, actions),
         });
     }
 
     fn handle_tick(&mut self) {
         let now_ms = self.clock.now_ms();
         self.update_table(|table, actions| table.tick(now_ms, actions));
-        let active_connections = self.table.outstanding();
+        let active_connections = self.table.active_connections();
         let mut dead = Vec::new();
         for (&number, served) in &mut self.connections {
             let is_active = active_connections.contains(&number);
             let last_received_ms = served.connection.last_received_ms();
             match served.silence.check(is_active, last_received_ms, now_ms) {
-                Watch::Idle | Watch::Until { .. } => {}
-                Watch::Ping { number: ping } => {
+                SilenceAction::Idle | SilenceAction::CheckAt { .. } => {}
+                SilenceAction::Ping { number: ping } => {
                     let _ = served.connection.send(Frame::Ping { number: ping });
                 }
-                Watch::Dead => dead.push(number),
+                SilenceAction::Dead => dead.push(number),
             }
         }
         for number in dead {
@@ -267,7 +270,8 @@
 
     fn close(&mut self, connection: u64) {
         if self.connections.remove(&connection).is_some() {
-            self.table.disconnected(connection, self.clock.now_ms());
+            self.table
+                .remove_connection(connection, self.clock.now_ms());
         }
     }
 }
--- a/components/membership/src/subset.rs
+++ b/components/membership/src/subset.rs
@@ -25,7 +25,7 @@
 
 /// The `size` replicas for the entry at `own`, in the order of preference, as positions
 /// in `candidates`.
-pub fn subset(
+pub fn choose_subset(
     own: SocketAddr,
     own_region: &Region,
     candidates: &[Candidate<'_>],
@@ -41,7 +41,7 @@
         })
         .collect();
     ranked.sort_unstable_by(|a, b| b.cmp(a));
-    let mut rows = rows(own_region, candidates, &ranked);
+    let mut rows = rank_in_domains(own_region, candidates, &ranked);
     rows.sort_by_key(|&(foreign, row, _)| (foreign, row));
     rows.into_iter()
         .take(size)
@@ -50,7 +50,7 @@
 }
 
 /// (in another region, rank within its failure domain, position) of each, by weight.
-fn rows(
+fn rank_in_domains(
     own_region: &Region,
     candidates: &[Candidate<'_>],
     ranked: &[(u64, usize)],
--- a/components/membership/src/tail.rs
+++ b/components/membership/src/tail.rs
@@ -22,7 +22,7 @@
     /// Processes in each failure domain that read.
     pub per_domain: usize,
     /// Age of the newest known read from which on every process reads, in milliseconds.
-    pub silent_after_ms: u64,
+    pub read_age_ms_max: u64,
     /// First wait after a failed read, in milliseconds; doubles with each failure.
     pub backoff_ms: u64,
     /// Longest wait after a failed read of a process that ranks, in milliseconds.
@@ -35,7 +35,7 @@
     fn default() -> Self {
         Self {
             per_domain: 2,
-            silent_after_ms: 20_000,
+            read_age_ms_max: 20_000,
             backoff_ms: 250,
             backoff_ms_max: 2_000,
             unranked_backoff_ms_max: 60_000,
@@ -45,7 +45,7 @@
 
 /// What to do about the log now.
 #[key]
-pub enum TailStep {
+pub enum TailAction {
     /// Read now (a long poll, while the process ranks).
     Read,
     /// Ask again at this time.
@@ -62,7 +62,7 @@
     /// `None` before the first read known.
     newest_read_ms: Option<u64>,
     failures: u32,
-    next_try_ms: u64,
+    next_read_ms: u64,
 }
 
 /// The processes of one failure domain that read the log, out of its live ones.
@@ -82,12 +82,12 @@
             settings,
             newest_read_ms: None,
             failures: 0,
-            next_try_ms: now_ms,
+            next_read_ms: now_ms,
         }
     }
 
     /// A peer knows of a read that is this old.
-    pub fn heard(&mut self, age_ms: u32, now_ms: u64) {
+    pub fn record_peer_read(&mut self, age_ms: u32, now_ms: u64) {
         // A read from before this clock began has no place on it; it is passed over, and
         // this process reads for itself a little sooner.
         let read_ms = now_ms.checked_sub(u64::from(age_ms));
@@ -95,14 +95,14 @@
     }
 
     /// A read of one's own worked.
-    pub fn read_done(&mut self, now_ms: u64) {
+    pub fn record_read(&mut self, now_ms: u64) {
         self.newest_read_ms = self.newest_read_ms.max(Some(now_ms));
         self.failures = 0;
-        self.next_try_ms = now_ms;
+        self.next_read_ms = now_ms;
     }
 
     /// A read of one's own failed.
-    pub fn read_failed(&mut self, ranks: bool, now_ms: u64, rng: &mut impl Rng) {
+    pub fn record_failure(&mut self, ranks: bool, now_ms: u64, rng: &mut impl Rng) {
         let longest_ms = if ranks {
             self.settings.backoff_ms_max
         } else {
@@ -111,7 +111,7 @@
         let doubled_ms = self.settings.backoff_ms << self.failures.min(16);
         let wait_ms = doubled_ms.clamp(1, longest_ms.max(1));
         self.failures = self.failures.saturating_add(1);
-        self.next_try_ms = now_ms + wait_ms / 2 + rng.next_u64() % (wait_ms / 2 + 1);
+        self.next_read_ms = now_ms + wait_ms / 2 + rng.next_u64() % (wait_ms / 2 + 1);
     }
 
     /// Age of the newest read known, for [`protocol::GossipMessage::ConfigRead`];
@@ -124,20 +124,20 @@
     }
 
     /// What to do; `ranks` says whether this process is one of its domain's [`tailers`].
-    pub fn step(&self, ranks: bool, now_ms: u64) -> TailStep {
-        let silent_after_ms = self.settings.silent_after_ms;
+    pub fn next_action(&self, ranks: bool, now_ms: u64) -> TailAction {
+        let silent_after_ms = self.settings.read_age_ms_max;
         let silent_ms = self
             .newest_read_ms
             .map_or(0, |read_ms| read_ms + silent_after_ms);
         let due_ms = if ranks {
-            self.next_try_ms
+            self.next_read_ms
         } else {
-            self.next_try_ms.max(silent_ms)
+            self.next_read_ms.max(silent_ms)
         };
         if now_ms >= due_ms {
-            TailStep::Read
+            TailAction::Read
         } else {
-            TailStep::WaitUntil { at_ms: due_ms }
+            TailAction::WaitUntil { at_ms: due_ms }
         }
     }
 }
--- a/components/node/src/feed.rs
+++ b/components/node/src/feed.rs
@@ -11,7 +11,7 @@
 use adapters::LogClient;
 use arc_swap::ArcSwap;
 use bytes::Bytes;
-use config::{Accepted, KeepPolicy, Ledger, View};
+use config::{AcceptedVersion, KeepSettings, Ledger, View};
 use link::Links;
 use membership::TailSettings;
 use protocol::{ConfigDigest, Head, Open};
@@ -37,7 +37,7 @@
 /// Accepted texts and their digests, as published by the task that owns the ledger.
 #[derive(Default)]
 pub(crate) struct Published {
-    pub(crate) accepted: Vec<Arc<Accepted>>,
+    pub(crate) accepted: Vec<Arc<AcceptedVersion>>,
     pub(crate) digests: Arc<Vec<ConfigDigest>>,
 }
 
@@ -58,7 +58,7 @@
     /// How many processes tail the log, and how.
     pub tail: TailSettings,
     /// When accepted versions are appended to the log again, before their records expire.
-    pub keep: KeepPolicy,
+    pub keep: KeepSettings,
     /// Time after the start in which this process appends nothing again, in milliseconds. It
     /// needs this time to discover the other processes and what they have appended.
     pub keep_delay_ms: u64,
@@ -68,7 +68,7 @@
     /// Adapts the settings to a log that retains records for `retention_ms`.
     pub fn with_retention(self, retention_ms: u64) -> Self {
         Self {
-            keep: KeepPolicy::for_retention(retention_ms),
+            keep: KeepSettings::for_retention(retention_ms),
             ..self
         }
     }
@@ -78,7 +78,7 @@
     fn default() -> Self {
         Self {
             tail: TailSettings::default(),
-            keep: KeepPolicy::for_retention(LOG_RETENTION_MS),
+            keep: KeepSettings::for_retention(LOG_RETENTION_MS),
             keep_delay_ms: KEEP_DELAY_MS,
         }
     }
@@ -165,12 +165,12 @@
     }
 
     /// The accepted texts of all customers.
-    pub fn all_accepted(&self) -> Vec<Arc<Accepted>> {
+    pub fn all_accepted(&self) -> Vec<Arc<AcceptedVersion>> {
         self.shared.published.load().accepted.clone()
     }
 
     /// The accepted text of a customer; `None` if no version is known.
-    pub fn accepted(&self, customer: &CustomerName) -> Option<Arc<Accepted>> {
+    pub fn accepted(&self, customer: &CustomerName) -> Option<Arc<AcceptedVersion>> {
         let published = self.shared.published.load();
         let mut accepted = published.accepted.iter();
         accepted
@@ -229,7 +229,7 @@
             let _ = self.events.try_send(Event::PeerDigest { from, digest });
             return DigestComparison::Outdated;
         }
-        let differs = |accepted: &Arc<Accepted>| {
+        let differs = |accepted: &Arc<AcceptedVersion>| {
             accepted.version == digest.version && accepted.digest() != digest.digest
         };
         if accepted.as_ref().is_some_and(differs) {
--- a/components/node/src/feed_task.rs
+++ b/components/node/src/feed_task.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use adapters::{LogClient, LogPage, LogRecord};
-use config::{Keeper, Ledger, Record, Verdict, View};
+use config::{KeepScheduler, Ledger, Record, Verdict, View};
 use protocol::ConfigDigest;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Interval, MissedTickBehavior, interval, sleep};
@@ -64,7 +64,7 @@
     /// Whether the ledger has changed since the last view was built.
     has_unpublished: bool,
     published_ms: Option<u64>,
-    keeper: Keeper,
+    keeper: KeepScheduler,
     /// No record is appended again before this time.
     append_from_ms: u64,
     log: LogClient,
@@ -85,7 +85,7 @@
             fetches: FetchQueue::new(fetcher, own),
             has_unpublished: false,
             published_ms: None,
-            keeper: Keeper::new(settings.keep),
+            keeper: KeepScheduler::new(settings.keep),
             append_from_ms: now_ms() + settings.keep_delay_ms,
             log,
         }
@@ -170,7 +170,7 @@
         }
         let shared = Arc::clone(&self.shared);
         let rank = |customer: Option<&CustomerName>| keep_rank(&shared, customer);
-        let records = self.keeper.due(&self.ledger, now_ms(), rank);
+        let records = self.keeper.due_records(&self.ledger, now_ms(), rank);
         if records.is_empty() {
             return;
         }
--- a/components/node/src/gossip.rs
+++ b/components/node/src/gossip.rs
@@ -11,7 +11,9 @@
 use arc_swap::ArcSwap;
 use leaving::{Probers, ProbersSettings};
 use link::Udp;
-use membership::{MemberSettings, Members, Own, RumourSettings, Rumours, Snapshot, TailSettings};
+use membership::{
+    MemberSettings, Members, OwnProcess, RumourSettings, Rumours, Snapshot, TailSettings,
+};
 use protocol::{ConfigDigest, DemandDigest, GossipMessage, Status};
 use tokio::sync::mpsc;
 use types::NodeId;
@@ -92,7 +94,7 @@
         let (commands, command_receiver) = mpsc::channel(COMMANDS_MAX);
         let (lists, list_receiver) = mpsc::channel(VM_LISTS_MAX);
         let snapshot = Arc::new(ArcSwap::default());
-        let own = Own {
+        let own = OwnProcess {
             node: identity.node(),
             role: identity.role,
             failure_domain: identity.failure_domain.clone(),
--- a/components/node/src/gossip_loop.rs
+++ b/components/node/src/gossip_loop.rs
@@ -8,7 +8,7 @@
 use arc_swap::ArcSwap;
 use leaving::Probers;
 use link::Udp;
-use membership::{Listed, Members, Rumours, Snapshot, TailSettings, tailers};
+use membership::{ListedVm, Members, Rumours, Snapshot, TailSettings, tailers};
 use protocol::{Datagram, GossipMessage, ProcessRole};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -65,7 +65,7 @@
     pub(crate) async fn run(
         mut self,
         mut commands: mpsc::Receiver<GossipCommand>,
-        mut vm_lists: mpsc::Receiver<Vec<Listed>>,
+        mut vm_lists: mpsc::Receiver<Vec<ListedVm>>,
     ) {
         let mut rng = StdRng::seed_from_u64(rand::random());
         loop {
@@ -118,9 +118,9 @@
         let peers = self.members.peers();
         for digest in self.feed.digests().iter() {
             let message = GossipMessage::Config(digest.clone());
-            self.rumours.hear(&message, peers.len(), now_ms);
+            self.rumours.add(&message, peers.len(), now_ms);
         }
-        let Some(round) = self.rumours.round(&peers, now_ms, rng) else {
+        let Some(round) = self.rumours.start_round(&peers, now_ms, rng) else {
             return;
         };
         let mut messages = round.news;
@@ -171,7 +171,7 @@
         match command {
             GossipCommand::Spread(message) => {
                 let peers = self.members.peers().len();
-                self.rumours.hear(&message, peers, now_ms);
+                self.rumours.add(&message, peers, now_ms);
             }
             GossipCommand::SendTo(to, message) => self.send_to_all(to, *message).await,
             GossipCommand::SendToEntries(message) => {
@@ -181,7 +181,7 @@
                 let node = self.members.own().node;
                 let peers = self.members.peers().len();
                 self.rumours
-                    .hear(&GossipMessage::Leaving { node }, peers, now_ms);
+                    .add(&GossipMessage::Leaving { node }, peers, now_ms);
                 self.probers.start_notices(now_ms);
             }
             GossipCommand::PushStatus => {
@@ -198,7 +198,7 @@
         }
     }
 
-    fn on_vm_list(&mut self, vms: &[Listed]) {
+    fn on_vm_list(&mut self, vms: &[ListedVm]) {
         let now_ms = now_ms();
         let outcome = self.members.on_list(vms, now_ms);
         self.has_vm_list = true;
--- a/components/node/src/gossip_receive.rs
+++ b/components/node/src/gossip_receive.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use membership::Heard;
+use membership::UpdateOutcome;
 use protocol::{ConfigDigest, Datagram, GossipMessage, ProcessRole, Status};
 use types::NodeId;
 
@@ -21,14 +21,14 @@
             role,
             messages,
         } = datagram;
-        let outcome = self.members.on_heard(from, role, now_ms);
+        let outcome = self.members.on_datagram(from, role, now_ms);
         self.apply(from, outcome).await;
-        if matches!(outcome, Heard::Older { .. }) {
+        if matches!(outcome, UpdateOutcome::StaleIncarnation { .. }) {
             // The datagram is from an earlier incarnation of the sender. Its rumours also arrive
             // from other processes.
             return;
         }
-        if outcome == Heard::New {
+        if outcome == UpdateOutcome::Changed {
             self.send_known_facts(from.address, now_ms).await;
         }
         for message in messages {
@@ -39,8 +39,11 @@
     /// Sends the known facts to a process from which no datagram was received before, so that a
     /// new process need not wait for the rumours.
     async fn send_known_facts(&mut self, to: SocketAddr, now_ms: u64) {
-        let mut facts: Vec<GossipMessage> =
-            self.rumours.all(now_ms).take(INITIAL_FACTS_MAX).collect();
+        let mut facts: Vec<GossipMessage> = self
+            .rumours
+            .known_news(now_ms)
+            .take(INITIAL_FACTS_MAX)
+            .collect();
         facts.push(self.config_read_message(now_ms));
         self.send(to, facts).await;
     }
@@ -56,13 +59,13 @@
             GossipMessage::Probe => self.on_probe(from, now_ms).await,
             GossipMessage::Status(status) => self.on_status(from, role, status, now_ms).await,
             GossipMessage::Incarnation(known) => {
-                let outcome = self.members.on_own(*known);
+                let outcome = self.members.on_own_incarnation(*known);
                 self.apply(from, outcome).await;
             }
             GossipMessage::ConfigRead { age_ms } => self.feed.observe_peer_read(*age_ms, now_ms),
             GossipMessage::Leaving { node } => {
                 let outcome = self.members.on_leaving(*node, now_ms);
-                if outcome == Heard::New {
+                if outcome == UpdateOutcome::Changed {
                     self.handle_peer_leaving(*node, now_ms);
                 }
                 self.apply(from, outcome).await;
@@ -72,7 +75,7 @@
             GossipMessage::Config(digest) => self.on_config(from, digest),
             GossipMessage::Weights { .. } | GossipMessage::Quarantined { .. } => {
                 let peers = self.members.peers().len();
-                if self.rumours.hear(&message, peers, now_ms) {
+                if self.rumours.add(&message, peers, now_ms) {
                     (self.hooks.on_message)(&message);
                 }
             }
@@ -109,10 +112,10 @@
     async fn on_status(&mut self, from: NodeId, role: ProcessRole, status: &Status, now_ms: u64) {
         let was_leaving = status.leaving;
         let outcome = self.members.on_status(from, role, status, now_ms);
-        if outcome == Heard::New && was_leaving {
+        if outcome == UpdateOutcome::Changed && was_leaving {
             self.handle_peer_leaving(from, now_ms);
         }
-        // A status may change the hosted services, which `Heard` does not report.
+        // A status may change the hosted services, which `UpdateOutcome` does not report.
         if status.leaving || status.hosted.is_empty() {
             self.schedule_urgent_publish();
         } else {
@@ -124,25 +127,25 @@
     pub(crate) fn handle_peer_leaving(&mut self, node: NodeId, now_ms: u64) {
         let peers = self.members.peers().len();
         self.rumours
-            .hear(&GossipMessage::Leaving { node }, peers, now_ms);
+            .add(&GossipMessage::Leaving { node }, peers, now_ms);
         (self.hooks.on_peer_leaving)(node);
         self.schedule_urgent_publish();
     }
 
-    async fn apply(&mut self, from: NodeId, outcome: Heard) {
+    async fn apply(&mut self, from: NodeId, outcome: UpdateOutcome) {
         match outcome {
-            Heard::Known => {}
-            Heard::New => self.schedule_publish(),
-            Heard::Older { known } => {
+            UpdateOutcome::Unchanged => {}
+            UpdateOutcome::Changed => self.schedule_publish(),
+            UpdateOutcome::StaleIncarnation { known } => {
                 self.send(from.address, vec![GossipMessage::Incarnation(known)])
                     .await;
             }
-            Heard::OwnRaised => {
+            UpdateOutcome::OwnIncarnationRaised => {
                 let node = self.members.own().node;
                 self.identity.raise_incarnation(node.incarnation);
                 log::info!(event = "incarnation-raised", node:% = node; "");
             }
-            Heard::OwnLeaving => (self.hooks.on_own_leaving)(),
+            UpdateOutcome::OwnLeaving => (self.hooks.on_own_leaving)(),
         }
     }
 }
--- a/components/node/src/start_announcement.rs
+++ b/components/node/src/start_announcement.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-use membership::Listed;
+use membership::ListedVm;
 use protocol::ProcessRole;
 
 /// Time between two announcements: 390 entries are reached within 8 s, with a few KB/s.
@@ -21,7 +21,7 @@
 impl StartAnnouncement {
     /// Processes a VM list. Only the first list is used: entries that start later probe this
     /// process themselves.
-    pub(crate) fn on_list(&mut self, listed: &[Listed]) {
+    pub(crate) fn on_list(&mut self, listed: &[ListedVm]) {
         if self.remaining.is_none() {
             let entries = listed.iter().filter(|vm| vm.role == ProcessRole::Entry);
             self.remaining = Some(entries.map(|vm| vm.address).collect());
--- a/components/node/src/vm_poll.rs
+++ b/components/node/src/vm_poll.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use adapters::{Vm, VmList, VmRole, VmState};
-use membership::Listed;
+use membership::ListedVm;
 use protocol::ProcessRole;
 use tokio::sync::mpsc;
 
@@ -25,7 +25,7 @@
 
 /// Reads the list until the receiver is dropped. A failed read is logged and repeated after the
 /// interval.
-pub(crate) async fn poll(list: VmList, lists: mpsc::Sender<Vec<Listed>>) {
+pub(crate) async fn poll(list: VmList, lists: mpsc::Sender<Vec<ListedVm>>) {
     let mut interval_ms = LIST_INTERVAL_MS_MIN;
     loop {
         match list.list().await {
@@ -49,8 +49,8 @@
     LIST_INTERVAL_MS_MIN.max(list_bytes * 1_000 / LIST_BYTES_PER_S_MAX)
 }
 
-fn listed(vm: Vm) -> Listed {
-    Listed {
+fn listed(vm: Vm) -> ListedVm {
+    ListedVm {
         address: vm.address,
         role: match vm.role {
             VmRole::Entry => ProcessRole::Entry,
--- a/components/quarantine/src/lib.rs
+++ b/components/quarantine/src/lib.rs
@@ -1,5 +1,7 @@
-//! Calls that crash the endpoints that run them. Pure: events and `now_ms` of the
-//! process's monotonic clock go in, verdicts come out.
+//! Quarantine of calls that crash the endpoints that run them.
+//!
+//! The crate does no I/O: the caller passes in events with the time `now_ms` of the process's
+//! monotonic clock, and gets verdicts about the calls.
 
 mod crashes;
 mod digest;
@@ -11,4 +13,6 @@
 pub use digest::CallDigest;
 pub use settings::SuspectSettings;
 pub use suspects::Suspects;
-pub use verdict::{Condemned, Copies, Crashed, Entry, RunId, Standing, Verdict};
+pub use verdict::{
+    AttemptId, CondemnedCall, CopyPlacement, DigestStatus, EndpointCrash, StartDecision, Verdict,
+};
--- a/components/routing/src/choose.rs
+++ b/components/routing/src/choose.rs
@@ -1,131 +1,141 @@
-//! The choice itself: a few random candidates, the cheapest wins.
+//! Choice of a replica for one call: samples a few candidates at random and takes the one with
+//! the lowest score.
 //!
-//! Candidates are a few draws from the entry's own failure domain, a few from all
-//! replicas, and up to two replicas that hold the prompt's prefix. That is a constant number of scores, whatever the
-//! number of replicas. Only when draws keep hitting excluded replicas are all scanned.
+//! Candidates are a few random replicas of the entry's own failure domain, a few random replicas
+//! of all failure domains, and up to two replicas that cache the prompt's prefix. The number of
+//! scores is therefore constant, however many replicas the service has. All replicas are scanned
+//! only if sampling finds no eligible one.
 
 use quick_error::quick_error;
 use types::{Cause, Failure, NodeId, WeightVersion};
 
 use crate::counters::{Outstanding, Work};
-use crate::ejection::{self, Outcome, Standing};
-use crate::prefix::Matches;
-use crate::random::Draws;
+use crate::ejection::{self, EjectionState, Outcome};
+use crate::prefix::PrefixMatches;
+use crate::random::SplitMix64;
 use crate::score::score;
 use crate::settings::Policy;
-use crate::table::{Slot, Table};
+use crate::table::{ReplicaState, Table};
 
-/// Draws for each candidate before it is given up.
-const TRIES: usize = 3;
-/// Most candidates that are compared.
+/// Random draws per wanted candidate; a draw that hits an excluded replica or a candidate that
+/// was already drawn is wasted.
+const TRIES_PER_CANDIDATE: usize = 3;
+/// Maximum number of candidates that are compared for one call.
 const CANDIDATES_MAX: usize = 12;
-/// Most replicas that are compared for their cached prefix.
-const PREFIX_CANDIDATES: usize = 2;
+/// Maximum number of candidates that are added because they cache the prompt's prefix.
+const PREFIX_CANDIDATES_MAX: usize = 2;
 
-/// What a call wants of its replica.
+/// What a call requires of its replica.
 #[derive(Clone, Debug, Default)]
-pub struct Ask<'a> {
-    /// Its size.
+pub struct Requirements<'a> {
+    /// Size of the call in tokens.
     pub work: Work,
-    /// Replicas that it has been sent to already.
+    /// Replicas that are excluded because the call was already sent to them.
     pub tried: &'a [NodeId],
-    /// Lowest weight version that will do.
-    pub at_least: Option<WeightVersion>,
-    /// Whether it may probe a replica that failed before: only a call that may run again.
+    /// Lowest weight version that may answer the call; `None` accepts every version.
+    pub min_version: Option<WeightVersion>,
+    /// Whether the call may probe a half-open replica. Set only for calls that may be retried,
+    /// because the probe may fail.
     pub may_probe: bool,
-    /// Which replicas hold its prefix.
-    pub prefix: Matches,
+    /// Replicas that cache a prefix of the call's prompt.
+    pub prefix: PrefixMatches,
 }
 
 quick_error! {
-    /// Why there is no replica for a call. It was not run.
+    /// Why no replica could be chosen for a call. The call was not run.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-    pub enum NoChoice {
+    pub enum ChoiceError {
         /// The service has no replica.
         Empty {
             display("the service has no replica")
         }
-        /// Every replica is leaving.
+        /// Every replica is draining.
         Leaving {
             display("every replica is leaving")
         }
-        /// No replica has the wanted weight version.
+        /// No replica has the required weight version or a later one.
         Version(wanted: WeightVersion) {
             display("no replica has weight version {} or later", wanted)
         }
-        /// Every other replica has been tried.
+        /// The call was already sent to every replica that meets its other requirements.
         Tried {
             display("every replica has been tried")
         }
     }
 }
 
-impl From<NoChoice> for Failure {
-    fn from(none: NoChoice) -> Failure {
-        Failure::not_run(match none {
-            NoChoice::Empty | NoChoice::Tried => Cause::NoEndpoint,
-            NoChoice::Leaving => Cause::Leaving,
-            NoChoice::Version(_) => Cause::Stale,
+impl From<ChoiceError> for Failure {
+    fn from(error: ChoiceError) -> Failure {
+        Failure::not_run(match error {
+            ChoiceError::Empty | ChoiceError::Tried => Cause::NoEndpoint,
+            ChoiceError::Leaving => Cause::Leaving,
+            ChoiceError::Version(_) => Cause::Stale,
         })
     }
 }
 
-/// A replica for one call; holds the call's outstanding count until it is dropped.
+/// The replica chosen for one call. The call counts as outstanding there until this is dropped.
 #[derive(Debug)]
 pub struct Choice {
-    /// The replica.
+    /// Address and incarnation of the replica's agent.
     pub node: NodeId,
-    /// Weight version that it answered with at its last status.
+    /// Weight version in the replica's last status; `None` for a plain service.
     pub weights: Option<WeightVersion>,
-    /// Every replica that would do is ejected; this is one of them.
-    pub last_resort: bool,
-    /// The call's share of the counters.
+    /// Whether the replica is ejected and was chosen because every eligible replica is.
+    pub is_last_resort: bool,
+    /// Guard of the call's outstanding work on the replica's counters.
     pub outstanding: Outstanding,
 }
 
 impl Choice {
-    /// Ends the call and tells the present table what it says about the replica.
+    /// Ends the call and records its outcome for the ejection of the replica. `table` is the
+    /// current table of the service, not necessarily the one the replica was chosen from.
     pub fn finish(self, table: &Table, outcome: Outcome, now_ms: u64) {
         let probe = self.outstanding.is_probe();
         let health = &self.outstanding.counters().health;
-        ejection::settle(table, health, probe, outcome, now_ms);
+        ejection::record_outcome(table, health, probe, outcome, now_ms);
     }
 }
 
-/// Chooses a replica of `table` for a call; `random` decides between equals.
-pub fn choose(table: &Table, ask: &Ask<'_>, random: u64, now_ms: u64) -> Result<Choice, NoChoice> {
+/// Chooses a replica of `table` for a call. `random` seeds the sampling of candidates.
+pub fn choose_replica(
+    table: &Table,
+    requirements: &Requirements<'_>,
+    random: u64,
+    now_ms: u64,
+) -> Result<Choice, ChoiceError> {
     let mut chooser = Chooser {
         table,
-        ask,
+        requirements,
         now_ms,
-        draws: Draws::new(random),
+        rng: SplitMix64::new(random),
         candidates: [(0, 0.0); CANDIDATES_MAX],
         count: 0,
     };
-    chooser.gather();
-    if let Some(choice) = chooser.cheapest() {
+    chooser.collect_candidates();
+    if let Some(choice) = chooser.choose_cheapest() {
         return Ok(choice);
     }
-    chooser.last_resort()
+    chooser.choose_last_resort()
 }
 
 struct Chooser<'a> {
     table: &'a Table,
-    ask: &'a Ask<'a>,
+    requirements: &'a Requirements<'a>,
     now_ms: u64,
-    draws: Draws,
-    /// Position and score.
+    rng: SplitMix64,
+    /// Position in the table and score.
     candidates: [(usize, f64); CANDIDATES_MAX],
     count: usize,
 }
 
 impl Chooser<'_> {
-    fn gather(&mut self) {
+    fn collect_candidates(&mut self) {
         match self.table.settings().policy {
-            Policy::Random => self.draw_from_all(1),
+            Policy::Random => self.sample_all(1),
             Policy::LeastOutstanding => self.scan_for_least(),
             Policy::TwoChoices | Policy::TwoChoicesReport | Policy::ComputeMemory => {
-                self.draw_candidates();
+                self.sample_candidates();
             }
         }
         if self.count == 0 {
@@ -133,37 +143,37 @@
         }
     }
 
-    fn draw_candidates(&mut self) {
-        let near = self.table.near();
+    fn sample_candidates(&mut self) {
+        let same_domain = self.table.same_domain();
         let settings = self.table.settings();
-        let (draws_near, draws_all) = (settings.draws_near, settings.draws_all);
-        if near.is_empty() || near.len() == self.table.slots().len() {
-            self.draw_from_all(draws_near + draws_all);
+        let (draws_same_domain, draws_all) = (settings.draws_same_domain, settings.draws_all);
+        if same_domain.is_empty() || same_domain.len() == self.table.replica_states().len() {
+            self.sample_all(draws_same_domain + draws_all);
         } else {
-            self.draw(draws_near, near.len(), |drawn| {
-                near.get(drawn).map(|&at| at as usize)
+            self.sample(draws_same_domain, same_domain.len(), |index| {
+                same_domain.get(index).map(|&at| at as usize)
             });
-            self.draw_from_all(draws_all);
+            self.sample_all(draws_all);
         }
-        let holders = self.ask.prefix.iter().take(PREFIX_CANDIDATES);
+        let holders = self.requirements.prefix.iter().take(PREFIX_CANDIDATES_MAX);
         for held in holders {
-            if let Some(position) = self.table.at_prefix(held.id) {
-                self.offer(position);
+            if let Some(position) = self.table.position_of_prefix(held.id) {
+                self.add_candidate(position);
             }
         }
     }
 
-    fn draw_from_all(&mut self, wanted: usize) {
-        let slots = self.table.slots().len();
-        self.draw(wanted, slots, Some);
+    fn sample_all(&mut self, wanted: usize) {
+        let count = self.table.replica_states().len();
+        self.sample(wanted, count, Some);
     }
 
-    fn draw(&mut self, wanted: usize, bound: usize, position: impl Fn(usize) -> Option<usize>) {
+    fn sample(&mut self, wanted: usize, bound: usize, position: impl Fn(usize) -> Option<usize>) {
         let goal = self.count + wanted;
-        for _ in 0..wanted * TRIES {
-            let drawn = self.draws.below(bound);
-            if let Some(position) = position(drawn) {
-                self.offer(position);
+        for _ in 0..wanted * TRIES_PER_CANDIDATE {
+            let index = self.rng.below(bound);
+            if let Some(position) = position(index) {
+                self.add_candidate(position);
             }
             if self.count >= goal {
                 return;
@@ -172,10 +182,10 @@
     }
 
     fn scan(&mut self) {
-        let count = self.table.slots().len();
-        let start = self.draws.below(count);
+        let count = self.table.replica_states().len();
+        let start = self.rng.below(count);
         for step in 0..count {
-            self.offer((start + step) % count);
+            self.add_candidate((start + step) % count);
             if self.count == CANDIDATES_MAX {
                 return;
             }
@@ -183,124 +193,140 @@
     }
 
     fn scan_for_least(&mut self) {
-        let count = self.table.slots().len();
-        let start = self.draws.below(count);
+        let count = self.table.replica_states().len();
+        let start = self.rng.below(count);
         let positions = (0..count).map(|step| (start + step) % count);
-        let costs = positions.filter_map(|at| self.cost(at).map(|cost| (at, cost)));
-        let least = costs.min_by(|a, b| a.1.total_cmp(&b.1));
+        let scores = positions.filter_map(|at| {
+            self.score_at(at)
+                .map(|candidate_score| (at, candidate_score))
+        });
+        let least = scores.min_by(|a, b| a.1.total_cmp(&b.1));
         if let (Some(least), Some(first)) = (least, self.candidates.first_mut()) {
             *first = least;
             self.count = 1;
         }
     }
 
-    fn offer(&mut self, position: usize) {
+    fn add_candidate(&mut self, position: usize) {
         let mut known = self.candidates.iter().take(self.count);
         if known.any(|&(at, _)| at == position) {
             return;
         }
-        let Some(cost) = self.cost(position) else {
+        let Some(candidate_score) = self.score_at(position) else {
             return;
         };
         if let Some(free) = self.candidates.get_mut(self.count) {
-            *free = (position, cost);
+            *free = (position, candidate_score);
             self.count += 1;
         }
     }
 
-    /// Score of the replica at `position`, if it will do.
-    fn cost(&self, position: usize) -> Option<f64> {
-        let slot = self.table.slots().get(position)?;
-        if !self.will_do(slot) {
+    /// Score of the replica at `position`; `None` if the replica is not eligible.
+    fn score_at(&self, position: usize) -> Option<f64> {
+        let state = self.table.replica_states().get(position)?;
+        if !self.is_eligible(state) {
             return None;
         }
-        let blocks = match slot.replica.prefix_id {
-            Some(id) => self.ask.prefix.blocks_at(id),
+        let blocks = match state.replica.prefix_id {
+            Some(id) => self.requirements.prefix.cached_blocks(id),
             None => 0,
         };
-        Some(score(self.table, slot, self.ask.work, blocks, self.now_ms))
+        Some(score(
+            self.table,
+            state,
+            self.requirements.work,
+            blocks,
+            self.now_ms,
+        ))
     }
 
-    fn will_do(&self, slot: &Slot) -> bool {
-        let standing = slot.counters.health.standing(self.now_ms);
-        let open = match standing {
-            Standing::Open => true,
-            Standing::HalfOpen => self.ask.may_probe,
-            Standing::Ejected => false,
+    fn is_eligible(&self, state: &ReplicaState) -> bool {
+        let ejection_state = state.counters.health.ejection_state(self.now_ms);
+        let available = match ejection_state {
+            EjectionState::Available => true,
+            EjectionState::HalfOpen => self.requirements.may_probe,
+            EjectionState::Ejected => false,
         };
-        open && refusal(slot, self.ask).is_none()
+        available && exclusion_reason(state, self.requirements).is_none()
     }
 
-    /// The cheapest candidate that can still be taken.
-    fn cheapest(&mut self) -> Option<Choice> {
+    /// Chooses the candidate with the lowest score. A half-open candidate is skipped if another
+    /// call has begun to probe it in the meantime.
+    fn choose_cheapest(&mut self) -> Option<Choice> {
         let candidates = self.candidates.get_mut(..self.count)?;
         candidates.sort_by(|a, b| a.1.total_cmp(&b.1));
         let candidates = self.candidates.iter().take(self.count);
         candidates
-            .filter_map(|&(position, _)| self.table.slots().get(position))
-            .find_map(|slot| self.take(slot))
+            .filter_map(|&(position, _)| self.table.replica_states().get(position))
+            .find_map(|state| self.try_choose(state))
     }
 
-    fn take(&self, slot: &Slot) -> Option<Choice> {
-        let probe = slot.counters.health.is_ejected();
-        if probe && !slot.counters.health.begin_probe() {
+    fn try_choose(&self, state: &ReplicaState) -> Option<Choice> {
+        let probe = state.counters.health.is_ejected();
+        if probe && !state.counters.health.begin_probe() {
             return None;
         }
-        Some(self.choice(slot, probe, false))
+        Some(self.build_choice(state, probe, false))
     }
 
-    /// Ejection is a suspicion: where all that would do are ejected, one of them is a
-    /// better answer than a refusal.
-    fn last_resort(&mut self) -> Result<Choice, NoChoice> {
-        let slots = self.table.slots();
-        let start = self.draws.below(slots.len());
-        let (before, after) = slots.split_at(start);
-        let mut refused = NoChoice::Empty;
-        for slot in after.iter().chain(before) {
-            match refusal(slot, self.ask) {
-                None => return Ok(self.choice(slot, false, true)),
-                Some(reason) => refused = nearer(refused, reason),
+    /// Chooses an ejected replica if all replicas that meet the requirements are ejected.
+    /// Ejection is only a suspicion, so an attempt there is better than a certain failure.
+    fn choose_last_resort(&mut self) -> Result<Choice, ChoiceError> {
+        let states = self.table.replica_states();
+        let start = self.rng.below(states.len());
+        let (before, after) = states.split_at(start);
+        let mut closest = ChoiceError::Empty;
+        for state in after.iter().chain(before) {
+            match exclusion_reason(state, self.requirements) {
+                None => return Ok(self.build_choice(state, false, true)),
+                Some(reason) => closest = closer_to_chosen(closest, reason),
             }
         }
-        Err(refused)
+        Err(closest)
     }
 
-    fn choice(&self, slot: &Slot, probe: bool, last_resort: bool) -> Choice {
+    fn build_choice(&self, state: &ReplicaState, probe: bool, is_last_resort: bool) -> Choice {
         Choice {
-            node: slot.replica.node,
-            weights: slot.replica.weights,
-            last_resort,
-            outstanding: Outstanding::new(&slot.counters, self.ask.work, probe, self.now_ms),
+            node: state.replica.node,
+            weights: state.replica.weights,
+            is_last_resort,
+            outstanding: Outstanding::new(
+                &state.counters,
+                self.requirements.work,
+                probe,
+                self.now_ms,
+            ),
         }
     }
 }
 
-fn refusal(slot: &Slot, ask: &Ask<'_>) -> Option<NoChoice> {
-    if slot.replica.leaving {
-        return Some(NoChoice::Leaving);
+fn exclusion_reason(state: &ReplicaState, requirements: &Requirements<'_>) -> Option<ChoiceError> {
+    if state.replica.leaving {
+        return Some(ChoiceError::Leaving);
     }
-    if let Some(wanted) = ask.at_least
-        && slot.replica.weights < Some(wanted)
+    if let Some(wanted) = requirements.min_version
+        && state.replica.weights < Some(wanted)
     {
-        return Some(NoChoice::Version(wanted));
+        return Some(ChoiceError::Version(wanted));
     }
-    if ask.tried.contains(&slot.replica.node) {
-        return Some(NoChoice::Tried);
+    if requirements.tried.contains(&state.replica.node) {
+        return Some(ChoiceError::Tried);
     }
     None
 }
 
-/// Of two reasons, that of the replica which came nearer to being chosen.
-fn nearer(one: NoChoice, other: NoChoice) -> NoChoice {
-    let rank = |reason: &NoChoice| match reason {
-        NoChoice::Empty => 0,
-        NoChoice::Leaving => 1,
-        NoChoice::Version(_) => 2,
-        NoChoice::Tried => 3,
+/// The reason that excluded a replica at the later check, so that the error names the last
+/// requirement that no replica met.
+fn closer_to_chosen(first: ChoiceError, second: ChoiceError) -> ChoiceError {
+    let rank = |reason: &ChoiceError| match reason {
+        ChoiceError::Empty => 0,
+        ChoiceError::Leaving => 1,
+        ChoiceError::Version(_) => 2,
+        ChoiceError::Tried => 3,
     };
-    if rank(&other) > rank(&one) {
-        other
+    if rank(&second) > rank(&first) {
+        second
     } else {
-        one
+        first
     }
 }
--- a/components/samples/src/codec.rs
+++ b/components/samples/src/codec.rs
@@ -1,15 +1,16 @@
-//! Text and run-length forms of the bytes in a cursor. Small enough to own, so that no
-//! library's choice of form can invalidate the cursors that trainers keep in checkpoints.
+//! Base64url and run-length encoding for cursors. Implemented here rather than by a library,
+//! so that no change of a library's format can invalidate the cursors in trainers'
+//! checkpoints.
 
 use crate::slots::SlotSet;
 
 const ALPHABET: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
 const KIND_BITS: u8 = 0;
 const KIND_RUNS: u8 = 1;
-const VARINT_MORE: u8 = 0x80;
+const VARINT_CONTINUE: u8 = 0x80;
 const VARINT_BITS: u32 = 7;
 
-/// The bytes as base64url without padding.
+/// Encodes bytes as base64url without padding.
 pub(crate) fn to_text(bytes: &[u8]) -> String {
     let mut text = String::with_capacity(bytes.len().div_ceil(3) * 4);
     for part in bytes.chunks(3) {
@@ -24,7 +25,7 @@
     text
 }
 
-/// The bytes of a base64url text; `None` unless it is exactly what [`to_text`] writes.
+/// Decodes a base64url text; `None` unless the text is exactly what [`to_text`] returns.
 pub(crate) fn from_text(text: &str) -> Option<Vec<u8>> {
     let mut bytes = Vec::with_capacity(text.len() / 4 * 3 + 2);
     for part in text.as_bytes().chunks(4) {
@@ -35,7 +36,8 @@
         let word: [u8; 4] = number.to_be_bytes();
         bytes.extend_from_slice(&word[1..part.len()]);
     }
-    // Spare bits and lone letters have several spellings; one text a cursor.
+    // Unused bits or a single trailing letter allow several texts for the same bytes; accept
+    // only the canonical one.
     (to_text(&bytes) == text).then_some(bytes)
 }
 
@@ -51,7 +53,8 @@
     Some(u32::from(value))
 }
 
-/// The set in the shorter of two forms: bits, or lengths of runs (absent first).
+/// Encodes the set in the shorter of two forms: a bitmap, or run lengths that start with the
+/// absent slots.
 pub(crate) fn pack(set: &SlotSet) -> Vec<u8> {
     let bits = set.to_bytes();
     let runs = runs(set);
@@ -65,7 +68,7 @@
     packed
 }
 
-/// The set of a step of `total` slots in what [`pack`] wrote.
+/// Decodes the output of [`pack`] for a step of `total` slots; `None` if it is malformed.
 pub(crate) fn unpack(total: u32, packed: &[u8]) -> Option<SlotSet> {
     let (&kind, body) = packed.split_first()?;
     match kind {
@@ -79,8 +82,8 @@
     let mut out = Vec::new();
     let mut present = false;
     let mut length = 0;
-    for place in 0..set.total() {
-        if set.contains(place) != present {
+    for position in 0..set.total() {
+        if set.contains(position) != present {
             put_varint(&mut out, length);
             present = !present;
             length = 0;
@@ -93,25 +96,25 @@
 
 fn from_runs(total: u32, mut bytes: &[u8]) -> Option<SlotSet> {
     let mut set = SlotSet::new(total);
-    let mut place = 0;
+    let mut position = 0;
     let mut present = false;
     while !bytes.is_empty() {
-        let end = take_varint(&mut bytes)?.checked_add(place)?;
+        let end = take_varint(&mut bytes)?.checked_add(position)?;
         if end > total {
             return None;
         }
-        for place in (place..end).filter(|_| present) {
-            set.insert(place);
+        for position in (position..end).filter(|_| present) {
+            set.insert(position);
         }
-        place = end;
+        position = end;
         present = !present;
     }
-    (place == total).then_some(set)
+    (position == total).then_some(set)
 }
 
 fn put_varint(out: &mut Vec<u8>, mut number: u32) {
-    while number >= u32::from(VARINT_MORE) {
-        out.push(number as u8 | VARINT_MORE);
+    while number >= u32::from(VARINT_CONTINUE) {
+        out.push(number as u8 | VARINT_CONTINUE);
         number >>= VARINT_BITS;
     }
     out.push(number as u8);
@@ -123,9 +126,9 @@
     loop {
         let (&byte, rest) = bytes.split_first()?;
         *bytes = rest;
-        let part = u32::from(byte & !VARINT_MORE);
+        let part = u32::from(byte & !VARINT_CONTINUE);
         number |= part.checked_shl(shift)?;
-        if byte & VARINT_MORE == 0 {
+        if byte & VARINT_CONTINUE == 0 {
             return Some(number);
         }
         shift += VARINT_BITS;
--- a/components/samples/src/steps.rs
+++ b/components/samples/src/steps.rs
@@ -1,9 +1,9 @@
 //! The steps that an entry holds, as first or second home.
 //!
-//! A trainer that restarts may post a step again under its number with other prompts. The
-//! new post takes the place of the old one as soon as nobody fetches that any more; the
-//! digest in the cursor keeps replies of the two apart. While the old one is being
-//! fetched the post is refused, so that two trainers under one token see their mistake.
+//! A trainer that restarts may post a step again under the same number with other prompts.
+//! The new post replaces the old one once that is no longer in use; the digest in the cursor
+//! distinguishes the replies of the two posts. While the old post is in use, the new one is
+//! refused, so that two trainers that use the same token by mistake get an error.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,24 +12,25 @@
 use quick_error::quick_error;
 use types::WeightVersion;
 
-use crate::copy::Copy;
+use crate::copy::CopyMessage;
 use crate::cursor::Cursor;
 use crate::holdings::{Holdings, StepBounds};
 use crate::ledger::{Action, Ledger, LedgerSettings};
 use crate::step::{Step, StepDigest, StepKey};
 
-/// A step that was posted or fetched within this time is in use.
+/// A step counts as in use for this long after its last post or fetch.
 const IN_USE_MS: u64 = 10_000;
 
 quick_error! {
     /// Why a post is refused.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum PostError {
-        /// The step is held with another content and in use.
+        /// A step with the same key and another content is held and in use.
         OtherContent {
             display("the step is in use with another content")
         }
-        /// The customer has as many steps here as it may.
+        /// The customer's limit of steps or prompt bytes is reached, and none of its steps is
+        /// done. Carries both limits.
         NoRoom(steps_max: u32, prompt_bytes_max: usize) {
             display(
                 "at most {} steps with {} bytes of prompts are held for one customer",
@@ -39,57 +40,58 @@
     }
 }
 
-/// What a post did.
+/// Effect of a post.
 #[key]
-pub enum Posted {
-    /// The step was not held here.
+pub enum PostOutcome {
+    /// The step was not held; it is held now.
     New,
-    /// It was; only what its cursor misses is run.
+    /// The same step was held already; only the slots that its cursor lists as missing run.
     Known,
-    /// It was, with another content that nobody fetches any more.
+    /// A step with another content, no longer in use, was replaced.
     Replaced,
-    /// Nothing: a copy of a step that nobody has used for too long.
-    TooOld,
+    /// The post was ignored: it is a copy of a step that has been unused for the idle time.
+    Expired,
 }
 
-struct Held {
+struct HeldStep {
     ledger: Ledger,
     posted_ms: u64,
-    touched_ms: u64,
+    last_used_ms: u64,
 }
 
-impl Held {
+impl HeldStep {
     fn is_in_use(&self, now_ms: u64) -> bool {
         let used_ms = self.ledger.fetched_ms().unwrap_or(0).max(self.posted_ms);
         now_ms.saturating_sub(used_ms) < IN_USE_MS
     }
 }
 
-/// Ledgers by step.
+/// Ledgers of all steps that an entry holds.
 pub struct Steps {
-    held: BTreeMap<StepKey, Held>,
+    held: BTreeMap<StepKey, HeldStep>,
     holdings: Holdings,
     idle_ms: u64,
-    ledgers: u32,
+    ledger_count: u32,
 }
 
 impl Steps {
-    /// Steps that nobody has asked for in `idle_ms` are dropped by [`Steps::retire`].
+    /// Creates an empty set. Steps unused for `idle_ms` are dropped by [`Steps::remove_idle`].
     pub fn new(idle_ms: u64) -> Self {
-        Self::bounded(idle_ms, StepBounds::default())
+        Self::with_bounds(idle_ms, StepBounds::default())
     }
 
-    /// The same, with other bounds on what is held for one customer.
-    pub fn bounded(idle_ms: u64, bounds: StepBounds) -> Self {
+    /// Like [`Steps::new`], with other limits on what is held for one customer.
+    pub fn with_bounds(idle_ms: u64, bounds: StepBounds) -> Self {
         Self {
             held: BTreeMap::new(),
             holdings: Holdings::new(bounds),
             idle_ms,
-            ledgers: 0,
+            ledger_count: 0,
         }
     }
 
-    /// Takes a post, or the same post again with a later or earlier cursor.
+    /// Adds a posted step. If the same post is held, applies its cursor, which may be later or
+    /// earlier than the last one.
     pub fn post(
         &mut self,
         step: &Arc<Step>,
@@ -97,43 +99,46 @@
         cursor: &Cursor,
         trainer_version: WeightVersion,
         now_ms: u64,
-    ) -> Result<Posted, PostError> {
+    ) -> Result<PostOutcome, PostError> {
         if let Some(held) = self.held.get_mut(&step.key) {
             if held.ledger.step().digest() == step.digest() {
-                held.touched_ms = now_ms;
+                held.last_used_ms = now_ms;
                 held.ledger.configure(settings);
-                held.ledger.take_cursor(cursor);
+                held.ledger.apply_cursor(cursor);
                 held.ledger.announce(trainer_version, None, now_ms);
-                return Ok(Posted::Known);
+                return Ok(PostOutcome::Known);
             }
             if held.is_in_use(now_ms) {
                 return Err(PostError::OtherContent);
             }
         }
-        self.ledgers = self.ledgers.wrapping_add(1);
+        self.ledger_count = self.ledger_count.wrapping_add(1);
         let ledger = Ledger::new(Arc::clone(step), settings.clone(), cursor, trainer_version);
-        let mut held = Held {
-            ledger: ledger.numbered(self.ledgers),
+        let mut held = HeldStep {
+            ledger: ledger.with_number_range(self.ledger_count),
             posted_ms: now_ms,
-            touched_ms: now_ms,
+            last_used_ms: now_ms,
         };
-        let old = self.take_out(&step.key);
-        if let Err(refused) = self.make_room(step) {
-            old.into_iter().for_each(|old| self.put_in(old));
-            return Err(refused);
+        let old = self.remove(&step.key);
+        if let Err(error) = self.make_room(step) {
+            old.into_iter().for_each(|old| self.insert(old));
+            return Err(error);
         }
-        let posted = old.as_ref().map_or(Posted::New, |_| Posted::Replaced);
+        let posted = old
+            .as_ref()
+            .map_or(PostOutcome::New, |_| PostOutcome::Replaced);
         if let Some(old) = old {
             held.ledger.replace(old.ledger);
         }
-        self.put_in(held);
+        self.insert(held);
         Ok(posted)
     }
 
-    /// Takes a post that the other home holds and that its trainer last used at `used_ms`.
-    /// What is held here has a cursor of the trainer's own already, perhaps a later one.
-    /// A step that is unused for too long does not come back this way: two homes that see
-    /// each other come and go would else keep it for ever.
+    /// Adds a post that the other home holds and that the trainer last used at `used_ms`.
+    /// If the post is held here, its cursor is not applied, because the one held here came
+    /// from the trainer and may be later. A step that has been unused for the idle time is
+    /// not added: two homes that repeatedly lose and regain contact would otherwise copy it
+    /// back and forth and never drop it.
     pub fn post_copy(
         &mut self,
         step: &Arc<Step>,
@@ -142,131 +147,133 @@
         trainer_version: WeightVersion,
         used_ms: u64,
         now_ms: u64,
-    ) -> Result<Posted, PostError> {
-        if let Some(held) = self.held_of(&step.key, step.digest()) {
-            held.touched_ms = held.touched_ms.max(used_ms);
+    ) -> Result<PostOutcome, PostError> {
+        if let Some(held) = self.find_post(&step.key, step.digest()) {
+            held.last_used_ms = held.last_used_ms.max(used_ms);
             held.ledger.announce(trainer_version, None, now_ms);
-            return Ok(Posted::Known);
+            return Ok(PostOutcome::Known);
         }
         if now_ms.saturating_sub(used_ms) >= self.idle_ms {
-            return Ok(Posted::TooOld);
+            return Ok(PostOutcome::Expired);
         }
         self.post(step, settings, cursor, trainer_version, used_ms)
     }
 
-    /// How long ago a step was last posted or fetched, in milliseconds.
+    /// Time since the step was last posted or fetched; `None` if it is not held.
     pub fn unused_ms(&self, key: &StepKey, now_ms: u64) -> Option<u64> {
         let held = self.held.get(key)?;
-        Some(now_ms.saturating_sub(held.touched_ms))
+        Some(now_ms.saturating_sub(held.last_used_ms))
     }
 
-    /// Whether a step is held.
+    /// Whether the step is held here.
     pub fn holds(&self, key: &StepKey) -> bool {
         self.held.contains_key(key)
     }
 
-    /// Steps that are held.
+    /// Keys of all steps that are held, in order.
     pub fn keys(&self) -> impl Iterator<Item = &StepKey> {
         self.held.keys()
     }
 
-    /// Drops the customer's steps whose trainers have all, the one unused longest first,
-    /// until `step` fits. A trainer whose last reply was lost posts its step again.
+    /// Drops the customer's done steps, the least recently used first, until `step` fits its
+    /// limits. A trainer that lost the last reply of a dropped step posts the step again.
     fn make_room(&mut self, step: &Step) -> Result<(), PostError> {
         while !self.holdings.has_room(step) {
             let done = self
                 .held
                 .iter()
                 .filter(|(key, held)| key.customer == step.key.customer && held.ledger.is_done());
-            let oldest = done.min_by_key(|(_, held)| held.touched_ms);
+            let oldest = done.min_by_key(|(_, held)| held.last_used_ms);
             let Some(key) = oldest.map(|(key, _)| key.clone()) else {
                 let bounds = self.holdings.bounds();
-                return Err(PostError::NoRoom(bounds.steps, bounds.prompt_bytes));
+                return Err(PostError::NoRoom(bounds.steps_max, bounds.prompt_bytes_max));
             };
-            self.take_out(&key);
+            self.remove(&key);
         }
         Ok(())
     }
 
-    fn put_in(&mut self, held: Held) {
+    fn insert(&mut self, held: HeldStep) {
         let step = held.ledger.step();
         self.holdings.add(step);
         self.held.insert(step.key.clone(), held);
     }
 
-    fn take_out(&mut self, key: &StepKey) -> Option<Held> {
+    fn remove(&mut self, key: &StepKey) -> Option<HeldStep> {
         let held = self.held.remove(key)?;
         self.holdings.remove(held.ledger.step());
         Some(held)
     }
 
-    /// The ledger of a step, if it is held, for its trainer; it posts again otherwise.
+    /// The ledger of a step for a request of its trainer, which counts as use. On `None`, the
+    /// trainer has to post the step again.
     pub fn get_mut(&mut self, key: &StepKey, now_ms: u64) -> Option<&mut Ledger> {
         let held = self.held.get_mut(key)?;
-        held.touched_ms = now_ms;
+        held.last_used_ms = now_ms;
         Some(&mut held.ledger)
     }
 
-    /// The ledger of a step, without counting as use: what becomes of its own runs would
-    /// else keep a step that its trainer has done with for ever.
+    /// The ledger of a step, without counting as use. Events of runs go through this method;
+    /// if they counted as use, a step that its trainer has abandoned would never be dropped.
     pub fn find_mut(&mut self, key: &StepKey) -> Option<&mut Ledger> {
         self.held.get_mut(key).map(|held| &mut held.ledger)
     }
 
-    /// Every ledger, without counting as use.
+    /// All ledgers by step, without counting as use.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (&StepKey, &mut Ledger)> {
         self.held
             .iter_mut()
             .map(|(key, held)| (key, &mut held.ledger))
     }
 
-    /// Takes a finished sample of the other home, or that its trainer fetches there. What is
-    /// said of an unknown step or of another post is dropped: the step's post comes with
-    /// its copy or from the trainer.
-    pub fn apply(&mut self, copy: &Copy, now_ms: u64) {
+    /// Applies a message of the other home: a finished sample, or a notification that the
+    /// trainer fetches there. A message about an unknown step or another post is dropped; the
+    /// step's post arrives through [`Steps::post_copy`] or from the trainer.
+    pub fn apply(&mut self, copy: &CopyMessage, now_ms: u64) {
         match copy {
-            Copy::Post { .. } => {}
-            Copy::Finished {
+            CopyMessage::Post { .. } => {}
+            CopyMessage::Finished {
                 key,
                 digest,
                 sample,
             } => {
-                if let Some(held) = self.held_of(key, *digest) {
+                if let Some(held) = self.find_post(key, *digest) {
                     held.ledger.adopt(sample);
                 }
             }
-            Copy::Fetched {
+            CopyMessage::Fetched {
                 key,
                 digest,
                 complete,
             } => {
-                let Some(held) = self.held_of(key, *digest) else {
+                let Some(held) = self.find_post(key, *digest) else {
                     return;
                 };
-                held.touched_ms = held.touched_ms.max(now_ms);
+                held.last_used_ms = held.last_used_ms.max(now_ms);
                 if *complete {
-                    held.ledger.hand_over();
+                    held.ledger.mark_all_offered();
                 }
             }
         }
     }
 
-    fn held_of(&mut self, key: &StepKey, digest: StepDigest) -> Option<&mut Held> {
+    fn find_post(&mut self, key: &StepKey, digest: StepDigest) -> Option<&mut HeldStep> {
         let held = self.held.get_mut(key)?;
         (held.ledger.step().digest() == digest).then_some(held)
     }
 
-    /// Drops steps that nobody has asked for; gives what has to be cancelled. A trainer
-    /// that comes back after that posts again with its cursor and loses nothing but time.
-    pub fn retire(&mut self, now_ms: u64) -> Vec<Action> {
+    /// Drops steps unused for the idle time and returns the actions that cancel their runs. A
+    /// trainer that returns later posts the step again with its cursor; its missing slots are
+    /// then run again, and no sample is lost or duplicated.
+    pub fn remove_idle(&mut self, now_ms: u64) -> Vec<Action> {
         let mut cancels = Vec::new();
         let (idle_ms, holdings) = (self.idle_ms, &mut self.holdings);
         self.held.retain(|_, held| {
-            let keep = now_ms.saturating_sub(held.touched_ms) < idle_ms;
+            let keep = now_ms.saturating_sub(held.last_used_ms) < idle_ms;
             if !keep {
                 holdings.remove(held.ledger.step());
-                held.ledger.give_up();
-                cancels.extend(held.ledger.drain());
+                held.ledger.cancel_all();
+                cancels.extend(held.ledger.take_actions());
             }
             keep
         });
--- a/components/samples/tests/copies.rs
+++ b/components/samples/tests/copies.rs
@@ -1,17 +1,19 @@
-//! What goes from a step's first home to the second.
+//! Messages from a step's first home to its second.
 
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+#![allow(clippy::unwrap_used)] // clippy.toml allows `unwrap` in test functions, not in their helpers.
 
 mod support;
 
 use std::sync::Arc;
 
-use samples::{Action, Copy, Cursor, LedgerSettings, Posted, Step, Steps, batches};
+use samples::{
+    Action, CopyMessage, Cursor, LedgerSettings, PostOutcome, Step, Steps, split_batches,
+};
 use support::{completion, key, room, starts, step_of, version};
 
 const IDLE_MS: u64 = 1_000;
 
-/// Holds the step with all its samples; none was fetched yet.
+/// Creates a first home that holds the step with all samples finished and none fetched.
 fn first_home(step: &Arc<Step>) -> Steps {
     let mut steps = Steps::new(IDLE_MS);
     let at = version(1, 1);
@@ -20,14 +22,15 @@
     let ledger = steps.find_mut(&key(7)).unwrap();
     ledger.dispatch(&room(1, 99, at), 0);
     for start in starts(ledger) {
-        ledger.finished(start.run, completion("text", [at]), 1);
+        ledger.record_completion(start.run, completion("text", [at]), 1);
     }
-    ledger.drain();
+    ledger.take_actions();
     steps
 }
 
-fn notes(steps: &mut Steps) -> Vec<Copy> {
-    let actions = steps.find_mut(&key(7)).unwrap().drain();
+/// Takes the actions of the step's ledger and returns the messages to the second home.
+fn sent_copies(steps: &mut Steps) -> Vec<CopyMessage> {
+    let actions = steps.find_mut(&key(7)).unwrap().take_actions();
     let copy = |action| match action {
         Action::Copy(copy) => Some(copy),
         _ => None,
@@ -35,11 +38,11 @@
     actions.into_iter().filter_map(copy).collect()
 }
 
-// The trainer has its step whole from the first home, which then dies. The second, which
-// missed the samples' copies, runs nothing for nobody; only the trainer's own cursor, back
-// from a lost reply, has the step run there.
+// The first home delivers the whole step and crashes. The second home did not receive the
+// copies of the samples, but must not run them for a trainer that has them. Only a fetch
+// with the trainer's old cursor, after a lost reply, starts the runs there.
 #[test]
-fn can_leave_a_done_step_in_peace_at_the_second_home() {
+fn can_stop_running_slots_of_a_delivered_step_at_the_second_home() {
     let step = step_of(1, 3);
     let (at, start) = (version(1, 1), Cursor::start(&step));
     let (mut first, mut second) = (first_home(&step), Steps::new(IDLE_MS));
@@ -49,7 +52,7 @@
         .unwrap();
     let reply = first.get_mut(&key(7), 2).unwrap().fetch(&start, at, 9, 2);
     assert!(reply.unwrap().complete);
-    notes(&mut first)
+    sent_copies(&mut first)
         .iter()
         .for_each(|copy| second.apply(copy, 3));
     let ledger = second.find_mut(&key(7)).unwrap();
@@ -61,16 +64,16 @@
     assert_eq!(starts(ledger).len(), 3);
 }
 
-// A trainer fetches at the first home for longer than an unused step is kept. The second
-// home hears of it now and then, and keeps the step as long.
+// Guards against the second home dropping a step in use. A trainer fetches at the first home
+// for longer than the idle time; the first home notifies the second one about once a minute.
 #[test]
 fn can_keep_a_step_at_the_second_home_while_its_trainer_fetches_at_the_first() {
     const MINUTE_MS: u64 = 60_000;
-    const KEPT_MS: u64 = 15 * MINUTE_MS;
+    const STEP_IDLE_MS: u64 = 15 * MINUTE_MS;
     let step = step_of(1, 3);
     let (at, start) = (version(1, 1), Cursor::start(&step));
     let settings = LedgerSettings::default();
-    let (mut first, mut second) = (Steps::new(KEPT_MS), Steps::new(KEPT_MS));
+    let (mut first, mut second) = (Steps::new(STEP_IDLE_MS), Steps::new(STEP_IDLE_MS));
     first.post(&step, &settings, &start, at, 0).unwrap();
     second
         .post_copy(&step, &settings, &start, at, 0, 0)
@@ -80,18 +83,19 @@
         let ledger = first.get_mut(&key(7), now_ms).unwrap();
         ledger.fetch(&start, at, 9, now_ms).unwrap();
         ledger.fetch(&start, at, 9, now_ms + 1).unwrap();
-        let copies = notes(&mut first);
-        assert_eq!(copies.len(), 1, "one note a minute");
+        let copies = sent_copies(&mut first);
+        assert_eq!(copies.len(), 1, "one notification per minute");
         copies.iter().for_each(|copy| second.apply(copy, now_ms));
-        second.retire(now_ms);
+        second.remove_idle(now_ms);
     }
     assert!(second.holds(&key(7)));
-    second.retire(20 * MINUTE_MS + KEPT_MS);
+    second.remove_idle(20 * MINUTE_MS + STEP_IDLE_MS);
     assert!(!second.holds(&key(7)));
 }
 
-// Two homes lose sight of each other and come back, and each time send each other what they
-// hold. Their copies don't count as use, so a step that its trainer is done with ends.
+// Two homes repeatedly lose and regain contact, and send each other their copies each time.
+// Copies must not count as use; otherwise a step that its trainer no longer uses would never
+// be dropped.
 #[test]
 fn can_drop_an_unused_step_although_homes_copy_it_to_each_other() {
     let step = step_of(1, 2);
@@ -107,48 +111,48 @@
             let copies = copies.copies(None, unused_ms);
             let to = &mut homes[1 - from];
             let used_ms = now_ms - unused_ms;
-            let taken = to.post_copy(&step, &settings, &start, at, used_ms, now_ms);
-            assert_ne!(taken, Ok(Posted::Replaced));
+            let outcome = to.post_copy(&step, &settings, &start, at, used_ms, now_ms);
+            assert_ne!(outcome, Ok(PostOutcome::Replaced));
             copies.iter().for_each(|copy| to.apply(copy, now_ms));
         }
         for home in &mut homes {
-            home.retire(now_ms);
+            home.remove_idle(now_ms);
             assert!(now_ms < IDLE_MS || !home.holds(&key(7)), "at {now_ms} ms");
         }
     }
 }
 
 #[test]
-fn can_cut_a_queue_of_copies_by_bytes() {
+fn can_split_copies_into_batches_by_bytes() {
     struct Case {
         name: &'static str,
         bytes: Vec<usize>,
-        parts: Vec<Vec<usize>>,
+        batches: Vec<Vec<usize>>,
     }
     let cases = [
         Case {
-            name: "nothing",
+            name: "empty queue",
             bytes: vec![],
-            parts: vec![],
+            batches: vec![],
         },
         Case {
-            name: "all in one",
+            name: "all in one batch",
             bytes: vec![3, 3, 4],
-            parts: vec![vec![3, 3, 4]],
+            batches: vec![vec![3, 3, 4]],
         },
         Case {
-            name: "in order over two",
+            name: "two batches in order",
             bytes: vec![6, 5, 1],
-            parts: vec![vec![6], vec![5, 1]],
+            batches: vec![vec![6], vec![5, 1]],
         },
         Case {
-            name: "one that is too large goes alone",
+            name: "an item over the limit gets its own batch",
             bytes: vec![1, 99, 1],
-            parts: vec![vec![1], vec![99], vec![1]],
+            batches: vec![vec![1], vec![99], vec![1]],
         },
     ];
     for case in cases {
-        let parts = batches(case.bytes, |&bytes| bytes, 10);
-        assert_eq!(parts, case.parts, "{}", case.name);
+        let batches = split_batches(case.bytes, |&bytes| bytes, 10);
+        assert_eq!(batches, case.batches, "{}", case.name);
     }
 }
--- a/components/samples/tests/policy.rs
+++ b/components/samples/tests/policy.rs
@@ -1,51 +1,51 @@
-//! Tables of the small decisions: origin, swaps, late runs, homes.
+//! Table tests of single decisions: provenance, weight swaps, stragglers and homes.
 
 mod support;
 
-use samples::straggler::{Budget, Decision, Pace, RunView, StragglerSettings, due};
-use samples::swap::{InProgress, News, Plan, plan};
-use samples::{Distribution, Entry, IdleClock, Provenance, Stamps, homes};
+use samples::straggler::{Decision, HedgeBudget, RunTimings, RunView, StragglerSettings, assess};
+use samples::swap::{RunInProgress, RunPlan, SwapContext, plan_run};
+use samples::{Distribution, Entry, IdleClock, Provenance, Stamps, choose_homes};
 use support::{address, key, version};
 use types::WeightVersion;
 
 #[test]
-fn can_tell_the_origin_of_a_sample() {
+fn can_determine_the_provenance_of_a_sample() {
     struct Case {
         name: &'static str,
         stamps: &'static [Option<u64>],
         witnessed: Option<u64>,
-        origin: Option<&'static [u64]>,
+        provenance: Option<&'static [u64]>,
     }
     let cases = [
         Case {
             name: "a swap between stamped chunks",
             stamps: &[Some(1), Some(2)],
             witnessed: None,
-            origin: Some(&[1, 2]),
+            provenance: Some(&[1, 2]),
         },
         Case {
-            name: "no stamp and one version all along",
+            name: "no stamp and one version throughout",
             stamps: &[None, None],
             witnessed: Some(3),
-            origin: Some(&[3]),
+            provenance: Some(&[3]),
         },
         Case {
             name: "no stamp and a swap",
             stamps: &[None],
             witnessed: None,
-            origin: None,
+            provenance: None,
         },
         Case {
             name: "one chunk of many without a stamp, and a swap",
             stamps: &[Some(1), None, Some(2)],
             witnessed: None,
-            origin: None,
+            provenance: None,
         },
         Case {
-            name: "nothing at all",
+            name: "no chunk",
             stamps: &[],
             witnessed: Some(1),
-            origin: None,
+            provenance: None,
         },
     ];
     let at = |number: u64| version(1, number);
@@ -53,93 +53,93 @@
         let mut stamps = Stamps::new();
         case.stamps
             .iter()
-            .for_each(|stamp| stamps.chunk(stamp.map(at)));
-        stamps.segment_ended(case.witnessed.map(at));
-        let origin = stamps.finish();
-        let wanted = case.origin.map(|o| o.iter().copied().map(at).collect());
-        assert_eq!(origin.versions().cloned(), wanted, "{}", case.name);
+            .for_each(|stamp| stamps.record_chunk(stamp.map(at)));
+        stamps.end_segment(case.witnessed.map(at));
+        let provenance = stamps.finish();
+        let wanted = case.provenance.map(|o| o.iter().copied().map(at).collect());
+        assert_eq!(provenance.versions().cloned(), wanted, "{}", case.name);
     }
 }
 
 #[test]
-fn can_keep_the_origin_over_a_resume() {
+fn can_keep_the_provenance_across_a_resume() {
     let earlier = Provenance::Known([version(1, 1)].into());
     let mut stamps = Stamps::resumed_from(&earlier);
-    stamps.unary(&[version(1, 2), version(1, 3)]);
+    stamps.record_response(&[version(1, 2), version(1, 3)]);
     let wanted: [WeightVersion; 3] = [version(1, 1), version(1, 2), version(1, 3)];
     assert_eq!(stamps.finish(), Provenance::Known(wanted.into()));
-    let mut doubtful = Stamps::resumed_from(&Provenance::NotKnown);
-    doubtful.chunk(Some(version(1, 2)));
-    assert_eq!(doubtful.finish(), Provenance::NotKnown);
+    let mut uncertain = Stamps::resumed_from(&Provenance::NotKnown);
+    uncertain.record_chunk(Some(version(1, 2)));
+    assert_eq!(uncertain.finish(), Provenance::NotKnown);
 }
 
 #[test]
-fn can_plan_runs_around_a_swap() {
+fn can_plan_runs_at_a_weight_swap() {
     struct Case {
         name: &'static str,
         oldest: Option<WeightVersion>,
         remaining_ms: Option<u64>,
-        kept: bool,
-        plan: Plan,
+        survives: bool,
+        plan: RunPlan,
     }
-    let case = |name, oldest, remaining_ms, kept, plan| Case {
+    let case = |name, oldest, remaining_ms, survives, plan| Case {
         name,
         oldest,
         remaining_ms,
-        kept,
+        survives,
         plan,
     };
-    let (young, edge, old) = (version(2, 5), version(2, 4), version(2, 3));
+    let (fresh, edge, stale) = (version(2, 5), version(2, 4), version(2, 3));
     let cases = [
-        case("no token yet", None, None, true, Plan::Keep),
-        case("young", Some(young), Some(9_000), true, Plan::Keep),
+        case("no token yet", None, None, true, RunPlan::Keep),
+        case("fresh", Some(fresh), Some(9_000), true, RunPlan::Keep),
         case(
-            "young, engine drops it",
-            Some(young),
+            "fresh, engine drops the run",
+            Some(fresh),
             None,
             false,
-            Plan::Resume,
+            RunPlan::Resume,
         ),
         case(
             "at the bound, ends in time",
             Some(edge),
             Some(900),
             true,
-            Plan::Keep,
+            RunPlan::Keep,
         ),
         case(
             "at the bound, ends too late",
             Some(edge),
             Some(1_100),
             true,
-            Plan::Abandon,
+            RunPlan::Abandon,
         ),
-        case("too old", Some(old), Some(0), true, Plan::Abandon),
+        case("stale", Some(stale), Some(0), true, RunPlan::Abandon),
         case(
             "another epoch",
             Some(version(1, 9)),
             None,
             true,
-            Plan::Abandon,
+            RunPlan::Abandon,
         ),
     ];
-    let news = News {
+    let context = SwapContext {
         announced: version(2, 5),
         staleness_bound: 1,
         next_in_ms: Some(1_000),
     };
     for case in cases {
-        let run = InProgress {
+        let run = RunInProgress {
             oldest: case.oldest,
             remaining_ms: case.remaining_ms,
-            kept_over_switch: case.kept,
+            survives_swap: case.survives,
         };
-        assert_eq!(plan(&run, &news), case.plan, "{}", case.name);
+        assert_eq!(plan_run(&run, &context), case.plan, "{}", case.name);
     }
 }
 
 #[test]
-fn can_tell_a_late_run_from_a_long_one() {
+fn can_distinguish_a_late_run_from_a_long_one() {
     struct Case {
         name: &'static str,
         run: RunView,
@@ -167,16 +167,16 @@
         hedges,
         decision,
     };
-    // The others took 1 s for 100 tokens.
+    // The finished runs took 1 s for 100 tokens.
     let cases = [
         case(
-            "long at the usual pace",
+            "long at the usual rate",
             run(60_000, 10, 6_000),
             0,
             Decision::Wait,
         ),
         case(
-            "a fifth of the pace",
+            "a fifth of the usual rate",
             run(5_000, 10, 100),
             0,
             Decision::Hedge,
@@ -191,21 +191,26 @@
         case("silent, moved before", moved, 0, Decision::Hedge),
         case("hedged already", hedged, 0, Decision::Wait),
         case(
-            "unary and within reason",
+            "not streamed, within the limit",
             run(2_000, 2_000, 0),
             0,
             Decision::Wait,
         ),
-        case("unary and late", run(5_000, 5_000, 0), 0, Decision::Hedge),
+        case(
+            "not streamed, late",
+            run(5_000, 5_000, 0),
+            0,
+            Decision::Hedge,
+        ),
     ];
-    let mut pace = Pace::default();
+    let mut pace = RunTimings::default();
     (0..20).for_each(|_| pace.record(1_000, 100));
     for case in cases {
-        let budget = Budget {
+        let budget = HedgeBudget {
             hedges: case.hedges,
             slots: 40,
         };
-        let decision = due(&StragglerSettings::default(), &case.run, &pace, &budget);
+        let decision = assess(&StragglerSettings::default(), &case.run, &pace, &budget);
         assert_eq!(decision, case.decision, "{}", case.name);
     }
 }
@@ -224,23 +229,23 @@
         found.unwrap().failure_domain
     };
     for step in 0..200 {
-        let two = homes(&key(step), &live).unwrap();
+        let two = choose_homes(&key(step), &live).unwrap();
         let second = two.second.unwrap();
         assert_ne!(domain(&live, two.first), domain(&live, second));
-        // The order of the list says nothing.
+        // The choice does not depend on the order of the list.
         live.rotate_left(1);
-        assert_eq!(homes(&key(step), &live), Some(two.clone()));
-        // When the first dies, the second, which holds the copies, is one of the new two.
+        assert_eq!(choose_homes(&key(step), &live), Some(two.clone()));
+        // If the first home crashes, the second, which holds the copies, is one of the new homes.
         let left: Vec<Entry> = live
             .iter()
             .filter(|e| e.address != two.first)
             .cloned()
             .collect();
-        let next = homes(&key(step), &left).unwrap();
+        let next = choose_homes(&key(step), &left).unwrap();
         assert!(next.first == second || next.second == Some(second));
     }
-    assert_eq!(homes(&key(1), &[]), None);
-    assert_eq!(homes(&key(1), &live[..1]).unwrap().second, None);
+    assert_eq!(choose_homes(&key(1), &[]), None);
+    assert_eq!(choose_homes(&key(1), &live[..1]).unwrap().second, None);
 }
 
 #[test]
@@ -250,9 +255,9 @@
     let median = distribution.quantile(500).unwrap();
     assert!((500..=563).contains(&median), "{median}");
     let mut idle = IdleClock::new();
-    idle.fetch_began(100);
-    idle.fetch_began(150);
-    idle.fetch_ended(200);
-    idle.fetch_ended(300);
+    idle.begin_fetch(100);
+    idle.begin_fetch(150);
+    idle.end_fetch(200);
+    idle.end_fetch(300);
     assert_eq!(idle.idle_ms(400), 200);
 }
--- a/components/samples/tests/steps.rs
+++ b/components/samples/tests/steps.rs
@@ -1,22 +1,23 @@
-//! The steps that an entry holds.
+//! Steps that an entry holds: posts, replacement, limits and idle time.
 
 mod support;
 
 use std::sync::Arc;
 
 use samples::{
-    Action, Copy, Cursor, Group, LedgerSettings, PostError, Posted, Step, StepKey, Steps,
+    Action, CopyMessage, Cursor, Group, LedgerSettings, PostError, PostOutcome, Step, StepKey,
+    Steps,
 };
 use support::{completion, key, room, starts, step_of, version};
 
 const IDLE_MS: u64 = 1_000;
 
-fn post(steps: &mut Steps, step: &Arc<Step>, cursor: &Cursor) -> Result<Posted, PostError> {
+fn post(steps: &mut Steps, step: &Arc<Step>, cursor: &Cursor) -> Result<PostOutcome, PostError> {
     steps.post(step, &LedgerSettings::default(), cursor, version(1, 1), 0)
 }
 
 #[test]
-fn can_take_the_same_post_again_and_refuse_another_under_its_number() {
+fn can_accept_a_repeated_post_and_refuse_other_content() {
     let step = step_of(1, 4);
     let other = Group {
         prompt: "something else".to_owned(),
@@ -26,20 +27,20 @@
     let mut steps = Steps::new(IDLE_MS);
     assert_eq!(
         post(&mut steps, &step, &Cursor::start(&step)),
-        Ok(Posted::New)
+        Ok(PostOutcome::New)
     );
-    let later = Cursor::start(&step).after([0, 3]);
-    assert_eq!(post(&mut steps, &step, &later), Ok(Posted::Known));
+    let later = Cursor::start(&step).with_received([0, 3]);
+    assert_eq!(post(&mut steps, &step, &later), Ok(PostOutcome::Known));
     assert_eq!(steps.get_mut(&key(7), 0).unwrap().waiting(), 2);
     let refused = post(&mut steps, &other, &Cursor::start(&other));
     assert_eq!(refused, Err(PostError::OtherContent));
 }
 
 #[test]
-fn can_replace_a_step_that_nobody_fetches_without_mixing_up_its_runs() {
-    // A trainer restarts and posts its step again with another prompt. The first post's run
-    // is cancelled, and its result, already on the way, comes under a number that no run of
-    // the second post has; else it would be bound to a slot of another prompt.
+fn can_replace_an_unused_step_without_mixing_up_its_runs() {
+    // A trainer restarts and posts its step again with another prompt. The run of the first
+    // post is cancelled, but its result still arrives. The result must not be bound to a slot
+    // of the second post, so its run number must not occur there.
     let step = step_of(1, 1);
     let other = Arc::new(Step::new(key(7), step_of(2, 1).groups.clone(), 9).unwrap());
     let settings = LedgerSettings::default();
@@ -50,36 +51,35 @@
     let old = starts(ledger).pop().unwrap().run;
     let start = Cursor::start(&other);
     let replaced = steps.post(&other, &settings, &start, version(1, 1), 10_000);
-    assert_eq!(replaced, Ok(Posted::Replaced));
+    assert_eq!(replaced, Ok(PostOutcome::Replaced));
     let ledger = steps.get_mut(&key(7), 10_000).unwrap();
-    assert_eq!(ledger.drain(), [Action::Cancel { run: old }]);
+    assert_eq!(ledger.take_actions(), [Action::Cancel { run: old }]);
     ledger.dispatch(&room(1, 1, version(1, 1)), 10_000);
-    ledger.finished(old, completion("old", [version(1, 1)]), 10_001);
+    ledger.record_completion(old, completion("old", [version(1, 1)]), 10_001);
     let reply = ledger.fetch(&start, version(1, 1), 9, 10_001).unwrap();
     assert_eq!(reply.samples, []);
 }
 
 #[test]
-fn can_drop_a_step_that_nobody_asks_for_and_cancel_its_runs() {
+fn can_drop_an_unused_step_and_cancel_its_runs() {
     let step = step_of(1, 2);
     let mut steps = Steps::new(IDLE_MS);
     post(&mut steps, &step, &Cursor::start(&step)).unwrap();
     let ledger = steps.get_mut(&key(7), 0).unwrap();
     ledger.dispatch(&room(1, 2, version(1, 1)), 0);
     let runs = starts(ledger);
-    assert_eq!(steps.retire(IDLE_MS - 1), []);
-    let cancelled = steps.retire(IDLE_MS);
+    assert_eq!(steps.remove_idle(IDLE_MS - 1), []);
+    let cancelled = steps.remove_idle(IDLE_MS);
     let all: Vec<Action> = runs.iter().map(|s| Action::Cancel { run: s.run }).collect();
     assert_eq!(cancelled, all);
     assert!(steps.get_mut(&key(7), 0).is_none());
 }
 
-// Engines are left in peace by a step whose trainer has it whole. The reply with the last
-// slots ends its fetches, so no cursor ever says that it arrived: each new version made the
-// samples too old and ran them again, and each run kept the step. Lost, the reply is asked
-// for again, and then they are run again.
+// Guards against useless runs for a delivered step. After the reply with the last slots, no
+// cursor confirms its arrival; each new version made the samples stale and ran them again, and
+// each run kept the step. Only a repeated fetch, after a lost reply, may run them again.
 #[test]
-fn can_leave_a_step_in_peace_that_its_trainer_has_whole() {
+fn can_stop_running_slots_of_a_delivered_step() {
     let step = step_of(1, 4);
     let start = Cursor::start(&step);
     let mut steps = Steps::new(IDLE_MS);
@@ -87,9 +87,9 @@
     let ledger = steps.find_mut(&key(7)).unwrap();
     ledger.dispatch(&room(1, 4, version(1, 1)), 0);
     for start in starts(ledger) {
-        ledger.finished(start.run, completion("text", [version(1, 1)]), 1);
+        ledger.record_completion(start.run, completion("text", [version(1, 1)]), 1);
     }
-    ledger.drain();
+    ledger.take_actions();
     let last = ledger.fetch(&start, version(1, 1), 9, 1).unwrap();
     assert!(last.complete);
     for minute in 2..10 {
@@ -101,14 +101,14 @@
     let again = lost.fetch(&start, version(1, 9), 9, 10).unwrap();
     lost.dispatch(&room(1, 4, version(1, 9)), 10);
     assert_eq!((again.samples.len(), starts(&mut lost).len()), (0, 4));
-    steps.retire(IDLE_MS);
+    steps.remove_idle(IDLE_MS);
     assert!(steps.find_mut(&key(7)).is_none());
 }
 
-// An operator makes the bound stricter while a step is held. The trainer gets no sample that
-// the new text no longer allows, whatever bound the step was posted under.
+// An operator lowers the staleness bound while a step is held. The trainer must not get a
+// sample over the new bound, although the step was posted under a higher one.
 #[test]
-fn can_hold_a_step_to_a_stricter_bound() {
+fn can_apply_a_stricter_staleness_bound_to_a_held_step() {
     let step = step_of(1, 2);
     let start = Cursor::start(&step);
     let bound = |staleness_bound| LedgerSettings {
@@ -117,11 +117,11 @@
     };
     let mut steps = Steps::new(IDLE_MS);
     let posted = steps.post(&step, &bound(2), &start, version(1, 1), 0);
-    assert_eq!(posted, Ok(Posted::New));
+    assert_eq!(posted, Ok(PostOutcome::New));
     let ledger = steps.find_mut(&key(7)).unwrap();
     ledger.dispatch(&room(1, 2, version(1, 1)), 0);
     for start in starts(ledger) {
-        ledger.finished(start.run, completion("text", [version(1, 1)]), 1);
+        ledger.record_completion(start.run, completion("text", [version(1, 1)]), 1);
     }
     ledger.announce(version(1, 3), None, 2);
     steps
@@ -133,9 +133,9 @@
 }
 
 #[test]
-fn can_hold_a_second_home_ready_from_copies() {
-    // The first home finishes two of three slots and dies. The second has the post and both
-    // samples; the trainer's fetch there gives them at once, and one slot is run.
+fn can_take_over_at_the_second_home_from_copies() {
+    // The first home finishes two of three slots and crashes. The second home has copies of the
+    // post and both samples. A fetch there must return both at once, and one slot is run.
     let step = step_of(1, 3);
     let start = Cursor::start(&step);
     let mut first = Steps::new(IDLE_MS);
@@ -144,14 +144,15 @@
     let ledger = first.get_mut(&key(7), 0).unwrap();
     ledger.dispatch(&room(1, 2, version(1, 1)), 0);
     for start in starts(ledger) {
-        ledger.finished(start.run, completion("text", [version(1, 1)]), 1);
+        ledger.record_completion(start.run, completion("text", [version(1, 1)]), 1);
     }
     let sent = serde_json::to_string(&ledger.copies(None, 0)).unwrap();
-    let copies: Vec<Copy> = serde_json::from_str(&sent).unwrap();
-    // Out of order: a sample that comes before its post is dropped and sent with the rest.
+    let copies: Vec<CopyMessage> = serde_json::from_str(&sent).unwrap();
+    // A sample that arrives before its post is dropped; the first home sends it again with the
+    // other copies.
     copies.iter().rev().for_each(|copy| second.apply(copy, 1));
-    let Copy::Post { step: posted, .. } = &copies[0] else {
-        panic!("the post goes first");
+    let CopyMessage::Post { step: posted, .. } = &copies[0] else {
+        panic!("the first copy is not the post");
     };
     post(&mut second, posted, &start).unwrap();
     (0..2).for_each(|_| copies.iter().for_each(|copy| second.apply(copy, 1)));
@@ -160,12 +161,13 @@
     assert_eq!((reply.samples.len(), ledger.waiting()), (2, 1));
 }
 
-// One customer posts steps without end and fetches none. Past its bound its posts are
-// refused, while another customer's post is taken; the memory of the entry is everybody's.
+// Guards against one customer filling the entry's memory, which all customers share. A
+// customer posts steps without fetching any; posts over its limit must be refused, and
+// another customer's post must be accepted.
 #[test]
-fn can_hold_so_many_steps_of_one_customer_and_no_more() {
+fn can_limit_the_steps_of_one_customer() {
     const STEPS_MAX: u64 = 64;
-    let of = |customer: &str, number: u64| {
+    let step_for = |customer: &str, number: u64| {
         let key = StepKey {
             customer: customer.parse().unwrap(),
             ..key(number)
@@ -175,20 +177,20 @@
     let mut steps = Steps::new(IDLE_MS);
     let mut put = |step: &Arc<Step>| post(&mut steps, step, &Cursor::start(step));
     for number in 0..STEPS_MAX {
-        assert_eq!(put(&of("evil", number)), Ok(Posted::New));
+        assert_eq!(put(&step_for("evil", number)), Ok(PostOutcome::New));
     }
-    assert!(put(&of("evil", STEPS_MAX)).is_err());
-    assert_eq!(put(&of("evil", 0)), Ok(Posted::Known));
-    assert_eq!(put(&of("office", 0)), Ok(Posted::New));
-    steps.retire(IDLE_MS);
-    let later = of("evil", STEPS_MAX);
+    assert!(put(&step_for("evil", STEPS_MAX)).is_err());
+    assert_eq!(put(&step_for("evil", 0)), Ok(PostOutcome::Known));
+    assert_eq!(put(&step_for("office", 0)), Ok(PostOutcome::New));
+    steps.remove_idle(IDLE_MS);
+    let later = step_for("evil", STEPS_MAX);
     let posted = post(&mut steps, &later, &Cursor::start(&later));
-    assert_eq!(posted, Ok(Posted::New));
+    assert_eq!(posted, Ok(PostOutcome::New));
 }
 
-// As above with few steps and large prompts.
+// Like `can_limit_the_steps_of_one_customer`, with few steps and large prompts.
 #[test]
-fn can_hold_so_many_prompts_of_one_customer_and_no_more() {
+fn can_limit_the_prompt_bytes_of_one_customer() {
     const PROMPT_BYTES: usize = 4 << 20;
     const STEPS: u64 = 16;
     let large = |number| {
@@ -208,14 +210,15 @@
     assert!(!steps.find_mut(&key(0)).unwrap().step().groups.is_empty());
 }
 
-// A trainer works through its steps faster than done ones are dropped. Its posts go on: a
-// step that it has whole makes room, the one done first before the others.
+// A trainer completes steps faster than the idle time removes them. Its posts must not be
+// refused: delivered steps are dropped to make room, the least recently used first.
 #[test]
 fn can_drop_done_steps_of_a_customer_to_make_room() {
-    let of = |number| Arc::new(Step::new(key(number), step_of(1, 1).groups.clone(), 64).unwrap());
+    let step_number =
+        |number| Arc::new(Step::new(key(number), step_of(1, 1).groups.clone(), 64).unwrap());
     let mut steps = Steps::new(IDLE_MS);
     for number in 0..200 {
-        let step = of(number);
+        let step = step_number(number);
         let start = Cursor::start(&step);
         let posted = steps.post(
             &step,
@@ -224,15 +227,15 @@
             version(1, 1),
             number,
         );
-        assert_eq!(posted, Ok(Posted::New), "step {number}");
+        assert_eq!(posted, Ok(PostOutcome::New), "step {number}");
         if number == 0 {
-            // Not fetched by its trainer, so it stays.
+            // The trainer does not fetch this step, so it must not be dropped.
             continue;
         }
         let ledger = steps.get_mut(&key(number), number).unwrap();
         ledger.dispatch(&room(1, 1, version(1, 1)), number);
         for start in starts(ledger) {
-            ledger.finished(start.run, completion("text", [version(1, 1)]), number);
+            ledger.record_completion(start.run, completion("text", [version(1, 1)]), number);
         }
         let reply = ledger.fetch(&start, version(1, 1), 9, number).unwrap();
         assert!(reply.complete);
--- a/components/sidecar/src/status.rs
+++ b/components/sidecar/src/status.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use config::Kind;
+use config::ServiceKind;
 use node::now_ms;
 use protocol::{HostedService, Load, Status};
 use serde::Serialize;
@@ -68,8 +68,8 @@
             let service = &place.service;
             let weights = match service.kind {
                 // The version that was read back from the engine, never the one wanted.
-                Kind::Model => Some(look.model(&place.engine_model)?.version),
-                Kind::Plain => None,
+                ServiceKind::Model => Some(look.model(&place.engine_model)?.version),
+                ServiceKind::Plain => None,
             };
             Some(HostedService {
                 customer: service.owner.clone(),
@@ -179,7 +179,7 @@
         serving: row.status.serving.map(|version| version.to_string()),
         load: row.status.load.map(|version| version.to_string()),
         loaded: row.status.loaded,
-        behind: row.status.behind,
+        behind: row.status.versions_behind,
         failures: row.status.failures,
     }
 }
