--- a/components/node/src/feed_task.rs
+++ b/components/node/src/feed_task.rs
@@ -64,7 +64,7 @@
     /// Whether the ledger has changed since the last view was built.
     has_unpublished: bool,
     published_ms: Option<u64>,
-    keeper: KeepScheduler,
+    keep_scheduler: KeepScheduler,
     /// No record is appended again before this time.
     append_from_ms: u64,
     log: LogClient,
@@ -85,7 +85,7 @@
             fetches: FetchQueue::new(fetcher, own),
             has_unpublished: false,
             published_ms: None,
-            keeper: KeepScheduler::new(settings.keep),
+            keep_scheduler: KeepScheduler::new(settings.keep),
             append_from_ms: now_ms() + settings.keep_delay_ms,
             log,
         }
@@ -138,7 +138,7 @@
             self.apply_record(record, is_new);
         }
         if at_end {
-            self.keeper.on_end_read(now_ms());
+            self.keep_scheduler.on_end_read(now_ms());
             self.shared.initialized.store(true, Ordering::Release);
         }
         self.has_unpublished |= !page.records.is_empty();
@@ -152,7 +152,7 @@
         };
         log_verdict(stored.offset, &verdict);
         if let Ok(record) = &record {
-            self.keeper
+            self.keep_scheduler
                 .on_record(&self.ledger, record, is_new, now_ms());
         }
     }
@@ -170,7 +170,9 @@
         }
         let shared = Arc::clone(&self.shared);
         let rank = |customer: Option<&CustomerName>| keep_rank(&shared, customer);
-        let records = self.keeper.due_records(&self.ledger, now_ms(), rank);
+        let records = self
+            .keep_scheduler
+            .due_records(&self.ledger, now_ms(), rank);
         if records.is_empty() {
             return;
         }
