--- a/components/claims/tests/claims.rs
+++ b/components/claims/tests/claims.rs
@@ -1,5 +1,5 @@
 //! Verdicts, the states of a submission, batches and settings.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+#![allow(clippy::unwrap_used)] // clippy.toml exempts test functions only, not their helpers.
 
 use claims::{
     Batch, BatchFull, Body, Claim, ClaimAction, ClaimHolder, ClaimSettings, KeyDigest, Line,
@@ -58,7 +58,7 @@
         key, claim: first, ..
     } = claim(1, "a");
     let release = Record::Release { key, claim: first };
-    let taken = Failure::new(RunState::Unknown, Cause::ClaimTaken);
+    let claim_taken = Failure::new(RunState::Unknown, Cause::ClaimTaken);
     let large = vec![b'x'; settings().answer_bytes_max + 1];
     let answered_at = |place| Verdict::Answered {
         status: 200,
@@ -77,14 +77,14 @@
             vec![],
             1,
             Verdict::Running,
-            Some(taken.retry_after(500)),
+            Some(claim_taken.retry_after(500)),
         ),
         case(
             "its holder died",
             vec![],
             30_000,
             Verdict::Lost,
-            Some(taken),
+            Some(claim_taken),
         ),
         case(
             "answered",
@@ -120,7 +120,7 @@
             vec![Record::Claim(claim(1, "a"))],
             1,
             Verdict::Running,
-            Some(taken.retry_after(500)),
+            Some(claim_taken.retry_after(500)),
         ),
         case("its key has expired", vec![], 3_600_000, Verdict::Won, None),
         Case {
--- a/components/config/src/chain.rs
+++ b/components/config/src/chain.rs
@@ -71,13 +71,13 @@
         self.recent_verdicts.verdict(id)
     }
 
-    /// Judges a publish read from the log. `room_bytes` limits the bytes that may still be held
-    /// back.
+    /// Judges a publish read from the log. `available_bytes` limits the bytes that may still be
+    /// held back.
     pub(crate) fn apply_publish(
         &mut self,
         offset: u64,
         publish: &Publish,
-        room_bytes: usize,
+        available_bytes: usize,
     ) -> Verdict {
         let id_bytes = publish.id.len();
         if id_bytes == 0 || id_bytes > ID_BYTES_MAX {
@@ -85,7 +85,7 @@
         }
         let verdict = match self.certain_from {
             None => {
-                self.pending.push(offset, publish, room_bytes);
+                self.pending.push(offset, publish, available_bytes);
                 Verdict::Undecided
             }
             Some(from) if offset < from => self.verdict_before_anchor(publish),
--- a/components/config/src/check.rs
+++ b/components/config/src/check.rs
@@ -73,14 +73,14 @@
     let others = ledger
         .all()
         .filter(|accepted| accepted.customer != config.customer);
-    let taken: std::collections::HashSet<_> = others
+    let used_digests: std::collections::HashSet<_> = others
         .flat_map(|other| &other.config.tokens)
         .map(|token| token.digest)
         .collect();
     for token in config
         .tokens
         .iter()
-        .filter(|token| taken.contains(&token.digest))
+        .filter(|token| used_digests.contains(&token.digest))
     {
         let name = token.name.to_string();
         report.add_error(token.place, ComplaintCause::TokenTaken { name });
--- a/components/config/src/complaint.rs
+++ b/components/config/src/complaint.rs
@@ -30,7 +30,7 @@
         }
         /// The text has another schema major than 1.
         UnknownSchema { found: String } {
-            display("schema {} is not known: write schema = 1, or schema = \"1.MINOR\" for a newer minor", found)
+            display("schema {} is not supported: write schema = 1, or schema = \"1.MINOR\" for a newer minor", found)
         }
         /// The schema has no such field.
         UnknownField { field: String, nearest: Option<String>, allowed: String } {
@@ -38,7 +38,7 @@
         }
         /// The field may belong to a newer schema minor, so it only draws a warning.
         NewerField { field: String } {
-            display("field '{}' is not known to these rules and has no effect yet", field)
+            display("unknown field '{}': it may belong to a newer schema and has no effect", field)
         }
         /// A required field is missing.
         MissingField { field: &'static str, wanted: &'static str } {
@@ -46,7 +46,7 @@
         }
         /// A field's value has the wrong type.
         WrongType { field: String, found: &'static str, wanted: &'static str } {
-            display("field '{}' is a {}, wanted: {}", field, found, wanted)
+            display("field '{}' is a {}, expected: {}", field, found, wanted)
         }
         /// A number is outside of its range.
         OutOfRange { field: &'static str, found: String, min: u64, max: u64 } {
@@ -54,11 +54,11 @@
         }
         /// A value does not follow the rules for names.
         BadName { field: String, text: String, error: NameError } {
-            display("'{}' in field '{}' is not a name: {}", text, field, error)
+            display("invalid name '{}' in field '{}': {}", text, field, error)
         }
         /// A value is not one of the allowed texts.
         UnknownWord { field: &'static str, found: String, nearest: Option<String>, allowed: String } {
-            display("'{}' in field '{}' is not known{}; allowed: {}", found, field, suggestion(nearest), allowed)
+            display("unknown value '{}' in field '{}'{}; allowed: {}", found, field, suggestion(nearest), allowed)
         }
         /// A list exceeds its maximum length.
         TooMany { field: &'static str, found: usize, max: usize } {
@@ -70,7 +70,7 @@
         }
         /// An entry of `idempotent` or `non_idempotent` is not a call pattern.
         BadPattern { text: String, error: PatternError } {
-            display("'{}' is not a pattern of calls: {}", text, error)
+            display("invalid call pattern '{}': {}", text, error)
         }
         /// A service, token, token digest, dependency or customer is listed twice.
         Duplicate { what: &'static str, name: String, first: Place } {
@@ -130,7 +130,7 @@
         }
         /// The record names a rules version that this binary does not know.
         UnknownRules { rules: u32 } {
-            display("rules version {} is not known to this binary", rules)
+            display("rules version {} is not supported by this binary", rules)
         }
     }
 }
--- a/components/config/src/cycle.rs
+++ b/components/config/src/cycle.rs
@@ -71,15 +71,15 @@
 
 /// The shortest path between two nodes, including both.
 pub(crate) fn shortest_path(edges: &Edges, from: usize, to: usize) -> Option<Vec<usize>> {
-    let mut predecessors = vec![None; edges.len()];
+    let mut parents = vec![None; edges.len()];
     let mut queue = std::collections::VecDeque::from([from]);
     while let Some(node) = queue.pop_front() {
         if node == to {
-            return Some(trace_back(&predecessors, from, to));
+            return Some(trace_back(&parents, from, to));
         }
         for &next in &edges[node] {
-            if next != from && predecessors[next].is_none() {
-                predecessors[next] = Some(node);
+            if next != from && parents[next].is_none() {
+                parents[next] = Some(node);
                 queue.push_back(next);
             }
         }
@@ -87,15 +87,13 @@
     None
 }
 
-fn trace_back(predecessors: &[Option<usize>], from: usize, to: usize) -> Vec<usize> {
+fn trace_back(parents: &[Option<usize>], from: usize, to: usize) -> Vec<usize> {
     let mut nodes = vec![to];
     let mut node = to;
     while node != from {
-        let Some(previous) = predecessors[node] else {
-            break;
-        };
-        nodes.push(previous);
-        node = previous;
+        let Some(parent) = parents[node] else { break };
+        nodes.push(parent);
+        node = parent;
     }
     nodes.reverse();
     nodes
--- a/components/config/src/depth.rs
+++ b/components/config/src/depth.rs
@@ -81,16 +81,17 @@
     let has_escapes = quote.starts_with('"');
     let is_multiline = quote.len() > 1;
     let mut offset = quote.len();
-    while let Some(left) = rest.get(offset..).filter(|left| !left.is_empty()) {
-        if left.starts_with(quote) {
-            return offset + quote.len() + extra_quotes(left, quote);
+    while let Some(remaining) = rest.get(offset..).filter(|remaining| !remaining.is_empty()) {
+        if remaining.starts_with(quote) {
+            return offset + quote.len() + extra_quotes(remaining, quote);
         }
-        if !is_multiline && left.starts_with(['\n', '\r']) {
+        if !is_multiline && remaining.starts_with(['\n', '\r']) {
             return offset;
         }
-        let mut chars = left.chars();
+        let mut chars = remaining.chars();
         let first = chars.next().map_or(0, char::len_utf8);
-        let is_escape = has_escapes && left.starts_with('\\') && !left.starts_with("\\\n");
+        let is_escape =
+            has_escapes && remaining.starts_with('\\') && !remaining.starts_with("\\\n");
         let second = chars.next().filter(|_| is_escape).map_or(0, char::len_utf8);
         offset += first + second;
     }
@@ -103,9 +104,9 @@
     if quote.len() == 1 {
         return 0;
     }
-    let one = &quote[..1];
-    let behind = &closing[quote.len()..];
-    let first = usize::from(behind.starts_with(one));
-    let second = usize::from(behind.starts_with(&quote[..2]));
+    let quote_char = &quote[..1];
+    let after = &closing[quote.len()..];
+    let first = usize::from(after.starts_with(quote_char));
+    let second = usize::from(after.starts_with(&quote[..2]));
     first + second
 }
--- a/components/config/src/ledger.rs
+++ b/components/config/src/ledger.rs
@@ -210,9 +210,9 @@
 
     fn apply_publish(&mut self, offset: u64, publish: &Publish) -> Verdict {
         let pending = self.chains.values().map(VersionChain::pending_bytes);
-        let room_bytes = PENDING_BYTES_MAX.saturating_sub(pending.sum());
+        let available_bytes = PENDING_BYTES_MAX.saturating_sub(pending.sum());
         let chain = self.chain_mut(&publish.customer);
-        chain.apply_publish(offset, publish, room_bytes)
+        chain.apply_publish(offset, publish, available_bytes)
     }
 
     /// Applies a keep record. `unanchored` handles a record that does not state up to which offset
--- a/components/config/src/parse.rs
+++ b/components/config/src/parse.rs
@@ -125,14 +125,14 @@
 }
 
 fn read_schema(fields: &mut FieldReader<'_>, report: &mut Report) -> Option<Schema> {
-    let (word, place) = fields.integer_or_text("schema", "schema = 1", report)?;
-    let (major, minor) = word.split_once('.').unwrap_or((&word, "0"));
+    let (schema_text, place) = fields.integer_or_text("schema", "schema = 1", report)?;
+    let (major, minor) = schema_text.split_once('.').unwrap_or((&schema_text, "0"));
     let is_number = |text: &str| text.bytes().all(|b| b.is_ascii_digit());
     let are_numbers = is_number(major) && is_number(minor);
     match (are_numbers, major.parse(), minor.parse()) {
         (true, Ok(major), Ok(minor)) if major == SCHEMA_MAJOR => Some(Schema { major, minor }),
         _ => {
-            report.add_error(place, ComplaintCause::UnknownSchema { found: word });
+            report.add_error(place, ComplaintCause::UnknownSchema { found: schema_text });
             None
         }
     }
--- a/components/config/src/pending.rs
+++ b/components/config/src/pending.rs
@@ -41,15 +41,15 @@
 
     /// Adds a publish. If there is not enough room, the oldest publishes are dropped; their effect
     /// can then only be learned from an anchor after them.
-    pub(crate) fn push(&mut self, offset: u64, publish: &Publish, room_bytes: usize) {
-        let own_room_bytes = PENDING_BYTES_MAX.saturating_sub(self.text_bytes());
-        let mut room_bytes = room_bytes.min(own_room_bytes);
-        while room_bytes < cost_bytes(publish) {
+    pub(crate) fn push(&mut self, offset: u64, publish: &Publish, available_bytes: usize) {
+        let own_available_bytes = PENDING_BYTES_MAX.saturating_sub(self.text_bytes());
+        let mut available_bytes = available_bytes.min(own_available_bytes);
+        while available_bytes < cost_bytes(publish) {
             let Some((dropped_offset, dropped)) = self.publishes.pop_front() else {
                 self.complete_from = offset + 1;
                 return;
             };
-            room_bytes += cost_bytes(&dropped);
+            available_bytes += cost_bytes(&dropped);
             self.complete_from = dropped_offset + 1;
         }
         self.publishes.push_back((offset, publish.clone()));
--- a/components/config/tests/keep_scheduler.rs
+++ b/components/config/tests/keep_scheduler.rs
@@ -79,9 +79,9 @@
         let (mut scheduler, ledger) = scheduler(case.is_new);
         scheduler.on_end_read(case.now_ms);
         let due_records = scheduler.due_records(&ledger, case.now_ms, |name| name.and(case.rank));
-        let wanted = ledger.keep_record(&office()).map(Record::Keep);
-        let wanted: Vec<Record> = wanted.into_iter().filter(|_| case.is_due).collect();
-        assert_eq!(due_records, wanted, "{}", case.name);
+        let expected = ledger.keep_record(&office()).map(Record::Keep);
+        let expected: Vec<Record> = expected.into_iter().filter(|_| case.is_due).collect();
+        assert_eq!(due_records, expected, "{}", case.name);
     }
 }
 
--- a/components/config/tests/ledger.rs
+++ b/components/config/tests/ledger.rs
@@ -94,9 +94,9 @@
 
 fn run(case: &Case) {
     let mut ledger = Ledger::starting_at(case.first_offset);
-    for (offset, (record, wanted)) in (case.first_offset..).zip(&case.log) {
+    for (offset, (record, expected)) in (case.first_offset..).zip(&case.log) {
         let verdict = ledger.apply(offset, record);
-        assert_eq!(label(&verdict), *wanted, "{}: offset {offset}", case.name);
+        assert_eq!(label(&verdict), *expected, "{}: offset {offset}", case.name);
     }
     let (version, weight) = held(&ledger);
     let certain = ledger.is_certain(&office());
@@ -169,12 +169,16 @@
             first_offset: 0,
             log: vec![
                 (
-                    publish_with(|one| (one.base, one.base_id) = (1, Some("z".to_owned()))),
+                    publish_with(|publish| {
+                        (publish.base, publish.base_id) = (1, Some("z".to_owned()))
+                    }),
                     "ahead",
                 ),
                 (publish(0, "a", 1), "accepted 1"),
                 (
-                    publish_with(|one| (one.base, one.base_id) = (1, Some("z".to_owned()))),
+                    publish_with(|publish| {
+                        (publish.base, publish.base_id) = (1, Some("z".to_owned()))
+                    }),
                     "other base",
                 ),
             ],
@@ -185,11 +189,11 @@
             first_offset: 0,
             log: vec![
                 (
-                    publish_with(|one| one.text = "schema = 1".to_owned()),
+                    publish_with(|publish| publish.text = "schema = 1".to_owned()),
                     "invalid",
                 ),
                 (
-                    publish_with(|one| one.text = one.text.replace("office", "other")),
+                    publish_with(|publish| publish.text = publish.text.replace("office", "other")),
                     "invalid",
                 ),
                 (publish(0, "a", 1), "accepted 1"),
@@ -202,11 +206,11 @@
             log: vec![
                 (publish(0, "a", 1), "accepted 1"),
                 (
-                    publish_with(|one| (one.base, one.rules) = (1, 2)),
+                    publish_with(|publish| (publish.base, publish.rules) = (1, 2)),
                     "base unnamed",
                 ),
                 (
-                    publish_with(|one| (one.base, one.rules) = (1, 1)),
+                    publish_with(|publish| (publish.base, publish.rules) = (1, 1)),
                     "accepted 2",
                 ),
             ],
@@ -349,7 +353,7 @@
             log: vec![
                 (publish(0, "a", 1), "accepted 1"),
                 (
-                    publish_with(|one| (one.base, one.rules) = (1, 99)),
+                    publish_with(|publish| (publish.base, publish.rules) = (1, 99)),
                     "rules too new",
                 ),
                 (publish(1, "c", 3), "undecided"),
@@ -448,9 +452,9 @@
     let padding = format!("# {}\n", "x".repeat(200 * 1024));
     for offset in 50..60 {
         let id = format!("p{offset}");
-        let large = publish_with(|one| {
-            (one.base, one.id, one.rules) = (offset - 43, id.clone(), 1);
-            one.text.push_str(&padding);
+        let large = publish_with(|publish| {
+            (publish.base, publish.id, publish.rules) = (offset - 43, id.clone(), 1);
+            publish.text.push_str(&padding);
         });
         assert_eq!(ledger.apply(offset, &large), Verdict::Undecided);
     }
@@ -503,6 +507,6 @@
         let json = record.to_json().unwrap();
         assert_eq!(Record::from_json(&json), Ok(record));
     }
-    let large = publish_with(|one| one.text = "x".repeat(config::TEXT_BYTES_MAX + 1));
+    let large = publish_with(|publish| publish.text = "x".repeat(config::TEXT_BYTES_MAX + 1));
     assert!(large.to_json().is_err());
 }
--- a/components/config/tests/parse.rs
+++ b/components/config/tests/parse.rs
@@ -35,13 +35,18 @@
         let text = example(name);
         assert_eq!(text.customer.as_str(), name);
         assert!(text.warnings.is_empty(), "{name}");
-        let of_kind = |kind| text.services.iter().filter(|one| one.kind == kind).count();
+        let of_kind = |kind| {
+            text.services
+                .iter()
+                .filter(|item| item.kind == kind)
+                .count()
+        };
         assert_eq!(
             (of_kind(ServiceKind::Model), of_kind(ServiceKind::Plain)),
             (models, plain),
             "{name}"
         );
-        let of_role = |role| text.tokens.iter().filter(|one| one.role == role).count();
+        let of_role = |role| text.tokens.iter().filter(|item| item.role == role).count();
         assert_eq!(of_role(Role::Caller), callers, "{name}");
         assert_eq!(
             (of_role(Role::Trainer), of_role(Role::Operator)),
@@ -89,11 +94,15 @@
     name: &'static str,
     text: String,
     /// Line, column and start of the message of each complaint, in order.
-    wanted: &'static [&'static str],
+    expected: &'static [&'static str],
 }
 
 fn invalid_fields() -> Vec<Case> {
-    let case = |name, text, wanted| Case { name, text, wanted };
+    let case = |name, text, expected| Case {
+        name,
+        text,
+        expected,
+    };
     vec![
         case(
             "an empty text",
@@ -112,12 +121,12 @@
         case(
             "another schema",
             "schema = 2\ncustomer = \"office\"\n".to_owned(),
-            &["1:10: error: schema 2 is not known: write schema = 1"],
+            &["1:10: error: schema 2 is not supported: write schema = 1"],
         ),
         case(
             "a schema that is not a number",
             "schema = \"x\"\ncustomer = \"office\"\n".to_owned(),
-            &["1:10: error: schema x is not known"],
+            &["1:10: error: schema x is not supported"],
         ),
         case(
             "a field that is misspelt",
@@ -137,7 +146,7 @@
         case(
             "a number as text",
             office("[limits]\nweight = \"2\"\n"),
-            &["4:10: error: field 'weight' is a string, wanted: a whole number"],
+            &["4:10: error: field 'weight' is a string, expected: a whole number"],
         ),
         case(
             "a number out of range",
@@ -160,13 +169,13 @@
         case(
             "a fraction",
             office("[limits]\nweight = 1.5\n"),
-            &["4:10: error: field 'weight' is a float, wanted: a whole number"],
+            &["4:10: error: field 'weight' is a float, expected: a whole number"],
         ),
         case(
             "a table where a list is wanted",
             office("[service]\nname = \"a\"\n"),
             &[
-                "3:1: error: field 'service' is a table, wanted: a list of tables, with two brackets",
+                "3:1: error: field 'service' is a table, expected: a list of tables, with two brackets",
             ],
         ),
         case(
@@ -174,14 +183,14 @@
             office(&service("a", "kind = \"plain\"\ndepends_on = [\"a\", 7]\n")),
             &[
                 "6:15: error: the dependencies form a cycle: a -> a",
-                "6:20: error: field 'depends_on' is a integer, wanted: a text in quotes",
+                "6:20: error: field 'depends_on' is a integer, expected: a text in quotes",
             ],
         ),
         case(
             "a name with a capital",
             office(&service("Guichet", "kind = \"plain\"\n")),
             &[
-                "4:8: error: 'Guichet' in field 'name' is not a name: character 1 of the name is not \
+                "4:8: error: invalid name 'Guichet' in field 'name': character 1 of the name is not \
              allowed",
             ],
         ),
@@ -202,7 +211,7 @@
             "a kind that is misspelt",
             office(&service("a", "kind = \"modell\"\n")),
             &[
-                "5:8: error: 'modell' in field 'kind' is not known, did you mean 'model'?; allowed: \
+                "5:8: error: unknown value 'modell' in field 'kind', did you mean 'model'?; allowed: \
              model, plain",
             ],
         ),
@@ -210,7 +219,7 @@
             "an unknown class",
             office(&service("a", "kind = \"plain\"\nclass = \"urgent\"\n")),
             &[
-                "6:9: error: 'urgent' in field 'class' is not known; allowed: interactive, \
+                "6:9: error: unknown value 'urgent' in field 'class'; allowed: interactive, \
              background, sampling",
             ],
         ),
@@ -235,12 +244,12 @@
              \"POST /a?b\", \"POST /a/../b\", \"POST /%61\", \"* /a/\"]\n",
             )),
             &[
-                "6:15: error: '/a' is not a pattern of calls: write METHOD and path",
-                "6:21: error: 'post /a' is not a pattern of calls: the method is",
-                "6:32: error: 'POST a' is not a pattern of calls: the path begins",
-                "6:42: error: 'POST /a?b' is not",
-                "6:55: error: 'POST /a/../b' is not",
-                "6:71: error: 'POST /%61' is not",
+                "6:15: error: invalid call pattern '/a': write METHOD and path",
+                "6:21: error: invalid call pattern 'post /a': the method is",
+                "6:32: error: invalid call pattern 'POST a': the path begins",
+                "6:42: error: invalid call pattern 'POST /a?b':",
+                "6:55: error: invalid call pattern 'POST /a/../b':",
+                "6:71: error: invalid call pattern 'POST /%61':",
             ],
         ),
         case(
@@ -248,7 +257,7 @@
             office("[[token]]\nrole = \"boss\"\nsha256 = \"ab\"\n"),
             &[
                 "3:1: error: field 'name' is missing: a name in quotes",
-                "4:8: error: 'boss' in field 'role' is not known; allowed: caller, trainer, operator",
+                "4:8: error: unknown value 'boss' in field 'role'; allowed: caller, trainer, operator",
                 "5:10: error: field 'sha256' is not the SHA-256 of a token: write its 64 hex digits",
             ],
         ),
@@ -256,7 +265,11 @@
 }
 
 fn invalid_references() -> Vec<Case> {
-    let case = |name, text, wanted| Case { name, text, wanted };
+    let case = |name, text, expected| Case {
+        name,
+        text,
+        expected,
+    };
     let token = |name: &str, rest: &str| {
         format!("[[token]]\nname = \"{name}\"\nsha256 = \"{DIGEST}\"\n{rest}")
     };
@@ -380,11 +393,11 @@
             .lines()
             .filter(|line| line.contains(": error: "))
             .collect();
-        assert_eq!(lines.len(), case.wanted.len(), "{}:\n{found}", case.name);
-        for (line, wanted) in lines.iter().zip(case.wanted) {
+        assert_eq!(lines.len(), case.expected.len(), "{}:\n{found}", case.name);
+        for (line, expected) in lines.iter().zip(case.expected) {
             assert!(
-                line.starts_with(wanted),
-                "{}: wanted {wanted}\n{found}",
+                line.starts_with(expected),
+                "{}: expected {expected}\n{found}",
                 case.name
             );
         }
@@ -428,7 +441,7 @@
         let found = parse(&office(&text), "f").expect_err("too deep");
         let deep =
             |cause: &ComplaintCause| matches!(cause, ComplaintCause::TooDeep { max: DEPTH_MAX });
-        assert!(found.0.iter().any(|one| deep(&one.cause)), "{found:.200}");
+        assert!(found.0.iter().any(|item| deep(&item.cause)), "{found:.200}");
     }
     let inside = inline(DEPTH_MAX - 1, "a");
     assert!(complaints(&office(&inside)).starts_with("3:1: error: unknown field 'x'"));
@@ -459,17 +472,17 @@
     let newer = "schema = \"1.3\"\ncustomer = \"office\"\ncolour = 1\n[limits]\nburst = 3\n";
     let text = parse(newer, "f").unwrap();
     assert_eq!(text.schema, Schema { major: 1, minor: 3 });
-    let found: Vec<String> = text.warnings.iter().map(|one| one.to_string()).collect();
+    let found: Vec<String> = text.warnings.iter().map(|item| item.to_string()).collect();
     assert!(
         text.warnings
             .iter()
-            .all(|one| one.severity == Severity::Warning)
+            .all(|item| item.severity == Severity::Warning)
     );
     assert_eq!(
         found,
         [
-            "f:3:1: warning: field 'colour' is not known to these rules and has no effect yet",
-            "f:5:1: warning: field 'burst' is not known to these rules and has no effect yet",
+            "f:3:1: warning: unknown field 'colour': it may belong to a newer schema and has no effect",
+            "f:5:1: warning: unknown field 'burst': it may belong to a newer schema and has no effect",
         ]
     );
     assert!(parse(&newer.replace("1.3", "1.0"), "f").is_err());
--- a/components/config/tests/readers.rs
+++ b/components/config/tests/readers.rs
@@ -120,7 +120,8 @@
             text.push_str("fault = 1\n");
         }
         let id = format!("id-{number}");
-        let mut publish = Publish::based_on(name, current.map(|one| one.as_ref()), &id, &text);
+        let mut publish =
+            Publish::based_on(name, current.map(|accepted| accepted.as_ref()), &id, &text);
         publish.base = match deviation % 8 {
             6 => publish.base.saturating_sub(1),
             7 => publish.base + 1,
@@ -217,11 +218,11 @@
             let through = ledger.keep_record(&name).and_then(|keep| keep.through);
             let through = through.unwrap_or(ledger.next_offset());
             let index: usize = through.try_into().expect("a short log");
-            let wanted = self.history.get(index).and_then(|held| held.get(&name));
-            if current.get(&name) != wanted {
-                let (current, wanted) = (current.get(&name), wanted);
+            let expected = self.history.get(index).and_then(|held| held.get(&name));
+            if current.get(&name) != expected {
+                let (current, expected) = (current.get(&name), expected);
                 self.violation = Some(format!(
-                    "{name} at {index}: {current:?}, expected {wanted:?}"
+                    "{name} at {index}: {current:?}, expected {expected:?}"
                 ));
             }
         }
--- a/components/config/tests/view.rs
+++ b/components/config/tests/view.rs
@@ -132,15 +132,18 @@
 fn can_limit_a_caller_to_the_class_of_its_token() {
     let view = View::of(&ledger(&sites()));
     let desk = view.service(&customer("office"), &service("desk")).unwrap();
-    let of = |token, asked| {
+    let class_of = |token, requested| {
         let holder: &TokenHolder = view.authenticate(token).expect("the token is known");
-        holder.class_of(asked, desk)
+        holder.class_of(requested, desk)
     };
-    assert_eq!(of("clerk", None), Class::Interactive);
-    assert_eq!(of("clerk", Some(Class::Sampling)), Class::Sampling);
-    assert_eq!(of("sweeper", None), Class::Background);
-    assert_eq!(of("sweeper", Some(Class::Interactive)), Class::Background);
-    assert_eq!(of("sweeper", Some(Class::Sampling)), Class::Sampling);
+    assert_eq!(class_of("clerk", None), Class::Interactive);
+    assert_eq!(class_of("clerk", Some(Class::Sampling)), Class::Sampling);
+    assert_eq!(class_of("sweeper", None), Class::Background);
+    assert_eq!(
+        class_of("sweeper", Some(Class::Interactive)),
+        Class::Background
+    );
+    assert_eq!(class_of("sweeper", Some(Class::Sampling)), Class::Sampling);
 }
 
 #[test]
@@ -151,7 +154,7 @@
     let mut owners: Vec<&str> = view
         .pool(&pool)
         .iter()
-        .map(|one| one.owner.as_str())
+        .map(|item| item.owner.as_str())
         .collect();
     owners.sort_unstable();
     assert_eq!(owners, ["collective", "office"]);
@@ -191,31 +194,35 @@
         ("no such customer", None, Some(UnmetCause::NoCustomer)),
         ("shared", Some(office(&shared)), None),
         ("private", Some(office(&private)), Some(UnmetCause::Private)),
-        ("gone", Some(office("")), Some(UnmetCause::NoService)),
+        ("removed", Some(office("")), Some(UnmetCause::NoService)),
         ("shared again", Some(office(&shared)), None),
     ];
     let mut ledger = ledger(std::slice::from_ref(depends));
-    for (name, text, wanted) in steps {
+    for (name, text, expected) in steps {
         publish(&mut ledger, text.as_slice());
         let view = View::of(&ledger);
         let unmet = view
             .unmet_dependencies()
             .first()
             .map(|unmet| unmet.cause.clone());
-        assert_eq!(unmet, wanted, "{name}");
+        assert_eq!(unmet, expected, "{name}");
         let dealer = view.authenticate("dealer").unwrap();
         let may = view.may_call(dealer, &customer("office"), &service("register"));
-        assert_eq!(may, wanted.is_none(), "{name}");
+        assert_eq!(may, expected.is_none(), "{name}");
     }
 }
 
 /// Three customers whose services depend on each other in a cycle.
 fn cyclic_texts() -> Vec<String> {
-    let one = |name: &str, next: &str, before: &str| {
+    let item = |name: &str, next: &str, before: &str| {
         let rest = format!("depends_on = [\"{next}.s\"]\nshared_with = [\"{before}\", \"d\"]");
         [head(name), plain("s", &rest)].concat()
     };
-    vec![one("a", "b", "c"), one("b", "c", "a"), one("c", "a", "b")]
+    vec![
+        item("a", "b", "c"),
+        item("b", "c", "a"),
+        item("c", "a", "b"),
+    ]
 }
 
 #[test]
@@ -230,14 +237,14 @@
         View::of(&ledger)
             .unmet_dependencies()
             .iter()
-            .all(|one| one.cause == UnmetCause::NoCustomer)
+            .all(|item| item.cause == UnmetCause::NoCustomer)
     );
     publish(&mut ledger, &[cyclic_texts()[2].clone(), outside.concat()]);
     let view = View::of(&ledger);
     let found: Vec<String> = view
         .unmet_dependencies()
         .iter()
-        .map(|one| one.cause.to_string())
+        .map(|item| item.cause.to_string())
         .collect();
     assert_eq!(
         found,
@@ -258,13 +265,13 @@
         name: &'static str,
         accepted: Vec<String>,
         text: String,
-        wanted: &'static [&'static str],
+        expected: &'static [&'static str],
     }
-    let case = |name, accepted, text, wanted| Case {
+    let case = |name, accepted, text, expected| Case {
         name,
         accepted,
         text,
-        wanted,
+        expected,
     };
     let depends = |on: &str| {
         [
@@ -325,16 +332,16 @@
             "a new minor's field",
             Vec::new(),
             head("a").replace('1', "\"1.9\"") + "colour = 1\n",
-            &["3:1: warning: field 'colour' is not known"],
+            &["3:1: warning: unknown field 'colour': it may belong to a newer schema"],
         ),
     ];
     for case in cases {
         let text = parse(&case.text, "f").expect("good by itself");
         let found = check(&text, &ledger(&case.accepted));
         let lines = found.to_string().replace("f:", "");
-        assert_eq!(found.0.len(), case.wanted.len(), "{}: {lines}", case.name);
-        for (line, wanted) in lines.lines().zip(case.wanted) {
-            assert!(line.starts_with(wanted), "{}: {line}", case.name);
+        assert_eq!(found.0.len(), case.expected.len(), "{}: {lines}", case.name);
+        for (line, expected) in lines.lines().zip(case.expected) {
+            assert!(line.starts_with(expected), "{}: {line}", case.name);
         }
     }
 }
--- a/components/membership/tests/common/mod.rs
+++ b/components/membership/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! Test fixtures: processes, statuses and the members of one entry.
 #![allow(dead_code)]
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+#![allow(clippy::unwrap_used)] // clippy.toml exempts test functions only, not their helpers.
 
 use std::net::SocketAddr;
 
--- a/components/membership/tests/cost.rs
+++ b/components/membership/tests/cost.rs
@@ -1,5 +1,5 @@
 //! Network traffic of one node's probes and gossip at the design size.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+#![allow(clippy::unwrap_used)] // clippy.toml exempts test functions only, not their helpers.
 
 mod common;
 
@@ -13,11 +13,11 @@
 const ENTRIES: f64 = 390.0;
 const REPLICAS: f64 = 600.0;
 
-fn datagram_bytes(news: GossipMessage) -> f64 {
+fn datagram_bytes(message: GossipMessage) -> f64 {
     let datagram = Datagram {
         from: node(1, 1_790_000_000_000),
         role: ProcessRole::Agent,
-        messages: vec![news],
+        messages: vec![message],
     };
     OVERHEAD_BYTES + postcard::to_stdvec(&datagram).unwrap().len() as f64
 }
--- a/components/membership/tests/regions.rs
+++ b/components/membership/tests/regions.rs
@@ -1,5 +1,5 @@
 //! Behaviour while another region is unreachable for minutes.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+#![allow(clippy::unwrap_used)] // clippy.toml exempts test functions only, not their helpers.
 
 mod common;
 
@@ -137,10 +137,10 @@
                     case.name
                 );
                 let lost_liveness: Vec<_> = rest.iter().map(|&(_, liveness)| liveness).collect();
-                let wanted = case
+                let expected = case
                     .lost_liveness
                     .map(|liveness| vec![liveness; agents_count - near]);
-                assert_eq!(lost_liveness, wanted.unwrap_or_default(), "{}", case.name);
+                assert_eq!(lost_liveness, expected.unwrap_or_default(), "{}", case.name);
             }
             if now_ms >= RECONNECT_MS + 2 * detection_ms {
                 let recovered = replica_liveness
--- a/components/membership/tests/spread.rs
+++ b/components/membership/tests/spread.rs
@@ -1,6 +1,6 @@
 //! Spread of gossip among 990 simulated processes, and the selection of the processes that read the
 //! log.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+#![allow(clippy::unwrap_used)] // clippy.toml exempts test functions only, not their helpers.
 
 mod common;
 
@@ -162,8 +162,8 @@
         second,
         new,
     };
-    let leaving = |life| GossipMessage::Leaving {
-        node: node(1, life),
+    let leaving = |incarnation| GossipMessage::Leaving {
+        node: node(1, incarnation),
     };
     let (early, slow) = (quarantined(600_000), quarantined(600_500));
     let cases = [
@@ -242,8 +242,8 @@
     let selected = tailers((0..330).map(address), &settings);
     assert_eq!(selected.len(), settings.per_domain);
     assert_eq!(selected, tailers((0..330).rev().map(address), &settings));
-    let left = (0..330).map(address).filter(|&node| node != selected[0]);
-    assert_eq!(tailers(left, &settings)[0], selected[1]);
+    let remaining = (0..330).map(address).filter(|&node| node != selected[0]);
+    assert_eq!(tailers(remaining, &settings)[0], selected[1]);
 }
 
 /// Guards against a text that is never applied because all selected readers of the log died. The
--- a/components/membership/tests/subset.rs
+++ b/components/membership/tests/subset.rs
@@ -78,14 +78,15 @@
 fn can_spread_over_failure_domains_and_prefer_the_own_region() {
     // Replicas; replicas in the own region; expected selected ones in the own region; expected
     // minimum per failure domain.
-    for (replicas, near, wanted, in_domain) in [(600, 300, 24, 8), (60, 9, 9, 8), (10, 10, 10, 3)] {
+    for (replicas, near, expected, in_domain) in [(600, 300, 24, 8), (60, 9, 9, 8), (10, 10, 10, 3)]
+    {
         with_candidates(replicas, near, |domains, candidates| {
             let chosen = subset_of_entry(1, candidates);
             let chosen_near = chosen
                 .iter()
                 .filter(|candidate| candidate.region == &region())
                 .count();
-            assert_eq!(chosen_near, wanted, "{replicas} replicas");
+            assert_eq!(chosen_near, expected, "{replicas} replicas");
             for domain in domains {
                 let in_this_domain = chosen
                     .iter()
--- a/components/membership/tests/view.rs
+++ b/components/membership/tests/view.rs
@@ -1,5 +1,5 @@
 //! Views that result from messages and reads of the VM list.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+#![allow(clippy::unwrap_used)] // clippy.toml exempts test functions only, not their helpers.
 
 mod common;
 
@@ -105,14 +105,14 @@
                 apply(&mut members, kind, u64::from(incarnation), now_ms);
             }
         }
-        let wanted: Vec<NodeId> = case
+        let expected: Vec<NodeId> = case
             .accepting_incarnation
             .iter()
             .map(|&incarnation| node(1, incarnation))
             .collect();
         assert_eq!(
             accepting_nodes(&mut members, now_ms),
-            wanted,
+            expected,
             "{}",
             case.name
         );
@@ -269,16 +269,16 @@
 #[test]
 fn can_assemble_a_status_from_its_parts() {
     let part = |part: u8, parts, names: &[&str]| {
-        let one = status(1, false);
+        let template = status(1, false);
         let hosted = |name: &&str| HostedService {
             service: name.parse().unwrap(),
-            ..one.hosted[0].clone()
+            ..template.hosted[0].clone()
         };
         Status {
             hosted: names.iter().map(hosted).collect(),
             part,
             parts,
-            ..one
+            ..template
         }
     };
     let cases: [(Status, &[&str]); 5] = [
@@ -289,11 +289,11 @@
         (part(0, 1, &[]), &[]),
     ];
     let mut members = entry();
-    for (status, wanted) in cases {
+    for (status, expected) in cases {
         members.on_status(node(1, 1), Agent, &status, 0);
         let snapshot = members.snapshot(0);
         let mut names: Vec<_> = snapshot.services().map(|(_, name)| name.as_str()).collect();
         names.sort_unstable();
-        assert_eq!(names, wanted);
+        assert_eq!(names, expected);
     }
 }
