--- a/components/claims/src/holder.rs
+++ b/components/claims/src/holder.rs
@@ -103,7 +103,7 @@
         };
     }
 
-    /// Handles that a writer was unreachable or could not append: the next writer is tried at once.
+    /// Makes the next writer due at once, after a writer was unreachable or could not append.
     pub fn on_refused(&mut self, now_ms: u64) {
         if let State::Claiming { next_ms, .. } = &mut self.state {
             *next_ms = now_ms;
--- a/components/config/src/chain.rs
+++ b/components/config/src/chain.rs
@@ -207,7 +207,8 @@
         None
     }
 
-    /// Handles a gap: the log no longer has the records between the last one read and `offset`.
+    /// Marks the current version as uncertain after a gap: the log no longer has the records
+    /// between the last one read and `offset`.
     pub(crate) fn mark_gap(&mut self, offset: u64) {
         if self.certain_from.is_none_or(|from| from < offset) {
             self.mark_uncertain(offset);
--- a/components/config/src/ledger.rs
+++ b/components/config/src/ledger.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub struct Ledger {
     next_offset: u64,
-    /// Every record from this offset on has been read.
+    /// No record from this offset up to `next_offset` was missed.
     complete_from: u64,
     /// Offset at which customers without an entry in `chains` are known to have no version; `None`
     /// while that is unknown.
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Handles that the log has removed all records before `first_offset`.
+    /// Skips to `first_offset` because the log has removed all records before it. Versions that
+    /// depend on unread records become uncertain.
     pub fn skip_to(&mut self, first_offset: u64) {
         if first_offset <= self.next_offset {
             return;
--- a/components/config/src/verdict.rs
+++ b/components/config/src/verdict.rs
@@ -73,7 +73,7 @@
     Conflict {
         /// Version that the record states.
         version: u64,
-        /// Newest version that this reader knows.
+        /// Version that this reader holds.
         held: u64,
     },
     /// The record could not be decoded. It has no effect at any reader.
--- a/components/membership/src/members.rs
+++ b/components/membership/src/members.rs
@@ -65,7 +65,7 @@
         outcome
     }
 
-    /// Handles that a datagram arrived from `from`, which shows that the process is alive.
+    /// Processes a datagram from `from`, which shows that the sender is alive.
     pub fn on_datagram(&mut self, from: NodeId, role: ProcessRole, now_ms: u64) -> UpdateOutcome {
         if from.address == self.own.node.address {
             return self.on_own_incarnation(from.incarnation);
@@ -113,7 +113,7 @@
         outcome
     }
 
-    /// Handles a message, from any process, that this incarnation is leaving.
+    /// Processes a message, from any process, which states that this incarnation is leaving.
     pub fn on_leaving(&mut self, node: NodeId, now_ms: u64) -> UpdateOutcome {
         if node.address == self.own.node.address {
             return self.on_own_leaving(node.incarnation);
@@ -130,7 +130,8 @@
         }
     }
 
-    /// Handles that another process knows this incarnation at this process's own address.
+    /// Processes a message from a process that knows this incarnation at this process's own
+    /// address.
     pub fn on_own_incarnation(&mut self, reported: Incarnation) -> UpdateOutcome {
         if self.own.raise_above(reported) {
             UpdateOutcome::OwnIncarnationRaised
@@ -139,8 +140,8 @@
         }
     }
 
-    /// Handles that an incarnation at this process's own address is leaving. A higher number
-    /// belongs to an earlier incarnation whose clock was ahead. The same number is this
+    /// Processes a message that an incarnation at this process's own address is leaving. A higher
+    /// number belongs to an earlier incarnation whose clock was ahead. The same number is this
     /// incarnation: some process read in the VM list that it is leaving.
     fn on_own_leaving(&mut self, reported: Incarnation) -> UpdateOutcome {
         if reported == self.own.node.incarnation {
--- a/components/membership/src/probing.rs
+++ b/components/membership/src/probing.rs
@@ -74,7 +74,8 @@
         watched_count >= settings.isolation_members_min && lost_at_once * 2 > watched_count
     }
 
-    /// Liveness as the request path sees it.
+    /// Liveness as the request path sees it: while this process doubts its own network, watched
+    /// members that are down count as suspects.
     pub(crate) fn effective_liveness(&self, member: &crate::member::Member) -> Liveness {
         match member.liveness(&self.settings) {
             Liveness::Down if self.isolated && member.watched => Liveness::Suspect,
--- a/components/membership/src/tail.rs
+++ b/components/membership/src/tail.rs
@@ -1,11 +1,11 @@
 //! Decides which processes read the log's configuration stream, and when.
 //!
-//! If every process polled the log, 990 processes would exceed the agreed load. Therefore only a
-//! few processes per failure domain, selected by rank, read the log. The others rely on gossip, and
-//! every datagram states the age of the newest read that its sender knows of. When that age exceeds
-//! `read_age_ms_max`, a process reads for itself, whatever its rank. After a failed read it waits
-//! longer each time, with jitter, so that an outage of the log does not cause polling by all
-//! processes.
+//! If every process polled the log, a site of 990 processes would cause a load that the log's
+//! operator has not agreed to. Therefore only a few processes per failure domain, selected by rank,
+//! read the log. The others rely on gossip, and every datagram states the age of the newest read
+//! that its sender knows of. When that age exceeds `read_age_ms_max`, a process reads for itself,
+//! whatever its rank. After a failed read it waits longer each time, with jitter, so that an outage
+//! of the log does not cause polling by all processes.
 
 use std::net::SocketAddr;
 
