--- a/components/gateway/examples/keyed.rs
+++ b/components/gateway/examples/keyed.rs
@@ -7,7 +7,7 @@
 
 use std::time::{Duration, Instant};
 
-use common::{Ask, Plan, Site};
+use common::{Site, SiteSettings, TestRequest};
 
 const SANCTION: &str = "/v1/services/guichet/sanctions";
 const CALLS: usize = 400;
@@ -16,11 +16,11 @@
 const CALLERS: usize = 40;
 const CALLS_EACH: usize = 25;
 
-fn keyed(key: &str) -> Ask {
-    Ask::post(SANCTION, "{}").with("idempotency-key", key)
+fn keyed(key: &str) -> TestRequest {
+    TestRequest::post(SANCTION, "{}").with_header("idempotency-key", key)
 }
 
-async fn timed_us(site: &Site, entry: usize, ask: &Ask) -> (u64, u16) {
+async fn timed_us(site: &Site, entry: usize, ask: &TestRequest) -> (u64, u16) {
     let began = Instant::now();
     let answer = site.send(entry, ask).await;
     let took_us = u64::try_from(began.elapsed().as_micros()).unwrap();
@@ -45,7 +45,7 @@
 
 #[tokio::main(flavor = "multi_thread", worker_threads = 4)]
 async fn main() {
-    let site = Site::start(Plan::default()).await;
+    let site = Site::start(SiteSettings::default()).await;
     println!("| calls | count | not 200 | p50 ms | p90 ms | p99 ms | max ms |");
     println!("|---|---|---|---|---|---|---|");
     let (mut first, mut repeats, mut refused) = (Vec::new(), Vec::new(), 0);
--- a/components/gateway/src/accounts.rs
+++ b/components/gateway/src/accounts.rs
@@ -13,7 +13,7 @@
 use types::CustomerName;
 
 use crate::body_budget::BodyUse;
-use crate::training::Places;
+use crate::training::TrainingCalls;
 
 /// One customer as this entry sees it.
 #[derive(Debug)]
@@ -25,7 +25,7 @@
     /// Its requests' bodies.
     pub bodies: Arc<BodyUse>,
     /// Its training calls in progress here.
-    pub training: Places,
+    pub training: TrainingCalls,
     weight: AtomicU32,
 }
 
@@ -35,7 +35,7 @@
             customer: Arc::new(Customer::new(&CustomerLimits::default(), 1.0)),
             budget: RetryBudget::new(budget),
             bodies: Arc::default(),
-            training: Places::default(),
+            training: TrainingCalls::default(),
             weight: AtomicU32::new(1),
         }
     }
--- a/components/gateway/src/calls.rs
+++ b/components/gateway/src/calls.rs
@@ -11,7 +11,7 @@
 use crate::gateway::Gateway;
 use crate::incoming::RequestBody;
 use crate::intake::{Intake, need_kind};
-use crate::keyed::{self, Keyed};
+use crate::keyed::{self, KeyedRequest};
 use crate::rejection::Rejection;
 use crate::target::Target;
 
@@ -35,7 +35,7 @@
     let job = intake.job(&service, path.clone(), Work::default(), &content)?;
     // A request that may run again needs nobody's leave for it.
     if let Some(key) = intake.wishes.key.as_deref().filter(|_| !job.idempotent) {
-        let keyed = Keyed {
+        let keyed = KeyedRequest {
             key,
             content: &body,
             body: body.clone(),
--- a/components/gateway/src/completions.rs
+++ b/components/gateway/src/completions.rs
@@ -13,7 +13,7 @@
 use crate::headers::{DEADLINE_MS_MAX, IDEMPOTENCY_KEY};
 use crate::incoming::RequestBody;
 use crate::intake::{Intake, need_kind};
-use crate::keyed::{self, Keyed};
+use crate::keyed::{self, KeyedRequest};
 use crate::rejection::Rejection;
 use crate::target::Target;
 
@@ -60,7 +60,7 @@
         completion.for_engine(model.as_str(), &id, priority, resume_tokens)
     };
     if let Some(key) = key {
-        let keyed = Keyed {
+        let keyed = KeyedRequest {
             key,
             content: &bytes,
             body: body(&[]),
--- a/components/gateway/src/inner.rs
+++ b/components/gateway/src/inner.rs
@@ -35,7 +35,7 @@
         return gateway.feed.serve_text(&open).await;
     }
     if keyed::is_inner_call(&open) {
-        keyed::take_record(gateway, &open).await?;
+        keyed::receive_record(gateway, &open).await?;
         return Ok((empty_head(), Bytes::new()));
     }
     if training::is_inner_call(&open) {
--- a/components/gateway/src/keyed.rs
+++ b/components/gateway/src/keyed.rs
@@ -10,8 +10,8 @@
 mod waiting_ends;
 mod writer;
 
-pub use client::{Claims, take_record};
-pub use relay::{Keyed, serve};
+pub use client::{Claims, receive_record};
+pub use relay::{KeyedRequest, serve};
 pub use writer::is_inner_call;
 
 use claims::{ClaimSettings, SettingsError};
--- a/components/gateway/src/keyed/client.rs
+++ b/components/gateway/src/keyed/client.rs
@@ -284,7 +284,7 @@
 }
 
 /// Takes a record that another entry brings.
-pub async fn take_record(gateway: &Gateway, open: &Open) -> Result<(), Failure> {
+pub async fn receive_record(gateway: &Gateway, open: &Open) -> Result<(), Failure> {
     let malformed = Failure::not_run(Cause::Malformed);
     let shard = open.path.strip_prefix(CLAIMS_PATH).ok_or(malformed)?;
     let shard: u16 = shard.parse().map_err(|_| malformed)?;
--- a/components/gateway/src/keyed/relay.rs
+++ b/components/gateway/src/keyed/relay.rs
@@ -46,7 +46,7 @@
 }
 
 /// A request's key and content.
-pub struct Keyed<'a> {
+pub struct KeyedRequest<'a> {
     /// The key.
     pub key: &'a str,
     /// What the caller sent, the same in each of its submissions.
@@ -60,7 +60,7 @@
     gateway: &Arc<Gateway>,
     job: Job,
     arrived_ms: u64,
-    keyed: Keyed<'_>,
+    keyed: KeyedRequest<'_>,
 ) -> Result<Response<Body>, Rejection> {
     let deadline_at_ms = job.deadline_at_ms;
     let key = KeyDigest::of(&job.payer, keyed.key);
--- a/components/gateway/src/news.rs
+++ b/components/gateway/src/news.rs
@@ -39,7 +39,7 @@
             service: model.service.clone(),
             target,
         });
-        gateway.training.announced(model, target.serve).await;
+        gateway.training.announce(model, target.serve).await;
     }
 }
 
--- a/components/gateway/src/start.rs
+++ b/components/gateway/src/start.rs
@@ -24,7 +24,7 @@
 use crate::refresh;
 use crate::services::Services;
 use crate::suspects::Quarantine;
-use crate::training::{Coordinator, Copier, spawn};
+use crate::training::{Coordinator, Copier, spawn_coordinator};
 use crate::tuning::Tuning;
 use crate::weight_news::WeightNews;
 
@@ -94,7 +94,7 @@
         metrics: start_metrics(common)?,
     });
     let copier = Copier::start(Arc::clone(&gateway));
-    spawn(
+    spawn_coordinator(
         coordinator,
         Arc::clone(&gateway),
         copier,
--- a/components/gateway/src/training/api.rs
+++ b/components/gateway/src/training/api.rs
@@ -14,7 +14,7 @@
 use super::bodies::{InForce, StepBody, Version, parse};
 use super::forward::to_home;
 use super::inner::{HomeCall, OK, json_head};
-use super::places::Place;
+use super::training_calls::TrainingCallGuard;
 use crate::answer::response;
 use crate::body::{Body, full};
 use crate::gateway::Gateway;
@@ -66,12 +66,12 @@
 /// Counts the call among its customer's requests, and keeps it among its training calls
 /// in progress until the guard is dropped. It holds none of the customer's requests in
 /// progress: a fetch waits for seconds and takes no endpoint's time.
-fn place(gateway: &Gateway, intake: &Intake) -> Result<Place, Rejection> {
+fn place(gateway: &Gateway, intake: &Intake) -> Result<TrainingCallGuard, Rejection> {
     let customer = &intake.session.holder.customer;
     let account = gateway.accounts.get(customer);
     // The configuration is newer than the last tick; the customer is there with the next.
     let account = account.ok_or(Failure::not_run(Cause::NoEndpoint))?;
-    let place = account.training.take(rand::random())?;
+    let place = account.training.begin(rand::random())?;
     let entered = account
         .customer
         .admit(Class::Background, 0, now_ms(), rand::random());
--- a/components/gateway/src/training/coordinator.rs
+++ b/components/gateway/src/training/coordinator.rs
@@ -27,7 +27,7 @@
 }
 
 impl Coordinator {
-    /// A handle, and the inbox for [`super::spawn`].
+    /// A handle, and the inbox for [`super::spawn_coordinator`].
     pub fn new() -> (Coordinator, CoordinatorInbox) {
         let (sender, orders) = mpsc::channel(ORDERS_MAX);
         let inbox = CoordinatorInbox {
@@ -63,7 +63,7 @@
     }
 
     /// A version came in force.
-    pub async fn announced(&self, model: ModelKey, version: WeightVersion) {
+    pub async fn announce(&self, model: ModelKey, version: WeightVersion) {
         // The owner is gone only when the process ends.
         let _ = self.order(Order::Announced(model, version)).await;
     }
--- a/components/gateway/src/training/coordinator_task.rs
+++ b/components/gateway/src/training/coordinator_task.rs
@@ -82,7 +82,12 @@
 }
 
 /// Starts the owner.
-pub fn spawn(inbox: CoordinatorInbox, gateway: Arc<Gateway>, copier: Copier, keys: CursorKeys) {
+pub fn spawn_coordinator(
+    inbox: CoordinatorInbox,
+    gateway: Arc<Gateway>,
+    copier: Copier,
+    keys: CursorKeys,
+) {
     let homes = HomeMap::new(gateway.identity.node().address);
     let coordinator = CoordinatorTask {
         figures: Figures::new(gateway.metrics.clone()),
--- a/components/gateway/src/training/places.rs
+++ b/components/gateway/src/training/training_calls.rs
@@ -15,11 +15,11 @@
 
 /// Training calls of one customer in progress; clones share the count.
 #[derive(Clone, Debug, Default)]
-pub struct Places(Arc<AtomicU32>);
+pub struct TrainingCalls(Arc<AtomicU32>);
 
-impl Places {
+impl TrainingCalls {
     /// Takes a place until the guard is dropped.
-    pub fn take(&self, random: u64) -> Result<Place, Failure> {
+    pub fn begin(&self, random: u64) -> Result<TrainingCallGuard, Failure> {
         let more = |count: u32| (count < CALLS_MAX).then_some(count + 1);
         let taken = self
             .0
@@ -28,15 +28,15 @@
             let back_ms = retry_after_ms(BACK_MS, random);
             Failure::not_run(Cause::CustomerLimit).retry_after(back_ms)
         };
-        taken.map(|_| Place(self.clone())).map_err(full)
+        taken.map(|_| TrainingCallGuard(self.clone())).map_err(full)
     }
 }
 
 /// One training call in progress.
 #[derive(Debug)]
-pub struct Place(Places);
+pub struct TrainingCallGuard(TrainingCalls);
 
-impl Drop for Place {
+impl Drop for TrainingCallGuard {
     fn drop(&mut self) {
         self.0.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/components/gateway/tests/bodies.rs
+++ b/components/gateway/tests/bodies.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use common::{Ask, CLERK, PATIENCE, Plan, Site, completion};
+use common::{CLERK, Site, SiteSettings, TEST_TIMEOUT, TestRequest, completion};
 use futures_util::future::select_all;
 use gateway::body_budget::{BodyBudget, BodyUse, OverBudget};
 use settings::Ceilings;
@@ -65,12 +65,12 @@
         },
     ];
     for case in cases {
-        let site = Site::start(Plan {
+        let site = Site::start(SiteSettings {
             entries: 1,
             engines: 1,
             services: 0,
             ceilings: case.ceilings,
-            ..Plan::default()
+            ..SiteSettings::default()
         })
         .await;
         let entry = site.entries[0].address;
@@ -79,15 +79,15 @@
             streams.push(unfinished(entry, case.body_bytes).await);
         }
         let answers = streams.iter_mut().map(|stream| Box::pin(answer(stream)));
-        let first = timeout(PATIENCE, select_all(answers)).await.unwrap().0;
+        let first = timeout(TEST_TIMEOUT, select_all(answers)).await.unwrap().0;
         assert!(first.starts_with("HTTP/1.1 429 "), "{}: {first}", case.name);
         for part in ["customer-limit", "not-run", "retry-after: "] {
             assert!(first.contains(part), "{}: {first}", case.name);
         }
         drop(streams);
-        let small = Ask::post(COMPLETIONS, completion("opening hours", 4, false));
-        let answered = site.answered(0, &small).await;
-        assert!(answered.whole, "{}", case.name);
+        let small = TestRequest::post(COMPLETIONS, completion("opening hours", 4, false));
+        let answered = site.send_until_ok(0, &small).await;
+        assert!(answered.is_complete, "{}", case.name);
     }
 }
 
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -34,9 +34,9 @@
 const KEY: [u8; 32] = [7; 32];
 const DOMAINS: [&str; 3] = ["rennes-a", "brest-b", "vannes-c"];
 /// Far above what anything here takes; only a test that fails reaches it.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 /// Between two looks at something that is waited for.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 pub const CLERK: &str = "clerk-token";
 pub const TRAINER: &str = "trainer-token";
@@ -83,7 +83,7 @@
 }
 
 /// What a site has.
-pub struct Plan {
+pub struct SiteSettings {
     pub entries: usize,
     pub engines: usize,
     pub services: usize,
@@ -96,7 +96,7 @@
     pub tuning: Tuning,
 }
 
-impl Default for Plan {
+impl Default for SiteSettings {
     fn default() -> Self {
         Self {
             entries: 2,
@@ -121,13 +121,16 @@
 
 impl Process {
     /// Begins to leave.
-    pub fn leave(&mut self) {
+    pub fn start_leaving(&mut self) {
         let _ = self.stop.take().unwrap().send(());
     }
 
     /// Waits until it has left.
-    pub async fn left(&mut self) {
-        timeout(PATIENCE, &mut self.task).await.unwrap().unwrap();
+    pub async fn wait_until_left(&mut self) {
+        timeout(TEST_TIMEOUT, &mut self.task)
+            .await
+            .unwrap()
+            .unwrap();
     }
 }
 
@@ -150,7 +153,7 @@
 impl Site {
     /// Starts everything, publishes the Office's text and waits until every entry knows
     /// it and sees every replica.
-    pub async fn start(plan: Plan) -> Site {
+    pub async fn start(plan: SiteSettings) -> Site {
         let log = log::start(LogSettings::new(loopback())).await.unwrap();
         let vms = vms::start(VmsSettings::new(loopback())).await.unwrap();
         let mut engines = Vec::new();
@@ -175,11 +178,11 @@
         };
         site.start_processes(&plan).await;
         site.publish(&office(plan.requests_per_s)).await;
-        site.seen(&plan).await;
+        site.wait_until_ready(&plan).await;
         site
     }
 
-    async fn start_processes(&mut self, plan: &Plan) {
+    async fn start_processes(&mut self, plan: &SiteSettings) {
         let mut bound = Vec::new();
         let mut listed = Vec::new();
         for number in 0..plan.entries {
@@ -206,7 +209,7 @@
             listed.push(vm(agent.inner_address(), VmRole::Agent, number));
             agents.push(agent);
         }
-        self.list(&listed).await;
+        self.list_vms(&listed).await;
         for agent in agents {
             let admin = agent.admin_address().unwrap();
             let run = |stop| async { agent.run(stop).await.unwrap() };
@@ -215,9 +218,9 @@
         bound.into_iter().for_each(|entry| self.run(entry));
     }
 
-    async fn list(&self, vms: &[Vm]) {
+    async fn list_vms(&self, vms: &[Vm]) {
         let set = json!({ "set": vms, "remove": [] }).to_string();
-        let ask = Ask::post("/standin/vms", set);
+        let ask = TestRequest::post("/standin/vms", set);
         assert_eq!(ask.send(self.vms.address).await.status, StatusCode::OK);
     }
 
@@ -241,7 +244,7 @@
         };
         let entry = Entry::bind(settings, Tuning::default()).await.unwrap();
         let listed = vm(entry.inner_address(), VmRole::Entry, number);
-        self.list(&[listed]).await;
+        self.list_vms(&[listed]).await;
         self.run(entry);
         number
     }
@@ -251,20 +254,20 @@
         let admin = self.entries[entry].admin;
         let until = async {
             loop {
-                let status = Ask::get("/status").send(admin).await.json();
+                let status = TestRequest::get("/status").send(admin).await.json();
                 if status[field] == value {
                     return status;
                 }
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        timeout(PATIENCE, until).await.unwrap()
+        timeout(TEST_TIMEOUT, until).await.unwrap()
     }
 
     /// Status of a page at the admin address.
-    pub async fn admin(&self, entry: usize, path: &str) -> u16 {
+    pub async fn admin_status(&self, entry: usize, path: &str) -> u16 {
         let admin = self.entries[entry].admin;
-        Ask::get(path).send(admin).await.status.as_u16()
+        TestRequest::get(path).send(admin).await.status.as_u16()
     }
 
     async fn bind_agent(&self, number: usize, endpoint: SocketAddr, kind: EndpointKind) -> Sidecar {
@@ -312,41 +315,43 @@
     }
 
     /// Waits until each entry is ready and sees every replica.
-    async fn seen(&self, plan: &Plan) {
+    async fn wait_until_ready(&self, plan: &SiteSettings) {
         let wanted = [("redacteurs", plan.engines), ("guichet", plan.services)];
         let until = async {
             for entry in &self.entries {
                 while !sees(entry, &wanted).await {
-                    tokio::time::sleep(LOOK).await;
+                    tokio::time::sleep(POLL_INTERVAL).await;
                 }
             }
         };
-        timeout(PATIENCE, until).await.unwrap();
+        timeout(TEST_TIMEOUT, until).await.unwrap();
     }
 
     /// Sends until the answer is 200.
-    pub async fn answered(&self, entry: usize, ask: &Ask) -> Answer {
+    pub async fn send_until_ok(&self, entry: usize, ask: &TestRequest) -> Answer {
         let until = async {
             loop {
                 let answer = ask.send(self.entries[entry].address).await;
                 if answer.status == StatusCode::OK {
                     return answer;
                 }
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        timeout(PATIENCE, until).await.unwrap()
+        timeout(TEST_TIMEOUT, until).await.unwrap()
     }
 
-    pub async fn send(&self, entry: usize, ask: &Ask) -> Answer {
+    pub async fn send(&self, entry: usize, ask: &TestRequest) -> Answer {
         ask.send(self.entries[entry].address).await
     }
 
     /// How often calls with this tag ran, over all plain services.
-    pub async fn runs(&self, tag: &str) -> u64 {
+    pub async fn run_count(&self, tag: &str) -> u64 {
         let mut runs = 0;
         for service in &self.services {
-            let answer = Ask::get("/standin/runs").send(service.address).await;
+            let answer = TestRequest::get("/standin/runs")
+                .send(service.address)
+                .await;
             runs += answer.json()[tag].as_u64().unwrap_or(0);
         }
         runs
@@ -355,7 +360,7 @@
 
 /// Whether an entry is ready and sees so many replicas of each service.
 async fn sees(entry: &Process, wanted: &[(&str, usize)]) -> bool {
-    let status = Ask::get("/status").send(entry.admin).await.json();
+    let status = TestRequest::get("/status").send(entry.admin).await.json();
     let replicas = |service: &str| {
         let mut services = status["services"].as_array()?.iter();
         let found = services.find(|found| found["service"] == service)?;
@@ -423,16 +428,16 @@
 
 /// A request of a caller.
 #[derive(Clone)]
-pub struct Ask {
+pub struct TestRequest {
     pub method: Method,
     pub path: String,
     pub headers: Vec<(&'static str, String)>,
     pub body: String,
 }
 
-impl Ask {
-    pub fn get(path: &str) -> Ask {
-        Ask {
+impl TestRequest {
+    pub fn get(path: &str) -> TestRequest {
+        TestRequest {
             method: Method::GET,
             path: path.to_owned(),
             headers: vec![("authorization", format!("Bearer {CLERK}"))],
@@ -440,28 +445,28 @@
         }
     }
 
-    pub fn post(path: &str, body: impl Into<String>) -> Ask {
-        Ask {
+    pub fn post(path: &str, body: impl Into<String>) -> TestRequest {
+        TestRequest {
             method: Method::POST,
             body: body.into(),
-            ..Ask::get(path)
+            ..TestRequest::get(path)
         }
     }
 
     /// The same without this header's earlier value.
-    pub fn with(mut self, name: &'static str, value: impl Into<String>) -> Ask {
+    pub fn with_header(mut self, name: &'static str, value: impl Into<String>) -> TestRequest {
         self.headers.retain(|(other, _)| *other != name);
         self.headers.push((name, value.into()));
         self
     }
 
-    pub fn by(self, token: &str) -> Ask {
-        self.with("authorization", format!("Bearer {token}"))
+    pub fn with_token(self, token: &str) -> TestRequest {
+        self.with_header("authorization", format!("Bearer {token}"))
     }
 
     /// Sends it on a connection of its own and reads the answer to its end.
     pub async fn send(&self, to: SocketAddr) -> Answer {
-        timeout(PATIENCE, self.exchange(to)).await.unwrap()
+        timeout(TEST_TIMEOUT, self.exchange(to)).await.unwrap()
     }
 
     async fn exchange(&self, to: SocketAddr) -> Answer {
@@ -482,13 +487,13 @@
             .unwrap();
         let (head, mut body) = response.into_parts();
         let mut bytes = Vec::new();
-        let mut whole = true;
+        let mut is_complete = true;
         while let Some(frame) = body.frame().await {
             match frame {
                 Ok(frame) => bytes.extend_from_slice(&frame.into_data().unwrap_or_default()),
-                Err(_) => whole = false,
+                Err(_) => is_complete = false,
             }
-            if !whole {
+            if !is_complete {
                 break;
             }
         }
@@ -497,7 +502,7 @@
             status: head.status,
             headers: head.headers,
             body: bytes,
-            whole,
+            is_complete,
         }
     }
 }
@@ -509,7 +514,7 @@
     pub headers: http::HeaderMap,
     pub body: Vec<u8>,
     /// It ended at its stated end.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 impl Answer {
@@ -566,7 +571,7 @@
     }
 
     /// Texts of the pieces of a completions stream.
-    pub fn pieces(&self) -> Vec<String> {
+    pub fn texts(&self) -> Vec<String> {
         let chunks = self.chunks().into_iter();
         chunks
             .filter_map(|chunk| Some(chunk["choices"][0]["text"].as_str()?.to_owned()))
--- a/components/gateway/tests/hedging.rs
+++ b/components/gateway/tests/hedging.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Instant;
 
-use common::{Ask, Plan, Site};
+use common::{Site, SiteSettings, TestRequest};
 use futures_util::future::join_all;
 use gateway::Tuning;
 use routing::hedge::HedgeSettings;
@@ -25,19 +25,19 @@
         hedging,
         ..Tuning::default()
     };
-    let plan = Plan {
+    let plan = SiteSettings {
         entries: 1,
         services: 3,
         service_ms: 10,
         tuning,
-        ..Plan::default()
+        ..SiteSettings::default()
     };
     Site::start(plan).await
 }
 
 /// Makes calls after each other until as many as wanted were made by all callers; the
 /// time of each.
-async fn caller(site: &Site, ask: &Ask, made: &AtomicUsize, calls: usize) -> Vec<u128> {
+async fn caller(site: &Site, ask: &TestRequest, made: &AtomicUsize, calls: usize) -> Vec<u128> {
     let mut times_ms = Vec::new();
     while made.fetch_add(1, Ordering::Relaxed) < calls {
         let sent = Instant::now();
@@ -47,7 +47,7 @@
     times_ms
 }
 
-async fn calls(site: &Site, ask: &Ask, calls: usize) -> Vec<u128> {
+async fn calls(site: &Site, ask: &TestRequest, calls: usize) -> Vec<u128> {
     let made = AtomicUsize::new(0);
     let callers = (0..CALLERS).map(|_| caller(site, ask, &made, calls));
     let mut times_ms = join_all(callers).await.concat();
@@ -56,10 +56,10 @@
 }
 
 /// Times of the calls that were made after one replica became slow, sorted.
-async fn times_ms(site: &Site, ask: &Ask) -> Vec<u128> {
+async fn times_ms(site: &Site, ask: &TestRequest) -> Vec<u128> {
     calls(site, ask, FIRST).await;
     let fault = json!({ "kind": "slow", "delay_ms": SLOW_MS }).to_string();
-    let fault = Ask::post("/standin/fault", fault);
+    let fault = TestRequest::post("/standin/fault", fault);
     assert_eq!(fault.send(site.services[0].address).await.status, 200);
     calls(site, ask, CALLS - FIRST).await
 }
@@ -75,10 +75,10 @@
 // idle; a second copy at one of those answers her, and the first is given up.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_answer_from_a_second_copy_where_the_first_is_slow() {
-    let ask = Ask::get("/v1/services/guichet/records/1").with(TAG, "hedged");
+    let ask = TestRequest::get("/v1/services/guichet/records/1").with_header(TAG, "hedged");
     let hedged = site(HedgeSettings::default()).await;
     let times = times_ms(&hedged, &ask).await;
-    let runs = hedged.runs("hedged").await;
+    let runs = hedged.run_count("hedged").await;
     show("with second copies", &times, runs);
     assert!(runs > CALLS as u64, "no call was sent twice");
     assert!(
@@ -92,7 +92,7 @@
     };
     let plain = site(never).await;
     let times = times_ms(&plain, &ask).await;
-    let runs = plain.runs("hedged").await;
+    let runs = plain.run_count("hedged").await;
     show("without", &times, runs);
     assert_eq!(runs, CALLS as u64);
 }
@@ -100,8 +100,8 @@
 // A sanction check may run once only, however slow its replica is.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_leave_calls_alone_that_may_run_once_only() {
-    let ask = Ask::post("/v1/services/guichet/sanctions", "{}").with(TAG, "once");
+    let ask = TestRequest::post("/v1/services/guichet/sanctions", "{}").with_header(TAG, "once");
     let site = site(HedgeSettings::default()).await;
     times_ms(&site, &ask).await;
-    assert_eq!(site.runs("once").await, CALLS as u64);
+    assert_eq!(site.run_count("once").await, CALLS as u64);
 }
--- a/components/gateway/tests/keyed.rs
+++ b/components/gateway/tests/keyed.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Ask, Plan, Site, completion};
+use common::{Site, SiteSettings, TestRequest, completion};
 use standins::{Fault, FaultKind};
 use tokio::sync::mpsc;
 
@@ -17,13 +17,13 @@
 // needs the silent log as well, and would hold up the answer for good.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn errors_in_time_when_the_log_says_nothing() {
-    let site = Site::start(Plan::default()).await;
+    let site = Site::start(SiteSettings::default()).await;
     site.log
         .fault(Fault::new(FaultKind::Silent).on("/streams/claims"));
-    let check = Ask::post(SANCTION, "{}")
-        .with(KEY, "file-3")
-        .with(TAG, "silent")
-        .with("x-hornbeamrock-deadline-ms", "1000");
+    let check = TestRequest::post(SANCTION, "{}")
+        .with_header(KEY, "file-3")
+        .with_header(TAG, "silent")
+        .with_header("x-hornbeamrock-deadline-ms", "1000");
     let answer = site.send(0, &check).await;
     let (status, outcome, cause) = answer.problem();
     assert_eq!(
@@ -31,7 +31,7 @@
         (503, "not-run", "claim-unavailable")
     );
     assert!(!answer.header("retry-after").is_empty());
-    assert_eq!(site.runs("silent").await, 0);
+    assert_eq!(site.run_count("silent").await, 0);
 }
 
 // A bidder whose first answer was lost sends its bid again at once, through the other
@@ -40,18 +40,18 @@
 // shard's next append in a while.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_answer_a_repeat_that_comes_right_after_the_answer() {
-    let site = Site::start(Plan::default()).await;
+    let site = Site::start(SiteSettings::default()).await;
     for bid in 0..20 {
-        let ask = Ask::post(SANCTION, "{}")
-            .with(KEY, format!("bid-{bid}"))
-            .with(TAG, "bids");
+        let ask = TestRequest::post(SANCTION, "{}")
+            .with_header(KEY, format!("bid-{bid}"))
+            .with_header(TAG, "bids");
         let first = site.send(bid % 2, &ask).await;
         assert_eq!(first.status, 200, "{bid}: {}", first.text());
         let again = site.send((bid + 1) % 2, &ask).await;
         assert_eq!(again.status, 200, "{bid}: {}", again.text());
         assert_eq!(again.body, first.body);
     }
-    assert_eq!(site.runs("bids").await, 20);
+    assert_eq!(site.run_count("bids").await, 20);
 }
 
 // The caller marks a completion as one that runs once and sends it again through the other
@@ -59,16 +59,16 @@
 // before anything runs, since a stream can't be recorded and given again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_run_a_keyed_completion_once() {
-    let site = Site::start(Plan {
+    let site = Site::start(SiteSettings {
         engines: 2,
         services: 0,
-        ..Plan::default()
+        ..SiteSettings::default()
     })
     .await;
     let once = |stream| {
-        Ask::post(COMPLETIONS, completion("one opinion", 8, stream))
-            .with(KEY, "opinion-1")
-            .with("x-hornbeamrock-idempotent", "false")
+        TestRequest::post(COMPLETIONS, completion("one opinion", 8, stream))
+            .with_header(KEY, "opinion-1")
+            .with_header("x-hornbeamrock-idempotent", "false")
     };
     let first = site.send(0, &once(false)).await;
     assert_eq!(first.status, 200, "{}", first.text());
@@ -81,8 +81,9 @@
         (status, outcome.as_str(), cause.as_str()),
         (400, "not-run", "malformed")
     );
-    let free = Ask::post(COMPLETIONS, completion("one opinion", 8, true)).with(KEY, "opinion-2");
-    assert!(site.send(0, &free).await.whole);
+    let free = TestRequest::post(COMPLETIONS, completion("one opinion", 8, true))
+        .with_header(KEY, "opinion-2");
+    assert!(site.send(0, &free).await.is_complete);
 }
 
 // A clerk consults while the log says nothing and the Office's portal sends one keyed check
@@ -91,10 +92,10 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_consult_while_keyed_checks_wait_for_a_silent_log() {
     const CHECKS: usize = 300;
-    let site = Site::start(Plan {
+    let site = Site::start(SiteSettings {
         services: 1,
         entries: 1,
-        ..Plan::default()
+        ..SiteSettings::default()
     })
     .await;
     site.log
@@ -103,7 +104,7 @@
     let (ended, mut ends) = mpsc::unbounded_channel();
     for check in 0..CHECKS {
         let ended = ended.clone();
-        let ask = Ask::post(SANCTION, "{}").with(KEY, format!("check-{check}"));
+        let ask = TestRequest::post(SANCTION, "{}").with_header(KEY, format!("check-{check}"));
         tokio::spawn(async move { ended.send(ask.send(address).await.problem()) });
     }
     // More wait than may: the first end says that there is no room.
@@ -113,7 +114,7 @@
         ("not-run", "queue-full")
     );
     for _ in 0..20 {
-        let consulted = site.send(0, &Ask::get(CONSULT)).await;
+        let consulted = site.send(0, &TestRequest::get(CONSULT)).await;
         assert_eq!(consulted.status, 200, "{}", consulted.text());
     }
     for _ in 1..CHECKS {
--- a/components/gateway/tests/readiness.rs
+++ b/components/gateway/tests/readiness.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{Plan, Site};
+use common::{Site, SiteSettings};
 use gateway::readiness::{Facts, Readiness};
 
 #[test]
@@ -93,13 +93,13 @@
 // it would be sent its part of the requests and refuse each with no-endpoint.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn errors_when_the_key_of_an_entry_is_wrong() {
-    let mut site = Site::start(Plan::default()).await;
+    let mut site = Site::start(SiteSettings::default()).await;
     let stranger = site.add_entry([8; 32]).await;
     let status = site
         .wait_for_status(stranger, "readiness", "wrong-key")
         .await;
     assert_eq!(status["ready"], false);
     assert!(status["traffic"]["datagrams_dropped"].as_u64().unwrap() > 0);
-    assert_eq!(site.admin(stranger, "/readyz").await, 503);
-    assert_eq!(site.admin(0, "/readyz").await, 200);
+    assert_eq!(site.admin_status(stranger, "/readyz").await, 503);
+    assert_eq!(site.admin_status(0, "/readyz").await, 200);
 }
--- a/components/gateway/tests/requests.rs
+++ b/components/gateway/tests/requests.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Ask, OPERATOR, Plan, Site, TRAINER, completion};
+use common::{OPERATOR, Site, SiteSettings, TRAINER, TestRequest, completion};
 use http::Method;
 use settings::Ceilings;
 use standins::{Fault, FaultKind};
@@ -17,19 +17,19 @@
 async fn errors_when_a_request_is_bad_and_disturbs_nothing_else() {
     struct Case {
         name: &'static str,
-        ask: Ask,
+        ask: TestRequest,
         problem: (u16, &'static str),
     }
-    let site = Site::start(Plan {
+    let site = Site::start(SiteSettings {
         engines: 1,
         services: 1,
         entries: 1,
-        ..Plan::default()
+        ..SiteSettings::default()
     })
     .await;
-    let mut no_token = Ask::get(CONSULT);
+    let mut no_token = TestRequest::get(CONSULT);
     no_token.headers.clear();
-    let mut delete = Ask::get(COMPLETIONS);
+    let mut delete = TestRequest::get(COMPLETIONS);
     delete.method = Method::DELETE;
     let cases = [
         Case {
@@ -39,47 +39,48 @@
         },
         Case {
             name: "a token that nobody holds",
-            ask: Ask::get(CONSULT).by("nobody"),
+            ask: TestRequest::get(CONSULT).with_token("nobody"),
             problem: (401, "unauthenticated"),
         },
         Case {
             name: "a trainer's token on a call",
-            ask: Ask::get(CONSULT).by(TRAINER),
+            ask: TestRequest::get(CONSULT).with_token(TRAINER),
             problem: (403, "forbidden"),
         },
         Case {
             name: "a caller's token on a step",
-            ask: Ask::post("/v1/training/redacteurs/steps", "{}"),
+            ask: TestRequest::post("/v1/training/redacteurs/steps", "{}"),
             problem: (403, "forbidden"),
         },
         Case {
             name: "a trainer's token on a roll-back",
-            ask: Ask::post("/v1/training/redacteurs/rollback", r#"{"version":"2.0"}"#).by(TRAINER),
+            ask: TestRequest::post("/v1/training/redacteurs/rollback", r#"{"version":"2.0"}"#)
+                .with_token(TRAINER),
             problem: (403, "forbidden"),
         },
         Case {
             name: "an unknown service",
-            ask: Ask::get("/v1/services/archives/x"),
+            ask: TestRequest::get("/v1/services/archives/x"),
             problem: (404, "unknown-service"),
         },
         Case {
             name: "a name that is none",
-            ask: Ask::get("/v1/services/Archives/x"),
+            ask: TestRequest::get("/v1/services/Archives/x"),
             problem: (404, "unknown-service"),
         },
         Case {
             name: "another customer's service",
-            ask: Ask::get("/v1/services/collective.price-llm/x"),
+            ask: TestRequest::get("/v1/services/collective.price-llm/x"),
             problem: (403, "forbidden"),
         },
         Case {
             name: "a model where a plain service is due",
-            ask: Ask::get("/v1/services/redacteurs/v1/models"),
+            ask: TestRequest::get("/v1/services/redacteurs/v1/models"),
             problem: (400, "malformed"),
         },
         Case {
             name: "an unknown path",
-            ask: Ask::get("/v2/completions"),
+            ask: TestRequest::get("/v2/completions"),
             problem: (404, "malformed"),
         },
         Case {
@@ -89,41 +90,41 @@
         },
         Case {
             name: "a body that is not JSON",
-            ask: Ask::post(COMPLETIONS, "{\"model\":"),
+            ask: TestRequest::post(COMPLETIONS, "{\"model\":"),
             problem: (400, "malformed"),
         },
         Case {
             name: "a completion without a prompt",
-            ask: Ask::post(COMPLETIONS, r#"{"model":"redacteurs"}"#),
+            ask: TestRequest::post(COMPLETIONS, r#"{"model":"redacteurs"}"#),
             problem: (400, "malformed"),
         },
         Case {
             name: "a body over the limit",
-            ask: Ask::post(SANCTION, "x".repeat((4 << 20) + 1)),
+            ask: TestRequest::post(SANCTION, "x".repeat((4 << 20) + 1)),
             problem: (413, "too-large"),
         },
         Case {
             name: "a class that is none",
-            ask: Ask::get(CONSULT).with("x-hornbeamrock-class", "urgent"),
+            ask: TestRequest::get(CONSULT).with_header("x-hornbeamrock-class", "urgent"),
             problem: (400, "malformed"),
         },
         Case {
             name: "a deadline that is none",
-            ask: Ask::get(CONSULT).with("x-hornbeamrock-deadline-ms", "0"),
+            ask: TestRequest::get(CONSULT).with_header("x-hornbeamrock-deadline-ms", "0"),
             problem: (400, "malformed"),
         },
         Case {
             name: "a step that is none",
-            ask: Ask::post("/v1/training/redacteurs/steps", "[1]").by(TRAINER),
+            ask: TestRequest::post("/v1/training/redacteurs/steps", "[1]").with_token(TRAINER),
             problem: (400, "malformed"),
         },
         Case {
             name: "a fetch of an unknown step",
-            ask: Ask::post(
+            ask: TestRequest::post(
                 "/v1/training/redacteurs/steps/9/fetch",
                 r#"{"cursor":"x","trainer_version":"1.1","max":4}"#,
             )
-            .by(TRAINER),
+            .with_token(TRAINER),
             problem: (404, "not-hosted"),
         },
     ];
@@ -133,19 +134,19 @@
         let told = (status, cause.as_str());
         assert_eq!(told, case.problem, "{}", case.name);
         assert_eq!(outcome, "not-run", "{}", case.name);
-        let good = site.send(0, &Ask::get(CONSULT)).await;
+        let good = site.send(0, &TestRequest::get(CONSULT)).await;
         assert_eq!(good.status, 200, "after {}", case.name);
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_carry_method_path_query_body_and_its_own_request_id() {
-    let site = Site::start(Plan::default()).await;
-    let ask = Ask::post("/v1/services/guichet/dossiers/7?page=2", "four")
-        .with("x-request-id", "portal-42");
+    let site = Site::start(SiteSettings::default()).await;
+    let ask = TestRequest::post("/v1/services/guichet/dossiers/7?page=2", "four")
+        .with_header("x-request-id", "portal-42");
     let answer = site.send(1, &ask).await;
     assert_eq!(answer.status, 200);
-    assert!(answer.whole);
+    assert!(answer.is_complete);
     assert_eq!(answer.header("x-request-id"), "portal-42");
     let json = answer.json();
     assert_eq!(json["method"], "POST");
@@ -155,27 +156,33 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_complete_unary_and_streamed_with_the_same_text() {
-    let site = Site::start(Plan {
+    let site = Site::start(SiteSettings {
         engines: 2,
         services: 0,
-        ..Plan::default()
+        ..SiteSettings::default()
     })
     .await;
     let unary = site
-        .send(0, &Ask::post(COMPLETIONS, completion("a bar", 12, false)))
+        .send(
+            0,
+            &TestRequest::post(COMPLETIONS, completion("a bar", 12, false)),
+        )
         .await;
     let streamed = site
-        .send(1, &Ask::post(COMPLETIONS, completion("a bar", 12, true)))
+        .send(
+            1,
+            &TestRequest::post(COMPLETIONS, completion("a bar", 12, true)),
+        )
         .await;
     assert_eq!(unary.status, 200);
     assert_eq!(unary.json()["weight_versions"][0], "1.1");
-    assert!(streamed.whole);
+    assert!(streamed.is_complete);
     assert!(streamed.text().ends_with("data: [DONE]\n\n"));
     let text = unary.json()["choices"][0]["text"]
         .as_str()
         .unwrap()
         .to_owned();
-    assert_eq!(streamed.pieces().concat(), text);
+    assert_eq!(streamed.texts().concat(), text);
 }
 
 // The caller sees one whole stream. Each of two engines cuts it once after three events;
@@ -183,14 +190,14 @@
 // goes on after them. Without that the caller would get a part, or the same tokens again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_go_on_with_a_stream_at_another_engine() {
-    let site = Site::start(Plan {
+    let site = Site::start(SiteSettings {
         engines: 2,
         services: 0,
         entries: 1,
-        ..Plan::default()
+        ..SiteSettings::default()
     })
     .await;
-    let ask = Ask::post(COMPLETIONS, completion("terrace until two", 12, true));
+    let ask = TestRequest::post(COMPLETIONS, completion("terrace until two", 12, true));
     let calm = site.send(0, &ask).await;
     for engine in &site.engines {
         let mut cut = Fault::new(FaultKind::Cut).times(1).on(COMPLETIONS);
@@ -198,8 +205,8 @@
         engine.fault(cut);
     }
     let resumed = site.send(0, &ask).await;
-    assert!(resumed.whole, "{}", resumed.text());
-    assert_eq!(resumed.pieces(), calm.pieces());
+    assert!(resumed.is_complete, "{}", resumed.text());
+    assert_eq!(resumed.texts(), calm.texts());
     assert_eq!(resumed.last_chunk()["usage"], calm.last_chunk()["usage"]);
     assert_eq!(resumed.ids().len(), 1);
 }
@@ -209,11 +216,11 @@
 // clean end would let the caller take the part for the whole.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn errors_when_a_stream_breaks_for_good_and_never_ends_clean() {
-    let site = Site::start(Plan {
+    let site = Site::start(SiteSettings {
         engines: 2,
         services: 0,
         entries: 1,
-        ..Plan::default()
+        ..SiteSettings::default()
     })
     .await;
     for engine in &site.engines {
@@ -221,10 +228,10 @@
         cut.after = 2;
         engine.fault(cut);
     }
-    let ask = Ask::post(COMPLETIONS, completion("a long opinion", 64, true));
+    let ask = TestRequest::post(COMPLETIONS, completion("a long opinion", 64, true));
     let answer = site.send(0, &ask).await;
     assert_eq!(answer.status, 200);
-    assert!(!answer.whole);
+    assert!(!answer.is_complete);
     assert!(answer.text().contains("event: error"), "{}", answer.text());
     assert!(!answer.text().contains("[DONE]"));
 }
@@ -234,17 +241,17 @@
 // sent again and answered.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_tell_the_outcome_of_a_call_whose_answer_is_lost() {
-    let site = Site::start(Plan::default()).await;
+    let site = Site::start(SiteSettings::default()).await;
     let lost = || Fault::new(FaultKind::AnswerLost).times(1);
     for service in &site.services {
         service.fault(lost().on("/sanctions"));
         service.fault(lost().on("/applicants"));
     }
-    let check = Ask::post(SANCTION, "{}").with(TAG, "lost");
+    let check = TestRequest::post(SANCTION, "{}").with_header(TAG, "lost");
     let (status, outcome, cause) = site.send(0, &check).await.problem();
     assert_eq!((status, outcome.as_str()), (502, "unknown"), "{cause}");
-    assert_eq!(site.runs("lost").await, 1);
-    let consult = site.send(0, &Ask::get(CONSULT)).await;
+    assert_eq!(site.run_count("lost").await, 1);
+    let consult = site.send(0, &TestRequest::get(CONSULT)).await;
     assert_eq!(consult.status, 200);
 }
 
@@ -253,37 +260,37 @@
 // the recorded answer from the log. The same key with another body is refused.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_send_a_keyed_call_again_through_another_entry() {
-    let site = Site::start(Plan::default()).await;
-    let check = Ask::post(SANCTION, r#"{"file":7}"#)
-        .with(KEY, "file-7")
-        .with(TAG, "keyed");
+    let site = Site::start(SiteSettings::default()).await;
+    let check = TestRequest::post(SANCTION, r#"{"file":7}"#)
+        .with_header(KEY, "file-7")
+        .with_header(TAG, "keyed");
     let first = site.send(0, &check).await;
     assert_eq!(first.status, 200);
-    let again = site.answered(1, &check).await;
+    let again = site.send_until_ok(1, &check).await;
     assert_eq!(again.body, first.body);
     assert_eq!(again.header("idempotency-replayed"), "true");
-    assert_eq!(site.runs("keyed").await, 1);
-    let other = Ask::post(SANCTION, r#"{"file":8}"#)
-        .with(KEY, "file-7")
-        .with(TAG, "keyed");
+    assert_eq!(site.run_count("keyed").await, 1);
+    let other = TestRequest::post(SANCTION, r#"{"file":8}"#)
+        .with_header(KEY, "file-7")
+        .with_header(TAG, "keyed");
     let (status, outcome, cause) = site.send(0, &other).await.problem();
     assert_eq!(
         (status, outcome.as_str(), cause.as_str()),
         (422, "not-run", "key-reused")
     );
-    assert_eq!(site.runs("keyed").await, 1);
+    assert_eq!(site.run_count("keyed").await, 1);
 }
 
 // The caller sees "not run, come back" for a keyed check while the log is down, and the
 // check did not run. Without the log nobody can know that no other entry runs the key.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn errors_when_the_log_cannot_take_a_claim() {
-    let site = Site::start(Plan::default()).await;
+    let site = Site::start(SiteSettings::default()).await;
     site.log
         .fault(Fault::new(FaultKind::Outage).on("/streams/claims"));
-    let check = Ask::post(SANCTION, "{}")
-        .with(KEY, "file-9")
-        .with(TAG, "outage");
+    let check = TestRequest::post(SANCTION, "{}")
+        .with_header(KEY, "file-9")
+        .with_header(TAG, "outage");
     let answer = site.send(0, &check).await;
     let (status, outcome, cause) = answer.problem();
     assert_eq!(
@@ -291,8 +298,8 @@
         (503, "not-run", "claim-unavailable")
     );
     assert!(!answer.header("retry-after").is_empty());
-    assert_eq!(site.runs("outage").await, 0);
-    let unkeyed = site.send(0, &Ask::post(SANCTION, "{}")).await;
+    assert_eq!(site.run_count("outage").await, 0);
+    let unkeyed = site.send(0, &TestRequest::post(SANCTION, "{}")).await;
     assert_eq!(unkeyed.status, 200);
 }
 
@@ -302,11 +309,11 @@
 // more stands by for the harmless prompt.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn errors_when_a_prompt_has_crashed_two_engines() {
-    let site = Site::start(Plan {
+    let site = Site::start(SiteSettings {
         engines: 4,
         services: 0,
         entries: 1,
-        ..Plan::default()
+        ..SiteSettings::default()
     })
     .await;
     for engine in &site.engines {
@@ -316,7 +323,7 @@
                 .delayed(60_000),
         );
     }
-    let ask = Ask::post(COMPLETIONS, completion("poison", 8, false));
+    let ask = TestRequest::post(COMPLETIONS, completion("poison", 8, false));
     let (status, outcome, cause) = site.send(0, &ask).await.problem();
     assert_eq!((status, cause.as_str()), (422, "quarantined"));
     assert_ne!(outcome, "not-run");
@@ -325,7 +332,7 @@
         (status, outcome.as_str(), cause.as_str()),
         (422, "not-run", "quarantined")
     );
-    let other = Ask::post(COMPLETIONS, completion("harmless", 8, false));
+    let other = TestRequest::post(COMPLETIONS, completion("harmless", 8, false));
     let harmless = site.send(0, &other).await;
     assert_eq!(harmless.status, 200, "{}", harmless.text());
 }
@@ -334,32 +341,32 @@
 // answer, and the entry ends only after it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_leave_without_cutting_a_request() {
-    let mut site = Site::start(Plan {
+    let mut site = Site::start(SiteSettings {
         service_ms: 700,
-        ..Plan::default()
+        ..SiteSettings::default()
     })
     .await;
     let address = site.entries[0].address;
-    let check = Ask::post(SANCTION, "{}").with(TAG, "leaving");
+    let check = TestRequest::post(SANCTION, "{}").with_header(TAG, "leaving");
     let waiting = tokio::spawn(async move { check.send(address).await });
-    while site.runs("leaving").await == 0 {
+    while site.run_count("leaving").await == 0 {
         tokio::task::yield_now().await;
     }
-    site.entries[0].leave();
-    site.entries[0].left().await;
+    site.entries[0].start_leaving();
+    site.entries[0].wait_until_left().await;
     let answer = waiting.await.unwrap();
     assert_eq!(answer.status, 200);
-    assert!(answer.whole);
+    assert!(answer.is_complete);
 }
 
 // The caller over its customer's own limit is refused at once, as not run and with a time
 // to come back, and the refused calls ran nowhere.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn errors_when_a_customer_is_over_its_own_limit() {
-    refuses_above(Plan {
+    refuses_above(SiteSettings {
         entries: 1,
         requests_per_s: 1,
-        ..Plan::default()
+        ..SiteSettings::default()
     })
     .await;
 }
@@ -368,25 +375,28 @@
 // set a ceiling, which the text can't move.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn errors_when_a_customer_is_over_the_operators_ceiling() {
-    refuses_above(Plan {
+    refuses_above(SiteSettings {
         entries: 1,
         requests_per_s: 100_000,
         ceilings: Ceilings {
             requests_per_s: Some(1),
             ..Ceilings::default()
         },
-        ..Plan::default()
+        ..SiteSettings::default()
     })
     .await;
 }
 
-async fn refuses_above(plan: Plan) {
+async fn refuses_above(plan: SiteSettings) {
     const CALLS: u64 = 20;
     let site = Site::start(plan).await;
     let mut answered = 0;
     for _ in 0..CALLS {
         let answer = site
-            .send(0, &Ask::post(SANCTION, "{}").with(TAG, "limit"))
+            .send(
+                0,
+                &TestRequest::post(SANCTION, "{}").with_header(TAG, "limit"),
+            )
             .await;
         if answer.status == 200 {
             answered += 1;
@@ -400,20 +410,20 @@
         assert!(!answer.header("retry-after").is_empty());
     }
     assert!(answered < CALLS);
-    assert_eq!(site.runs("limit").await, answered);
+    assert_eq!(site.run_count("limit").await, answered);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_announce_name_ahead_and_roll_back() {
-    let site = Site::start(Plan {
+    let site = Site::start(SiteSettings {
         engines: 1,
         services: 0,
-        ..Plan::default()
+        ..SiteSettings::default()
     })
     .await;
     let weights = |version: &str| {
         let body = format!(r#"{{"version":"{version}"}}"#);
-        Ask::post("/v1/training/redacteurs/weights", body).by(TRAINER)
+        TestRequest::post("/v1/training/redacteurs/weights", body).with_token(TRAINER)
     };
     let mut early = weights("1.4");
     early.path.push_str("/prepare");
@@ -428,7 +438,8 @@
         (&named["version"], &named["load"]),
         (&"1.4".into(), &"1.5".into())
     );
-    let back = Ask::post("/v1/training/redacteurs/rollback", r#"{"version":"2.2"}"#).by(OPERATOR);
+    let back = TestRequest::post("/v1/training/redacteurs/rollback", r#"{"version":"2.2"}"#)
+        .with_token(OPERATOR);
     assert_eq!(site.send(0, &back).await.json()["version"], "2.2");
     let (status, _, _) = site.send(0, &weights("1.6")).await.problem();
     assert_eq!(status, 409);
--- a/components/gateway/tests/training.rs
+++ b/components/gateway/tests/training.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeSet;
 
-use common::{Ask, Plan, Site, TRAINER};
+use common::{Site, SiteSettings, TRAINER, TestRequest};
 use samples::{Cursor, CursorKeys, Group, Step, StepKey};
 use serde_json::{Value, json};
 use standins::{Fault, FaultKind};
@@ -14,17 +14,17 @@
 const STEPS: &str = "/v1/training/redacteurs/steps";
 const SAMPLES: u64 = 6;
 
-fn post(step: u64, prompt: &str, cursor: Option<&str>) -> Ask {
+fn post(step: u64, prompt: &str, cursor: Option<&str>) -> TestRequest {
     let body = json!({
         "step": step, "max_tokens": 16, "trainer_version": "1.1", "cursor": cursor,
         "groups": [{"prompt": prompt, "samples": SAMPLES / 2}, {"prompt": "b", "samples": SAMPLES / 2}],
     });
-    Ask::post(STEPS, body.to_string()).by(TRAINER)
+    TestRequest::post(STEPS, body.to_string()).with_token(TRAINER)
 }
 
-fn fetch(step: u64, cursor: &str, max: u64) -> Ask {
+fn fetch(step: u64, cursor: &str, max: u64) -> TestRequest {
     let body = json!({"cursor": cursor, "trainer_version": "1.1", "max": max, "wait_ms": 10_000});
-    Ask::post(&format!("{STEPS}/{step}/fetch"), body.to_string()).by(TRAINER)
+    TestRequest::post(&format!("{STEPS}/{step}/fetch"), body.to_string()).with_token(TRAINER)
 }
 
 fn cursor(json: &Value) -> String {
@@ -42,10 +42,10 @@
 }
 
 async fn site() -> Site {
-    Site::start(Plan {
+    Site::start(SiteSettings {
         engines: 2,
         services: 0,
-        ..Plan::default()
+        ..SiteSettings::default()
     })
     .await
 }
@@ -78,7 +78,7 @@
     assert_eq!(taken.len() as u64, SAMPLES);
     let mut given = 0;
     for entry in &site.entries {
-        let status = Ask::get("/status").send(entry.admin).await.json();
+        let status = TestRequest::get("/status").send(entry.admin).await.json();
         let rows = status["metrics"].as_array().unwrap().iter();
         let ages = rows.filter(|row| row["name"] == "sample_staleness_versions");
         given += ages.map(|row| row["count"].as_u64().unwrap()).sum::<u64>();
@@ -147,7 +147,7 @@
 async fn errors_when_a_cursor_or_a_post_does_not_fit() {
     struct Case {
         name: &'static str,
-        ask: Ask,
+        ask: TestRequest,
         problem: (u16, &'static str),
     }
     let site = site().await;
@@ -188,11 +188,11 @@
         },
         Case {
             name: "a step without samples",
-            ask: Ask::post(
+            ask: TestRequest::post(
                 STEPS,
                 r#"{"step":5,"groups":[],"max_tokens":4,"trainer_version":"1.1"}"#,
             )
-            .by(TRAINER),
+            .with_token(TRAINER),
             problem: (400, "malformed"),
         },
     ];
@@ -278,8 +278,8 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn errors_when_a_trainer_names_a_version_that_nobody_announced() {
     let site = site().await;
-    let announce = Ask::post("/v1/training/redacteurs/weights", r#"{"version":"1.1"}"#);
-    let announce = announce.by(TRAINER);
+    let announce = TestRequest::post("/v1/training/redacteurs/weights", r#"{"version":"1.1"}"#);
+    let announce = announce.with_token(TRAINER);
     // At both, so that neither waits for the other's news.
     for entry in 0..site.entries.len() {
         let announced = site.send(entry, &announce).await;
