--- a/components/gateway/src/keyed.rs
+++ b/components/gateway/src/keyed.rs
@@ -1,13 +1,13 @@
-//! Requests with an idempotency key: at most one of all submissions with the same key
-//! runs, through whatever entries they come. Package `claims` decides; here are the tasks
-//! that read and write the log and the path of such a request.
+//! Requests with an idempotency key. Of all submissions with the same key, at most one is run,
+//! whichever entries receive them. The crate `claims` makes the decisions; this module has the
+//! tasks that read and write the log, and the handling of such a request.
 
 mod client;
+mod end_waiters;
 mod reader;
 mod relay;
 mod replay;
-mod room;
-mod waiting_ends;
+mod wait_limit;
 mod writer;
 
 pub use client::{Claims, receive_record};
@@ -16,11 +16,11 @@
 
 use claims::{ClaimSettings, SettingsError};
 
-/// How long a key is remembered, in milliseconds.
+/// How long a key is remembered after its newest claim.
 const KEY_LIFETIME_MS: u64 = 1_800_000;
 
-/// The settings of claims. Errors when the log forgets a claim while its key still lives:
-/// a repeat would then find no claim and run a second time.
+/// Returns the settings of claims. Fails if the log could delete a claim before its key expires: a
+/// repeated submission would then find no claim and run a second time.
 pub fn settings(log_retention_ms: u64) -> Result<ClaimSettings, SettingsError> {
     let settings = ClaimSettings {
         key_lifetime_ms: KEY_LIFETIME_MS,
--- a/components/gateway/src/keyed/client.rs
+++ b/components/gateway/src/keyed/client.rs
@@ -1,4 +1,4 @@
-//! Claims of this entry's own submissions, and records that other entries bring.
+//! Claims for the submissions that this entry receives, and records that other entries send.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,68 +17,65 @@
 use tokio::time::timeout;
 use types::{Cause, CustomerName, Failure, RunState, ServiceName};
 
-use super::reader::{self, ReadOrder};
-use super::room::ClaimRoom;
-use super::writer::{self, CLAIMS_PATH, WriteOrder};
+use super::reader::{self, ReadCommand};
+use super::wait_limit::ClaimWaitLimit;
+use super::writer::{self, CLAIMS_PATH, WriteCommand};
 use crate::gateway::Gateway;
 use crate::peer::PeerCall;
 
-/// Time for a writer to take a record, in milliseconds.
-const DEADLINE_MS: u32 = 2_000;
-const DEADLINE: Duration = Duration::from_millis(DEADLINE_MS as u64);
+/// Time within which a writer must confirm a record.
+const WRITE_TIMEOUT_MS: u32 = 2_000;
+const WRITE_TIMEOUT: Duration = Duration::from_millis(WRITE_TIMEOUT_MS as u64);
 
-/// How long a submission waits for the end of its key's call. The record of an end is in
-/// the log some milliseconds after the answer; a caller that lost the answer and comes
-/// again at once would else be sent away for a second.
+/// How long a submission waits for the key's call to end. The end is recorded in the log a few
+/// milliseconds after the answer is sent. Without this wait, a caller that lost the answer and
+/// resubmits at once would be told to retry after a second.
 const END_WAIT_MS: u64 = 50;
 
-/// Readers and writers of all shards.
+/// Readers and writers of all shards, and the limit on requests that wait for a claim.
 pub struct Claims {
-    /// Settings that every entry has alike.
+    /// Must be the same at every entry.
     pub settings: ClaimSettings,
-    /// The log, for recorded answers.
+    /// Client for reading recorded answers.
     pub log: LogClient,
-    /// Room for requests that wait.
-    pub room: ClaimRoom,
-    readers: Vec<mpsc::Sender<ReadOrder>>,
-    writers: Vec<mpsc::Sender<WriteOrder>>,
+    pub wait_limit: ClaimWaitLimit,
+    readers: Vec<mpsc::Sender<ReadCommand>>,
+    writers: Vec<mpsc::Sender<WriteCommand>>,
 }
 
-/// How a claim ended.
-pub enum Claimed {
-    /// This submission alone may run.
+/// Outcome of an attempt to claim a key.
+pub enum ClaimOutcome {
+    /// This submission is the only one that may run.
     Won(ClaimHolder),
-    /// Another one has the key.
-    Other(Verdict),
-    /// No verdict in time; not run. The record takes the claim back; it waits for the
-    /// log, which may be silent, so the caller gets its answer first.
-    GivenUp(Failure, Option<Record>),
+    /// Another submission has claimed the key.
+    HeldByOther(Verdict),
+    /// There was no verdict in time, and the call was not run. The record releases the claim.
+    /// Writing the record can block on an unresponsive log, so the caller is answered first.
+    Abandoned(Failure, Option<Record>),
 }
 
-/// A submission that wants its key.
+/// A submission that claims its key.
 pub struct Submission<'a> {
-    /// Customer whose key it is.
     pub customer: &'a CustomerName,
-    /// The service, for the inner call's head.
+    /// Service named in calls to other entries.
     pub service: &'a ServiceName,
-    /// The key.
     pub key: KeyDigest,
-    /// What it asks for.
+    /// Digest of the request, which detects a key that is reused for another request.
     pub request: RequestDigest,
-    /// Longest time from the claim to the end of its call, in milliseconds.
+    /// Longest time from the claim until the end of the call is recorded.
     pub runs_for_ms: u32,
-    /// When its caller gives up, on the process's monotonic clock.
+    /// The caller's deadline, on the process's monotonic clock.
     pub deadline_at_ms: u64,
 }
 
 impl Claims {
-    /// Starts the readers and writers.
+    /// Starts the readers and writers of all shards.
     pub fn start(log: &LogClient, settings: ClaimSettings) -> Claims {
         let shards = 0..settings.shards;
         Claims {
             settings,
             log: log.clone(),
-            room: ClaimRoom::default(),
+            wait_limit: ClaimWaitLimit::default(),
             readers: shards
                 .clone()
                 .map(|shard| reader::start(shard, log.clone(), settings))
@@ -89,12 +86,12 @@
         }
     }
 
-    /// Claims the key of a submission. To drop the future leaves a claim that may win
-    /// with nobody to run it, so it runs in a task of its own.
-    pub async fn claim(&self, gateway: &Gateway, submission: &Submission<'_>) -> Claimed {
+    /// Claims the key of a submission. If this future is dropped, its claim may still win and block
+    /// the key without being run; the caller therefore runs it in a task of its own.
+    pub async fn claim(&self, gateway: &Gateway, submission: &Submission<'_>) -> ClaimOutcome {
         let shard = shard_of(submission.key, self.settings.shards);
-        if let Some(verdict) = self.standing(shard, submission).await {
-            return Claimed::Other(verdict);
+        if let Some(verdict) = self.existing_verdict(shard, submission).await {
+            return ClaimOutcome::HeldByOther(verdict);
         }
         let claim = Claim {
             key: submission.key,
@@ -103,30 +100,32 @@
             runs_for_ms: submission.runs_for_ms,
         };
         let (answer, verdict) = oneshot::channel();
-        let order = ReadOrder::Await {
+        let command = ReadCommand::AwaitVerdict {
             claim: claim.claim,
             answer,
         };
-        if self.reader(shard, order).await.is_none() {
-            return Claimed::GivenUp(Failure::not_run(Cause::Internal), None);
+        if self.send_command(shard, command).await.is_none() {
+            return ClaimOutcome::Abandoned(Failure::not_run(Cause::Internal), None);
         }
         let holder = ClaimHolder::new(claim, self.settings, now_ms());
-        let claimed = self.hold(gateway, submission, shard, holder, verdict).await;
-        if !matches!(claimed, Claimed::Other(Verdict::Running)) {
+        let claimed = self
+            .await_verdict(gateway, submission, shard, holder, verdict)
+            .await;
+        if !matches!(claimed, ClaimOutcome::HeldByOther(Verdict::Running)) {
             return claimed;
         }
-        let ended = self.end(shard, submission).await;
-        Claimed::Other(ended.unwrap_or(Verdict::Running))
+        let ended = self.wait_for_end(shard, submission).await;
+        ClaimOutcome::HeldByOther(ended.unwrap_or(Verdict::Running))
     }
 
-    async fn hold(
+    async fn await_verdict(
         &self,
         gateway: &Gateway,
         submission: &Submission<'_>,
         shard: u16,
         mut holder: ClaimHolder,
         mut verdict: oneshot::Receiver<Verdict>,
-    ) -> Claimed {
+    ) -> ClaimOutcome {
         let writers = writers_of(shard, live_entries(gateway));
         let mut sends = FuturesUnordered::new();
         let mut refusals = 0;
@@ -141,14 +140,14 @@
                         continue;
                     };
                     let record = Record::Claim(*holder.claim());
-                    sends.push(self.send(gateway, submission, shard, to, record));
+                    sends.push(self.send_record(gateway, submission, shard, to, record));
                     continue;
                 }
                 ClaimAction::WaitUntil { at_ms } => at_ms,
-                ClaimAction::Run => return Claimed::Won(holder),
-                ClaimAction::Answer(verdict) => return Claimed::Other(verdict),
+                ClaimAction::Run => return ClaimOutcome::Won(holder),
+                ClaimAction::Answer(verdict) => return ClaimOutcome::HeldByOther(verdict),
                 ClaimAction::Abandon(failure) => {
-                    return Claimed::GivenUp(failure, holder.release());
+                    return ClaimOutcome::Abandoned(failure, holder.release());
                 }
             };
             let until_ms = at_ms.min(submission.deadline_at_ms);
@@ -157,8 +156,8 @@
                 Ok(verdict) = &mut verdict => holder.on_verdict(verdict),
                 Some(sent) = sends.next() => if sent.is_err() {
                     refusals += 1;
-                    // With every writer refused the log is down, and the caller gets its
-                    // answer now instead of at the end of the claim's time.
+                    // If every writer has refused, the log is unavailable. The caller is answered
+                    // now instead of after the claim's timeout.
                     if refusals >= writers.len() {
                         holder.abandon();
                     } else {
@@ -170,8 +169,8 @@
         }
     }
 
-    /// Writes a record through the shard's writers, the usual one first.
-    pub async fn record(
+    /// Sends a record to the shard's writers in order of preference until one of them confirms it.
+    pub async fn append_record(
         &self,
         gateway: &Gateway,
         submission: &Submission<'_>,
@@ -181,19 +180,19 @@
         let shard = shard_of(record.key(), self.settings.shards);
         for to in writers_of(shard, live_entries(gateway)) {
             let sent = self
-                .send(gateway, submission, shard, to, record.clone())
+                .send_record(gateway, submission, shard, to, record.clone())
                 .await;
             if sent.is_ok() {
                 return;
             }
         }
-        // The writers have it and go on trying. Until one succeeds, repeats of the key are
-        // told "unknown".
+        // A writer that has received the record keeps retrying the append. Until an append
+        // succeeds, repeated submissions of the key are answered with "unknown".
         log::warn!(event = "claim-record-late", shard; "");
     }
 
-    /// Gives a record to one writer. An error says that it did not take it.
-    async fn send(
+    /// Sends a record to one writer. An error means that the writer did not confirm it.
+    async fn send_record(
         &self,
         gateway: &Gateway,
         submission: &Submission<'_>,
@@ -202,7 +201,7 @@
         record: Record,
     ) -> Result<(), Failure> {
         if to == gateway.identity.node().address {
-            return self.write(shard, record).await;
+            return self.write_locally(shard, record).await;
         }
         let internal = |_| Failure::not_run(Cause::Internal);
         let body = serde_json::to_vec(&record).map_err(internal)?;
@@ -212,44 +211,46 @@
             service: submission.service,
             path: &format!("{CLAIMS_PATH}{shard}"),
             body: Bytes::from(body),
-            deadline_ms: DEADLINE_MS,
+            deadline_ms: WRITE_TIMEOUT_MS,
         };
-        // A doubled record counts once.
+        // The call may be repeated: a duplicate record has no effect.
         gateway.ask(to, call).await.map(|_| ())
     }
 
-    /// Writes a record here. A log that says nothing keeps the record waiting; whoever
-    /// brought it is told so after a while.
-    pub async fn write(&self, shard: u16, record: Record) -> Result<(), Failure> {
+    /// Passes a record to this entry's own writer. While the log does not respond, the record stays
+    /// queued, and the call fails with an unknown outcome after the write timeout.
+    pub async fn write_locally(&self, shard: u16, record: Record) -> Result<(), Failure> {
         let unavailable = Failure::not_run(Cause::ClaimUnavailable);
         let writer = self.writers.get(usize::from(shard)).ok_or(unavailable)?;
         let (answer, written) = oneshot::channel();
-        let order = WriteOrder { record, answer };
-        writer.try_send(order).map_err(|_| unavailable)?;
+        let command = WriteCommand { record, answer };
+        writer.try_send(command).map_err(|_| unavailable)?;
         let lost = Failure::new(RunState::Unknown, Cause::Internal);
-        let written = timeout(DEADLINE, written).await;
+        let written = timeout(WRITE_TIMEOUT, written).await;
         written.map_err(|_| lost)?.map_err(|_| lost)?
     }
 
-    /// What became of the key's call so far; `None` when the key may be claimed.
-    async fn standing(&self, shard: u16, submission: &Submission<'_>) -> Option<Verdict> {
+    /// The verdict on an earlier claim of the key; `None` if the key may be claimed. Waits up to
+    /// `END_WAIT_MS` for a running call to end.
+    async fn existing_verdict(&self, shard: u16, submission: &Submission<'_>) -> Option<Verdict> {
         match self.peek(shard, submission).await {
-            Some(Verdict::Running) => self.end(shard, submission).await,
+            Some(Verdict::Running) => self.wait_for_end(shard, submission).await,
             verdict => verdict,
         }
     }
 
-    /// Waits a little for the end of the key's call. What is known already comes at once.
-    async fn end(&self, shard: u16, submission: &Submission<'_>) -> Option<Verdict> {
+    /// Waits up to `END_WAIT_MS` for the key's call to end. Returns at once if it has already
+    /// ended.
+    async fn wait_for_end(&self, shard: u16, submission: &Submission<'_>) -> Option<Verdict> {
         let left_ms = submission.deadline_at_ms.saturating_sub(now_ms());
         let wait = Duration::from_millis(left_ms.min(END_WAIT_MS));
         let (answer, ended) = oneshot::channel();
-        let order = ReadOrder::End {
+        let command = ReadCommand::AwaitEnd {
             key: submission.key,
             request: submission.request,
             answer,
         };
-        self.reader(shard, order).await?;
+        self.send_command(shard, command).await?;
         match timeout(wait, ended).await {
             Ok(Ok(verdict)) => verdict,
             Ok(Err(_)) | Err(_) => Some(Verdict::Running),
@@ -258,22 +259,22 @@
 
     async fn peek(&self, shard: u16, submission: &Submission<'_>) -> Option<Verdict> {
         let (answer, peeked) = oneshot::channel();
-        let order = ReadOrder::Peek {
+        let command = ReadCommand::Peek {
             key: submission.key,
             request: submission.request,
             answer,
         };
-        self.reader(shard, order).await?;
+        self.send_command(shard, command).await?;
         peeked.await.ok().flatten()
     }
 
-    async fn reader(&self, shard: u16, order: ReadOrder) -> Option<()> {
+    async fn send_command(&self, shard: u16, command: ReadCommand) -> Option<()> {
         let reader = self.readers.get(usize::from(shard))?;
-        reader.send(order).await.ok()
+        reader.send(command).await.ok()
     }
 }
 
-/// Entries that may write, this one among them.
+/// Addresses of the entries that may write records, including this entry.
 fn live_entries(gateway: &Gateway) -> Vec<SocketAddr> {
     let snapshot = gateway.gossip.snapshot();
     let now_ms = now_ms();
@@ -283,11 +284,11 @@
     reached.chain([gateway.identity.node().address]).collect()
 }
 
-/// Takes a record that another entry brings.
+/// Handles an inner call in which another entry sends a record.
 pub async fn receive_record(gateway: &Gateway, open: &Open) -> Result<(), Failure> {
     let malformed = Failure::not_run(Cause::Malformed);
     let shard = open.path.strip_prefix(CLAIMS_PATH).ok_or(malformed)?;
     let shard: u16 = shard.parse().map_err(|_| malformed)?;
     let record: Record = serde_json::from_slice(&open.body).map_err(|_| malformed)?;
-    gateway.claims.write(shard, record).await
+    gateway.claims.write_locally(shard, record).await
 }
--- a/components/gateway/src/keyed/reader.rs
+++ b/components/gateway/src/keyed/reader.rs
@@ -1,4 +1,4 @@
-//! Reads one shard of claims and gives verdicts.
+//! Reads one shard of claims from the log and answers queries about its keys.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,92 +9,92 @@
 use tokio::sync::{mpsc, oneshot};
 use types::CallId;
 
-use super::waiting_ends::WaitingEnds;
+use super::end_waiters::EndWaiters;
 
-/// Orders that wait at most.
-const ORDERS_MAX: usize = 1_024;
-/// Pages that were read and not taken in.
-const PAGES_MAX: usize = 1;
-const RECORDS_AT_ONCE: usize = 256;
-/// Longest poll for a new record, in milliseconds. A connection that goes silent keeps
-/// verdicts back for this time and the log's deadline, together less than the time that
-/// a claim has.
-const POLL_MS: u64 = 2_000;
-/// Pause after a read that failed.
-const PAUSE: Duration = Duration::from_millis(500);
-/// Time between two looks for keys whose lifetime is over, in milliseconds.
-const EXPIRE_EVERY_MS: u64 = 60_000;
+const QUEUED_COMMANDS_MAX: usize = 1_024;
+/// Pages that are read ahead of the one being applied.
+const QUEUED_PAGES_MAX: usize = 1;
+const RECORDS_PER_READ: usize = 256;
+/// Longest poll for new records. If the connection becomes unresponsive, verdicts are delayed by
+/// this time plus the log client's timeout; together they must be shorter than the time within
+/// which a claim must start.
+const POLL_TIMEOUT_MS: u64 = 2_000;
+/// Delay after a failed read.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Interval at which expired keys are removed.
+const EXPIRE_INTERVAL_MS: u64 = 60_000;
 
-/// What a reader is asked.
-pub enum ReadOrder {
-    /// What a submission is to do whose key is held already.
+/// A query to a reader.
+pub enum ReadCommand {
+    /// Asks whether the key is already claimed.
     Peek {
-        /// Its key.
         key: KeyDigest,
-        /// What it asks for.
+        /// Digest of the request.
         request: RequestDigest,
-        /// Takes the verdict; `None` when it may claim.
+        /// Receives the verdict; `None` if the key may be claimed.
         answer: oneshot::Sender<Option<Verdict>>,
     },
-    /// The same once the key's call no longer runs; `None` when it may be claimed anew.
-    End {
-        /// Its key.
+    /// Like `Peek`, but answered only when the key's call is no longer running.
+    AwaitEnd {
         key: KeyDigest,
-        /// What it asks for.
+        /// Digest of the request.
         request: RequestDigest,
-        /// Takes the verdict.
+        /// Receives the verdict; `None` if the key may be claimed again.
         answer: oneshot::Sender<Option<Verdict>>,
     },
-    /// The verdict on a claim, once it was read.
-    Await {
-        /// The claim.
+    /// Asks for the verdict on a claim once the claim has been read from the log.
+    AwaitVerdict {
+        /// Id of the claim.
         claim: CallId,
-        /// Takes the verdict.
         answer: oneshot::Sender<Verdict>,
     },
 }
 
 /// Starts the reader of a shard.
-pub fn start(shard: u16, log: LogClient, settings: ClaimSettings) -> mpsc::Sender<ReadOrder> {
-    let (orders, inbox) = mpsc::channel(ORDERS_MAX);
-    let (pages, read) = mpsc::channel(PAGES_MAX);
-    tokio::spawn(pump(stream_name(shard), log, pages));
-    tokio::spawn(own(inbox, read, settings));
-    orders
+pub fn start(shard: u16, log: LogClient, settings: ClaimSettings) -> mpsc::Sender<ReadCommand> {
+    let (commands, inbox) = mpsc::channel(QUEUED_COMMANDS_MAX);
+    let (pages, read) = mpsc::channel(QUEUED_PAGES_MAX);
+    tokio::spawn(read_pages(stream_name(shard), log, pages));
+    tokio::spawn(run_reader(inbox, read, settings));
+    commands
 }
 
-async fn pump(stream: String, log: LogClient, pages: mpsc::Sender<LogPage>) {
+async fn read_pages(stream: String, log: LogClient, pages: mpsc::Sender<LogPage>) {
     let mut from = 0;
     while !pages.is_closed() {
-        match log.read(&stream, from, RECORDS_AT_ONCE, POLL_MS).await {
+        match log
+            .read(&stream, from, RECORDS_PER_READ, POLL_TIMEOUT_MS)
+            .await
+        {
             Ok(page) => {
                 from = page.next.max(from);
                 if pages.send(page).await.is_err() {
                     return;
                 }
             }
-            // An outage; claims wait for their verdict and give up in time.
-            Err(_) => tokio::time::sleep(PAUSE).await,
+            // During an outage of the log, claims wait for their verdict and are abandoned at their
+            // timeout.
+            Err(_) => tokio::time::sleep(RETRY_DELAY).await,
         }
     }
 }
 
-async fn own(
-    mut inbox: mpsc::Receiver<ReadOrder>,
+async fn run_reader(
+    mut inbox: mpsc::Receiver<ReadCommand>,
     mut pages: mpsc::Receiver<LogPage>,
     settings: ClaimSettings,
 ) {
     let mut reader = Reader {
         shard: Shard::new(settings),
-        waiting: HashMap::new(),
-        ends: WaitingEnds::default(),
-        expire_at_ms: now_ms() + EXPIRE_EVERY_MS,
+        verdict_waiters: HashMap::new(),
+        end_waiters: EndWaiters::default(),
+        expire_at_ms: now_ms() + EXPIRE_INTERVAL_MS,
     };
     loop {
         tokio::select! {
-            Some(page) = pages.recv() => reader.take_page(&page),
-            order = inbox.recv() => match order {
-                Some(order) => reader.take_order(order),
+            Some(page) = pages.recv() => reader.apply_page(&page),
+            command = inbox.recv() => match command {
+                Some(command) => reader.handle(command),
                 None => return,
             },
         }
@@ -103,56 +103,56 @@
 
 struct Reader {
     shard: Shard,
-    waiting: HashMap<CallId, oneshot::Sender<Verdict>>,
-    ends: WaitingEnds,
+    verdict_waiters: HashMap<CallId, oneshot::Sender<Verdict>>,
+    end_waiters: EndWaiters,
     expire_at_ms: u64,
 }
 
 impl Reader {
-    fn take_page(&mut self, page: &LogPage) {
+    fn apply_page(&mut self, page: &LogPage) {
         let now_ms = now_ms();
         for record in &page.records {
-            let placed = match self.shard.apply(record.offset, &record.data, now_ms) {
-                Ok(placed) => placed,
+            let verdicts = match self.shard.apply(record.offset, &record.data, now_ms) {
+                Ok(verdicts) => verdicts,
                 Err(reason) => {
                     log::warn!(event = "claims-unreadable", reason:% = reason; "");
                     continue;
                 }
             };
-            for placed in placed {
-                if let Some(waiting) = self.waiting.remove(&placed.claim) {
-                    // The holder may have given up.
-                    let _ = waiting.send(placed.verdict);
+            for decided in verdicts {
+                if let Some(waiter) = self.verdict_waiters.remove(&decided.claim) {
+                    // The submission may have abandoned its claim.
+                    let _ = waiter.send(decided.verdict);
                 }
             }
         }
-        self.ends.look(&self.shard, now_ms);
+        self.end_waiters.answer_ended(&self.shard, now_ms);
         if now_ms >= self.expire_at_ms {
-            self.expire_at_ms = now_ms + EXPIRE_EVERY_MS;
+            self.expire_at_ms = now_ms + EXPIRE_INTERVAL_MS;
             self.shard.expire(now_ms);
         }
     }
 
-    fn take_order(&mut self, order: ReadOrder) {
-        match order {
-            ReadOrder::Peek {
+    fn handle(&mut self, command: ReadCommand) {
+        match command {
+            ReadCommand::Peek {
                 key,
                 request,
                 answer,
             } => {
                 let _ = answer.send(self.shard.peek(key, request, now_ms()));
             }
-            ReadOrder::End {
+            ReadCommand::AwaitEnd {
                 key,
                 request,
                 answer,
             } => {
-                self.ends.push(key, request, answer);
-                self.ends.look(&self.shard, now_ms());
+                self.end_waiters.push(key, request, answer);
+                self.end_waiters.answer_ended(&self.shard, now_ms());
             }
-            ReadOrder::Await { claim, answer } => {
-                self.waiting.retain(|_, waiting| !waiting.is_closed());
-                self.waiting.insert(claim, answer);
+            ReadCommand::AwaitVerdict { claim, answer } => {
+                self.verdict_waiters.retain(|_, waiter| !waiter.is_closed());
+                self.verdict_waiters.insert(claim, answer);
             }
         }
     }
--- a/components/gateway/src/keyed/relay.rs
+++ b/components/gateway/src/keyed/relay.rs
@@ -1,11 +1,11 @@
-//! The path of a request with an idempotency key.
+//! Serves requests with an idempotency key.
 //!
-//! It runs in a task of its own. A caller that goes away before the hand-over takes its
-//! claim back; after it, the call runs on and its end is recorded, so that the caller's
-//! next submission gets the answer and not "unknown".
+//! Each request runs in a task of its own. If the caller disconnects before the call is sent, the
+//! claim is released. If the caller disconnects later, the call continues and its end is recorded,
+//! so that the caller's next submission receives the answer instead of "unknown".
 //!
-//! It is admitted when it has won its key, so that neither a wait for the log nor a replay
-//! takes a place at the service.
+//! A request is admitted only after it has won its key. A request that waits for the log, or whose
+//! answer is replayed, therefore takes no capacity of the service.
 
 use std::sync::Arc;
 
@@ -20,9 +20,9 @@
 use tokio::sync::{mpsc, oneshot};
 use types::{Cause, Failure, RunState};
 
-use super::client::{Claimed, Submission};
+use super::client::{ClaimOutcome, Submission};
 use super::replay;
-use super::room::Place;
+use super::wait_limit::ClaimWaitGuard;
 use crate::answer::{Answering, response};
 use crate::attempt::Attempt;
 use crate::body::{AnswerBroken, Body, streamed};
@@ -31,31 +31,30 @@
 use crate::rejection::Rejection;
 use crate::trace::Trace;
 
-/// Added to a call's deadline for the longest time until its end is recorded.
-const RECORD_MS: u32 = 10_000;
-/// Parts of an answer between the task and the caller's connection.
-const PARTS_MAX: usize = 8;
+/// Added to the time left for a call, as the time allowed for recording its end.
+const RECORD_MARGIN_MS: u32 = 10_000;
+/// Parts of an answer that are buffered between the task and the caller's connection.
+const BUFFERED_PARTS_MAX: usize = 8;
 
 type Part = Result<Bytes, AnswerBroken>;
 
-/// What the task tells the caller's side first.
-enum First {
+/// First message from the task to the caller's connection.
+enum FirstReply {
     Answer(Head, mpsc::Receiver<Part>),
-    Other(Verdict, Place),
+    HeldByOther(Verdict, ClaimWaitGuard),
     Failed(Failure),
 }
 
-/// A request's key and content.
+/// A request with an idempotency key.
 pub struct KeyedRequest<'a> {
-    /// The key.
     pub key: &'a str,
-    /// What the caller sent, the same in each of its submissions.
+    /// The caller's content, which is the same in each of its submissions.
     pub content: &'a [u8],
-    /// What the endpoint gets; it may name this submission.
+    /// Body that is sent to the endpoint; it may contain values that differ between submissions.
     pub body: Bytes,
 }
 
-/// Serves a request with a key.
+/// Serves a request with an idempotency key.
 pub async fn serve(
     gateway: &Arc<Gateway>,
     job: Job,
@@ -72,8 +71,8 @@
         keyed.content,
     );
     let shard = shard_of(key, gateway.claims.settings.shards);
-    let (first, told) = oneshot::channel();
-    let running = Running {
+    let (first, first_reply) = oneshot::channel();
+    let task = KeyedTask {
         gateway: Arc::clone(gateway),
         trace: Trace::new(gateway.metrics.clone(), &job, arrived_ms),
         arrived_ms,
@@ -82,14 +81,14 @@
         request,
         body: keyed.body,
     };
-    tokio::spawn(running.run(first));
+    tokio::spawn(task.run(first));
     let lost = Failure::new(RunState::Unknown, Cause::Internal);
-    match told.await.map_err(|_| lost)? {
-        First::Answer(head, parts) => response(&head, body_of(parts, deadline_at_ms)),
-        First::Other(verdict, _place) => {
+    match first_reply.await.map_err(|_| lost)? {
+        FirstReply::Answer(head, parts) => response(&head, body_of(parts, deadline_at_ms)),
+        FirstReply::HeldByOther(verdict, _wait_guard) => {
             replay::answer(&gateway.claims, shard, &verdict, deadline_at_ms).await
         }
-        First::Failed(failure) => Err(failure.into()),
+        FirstReply::Failed(failure) => Err(failure.into()),
     }
 }
 
@@ -101,9 +100,9 @@
     streamed(parts, deadline_at_ms)
 }
 
-struct Running {
+struct KeyedTask {
     gateway: Arc<Gateway>,
-    /// Of the claim; once it is won, the call has its own.
+    /// Trace until the claim is decided. After the claim is won, the call has its own trace.
     trace: Trace,
     arrived_ms: u64,
     job: Job,
@@ -112,9 +111,9 @@
     body: Bytes,
 }
 
-impl Running {
-    async fn run(mut self, first: oneshot::Sender<First>) {
-        let (_working, place) = match self.enter() {
+impl KeyedTask {
+    async fn run(mut self, first: oneshot::Sender<FirstReply>) {
+        let (_work_guard, wait_guard) = match self.begin_wait() {
             Ok(entered) => entered,
             Err(failure) => return self.refuse(failure, first),
         };
@@ -126,55 +125,60 @@
             service: &job.service.name,
             key: self.key,
             request: self.request,
-            runs_for_ms: left_ms.saturating_add(RECORD_MS),
+            runs_for_ms: left_ms.saturating_add(RECORD_MARGIN_MS),
             deadline_at_ms: job.deadline_at_ms,
         };
         let record = match gateway.claims.claim(&gateway, &submission).await {
-            Claimed::Won(holder) => {
-                drop(place);
-                self.won(holder, first).await
+            ClaimOutcome::Won(holder) => {
+                drop(wait_guard);
+                self.run_call(holder, first).await
             }
-            Claimed::Other(verdict) => {
-                self.note_other(&verdict);
-                // The caller may have gone.
-                let _ = first.send(First::Other(verdict, place));
+            ClaimOutcome::HeldByOther(verdict) => {
+                self.trace_other(&verdict);
+                // The caller may have disconnected.
+                let _ = first.send(FirstReply::HeldByOther(verdict, wait_guard));
                 return;
             }
-            Claimed::GivenUp(failure, release) => {
+            ClaimOutcome::Abandoned(failure, release) => {
                 self.refuse(failure, first);
                 release
             }
         };
-        gateway.claims.record(&gateway, &submission, record).await;
+        gateway
+            .claims
+            .append_record(&gateway, &submission, record)
+            .await;
     }
 
-    /// What a submission holds until its end is recorded, and while it has no verdict.
-    fn enter(&self) -> Result<(WorkGuard, Place), Failure> {
-        let working = self.gateway.drain.admit(now_ms())?;
-        let place = self.gateway.claims.room.enter(&self.job.payer)?;
-        Ok((working, place))
+    /// Counts the submission as work in progress until its end is recorded, and as waiting until it
+    /// has a verdict.
+    fn begin_wait(&self) -> Result<(WorkGuard, ClaimWaitGuard), Failure> {
+        let work_guard = self.gateway.drain.admit(now_ms())?;
+        let wait_guard = self.gateway.claims.wait_limit.begin_wait(&self.job.payer)?;
+        Ok((work_guard, wait_guard))
     }
 
-    fn refuse(mut self, failure: Failure, first: oneshot::Sender<First>) {
+    fn refuse(mut self, failure: Failure, first: oneshot::Sender<FirstReply>) {
         self.trace.failed(failure);
-        // The caller may have gone.
-        let _ = first.send(First::Failed(failure));
+        // The caller may have disconnected.
+        let _ = first.send(FirstReply::Failed(failure));
     }
 
-    fn note_other(&mut self, verdict: &Verdict) {
+    fn trace_other(&mut self, verdict: &Verdict) {
         match verdict.failure(&self.gateway.claims.settings) {
             Some(failure) => self.trace.failed(failure),
             None => self.trace.replayed(),
         }
     }
 
-    /// Admits and makes the call; gives the record of its end.
-    async fn won(
+    /// Admits and runs the call. Returns the record of its end, or the record that releases the
+    /// claim.
+    async fn run_call(
         self,
         mut holder: ClaimHolder,
-        first: oneshot::Sender<First>,
+        first: oneshot::Sender<FirstReply>,
     ) -> Option<claims::Record> {
-        let Running {
+        let KeyedTask {
             gateway,
             trace,
             arrived_ms,
@@ -186,29 +190,32 @@
         let answering = match Answering::begin(&gateway, job, arrived_ms).await {
             Ok(answering) => answering,
             Err(failure) => {
-                let _ = first.send(First::Failed(failure));
+                let _ = first.send(FirstReply::Failed(failure));
                 holder.abandon();
                 return holder.release();
             }
         };
-        let mut calling = Calling {
+        let mut keyed_call = KeyedCall {
             gateway,
             answering,
             body,
         };
-        match start(&mut holder, &first) {
-            Ok(()) => calling.call(&mut holder, first).await,
+        match start_holder(&mut holder, &first) {
+            Ok(()) => keyed_call.call(&mut holder, first).await,
             Err(failure) => {
-                calling.answering.admitted.used(0);
-                calling.answering.trace.failed(failure);
-                let _ = first.send(First::Failed(failure));
+                keyed_call.answering.admitted.used(0);
+                keyed_call.answering.trace.failed(failure);
+                let _ = first.send(FirstReply::Failed(failure));
                 holder.release()
             }
         }
     }
 }
 
-fn start(holder: &mut ClaimHolder, first: &oneshot::Sender<First>) -> Result<(), Failure> {
+fn start_holder(
+    holder: &mut ClaimHolder,
+    first: &oneshot::Sender<FirstReply>,
+) -> Result<(), Failure> {
     if first.is_closed() {
         holder.abandon();
         return Err(Failure::not_run(Cause::Cancelled));
@@ -216,31 +223,31 @@
     holder.start(now_ms())
 }
 
-/// A call whose key was won.
-struct Calling {
+/// A call whose claim has won.
+struct KeyedCall {
     gateway: Arc<Gateway>,
     answering: Answering,
     body: Bytes,
 }
 
-impl Calling {
-    /// Makes the call; gives the record of its end.
+impl KeyedCall {
+    /// Runs the call and returns the record of its end.
     async fn call(
         &mut self,
         holder: &mut ClaimHolder,
-        first: oneshot::Sender<First>,
+        first: oneshot::Sender<FirstReply>,
     ) -> Option<claims::Record> {
         let (head, attempt) = match self.answering.exchange.head(&self.body).await {
             Ok(answered) => answered,
             Err(failure) => {
                 self.answering.trace.failed(failure);
-                let _ = first.send(First::Failed(failure));
-                return failed(holder, failure);
+                let _ = first.send(FirstReply::Failed(failure));
+                return record_failure(holder, failure);
             }
         };
-        let (parts, received) = mpsc::channel(PARTS_MAX);
-        let _ = first.send(First::Answer(head.clone(), received));
-        match self.pass_on(attempt, parts).await {
+        let (parts, received) = mpsc::channel(BUFFERED_PARTS_MAX);
+        let _ = first.send(FirstReply::Answer(head.clone(), received));
+        match self.relay(attempt, parts).await {
             Ok(body) => {
                 self.answering.trace.answered(head.status);
                 self.answering.give_back_tokens(&body);
@@ -254,32 +261,32 @@
             }
             Err(failure) => {
                 self.answering.trace.failed(failure);
-                failed(holder, failure)
+                record_failure(holder, failure)
             }
         }
     }
 
-    /// Gives the parts to the caller while there is one; gives the whole body up to a
-    /// little more than is recorded.
-    async fn pass_on(
+    /// Relays the answer to the caller while it is connected. Returns the body; a body that is too
+    /// large to be recorded is truncated after the limit.
+    async fn relay(
         &mut self,
         mut attempt: Attempt,
         parts: mpsc::Sender<Part>,
     ) -> Result<Bytes, Failure> {
-        let kept_max = self.gateway.claims.settings.answer_bytes_max;
-        let mut kept = BytesMut::new();
+        let buffered_bytes_max = self.gateway.claims.settings.answer_bytes_max;
+        let mut buffered = BytesMut::new();
         loop {
             match attempt.next().await {
                 CallEvent::Accepted | CallEvent::Started | CallEvent::Head(_) => {}
                 CallEvent::Chunk(bytes) => {
                     self.answering.trace.first_byte();
-                    if kept.len() <= kept_max {
-                        kept.extend_from_slice(&bytes);
+                    if buffered.len() <= buffered_bytes_max {
+                        buffered.extend_from_slice(&bytes);
                     }
-                    // A caller that went away leaves the call running.
+                    // If the caller has disconnected, the call continues.
                     let _ = parts.send(Ok(bytes)).await;
                 }
-                CallEvent::End => return Ok(kept.freeze()),
+                CallEvent::End => return Ok(buffered.freeze()),
                 CallEvent::Failed(failure) => {
                     let _ = parts.send(Err(AnswerBroken::Cut(failure))).await;
                     return Err(failure);
@@ -289,7 +296,7 @@
     }
 }
 
-fn failed(holder: &mut ClaimHolder, failure: Failure) -> Option<claims::Record> {
+fn record_failure(holder: &mut ClaimHolder, failure: Failure) -> Option<claims::Record> {
     if failure.run == RunState::NotRun {
         holder.record_not_run();
         return holder.release();
--- a/components/gateway/src/keyed/replay.rs
+++ b/components/gateway/src/keyed/replay.rs
@@ -1,4 +1,4 @@
-//! The answer of a key's one run, read back from the log.
+//! Replays the recorded answer of a key's call from the log.
 
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
 use crate::body::{Body, full};
 use crate::rejection::Rejection;
 
-/// Says that an answer is that of an earlier submission.
+/// Header of an answer that was replayed from an earlier submission.
 const REPLAYED: &str = "idempotency-replayed";
 
-/// The answer to a submission whose key another one has, by its deadline.
+/// Builds the answer for a submission whose key another submission has claimed.
 pub async fn answer(
     claims: &Claims,
     shard: u16,
@@ -29,36 +29,43 @@
     }
     let Verdict::Answered {
         status,
-        position: Some(place),
+        position: Some(position),
     } = verdict
     else {
         return Err(Failure::new(RunState::Unknown, Cause::Internal).into());
     };
-    // It ran and was answered; only the answer can't be had now.
-    let unread = Failure::new(RunState::Failed, Cause::ClaimUnavailable)
+    // The call ran and was answered, but the recorded answer cannot be read now.
+    let unavailable = Failure::new(RunState::Failed, Cause::ClaimUnavailable)
         .retry_after(claims.settings.outage_retry_after_ms);
-    let left = Duration::from_millis(deadline_at_ms.saturating_sub(now_ms()));
-    let recorded = timeout(left, recorded(claims, shard, *place)).await;
-    let recorded = recorded.ok().flatten().ok_or(unread)?;
+    let time_left = Duration::from_millis(deadline_at_ms.saturating_sub(now_ms()));
+    let recorded = timeout(time_left, read_recorded_answer(claims, shard, *position)).await;
+    let recorded = recorded.ok().flatten().ok_or(unavailable)?;
     let head = Head {
         status: *status,
         headers: recorded.headers,
     };
-    let body = recorded.body.bytes().ok_or(unread)?;
+    let body = recorded.body.bytes().ok_or(unavailable)?;
     let mut response = response(&head, full(body))?;
     let yes = HeaderValue::from_static("true");
     response.headers_mut().insert(REPLAYED, yes);
     Ok(response)
 }
 
-async fn recorded(claims: &Claims, shard: u16, place: RecordPosition) -> Option<Answer> {
+async fn read_recorded_answer(
+    claims: &Claims,
+    shard: u16,
+    position: RecordPosition,
+) -> Option<Answer> {
     let stream = stream_name(shard);
-    let page = claims.log.read(&stream, place.offset, 1, 0).await.ok()?;
+    let page = claims.log.read(&stream, position.offset, 1, 0).await.ok()?;
     let record = page.records.first()?;
-    if record.offset != place.offset {
+    if record.offset != position.offset {
         return None;
     }
-    let outcome = Line::parse(&record.data).ok()?.outcome(place.index).ok()?;
+    let outcome = Line::parse(&record.data)
+        .ok()?
+        .outcome(position.index)
+        .ok()?;
     match outcome {
         Outcome::Answered { answer, .. } => answer,
         Outcome::Failed(_) => None,
