--- a/components/gateway/src/training/api.rs
+++ b/components/gateway/src/training/api.rs
@@ -11,8 +11,8 @@
 use types::{Cause, Class, Failure, ServiceName};
 use weights::{AnnounceOutcome, ModelKey};
 
-use super::bodies::{InForce, StepBody, Version, parse};
-use super::forward::to_home;
+use super::bodies::{ActiveVersionBody, StepBody, VersionBody, parse};
+use super::forward::forward_to_home;
 use super::inner::{HomeCall, OK, json_head};
 use super::training_calls::TrainingCallGuard;
 use crate::answer::response;
@@ -25,7 +25,7 @@
 use crate::weight_news::{Announced, Want};
 
 /// Time for a training call that states none, in milliseconds.
-const DEADLINE_MS: u32 = 60_000;
+const DEFAULT_DEADLINE_MS: u32 = 60_000;
 
 /// Serves one call of the training API.
 pub async fn serve<B>(
@@ -46,9 +46,9 @@
         _ => intake.session.trainable(&service)?,
     };
     need_kind(&model, ServiceKind::Model)?;
-    let _working = gateway.drain.admit(now_ms())?;
-    let _place = place(&gateway, &intake)?;
-    let deadline_at_ms = intake.deadline_at_ms(DEADLINE_MS);
+    let _work_guard = gateway.drain.admit(now_ms())?;
+    let _call_guard = begin_call(&gateway, &intake)?;
+    let deadline_at_ms = intake.deadline_at_ms(DEFAULT_DEADLINE_MS);
     let bytes = intake.body(body, deadline_at_ms).await?;
     let want = match route {
         TrainingRoute::Weights => Want::Announce,
@@ -56,7 +56,7 @@
         TrainingRoute::Rollback => Want::RollBack,
         TrainingRoute::Steps | TrainingRoute::Fetch { .. } => {
             let call = home_call(&intake, &model, route, bytes, deadline_at_ms)?;
-            let (head, body) = to_home(&gateway, call).await?;
+            let (head, body) = forward_to_home(&gateway, call).await?;
             return response(&head, full(body));
         }
     };
@@ -66,17 +66,17 @@
 /// Counts the call among its customer's requests, and keeps it among its training calls
 /// in progress until the guard is dropped. It holds none of the customer's requests in
 /// progress: a fetch waits for seconds and takes no endpoint's time.
-fn place(gateway: &Gateway, intake: &Intake) -> Result<TrainingCallGuard, Rejection> {
+fn begin_call(gateway: &Gateway, intake: &Intake) -> Result<TrainingCallGuard, Rejection> {
     let customer = &intake.session.holder.customer;
     let account = gateway.accounts.get(customer);
     // The configuration is newer than the last tick; the customer is there with the next.
     let account = account.ok_or(Failure::not_run(Cause::NoEndpoint))?;
-    let place = account.training.begin(rand::random())?;
-    let entered = account
+    let call_guard = account.training.begin(rand::random())?;
+    let admitted = account
         .customer
         .admit(Class::Background, 0, now_ms(), rand::random());
-    drop(entered?);
-    Ok(place)
+    drop(admitted?);
+    Ok(call_guard)
 }
 
 async fn announce(
@@ -86,7 +86,7 @@
     want: Want,
     bytes: &[u8],
 ) -> Result<Response<Body>, Rejection> {
-    let version = parse::<Version>(bytes)?.get()?;
+    let version = parse::<VersionBody>(bytes)?.version()?;
     let holder = &intake.session.holder;
     let key = ModelKey {
         customer: model.owner.clone(),
@@ -109,7 +109,7 @@
         customer = model.owner.as_str(), service = model.name.as_str(),
         version = target.serve.to_string(), load = target.load.to_string(); ""
     );
-    let body = InForce {
+    let body = ActiveVersionBody {
         version: target.serve.to_string(),
         load: target.load.to_string(),
     };
--- a/components/gateway/src/training/bodies.rs
+++ b/components/gateway/src/training/bodies.rs
@@ -15,13 +15,13 @@
 /// An announcement or a roll-back.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Version {
+pub struct VersionBody {
     version: String,
 }
 
-impl Version {
+impl VersionBody {
     /// The version. Errors when it is not written as `EPOCH.VERSION`.
-    pub fn get(&self) -> Result<WeightVersion, Rejection> {
+    pub fn version(&self) -> Result<WeightVersion, Rejection> {
         parse_version("version", &self.version)
     }
 }
@@ -100,14 +100,14 @@
 
 /// Answer to a post.
 #[derive(Debug, Serialize)]
-pub struct Posted<'a> {
+pub struct PostedBody<'a> {
     /// The cursor to fetch with.
     pub cursor: &'a str,
 }
 
 /// Answer to an announcement.
 #[derive(Debug, Serialize)]
-pub struct InForce {
+pub struct ActiveVersionBody {
     /// The version in force.
     pub version: String,
     /// The version that engines have loaded, or load.
@@ -133,7 +133,7 @@
 
 /// Answer to a fetch. It counts only together with its cursor.
 #[derive(Debug, Serialize)]
-pub struct Fetched<'a> {
+pub struct FetchedBody<'a> {
     /// Samples that the trainer does not have.
     pub samples: Vec<SampleBody<'a>>,
     /// The cursor to fetch with next.
--- a/components/gateway/src/training/room.rs
+++ b/components/gateway/src/training/capacity.rs
@@ -13,34 +13,34 @@
 /// have started at each, which the table's own counters do not know while the runs have
 /// only begun; `users` the steps that want it, each of which gets an equal part. Where
 /// every replica is ejected, that says more of this entry than of them, and all count.
-pub fn room(
+pub fn run_capacity(
     table: &Table,
-    runs: &HashMap<SocketAddr, u32>,
-    users: &HashMap<SocketAddr, u32>,
+    run_counts: &HashMap<SocketAddr, u32>,
+    step_counts: &HashMap<SocketAddr, u32>,
     is_ejected: impl Fn(SocketAddr) -> bool,
 ) -> RunCapacity {
     let count = |counts: &HashMap<SocketAddr, u32>, address| counts.get(&address).copied();
-    let slots = || {
+    let states = || {
         table
             .replica_states()
             .iter()
-            .filter(|slot| !slot.replica.leaving)
+            .filter(|state| !state.replica.leaving)
     };
-    let ejected = |slot: &&ReplicaState| is_ejected(slot.replica.node.address);
-    let all_ejected = slots().all(|slot| ejected(&slot));
+    let ejected = |state: &&ReplicaState| is_ejected(state.replica.node.address);
+    let all_ejected = states().all(|state| ejected(&state));
     let mut in_progress_max: u32 = 0;
-    let replicas = slots()
-        .filter(|slot| all_ejected || !ejected(slot))
-        .map(|slot| {
-            let address = slot.replica.node.address;
-            let users = count(users, address).unwrap_or(1).max(1);
-            in_progress_max += RUNS_PER_REPLICA.div_ceil(users);
-            let own_runs = count(runs, address).unwrap_or(0);
-            let outstanding = slot.counters().calls().max(own_runs);
+    let replicas = states()
+        .filter(|state| all_ejected || !ejected(state))
+        .map(|state| {
+            let address = state.replica.node.address;
+            let sharing_steps = count(step_counts, address).unwrap_or(1).max(1);
+            in_progress_max += RUNS_PER_REPLICA.div_ceil(sharing_steps);
+            let own_runs = count(run_counts, address).unwrap_or(0);
+            let outstanding = state.counters().calls().max(own_runs);
             Replica {
                 address,
                 free_runs: RUNS_PER_REPLICA.saturating_sub(outstanding),
-                version: slot.replica.weights,
+                version: state.replica.weights,
             }
         })
         .collect();
--- a/components/gateway/src/training/orders.rs
+++ b/components/gateway/src/training/commands.rs
@@ -53,7 +53,7 @@
 }
 
 /// What became of a run.
-pub enum RunNews {
+pub enum RunReport {
     /// It made tokens.
     Progress {
         /// Tokens so far.
@@ -78,7 +78,7 @@
 
 impl RunFault {
     /// A fault that says nothing of the replica.
-    pub fn plain(fault: Fault) -> Self {
+    pub fn not_at_replica(fault: Fault) -> Self {
         Self {
             fault,
             at_replica: false,
@@ -87,27 +87,27 @@
 }
 
 /// One order.
-pub enum Order {
+pub enum Command {
     /// Take a step; gives the cursor to fetch with.
     Post(Box<Post>, oneshot::Sender<Result<String, Rejection>>),
     /// Give samples.
     Fetch(Fetch, oneshot::Sender<Result<Reply, Rejection>>),
     /// Take what the other home sends.
-    Copies(Vec<CopyMessage>),
+    ApplyCopies(Vec<CopyMessage>),
     /// A run reports.
-    Run(StepKey, RunId, RunNews),
+    RunReport(StepKey, RunId, RunReport),
     /// The scorer answered, or failed.
     Scored(StepKey, RunId, Option<Score>),
     /// A version came in force.
-    Announced(ModelKey, WeightVersion),
+    Announce(ModelKey, WeightVersion),
     /// Another home has taken a step's post, or the copy was lost.
-    Told {
+    CopyResult {
         /// The step.
         key: StepKey,
         /// The other home.
         to: SocketAddr,
         /// Whether it has it.
-        taken: bool,
+        delivered: bool,
     },
     /// Tell the state.
     Status(oneshot::Sender<Vec<StepStatus>>),
--- a/components/gateway/src/training/coordinator_act.rs
+++ b/components/gateway/src/training/coordinator_act.rs
@@ -10,29 +10,29 @@
 use samples::{Action, Fault, Ledger, Start, Step, StepKey};
 use tokio::sync::oneshot;
 
+use super::capacity::run_capacity;
+use super::commands::{RunFault, RunReport};
 use super::coordinator_task::{CoordinatorTask, RunHandle};
-use super::orders::{RunFault, RunNews};
-use super::room::room;
 use super::run::Run;
-use super::score::Scoring;
+use super::score::ScoreCall;
 use crate::gateway::Gateway;
 
 /// Runs and scores of a customer that stand in the line for its limits, beyond which no
 /// further run begins.
-const WAITING_MAX: u32 = 16;
+const WAITING_RUNS_MAX: u32 = 16;
 /// Runs that begin at once for each place left in that line. Most pass through it without
 /// a wait; begun one line at a time, a step would take some looks of the coordinator to start.
-const RUNS_PER_PLACE: u32 = 8;
+const RUNS_PER_WAITING_SLOT: u32 = 8;
 
 /// Actions of one step.
-struct Todo {
+struct StepActions {
     key: StepKey,
     step: Arc<Step>,
     actions: Vec<Action>,
 }
 
-fn drained(key: &StepKey, ledger: &mut Ledger) -> Todo {
-    Todo {
+fn drain_ledger(key: &StepKey, ledger: &mut Ledger) -> StepActions {
+    StepActions {
         key: key.clone(),
         step: Arc::clone(ledger.step()),
         actions: ledger.take_actions(),
@@ -40,34 +40,34 @@
 }
 
 /// How many steps have each replica.
-fn users_of(tables: &[(StepKey, Arc<Table>)]) -> HashMap<SocketAddr, u32> {
-    let mut users = HashMap::new();
-    let slots = tables.iter().flat_map(|(_, table)| table.replica_states());
-    for slot in slots {
-        *users.entry(slot.replica.node.address).or_default() += 1;
+fn steps_per_replica(tables: &[(StepKey, Arc<Table>)]) -> HashMap<SocketAddr, u32> {
+    let mut step_counts = HashMap::new();
+    let replicas = tables.iter().flat_map(|(_, table)| table.replica_states());
+    for state in replicas {
+        *step_counts.entry(state.replica.node.address).or_default() += 1;
     }
-    users
+    step_counts
 }
 
 /// Runs of the step that may yet stand in the line for its customer's limits. One that
 /// waits there looks silent to its ledger, which would make it again elsewhere, so the
 /// others wait in the ledger.
-fn line_room(gateway: &Gateway, key: &StepKey) -> u32 {
+fn waiting_capacity(gateway: &Gateway, key: &StepKey) -> u32 {
     let account = gateway.accounts.get(&key.customer);
     let waiting = account.map_or(0, |account| account.customer.waiting());
-    WAITING_MAX.saturating_sub(waiting) * RUNS_PER_PLACE
+    WAITING_RUNS_MAX.saturating_sub(waiting) * RUNS_PER_WAITING_SLOT
 }
 
 impl CoordinatorTask {
     /// Asks each ledger what is to be done and does it.
-    pub(super) fn act(&mut self) {
+    pub(super) fn perform_actions(&mut self) {
         let view = self.gateway.feed.view();
-        let mut todo = self.dispatch();
+        let mut pending = self.dispatch();
         // Events bring about actions at the other steps too.
         for (key, ledger) in self.steps.iter_mut() {
-            todo.push(drained(key, ledger));
+            pending.push(drain_ledger(key, ledger));
         }
-        for Todo { key, step, actions } in todo {
+        for StepActions { key, step, actions } in pending {
             for action in actions {
                 self.perform(&key, &step, &view, action);
             }
@@ -75,45 +75,45 @@
     }
 
     /// Starts what may start at the steps whose home is this entry.
-    fn dispatch(&mut self) -> Vec<Todo> {
+    fn dispatch(&mut self) -> Vec<StepActions> {
         let now_ms = now_ms();
         let tables = self.active_tables();
-        let users = users_of(&tables);
-        let mut runs = self.runs_at();
+        let step_counts = steps_per_replica(&tables);
+        let mut runs = self.runs_by_replica();
         let mut order: Vec<&(StepKey, Arc<Table>)> = tables.iter().collect();
         // Whoever comes first takes the room that the others leave; each has its turn.
-        let first = self.turn % order.len().max(1);
+        let first = self.next_turn % order.len().max(1);
         order.rotate_left(first);
-        self.turn = self.turn.wrapping_add(1);
-        let mut todo = Vec::new();
+        self.next_turn = self.next_turn.wrapping_add(1);
+        let mut pending = Vec::new();
         for (key, table) in order {
             let Some(ledger) = self.steps.find_mut(key) else {
                 continue;
             };
             let ejected = |replica| self.ejected.is_ejected(replica, now_ms);
-            let mut room = room(table, &runs, &users, ejected);
-            let line = ledger.running() + line_room(&self.gateway, key);
-            room.in_progress_max = room.in_progress_max.min(line);
-            ledger.dispatch(&room, now_ms);
-            let drained = drained(key, ledger);
+            let mut capacity = run_capacity(table, &runs, &step_counts, ejected);
+            let runs_max = ledger.running() + waiting_capacity(&self.gateway, key);
+            capacity.in_progress_max = capacity.in_progress_max.min(runs_max);
+            ledger.dispatch(&capacity, now_ms);
+            let drained = drain_ledger(key, ledger);
             for action in &drained.actions {
                 if let Action::Start(start) = action {
                     *runs.entry(start.to).or_default() += 1;
                 }
             }
-            todo.push(drained);
+            pending.push(drained);
         }
-        todo
+        pending
     }
 
     /// Steps at home here that have something to run or running, with their replicas.
     fn active_tables(&mut self) -> Vec<(StepKey, Arc<Table>)> {
-        let (homes, standing_in) = (&mut self.homes, &self.standing_in);
+        let (homes, taken_over) = (&mut self.homes, &self.taken_over);
         let gateway = &self.gateway;
-        let held = self.steps.iter_mut();
-        let active = held.filter(|(key, ledger)| {
-            let here = homes.is_first(key) || standing_in.contains(*key);
-            here && ledger.next_due_ms(0).is_some()
+        let held_steps = self.steps.iter_mut();
+        let active = held_steps.filter(|(key, ledger)| {
+            let dispatched_here = homes.is_first_home(key) || taken_over.contains(*key);
+            dispatched_here && ledger.next_due_ms(0).is_some()
         });
         active
             .filter_map(|(key, _)| {
@@ -128,10 +128,10 @@
         match action {
             Action::Start(start) => match model {
                 Some(model) => self.start(key, step, model, start),
-                None => self.run_news(
+                None => self.handle_run_report(
                     key,
                     start.run,
-                    RunNews::Failed(RunFault::plain(Fault::Refused), start.resume),
+                    RunReport::Failed(RunFault::not_at_replica(Fault::Refused), start.resume),
                 ),
             },
             Action::Cancel { run } => {
@@ -151,20 +151,20 @@
                     let name = model.scorer.as_ref()?;
                     view.service(&key.customer, name).cloned()
                 });
-                let Some(orders) = self.orders.upgrade() else {
+                let Some(commands) = self.commands.upgrade() else {
                     return;
                 };
-                let scoring = Scoring {
+                let call = ScoreCall {
                     scorer,
                     step: Arc::clone(step),
                     run,
                     sample,
-                    orders,
+                    commands,
                 };
-                tokio::spawn(scoring.ask(Arc::clone(&self.gateway)));
+                tokio::spawn(call.call_and_report(Arc::clone(&self.gateway)));
             }
             Action::Copy(copy) => {
-                for to in self.homes.others(key) {
+                for to in self.homes.other_homes(key) {
                     // A sample that is lost costs a run after the loss of this home.
                     self.copier.send(to, key, copy.clone());
                 }
@@ -173,19 +173,19 @@
     }
 
     fn start(&mut self, key: &StepKey, step: &Arc<Step>, model: &Arc<Service>, start: Start) {
-        let Some(orders) = self.orders.upgrade() else {
+        let Some(commands) = self.commands.upgrade() else {
             return;
         };
         let (run, to) = (start.run, start.to);
         let (stop, stopped) = oneshot::channel();
-        let making = Run {
+        let new_run = Run {
             model: Arc::clone(model),
             step: Arc::clone(step),
             start,
-            orders,
+            commands,
             stop: stopped,
         };
-        let task = tokio::spawn(making.make(Arc::clone(&self.gateway)));
+        let task = tokio::spawn(new_run.run_and_report(Arc::clone(&self.gateway)));
         let handle = RunHandle {
             to,
             task: task.abort_handle(),
@@ -194,11 +194,11 @@
         self.runs.insert((key.clone(), run), handle);
     }
 
-    fn runs_at(&self) -> HashMap<SocketAddr, u32> {
-        let mut at: HashMap<SocketAddr, u32> = HashMap::new();
+    fn runs_by_replica(&self) -> HashMap<SocketAddr, u32> {
+        let mut counts: HashMap<SocketAddr, u32> = HashMap::new();
         for handle in self.runs.values() {
-            *at.entry(handle.to).or_default() += 1;
+            *counts.entry(handle.to).or_default() += 1;
         }
-        at
+        counts
     }
 }
--- a/components/gateway/src/training/coordinator_copies.rs
+++ b/components/gateway/src/training/coordinator_copies.rs
@@ -10,7 +10,7 @@
 impl CoordinatorTask {
     /// What the step's other home sends. A post of a step that this process knows no model
     /// for yet is dropped; the trainer's next post brings it.
-    pub(super) fn copy(&mut self, copy: CopyMessage) {
+    pub(super) fn apply_copy(&mut self, copy: CopyMessage) {
         let CopyMessage::Post {
             step,
             cursor,
@@ -40,12 +40,12 @@
         let used_ms = now_ms.saturating_sub(*unused_ms);
         let (settings, version) = (settings_of(model), *trainer_version);
         let steps = &mut self.steps;
-        let held = steps.post_copy(step, &settings, &cursor, version, used_ms, now_ms);
-        match held {
+        let posted = steps.post_copy(step, &settings, &cursor, version, used_ms, now_ms);
+        match posted {
             Ok(PostOutcome::Expired) => {}
             Ok(_) => {
-                self.untold.insert(step.key.clone());
-                self.announce_in_force(&step.key, now_ms);
+                self.uncopied.insert(step.key.clone());
+                self.announce_active(&step.key, now_ms);
             }
             Err(_) => log::warn!(event = "copy-refused", step = step.key.step; ""),
         }
@@ -53,23 +53,23 @@
 
     /// What became of a post's copy. A home that has it dispatches the step itself from
     /// here on; one that missed it is told again.
-    pub(super) fn told(&mut self, key: StepKey, to: SocketAddr, taken: bool) {
+    pub(super) fn handle_copy_result(&mut self, key: StepKey, to: SocketAddr, delivered: bool) {
         if !self.steps.holds(&key) {
             return;
         }
-        if !taken {
-            self.told.lost(&key, to);
-            self.missed.insert(key);
-        } else if self.homes.first(&key) == Some(to) {
-            self.standing_in.remove(&key);
+        if !delivered {
+            self.copied_homes.mark_lost(&key, to);
+            self.lost_copies.insert(key);
+        } else if self.homes.first_home(&key) == Some(to) {
+            self.taken_over.remove(&key);
         }
     }
 
     /// A home that was not told of a step gets everything.
-    pub(super) fn tell_new_homes(&mut self, key: &StepKey) {
-        let others = self.homes.others(key);
-        let new = self.told.update(key, others);
-        if new.is_empty() {
+    pub(super) fn copy_to_new_homes(&mut self, key: &StepKey) {
+        let others = self.homes.other_homes(key);
+        let missing = self.copied_homes.update(key, others);
+        if missing.is_empty() {
             return;
         }
         let keys = self.keys.clone();
@@ -77,13 +77,13 @@
         let Some(ledger) = self.steps.find_mut(key) else {
             return;
         };
-        let cursor = received(ledger).seal(&keys);
+        let cursor = received_cursor(ledger).seal(&keys);
         for copy in ledger.copies(Some(cursor), unused_ms) {
-            for &to in &new {
+            for &to in &missing {
                 let is_post = matches!(copy, CopyMessage::Post { .. });
                 if !self.copier.send(to, key, copy.clone()) && is_post {
-                    self.told.lost(key, to);
-                    self.missed.insert(key.clone());
+                    self.copied_homes.mark_lost(key, to);
+                    self.lost_copies.insert(key.clone());
                 }
             }
         }
@@ -91,6 +91,6 @@
 }
 
 /// The cursor of what the trainer is known to have.
-fn received(ledger: &Ledger) -> Cursor {
+fn received_cursor(ledger: &Ledger) -> Cursor {
     Cursor::start(ledger.step()).with_received(ledger.received().iter())
 }
--- a/components/gateway/src/training/coordinator_task.rs
+++ b/components/gateway/src/training/coordinator_task.rs
@@ -15,22 +15,22 @@
 use weights::ModelKey;
 
 use super::cadence::Cadence;
+use super::commands::{Command, Fetch, Post, Reply, RunReport};
 use super::coordinator::CoordinatorInbox;
-use super::copies::{Copier, Told, post};
-use super::ejected::Ejected;
-use super::figures::Figures;
+use super::copies::{CopiedHomes, Copier, post_copy};
+use super::ejected::EjectedReplicas;
 use super::home_map::HomeMap;
-use super::orders::{Fetch, Order, Post, Reply, RunNews};
-use super::steps_status::StepStatus;
+use super::metrics::TrainingMetrics;
+use super::step_status::StepStatus;
 use crate::gateway::Gateway;
 use crate::rejection::Rejection;
 
 /// Steps that nobody asks for are dropped after this time, in milliseconds.
 const STEP_IDLE_MS: u64 = 900_000;
 /// Longest sleep: room changes without an order.
-const TICK_MS: u64 = 100;
+const TICK_INTERVAL_MS: u64 = 100;
 /// Orders that are taken before the ledgers are asked what to do.
-const ORDERS_AT_ONCE: usize = 256;
+const COMMANDS_PER_BATCH: usize = 256;
 
 /// A run that a task makes.
 pub struct RunHandle {
@@ -40,7 +40,7 @@
 }
 
 /// A fetch that waits for samples.
-pub struct Waiting {
+pub struct WaitingFetch {
     pub(super) fetch: Fetch,
     pub(super) until_ms: u64,
     pub(super) answer: oneshot::Sender<Result<Reply, Rejection>>,
@@ -49,33 +49,33 @@
 /// State of the owner.
 pub struct CoordinatorTask {
     pub(super) gateway: Arc<Gateway>,
-    pub(super) orders: mpsc::WeakSender<Order>,
+    pub(super) commands: mpsc::WeakSender<Command>,
     pub(super) copier: Copier,
     pub(super) keys: CursorKeys,
     pub(super) steps: Steps,
     pub(super) runs: HashMap<(StepKey, RunId), RunHandle>,
-    pub(super) waiting: Vec<Waiting>,
-    pub(super) told: Told,
+    pub(super) waiting_fetches: Vec<WaitingFetch>,
+    pub(super) copied_homes: CopiedHomes,
     pub(super) idle: BTreeMap<StepKey, IdleClock>,
     pub(super) cadence: Cadence,
-    pub(super) ejected: Ejected,
-    pub(super) figures: Figures,
+    pub(super) ejected: EjectedReplicas,
+    pub(super) metrics: TrainingMetrics,
     /// Homes of the steps, as of the last tick.
     pub(super) homes: HomeMap,
     /// Steps that were posted here because their first home refused. They are dispatched
     /// here until that one has their copy: it does not know them, and nobody would run
     /// them. That two may run a step for a moment costs work only.
-    pub(super) standing_in: BTreeSet<StepKey>,
+    pub(super) taken_over: BTreeSet<StepKey>,
     /// Steps whose other homes may not know them yet.
-    pub(super) untold: BTreeSet<StepKey>,
+    pub(super) uncopied: BTreeSet<StepKey>,
     /// Steps whose copy was lost.
-    pub(super) missed: BTreeSet<StepKey>,
+    pub(super) lost_copies: BTreeSet<StepKey>,
     /// When the homes of those are told again.
-    pub(super) retell_at_ms: u64,
+    pub(super) recopy_at_ms: u64,
     /// The configuration that the steps are held to.
     pub(super) view: Option<Arc<View>>,
     /// Which step comes first at the next dispatch.
-    pub(super) turn: usize,
+    pub(super) next_turn: usize,
     /// Steps with samples that may have become ready since their waiting fetches were
     /// looked at.
     pub(super) ready: BTreeSet<StepKey>,
@@ -90,28 +90,28 @@
 ) {
     let homes = HomeMap::new(gateway.identity.node().address);
     let coordinator = CoordinatorTask {
-        figures: Figures::new(gateway.metrics.clone()),
+        metrics: TrainingMetrics::new(gateway.metrics.clone()),
         gateway,
-        orders: inbox.sender,
+        commands: inbox.sender,
         copier,
         keys,
         steps: Steps::new(STEP_IDLE_MS),
         runs: HashMap::new(),
-        waiting: Vec::new(),
-        told: Told::default(),
+        waiting_fetches: Vec::new(),
+        copied_homes: CopiedHomes::default(),
         idle: BTreeMap::new(),
         cadence: Cadence::default(),
-        ejected: Ejected::default(),
+        ejected: EjectedReplicas::default(),
         homes,
-        standing_in: BTreeSet::new(),
-        untold: BTreeSet::new(),
-        missed: BTreeSet::new(),
-        retell_at_ms: 0,
+        taken_over: BTreeSet::new(),
+        uncopied: BTreeSet::new(),
+        lost_copies: BTreeSet::new(),
+        recopy_at_ms: 0,
         view: None,
-        turn: 0,
+        next_turn: 0,
         ready: BTreeSet::new(),
     };
-    tokio::spawn(coordinator.run(inbox.orders));
+    tokio::spawn(coordinator.run(inbox.commands));
 }
 
 /// Bounds of a step's ledger by the model's present configuration.
@@ -124,42 +124,44 @@
 }
 
 impl CoordinatorTask {
-    async fn run(mut self, mut orders: mpsc::Receiver<Order>) {
+    async fn run(mut self, mut commands: mpsc::Receiver<Command>) {
         let mut batch = Vec::new();
         let mut next_tick_ms = now_ms();
         loop {
             let wait = Duration::from_millis(next_tick_ms.saturating_sub(now_ms()));
             tokio::select! {
-                taken = orders.recv_many(&mut batch, ORDERS_AT_ONCE) => {
-                    if taken == 0 {
+                received = commands.recv_many(&mut batch, COMMANDS_PER_BATCH) => {
+                    if received == 0 {
                         return;
                     }
                 }
                 () = tokio::time::sleep(wait) => {}
             }
-            for order in batch.drain(..) {
-                self.take(order);
+            for command in batch.drain(..) {
+                self.handle(command);
             }
             if now_ms() >= next_tick_ms {
-                next_tick_ms = now_ms() + TICK_MS;
+                next_tick_ms = now_ms() + TICK_INTERVAL_MS;
                 self.tick();
             }
-            self.act();
-            self.answer_waiting();
+            self.perform_actions();
+            self.answer_fetches();
         }
     }
 
-    fn take(&mut self, order: Order) {
-        match order {
-            Order::Post(step, answer) => {
+    fn handle(&mut self, command: Command) {
+        match command {
+            Command::Post(step, answer) => {
                 let posted = self.post(&step);
                 // The trainer may have gone; it posts again.
                 let _ = answer.send(posted);
             }
-            Order::Fetch(fetch, answer) => self.fetch(fetch, answer),
-            Order::Copies(copies) => copies.into_iter().for_each(|copy| self.copy(copy)),
-            Order::Run(key, run, news) => self.run_news(&key, run, news),
-            Order::Scored(key, run, score) => {
+            Command::Fetch(fetch, answer) => self.fetch(fetch, answer),
+            Command::ApplyCopies(copies) => {
+                copies.into_iter().for_each(|copy| self.apply_copy(copy))
+            }
+            Command::RunReport(key, run, report) => self.handle_run_report(&key, run, report),
+            Command::Scored(key, run, score) => {
                 let now_ms = now_ms();
                 if let Some(ledger) = self.steps.find_mut(&key) {
                     match score {
@@ -169,9 +171,11 @@
                     self.ready.insert(key);
                 }
             }
-            Order::Told { key, to, taken } => self.told(key, to, taken),
-            Order::Announced(model, version) => self.announced(&model, version),
-            Order::Status(answer) => {
+            Command::CopyResult { key, to, delivered } => {
+                self.handle_copy_result(key, to, delivered)
+            }
+            Command::Announce(model, version) => self.handle_announcement(&model, version),
+            Command::Status(answer) => {
                 let _ = answer.send(self.status());
             }
         }
@@ -183,17 +187,17 @@
             Some(text) => Cursor::open(text, &self.keys, step)?,
             None => Cursor::start(step),
         };
-        self.hold(step, &posted.model, &cursor, posted.trainer_version)?;
+        self.add_step(step, &posted.model, &cursor, posted.trainer_version)?;
         let key = &step.key;
-        if !self.homes.is_first(key) {
-            self.standing_in.insert(key.clone());
+        if !self.homes.is_first_home(key) {
+            self.taken_over.insert(key.clone());
         }
-        let others = self.homes.others(key);
-        self.told.update(key, others.clone());
+        let others = self.homes.other_homes(key);
+        self.copied_homes.update(key, others.clone());
         for to in others {
-            let copy = post(step, posted.cursor.clone(), posted.trainer_version);
+            let copy = post_copy(step, posted.cursor.clone(), posted.trainer_version);
             if !self.copier.send(to, key, copy) {
-                self.told(key.clone(), to, false);
+                self.handle_copy_result(key.clone(), to, false);
             }
         }
         self.ready.insert(key.clone());
@@ -201,7 +205,7 @@
     }
 
     /// Takes a step in, or its newer cursor.
-    pub(super) fn hold(
+    pub(super) fn add_step(
         &mut self,
         step: &Arc<Step>,
         model: &Service,
@@ -212,61 +216,61 @@
         let now_ms = now_ms();
         self.steps
             .post(step, &settings, cursor, trainer_version, now_ms)?;
-        self.announce_in_force(&step.key, now_ms);
+        self.announce_active(&step.key, now_ms);
         Ok(())
     }
 
     /// Tells the version in force to the ledger of a step that was just taken in.
-    pub(super) fn announce_in_force(&mut self, key: &StepKey, now_ms: u64) {
+    pub(super) fn announce_active(&mut self, key: &StepKey, now_ms: u64) {
         let model = ModelKey {
             customer: key.customer.clone(),
             service: key.service.clone(),
         };
-        let in_force = self.gateway.weights.targets().get(&model).copied();
-        if let (Some(target), Some(ledger)) = (in_force, self.steps.find_mut(key)) {
+        let active = self.gateway.weights.targets().get(&model).copied();
+        if let (Some(target), Some(ledger)) = (active, self.steps.find_mut(key)) {
             ledger.announce(target.serve, None, now_ms);
         }
     }
 
-    pub(super) fn run_news(&mut self, key: &StepKey, run: RunId, news: RunNews) {
+    pub(super) fn handle_run_report(&mut self, key: &StepKey, run: RunId, report: RunReport) {
         let now_ms = now_ms();
-        if !matches!(news, RunNews::Progress { .. }) {
-            self.run_ended(key, run, &news, now_ms);
+        if !matches!(report, RunReport::Progress { .. }) {
+            self.handle_run_end(key, run, &report, now_ms);
         }
         let Some(ledger) = self.steps.find_mut(key) else {
             return;
         };
-        match news {
-            RunNews::Progress { tokens, stamp } => {
+        match report {
+            RunReport::Progress { tokens, stamp } => {
                 ledger.record_progress(run, tokens, stamp, now_ms)
             }
-            RunNews::Finished(completion) => ledger.record_completion(run, completion, now_ms),
-            RunNews::Failed(failed, partial) => {
+            RunReport::Finished(completion) => ledger.record_completion(run, completion, now_ms),
+            RunReport::Failed(failed, partial) => {
                 ledger.record_failure(run, failed.fault, partial, now_ms)
             }
         }
     }
 
-    fn run_ended(&mut self, key: &StepKey, run: RunId, news: &RunNews, now_ms: u64) {
+    fn handle_run_end(&mut self, key: &StepKey, run: RunId, report: &RunReport, now_ms: u64) {
         self.ready.insert(key.clone());
         let Some(handle) = self.runs.remove(&(key.clone(), run)) else {
             return;
         };
-        match news {
-            RunNews::Finished(_) => self.ejected.finished(handle.to),
-            RunNews::Failed(failed, _) if failed.at_replica => {
-                self.ejected.failed(handle.to, now_ms);
+        match report {
+            RunReport::Finished(_) => self.ejected.record_success(handle.to),
+            RunReport::Failed(failed, _) if failed.at_replica => {
+                self.ejected.record_failure(handle.to, now_ms);
             }
-            RunNews::Failed(..) | RunNews::Progress { .. } => {}
+            RunReport::Failed(..) | RunReport::Progress { .. } => {}
         }
     }
 
-    fn announced(&mut self, model: &ModelKey, version: WeightVersion) {
+    fn handle_announcement(&mut self, model: &ModelKey, version: WeightVersion) {
         let now_ms = now_ms();
-        let next_news_ms = self.cadence.announced(model, version, now_ms);
+        let next_announcement_ms = self.cadence.record_announcement(model, version, now_ms);
         for (key, ledger) in self.steps.iter_mut() {
             if key.customer == model.customer && key.service == model.service {
-                ledger.announce(version, next_news_ms, now_ms);
+                ledger.announce(version, next_announcement_ms, now_ms);
             }
         }
     }
@@ -277,7 +281,7 @@
         let held = self.steps.iter_mut();
         held.map(|(key, ledger)| {
             let idle_ms = idle.get(key).map_or(0, |clock| clock.idle_ms(now_ms));
-            StepStatus::of(key, ledger, homes.is_first(key), idle_ms)
+            StepStatus::from_ledger(key, ledger, homes.is_first_home(key), idle_ms)
         })
         .collect()
     }
--- a/components/gateway/src/training/coordinator_tick.rs
+++ b/components/gateway/src/training/coordinator_tick.rs
@@ -10,7 +10,7 @@
 use super::forward::live_entries;
 
 /// Pause between two tries to tell a home what it missed, in milliseconds.
-const RETELL_EVERY_MS: u64 = 1_000;
+const RECOPY_INTERVAL_MS: u64 = 1_000;
 
 impl CoordinatorTask {
     /// One look at all steps.
@@ -22,41 +22,41 @@
                 log::debug!(event = "retired-run", run = run.0; "");
             }
         }
-        let changed = self.homes.see(live_entries(&self.gateway));
+        let entries_changed = self.homes.set_entries(live_entries(&self.gateway));
         let steps = &self.steps;
         self.homes.retain(|key| steps.holds(key));
-        self.standing_in.retain(|key| steps.holds(key));
-        self.told.retain(|key| steps.holds(key));
+        self.taken_over.retain(|key| steps.holds(key));
+        self.copied_homes.retain(|key| steps.holds(key));
         self.idle.retain(|key, _| steps.holds(key));
-        self.figures.retain(|key| steps.holds(key));
+        self.metrics.retain(|key| steps.holds(key));
         for (key, ledger) in self.steps.iter_mut() {
-            self.figures.look(key, ledger.tally());
+            self.metrics.record_tally(key, ledger.tally());
         }
         let steps = &self.steps;
         self.runs.retain(|(key, _), handle| {
-            let kept = steps.holds(key);
-            if !kept {
+            let is_held = steps.holds(key);
+            if !is_held {
                 handle.task.abort();
             }
-            kept
+            is_held
         });
-        self.tell(changed, now_ms);
+        self.send_due_copies(entries_changed, now_ms);
         self.configure();
         self.ejected.expire(now_ms);
     }
 
     /// Tells the homes that may not know a step.
-    fn tell(&mut self, entries_changed: bool, now_ms: u64) {
-        let mut untold = std::mem::take(&mut self.untold);
-        if now_ms >= self.retell_at_ms {
-            self.retell_at_ms = now_ms + RETELL_EVERY_MS;
-            untold.append(&mut self.missed);
+    fn send_due_copies(&mut self, entries_changed: bool, now_ms: u64) {
+        let mut uncopied = std::mem::take(&mut self.uncopied);
+        if now_ms >= self.recopy_at_ms {
+            self.recopy_at_ms = now_ms + RECOPY_INTERVAL_MS;
+            uncopied.append(&mut self.lost_copies);
         }
         if entries_changed {
-            untold.extend(self.steps.keys().cloned());
+            uncopied.extend(self.steps.keys().cloned());
         }
-        for key in untold {
-            self.tell_new_homes(&key);
+        for key in uncopied {
+            self.copy_to_new_homes(&key);
         }
     }
 
--- a/components/gateway/src/training/copies.rs
+++ b/components/gateway/src/training/copies.rs
@@ -19,23 +19,23 @@
 pub const COPIES_PATH: &str = "/copies";
 
 /// Copies that wait at most.
-const QUEUED_MAX: usize = 8_192;
+const QUEUED_COPIES_MAX: usize = 8_192;
 /// Copies of one call at most.
-const BATCH_MAX: usize = 256;
+const BATCH_COPIES_MAX: usize = 256;
 /// Texts of one call at most, in bytes. A call between entries is bounded, and a byte of
 /// text may take six in JSON; a call that is too large would be refused whole.
 const BATCH_BYTES_MAX: usize = 2 << 20;
-const DEADLINE_MS: u32 = 5_000;
+const TIMEOUT_MS: u32 = 5_000;
 /// Pause after a call that failed, so that a home that is gone is not called in a loop.
-const PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-struct Addressed {
+struct AddressedCopy {
     to: SocketAddr,
     key: StepKey,
     copy: CopyMessage,
 }
 
-impl Addressed {
+impl AddressedCopy {
     fn is_post(&self) -> bool {
         matches!(self.copy, CopyMessage::Post { .. })
     }
@@ -44,20 +44,20 @@
 /// Sends copies; clones share one queue.
 #[derive(Clone)]
 pub struct Copier {
-    queue: mpsc::Sender<Addressed>,
+    queue: mpsc::Sender<AddressedCopy>,
 }
 
 impl Copier {
     /// Starts the sending task.
     pub fn start(gateway: Arc<Gateway>) -> Copier {
-        let (queue, copies) = mpsc::channel(QUEUED_MAX);
-        tokio::spawn(send(copies, gateway));
+        let (queue, copies) = mpsc::channel(QUEUED_COPIES_MAX);
+        tokio::spawn(send_queued(copies, gateway));
         Copier { queue }
     }
 
     /// Queues a copy; false if there is no place for it.
     pub fn send(&self, to: SocketAddr, key: &StepKey, copy: CopyMessage) -> bool {
-        let addressed = Addressed {
+        let addressed = AddressedCopy {
             to,
             key: key.clone(),
             copy,
@@ -70,35 +70,38 @@
     }
 }
 
-async fn send(mut copies: mpsc::Receiver<Addressed>, gateway: Arc<Gateway>) {
+async fn send_queued(mut copies: mpsc::Receiver<AddressedCopy>, gateway: Arc<Gateway>) {
     let mut batch = Vec::new();
-    while copies.recv_many(&mut batch, BATCH_MAX).await > 0 {
-        let mut by_home: BTreeMap<SocketAddr, Vec<Addressed>> = BTreeMap::new();
+    while copies.recv_many(&mut batch, BATCH_COPIES_MAX).await > 0 {
+        let mut by_home: BTreeMap<SocketAddr, Vec<AddressedCopy>> = BTreeMap::new();
         for copy in batch.drain(..) {
             by_home.entry(copy.to).or_default().push(copy);
         }
         for (to, copies) in by_home {
-            let bytes_of = |copy: &Addressed| copy.copy.text_bytes();
+            let bytes_of = |copy: &AddressedCopy| copy.copy.text_bytes();
             for copies in split_batches(copies, bytes_of, BATCH_BYTES_MAX) {
-                send_to(&gateway, to, &copies).await;
+                send_to_home(&gateway, to, &copies).await;
             }
         }
     }
 }
 
-async fn send_to(gateway: &Gateway, to: SocketAddr, copies: &[Addressed]) {
-    let taken = send_batch(gateway, to, copies).await;
+async fn send_to_home(gateway: &Gateway, to: SocketAddr, copies: &[AddressedCopy]) {
+    let delivered = send_batch(gateway, to, copies).await;
     for posted in copies.iter().filter(|copy| copy.is_post()) {
         let key = posted.key.clone();
-        gateway.training.told(key, to, taken).await;
+        gateway
+            .training
+            .report_copy_result(key, to, delivered)
+            .await;
     }
-    if !taken {
+    if !delivered {
         log::warn!(event = "copies-lost", to = to.to_string(), copies = copies.len(); "");
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-async fn send_batch(gateway: &Gateway, to: SocketAddr, copies: &[Addressed]) -> bool {
+async fn send_batch(gateway: &Gateway, to: SocketAddr, copies: &[AddressedCopy]) -> bool {
     let Some(first) = copies.first() else {
         return true;
     };
@@ -112,7 +115,7 @@
         service: &first.key.service,
         path: COPIES_PATH,
         body: Bytes::from(body),
-        deadline_ms: DEADLINE_MS,
+        deadline_ms: TIMEOUT_MS,
     };
     gateway.ask(to, call).await.is_ok()
 }
@@ -124,24 +127,24 @@
 
 /// The homes of a step that were sent everything.
 #[derive(Default)]
-pub struct Told {
+pub struct CopiedHomes {
     homes: BTreeMap<StepKey, Vec<SocketAddr>>,
 }
 
-impl Told {
+impl CopiedHomes {
     /// Notes the present other homes of a step; gives those that are new.
     pub fn update(&mut self, key: &StepKey, homes: Vec<SocketAddr>) -> Vec<SocketAddr> {
-        let known = self.homes.entry(key.clone()).or_default();
-        let new = homes.iter().filter(|home| !known.contains(home));
-        let new = new.copied().collect();
-        *known = homes;
-        new
+        let recorded = self.homes.entry(key.clone()).or_default();
+        let missing = homes.iter().filter(|home| !recorded.contains(home));
+        let missing = missing.copied().collect();
+        *recorded = homes;
+        missing
     }
 
     /// A home did not get what it was sent.
-    pub fn lost(&mut self, key: &StepKey, home: SocketAddr) {
-        if let Some(known) = self.homes.get_mut(key) {
-            known.retain(|&other| other != home);
+    pub fn mark_lost(&mut self, key: &StepKey, home: SocketAddr) {
+        if let Some(recorded) = self.homes.get_mut(key) {
+            recorded.retain(|&other| other != home);
         }
     }
 
@@ -152,7 +155,7 @@
 }
 
 /// A shared step as one copy, for a home that holds nothing of it.
-pub fn post(
+pub fn post_copy(
     step: &Arc<samples::Step>,
     cursor: Option<String>,
     trainer_version: types::WeightVersion,
--- a/components/gateway/src/training/ejected.rs
+++ b/components/gateway/src/training/ejected.rs
@@ -6,51 +6,51 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-const FIRST_MS: u64 = 500;
+const FIRST_EJECTION_MS: u64 = 500;
 const DOUBLINGS_MAX: u32 = 4;
 
-struct Fault {
+struct Ejection {
     failures: u32,
     until_ms: u64,
 }
 
 /// Replicas that get no runs for a while, longer after each failure in a row.
 #[derive(Default)]
-pub struct Ejected {
-    faults: HashMap<SocketAddr, Fault>,
+pub struct EjectedReplicas {
+    ejections: HashMap<SocketAddr, Ejection>,
 }
 
-impl Ejected {
+impl EjectedReplicas {
     /// A run failed with its replica, or on the way there. Runs that were in progress
     /// there together count as one.
-    pub fn failed(&mut self, replica: SocketAddr, now_ms: u64) {
-        let fault = self.faults.entry(replica).or_insert(Fault {
+    pub fn record_failure(&mut self, replica: SocketAddr, now_ms: u64) {
+        let ejection = self.ejections.entry(replica).or_insert(Ejection {
             failures: 0,
             until_ms: 0,
         });
-        if now_ms < fault.until_ms {
+        if now_ms < ejection.until_ms {
             return;
         }
-        let doublings = fault.failures.min(DOUBLINGS_MAX);
-        fault.until_ms = now_ms + (FIRST_MS << doublings);
-        fault.failures += 1;
+        let doublings = ejection.failures.min(DOUBLINGS_MAX);
+        ejection.until_ms = now_ms + (FIRST_EJECTION_MS << doublings);
+        ejection.failures += 1;
     }
 
     /// A run was whole there.
-    pub fn finished(&mut self, replica: SocketAddr) {
-        self.faults.remove(&replica);
+    pub fn record_success(&mut self, replica: SocketAddr) {
+        self.ejections.remove(&replica);
     }
 
     /// Whether a replica gets no runs now.
     pub fn is_ejected(&self, replica: SocketAddr, now_ms: u64) -> bool {
-        let fault = self.faults.get(&replica);
-        fault.is_some_and(|fault| now_ms < fault.until_ms)
+        let ejection = self.ejections.get(&replica);
+        ejection.is_some_and(|ejection| now_ms < ejection.until_ms)
     }
 
     /// Forgets what is long over.
     pub fn expire(&mut self, now_ms: u64) {
-        let longest_ms = FIRST_MS << (DOUBLINGS_MAX + 1);
-        self.faults
-            .retain(|_, fault| now_ms < fault.until_ms + longest_ms);
+        let longest_ms = FIRST_EJECTION_MS << (DOUBLINGS_MAX + 1);
+        self.ejections
+            .retain(|_, ejection| now_ms < ejection.until_ms + longest_ms);
     }
 }
--- a/components/gateway/src/training/forward.rs
+++ b/components/gateway/src/training/forward.rs
@@ -9,7 +9,7 @@
 use samples::{Entry, Homes, StepKey, choose_homes};
 use types::{Cause, Failure};
 
-use super::inner::{HomeCall, at_home};
+use super::inner::{HomeCall, serve_at_home};
 use crate::exchange::with_time_to_come_back;
 use crate::gateway::Gateway;
 use crate::peer::PeerCall;
@@ -44,36 +44,39 @@
 
 /// Takes a call to the step's home, or to the second one. Every call of a trainer may be
 /// made twice.
-pub async fn to_home(gateway: &Arc<Gateway>, call: HomeCall) -> Result<(Head, Bytes), Rejection> {
+pub async fn forward_to_home(
+    gateway: &Arc<Gateway>,
+    call: HomeCall,
+) -> Result<(Head, Bytes), Rejection> {
     let own = gateway.identity.node().address;
     let homes = homes_of(gateway, &call.key);
     let candidates = match homes {
         Some(homes) => std::iter::once(homes.first).chain(homes.second).collect(),
         None => vec![own],
     };
-    let mut last = Rejection::Call(Failure::not_run(Cause::NoEndpoint));
+    let mut last_rejection = Rejection::Call(Failure::not_run(Cause::NoEndpoint));
     for home in candidates {
         let answered = if home == own {
-            at_home(gateway, &call).await
+            serve_at_home(gateway, &call).await
         } else {
-            remote(gateway, home, &call).await
+            call_remote(gateway, home, &call).await
         };
         match answered {
             // The step may have moved there and not have arrived yet.
             Ok((head, _)) if head.status == NOT_FOUND => {
-                last = Rejection::StepNotHeld(call.key.step);
+                last_rejection = Rejection::StepNotHeld(call.key.step);
             }
-            Err(Rejection::StepNotHeld(step)) => last = Rejection::StepNotHeld(step),
+            Err(Rejection::StepNotHeld(step)) => last_rejection = Rejection::StepNotHeld(step),
             Err(Rejection::Call(failure)) => {
-                last = Rejection::Call(with_time_to_come_back(failure));
+                last_rejection = Rejection::Call(with_time_to_come_back(failure));
             }
             answered => return answered,
         }
     }
-    Err(last)
+    Err(last_rejection)
 }
 
-async fn remote(
+async fn call_remote(
     gateway: &Gateway,
     home: SocketAddr,
     call: &HomeCall,
--- a/components/gateway/src/training/home_map.rs
+++ b/components/gateway/src/training/home_map.rs
@@ -25,7 +25,7 @@
     }
 
     /// Takes the live entries, in any order; tells whether they have changed.
-    pub fn see(&mut self, mut entries: Vec<Entry>) -> bool {
+    pub fn set_entries(&mut self, mut entries: Vec<Entry>) -> bool {
         entries.sort_by_key(|entry| entry.address);
         if entries == self.entries {
             return false;
@@ -36,22 +36,22 @@
     }
 
     /// Whether this entry is the first home of a step.
-    pub fn is_first(&mut self, key: &StepKey) -> bool {
+    pub fn is_first_home(&mut self, key: &StepKey) -> bool {
         let own = self.own;
-        self.of(key).is_some_and(|homes| homes.first == own)
+        self.homes_of(key).is_some_and(|homes| homes.first == own)
     }
 
     /// The homes of a step but this entry.
-    pub fn others(&mut self, key: &StepKey) -> Vec<SocketAddr> {
+    pub fn other_homes(&mut self, key: &StepKey) -> Vec<SocketAddr> {
         let own = self.own;
-        let homes = self.of(key).into_iter();
+        let homes = self.homes_of(key).into_iter();
         let both = homes.flat_map(|homes| std::iter::once(homes.first).chain(homes.second));
         both.filter(|&home| home != own).collect()
     }
 
     /// The first home of a step.
-    pub fn first(&mut self, key: &StepKey) -> Option<SocketAddr> {
-        self.of(key).map(|homes| homes.first)
+    pub fn first_home(&mut self, key: &StepKey) -> Option<SocketAddr> {
+        self.homes_of(key).map(|homes| homes.first)
     }
 
     /// Forgets the steps that are not kept.
@@ -59,7 +59,7 @@
         self.homes.retain(|key, _| keep(key));
     }
 
-    fn of(&mut self, key: &StepKey) -> Option<&Homes> {
+    fn homes_of(&mut self, key: &StepKey) -> Option<&Homes> {
         if !self.homes.contains_key(key) {
             self.homes
                 .insert(key.clone(), choose_homes(key, &self.entries));
--- a/components/gateway/src/training/inner.rs
+++ b/components/gateway/src/training/inner.rs
@@ -13,25 +13,25 @@
 use types::{Cause, Failure, WeightVersion};
 use weights::ModelKey;
 
-use super::bodies::{FetchBody, Fetched, Posted, SampleBody, StepBody, parse};
+use super::bodies::{FetchBody, FetchedBody, PostedBody, SampleBody, StepBody, parse};
+use super::commands::{Fetch, Post, Reply};
 use super::copies::{COPIES_PATH, parse as parse_copies};
-use super::orders::{Fetch, Post, Reply};
 use crate::gateway::Gateway;
 use crate::problem;
 use crate::rejection::Rejection;
 use crate::target::{Route, TrainingRoute};
 
-const TRAINING: &str = "/v1/training/";
+const TRAINING_PREFIX: &str = "/v1/training/";
 const JSON: &str = "application/json";
 /// Status of an answer with what was asked for.
 pub const OK: u16 = 200;
 const ACCEPTED: u16 = 202;
 /// A fetch is answered this long before its deadline, so that the reply gets there.
-const ANSWER_BEFORE_MS: u64 = 250;
+const REPLY_MARGIN_MS: u64 = 250;
 /// Time that an announcement may take from one entry to another.
-const NEWS_MS: u64 = 1_000;
+const ANNOUNCEMENT_WAIT_MS: u64 = 1_000;
 /// Between two looks for it.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A checked call about one step.
 #[derive(Clone, Debug)]
@@ -52,24 +52,24 @@
 
 /// Whether an inner call is about training.
 pub fn is_inner_call(open: &Open) -> bool {
-    open.path.starts_with(TRAINING) || open.path == COPIES_PATH
+    open.path.starts_with(TRAINING_PREFIX) || open.path == COPIES_PATH
 }
 
 /// Answers an inner call. The entry that sent it has checked the token.
 pub async fn serve_inner(gateway: &Arc<Gateway>, open: Open) -> Result<(Head, Bytes), Failure> {
     if open.path == COPIES_PATH {
-        return take_copies(gateway, &open).await;
+        return receive_copies(gateway, &open).await;
     }
     let request_id = open.request_id.clone();
     let answered = match home_call(open) {
-        Ok(call) => at_home(gateway, &call).await,
+        Ok(call) => serve_at_home(gateway, &call).await,
         Err(rejection) => Err(rejection),
     };
     match answered {
         Ok(answered) => Ok(answered),
         // This home refuses as a process, and the other one may do better.
         Err(Rejection::Call(failure)) => Err(failure),
-        Err(rejection) => Ok(as_answer(&rejection, &request_id)),
+        Err(rejection) => Ok(problem_answer(&rejection, &request_id)),
     }
 }
 
@@ -98,17 +98,20 @@
     })
 }
 
-async fn take_copies(gateway: &Gateway, open: &Open) -> Result<(Head, Bytes), Failure> {
+async fn receive_copies(gateway: &Gateway, open: &Open) -> Result<(Head, Bytes), Failure> {
     let copies = parse_copies(&open.body).ok_or(Failure::not_run(Cause::Malformed))?;
-    let taken = gateway.training.copies(copies).await;
-    taken.map_err(|rejection| rejection.failure())?;
+    let received = gateway.training.receive_copies(copies).await;
+    received.map_err(|rejection| rejection.failure())?;
     Ok((json_head(OK), Bytes::new()))
 }
 
 /// Answers a call about a step whose home this is, or is taken for.
-pub async fn at_home(gateway: &Arc<Gateway>, call: &HomeCall) -> Result<(Head, Bytes), Rejection> {
+pub async fn serve_at_home(
+    gateway: &Arc<Gateway>,
+    call: &HomeCall,
+) -> Result<(Head, Bytes), Rejection> {
     match call.route {
-        TrainingRoute::Steps => take_step(gateway, call).await,
+        TrainingRoute::Steps => post_step(gateway, call).await,
         TrainingRoute::Fetch { .. } => fetch(gateway, call).await,
         TrainingRoute::Weights | TrainingRoute::Prepare | TrainingRoute::Rollback => {
             Err(Rejection::UnknownPath)
@@ -116,14 +119,14 @@
     }
 }
 
-async fn take_step(gateway: &Gateway, call: &HomeCall) -> Result<(Head, Bytes), Rejection> {
+async fn post_step(gateway: &Gateway, call: &HomeCall) -> Result<(Head, Bytes), Rejection> {
     let body: StepBody = parse(&call.body)?;
     let view = gateway.feed.view();
     let model = view.service(&call.key.customer, &call.key.service).cloned();
     let model = model.ok_or(Rejection::Call(Failure::not_run(Cause::NotHosted)))?;
     let trainer_version = body.trainer_version()?;
     let max_tokens = body.max_tokens()?;
-    announced(gateway, call, trainer_version).await?;
+    wait_for_announcement(gateway, call, trainer_version).await?;
     let groups = body.groups.into_iter().map(|group| Group {
         prompt: group.prompt,
         samples: group.samples,
@@ -136,14 +139,14 @@
         trainer_version,
     };
     let cursor = gateway.training.post(post).await?;
-    json(ACCEPTED, &Posted { cursor: &cursor })
+    json_answer(ACCEPTED, &PostedBody { cursor: &cursor })
 }
 
 /// Refuses a version of the trainer's own that nobody has announced. Samples are judged by
 /// the newest version that the trainer has named, so a mistyped one would make every sample
 /// of its step too old for good. One that was announced at another entry a moment ago gets
-/// here within `NEWS_MS`.
-async fn announced(
+/// here within `ANNOUNCEMENT_WAIT_MS`.
+async fn wait_for_announcement(
     gateway: &Gateway,
     call: &HomeCall,
     version: WeightVersion,
@@ -152,7 +155,7 @@
         customer: call.key.customer.clone(),
         service: call.key.service.clone(),
     };
-    let until_ms = call.deadline_at_ms.min(now_ms() + NEWS_MS);
+    let until_ms = call.deadline_at_ms.min(now_ms() + ANNOUNCEMENT_WAIT_MS);
     loop {
         let target = gateway.weights.targets().get(&model).copied();
         // Nothing is known while all entries are new: the trainer is believed.
@@ -164,27 +167,27 @@
         if now_ms() >= until_ms {
             return Err(Rejection::NotInForce(version, known));
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 async fn fetch(gateway: &Gateway, call: &HomeCall) -> Result<(Head, Bytes), Rejection> {
     let body: FetchBody = parse(&call.body)?;
     let (trainer_version, max, wait_ms) = (body.trainer_version()?, body.max()?, body.wait_ms());
-    announced(gateway, call, trainer_version).await?;
+    wait_for_announcement(gateway, call, trainer_version).await?;
     let left_ms = call.deadline_at_ms.saturating_sub(now_ms());
     let fetch = Fetch {
         key: call.key.clone(),
         cursor: body.cursor,
         trainer_version,
         max,
-        wait_ms: wait_ms.min(left_ms.saturating_sub(ANSWER_BEFORE_MS)),
+        wait_ms: wait_ms.min(left_ms.saturating_sub(REPLY_MARGIN_MS)),
     };
     let reply = gateway.training.fetch(fetch).await?;
-    json(OK, &fetched(&reply))
+    json_answer(OK, &fetched_body(&reply))
 }
 
-fn fetched(reply: &Reply) -> Fetched<'_> {
+fn fetched_body(reply: &Reply) -> FetchedBody<'_> {
     let samples = reply.offers.iter().map(|offer| {
         let sample = &offer.sample;
         SampleBody {
@@ -196,7 +199,7 @@
             staleness: offer.staleness,
         }
     });
-    Fetched {
+    FetchedBody {
         samples: samples.collect(),
         cursor: &reply.cursor,
         received: reply.received,
@@ -205,13 +208,13 @@
     }
 }
 
-fn json(status: u16, body: &impl Serialize) -> Result<(Head, Bytes), Rejection> {
+fn json_answer(status: u16, body: &impl Serialize) -> Result<(Head, Bytes), Rejection> {
     let internal = |_| Rejection::Call(Failure::not_run(Cause::Internal));
     let body = serde_json::to_vec(body).map_err(internal)?;
     Ok((json_head(status), Bytes::from(body)))
 }
 
-fn as_answer(rejection: &Rejection, request_id: &str) -> (Head, Bytes) {
+fn problem_answer(rejection: &Rejection, request_id: &str) -> (Head, Bytes) {
     let status = problem::status(rejection).as_u16();
     let document = problem::document(rejection, request_id);
     let mut head = head(status, problem::PROBLEM_JSON);
--- a/components/gateway/src/training/figures.rs
+++ b/components/gateway/src/training/metrics.rs
@@ -7,31 +7,31 @@
 use telemetry::{Label, Metrics};
 use types::Class;
 
-use super::orders::Reply;
+use super::commands::Reply;
 
 #[derive(Default)]
-struct Counted {
+struct ReportedCounts {
     abandoned: u64,
     unknown_origin: u64,
 }
 
 /// What was counted of each step so far.
-pub struct Figures {
+pub struct TrainingMetrics {
     metrics: Metrics,
-    counted: BTreeMap<StepKey, Counted>,
+    reported: BTreeMap<StepKey, ReportedCounts>,
 }
 
-impl Figures {
+impl TrainingMetrics {
     /// Nothing counted yet.
     pub fn new(metrics: Metrics) -> Self {
         Self {
             metrics,
-            counted: BTreeMap::new(),
+            reported: BTreeMap::new(),
         }
     }
 
     /// A fetch was answered after this time. A reply that is asked for again counts again.
-    pub fn replied(&self, key: &StepKey, reply: &Reply, waited_ms: u64) {
+    pub fn record_reply(&self, key: &StepKey, reply: &Reply, waited_ms: u64) {
         let label = Label::of(&key.customer, Class::Sampling);
         self.metrics.record("sample_fetch_ms", label, waited_ms);
         for offer in &reply.offers {
@@ -41,11 +41,11 @@
     }
 
     /// Counts what a step's ledger has counted since the last look.
-    pub fn look(&mut self, key: &StepKey, tally: &Tally) {
+    pub fn record_tally(&mut self, key: &StepKey, tally: &Tally) {
         let label = Label::of(&key.customer, Class::Sampling);
-        let counted = self.counted.entry(key.clone()).or_default();
-        let abandoned = newer(&mut counted.abandoned, tally.abandoned);
-        let unknown_origin = newer(&mut counted.unknown_origin, tally.unknown_origin);
+        let reported = self.reported.entry(key.clone()).or_default();
+        let abandoned = increase(&mut reported.abandoned, tally.abandoned);
+        let unknown_origin = increase(&mut reported.unknown_origin, tally.unknown_origin);
         if abandoned > 0 {
             self.metrics
                 .count("samples_abandoned_total", label, abandoned);
@@ -58,12 +58,12 @@
 
     /// Forgets the steps that are not kept.
     pub fn retain(&mut self, keep: impl Fn(&StepKey) -> bool) {
-        self.counted.retain(|key, _| keep(key));
+        self.reported.retain(|key, _| keep(key));
     }
 }
 
 /// What came since the last look; a ledger that took another's place begins at nothing.
-fn newer(counted: &mut u64, now: u64) -> u64 {
-    let before = std::mem::replace(counted, now);
+fn increase(reported: &mut u64, now: u64) -> u64 {
+    let before = std::mem::replace(reported, now);
     now.checked_sub(before).unwrap_or(now)
 }
--- a/components/gateway/src/training/run.rs
+++ b/components/gateway/src/training/run.rs
@@ -11,8 +11,8 @@
 use tokio::sync::{mpsc, oneshot};
 use types::{Cause, Class, Failure, RunState};
 
-use super::listening::Listening;
-use super::orders::{Order, RunFault, RunNews};
+use super::commands::{Command, RunFault, RunReport};
+use super::run_recorder::RunRecorder;
 use crate::admission::admit_in_turn;
 use crate::attempt::{Attempt, Where};
 use crate::completion::priority;
@@ -22,7 +22,7 @@
 use crate::job::Job;
 
 #[derive(Serialize)]
-struct Ask<'a> {
+struct CompletionBody<'a> {
     model: &'a str,
     prompt: &'a str,
     max_tokens: u32,
@@ -44,49 +44,53 @@
     /// What the ledger asks for.
     pub start: Start,
     /// Where to report.
-    pub orders: mpsc::Sender<Order>,
+    pub commands: mpsc::Sender<Command>,
     /// Comes when the run is to stop and leave its tokens.
     pub stop: oneshot::Receiver<()>,
 }
 
 impl Run {
     /// Makes the run and reports its end.
-    pub async fn make(self, gateway: Arc<Gateway>) {
-        let (key, run, orders) = (self.step.key.clone(), self.start.run, self.orders.clone());
-        let news = match self.run(&gateway).await {
-            Ok(completion) => RunNews::Finished(completion),
-            Err((fault, partial)) => RunNews::Failed(fault, partial),
+    pub async fn run_and_report(self, gateway: Arc<Gateway>) {
+        let (key, run, commands) = (self.step.key.clone(), self.start.run, self.commands.clone());
+        let report = match self.run(&gateway).await {
+            Ok(completion) => RunReport::Finished(completion),
+            Err((fault, partial)) => RunReport::Failed(fault, partial),
         };
         // The owner is gone only when the process ends.
-        let _ = orders.send(Order::Run(key, run, news)).await;
+        let _ = commands.send(Command::RunReport(key, run, report)).await;
     }
 
     async fn run(self, gateway: &Gateway) -> Result<Completion, (RunFault, Option<PartialSample>)> {
         let (job, body) = self.job();
-        let refused = |failure| (fault(failure), self.start.resume.clone());
+        let refused = |failure| (run_fault(failure), self.start.resume.clone());
         let mut admitted = admit_in_turn(gateway, &job).await.map_err(refused)?;
-        let place = place(gateway, &job, self.start.to);
-        let attempt = Attempt::start(gateway, &job, body, &place).await;
+        let only_replica = only_replica(gateway, &job, self.start.to);
+        let attempt = Attempt::start(gateway, &job, body, &only_replica).await;
         let attempt = match attempt {
             Ok(attempt) if attempt.address() == self.start.to => attempt,
             // The replica went since the ledger chose it.
-            Ok(_) => return Err((RunFault::plain(Fault::Refused), self.start.resume)),
+            Ok(_) => return Err((RunFault::not_at_replica(Fault::Refused), self.start.resume)),
             Err(failure) => return Err(refused(failure)),
         };
-        let mut listening = Listening::new(self.start.resume.as_ref());
-        let heard = listening
-            .listen(
+        let mut recorder = RunRecorder::new(self.start.resume.as_ref());
+        let recorded = recorder
+            .record(
                 attempt,
                 &self.step.key,
                 self.start.run,
-                &self.orders,
+                &self.commands,
                 self.stop,
             )
             .await;
-        admitted.used(listening.tokens().saturating_add(job.work.prompt_tokens));
-        match heard {
-            Ok(()) => Ok(listening.whole()),
-            Err(fault) => Err((fault, listening.partial())),
+        admitted.used(
+            recorder
+                .token_count()
+                .saturating_add(job.work.prompt_tokens),
+        );
+        match recorded {
+            Ok(()) => Ok(recorder.into_completion()),
+            Err(fault) => Err((fault, recorder.into_partial())),
         }
     }
 
@@ -95,7 +99,7 @@
         let request_id = request_id(&step.key, self.start.run);
         let prompt = step.prompt(self.start.slot).unwrap_or_default();
         let resume = self.start.resume.as_ref();
-        let ask = Ask {
+        let completion = CompletionBody {
             model: self.model.name.as_str(),
             prompt,
             max_tokens: step.max_tokens,
@@ -107,7 +111,7 @@
             resume_tokens: resume.map_or(&[], |partial| &partial.tokens),
         };
         // Text and numbers always serialise.
-        let body = serde_json::to_vec(&ask).unwrap_or_default();
+        let body = serde_json::to_vec(&completion).unwrap_or_default();
         let work = crate::completion::work(prompt, u64::from(step.max_tokens));
         let content = [prompt.as_bytes()];
         let job = Job {
@@ -136,12 +140,12 @@
 }
 
 /// All replicas but the one that the ledger chose are passed over.
-fn place(gateway: &Gateway, job: &Job, to: std::net::SocketAddr) -> Where {
+fn only_replica(gateway: &Gateway, job: &Job, to: std::net::SocketAddr) -> Where {
     let service = &job.service;
     let state = gateway.services.get(&service.owner, &service.name);
     let table = state.map(|state| state.table());
-    let nodes = table.iter().flat_map(|table| table.replica_states());
-    let others = nodes.map(|slot| slot.replica.node);
+    let replicas = table.iter().flat_map(|table| table.replica_states());
+    let others = replicas.map(|state| state.replica.node);
     Where {
         exclude: others.filter(|node| node.address != to).collect(),
         only: true,
@@ -150,7 +154,7 @@
 }
 
 /// What a failed call says to the ledger, and of its replica.
-pub fn fault(failure: Failure) -> RunFault {
+pub fn run_fault(failure: Failure) -> RunFault {
     let fault = match (failure.cause, failure.run) {
         (Cause::Quarantined, _) => Fault::Quarantined,
         (_, RunState::NotRun) => Fault::Refused,
--- a/components/gateway/src/training/listening.rs
+++ b/components/gateway/src/training/run_recorder.rs
@@ -10,20 +10,20 @@
 use tokio::time::Instant;
 use types::WeightVersion;
 
-use super::orders::{Order, RunFault, RunNews};
-use super::run::fault;
+use super::commands::{Command, RunFault, RunReport};
+use super::run::run_fault;
 use crate::attempt::Attempt;
 
 const LINE_BYTES_MAX: usize = 256 * 1024;
 const TEXT_BYTES_MAX: usize = 4 << 20;
 const OK: u16 = 200;
 /// Statuses from here on say that the engine failed, not that the request is wrong.
-const SERVER_ERRORS: u16 = 500;
+const SERVER_ERROR_MIN: u16 = 500;
 /// Least time between two reports of one run's progress, unless its version changed.
-const PROGRESS_EVERY: Duration = Duration::from_millis(200);
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The engine's answer is no whole answer.
-fn lost() -> RunFault {
+fn lost_fault() -> RunFault {
     RunFault {
         fault: Fault::Lost,
         at_replica: true,
@@ -31,79 +31,79 @@
 }
 
 /// What was heard of a run so far, the tokens that it went on from included.
-pub struct Listening {
+pub struct RunRecorder {
     parser: Parser,
-    before: Option<PartialSample>,
-    said: Transcript,
+    resumed_from: Option<PartialSample>,
+    transcript: Transcript,
     stamps: Stamps,
-    stamped: BTreeSet<WeightVersion>,
-    reported: Option<Instant>,
+    reported_versions: BTreeSet<WeightVersion>,
+    reported_at: Option<Instant>,
 }
 
-impl Listening {
+impl RunRecorder {
     /// Nothing heard yet of a run that goes on from `before`.
-    pub fn new(before: Option<&PartialSample>) -> Self {
-        let stamps = match before {
+    pub fn new(resumed_from: Option<&PartialSample>) -> Self {
+        let stamps = match resumed_from {
             Some(partial) => Stamps::resumed_from(&partial.provenance),
             None => Stamps::new(),
         };
         Self {
             parser: Parser::new(LINE_BYTES_MAX),
-            before: before.cloned(),
-            said: Transcript::default(),
+            resumed_from: resumed_from.cloned(),
+            transcript: Transcript::default(),
             stamps,
-            stamped: BTreeSet::new(),
-            reported: None,
+            reported_versions: BTreeSet::new(),
+            reported_at: None,
         }
     }
 
     /// Listens until the run's end and reports its progress.
-    pub async fn listen(
+    pub async fn record(
         &mut self,
         mut attempt: Attempt,
         key: &StepKey,
         run: RunId,
-        orders: &mpsc::Sender<Order>,
+        commands: &mpsc::Sender<Command>,
         mut stop: oneshot::Receiver<()>,
     ) -> Result<(), RunFault> {
         loop {
             let event = tokio::select! {
                 event = attempt.next() => event,
-                Ok(()) = &mut stop => return Err(RunFault::plain(Fault::Moved)),
+                Ok(()) = &mut stop => return Err(RunFault::not_at_replica(Fault::Moved)),
             };
             match event {
                 CallEvent::Accepted | CallEvent::Started => {}
                 CallEvent::Head(head) if head.status == OK => {}
                 // The engine will say the same of this prompt again.
-                CallEvent::Head(head) if head.status < SERVER_ERRORS => {
-                    return Err(RunFault::plain(Fault::Quarantined));
+                CallEvent::Head(head) if head.status < SERVER_ERROR_MIN => {
+                    return Err(RunFault::not_at_replica(Fault::Quarantined));
                 }
-                CallEvent::Head(_) => return Err(lost()),
+                CallEvent::Head(_) => return Err(lost_fault()),
                 CallEvent::Chunk(bytes) => {
-                    let stamp = self.take(&bytes)?;
-                    if let Some(news) = self.progress(stamp) {
+                    let stamp = self.push(&bytes)?;
+                    if let Some(report) = self.progress_report(stamp) {
                         // The next report says the same and more.
-                        let _ = orders.try_send(Order::Run(key.clone(), run, news));
+                        let _ = commands.try_send(Command::RunReport(key.clone(), run, report));
                     }
                 }
                 CallEvent::End if self.parser.is_whole() => return Ok(()),
-                CallEvent::End => return Err(lost()),
-                CallEvent::Failed(failure) => return Err(fault(failure)),
+                CallEvent::End => return Err(lost_fault()),
+                CallEvent::Failed(failure) => return Err(run_fault(failure)),
             }
         }
     }
 
-    fn take(&mut self, bytes: &[u8]) -> Result<Option<WeightVersion>, RunFault> {
+    fn push(&mut self, bytes: &[u8]) -> Result<Option<WeightVersion>, RunFault> {
         let mut latest = None;
-        let (said, stamps) = (&mut self.said, &mut self.stamps);
+        let (transcript, stamps) = (&mut self.transcript, &mut self.stamps);
         let pushed = self.parser.push(bytes, |piece: Piece| {
-            said.add(&piece, TEXT_BYTES_MAX)?;
+            transcript.add(&piece, TEXT_BYTES_MAX)?;
             if !piece.text.is_empty() || !piece.token_ids.is_empty() {
                 stamps.record_chunk(piece.version);
                 latest = piece.version.or(latest);
             } else if let Some(version) = piece.version
                 && piece.finish.is_some()
-                && said.pieces == 0
+                && transcript.pieces == 0
             {
                 // An empty completion: the version that ended it made it. Unnamed, its
                 // origin would be unknown and the slot run again for ever.
@@ -111,31 +111,33 @@
             }
             Ok(())
         });
-        pushed.map(|()| latest).map_err(|_| lost())
+        pushed.map(|()| latest).map_err(|_| lost_fault())
     }
 
     /// A report, if one is due.
-    fn progress(&mut self, stamp: Option<WeightVersion>) -> Option<RunNews> {
-        let new_version = stamp.is_some_and(|version| self.stamped.insert(version));
+    fn progress_report(&mut self, stamp: Option<WeightVersion>) -> Option<RunReport> {
+        let is_new_version = stamp.is_some_and(|version| self.reported_versions.insert(version));
         let now = Instant::now();
-        let due = self.reported.is_none_or(|at| now - at >= PROGRESS_EVERY);
-        if !due && !new_version {
+        let is_due = self
+            .reported_at
+            .is_none_or(|at| now - at >= PROGRESS_INTERVAL);
+        if !is_due && !is_new_version {
             return None;
         }
-        self.reported = Some(now);
-        let tokens = u64::from(self.tokens());
-        Some(RunNews::Progress { tokens, stamp })
+        self.reported_at = Some(now);
+        let tokens = u64::from(self.token_count());
+        Some(RunReport::Progress { tokens, stamp })
     }
 
     /// Tokens that this run made.
-    pub fn tokens(&self) -> u32 {
-        let named = u32::try_from(self.said.token_ids.len()).unwrap_or(u32::MAX);
-        named.max(self.said.pieces)
+    pub fn token_count(&self) -> u32 {
+        let with_ids = u32::try_from(self.transcript.token_ids.len()).unwrap_or(u32::MAX);
+        with_ids.max(self.transcript.pieces)
     }
 
     /// The whole result.
-    pub fn whole(self) -> Completion {
-        let tokens = u64::from(self.tokens());
+    pub fn into_completion(self) -> Completion {
+        let tokens = u64::from(self.token_count());
         Completion {
             text: self.text(),
             tokens,
@@ -144,19 +146,24 @@
     }
 
     fn text(&self) -> String {
-        let before = self.before.as_ref().map_or("", |partial| &partial.text);
-        format!("{before}{}", self.said.text)
+        let prefix = self
+            .resumed_from
+            .as_ref()
+            .map_or("", |partial| &partial.text);
+        format!("{prefix}{}", self.transcript.text)
     }
 
     /// What the next run can go on from; nothing where the tokens have no ids.
-    pub fn partial(self) -> Option<PartialSample> {
-        let unnamed = self.said.token_ids.is_empty() && !self.said.text.is_empty();
-        if unnamed {
-            return self.before;
+    pub fn into_partial(self) -> Option<PartialSample> {
+        let without_ids = self.transcript.token_ids.is_empty() && !self.transcript.text.is_empty();
+        if without_ids {
+            return self.resumed_from;
         }
         let text = self.text();
-        let mut tokens = self.before.map_or_else(Vec::new, |partial| partial.tokens);
-        tokens.extend(&self.said.token_ids);
+        let mut tokens = self
+            .resumed_from
+            .map_or_else(Vec::new, |partial| partial.tokens);
+        tokens.extend(&self.transcript.token_ids);
         if tokens.is_empty() {
             return None;
         }
--- a/components/gateway/src/training/score.rs
+++ b/components/gateway/src/training/score.rs
@@ -14,7 +14,7 @@
 use tokio::sync::mpsc;
 use types::{Cause, Class, Failure, RunState};
 
-use super::orders::Order;
+use super::commands::Command;
 use crate::admission::admit_in_turn;
 use crate::attempt::{Attempt, Where};
 use crate::exchange::Exchange;
@@ -28,18 +28,18 @@
 const ANSWER_BYTES_MAX: usize = 64 * 1024;
 
 #[derive(Serialize)]
-struct Ask<'a> {
+struct ScoreRequest<'a> {
     prompt: &'a str,
     completion: &'a str,
 }
 
 #[derive(Deserialize)]
-struct Answer {
+struct ScoreResponse {
     score: f64,
 }
 
 /// A score to ask for.
-pub struct Scoring {
+pub struct ScoreCall {
     /// The scorer.
     pub scorer: Option<Arc<Service>>,
     /// The step.
@@ -49,13 +49,13 @@
     /// The sample.
     pub sample: Arc<Sample>,
     /// Where to report.
-    pub orders: mpsc::Sender<Order>,
+    pub commands: mpsc::Sender<Command>,
 }
 
-impl Scoring {
+impl ScoreCall {
     /// Asks, and reports the answer.
-    pub async fn ask(self, gateway: Arc<Gateway>) {
-        let score = match self.score(gateway).await {
+    pub async fn call_and_report(self, gateway: Arc<Gateway>) {
+        let score = match self.call(gateway).await {
             Ok(score) => Some(score),
             Err(failure) => {
                 log::info!(
@@ -65,19 +65,19 @@
                 None
             }
         };
-        let order = Order::Scored(self.step.key.clone(), self.run, score);
+        let command = Command::Scored(self.step.key.clone(), self.run, score);
         // The owner is gone only when the process ends.
-        let _ = self.orders.send(order).await;
+        let _ = self.commands.send(command).await;
     }
 
-    async fn score(&self, gateway: Arc<Gateway>) -> Result<Score, Failure> {
+    async fn call(&self, gateway: Arc<Gateway>) -> Result<Score, Failure> {
         let (job, body) = self.job().ok_or(Failure::not_run(Cause::NotHosted))?;
         let admitted = admit_in_turn(&gateway, &job).await?;
         let account = Arc::clone(&admitted.account);
         let mut exchange = Exchange::new(gateway, account, job, Where::default());
         loop {
             let (head, attempt) = exchange.head(&body).await?;
-            match whole(attempt, head.status).await {
+            match read_score(attempt, head.status).await {
                 Ok(score) => return Ok(score),
                 Err(failure) => exchange.again(failure, Delivered::Nothing).await?,
             };
@@ -86,11 +86,11 @@
 
     fn job(&self) -> Option<(Job, Bytes)> {
         let scorer = self.scorer.clone()?;
-        let ask = Ask {
+        let score_request = ScoreRequest {
             prompt: self.step.prompt(self.sample.slot)?,
             completion: &self.sample.text,
         };
-        let body = serde_json::to_vec(&ask).ok()?;
+        let body = serde_json::to_vec(&score_request).ok()?;
         let key = &self.step.key;
         let request_id = format!("{}.{}.{}.score", key.service, key.step, self.run.0);
         let content = [PATH.as_bytes(), &body];
@@ -115,21 +115,21 @@
     }
 }
 
-async fn whole(mut attempt: Attempt, status: u16) -> Result<Score, Failure> {
-    let bad = || Failure::new(RunState::Failed, Cause::EndpointError);
+async fn read_score(mut attempt: Attempt, status: u16) -> Result<Score, Failure> {
+    let invalid = || Failure::new(RunState::Failed, Cause::EndpointError);
     let mut body = Vec::new();
     loop {
         match attempt.next().await {
             CallEvent::Accepted | CallEvent::Started | CallEvent::Head(_) => {}
             CallEvent::Chunk(bytes) if body.len() + bytes.len() > ANSWER_BYTES_MAX => {
-                return Err(bad());
+                return Err(invalid());
             }
             CallEvent::Chunk(bytes) => body.extend_from_slice(&bytes),
             CallEvent::End if status == OK => break,
-            CallEvent::End => return Err(bad()),
+            CallEvent::End => return Err(invalid()),
             CallEvent::Failed(failure) => return Err(failure),
         }
     }
-    let answer: Answer = serde_json::from_slice(&body).map_err(|_| bad())?;
-    Score::new(answer.score).map_err(|_| bad())
+    let response: ScoreResponse = serde_json::from_slice(&body).map_err(|_| invalid())?;
+    Score::new(response.score).map_err(|_| invalid())
 }
--- a/components/gateway/src/training/steps_status.rs
+++ b/components/gateway/src/training/step_status.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 
 const MEDIAN_PERMILLE: u64 = 500;
-const MOST_PERMILLE: u64 = 1_000;
+const MAX_PERMILLE: u64 = 1_000;
 
 /// State of one step.
 #[derive(Debug, Serialize)]
@@ -51,7 +51,7 @@
 
 impl StepStatus {
     /// Figures of one ledger.
-    pub fn of(key: &StepKey, ledger: &Ledger, home: bool, idle_ms: u64) -> Self {
+    pub fn from_ledger(key: &StepKey, ledger: &Ledger, home: bool, idle_ms: u64) -> Self {
         let tally = ledger.tally();
         Self {
             customer: key.customer.to_string(),
@@ -71,7 +71,7 @@
             resumes: tally.resumes,
             score_failures: tally.score_failures,
             staleness_p50: tally.staleness.quantile(MEDIAN_PERMILLE),
-            staleness_max: tally.staleness.quantile(MOST_PERMILLE),
+            staleness_max: tally.staleness.quantile(MAX_PERMILLE),
             idle_ms,
         }
     }
--- a/components/gateway/src/training/training_calls.rs
+++ b/components/gateway/src/training/training_calls.rs
@@ -11,7 +11,7 @@
 /// Training calls of one customer that one entry has in progress at most.
 const CALLS_MAX: u32 = 64;
 /// When a refused trainer may come back, before the spread.
-const BACK_MS: u64 = 500;
+const RETRY_AFTER_MS: u64 = 500;
 
 /// Training calls of one customer in progress; clones share the count.
 #[derive(Clone, Debug, Default)]
@@ -20,15 +20,17 @@
 impl TrainingCalls {
     /// Takes a place until the guard is dropped.
     pub fn begin(&self, random: u64) -> Result<TrainingCallGuard, Failure> {
-        let more = |count: u32| (count < CALLS_MAX).then_some(count + 1);
-        let taken = self
+        let increment = |count: u32| (count < CALLS_MAX).then_some(count + 1);
+        let begun = self
             .0
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, more);
-        let full = |_| {
-            let back_ms = retry_after_ms(BACK_MS, random);
-            Failure::not_run(Cause::CustomerLimit).retry_after(back_ms)
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, increment);
+        let refused = |_| {
+            let after_ms = retry_after_ms(RETRY_AFTER_MS, random);
+            Failure::not_run(Cause::CustomerLimit).retry_after(after_ms)
         };
-        taken.map(|_| TrainingCallGuard(self.clone())).map_err(full)
+        begun
+            .map(|_| TrainingCallGuard(self.clone()))
+            .map_err(refused)
     }
 }
 
