--- a/components/gateway/src/training.rs
+++ b/components/gateway/src/training.rs
@@ -1,8 +1,8 @@
-//! Training: announcements of weights, steps, and samples with their origin.
+//! The training API: announcements of weights, steps, and samples with their provenance.
 //!
-//! An entry checks a trainer's call and takes it to the step's home over the inner
-//! protocol. At the home, the coordinator's task owns the ledgers of all steps; runs, scores
-//! and copies are tasks of their own that report to it.
+//! An entry validates a trainer's call and forwards it to the step's home over the inner protocol.
+//! At the home, the coordinator's task owns the ledgers of all steps. Runs, score requests and
+//! copies are separate tasks that report to the coordinator.
 
 mod api;
 mod bodies;
--- a/components/gateway/src/training/api.rs
+++ b/components/gateway/src/training/api.rs
@@ -1,4 +1,4 @@
-//! The training API of the public address: who may do what, and where it goes.
+//! The training API at the public address: authorizes calls and forwards them to the step's home.
 
 use std::sync::Arc;
 
@@ -24,7 +24,7 @@
 use crate::target::TrainingRoute;
 use crate::weight_news::{Announced, Want};
 
-/// Time for a training call that states none, in milliseconds.
+/// Deadline of a training call that does not state one.
 const DEFAULT_DEADLINE_MS: u32 = 60_000;
 
 /// Serves one call of the training API.
@@ -63,13 +63,14 @@
     announce(&gateway, &intake, &model, want, &bytes).await
 }
 
-/// Counts the call among its customer's requests, and keeps it among its training calls
-/// in progress until the guard is dropped. It holds none of the customer's requests in
-/// progress: a fetch waits for seconds and takes no endpoint's time.
+/// Counts the call against its customer's request rate, and against the customer's training calls
+/// in progress until the guard is dropped. It does not count as one of the customer's requests in
+/// progress, because a fetch waits for seconds without using an endpoint.
 fn begin_call(gateway: &Gateway, intake: &Intake) -> Result<TrainingCallGuard, Rejection> {
     let customer = &intake.session.holder.customer;
     let account = gateway.accounts.get(customer);
-    // The configuration is newer than the last tick; the customer is there with the next.
+    // The configuration is newer than the last refresh of the accounts; the next refresh adds the
+    // customer.
     let account = account.ok_or(Failure::not_run(Cause::NoEndpoint))?;
     let call_guard = account.training.begin(rand::random())?;
     let admitted = account
--- a/components/gateway/src/training/bodies.rs
+++ b/components/gateway/src/training/bodies.rs
@@ -7,12 +7,12 @@
 use crate::completion::MAX_TOKENS_MAX;
 use crate::rejection::{BodyFault, Rejection};
 
-/// Longest wait of a fetch, in milliseconds.
+/// Longest time that a fetch may wait; a longer wait in a request is reduced to it.
 pub const WAIT_MS_MAX: u64 = 30_000;
-/// Most samples of one fetch.
+/// Maximum number of samples in one fetch.
 pub const FETCH_MAX: u32 = 1_024;
 
-/// An announcement or a roll-back.
+/// Body of an announcement, a preparation or a rollback.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VersionBody {
@@ -20,39 +20,36 @@
 }
 
 impl VersionBody {
-    /// The version. Errors when it is not written as `EPOCH.VERSION`.
+    /// Parses the version. Fails unless it has the form `EPOCH.VERSION`.
     pub fn version(&self) -> Result<WeightVersion, Rejection> {
         parse_version("version", &self.version)
     }
 }
 
-/// One prompt and the number of samples wanted of it.
+/// A prompt and the number of samples requested for it.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GroupBody {
-    /// The prompt.
     pub prompt: String,
-    /// Samples wanted.
     pub samples: u32,
 }
 
-/// A step as its trainer posts it.
+/// Body of a post of a step.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StepBody {
-    /// Number that the trainer gives it.
+    /// Number of the step, assigned by the trainer.
     pub step: u64,
-    /// Its groups.
     pub groups: Vec<GroupBody>,
     max_tokens: u32,
     trainer_version: String,
-    /// The trainer's newest cursor of this step, if it has one.
+    /// The trainer's newest cursor of this step; `None` if it has none.
     #[serde(default)]
     pub cursor: Option<String>,
 }
 
 impl StepBody {
-    /// Tokens of one sample at most.
+    /// Maximum number of tokens per sample. Fails if the value is out of range.
     pub fn max_tokens(&self) -> Result<u32, Rejection> {
         if (1..=MAX_TOKENS_MAX).contains(&u64::from(self.max_tokens)) {
             return Ok(self.max_tokens);
@@ -60,13 +57,13 @@
         Err(Rejection::field("max_tokens", "a number from 1 to 65536"))
     }
 
-    /// The trainer's own version.
+    /// Parses the version that the trainer itself has reached.
     pub fn trainer_version(&self) -> Result<WeightVersion, Rejection> {
         parse_version("trainer_version", &self.trainer_version)
     }
 }
 
-/// A fetch.
+/// Body of a fetch.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FetchBody {
@@ -79,12 +76,12 @@
 }
 
 impl FetchBody {
-    /// The trainer's own version.
+    /// Parses the version that the trainer itself has reached.
     pub fn trainer_version(&self) -> Result<WeightVersion, Rejection> {
         parse_version("trainer_version", &self.trainer_version)
     }
 
-    /// Most samples that are wanted.
+    /// Maximum number of samples in the reply. Fails if the value is out of range.
     pub fn max(&self) -> Result<u32, Rejection> {
         if (1..=FETCH_MAX).contains(&self.max) {
             return Ok(self.max);
@@ -92,7 +89,7 @@
         Err(Rejection::field("max", "a number from 1 to 1024"))
     }
 
-    /// Longest wait for a first sample, in milliseconds.
+    /// Longest wait for the first sample, limited to `WAIT_MS_MAX`.
     pub fn wait_ms(&self) -> u64 {
         self.wait_ms.min(WAIT_MS_MAX)
     }
@@ -101,52 +98,50 @@
 /// Answer to a post.
 #[derive(Debug, Serialize)]
 pub struct PostedBody<'a> {
-    /// The cursor to fetch with.
+    /// Cursor for the first fetch.
     pub cursor: &'a str,
 }
 
-/// Answer to an announcement.
+/// Answer to an announcement, a preparation or a rollback.
 #[derive(Debug, Serialize)]
 pub struct ActiveVersionBody {
-    /// The version in force.
+    /// The active version.
     pub version: String,
-    /// The version that engines have loaded, or load.
+    /// The version that engines load or have loaded.
     pub load: String,
 }
 
-/// One sample of a reply.
+/// A sample in the answer to a fetch.
 #[derive(Debug, Serialize)]
 pub struct SampleBody<'a> {
-    /// Its group.
     pub group: u32,
-    /// Its place in the group.
+    /// Index of the sample within its group.
     pub index: u32,
-    /// Its text.
     pub text: &'a str,
-    /// Every version that made a part of it.
+    /// Every version that generated a part of the sample.
     pub versions: Vec<String>,
-    /// Its score, if the service has a scorer.
+    /// `None` if the service has no scorer.
     pub score: Option<f64>,
-    /// Versions between its oldest one and the trainer's own.
+    /// Number of versions between the sample's oldest version and the trainer's own.
     pub staleness: u64,
 }
 
-/// Answer to a fetch. It counts only together with its cursor.
+/// Answer to a fetch. The samples count as received only when the trainer sends the cursor back.
 #[derive(Debug, Serialize)]
 pub struct FetchedBody<'a> {
-    /// Samples that the trainer does not have.
+    /// Samples that the trainer has not received, according to its cursor.
     pub samples: Vec<SampleBody<'a>>,
-    /// The cursor to fetch with next.
+    /// Cursor for the next fetch.
     pub cursor: &'a str,
-    /// Slots that the trainer has once it holds this reply.
+    /// Number of slots that the trainer has received once it holds this answer.
     pub received: u32,
-    /// Slots of the step.
+    /// Number of slots of the step.
     pub total: u32,
-    /// Whether it then has all.
+    /// Whether the trainer then has every slot.
     pub complete: bool,
 }
 
-/// Reads a JSON body. Errors say where and what.
+/// Parses a JSON body. An error names the position and the fault.
 pub fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, Rejection> {
     let parsed = serde_json::from_slice(body);
     parsed.map_err(|reason| Rejection::Body(BodyFault::json(&reason)))
--- a/components/gateway/src/training/cadence.rs
+++ b/components/gateway/src/training/cadence.rs
@@ -1,4 +1,5 @@
-//! When a trainer will announce its next version, if it keeps a steady interval.
+//! Predicts when a trainer announces its next version, assuming that the interval between
+//! announcements stays the same.
 
 use std::collections::HashMap;
 
@@ -12,14 +13,15 @@
     interval_ms: Option<u64>,
 }
 
-/// Announcements of each model so far.
+/// Newest announcement and last interval of each model.
 #[derive(Default)]
 pub struct Cadence {
     latest: HashMap<ModelKey, LatestAnnouncement>,
 }
 
 impl Cadence {
-    /// Notes a version in force; gives the time of the next one, if it can be told.
+    /// Records an active version. Returns the expected time of the next announcement; `None` until
+    /// two versions have been announced.
     pub fn record_announcement(
         &mut self,
         model: &ModelKey,
--- a/components/gateway/src/training/capacity.rs
+++ b/components/gateway/src/training/capacity.rs
@@ -1,4 +1,4 @@
-//! Room for runs of samples at the replicas of a model.
+//! Capacity for runs of samples at the replicas of a model.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -6,13 +6,14 @@
 use routing::{ReplicaState, Table};
 use samples::{Replica, RunCapacity};
 
-/// Runs that this entry has at one replica at most.
+/// Maximum number of runs that this entry has at one replica.
 const RUNS_PER_REPLICA: u32 = 16;
 
-/// Room for one step at the replicas of `table`. `runs` counts the runs that the ledgers
-/// have started at each, which the table's own counters do not know while the runs have
-/// only begun; `users` the steps that want it, each of which gets an equal part. Where
-/// every replica is ejected, that says more of this entry than of them, and all count.
+/// Capacity for one step at the replicas of `table`. `run_counts` has the runs that the ledgers
+/// have started at each replica; the table's own counters do not include runs that have not yet
+/// been sent. `step_counts` has the number of steps that use each replica; each step gets an equal
+/// share. If every replica is ejected, the cause is more likely at this entry than at the replicas,
+/// so ejection is ignored.
 pub fn run_capacity(
     table: &Table,
     run_counts: &HashMap<SocketAddr, u32>,
--- a/components/gateway/src/training/commands.rs
+++ b/components/gateway/src/training/commands.rs
@@ -1,4 +1,4 @@
-//! What the owner of the ledgers is asked and told.
+//! Commands to the coordinator's task, and the reports of its runs.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,72 +12,71 @@
 use super::StepStatus;
 use crate::rejection::Rejection;
 
-/// A step that a trainer posts.
+/// A step posted by a trainer.
 pub struct Post {
-    /// Its model.
     pub model: Arc<Service>,
-    /// The step.
     pub step: Arc<Step>,
-    /// The trainer's newest cursor, if it has one.
+    /// The trainer's newest cursor; `None` if it has none.
     pub cursor: Option<String>,
-    /// The trainer's own version.
+    /// Version that the trainer itself has reached.
     pub trainer_version: WeightVersion,
 }
 
-/// A fetch of a trainer.
+/// A fetch by a trainer.
 pub struct Fetch {
-    /// Its step.
     pub key: StepKey,
     /// The trainer's newest cursor.
     pub cursor: String,
-    /// The trainer's own version.
+    /// Version that the trainer itself has reached.
     pub trainer_version: WeightVersion,
-    /// Most samples that are wanted.
+    /// Maximum number of samples in the reply.
     pub max: u32,
-    /// How long to wait for a first one, in milliseconds.
+    /// Longest wait for the first sample.
     pub wait_ms: u64,
 }
 
-/// Answer to a fetch, as it goes into a reply.
+/// Reply to a fetch.
 pub struct Reply {
-    /// Samples with their age.
+    /// Samples with their staleness.
     pub offers: Vec<samples::Offer>,
-    /// The next cursor, as text.
+    /// Sealed cursor for the next fetch.
     pub cursor: String,
-    /// Slots in it.
+    /// Number of slots that the cursor lists as received.
     pub received: u32,
-    /// Slots of the step.
+    /// Number of slots of the step.
     pub total: u32,
-    /// Whether nothing is missing then.
+    /// Whether the cursor lists every slot as received.
     pub complete: bool,
 }
 
-/// What became of a run.
+/// Report of a run to the coordinator.
 pub enum RunReport {
-    /// It made tokens.
+    /// The run has generated tokens.
     Progress {
-        /// Tokens so far.
+        /// Tokens generated so far.
         tokens: u64,
-        /// Version of the latest.
+        /// Weight version of the latest chunk; `None` if the chunk names no version.
         stamp: Option<WeightVersion>,
     },
-    /// It has its whole result.
+    /// The run has ended with a complete result.
     Finished(Completion),
-    /// It ended without.
+    /// The run has ended without a complete result. The partial sample is what the next run can
+    /// resume from.
     Failed(RunFault, Option<PartialSample>),
 }
 
 /// Why a run failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunFault {
-    /// As the ledger sees it.
+    /// Fault that is reported to the ledger.
     pub fault: Fault,
-    /// Its replica, or the way there, is at fault.
+    /// Whether the replica or the connection to it caused the failure, so that the replica is
+    /// ejected.
     pub at_replica: bool,
 }
 
 impl RunFault {
-    /// A fault that says nothing of the replica.
+    /// A fault that does not count against the replica.
     pub fn not_at_replica(fault: Fault) -> Self {
         Self {
             fault,
@@ -86,29 +85,27 @@
     }
 }
 
-/// One order.
+/// A command to the coordinator's task.
 pub enum Command {
-    /// Take a step; gives the cursor to fetch with.
+    /// Adds a step. Answered with the cursor for the first fetch.
     Post(Box<Post>, oneshot::Sender<Result<String, Rejection>>),
-    /// Give samples.
+    /// Answered with samples as soon as there are any, or at the end of the wait.
     Fetch(Fetch, oneshot::Sender<Result<Reply, Rejection>>),
-    /// Take what the other home sends.
+    /// Applies copies received from the step's other home.
     ApplyCopies(Vec<CopyMessage>),
-    /// A run reports.
+    /// Reports the progress or the end of a run.
     RunReport(StepKey, RunId, RunReport),
-    /// The scorer answered, or failed.
+    /// Reports the score of a run's sample; `None` if the score request failed.
     Scored(StepKey, RunId, Option<Score>),
-    /// A version came in force.
+    /// A version has become active.
     Announce(ModelKey, WeightVersion),
-    /// Another home has taken a step's post, or the copy was lost.
+    /// Reports whether a copy of a step's post has reached another home.
     CopyResult {
-        /// The step.
         key: StepKey,
         /// The other home.
         to: SocketAddr,
-        /// Whether it has it.
         delivered: bool,
     },
-    /// Tell the state.
+    /// Answered with the state of every held step.
     Status(oneshot::Sender<Vec<StepStatus>>),
 }
--- a/components/gateway/src/training/coordinator.rs
+++ b/components/gateway/src/training/coordinator.rs
@@ -1,4 +1,4 @@
-//! Handle to the coordinator of the steps at this entry: the task that owns their ledgers.
+//! Handle to the coordinator, the task that owns the ledgers of the steps held by this entry.
 
 use std::net::SocketAddr;
 
@@ -11,23 +11,23 @@
 use super::commands::{Command, Fetch, Post, Reply};
 use crate::rejection::Rejection;
 
-/// Orders that wait at most. Whoever puts one in waits for a place.
+/// When the queue is full, senders wait until there is space.
 const QUEUED_COMMANDS_MAX: usize = 4_096;
 
-/// Where the owner reads its orders.
+/// Receiving end of the coordinator's queue, and a sender for the tasks that it starts.
 pub struct CoordinatorInbox {
     pub(super) commands: mpsc::Receiver<Command>,
     pub(super) sender: mpsc::WeakSender<Command>,
 }
 
-/// Handle to the owner of the ledgers; clones share it.
+/// Handle to the coordinator's task; clones send to the same queue.
 #[derive(Clone)]
 pub struct Coordinator {
     commands: mpsc::Sender<Command>,
 }
 
 impl Coordinator {
-    /// A handle, and the inbox for [`super::spawn_coordinator`].
+    /// Creates a handle, and the inbox for [`super::spawn_coordinator`].
     pub fn new() -> (Coordinator, CoordinatorInbox) {
         let (sender, commands) = mpsc::channel(QUEUED_COMMANDS_MAX);
         let inbox = CoordinatorInbox {
@@ -37,38 +37,38 @@
         (Coordinator { commands: sender }, inbox)
     }
 
-    /// Posts a step; gives the cursor to fetch with.
+    /// Posts a step. Returns the cursor for the first fetch.
     pub(super) async fn post(&self, post: Post) -> Result<String, Rejection> {
         let (answer, answered) = oneshot::channel();
         self.send(Command::Post(Box::new(post), answer)).await?;
         answered.await.map_err(|_| internal())?
     }
 
-    /// Fetches samples.
+    /// Fetches samples; waits for the first one up to the fetch's limit.
     pub(super) async fn fetch(&self, fetch: Fetch) -> Result<Reply, Rejection> {
         let (answer, answered) = oneshot::channel();
         self.send(Command::Fetch(fetch, answer)).await?;
         answered.await.map_err(|_| internal())?
     }
 
-    /// Takes what the other home sends.
+    /// Queues copies received from the step's other home.
     pub(super) async fn receive_copies(&self, copies: Vec<CopyMessage>) -> Result<(), Rejection> {
         self.send(Command::ApplyCopies(copies)).await
     }
 
-    /// Another home has taken a step's post, or the copy was lost.
+    /// Reports whether a copy of a step's post has reached another home.
     pub(super) async fn report_copy_result(&self, key: StepKey, to: SocketAddr, delivered: bool) {
-        // The owner is gone only when the process ends.
+        // The coordinator stops only when the process ends.
         let _ = self.send(Command::CopyResult { key, to, delivered }).await;
     }
 
-    /// A version came in force.
+    /// Reports that a version has become active.
     pub async fn announce(&self, model: ModelKey, version: WeightVersion) {
-        // The owner is gone only when the process ends.
+        // The coordinator stops only when the process ends.
         let _ = self.send(Command::Announce(model, version)).await;
     }
 
-    /// State of every step that is held here.
+    /// State of every step held by this entry; empty if the coordinator has stopped.
     pub async fn status(&self) -> Vec<StepStatus> {
         let (answer, answered) = oneshot::channel();
         match self.send(Command::Status(answer)).await {
--- a/components/gateway/src/training/coordinator_act.rs
+++ b/components/gateway/src/training/coordinator_act.rs
@@ -1,4 +1,4 @@
-//! What the ledgers ask for: runs, scores, copies.
+//! Performs the actions that the ledgers return: runs, score requests and copies.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,11 +17,11 @@
 use super::score::ScoreCall;
 use crate::gateway::Gateway;
 
-/// Runs and scores of a customer that stand in the line for its limits, beyond which no
-/// further run begins.
+/// Number of a customer's runs and score requests waiting for admission above which no further run
+/// of the customer is started.
 const WAITING_RUNS_MAX: u32 = 16;
-/// Runs that begin at once for each place left in that line. Most pass through it without
-/// a wait; begun one line at a time, a step would take some looks of the coordinator to start.
+/// Runs that may be started for each free waiting slot. Most runs are admitted without waiting.
+/// With only one run per free slot, the coordinator would need several passes to start a step.
 const RUNS_PER_WAITING_SLOT: u32 = 8;
 
 /// Actions of one step.
@@ -39,7 +39,7 @@
     }
 }
 
-/// How many steps have each replica.
+/// Number of steps that use each replica.
 fn steps_per_replica(tables: &[(StepKey, Arc<Table>)]) -> HashMap<SocketAddr, u32> {
     let mut step_counts = HashMap::new();
     let replicas = tables.iter().flat_map(|(_, table)| table.replica_states());
@@ -49,9 +49,10 @@
     step_counts
 }
 
-/// Runs of the step that may yet stand in the line for its customer's limits. One that
-/// waits there looks silent to its ledger, which would make it again elsewhere, so the
-/// others wait in the ledger.
+/// Number of further runs of the step that may be started, given how many of its customer's
+/// requests wait for admission. A run that waits for admission makes no progress, so its ledger
+/// would treat it as stalled and start it again at another replica. Further slots therefore stay
+/// pending in the ledger.
 fn waiting_capacity(gateway: &Gateway, key: &StepKey) -> u32 {
     let account = gateway.accounts.get(&key.customer);
     let waiting = account.map_or(0, |account| account.customer.waiting());
@@ -59,11 +60,11 @@
 }
 
 impl CoordinatorTask {
-    /// Asks each ledger what is to be done and does it.
+    /// Collects the actions of all ledgers and performs them.
     pub(super) fn perform_actions(&mut self) {
         let view = self.gateway.feed.view();
         let mut pending = self.dispatch();
-        // Events bring about actions at the other steps too.
+        // Steps that were not dispatched can have actions too, caused by events.
         for (key, ledger) in self.steps.iter_mut() {
             pending.push(drain_ledger(key, ledger));
         }
@@ -74,14 +75,15 @@
         }
     }
 
-    /// Starts what may start at the steps whose home is this entry.
+    /// Dispatches the active steps whose home is this entry.
     fn dispatch(&mut self) -> Vec<StepActions> {
         let now_ms = now_ms();
         let tables = self.active_tables();
         let step_counts = steps_per_replica(&tables);
         let mut runs = self.runs_by_replica();
         let mut order: Vec<&(StepKey, Arc<Table>)> = tables.iter().collect();
-        // Whoever comes first takes the room that the others leave; each has its turn.
+        // The first step in the order can use capacity before the others, so the first place
+        // rotates among the steps.
         let first = self.next_turn % order.len().max(1);
         order.rotate_left(first);
         self.next_turn = self.next_turn.wrapping_add(1);
@@ -106,7 +108,8 @@
         pending
     }
 
-    /// Steps at home here that have something to run or running, with their replicas.
+    /// Steps dispatched by this entry that have pending slots or runs in progress, with the tables
+    /// of their models.
     fn active_tables(&mut self) -> Vec<(StepKey, Arc<Table>)> {
         let (homes, taken_over) = (&mut self.homes, &self.taken_over);
         let gateway = &self.gateway;
@@ -142,7 +145,7 @@
             Action::Stop { run } => {
                 let handle = self.runs.get_mut(&(key.clone(), run));
                 if let Some(stop) = handle.and_then(|handle| handle.stop.take()) {
-                    // A run that has just ended reports its end instead.
+                    // A run that has already ended reports its result instead.
                     let _ = stop.send(());
                 }
             }
@@ -165,7 +168,8 @@
             }
             Action::Copy(copy) => {
                 for to in self.homes.other_homes(key) {
-                    // A sample that is lost costs a run after the loss of this home.
+                    // Losing the copy of a sample costs one additional run if this home is lost
+                    // later.
                     self.copier.send(to, key, copy.clone());
                 }
             }
--- a/components/gateway/src/training/coordinator_copies.rs
+++ b/components/gateway/src/training/coordinator_copies.rs
@@ -1,4 +1,4 @@
-//! The other home of a step: what it sends and what it gets.
+//! Exchange of copies between a step's homes.
 
 use std::net::SocketAddr;
 
@@ -8,8 +8,8 @@
 use super::coordinator_task::{CoordinatorTask, settings_of};
 
 impl CoordinatorTask {
-    /// What the step's other home sends. A post of a step that this process knows no model
-    /// for yet is dropped; the trainer's next post brings it.
+    /// Applies a copy from the step's other home. A post is dropped if the configuration here does
+    /// not yet contain its model; the trainer's next post adds the step.
     pub(super) fn apply_copy(&mut self, copy: CopyMessage) {
         let CopyMessage::Post {
             step,
@@ -51,8 +51,9 @@
         }
     }
 
-    /// What became of a post's copy. A home that has it dispatches the step itself from
-    /// here on; one that missed it is told again.
+    /// Handles the result of sending a step's post to another home. If the first home has the post,
+    /// it dispatches the step itself and this entry stops doing so. If the copy was lost, it is
+    /// sent again.
     pub(super) fn handle_copy_result(&mut self, key: StepKey, to: SocketAddr, delivered: bool) {
         if !self.steps.holds(&key) {
             return;
@@ -65,7 +66,7 @@
         }
     }
 
-    /// A home that was not told of a step gets everything.
+    /// Sends everything known about a step to those of its other homes that have not received it.
     pub(super) fn copy_to_new_homes(&mut self, key: &StepKey) {
         let others = self.homes.other_homes(key);
         let missing = self.copied_homes.update(key, others);
@@ -90,7 +91,7 @@
     }
 }
 
-/// The cursor of what the trainer is known to have.
+/// A cursor with the slots that the trainer is known to have received.
 fn received_cursor(ledger: &Ledger) -> Cursor {
     Cursor::start(ledger.step()).with_received(ledger.received().iter())
 }
--- a/components/gateway/src/training/coordinator_fetch.rs
+++ b/components/gateway/src/training/coordinator_fetch.rs
@@ -1,4 +1,4 @@
-//! Fetches of trainers: answered as soon as there are samples.
+//! Fetches, which are answered as soon as samples are available.
 
 use node::now_ms;
 use samples::{Cursor, StepKey};
@@ -8,15 +8,15 @@
 use super::coordinator_task::{CoordinatorTask, WaitingFetch, settings_of};
 use crate::rejection::Rejection;
 
-/// Fetches of one step that wait at most; older ones are answered when another comes.
+/// Fetches of one step that may wait; a further fetch causes the oldest to be answered.
 const WAITING_PER_STEP_MAX: usize = 4;
-/// Fetches of one customer that wait at most.
+/// Fetches of one customer that may wait.
 const WAITING_PER_CUSTOMER_MAX: usize = 64;
-/// Fetches that wait at most: half of the calls that a process takes from others.
+/// Fetches that may wait in total: half of the calls that a process accepts from other processes.
 const WAITING_MAX: usize = 512;
 
 impl CoordinatorTask {
-    /// Takes a fetch; it is answered when there are samples or its wait is over.
+    /// Adds a fetch, which is answered when samples are available or its wait ends.
     pub(super) fn fetch(
         &mut self,
         fetch: Fetch,
@@ -42,10 +42,11 @@
         });
     }
 
-    /// A fetch comes here although another entry is the first home: that one refused, or it
-    /// has lost the step, as one that was replaced at its address. Nobody would run what is
-    /// missing, and the trainer would fetch nothing for ever; so it is run here until the
-    /// first home has been told everything again.
+    /// Dispatches a step here when its fetch arrives although another entry is the step's first
+    /// home. Either the first home has refused the fetch, or it has lost the step, for example
+    /// because its process was replaced at the same address. In that case no entry would run the
+    /// missing slots, and the trainer's fetches would stay empty. The step is dispatched here until
+    /// the first home has received all copies again.
     fn take_over(&mut self, key: &StepKey) {
         if !self.steps.holds(key) || self.homes.is_first_home(key) {
             return;
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Has the step's oldest waiting fetches answered, so that there is a place for one.
+    /// Ends the wait of the step's oldest fetches, so that one more may wait.
     fn end_oldest(&mut self, key: &StepKey, now_ms: u64) {
         let of_step = |waiting: &&mut WaitingFetch| waiting.fetch.key == *key;
         let mut waiting: Vec<_> = self.waiting_fetches.iter_mut().filter(of_step).collect();
@@ -67,19 +68,19 @@
         }
     }
 
-    /// Whether a further fetch of the step's customer may wait for samples. One that may
-    /// not is answered at once. Each that waits holds a call of the table that all calls
-    /// among entries go through, and too many would keep out everybody's.
+    /// Whether another fetch of the step's customer may wait for samples; if not, it is answered at
+    /// once. Each waiting fetch occupies a slot in the call table that is shared by all calls among
+    /// entries, so too many of them would block the calls of all customers.
     fn may_wait(&self, key: &StepKey) -> bool {
         let same = |waiting: &&WaitingFetch| waiting.fetch.key.customer == key.customer;
         self.waiting_fetches.len() < WAITING_MAX
             && self.waiting_fetches.iter().filter(same).count() < WAITING_PER_CUSTOMER_MAX
     }
 
-    /// Ends the step's waiting fetches that have another cursor. A trainer sends a cursor
-    /// once it has the reply that brought it, so nobody reads their answers; answered with
-    /// their own cursor later, they would have the ledger believe that the trainer lost
-    /// what it has, and slots would be run again.
+    /// Ends the step's waiting fetches that have a different cursor. A trainer sends a cursor only
+    /// after it has received the reply that contained it, so their answers are no longer read. If
+    /// they were answered later with their own cursor, the ledger would conclude that the trainer
+    /// has lost samples, and would run those slots again.
     fn end_superseded(&mut self, fetch: &Fetch, now_ms: u64) {
         let is_superseded = |waiting: &mut WaitingFetch| {
             waiting.fetch.key == fetch.key && waiting.fetch.cursor != fetch.cursor
@@ -88,12 +89,12 @@
             self.waiting_fetches.extract_if(.., is_superseded).collect();
         for waiting in superseded {
             self.end_fetch(&waiting.fetch.key, now_ms);
-            // Its trainer has gone on.
+            // The trainer no longer reads this answer.
             let _ = waiting.answer.send(Err(Rejection::FetchOver));
         }
     }
 
-    /// Answers the fetches that have samples or whose wait is over.
+    /// Answers the fetches that have samples or whose wait has ended.
     pub(super) fn answer_fetches(&mut self) {
         let now_ms = now_ms();
         let ready = std::mem::take(&mut self.ready);
@@ -119,7 +120,7 @@
                         self.metrics
                             .record_reply(&waiting.fetch.key, reply, waited_ms);
                     }
-                    // The trainer may have gone; it fetches again with the same cursor.
+                    // The trainer may have disconnected; it will fetch again with the same cursor.
                     let _ = waiting.answer.send(answer);
                 }
             }
@@ -135,7 +136,7 @@
     fn reply(&mut self, fetch: &Fetch, now_ms: u64) -> Result<Reply, Rejection> {
         let ledger = self.steps.get_mut(&fetch.key, now_ms);
         let ledger = ledger.ok_or(Rejection::StepNotHeld(fetch.key.step))?;
-        // The bound may have changed since the step was posted.
+        // The staleness bound may have changed since the step was posted.
         let view = self.gateway.feed.view();
         if let Some(model) = view.service(&fetch.key.customer, &fetch.key.service) {
             ledger.configure(&settings_of(model));
--- a/components/gateway/src/training/coordinator_task.rs
+++ b/components/gateway/src/training/coordinator_task.rs
@@ -1,5 +1,5 @@
-//! The owner of the ledgers: one task that takes orders, asks each ledger what is to be
-//! done, and starts the tasks that do it.
+//! The coordinator's task. It owns the ledgers of all steps, processes commands, dispatches the
+//! steps and starts the tasks that perform the ledgers' actions.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -25,14 +25,15 @@
 use crate::gateway::Gateway;
 use crate::rejection::Rejection;
 
-/// Steps that nobody asks for are dropped after this time, in milliseconds.
+/// Steps that have been neither posted nor fetched for this time are removed.
 const STEP_IDLE_MS: u64 = 900_000;
-/// Longest sleep: room changes without an order.
+/// The ledgers are dispatched at least this often, because the replicas' capacity changes without a
+/// command.
 const TICK_INTERVAL_MS: u64 = 100;
-/// Orders that are taken before the ledgers are asked what to do.
+/// Commands that are processed before the ledgers are dispatched.
 const COMMANDS_PER_BATCH: usize = 256;
 
-/// A run that a task makes.
+/// A run in progress.
 pub struct RunHandle {
     pub(super) to: SocketAddr,
     pub(super) task: AbortHandle,
@@ -46,7 +47,7 @@
     pub(super) answer: oneshot::Sender<Result<Reply, Rejection>>,
 }
 
-/// State of the owner.
+/// State of the coordinator's task.
 pub struct CoordinatorTask {
     pub(super) gateway: Arc<Gateway>,
     pub(super) commands: mpsc::WeakSender<Command>,
@@ -60,28 +61,29 @@
     pub(super) cadence: Cadence,
     pub(super) ejected: EjectedReplicas,
     pub(super) metrics: TrainingMetrics,
-    /// Homes of the steps, as of the last tick.
+    /// Homes of the steps, computed from the entries that were live at the last tick.
     pub(super) homes: HomeMap,
-    /// Steps that were posted here because their first home refused. They are dispatched
-    /// here until that one has their copy: it does not know them, and nobody would run
-    /// them. That two may run a step for a moment costs work only.
+    /// Steps that were posted or fetched here although another entry is their first home, because
+    /// that entry refused or has lost them. They are dispatched here until the first home has
+    /// received the copy; otherwise no entry would run them. If both dispatch a step for a short
+    /// time, this only costs additional runs.
     pub(super) taken_over: BTreeSet<StepKey>,
-    /// Steps whose other homes may not know them yet.
+    /// Steps whose other homes may not have received a copy.
     pub(super) uncopied: BTreeSet<StepKey>,
-    /// Steps whose copy was lost.
+    /// Steps of which a copy was lost.
     pub(super) lost_copies: BTreeSet<StepKey>,
-    /// When the homes of those are told again.
+    /// When copies of the steps in `lost_copies` are sent again.
     pub(super) recopy_at_ms: u64,
-    /// The configuration that the steps are held to.
+    /// The configuration that was last applied to the ledgers.
     pub(super) view: Option<Arc<View>>,
-    /// Which step comes first at the next dispatch.
+    /// Rotates which step is dispatched first.
     pub(super) next_turn: usize,
-    /// Steps with samples that may have become ready since their waiting fetches were
-    /// looked at.
+    /// Steps for which samples may have become available since the waiting fetches were last
+    /// checked.
     pub(super) ready: BTreeSet<StepKey>,
 }
 
-/// Starts the owner.
+/// Starts the coordinator's task.
 pub fn spawn_coordinator(
     inbox: CoordinatorInbox,
     gateway: Arc<Gateway>,
@@ -114,7 +116,7 @@
     tokio::spawn(coordinator.run(inbox.commands));
 }
 
-/// Bounds of a step's ledger by the model's present configuration.
+/// Ledger settings from the model's current configuration.
 pub(super) fn settings_of(model: &Service) -> LedgerSettings {
     LedgerSettings {
         staleness_bound: model.staleness_bound,
@@ -153,7 +155,7 @@
         match command {
             Command::Post(step, answer) => {
                 let posted = self.post(&step);
-                // The trainer may have gone; it posts again.
+                // The trainer may have disconnected; it will post again.
                 let _ = answer.send(posted);
             }
             Command::Fetch(fetch, answer) => self.fetch(fetch, answer),
@@ -204,7 +206,7 @@
         Ok(cursor.seal(&self.keys))
     }
 
-    /// Takes a step in, or its newer cursor.
+    /// Adds a step, or applies a newer cursor to a step that is already held.
     pub(super) fn add_step(
         &mut self,
         step: &Arc<Step>,
@@ -220,7 +222,7 @@
         Ok(())
     }
 
-    /// Tells the version in force to the ledger of a step that was just taken in.
+    /// Passes the active version to the ledger of a step that was just added.
     pub(super) fn announce_active(&mut self, key: &StepKey, now_ms: u64) {
         let model = ModelKey {
             customer: key.customer.clone(),
--- a/components/gateway/src/training/coordinator_tick.rs
+++ b/components/gateway/src/training/coordinator_tick.rs
@@ -1,5 +1,5 @@
-//! What the owner of the ledgers does now and then: steps nobody asks for go, homes are told
-//! what they may not know, and the configuration in force is taken up.
+//! Periodic work of the coordinator: removes idle steps, sends missing copies to other homes and
+//! applies configuration changes.
 
 use std::sync::Arc;
 
@@ -9,16 +9,17 @@
 use super::coordinator_task::{CoordinatorTask, settings_of};
 use super::forward::live_entries;
 
-/// Pause between two tries to tell a home what it missed, in milliseconds.
+/// Interval at which lost copies are sent again.
 const RECOPY_INTERVAL_MS: u64 = 1_000;
 
 impl CoordinatorTask {
-    /// One look at all steps.
+    /// Performs the periodic work for all steps.
     pub(super) fn tick(&mut self) {
         let now_ms = now_ms();
         for action in self.steps.remove_idle(now_ms) {
             if let Action::Cancel { run } = action {
-                // The retired step's key is not told; its runs are those of no held step.
+                // `remove_idle` does not return the step's key. The run is aborted below, as its
+                // step is no longer held.
                 log::debug!(event = "retired-run", run = run.0; "");
             }
         }
@@ -45,7 +46,7 @@
         self.ejected.expire(now_ms);
     }
 
-    /// Tells the homes that may not know a step.
+    /// Sends copies to the homes that may not have them.
     fn send_due_copies(&mut self, entries_changed: bool, now_ms: u64) {
         let mut uncopied = std::mem::take(&mut self.uncopied);
         if now_ms >= self.recopy_at_ms {
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Holds every step to the configuration in force, once for each that comes.
+    /// Applies the active configuration to every ledger, once per configuration.
     fn configure(&mut self) {
         let view = self.gateway.feed.view();
         if self
--- a/components/gateway/src/training/copies.rs
+++ b/components/gateway/src/training/copies.rs
@@ -1,7 +1,8 @@
-//! Copies of a step for its other home.
+//! Sends copies of a step to its other home.
 //!
-//! A copy that is lost costs a run after the loss of the home, never a sample that the
-//! trainer has, so nothing waits for one and a full queue drops them.
+//! Losing a copy costs an additional run if the sending home is lost later, but never a sample that
+//! the trainer has received. Therefore nothing waits for a copy to be delivered, and copies are
+//! dropped while the queue is full.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,18 +16,17 @@
 use crate::gateway::Gateway;
 use crate::peer::PeerCall;
 
-/// Path of the inner call that takes copies.
+/// Path of the inner call that sends copies.
 pub const COPIES_PATH: &str = "/copies";
 
-/// Copies that wait at most.
 const QUEUED_COPIES_MAX: usize = 8_192;
-/// Copies of one call at most.
+/// Maximum number of copies in one call.
 const BATCH_COPIES_MAX: usize = 256;
-/// Texts of one call at most, in bytes. A call between entries is bounded, and a byte of
-/// text may take six in JSON; a call that is too large would be refused whole.
+/// Maximum size of the texts in one call. The size of calls between entries is limited, and one
+/// byte of text can take six bytes in JSON. A call over the limit would be refused as a whole.
 const BATCH_BYTES_MAX: usize = 2 << 20;
 const TIMEOUT_MS: u32 = 5_000;
-/// Pause after a call that failed, so that a home that is gone is not called in a loop.
+/// Delay after a failed call, which avoids a busy loop while a home is unreachable.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 struct AddressedCopy {
@@ -41,21 +41,21 @@
     }
 }
 
-/// Sends copies; clones share one queue.
+/// Queues copies for sending; clones share one queue.
 #[derive(Clone)]
 pub struct Copier {
     queue: mpsc::Sender<AddressedCopy>,
 }
 
 impl Copier {
-    /// Starts the sending task.
+    /// Starts the task that sends the queued copies.
     pub fn start(gateway: Arc<Gateway>) -> Copier {
         let (queue, copies) = mpsc::channel(QUEUED_COPIES_MAX);
         tokio::spawn(send_queued(copies, gateway));
         Copier { queue }
     }
 
-    /// Queues a copy; false if there is no place for it.
+    /// Queues a copy. Returns false if the queue is full.
     pub fn send(&self, to: SocketAddr, key: &StepKey, copy: CopyMessage) -> bool {
         let addressed = AddressedCopy {
             to,
@@ -120,19 +120,19 @@
     gateway.ask(to, call).await.is_ok()
 }
 
-/// Reads the body of a call that brings copies.
+/// Parses the body of a call that sends copies.
 pub fn parse(body: &[u8]) -> Option<Vec<CopyMessage>> {
     serde_json::from_slice(body).ok()
 }
 
-/// The homes of a step that were sent everything.
+/// For each step, the other homes to which all copies have been sent.
 #[derive(Default)]
 pub struct CopiedHomes {
     homes: BTreeMap<StepKey, Vec<SocketAddr>>,
 }
 
 impl CopiedHomes {
-    /// Notes the present other homes of a step; gives those that are new.
+    /// Records the current other homes of a step. Returns those to which it has not been copied.
     pub fn update(&mut self, key: &StepKey, homes: Vec<SocketAddr>) -> Vec<SocketAddr> {
         let recorded = self.homes.entry(key.clone()).or_default();
         let missing = homes.iter().filter(|home| !recorded.contains(home));
@@ -141,20 +141,20 @@
         missing
     }
 
-    /// A home did not get what it was sent.
+    /// Records that a copy did not reach a home, so that the step is copied there again.
     pub fn mark_lost(&mut self, key: &StepKey, home: SocketAddr) {
         if let Some(recorded) = self.homes.get_mut(key) {
             recorded.retain(|&other| other != home);
         }
     }
 
-    /// Forgets the steps that are not kept.
+    /// Removes the steps for which `keep` is false.
     pub fn retain(&mut self, keep: impl Fn(&StepKey) -> bool) {
         self.homes.retain(|key, _| keep(key));
     }
 }
 
-/// A shared step as one copy, for a home that holds nothing of it.
+/// Copy message of a post that was received just now.
 pub fn post_copy(
     step: &Arc<samples::Step>,
     cursor: Option<String>,
--- a/components/gateway/src/training/ejected.rs
+++ b/components/gateway/src/training/ejected.rs
@@ -1,7 +1,8 @@
-//! Replicas at which runs failed lately.
+//! Ejects replicas at which runs have failed recently.
 //!
-//! A replica that has died fails its runs at once, so it always has the most room, and
-//! every slot of a step would be tried there once before the view notices its death.
+//! A crashed replica fails its runs at once and therefore always seems to have the most free
+//! capacity. Without ejection, every slot of a step would be tried there once before the membership
+//! view marks the replica as down.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,15 +15,15 @@
     until_ms: u64,
 }
 
-/// Replicas that get no runs for a while, longer after each failure in a row.
+/// Replicas that temporarily get no runs. The time doubles with each consecutive failure.
 #[derive(Default)]
 pub struct EjectedReplicas {
     ejections: HashMap<SocketAddr, Ejection>,
 }
 
 impl EjectedReplicas {
-    /// A run failed with its replica, or on the way there. Runs that were in progress
-    /// there together count as one.
+    /// Records that a run failed because of its replica or the connection to it. Failures while the
+    /// replica is already ejected are ignored, so runs that fail together count as one failure.
     pub fn record_failure(&mut self, replica: SocketAddr, now_ms: u64) {
         let ejection = self.ejections.entry(replica).or_insert(Ejection {
             failures: 0,
@@ -36,18 +37,19 @@
         ejection.failures += 1;
     }
 
-    /// A run was whole there.
+    /// Records that a run was completed at the replica.
     pub fn record_success(&mut self, replica: SocketAddr) {
         self.ejections.remove(&replica);
     }
 
-    /// Whether a replica gets no runs now.
+    /// Whether a replica currently gets no runs.
     pub fn is_ejected(&self, replica: SocketAddr, now_ms: u64) -> bool {
         let ejection = self.ejections.get(&replica);
         ejection.is_some_and(|ejection| now_ms < ejection.until_ms)
     }
 
-    /// Forgets what is long over.
+    /// Removes the replicas whose ejection ended more than twice the longest ejection ago. Their
+    /// next failure starts with the shortest ejection again.
     pub fn expire(&mut self, now_ms: u64) {
         let longest_ms = FIRST_EJECTION_MS << (DOUBLINGS_MAX + 1);
         self.ejections
--- a/components/gateway/src/training/forward.rs
+++ b/components/gateway/src/training/forward.rs
@@ -1,4 +1,4 @@
-//! Where a step lives, and how a call gets there.
+//! Finds the home of a step and forwards calls to it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,12 +17,13 @@
 
 const NOT_FOUND: u16 = 404;
 
-/// Homes of a step by the present view; none when every entry is leaving.
+/// Homes of a step in the current membership view; `None` if all entries are leaving.
 fn homes_of(gateway: &Gateway, key: &StepKey) -> Option<Homes> {
     choose_homes(key, &live_entries(gateway))
 }
 
-/// Entries that may be homes by the present view.
+/// Entries that can be homes in the current membership view. Unreachable entries are left out, and
+/// this entry too while it is leaving.
 pub fn live_entries(gateway: &Gateway) -> Vec<Entry> {
     let snapshot = gateway.gossip.snapshot();
     let now_ms = now_ms();
@@ -42,8 +43,8 @@
     entries
 }
 
-/// Takes a call to the step's home, or to the second one. Every call of a trainer may be
-/// made twice.
+/// Forwards a call to the step's first home and, if that refuses, to the second one. This is safe
+/// because every call of a trainer may be repeated.
 pub async fn forward_to_home(
     gateway: &Arc<Gateway>,
     call: HomeCall,
@@ -62,7 +63,7 @@
             call_remote(gateway, home, &call).await
         };
         match answered {
-            // The step may have moved there and not have arrived yet.
+            // The step may have moved to this home without having arrived there yet.
             Ok((head, _)) if head.status == NOT_FOUND => {
                 last_rejection = Rejection::StepNotHeld(call.key.step);
             }
--- a/components/gateway/src/training/home_map.rs
+++ b/components/gateway/src/training/home_map.rs
@@ -1,13 +1,13 @@
-//! Homes of the held steps by the present view, worked out once for each step and again
-//! when the entries change. Worked out for all at each post, a trainer's steps would cost
-//! the square of their number.
+//! Caches the homes of the held steps. The homes of a step are computed once and again when the
+//! live entries change. Computing them for all steps at every post would take time quadratic in the
+//! number of a trainer's steps.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
 use samples::{Entry, Homes, StepKey, choose_homes};
 
-/// Homes of steps.
+/// Homes of steps, computed when first needed.
 pub struct HomeMap {
     own: SocketAddr,
     entries: Vec<Entry>,
@@ -15,7 +15,7 @@
 }
 
 impl HomeMap {
-    /// No entry known, for the entry at this address.
+    /// Creates an empty map for the entry at address `own`.
     pub fn new(own: SocketAddr) -> Self {
         Self {
             own,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Takes the live entries, in any order; tells whether they have changed.
+    /// Sets the live entries, in any order. Returns whether they have changed.
     pub fn set_entries(&mut self, mut entries: Vec<Entry>) -> bool {
         entries.sort_by_key(|entry| entry.address);
         if entries == self.entries {
@@ -35,13 +35,13 @@
         true
     }
 
-    /// Whether this entry is the first home of a step.
+    /// Whether this entry is the first home of the step.
     pub fn is_first_home(&mut self, key: &StepKey) -> bool {
         let own = self.own;
         self.homes_of(key).is_some_and(|homes| homes.first == own)
     }
 
-    /// The homes of a step but this entry.
+    /// The homes of the step, without this entry.
     pub fn other_homes(&mut self, key: &StepKey) -> Vec<SocketAddr> {
         let own = self.own;
         let homes = self.homes_of(key).into_iter();
@@ -49,12 +49,11 @@
         both.filter(|&home| home != own).collect()
     }
 
-    /// The first home of a step.
     pub fn first_home(&mut self, key: &StepKey) -> Option<SocketAddr> {
         self.homes_of(key).map(|homes| homes.first)
     }
 
-    /// Forgets the steps that are not kept.
+    /// Removes the steps for which `keep` is false.
     pub fn retain(&mut self, keep: impl Fn(&StepKey) -> bool) {
         self.homes.retain(|key, _| keep(key));
     }
--- a/components/gateway/src/training/inner.rs
+++ b/components/gateway/src/training/inner.rs
@@ -1,5 +1,5 @@
-//! Training calls at the step's home, from this entry's own trainers or over the inner
-//! protocol.
+//! Handles training calls at the step's home. They come from trainers connected to this entry, or
+//! from other entries over the inner protocol.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,39 +23,37 @@
 
 const TRAINING_PREFIX: &str = "/v1/training/";
 const JSON: &str = "application/json";
-/// Status of an answer with what was asked for.
 pub const OK: u16 = 200;
 const ACCEPTED: u16 = 202;
-/// A fetch is answered this long before its deadline, so that the reply gets there.
+/// A fetch is answered this long before its deadline, so that the reply arrives in time.
 const REPLY_MARGIN_MS: u64 = 250;
-/// Time that an announcement may take from one entry to another.
+/// Longest wait for an announcement that was made at another entry to arrive here.
 const ANNOUNCEMENT_WAIT_MS: u64 = 1_000;
-/// Between two looks for it.
+/// Interval at which a waiting call checks for the announcement.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A checked call about one step.
+/// A validated call about one step.
 #[derive(Clone, Debug)]
 pub struct HomeCall {
-    /// Identity in answers and log lines.
+    /// Id in answers and log lines.
     pub request_id: String,
-    /// The step.
     pub key: StepKey,
-    /// What is wanted of it.
+    /// Operation on the step.
     pub route: TrainingRoute,
-    /// Path as posted.
+    /// Path as received from the trainer.
     pub path: String,
-    /// Body as posted.
+    /// Body as received from the trainer.
     pub body: Bytes,
-    /// When the trainer gives up, on the process's monotonic clock.
+    /// The trainer's deadline, on the process's monotonic clock.
     pub deadline_at_ms: u64,
 }
 
-/// Whether an inner call is about training.
+/// Whether an inner call is a training call or sends copies of a step.
 pub fn is_inner_call(open: &Open) -> bool {
     open.path.starts_with(TRAINING_PREFIX) || open.path == COPIES_PATH
 }
 
-/// Answers an inner call. The entry that sent it has checked the token.
+/// Serves an inner call. The entry that sent it has already authenticated the trainer.
 pub async fn serve_inner(gateway: &Arc<Gateway>, open: Open) -> Result<(Head, Bytes), Failure> {
     if open.path == COPIES_PATH {
         return receive_copies(gateway, &open).await;
@@ -67,7 +65,7 @@
     };
     match answered {
         Ok(answered) => Ok(answered),
-        // This home refuses as a process, and the other one may do better.
+        // The refusal concerns this process, so the step's other home may accept the call.
         Err(Rejection::Call(failure)) => Err(failure),
         Err(rejection) => Ok(problem_answer(&rejection, &request_id)),
     }
@@ -105,7 +103,8 @@
     Ok((json_head(OK), Bytes::new()))
 }
 
-/// Answers a call about a step whose home this is, or is taken for.
+/// Serves a call about a step whose home is this entry, at least in the view of the entry that
+/// forwarded the call.
 pub async fn serve_at_home(
     gateway: &Arc<Gateway>,
     call: &HomeCall,
@@ -142,10 +141,10 @@
     json_answer(ACCEPTED, &PostedBody { cursor: &cursor })
 }
 
-/// Refuses a version of the trainer's own that nobody has announced. Samples are judged by
-/// the newest version that the trainer has named, so a mistyped one would make every sample
-/// of its step too old for good. One that was announced at another entry a moment ago gets
-/// here within `ANNOUNCEMENT_WAIT_MS`.
+/// Refuses a trainer version that has not been announced. Staleness is measured against the newest
+/// version that the trainer has named, so a mistyped version would make every sample of its step
+/// too stale permanently. A version that was just announced at another entry arrives here within
+/// `ANNOUNCEMENT_WAIT_MS`.
 async fn wait_for_announcement(
     gateway: &Gateway,
     call: &HomeCall,
@@ -158,7 +157,8 @@
     let until_ms = call.deadline_at_ms.min(now_ms() + ANNOUNCEMENT_WAIT_MS);
     loop {
         let target = gateway.weights.targets().get(&model).copied();
-        // Nothing is known while all entries are new: the trainer is believed.
+        // No version is known while all entries have just started; the trainer's version is then
+        // accepted.
         let Some(target) = target else { return Ok(()) };
         let known = target.serve.max(target.load);
         if version <= known {
@@ -225,7 +225,7 @@
     (head, document)
 }
 
-/// Head of an answer in JSON.
+/// Head of a JSON answer.
 pub fn json_head(status: u16) -> Head {
     head(status, JSON)
 }
--- a/components/gateway/src/training/metrics.rs
+++ b/components/gateway/src/training/metrics.rs
@@ -1,5 +1,5 @@
-//! Metrics of training for each customer: how old samples are when they are given, how long
-//! trainers wait for them, and what was made for nothing.
+//! Training metrics of each customer: staleness of the delivered samples, how long trainers wait
+//! for samples, and discarded samples.
 
 use std::collections::BTreeMap;
 
@@ -15,14 +15,13 @@
     unknown_origin: u64,
 }
 
-/// What was counted of each step so far.
+/// Training metrics, and the counts of each step that they already include.
 pub struct TrainingMetrics {
     metrics: Metrics,
     reported: BTreeMap<StepKey, ReportedCounts>,
 }
 
 impl TrainingMetrics {
-    /// Nothing counted yet.
     pub fn new(metrics: Metrics) -> Self {
         Self {
             metrics,
@@ -30,7 +29,8 @@
         }
     }
 
-    /// A fetch was answered after this time. A reply that is asked for again counts again.
+    /// Records the answer to a fetch, its wait and the staleness of its samples. A repeated reply
+    /// is recorded again.
     pub fn record_reply(&self, key: &StepKey, reply: &Reply, waited_ms: u64) {
         let label = Label::of(&key.customer, Class::Sampling);
         self.metrics.record("sample_fetch_ms", label, waited_ms);
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Counts what a step's ledger has counted since the last look.
+    /// Adds the increase of a ledger's counts since the last call.
     pub fn record_tally(&mut self, key: &StepKey, tally: &Tally) {
         let label = Label::of(&key.customer, Class::Sampling);
         let reported = self.reported.entry(key.clone()).or_default();
@@ -56,13 +56,14 @@
         }
     }
 
-    /// Forgets the steps that are not kept.
+    /// Removes the steps for which `keep` is false.
     pub fn retain(&mut self, keep: impl Fn(&StepKey) -> bool) {
         self.reported.retain(|key, _| keep(key));
     }
 }
 
-/// What came since the last look; a ledger that took another's place begins at nothing.
+/// Returns the increase since the last call. If the ledger was replaced and its count has
+/// decreased, the new count is the increase.
 fn increase(reported: &mut u64, now: u64) -> u64 {
     let before = std::mem::replace(reported, now);
     now.checked_sub(before).unwrap_or(now)
--- a/components/gateway/src/training/run.rs
+++ b/components/gateway/src/training/run.rs
@@ -1,4 +1,5 @@
-//! One run of a sample at one engine, streamed, so that its tokens survive the engine.
+//! A run of one sample at one engine. The answer is streamed, so that the tokens generated so far
+//! are not lost with the engine.
 
 use std::sync::Arc;
 
@@ -35,29 +36,27 @@
     resume_tokens: &'a [u32],
 }
 
-/// A run to make.
+/// A run of a slot of a step at the replica that the ledger has chosen.
 pub struct Run {
-    /// The model.
     pub model: Arc<Service>,
-    /// The step.
     pub step: Arc<Step>,
-    /// What the ledger asks for.
+    /// Start action of the ledger.
     pub start: Start,
-    /// Where to report.
+    /// Receives the reports.
     pub commands: mpsc::Sender<Command>,
-    /// Comes when the run is to stop and leave its tokens.
+    /// Stops the run, which then reports its partial sample.
     pub stop: oneshot::Receiver<()>,
 }
 
 impl Run {
-    /// Makes the run and reports its end.
+    /// Runs to the end and reports the result.
     pub async fn run_and_report(self, gateway: Arc<Gateway>) {
         let (key, run, commands) = (self.step.key.clone(), self.start.run, self.commands.clone());
         let report = match self.run(&gateway).await {
             Ok(completion) => RunReport::Finished(completion),
             Err((fault, partial)) => RunReport::Failed(fault, partial),
         };
-        // The owner is gone only when the process ends.
+        // The coordinator stops only when the process ends.
         let _ = commands.send(Command::RunReport(key, run, report)).await;
     }
 
@@ -69,7 +68,7 @@
         let attempt = Attempt::start(gateway, &job, body, &only_replica).await;
         let attempt = match attempt {
             Ok(attempt) if attempt.address() == self.start.to => attempt,
-            // The replica went since the ledger chose it.
+            // The replica has become unavailable since the ledger chose it.
             Ok(_) => return Err((RunFault::not_at_replica(Fault::Refused), self.start.resume)),
             Err(failure) => return Err(refused(failure)),
         };
@@ -110,7 +109,7 @@
             request_id: &request_id,
             resume_tokens: resume.map_or(&[], |partial| &partial.tokens),
         };
-        // Text and numbers always serialise.
+        // Serialization cannot fail: the body contains only text and numbers.
         let body = serde_json::to_vec(&completion).unwrap_or_default();
         let work = crate::completion::work(prompt, u64::from(step.max_tokens));
         let content = [prompt.as_bytes()];
@@ -134,12 +133,13 @@
     }
 }
 
-/// The same for every run of a slot would let one cancel another at the engine.
+/// The id contains the number of the run. If all runs of a slot had the same id, cancelling one
+/// would cancel the others at the engine.
 fn request_id(key: &StepKey, run: RunId) -> String {
     format!("{}.{}.{}.{}", key.customer, key.service, key.step, run.0)
 }
 
-/// All replicas but the one that the ledger chose are passed over.
+/// Excludes all replicas except the one that the ledger has chosen.
 fn only_replica(gateway: &Gateway, job: &Job, to: std::net::SocketAddr) -> Where {
     let service = &job.service;
     let state = gateway.services.get(&service.owner, &service.name);
@@ -153,7 +153,8 @@
     }
 }
 
-/// What a failed call says to the ledger, and of its replica.
+/// Maps the failure of a call to the fault for the ledger, and decides whether the replica caused
+/// it.
 pub fn run_fault(failure: Failure) -> RunFault {
     let fault = match (failure.cause, failure.run) {
         (Cause::Quarantined, _) => Fault::Quarantined,
--- a/components/gateway/src/training/score.rs
+++ b/components/gateway/src/training/score.rs
@@ -1,4 +1,5 @@
-//! Scores of samples, asked of the plain service that the model's configuration names.
+//! Requests the scores of samples from the plain service that the model's configuration names as
+//! scorer.
 
 use std::sync::Arc;
 
@@ -24,7 +25,7 @@
 
 const PATH: &str = "/score";
 const OK: u16 = 200;
-/// Largest answer of a scorer.
+/// Maximum size of a scorer's answer.
 const ANSWER_BYTES_MAX: usize = 64 * 1024;
 
 #[derive(Serialize)]
@@ -38,22 +39,20 @@
     score: f64,
 }
 
-/// A score to ask for.
+/// A score request for one sample.
 pub struct ScoreCall {
-    /// The scorer.
+    /// `None` if the configuration has no scorer.
     pub scorer: Option<Arc<Service>>,
-    /// The step.
     pub step: Arc<Step>,
-    /// Run that made the sample.
+    /// The run that generated the sample.
     pub run: RunId,
-    /// The sample.
     pub sample: Arc<Sample>,
-    /// Where to report.
+    /// Receives the report of the score.
     pub commands: mpsc::Sender<Command>,
 }
 
 impl ScoreCall {
-    /// Asks, and reports the answer.
+    /// Requests the score and reports the result.
     pub async fn call_and_report(self, gateway: Arc<Gateway>) {
         let score = match self.call(gateway).await {
             Ok(score) => Some(score),
@@ -66,7 +65,7 @@
             }
         };
         let command = Command::Scored(self.step.key.clone(), self.run, score);
-        // The owner is gone only when the process ends.
+        // The coordinator stops only when the process ends.
         let _ = self.commands.send(command).await;
     }
 
@@ -98,7 +97,7 @@
             digest: CallDigest::of(&key.customer, &scorer.name, &content),
             payer: key.customer.clone(),
             class: Class::Sampling,
-            // A scorer only computes.
+            // A scorer has no side effects, so the request may be repeated.
             idempotent: true,
             deadline_at_ms: now_ms() + u64::from(scorer.deadline_ms),
             service: scorer,
--- a/components/gateway/src/training/step_status.rs
+++ b/components/gateway/src/training/step_status.rs
@@ -1,4 +1,4 @@
-//! Figures of a step for the admin address.
+//! State and counts of a step for the status page.
 
 use samples::{Ledger, StepKey};
 use serde::Serialize;
@@ -9,48 +9,46 @@
 /// State of one step.
 #[derive(Debug, Serialize)]
 pub struct StepStatus {
-    /// Customer that trains.
     pub customer: String,
-    /// Model that is trained.
+    /// Name of the trained model.
     pub service: String,
-    /// Number of the step.
     pub step: u64,
-    /// Whether this entry is its home.
+    /// Whether this entry is the step's first home.
     pub home: bool,
     /// Runs in progress.
     pub running: u32,
     /// Slots that wait for a run.
     pub waiting: u32,
-    /// Slots that the trainer has.
+    /// Slots that the trainer has received.
     pub received: u32,
-    /// Slots.
+    /// Number of slots of the step.
     pub total: u32,
-    /// Slots whose call every endpoint refuses.
+    /// Slots whose calls are quarantined at every endpoint.
     pub blocked: u32,
     /// Runs started.
     pub runs: u64,
     /// Runs that failed.
     pub failed: u64,
-    /// Samples that became too old.
+    /// Samples discarded because they became too stale.
     pub abandoned: u64,
-    /// Results of unknown origin.
+    /// Results discarded because their weight version is unknown.
     pub unknown_origin: u64,
-    /// Runs beside a slow one.
+    /// Hedged runs, started in parallel with a slow run.
     pub hedges: u64,
-    /// Runs that went on elsewhere.
+    /// Runs that resumed the partial sample of another run.
     pub resumes: u64,
-    /// Scores that failed.
+    /// Score requests that failed.
     pub score_failures: u64,
-    /// Median age of the samples that arrived, in versions.
+    /// Median staleness of the samples that arrived, in versions; `None` if none has arrived.
     pub staleness_p50: Option<u64>,
-    /// Age of the oldest.
+    /// Highest staleness of the samples that arrived, in versions.
     pub staleness_max: Option<u64>,
-    /// How long its trainer waited without a sample, in milliseconds.
+    /// Time that the trainer has waited in fetches while no sample was available.
     pub idle_ms: u64,
 }
 
 impl StepStatus {
-    /// Figures of one ledger.
+    /// Reads the state and counts from a ledger.
     pub fn from_ledger(key: &StepKey, ledger: &Ledger, home: bool, idle_ms: u64) -> Self {
         let tally = ledger.tally();
         Self {
--- a/components/gateway/src/training/training_calls.rs
+++ b/components/gateway/src/training/training_calls.rs
@@ -1,6 +1,6 @@
-//! Training calls of a customer that an entry has in progress. A waiting fetch lasts for
-//! seconds and holds a call of the home's table; without a bound, one trainer's fetches
-//! would keep out everybody's calls among entries.
+//! Limits the training calls that a customer has in progress at an entry. A waiting fetch lasts for
+//! seconds and occupies a slot in the call table of the step's home. Without a limit, one trainer's
+//! fetches could block the calls of all customers among the entries.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -8,17 +8,17 @@
 use limits::retry_after_ms;
 use types::{Cause, Failure};
 
-/// Training calls of one customer that one entry has in progress at most.
+/// Maximum number of training calls of one customer in progress at one entry.
 const CALLS_MAX: u32 = 64;
-/// When a refused trainer may come back, before the spread.
+/// Wait that is suggested to a refused trainer, before jitter is added.
 const RETRY_AFTER_MS: u64 = 500;
 
-/// Training calls of one customer in progress; clones share the count.
+/// Number of a customer's training calls in progress; clones share the counter.
 #[derive(Clone, Debug, Default)]
 pub struct TrainingCalls(Arc<AtomicU32>);
 
 impl TrainingCalls {
-    /// Takes a place until the guard is dropped.
+    /// Counts a call until the guard is dropped, or refuses it.
     pub fn begin(&self, random: u64) -> Result<TrainingCallGuard, Failure> {
         let increment = |count: u32| (count < CALLS_MAX).then_some(count + 1);
         let begun = self
@@ -34,7 +34,7 @@
     }
 }
 
-/// One training call in progress.
+/// A training call in progress.
 #[derive(Debug)]
 pub struct TrainingCallGuard(TrainingCalls);
 
