--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Entries and agents on loopback between stand-ins of the platform.
-#![allow(dead_code, clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+//! Entries and agents on loopback, with stand-ins for the platform.
+#![allow(dead_code, clippy::unwrap_used)] // The exemption in clippy.toml does not cover helper functions.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -33,17 +33,17 @@
 const LOOPBACK: &str = "127.0.0.1:0";
 const KEY: [u8; 32] = [7; 32];
 const DOMAINS: [&str; 3] = ["rennes-a", "brest-b", "vannes-c"];
-/// Far above what anything here takes; only a test that fails reaches it.
+/// Much longer than any operation in the tests takes; only a failing test reaches it.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
-/// Between two looks at something that is waited for.
+/// Interval at which a condition is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 pub const CLERK: &str = "clerk-token";
 pub const TRAINER: &str = "trainer-token";
 pub const OPERATOR: &str = "operator-token";
 
-/// The Office's text with digests of the tokens above.
-fn office(requests_per_s: u32) -> String {
+/// The configuration of customer `office`, with the digests of the tokens above.
+fn office_config(requests_per_s: u32) -> String {
     let limit = format!("requests_per_s = {requests_per_s}");
     let mut text = OFFICE.replace("requests_per_s = 5000", &limit);
     for (name, role, token) in [
@@ -82,16 +82,16 @@
     LOOPBACK.parse().unwrap()
 }
 
-/// What a site has.
+/// Processes and limits of a [`Site`].
 pub struct SiteSettings {
     pub entries: usize,
     pub engines: usize,
     pub services: usize,
-    /// Time of one call of a plain service.
+    /// Time that a plain service takes for one call.
     pub service_ms: u64,
-    /// Limit of the customer.
+    /// Rate limit of customer `office`.
     pub requests_per_s: u32,
-    /// The operator's ceilings.
+    /// Ceilings configured by the operator.
     pub ceilings: Ceilings,
     pub tuning: Tuning,
 }
@@ -110,7 +110,7 @@
     }
 }
 
-/// A running process; dropped, it ends at once.
+/// A running process, which is aborted when dropped.
 pub struct Process {
     /// Public address of an entry; admin address of an agent.
     pub address: SocketAddr,
@@ -120,12 +120,12 @@
 }
 
 impl Process {
-    /// Begins to leave.
+    /// Signals the process to drain and leave.
     pub fn start_leaving(&mut self) {
         let _ = self.stop.take().unwrap().send(());
     }
 
-    /// Waits until it has left.
+    /// Waits until the process has ended.
     pub async fn wait_until_left(&mut self) {
         timeout(TEST_TIMEOUT, &mut self.task)
             .await
@@ -140,7 +140,7 @@
     }
 }
 
-/// A site with its platform.
+/// Entries, agents and endpoints, with stand-ins for the log and the VM list.
 pub struct Site {
     pub log: Handle,
     pub vms: Handle,
@@ -151,19 +151,19 @@
 }
 
 impl Site {
-    /// Starts everything, publishes the Office's text and waits until every entry knows
-    /// it and sees every replica.
-    pub async fn start(plan: SiteSettings) -> Site {
+    /// Starts all processes, publishes the configuration and waits until every entry has it and
+    /// sees every replica.
+    pub async fn start(site_settings: SiteSettings) -> Site {
         let log = log::start(LogSettings::new(loopback())).await.unwrap();
         let vms = vms::start(VmsSettings::new(loopback())).await.unwrap();
         let mut engines = Vec::new();
-        for _ in 0..plan.engines {
+        for _ in 0..site_settings.engines {
             engines.push(engine::start(engine_settings()).await.unwrap());
         }
         let mut services = Vec::new();
-        for _ in 0..plan.services {
+        for _ in 0..site_settings.services {
             let settings = ServiceSettings {
-                service_ms: plan.service_ms,
+                service_ms: site_settings.service_ms,
                 ..ServiceSettings::new(loopback(), "guichet")
             };
             services.push(service::start(settings).await.unwrap());
@@ -176,22 +176,25 @@
             entries: Vec::new(),
             agents: Vec::new(),
         };
-        site.start_processes(&plan).await;
-        site.publish(&office(plan.requests_per_s)).await;
-        site.wait_until_ready(&plan).await;
+        site.start_processes(&site_settings).await;
+        site.publish(&office_config(site_settings.requests_per_s))
+            .await;
+        site.wait_until_ready(&site_settings).await;
         site
     }
 
-    async fn start_processes(&mut self, plan: &SiteSettings) {
+    async fn start_processes(&mut self, site_settings: &SiteSettings) {
         let mut bound = Vec::new();
         let mut listed = Vec::new();
-        for number in 0..plan.entries {
+        for number in 0..site_settings.entries {
             let settings = EntrySettings {
                 common: self.common(number),
                 listen: loopback(),
-                ceilings: plan.ceilings,
+                ceilings: site_settings.ceilings,
             };
-            let entry = Entry::bind(settings, plan.tuning.clone()).await.unwrap();
+            let entry = Entry::bind(settings, site_settings.tuning.clone())
+                .await
+                .unwrap();
             listed.push(vm(entry.inner_address(), VmRole::Entry, number));
             bound.push(entry);
         }
@@ -220,8 +223,8 @@
 
     async fn list_vms(&self, vms: &[Vm]) {
         let set = json!({ "set": vms, "remove": [] }).to_string();
-        let ask = TestRequest::post("/standin/vms", set);
-        assert_eq!(ask.send(self.vms.address).await.status, StatusCode::OK);
+        let request = TestRequest::post("/standin/vms", set);
+        assert_eq!(request.send(self.vms.address).await.status, StatusCode::OK);
     }
 
     fn run(&mut self, entry: Entry) {
@@ -231,7 +234,7 @@
         self.entries.push(spawn(address, admin, run));
     }
 
-    /// Starts a further entry with this key and lists it; gives its number.
+    /// Starts another entry with this shared key and adds it to the VM list. Returns its index.
     pub async fn add_entry(&mut self, key: [u8; 32]) -> usize {
         let number = self.entries.len();
         let settings = EntrySettings {
@@ -249,10 +252,10 @@
         number
     }
 
-    /// The status page of an entry once it says this.
+    /// Polls the status page of an entry until `field` has `value`, and returns the page.
     pub async fn wait_for_status(&self, entry: usize, field: &str, value: &str) -> Value {
         let admin = self.entries[entry].admin;
-        let until = async {
+        let polling = async {
             loop {
                 let status = TestRequest::get("/status").send(admin).await.json();
                 if status[field] == value {
@@ -261,10 +264,10 @@
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        timeout(TEST_TIMEOUT, until).await.unwrap()
+        timeout(TEST_TIMEOUT, polling).await.unwrap()
     }
 
-    /// Status of a page at the admin address.
+    /// HTTP status of a page at the admin address.
     pub async fn admin_status(&self, entry: usize, path: &str) -> u16 {
         let admin = self.entries[entry].admin;
         TestRequest::get(path).send(admin).await.status.as_u16()
@@ -314,38 +317,41 @@
         client.append("config", &record).await.unwrap();
     }
 
-    /// Waits until each entry is ready and sees every replica.
-    async fn wait_until_ready(&self, plan: &SiteSettings) {
-        let wanted = [("redacteurs", plan.engines), ("guichet", plan.services)];
-        let until = async {
+    /// Waits until every entry is ready and sees every replica.
+    async fn wait_until_ready(&self, site_settings: &SiteSettings) {
+        let wanted = [
+            ("redacteurs", site_settings.engines),
+            ("guichet", site_settings.services),
+        ];
+        let polling = async {
             for entry in &self.entries {
-                while !sees(entry, &wanted).await {
+                while !is_ready_with(entry, &wanted).await {
                     tokio::time::sleep(POLL_INTERVAL).await;
                 }
             }
         };
-        timeout(TEST_TIMEOUT, until).await.unwrap();
+        timeout(TEST_TIMEOUT, polling).await.unwrap();
     }
 
-    /// Sends until the answer is 200.
-    pub async fn send_until_ok(&self, entry: usize, ask: &TestRequest) -> Answer {
-        let until = async {
+    /// Repeats the request until it is answered with status 200.
+    pub async fn send_until_ok(&self, entry: usize, request: &TestRequest) -> Answer {
+        let polling = async {
             loop {
-                let answer = ask.send(self.entries[entry].address).await;
+                let answer = request.send(self.entries[entry].address).await;
                 if answer.status == StatusCode::OK {
                     return answer;
                 }
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        timeout(TEST_TIMEOUT, until).await.unwrap()
+        timeout(TEST_TIMEOUT, polling).await.unwrap()
     }
 
-    pub async fn send(&self, entry: usize, ask: &TestRequest) -> Answer {
-        ask.send(self.entries[entry].address).await
+    pub async fn send(&self, entry: usize, request: &TestRequest) -> Answer {
+        request.send(self.entries[entry].address).await
     }
 
-    /// How often calls with this tag ran, over all plain services.
+    /// Number of times that calls with this tag ran at the plain services.
     pub async fn run_count(&self, tag: &str) -> u64 {
         let mut runs = 0;
         for service in &self.services {
@@ -358,8 +364,8 @@
     }
 }
 
-/// Whether an entry is ready and sees so many replicas of each service.
-async fn sees(entry: &Process, wanted: &[(&str, usize)]) -> bool {
+/// Whether an entry is ready and sees the given number of replicas of each service.
+async fn is_ready_with(entry: &Process, wanted: &[(&str, usize)]) -> bool {
     let status = TestRequest::get("/status").send(entry.admin).await.json();
     let replicas = |service: &str| {
         let mut services = status["services"].as_array()?.iter();
@@ -406,7 +412,7 @@
 {
     let (stop, stopped) = oneshot::channel::<()>();
     let stopped = Box::pin(async move {
-        // A test that drops the process aborts it instead.
+        // A dropped sender means that the process was dropped, which aborts the task.
         if stopped.await.is_err() {
             std::future::pending::<()>().await;
         }
@@ -453,7 +459,7 @@
         }
     }
 
-    /// The same without this header's earlier value.
+    /// Sets a header, replacing an earlier value.
     pub fn with_header(mut self, name: &'static str, value: impl Into<String>) -> TestRequest {
         self.headers.retain(|(other, _)| *other != name);
         self.headers.push((name, value.into()));
@@ -464,7 +470,7 @@
         self.with_header("authorization", format!("Bearer {token}"))
     }
 
-    /// Sends it on a connection of its own and reads the answer to its end.
+    /// Sends the request on a new connection and reads the answer to its end.
     pub async fn send(&self, to: SocketAddr) -> Answer {
         timeout(TEST_TIMEOUT, self.exchange(to)).await.unwrap()
     }
@@ -507,13 +513,13 @@
     }
 }
 
-/// An answer as its caller sees it.
+/// An answer as the caller receives it.
 #[derive(Debug)]
 pub struct Answer {
     pub status: StatusCode,
     pub headers: http::HeaderMap,
     pub body: Vec<u8>,
-    /// It ended at its stated end.
+    /// Whether the body ended without an error.
     pub is_complete: bool,
 }
 
@@ -552,7 +558,7 @@
         (self.status.as_u16(), text("outcome"), text("cause"))
     }
 
-    /// Chunks of a completions stream.
+    /// Chunks of a streamed completion.
     pub fn chunks(&self) -> Vec<Value> {
         let lines = self.text().lines();
         let data = lines.filter_map(|line| line.strip_prefix("data: "));
@@ -564,13 +570,13 @@
         self.chunks().pop().unwrap()
     }
 
-    /// Ids of the completions that a stream names.
+    /// Distinct completion ids in a streamed completion.
     pub fn ids(&self) -> BTreeSet<String> {
         let chunks = self.chunks().into_iter();
         chunks.map(|chunk| chunk["id"].to_string()).collect()
     }
 
-    /// Texts of the pieces of a completions stream.
+    /// Texts of the chunks of a streamed completion.
     pub fn texts(&self) -> Vec<String> {
         let chunks = self.chunks().into_iter();
         chunks
--- a/components/gateway/tests/keyed.rs
+++ b/components/gateway/tests/keyed.rs
@@ -1,4 +1,4 @@
-//! Requests with an idempotency key, through whole entries.
+//! Requests with an idempotency key, sent through complete entries.
 
 mod common;
 
@@ -12,11 +12,11 @@
 const TAG: &str = "x-request-tag";
 const KEY: &str = "idempotency-key";
 
-// The caller of a keyed check sees "not run, come back", in the time of its request. The
-// log takes the claim's append and says nothing, so the claim is given up; taking it back
-// needs the silent log as well, and would hold up the answer for good.
+// The log accepts the claim's append but does not respond. The caller must be answered within its
+// deadline; if the entry first waited for the log to confirm that the claim is released, the answer
+// would be delayed without limit.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn errors_in_time_when_the_log_says_nothing() {
+async fn errors_before_the_deadline_when_the_log_is_unresponsive() {
     let site = Site::start(SiteSettings::default()).await;
     site.log
         .fault(Fault::new(FaultKind::Silent).on("/streams/claims"));
@@ -34,29 +34,28 @@
     assert_eq!(site.run_count("silent").await, 0);
 }
 
-// A bidder whose first answer was lost sends its bid again at once, through the other
-// entry. It gets the recorded answer and not "may have run, come back in a second": the
-// record of the end is in the log a few milliseconds after the answer, not with the
-// shard's next append in a while.
+// A caller whose first answer was lost repeats the request at once through the other entry. The end
+// must be in the log a few milliseconds after the answer. If it waited for the shard's next regular
+// append, the repeat would be told that the call may have run and to retry after a second.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn can_answer_a_repeat_that_comes_right_after_the_answer() {
+async fn can_replay_the_answer_to_a_repeat_right_after_the_first_answer() {
     let site = Site::start(SiteSettings::default()).await;
     for bid in 0..20 {
-        let ask = TestRequest::post(SANCTION, "{}")
+        let request = TestRequest::post(SANCTION, "{}")
             .with_header(KEY, format!("bid-{bid}"))
             .with_header(TAG, "bids");
-        let first = site.send(bid % 2, &ask).await;
+        let first = site.send(bid % 2, &request).await;
         assert_eq!(first.status, 200, "{bid}: {}", first.text());
-        let again = site.send((bid + 1) % 2, &ask).await;
+        let again = site.send((bid + 1) % 2, &request).await;
         assert_eq!(again.status, 200, "{bid}: {}", again.text());
         assert_eq!(again.body, first.body);
     }
     assert_eq!(site.run_count("bids").await, 20);
 }
 
-// The caller marks a completion as one that runs once and sends it again through the other
-// entry: it gets the first answer, and one engine ran it once. A streamed one is refused
-// before anything runs, since a stream can't be recorded and given again.
+// A completion marked as not idempotent is repeated through the other entry. The repeat must get
+// the first answer, with a single run at one engine. Streaming is refused before anything runs,
+// because a stream cannot be recorded and replayed.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_run_a_keyed_completion_once() {
     let site = Site::start(SiteSettings {
@@ -86,11 +85,11 @@
     assert!(site.send(0, &free).await.is_complete);
 }
 
-// A clerk consults while the log says nothing and the Office's portal sends one keyed check
-// after the other. Those wait for seconds for a claim; in the places of the service they
-// would keep out every consultation, which needs no log at all.
+// Many keyed calls wait for seconds for their claims while the log is unresponsive. If they took
+// capacity of the service while they wait, they would block calls without a key, which do not need
+// the log.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn can_consult_while_keyed_checks_wait_for_a_silent_log() {
+async fn can_serve_unkeyed_calls_while_keyed_calls_wait_for_an_unresponsive_log() {
     const CHECKS: usize = 300;
     let site = Site::start(SiteSettings {
         services: 1,
@@ -104,10 +103,10 @@
     let (ended, mut ends) = mpsc::unbounded_channel();
     for check in 0..CHECKS {
         let ended = ended.clone();
-        let ask = TestRequest::post(SANCTION, "{}").with_header(KEY, format!("check-{check}"));
-        tokio::spawn(async move { ended.send(ask.send(address).await.problem()) });
+        let request = TestRequest::post(SANCTION, "{}").with_header(KEY, format!("check-{check}"));
+        tokio::spawn(async move { ended.send(request.send(address).await.problem()) });
     }
-    // More wait than may: the first end says that there is no room.
+    // More calls wait than the limit allows, so the first one that ends is refused.
     let (_, outcome, cause) = ends.recv().await.unwrap();
     assert_eq!(
         (outcome.as_str(), cause.as_str()),
--- a/components/gateway/tests/training.rs
+++ b/components/gateway/tests/training.rs
@@ -1,6 +1,6 @@
-//! Steps, fetches and cursors through whole entries.
+//! Steps, fetches and cursors, sent through complete entries.
 
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+#![allow(clippy::unwrap_used)] // The exemption in clippy.toml does not cover helper functions.
 
 mod common;
 
@@ -41,7 +41,7 @@
         .collect()
 }
 
-async fn site() -> Site {
+async fn start_site() -> Site {
     Site::start(SiteSettings {
         engines: 2,
         services: 0,
@@ -50,15 +50,15 @@
     .await
 }
 
-// The trainer gets each slot once, whichever entry it asks, and with the versions that
-// made it. Each entry takes the call to the step's home.
+// The trainer must get each slot once, with the versions that generated it, whichever entry it
+// asks. An entry that is not the step's home must forward the call to the home.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_fetch_each_sample_once_through_either_entry() {
-    let site = site().await;
+    let site = start_site().await;
     let posted = site.send(0, &post(1, "a", None)).await;
     assert_eq!(posted.status, 202, "{}", posted.text());
     let mut next = cursor(&posted.json());
-    let mut taken = BTreeSet::new();
+    let mut received = BTreeSet::new();
     for round in 0.. {
         let answer = site.send(round % 2, &fetch(1, &next, 2)).await;
         assert_eq!(answer.status, 200, "{}", answer.text());
@@ -68,29 +68,29 @@
             assert_eq!(sample["staleness"], 0);
         }
         for slot in slots(&json) {
-            assert!(taken.insert(slot), "slot {slot:?} came twice");
+            assert!(received.insert(slot), "slot {slot:?} was delivered twice");
         }
         next = cursor(&json);
         if json["complete"] == true {
             break;
         }
     }
-    assert_eq!(taken.len() as u64, SAMPLES);
-    let mut given = 0;
+    assert_eq!(received.len() as u64, SAMPLES);
+    let mut delivered = 0;
     for entry in &site.entries {
         let status = TestRequest::get("/status").send(entry.admin).await.json();
         let rows = status["metrics"].as_array().unwrap().iter();
         let ages = rows.filter(|row| row["name"] == "sample_staleness_versions");
-        given += ages.map(|row| row["count"].as_u64().unwrap()).sum::<u64>();
+        delivered += ages.map(|row| row["count"].as_u64().unwrap()).sum::<u64>();
     }
-    assert_eq!(given, SAMPLES);
+    assert_eq!(delivered, SAMPLES);
 }
 
-// The trainer loses a reply and fetches again with the cursor that it has: it gets the
-// same samples again, and a post with that cursor counts nothing twice either.
+// A trainer that lost a reply fetches again with its old cursor and must get the same samples
+// again. A post with the newer cursor must not deliver samples a second time.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_fetch_again_with_the_same_cursor() {
-    let site = site().await;
+    let site = start_site().await;
     let start = cursor(&site.send(0, &post(2, "a", None)).await.json());
     let first = site.send(0, &fetch(2, &start, 2)).await.json();
     let again = site.send(1, &fetch(2, &start, SAMPLES)).await.json();
@@ -105,16 +105,20 @@
         .send(0, &fetch(2, &cursor(&reposted.json()), SAMPLES))
         .await
         .json();
-    let had: BTreeSet<_> = slots(&first).into_iter().collect();
-    assert!(slots(&later).iter().all(|slot| !had.contains(slot)));
+    let already_received: BTreeSet<_> = slots(&first).into_iter().collect();
+    assert!(
+        slots(&later)
+            .iter()
+            .all(|slot| !already_received.contains(slot))
+    );
 }
 
-// A trainer that has gone on sends a newer cursor while its older fetch still waits, here as
-// no engine answers. The older one is told that it is over. Answered later with its own
-// cursor, it would have the ledger run again what the trainer has.
+// The trainer sends a newer cursor while its older fetch still waits because the engines do not
+// respond. The older fetch must be cancelled: if it were answered later with its own cursor, the
+// ledger would run again the slots that the trainer already has.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn errors_when_a_fetch_waits_that_its_trainer_has_left_behind() {
-    let site = site().await;
+async fn errors_in_a_waiting_fetch_when_a_newer_cursor_arrives() {
+    let site = start_site().await;
     for engine in &site.engines {
         engine.fault(Fault::new(FaultKind::Silent).on("/v1/completions"));
     }
@@ -133,7 +137,7 @@
     let newer = newer.seal(&CursorKeys::new([7; 32], None));
     let (older, address) = (fetch(8, &start, 2), site.entries[0].address);
     let older = tokio::spawn(async move { older.send(address).await });
-    // It may still be on its way when the first of these comes, and then it ends that one.
+    // The older fetch may arrive after the first of these fetches and then end that one.
     while !older.is_finished() {
         let mut next = fetch(8, &newer, 2);
         next.body = next.body.replace("10000", "20");
@@ -144,51 +148,51 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn errors_when_a_cursor_or_a_post_does_not_fit() {
+async fn errors_when_a_cursor_or_a_post_is_invalid() {
     struct Case {
         name: &'static str,
-        ask: TestRequest,
+        request: TestRequest,
         problem: (u16, &'static str),
     }
-    let site = site().await;
+    let site = start_site().await;
     let three = cursor(&site.send(0, &post(3, "a", None)).await.json());
     site.send(0, &post(4, "a", None)).await;
     let tokens = |max_tokens: u32| {
-        let mut ask = post(6, "a", None);
+        let mut request = post(6, "a", None);
         let stated = format!("\"max_tokens\":{max_tokens}");
-        ask.body = ask.body.replace("\"max_tokens\":16", &stated);
-        ask
+        request.body = request.body.replace("\"max_tokens\":16", &stated);
+        request
     };
     let damaged = three.replace(three.chars().next_back().unwrap(), "~");
     let cases = [
         Case {
             name: "a cursor of another step",
-            ask: fetch(4, &three, 2),
+            request: fetch(4, &three, 2),
             problem: (400, "malformed"),
         },
         Case {
             name: "a damaged cursor",
-            ask: fetch(3, &damaged, 2),
+            request: fetch(3, &damaged, 2),
             problem: (400, "malformed"),
         },
         Case {
-            name: "the same step with another content",
-            ask: post(3, "other", None),
+            name: "a step that was posted with other content",
+            request: post(3, "other", None),
             problem: (422, "key-reused"),
         },
         Case {
-            name: "samples of no token",
-            ask: tokens(0),
+            name: "samples without tokens",
+            request: tokens(0),
             problem: (400, "malformed"),
         },
         Case {
-            name: "samples of more tokens than a completion may have",
-            ask: tokens(65_537),
+            name: "samples with more tokens than a completion may have",
+            request: tokens(65_537),
             problem: (400, "malformed"),
         },
         Case {
             name: "a step without samples",
-            ask: TestRequest::post(
+            request: TestRequest::post(
                 STEPS,
                 r#"{"step":5,"groups":[],"max_tokens":4,"trainer_version":"1.1"}"#,
             )
@@ -198,30 +202,30 @@
     ];
     for case in cases {
         for entry in 0..site.entries.len() {
-            let (status, outcome, cause) = site.send(entry, &case.ask).await.problem();
+            let (status, outcome, cause) = site.send(entry, &case.request).await.problem();
             assert_eq!((status, cause.as_str()), case.problem, "{}", case.name);
             assert_eq!(outcome, "not-run", "{}", case.name);
         }
     }
 }
 
-/// Engines that take runs and say nothing, so that fetches wait.
-async fn silent_site() -> Site {
-    let site = site().await;
+/// Starts a site whose engines accept runs but do not respond, so that fetches wait.
+async fn start_unresponsive_site() -> Site {
+    let site = start_site().await;
     for engine in &site.engines {
         engine.fault(Fault::new(FaultKind::Silent).on("/v1/completions"));
     }
     site
 }
 
-// A trainer sends its fetch again and again while none is answered. Each holds a call of the
-// table between entries, so only the newest few wait; the older ones are answered without
-// samples long before their time.
+// A trainer repeats its fetch while no fetch is answered. Each waiting fetch occupies a slot in the
+// call table between entries, so only the newest few may wait; the older ones must be answered
+// without samples long before their wait ends.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn can_bound_the_fetches_of_a_step_that_wait() {
+async fn can_limit_the_waiting_fetches_of_a_step() {
     const WAITING_MAX: usize = 4;
     const FETCHES: usize = 7;
-    let site = silent_site().await;
+    let site = start_unresponsive_site().await;
     let other = cursor(&site.send(0, &post(10, "a", None)).await.json());
     let (other, address) = (fetch(10, &other, 2), site.entries[0].address);
     let other = tokio::spawn(async move { other.send(address).await });
@@ -241,16 +245,16 @@
         assert_eq!(cursor(&answer.json()), start);
     }
     assert!(ended.try_recv().is_err());
-    // One with a third of their time, of a step with no others, still waits.
+    // This fetch has a third of their wait and is the only fetch of its step, so it still waits.
     assert!(!other.is_finished());
 }
 
-// Steps that are posted without end, and fetches of many steps at once, are refused past a
-// bound with a time to come back. A bound of another customer is not touched by them.
+// A customer that keeps fetches of many steps waiting must be refused further training calls above
+// a limit.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn errors_when_a_customer_has_too_much_in_training() {
+async fn errors_when_a_customer_exceeds_its_limit_of_training_calls() {
     const CALLS: u64 = 65;
-    let site = silent_site().await;
+    let site = start_unresponsive_site().await;
     let mut waiting = Vec::new();
     let mut refused = Vec::new();
     for step in 0..CALLS {
@@ -273,14 +277,16 @@
     assert!(!refused.is_empty());
 }
 
-// A trainer mistypes its version once. The fetch is refused; its step goes on, as samples are
-// judged by versions that were announced. Taken for true, it would make every sample too old.
+// A fetch with a mistyped trainer version must be refused without affecting the step. If the
+// version were accepted, staleness would be measured against it and every sample would be too
+// stale.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn errors_when_a_trainer_names_a_version_that_nobody_announced() {
-    let site = site().await;
+async fn errors_when_a_trainer_names_an_unannounced_version() {
+    let site = start_site().await;
     let announce = TestRequest::post("/v1/training/redacteurs/weights", r#"{"version":"1.1"}"#);
     let announce = announce.with_token(TRAINER);
-    // At both, so that neither waits for the other's news.
+    // Announced at both entries, so that neither has to wait until the other's announcement
+    // arrives.
     for entry in 0..site.entries.len() {
         let announced = site.send(entry, &announce).await;
         assert_eq!(announced.status, 200, "{}", announced.text());
