--- a/components/gateway/src/keyed/relay.rs
+++ b/components/gateway/src/keyed/relay.rs
@@ -54,7 +54,6 @@
     pub body: Bytes,
 }
 
-/// Serves a request with an idempotency key.
 pub async fn serve(
     gateway: &Arc<Gateway>,
     job: Job,
--- a/components/gateway/src/keyed/replay.rs
+++ b/components/gateway/src/keyed/replay.rs
@@ -17,7 +17,8 @@
 /// Header of an answer that was replayed from an earlier submission.
 const REPLAYED: &str = "idempotency-replayed";
 
-/// Builds the answer for a submission whose key another submission has claimed.
+/// Builds the answer for a submission whose key another submission has claimed. The recorded answer
+/// must be read from the log before the submission's deadline.
 pub async fn answer(
     claims: &Claims,
     shard: u16,
--- a/components/gateway/src/training/coordinator_task.rs
+++ b/components/gateway/src/training/coordinator_task.rs
@@ -280,11 +280,12 @@
     fn status(&mut self) -> Vec<StepStatus> {
         let now_ms = now_ms();
         let (homes, idle) = (&mut self.homes, &self.idle);
-        let held = self.steps.iter_mut();
-        held.map(|(key, ledger)| {
-            let idle_ms = idle.get(key).map_or(0, |clock| clock.idle_ms(now_ms));
-            StepStatus::from_ledger(key, ledger, homes.is_first_home(key), idle_ms)
-        })
-        .collect()
+        let held_steps = self.steps.iter_mut();
+        held_steps
+            .map(|(key, ledger)| {
+                let idle_ms = idle.get(key).map_or(0, |clock| clock.idle_ms(now_ms));
+                StepStatus::from_ledger(key, ledger, homes.is_first_home(key), idle_ms)
+            })
+            .collect()
     }
 }
--- a/components/gateway/src/training/home_map.rs
+++ b/components/gateway/src/training/home_map.rs
@@ -35,7 +35,6 @@
         true
     }
 
-    /// Whether this entry is the first home of the step.
     pub fn is_first_home(&mut self, key: &StepKey) -> bool {
         let own = self.own;
         self.homes_of(key).is_some_and(|homes| homes.first == own)
--- a/components/gateway/src/training/inner.rs
+++ b/components/gateway/src/training/inner.rs
@@ -38,7 +38,6 @@
     /// Id in answers and log lines.
     pub request_id: String,
     pub key: StepKey,
-    /// Operation on the step.
     pub route: TrainingRoute,
     /// Path as received from the trainer.
     pub path: String,
--- a/components/gateway/src/training/step_status.rs
+++ b/components/gateway/src/training/step_status.rs
@@ -37,7 +37,6 @@
     pub hedges: u64,
     /// Runs that resumed the partial sample of another run.
     pub resumes: u64,
-    /// Score requests that failed.
     pub score_failures: u64,
     /// Median staleness of the samples that arrived, in versions; `None` if none has arrived.
     pub staleness_p50: Option<u64>,
