--- a/components/gateway/src/training/coordinator_act.rs
+++ b/components/gateway/src/training/coordinator_act.rs
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Dispatches the active steps whose home is this entry.
+    /// Dispatches the active steps of which this entry is the first home or which it has taken over.
     fn dispatch(&mut self) -> Vec<StepActions> {
         let now_ms = now_ms();
         let tables = self.active_tables();
