--- a/components/gateway/src/training.rs
+++ b/components/gateway/src/training.rs
@@ -1,12 +1,14 @@
-//! Training: announcements of weights, steps, and samples with their origin.
+//! The training API: announcements of weights, steps, and samples with their provenance.
 //!
-//! An entry checks a trainer's call and takes it to the step's home over the inner
-//! protocol. At the home, the coordinator's task owns the ledgers of all steps; runs, scores
-//! and copies are tasks of their own that report to it.
+//! An entry validates a trainer's call and forwards it to the step's home over the inner protocol.
+//! At the home, the coordinator's task owns the ledgers of all steps. Runs, score requests and
+//! copies are separate tasks that report to the coordinator.
 
 mod api;
 mod bodies;
 mod cadence;
+mod capacity;
+mod commands;
 mod coordinator;
 mod coordinator_act;
 mod coordinator_copies;
@@ -15,22 +17,20 @@
 mod coordinator_tick;
 mod copies;
 mod ejected;
-mod figures;
 mod forward;
 mod home_map;
 mod inner;
-mod listening;
-mod orders;
-mod places;
-mod room;
+mod metrics;
 mod run;
+mod run_recorder;
 mod score;
-mod steps_status;
+mod step_status;
+mod training_calls;
 
 pub use api::serve;
 pub use coordinator::Coordinator;
-pub use coordinator_task::spawn;
+pub use coordinator_task::spawn_coordinator;
 pub use copies::Copier;
 pub use inner::{is_inner_call, serve_inner};
-pub use places::Places;
-pub use steps_status::StepStatus;
+pub use step_status::StepStatus;
+pub use training_calls::TrainingCalls;
--- a/components/gateway/src/training/api.rs
+++ b/components/gateway/src/training/api.rs
@@ -1,4 +1,4 @@
-//! The training API of the public address: who may do what, and where it goes.
+//! The training API at the public address: authorizes calls and forwards them to the step's home.
 
 use std::sync::Arc;
 
@@ -11,10 +11,10 @@
 use types::{Cause, Class, Failure, ServiceName};
 use weights::{AnnounceOutcome, ModelKey};
 
-use super::bodies::{InForce, StepBody, Version, parse};
-use super::forward::to_home;
+use super::bodies::{ActiveVersionBody, StepBody, VersionBody, parse};
+use super::forward::forward_to_home;
 use super::inner::{HomeCall, OK, json_head};
-use super::places::Place;
+use super::training_calls::TrainingCallGuard;
 use crate::answer::response;
 use crate::body::{Body, full};
 use crate::gateway::Gateway;
@@ -24,8 +24,8 @@
 use crate::target::TrainingRoute;
 use crate::weight_news::{Announced, Want};
 
-/// Time for a training call that states none, in milliseconds.
-const DEADLINE_MS: u32 = 60_000;
+/// Deadline of a training call that does not state one.
+const DEFAULT_DEADLINE_MS: u32 = 60_000;
 
 /// Serves one call of the training API.
 pub async fn serve<B>(
@@ -46,9 +46,9 @@
         _ => intake.session.trainable(&service)?,
     };
     need_kind(&model, ServiceKind::Model)?;
-    let _working = gateway.drain.admit(now_ms())?;
-    let _place = place(&gateway, &intake)?;
-    let deadline_at_ms = intake.deadline_at_ms(DEADLINE_MS);
+    let _work_guard = gateway.drain.admit(now_ms())?;
+    let _call_guard = begin_call(&gateway, &intake)?;
+    let deadline_at_ms = intake.deadline_at_ms(DEFAULT_DEADLINE_MS);
     let bytes = intake.body(body, deadline_at_ms).await?;
     let want = match route {
         TrainingRoute::Weights => Want::Announce,
@@ -56,27 +56,28 @@
         TrainingRoute::Rollback => Want::RollBack,
         TrainingRoute::Steps | TrainingRoute::Fetch { .. } => {
             let call = home_call(&intake, &model, route, bytes, deadline_at_ms)?;
-            let (head, body) = to_home(&gateway, call).await?;
+            let (head, body) = forward_to_home(&gateway, call).await?;
             return response(&head, full(body));
         }
     };
     announce(&gateway, &intake, &model, want, &bytes).await
 }
 
-/// Counts the call among its customer's requests, and keeps it among its training calls
-/// in progress until the guard is dropped. It holds none of the customer's requests in
-/// progress: a fetch waits for seconds and takes no endpoint's time.
-fn place(gateway: &Gateway, intake: &Intake) -> Result<Place, Rejection> {
+/// Counts the call against its customer's request rate, and against the customer's training calls
+/// in progress until the guard is dropped. It does not count as one of the customer's requests in
+/// progress, because a fetch waits for seconds without using an endpoint.
+fn begin_call(gateway: &Gateway, intake: &Intake) -> Result<TrainingCallGuard, Rejection> {
     let customer = &intake.session.holder.customer;
     let account = gateway.accounts.get(customer);
-    // The configuration is newer than the last tick; the customer is there with the next.
+    // The configuration is newer than the last refresh of the accounts; the next refresh adds the
+    // customer.
     let account = account.ok_or(Failure::not_run(Cause::NoEndpoint))?;
-    let place = account.training.take(rand::random())?;
-    let entered = account
+    let call_guard = account.training.begin(rand::random())?;
+    let admitted = account
         .customer
         .admit(Class::Background, 0, now_ms(), rand::random());
-    drop(entered?);
-    Ok(place)
+    drop(admitted?);
+    Ok(call_guard)
 }
 
 async fn announce(
@@ -86,7 +87,7 @@
     want: Want,
     bytes: &[u8],
 ) -> Result<Response<Body>, Rejection> {
-    let version = parse::<Version>(bytes)?.get()?;
+    let version = parse::<VersionBody>(bytes)?.version()?;
     let holder = &intake.session.holder;
     let key = ModelKey {
         customer: model.owner.clone(),
@@ -109,7 +110,7 @@
         customer = model.owner.as_str(), service = model.name.as_str(),
         version = target.serve.to_string(), load = target.load.to_string(); ""
     );
-    let body = InForce {
+    let body = ActiveVersionBody {
         version: target.serve.to_string(),
         load: target.load.to_string(),
     };
--- a/components/gateway/src/training/coordinator_tick.rs
+++ b/components/gateway/src/training/coordinator_tick.rs
@@ -1,5 +1,5 @@
-//! What the owner of the ledgers does now and then: steps nobody asks for go, homes are told
-//! what they may not know, and the configuration in force is taken up.
+//! Periodic work of the coordinator: removes idle steps, sends missing copies to other homes and
+//! applies configuration changes.
 
 use std::sync::Arc;
 
@@ -9,58 +9,59 @@
 use super::coordinator_task::{CoordinatorTask, settings_of};
 use super::forward::live_entries;
 
-/// Pause between two tries to tell a home what it missed, in milliseconds.
-const RETELL_EVERY_MS: u64 = 1_000;
+/// Interval at which lost copies are sent again.
+const RECOPY_INTERVAL_MS: u64 = 1_000;
 
 impl CoordinatorTask {
-    /// One look at all steps.
+    /// Performs the periodic work for all steps.
     pub(super) fn tick(&mut self) {
         let now_ms = now_ms();
         for action in self.steps.remove_idle(now_ms) {
             if let Action::Cancel { run } = action {
-                // The retired step's key is not told; its runs are those of no held step.
+                // `remove_idle` does not return the step's key. The run is aborted below, as its
+                // step is no longer held.
                 log::debug!(event = "retired-run", run = run.0; "");
             }
         }
-        let changed = self.homes.see(live_entries(&self.gateway));
+        let entries_changed = self.homes.set_entries(live_entries(&self.gateway));
         let steps = &self.steps;
         self.homes.retain(|key| steps.holds(key));
-        self.standing_in.retain(|key| steps.holds(key));
-        self.told.retain(|key| steps.holds(key));
+        self.taken_over.retain(|key| steps.holds(key));
+        self.copied_homes.retain(|key| steps.holds(key));
         self.idle.retain(|key, _| steps.holds(key));
-        self.figures.retain(|key| steps.holds(key));
+        self.metrics.retain(|key| steps.holds(key));
         for (key, ledger) in self.steps.iter_mut() {
-            self.figures.look(key, ledger.tally());
+            self.metrics.record_tally(key, ledger.tally());
         }
         let steps = &self.steps;
         self.runs.retain(|(key, _), handle| {
-            let kept = steps.holds(key);
-            if !kept {
+            let is_held = steps.holds(key);
+            if !is_held {
                 handle.task.abort();
             }
-            kept
+            is_held
         });
-        self.tell(changed, now_ms);
+        self.send_due_copies(entries_changed, now_ms);
         self.configure();
         self.ejected.expire(now_ms);
     }
 
-    /// Tells the homes that may not know a step.
-    fn tell(&mut self, entries_changed: bool, now_ms: u64) {
-        let mut untold = std::mem::take(&mut self.untold);
-        if now_ms >= self.retell_at_ms {
-            self.retell_at_ms = now_ms + RETELL_EVERY_MS;
-            untold.append(&mut self.missed);
+    /// Sends copies to the homes that may not have them.
+    fn send_due_copies(&mut self, entries_changed: bool, now_ms: u64) {
+        let mut uncopied = std::mem::take(&mut self.uncopied);
+        if now_ms >= self.recopy_at_ms {
+            self.recopy_at_ms = now_ms + RECOPY_INTERVAL_MS;
+            uncopied.append(&mut self.lost_copies);
         }
         if entries_changed {
-            untold.extend(self.steps.keys().cloned());
+            uncopied.extend(self.steps.keys().cloned());
         }
-        for key in untold {
-            self.tell_new_homes(&key);
+        for key in uncopied {
+            self.copy_to_new_homes(&key);
         }
     }
 
-    /// Holds every step to the configuration in force, once for each that comes.
+    /// Applies the active configuration to every ledger, once per configuration.
     fn configure(&mut self) {
         let view = self.gateway.feed.view();
         if self
--- a/components/gateway/src/training/run.rs
+++ b/components/gateway/src/training/run.rs
@@ -1,4 +1,5 @@
-//! One run of a sample at one engine, streamed, so that its tokens survive the engine.
+//! A run of one sample at one engine. The answer is streamed, so that the tokens generated so far
+//! are not lost with the engine.
 
 use std::sync::Arc;
 
@@ -11,8 +12,8 @@
 use tokio::sync::{mpsc, oneshot};
 use types::{Cause, Class, Failure, RunState};
 
-use super::listening::Listening;
-use super::orders::{Order, RunFault, RunNews};
+use super::commands::{Command, RunFault, RunReport};
+use super::run_recorder::RunRecorder;
 use crate::admission::admit_in_turn;
 use crate::attempt::{Attempt, Where};
 use crate::completion::priority;
@@ -22,7 +23,7 @@
 use crate::job::Job;
 
 #[derive(Serialize)]
-struct Ask<'a> {
+struct CompletionBody<'a> {
     model: &'a str,
     prompt: &'a str,
     max_tokens: u32,
@@ -35,58 +36,60 @@
     resume_tokens: &'a [u32],
 }
 
-/// A run to make.
+/// A run of a slot of a step at the replica that the ledger has chosen.
 pub struct Run {
-    /// The model.
     pub model: Arc<Service>,
-    /// The step.
     pub step: Arc<Step>,
-    /// What the ledger asks for.
+    /// Start action of the ledger.
     pub start: Start,
-    /// Where to report.
-    pub orders: mpsc::Sender<Order>,
-    /// Comes when the run is to stop and leave its tokens.
+    /// Receives the reports.
+    pub commands: mpsc::Sender<Command>,
+    /// Stops the run, which then reports its partial sample.
     pub stop: oneshot::Receiver<()>,
 }
 
 impl Run {
-    /// Makes the run and reports its end.
-    pub async fn make(self, gateway: Arc<Gateway>) {
-        let (key, run, orders) = (self.step.key.clone(), self.start.run, self.orders.clone());
-        let news = match self.run(&gateway).await {
-            Ok(completion) => RunNews::Finished(completion),
-            Err((fault, partial)) => RunNews::Failed(fault, partial),
+    /// Runs to the end and reports the result.
+    pub async fn run_and_report(self, gateway: Arc<Gateway>) {
+        let (key, run, commands) = (self.step.key.clone(), self.start.run, self.commands.clone());
+        let report = match self.run(&gateway).await {
+            Ok(completion) => RunReport::Finished(completion),
+            Err((fault, partial)) => RunReport::Failed(fault, partial),
         };
-        // The owner is gone only when the process ends.
-        let _ = orders.send(Order::Run(key, run, news)).await;
+        // The coordinator stops only when the process ends.
+        let _ = commands.send(Command::RunReport(key, run, report)).await;
     }
 
     async fn run(self, gateway: &Gateway) -> Result<Completion, (RunFault, Option<PartialSample>)> {
         let (job, body) = self.job();
-        let refused = |failure| (fault(failure), self.start.resume.clone());
+        let refused = |failure| (run_fault(failure), self.start.resume.clone());
         let mut admitted = admit_in_turn(gateway, &job).await.map_err(refused)?;
-        let place = place(gateway, &job, self.start.to);
-        let attempt = Attempt::start(gateway, &job, body, &place).await;
+        let only_replica = only_replica(gateway, &job, self.start.to);
+        let attempt = Attempt::start(gateway, &job, body, &only_replica).await;
         let attempt = match attempt {
             Ok(attempt) if attempt.address() == self.start.to => attempt,
-            // The replica went since the ledger chose it.
-            Ok(_) => return Err((RunFault::plain(Fault::Refused), self.start.resume)),
+            // The replica has become unavailable since the ledger chose it.
+            Ok(_) => return Err((RunFault::not_at_replica(Fault::Refused), self.start.resume)),
             Err(failure) => return Err(refused(failure)),
         };
-        let mut listening = Listening::new(self.start.resume.as_ref());
-        let heard = listening
-            .listen(
+        let mut recorder = RunRecorder::new(self.start.resume.as_ref());
+        let recorded = recorder
+            .record(
                 attempt,
                 &self.step.key,
                 self.start.run,
-                &self.orders,
+                &self.commands,
                 self.stop,
             )
             .await;
-        admitted.used(listening.tokens().saturating_add(job.work.prompt_tokens));
-        match heard {
-            Ok(()) => Ok(listening.whole()),
-            Err(fault) => Err((fault, listening.partial())),
+        admitted.used(
+            recorder
+                .token_count()
+                .saturating_add(job.work.prompt_tokens),
+        );
+        match recorded {
+            Ok(()) => Ok(recorder.into_completion()),
+            Err(fault) => Err((fault, recorder.into_partial())),
         }
     }
 
@@ -95,7 +98,7 @@
         let request_id = request_id(&step.key, self.start.run);
         let prompt = step.prompt(self.start.slot).unwrap_or_default();
         let resume = self.start.resume.as_ref();
-        let ask = Ask {
+        let completion = CompletionBody {
             model: self.model.name.as_str(),
             prompt,
             max_tokens: step.max_tokens,
@@ -106,8 +109,8 @@
             request_id: &request_id,
             resume_tokens: resume.map_or(&[], |partial| &partial.tokens),
         };
-        // Text and numbers always serialise.
-        let body = serde_json::to_vec(&ask).unwrap_or_default();
+        // Serialization cannot fail: the body contains only text and numbers.
+        let body = serde_json::to_vec(&completion).unwrap_or_default();
         let work = crate::completion::work(prompt, u64::from(step.max_tokens));
         let content = [prompt.as_bytes()];
         let job = Job {
@@ -130,18 +133,19 @@
     }
 }
 
-/// The same for every run of a slot would let one cancel another at the engine.
+/// The id contains the number of the run. If all runs of a slot had the same id, cancelling one
+/// would cancel the others at the engine.
 fn request_id(key: &StepKey, run: RunId) -> String {
     format!("{}.{}.{}.{}", key.customer, key.service, key.step, run.0)
 }
 
-/// All replicas but the one that the ledger chose are passed over.
-fn place(gateway: &Gateway, job: &Job, to: std::net::SocketAddr) -> Where {
+/// Excludes all replicas except the one that the ledger has chosen.
+fn only_replica(gateway: &Gateway, job: &Job, to: std::net::SocketAddr) -> Where {
     let service = &job.service;
     let state = gateway.services.get(&service.owner, &service.name);
     let table = state.map(|state| state.table());
-    let nodes = table.iter().flat_map(|table| table.replica_states());
-    let others = nodes.map(|slot| slot.replica.node);
+    let replicas = table.iter().flat_map(|table| table.replica_states());
+    let others = replicas.map(|state| state.replica.node);
     Where {
         exclude: others.filter(|node| node.address != to).collect(),
         only: true,
@@ -149,8 +153,9 @@
     }
 }
 
-/// What a failed call says to the ledger, and of its replica.
-pub fn fault(failure: Failure) -> RunFault {
+/// Maps the failure of a call to the fault for the ledger, and decides whether the replica caused
+/// it.
+pub fn run_fault(failure: Failure) -> RunFault {
     let fault = match (failure.cause, failure.run) {
         (Cause::Quarantined, _) => Fault::Quarantined,
         (_, RunState::NotRun) => Fault::Refused,
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Entries and agents on loopback between stand-ins of the platform.
-#![allow(dead_code, clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+//! Entries and agents on loopback, with stand-ins for the platform.
+#![allow(dead_code, clippy::unwrap_used)] // The exemption in clippy.toml does not cover helper functions.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -33,17 +33,17 @@
 const LOOPBACK: &str = "127.0.0.1:0";
 const KEY: [u8; 32] = [7; 32];
 const DOMAINS: [&str; 3] = ["rennes-a", "brest-b", "vannes-c"];
-/// Far above what anything here takes; only a test that fails reaches it.
-pub const PATIENCE: Duration = Duration::from_secs(60);
-/// Between two looks at something that is waited for.
-const LOOK: Duration = Duration::from_millis(20);
+/// Much longer than any operation in the tests takes; only a failing test reaches it.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval at which a condition is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 pub const CLERK: &str = "clerk-token";
 pub const TRAINER: &str = "trainer-token";
 pub const OPERATOR: &str = "operator-token";
 
-/// The Office's text with digests of the tokens above.
-fn office(requests_per_s: u32) -> String {
+/// The configuration of customer `office`, with the digests of the tokens above.
+fn office_config(requests_per_s: u32) -> String {
     let limit = format!("requests_per_s = {requests_per_s}");
     let mut text = OFFICE.replace("requests_per_s = 5000", &limit);
     for (name, role, token) in [
@@ -82,21 +82,21 @@
     LOOPBACK.parse().unwrap()
 }
 
-/// What a site has.
-pub struct Plan {
+/// Processes and limits of a [`Site`].
+pub struct SiteSettings {
     pub entries: usize,
     pub engines: usize,
     pub services: usize,
-    /// Time of one call of a plain service.
+    /// Time that a plain service takes for one call.
     pub service_ms: u64,
-    /// Limit of the customer.
+    /// Rate limit of customer `office`.
     pub requests_per_s: u32,
-    /// The operator's ceilings.
+    /// Ceilings configured by the operator.
     pub ceilings: Ceilings,
     pub tuning: Tuning,
 }
 
-impl Default for Plan {
+impl Default for SiteSettings {
     fn default() -> Self {
         Self {
             entries: 2,
@@ -110,7 +110,7 @@
     }
 }
 
-/// A running process; dropped, it ends at once.
+/// A running process, which is aborted when dropped.
 pub struct Process {
     /// Public address of an entry; admin address of an agent.
     pub address: SocketAddr,
@@ -120,14 +120,17 @@
 }
 
 impl Process {
-    /// Begins to leave.
-    pub fn leave(&mut self) {
+    /// Signals the process to drain and leave.
+    pub fn start_leaving(&mut self) {
         let _ = self.stop.take().unwrap().send(());
     }
 
-    /// Waits until it has left.
-    pub async fn left(&mut self) {
-        timeout(PATIENCE, &mut self.task).await.unwrap().unwrap();
+    /// Waits until the process has ended.
+    pub async fn wait_until_left(&mut self) {
+        timeout(TEST_TIMEOUT, &mut self.task)
+            .await
+            .unwrap()
+            .unwrap();
     }
 }
 
@@ -137,7 +140,7 @@
     }
 }
 
-/// A site with its platform.
+/// Entries, agents and endpoints, with stand-ins for the log and the VM list.
 pub struct Site {
     pub log: Handle,
     pub vms: Handle,
@@ -148,19 +151,19 @@
 }
 
 impl Site {
-    /// Starts everything, publishes the Office's text and waits until every entry knows
-    /// it and sees every replica.
-    pub async fn start(plan: Plan) -> Site {
+    /// Starts all processes, publishes the configuration and waits until every entry has it and
+    /// sees every replica.
+    pub async fn start(site_settings: SiteSettings) -> Site {
         let log = log::start(LogSettings::new(loopback())).await.unwrap();
         let vms = vms::start(VmsSettings::new(loopback())).await.unwrap();
         let mut engines = Vec::new();
-        for _ in 0..plan.engines {
+        for _ in 0..site_settings.engines {
             engines.push(engine::start(engine_settings()).await.unwrap());
         }
         let mut services = Vec::new();
-        for _ in 0..plan.services {
+        for _ in 0..site_settings.services {
             let settings = ServiceSettings {
-                service_ms: plan.service_ms,
+                service_ms: site_settings.service_ms,
                 ..ServiceSettings::new(loopback(), "guichet")
             };
             services.push(service::start(settings).await.unwrap());
@@ -173,22 +176,25 @@
             entries: Vec::new(),
             agents: Vec::new(),
         };
-        site.start_processes(&plan).await;
-        site.publish(&office(plan.requests_per_s)).await;
-        site.seen(&plan).await;
+        site.start_processes(&site_settings).await;
+        site.publish(&office_config(site_settings.requests_per_s))
+            .await;
+        site.wait_until_ready(&site_settings).await;
         site
     }
 
-    async fn start_processes(&mut self, plan: &Plan) {
+    async fn start_processes(&mut self, site_settings: &SiteSettings) {
         let mut bound = Vec::new();
         let mut listed = Vec::new();
-        for number in 0..plan.entries {
+        for number in 0..site_settings.entries {
             let settings = EntrySettings {
                 common: self.common(number),
                 listen: loopback(),
-                ceilings: plan.ceilings,
+                ceilings: site_settings.ceilings,
             };
-            let entry = Entry::bind(settings, plan.tuning.clone()).await.unwrap();
+            let entry = Entry::bind(settings, site_settings.tuning.clone())
+                .await
+                .unwrap();
             listed.push(vm(entry.inner_address(), VmRole::Entry, number));
             bound.push(entry);
         }
@@ -206,7 +212,7 @@
             listed.push(vm(agent.inner_address(), VmRole::Agent, number));
             agents.push(agent);
         }
-        self.list(&listed).await;
+        self.list_vms(&listed).await;
         for agent in agents {
             let admin = agent.admin_address().unwrap();
             let run = |stop| async { agent.run(stop).await.unwrap() };
@@ -215,10 +221,10 @@
         bound.into_iter().for_each(|entry| self.run(entry));
     }
 
-    async fn list(&self, vms: &[Vm]) {
+    async fn list_vms(&self, vms: &[Vm]) {
         let set = json!({ "set": vms, "remove": [] }).to_string();
-        let ask = Ask::post("/standin/vms", set);
-        assert_eq!(ask.send(self.vms.address).await.status, StatusCode::OK);
+        let request = TestRequest::post("/standin/vms", set);
+        assert_eq!(request.send(self.vms.address).await.status, StatusCode::OK);
     }
 
     fn run(&mut self, entry: Entry) {
@@ -228,7 +234,7 @@
         self.entries.push(spawn(address, admin, run));
     }
 
-    /// Starts a further entry with this key and lists it; gives its number.
+    /// Starts another entry with this shared key and adds it to the VM list. Returns its index.
     pub async fn add_entry(&mut self, key: [u8; 32]) -> usize {
         let number = self.entries.len();
         let settings = EntrySettings {
@@ -241,30 +247,30 @@
         };
         let entry = Entry::bind(settings, Tuning::default()).await.unwrap();
         let listed = vm(entry.inner_address(), VmRole::Entry, number);
-        self.list(&[listed]).await;
+        self.list_vms(&[listed]).await;
         self.run(entry);
         number
     }
 
-    /// The status page of an entry once it says this.
+    /// Polls the status page of an entry until `field` has `value`, and returns the page.
     pub async fn wait_for_status(&self, entry: usize, field: &str, value: &str) -> Value {
         let admin = self.entries[entry].admin;
-        let until = async {
+        let polling = async {
             loop {
-                let status = Ask::get("/status").send(admin).await.json();
+                let status = TestRequest::get("/status").send(admin).await.json();
                 if status[field] == value {
                     return status;
                 }
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        timeout(PATIENCE, until).await.unwrap()
+        timeout(TEST_TIMEOUT, polling).await.unwrap()
     }
 
-    /// Status of a page at the admin address.
-    pub async fn admin(&self, entry: usize, path: &str) -> u16 {
+    /// HTTP status of a page at the admin address.
+    pub async fn admin_status(&self, entry: usize, path: &str) -> u16 {
         let admin = self.entries[entry].admin;
-        Ask::get(path).send(admin).await.status.as_u16()
+        TestRequest::get(path).send(admin).await.status.as_u16()
     }
 
     async fn bind_agent(&self, number: usize, endpoint: SocketAddr, kind: EndpointKind) -> Sidecar {
@@ -311,51 +317,56 @@
         client.append("config", &record).await.unwrap();
     }
 
-    /// Waits until each entry is ready and sees every replica.
-    async fn seen(&self, plan: &Plan) {
-        let wanted = [("redacteurs", plan.engines), ("guichet", plan.services)];
-        let until = async {
+    /// Waits until every entry is ready and sees every replica.
+    async fn wait_until_ready(&self, site_settings: &SiteSettings) {
+        let wanted = [
+            ("redacteurs", site_settings.engines),
+            ("guichet", site_settings.services),
+        ];
+        let polling = async {
             for entry in &self.entries {
-                while !sees(entry, &wanted).await {
-                    tokio::time::sleep(LOOK).await;
+                while !is_ready_with(entry, &wanted).await {
+                    tokio::time::sleep(POLL_INTERVAL).await;
                 }
             }
         };
-        timeout(PATIENCE, until).await.unwrap();
+        timeout(TEST_TIMEOUT, polling).await.unwrap();
     }
 
-    /// Sends until the answer is 200.
-    pub async fn answered(&self, entry: usize, ask: &Ask) -> Answer {
-        let until = async {
+    /// Repeats the request until it is answered with status 200.
+    pub async fn send_until_ok(&self, entry: usize, request: &TestRequest) -> Answer {
+        let polling = async {
             loop {
-                let answer = ask.send(self.entries[entry].address).await;
+                let answer = request.send(self.entries[entry].address).await;
                 if answer.status == StatusCode::OK {
                     return answer;
                 }
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        timeout(PATIENCE, until).await.unwrap()
+        timeout(TEST_TIMEOUT, polling).await.unwrap()
     }
 
-    pub async fn send(&self, entry: usize, ask: &Ask) -> Answer {
-        ask.send(self.entries[entry].address).await
+    pub async fn send(&self, entry: usize, request: &TestRequest) -> Answer {
+        request.send(self.entries[entry].address).await
     }
 
-    /// How often calls with this tag ran, over all plain services.
-    pub async fn runs(&self, tag: &str) -> u64 {
+    /// Number of times that calls with this tag ran at the plain services.
+    pub async fn run_count(&self, tag: &str) -> u64 {
         let mut runs = 0;
         for service in &self.services {
-            let answer = Ask::get("/standin/runs").send(service.address).await;
+            let answer = TestRequest::get("/standin/runs")
+                .send(service.address)
+                .await;
             runs += answer.json()[tag].as_u64().unwrap_or(0);
         }
         runs
     }
 }
 
-/// Whether an entry is ready and sees so many replicas of each service.
-async fn sees(entry: &Process, wanted: &[(&str, usize)]) -> bool {
-    let status = Ask::get("/status").send(entry.admin).await.json();
+/// Whether an entry is ready and sees the given number of replicas of each service.
+async fn is_ready_with(entry: &Process, wanted: &[(&str, usize)]) -> bool {
+    let status = TestRequest::get("/status").send(entry.admin).await.json();
     let replicas = |service: &str| {
         let mut services = status["services"].as_array()?.iter();
         let found = services.find(|found| found["service"] == service)?;
@@ -401,7 +412,7 @@
 {
     let (stop, stopped) = oneshot::channel::<()>();
     let stopped = Box::pin(async move {
-        // A test that drops the process aborts it instead.
+        // A dropped sender means that the process was dropped, which aborts the task.
         if stopped.await.is_err() {
             std::future::pending::<()>().await;
         }
@@ -423,16 +434,16 @@
 
 /// A request of a caller.
 #[derive(Clone)]
-pub struct Ask {
+pub struct TestRequest {
     pub method: Method,
     pub path: String,
     pub headers: Vec<(&'static str, String)>,
     pub body: String,
 }
 
-impl Ask {
-    pub fn get(path: &str) -> Ask {
-        Ask {
+impl TestRequest {
+    pub fn get(path: &str) -> TestRequest {
+        TestRequest {
             method: Method::GET,
             path: path.to_owned(),
             headers: vec![("authorization", format!("Bearer {CLERK}"))],
@@ -440,28 +451,28 @@
         }
     }
 
-    pub fn post(path: &str, body: impl Into<String>) -> Ask {
-        Ask {
+    pub fn post(path: &str, body: impl Into<String>) -> TestRequest {
+        TestRequest {
             method: Method::POST,
             body: body.into(),
-            ..Ask::get(path)
+            ..TestRequest::get(path)
         }
     }
 
-    /// The same without this header's earlier value.
-    pub fn with(mut self, name: &'static str, value: impl Into<String>) -> Ask {
+    /// Sets a header, replacing an earlier value.
+    pub fn with_header(mut self, name: &'static str, value: impl Into<String>) -> TestRequest {
         self.headers.retain(|(other, _)| *other != name);
         self.headers.push((name, value.into()));
         self
     }
 
-    pub fn by(self, token: &str) -> Ask {
-        self.with("authorization", format!("Bearer {token}"))
+    pub fn with_token(self, token: &str) -> TestRequest {
+        self.with_header("authorization", format!("Bearer {token}"))
     }
 
-    /// Sends it on a connection of its own and reads the answer to its end.
+    /// Sends the request on a new connection and reads the answer to its end.
     pub async fn send(&self, to: SocketAddr) -> Answer {
-        timeout(PATIENCE, self.exchange(to)).await.unwrap()
+        timeout(TEST_TIMEOUT, self.exchange(to)).await.unwrap()
     }
 
     async fn exchange(&self, to: SocketAddr) -> Answer {
@@ -482,13 +493,13 @@
             .unwrap();
         let (head, mut body) = response.into_parts();
         let mut bytes = Vec::new();
-        let mut whole = true;
+        let mut is_complete = true;
         while let Some(frame) = body.frame().await {
             match frame {
                 Ok(frame) => bytes.extend_from_slice(&frame.into_data().unwrap_or_default()),
-                Err(_) => whole = false,
+                Err(_) => is_complete = false,
             }
-            if !whole {
+            if !is_complete {
                 break;
             }
         }
@@ -497,19 +508,19 @@
             status: head.status,
             headers: head.headers,
             body: bytes,
-            whole,
+            is_complete,
         }
     }
 }
 
-/// An answer as its caller sees it.
+/// An answer as the caller receives it.
 #[derive(Debug)]
 pub struct Answer {
     pub status: StatusCode,
     pub headers: http::HeaderMap,
     pub body: Vec<u8>,
-    /// It ended at its stated end.
-    pub whole: bool,
+    /// Whether the body ended without an error.
+    pub is_complete: bool,
 }
 
 impl Answer {
@@ -547,7 +558,7 @@
         (self.status.as_u16(), text("outcome"), text("cause"))
     }
 
-    /// Chunks of a completions stream.
+    /// Chunks of a streamed completion.
     pub fn chunks(&self) -> Vec<Value> {
         let lines = self.text().lines();
         let data = lines.filter_map(|line| line.strip_prefix("data: "));
@@ -559,14 +570,14 @@
         self.chunks().pop().unwrap()
     }
 
-    /// Ids of the completions that a stream names.
+    /// Distinct completion ids in a streamed completion.
     pub fn ids(&self) -> BTreeSet<String> {
         let chunks = self.chunks().into_iter();
         chunks.map(|chunk| chunk["id"].to_string()).collect()
     }
 
-    /// Texts of the pieces of a completions stream.
-    pub fn pieces(&self) -> Vec<String> {
+    /// Texts of the chunks of a streamed completion.
+    pub fn texts(&self) -> Vec<String> {
         let chunks = self.chunks().into_iter();
         chunks
             .filter_map(|chunk| Some(chunk["choices"][0]["text"].as_str()?.to_owned()))
