--- a/components/gateway/src/admission.rs
+++ b/components/gateway/src/admission.rs
@@ -24,7 +24,7 @@
 
 impl Admitted {
     /// Gives back the tokens that the request did not use.
-    pub fn used(&mut self, tokens: u32) {
+    pub fn refund_unused(&mut self, tokens: u32) {
         self.in_progress.refund_unused(tokens);
     }
 }
--- a/components/gateway/src/answer.rs
+++ b/components/gateway/src/answer.rs
@@ -13,13 +13,13 @@
 use types::{Cause, Failure, RunState};
 
 use crate::admission::{Admitted, admit};
-use crate::attempt::{Attempt, Where};
-use crate::body::{AnswerBroken, Body, full, streamed};
+use crate::attempt::{Attempt, ReplicaConstraints};
+use crate::body::{AnswerInterrupted, Body, full, streamed};
 use crate::completion;
-use crate::exchange::Exchange;
 use crate::gateway::Gateway;
 use crate::job::Job;
 use crate::rejection::Rejection;
+use crate::retried_call::RetriedCall;
 use crate::trace::Trace;
 
 /// An answer of a stated length up to this is taken whole before it goes on, so that one
@@ -27,34 +27,39 @@
 const COLLECTED_BYTES_MAX: usize = 64 * 1024;
 
 /// A request that is being answered, with all that it holds.
-pub struct Answering {
+pub struct ActiveRequest {
     /// The request and its attempts.
-    pub exchange: Exchange,
+    pub retried_call: RetriedCall,
     /// What it holds.
     pub admitted: Admitted,
     /// What is recorded of it.
     pub trace: Trace,
 }
 
-impl Answering {
+impl ActiveRequest {
     /// Lets a request in, or refuses it.
-    pub async fn begin(
+    pub async fn admit(
         gateway: &Arc<Gateway>,
         job: Job,
         arrived_ms: u64,
-    ) -> Result<Answering, Failure> {
+    ) -> Result<ActiveRequest, Failure> {
         let mut trace = Trace::new(gateway.metrics.clone(), &job, arrived_ms);
         let admitted = match admit(gateway, &job).await {
             Ok(admitted) => admitted,
             Err(failure) => {
-                trace.failed(failure);
+                trace.record_failure(failure);
                 return Err(failure);
             }
         };
         let account = Arc::clone(&admitted.account);
-        let exchange = Exchange::new(Arc::clone(gateway), account, job, Where::default());
-        Ok(Answering {
-            exchange,
+        let retried_call = RetriedCall::new(
+            Arc::clone(gateway),
+            account,
+            job,
+            ReplicaConstraints::default(),
+        );
+        Ok(ActiveRequest {
+            retried_call,
             admitted,
             trace,
         })
@@ -65,9 +70,9 @@
         let answered = self.answered(&body).await;
         match answered {
             Ok((head, Content::Whole(bytes))) => {
-                self.trace.first_byte();
-                self.trace.answered(head.status);
-                self.give_back_tokens(&bytes);
+                self.trace.record_first_byte();
+                self.trace.record_answer(head.status);
+                self.refund_unused_tokens(&bytes);
                 response(&head, full(bytes))
             }
             Ok((head, Content::Comes(attempt))) => {
@@ -75,9 +80,9 @@
                 response(&head, self.pass_on(status, *attempt))
             }
             Err(failure) => {
-                self.trace.failed(failure);
+                self.trace.record_failure(failure);
                 if failure.run == RunState::NotRun {
-                    self.admitted.used(0);
+                    self.admitted.refund_unused(0);
                 }
                 Err(failure.into())
             }
@@ -85,24 +90,24 @@
     }
 
     /// A completion that states its use costs only that.
-    pub fn give_back_tokens(&mut self, answer: &[u8]) {
-        if self.exchange.job.service.kind == ServiceKind::Model
+    pub fn refund_unused_tokens(&mut self, answer: &[u8]) {
+        if self.retried_call.job.service.kind == ServiceKind::Model
             && let Some(tokens) = completion::used_tokens(answer)
         {
-            self.admitted.used(tokens);
+            self.admitted.refund_unused(tokens);
         }
     }
 
     async fn answered(&mut self, body: &Bytes) -> Result<(Head, Content), Failure> {
         loop {
-            let (head, mut attempt) = self.exchange.head(body).await?;
-            if !self.exchange.job.idempotent || !is_short(&head) {
+            let (head, mut attempt) = self.retried_call.send(body).await?;
+            if !self.retried_call.job.idempotent || !is_short(&head) {
                 return Ok((head, Content::Comes(Box::new(attempt))));
             }
             match whole(&mut attempt).await {
                 Ok(bytes) => return Ok((head, Content::Whole(bytes))),
                 // The caller has seen nothing of it yet.
-                Err(failure) => self.exchange.again(failure, Delivered::Nothing).await?,
+                Err(failure) => self.retried_call.retry(failure, Delivered::Nothing).await?,
             };
         }
     }
@@ -110,7 +115,7 @@
     /// The rest of an answer as it comes. When the stream is dropped, the call is
     /// cancelled; when it breaks, the caller's connection is cut.
     pub fn pass_on(self, status: u16, attempt: Attempt) -> Body {
-        let deadline_at_ms = self.exchange.job.deadline_at_ms;
+        let deadline_at_ms = self.retried_call.job.deadline_at_ms;
         let passing = Passing {
             answering: self,
             attempt,
@@ -127,27 +132,27 @@
 }
 
 struct Passing {
-    answering: Answering,
+    answering: ActiveRequest,
     attempt: Attempt,
     status: u16,
 }
 
 impl Passing {
-    async fn next(mut self) -> Option<(Result<Bytes, AnswerBroken>, Option<Self>)> {
+    async fn next(mut self) -> Option<(Result<Bytes, AnswerInterrupted>, Option<Self>)> {
         loop {
             match self.attempt.next().await {
                 CallEvent::Accepted | CallEvent::Started | CallEvent::Head(_) => {}
                 CallEvent::Chunk(bytes) => {
-                    self.answering.trace.first_byte();
+                    self.answering.trace.record_first_byte();
                     return Some((Ok(bytes), Some(self)));
                 }
                 CallEvent::End => {
-                    self.answering.trace.answered(self.status);
+                    self.answering.trace.record_answer(self.status);
                     return None;
                 }
                 CallEvent::Failed(failure) => {
-                    self.answering.trace.failed(failure);
-                    return Some((Err(AnswerBroken::Cut(failure)), None));
+                    self.answering.trace.record_failure(failure);
+                    return Some((Err(AnswerInterrupted::CallFailed(failure)), None));
                 }
             }
         }
--- a/components/gateway/src/answer_broken.rs
+++ b/components/gateway/src/answer_interrupted.rs
@@ -7,9 +7,9 @@
     /// An answer that ends before its stated end. `hyper` then aborts the connection, so
     /// that the caller can't take what it has for the whole.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-    pub enum AnswerBroken {
+    pub enum AnswerInterrupted {
         /// The call failed after part of its answer was given.
-        Cut(failure: Failure) {
+        CallFailed(failure: Failure) {
             display("the answer was cut: {}", failure)
         }
     }
--- a/components/gateway/src/attempt.rs
+++ b/components/gateway/src/attempt.rs
@@ -22,13 +22,13 @@
 
 /// What an attempt may be sent to.
 #[derive(Clone, Debug, Default)]
-pub struct Where {
+pub struct ReplicaConstraints {
     /// Replicas not to be taken, unless there is no other.
     pub exclude: Vec<NodeId>,
     /// Not even then.
-    pub only: bool,
+    pub strict: bool,
     /// Lowest weight version that will do.
-    pub at_least: Option<WeightVersion>,
+    pub min_version: Option<WeightVersion>,
 }
 
 /// An attempt in progress. Dropped before its last event, it is cancelled.
@@ -53,9 +53,9 @@
         gateway: &Gateway,
         job: &Job,
         body: Bytes,
-        place: &Where,
+        constraints: &ReplicaConstraints,
     ) -> Result<Attempt, Failure> {
-        let (table, held) = take_replica(gateway, job, place).await?;
+        let (table, held) = take_replica(gateway, job, constraints).await?;
         let node = held.choice.node;
         let life = EndpointLife::now(gateway, job, node);
         let links = gateway.links_for(job.idempotent);
@@ -161,7 +161,7 @@
 async fn take_replica(
     gateway: &Gateway,
     job: &Job,
-    place: &Where,
+    constraints: &ReplicaConstraints,
 ) -> Result<(Arc<Table>, Held), Failure> {
     let service = &job.service;
     let state = gateway.services.get(&service.owner, &service.name);
@@ -173,9 +173,9 @@
             return Err(Failure::not_run(Cause::DeadlinePassed));
         }
         let table = state.table();
-        let choice = match choose(gateway, job, &table, place, &apart, now_ms) {
+        let choice = match choose(gateway, job, &table, constraints, &apart, now_ms) {
             // Every other replica has a suspect that is tried apart there; it ends soon.
-            Err(_) if !apart.is_empty() && !place.only => {
+            Err(_) if !apart.is_empty() && !constraints.strict => {
                 apart.clear();
                 pause(job, APART_MS).await;
                 continue;
@@ -230,14 +230,14 @@
     gateway: &Gateway,
     job: &Job,
     table: &Table,
-    place: &Where,
+    constraints: &ReplicaConstraints,
     apart: &[NodeId],
     now_ms: u64,
 ) -> Result<Choice, Failure> {
-    let both = [&place.exclude, apart].concat();
-    let choice = match choose_but(gateway, job, table, place, both, now_ms) {
-        Err(ChoiceError::Tried) if !place.only && !place.exclude.is_empty() => {
-            choose_but(gateway, job, table, place, apart.to_vec(), now_ms)
+    let both = [&constraints.exclude, apart].concat();
+    let choice = match choose_but(gateway, job, table, constraints, both, now_ms) {
+        Err(ChoiceError::Tried) if !constraints.strict && !constraints.exclude.is_empty() => {
+            choose_but(gateway, job, table, constraints, apart.to_vec(), now_ms)
         }
         choice => choice,
     };
@@ -248,7 +248,7 @@
     gateway: &Gateway,
     job: &Job,
     table: &Table,
-    place: &Where,
+    constraints: &ReplicaConstraints,
     mut tried: Vec<NodeId>,
     now_ms: u64,
 ) -> Result<Choice, ChoiceError> {
@@ -256,7 +256,7 @@
         let requirements = Requirements {
             work: job.work,
             tried: &tried,
-            min_version: place.at_least,
+            min_version: constraints.min_version,
             may_probe: job.idempotent,
             ..Requirements::default()
         };
--- a/components/gateway/src/auth.rs
+++ b/components/gateway/src/auth.rs
@@ -7,8 +7,8 @@
 use http::header::AUTHORIZATION;
 use types::{CustomerName, Role, ServiceName};
 
+use crate::paths::Target;
 use crate::rejection::Rejection;
-use crate::target::Target;
 
 const SCHEME: &str = "bearer";
 /// Longest token, in bytes; a longer one is not hashed.
--- a/components/gateway/src/body.rs
+++ b/components/gateway/src/body.rs
@@ -11,7 +11,7 @@
 use crate::connections::Busy;
 use crate::delivery::{Cut, Received, deliver};
 
-pub use crate::answer_broken::AnswerBroken;
+pub use crate::answer_interrupted::AnswerInterrupted;
 
 /// Body of an answer.
 pub struct Body {
@@ -51,7 +51,7 @@
 /// A body of parts as they come. `parts` is dropped when it has ended, when the caller is
 /// gone, and when the caller does not take the parts in time.
 pub fn streamed(
-    parts: impl Stream<Item = Result<Bytes, AnswerBroken>> + Send + 'static,
+    parts: impl Stream<Item = Result<Bytes, AnswerInterrupted>> + Send + 'static,
     deadline_at_ms: u64,
 ) -> Body {
     Body::new(Kind::Parts(deliver(parts, deadline_at_ms)))
@@ -59,12 +59,12 @@
 
 impl HttpBody for Body {
     type Data = Bytes;
-    type Error = AnswerBroken;
+    type Error = AnswerInterrupted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerBroken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, AnswerInterrupted>>> {
         match &mut self.get_mut().kind {
             Kind::Full(full) => Pin::new(full)
                 .poll_frame(cx)
--- a/components/gateway/src/calls.rs
+++ b/components/gateway/src/calls.rs
@@ -6,19 +6,19 @@
 use http::Response;
 use routing::Work;
 
-use crate::answer::Answering;
+use crate::answer::ActiveRequest;
 use crate::body::Body;
 use crate::gateway::Gateway;
-use crate::incoming::RequestBody;
-use crate::intake::{Intake, need_kind};
 use crate::keyed::{self, Keyed};
+use crate::paths::Target;
 use crate::rejection::Rejection;
-use crate::target::Target;
+use crate::request_body::RequestBody;
+use crate::request_context::{RequestContext, require_kind};
 
 /// Serves a plain call.
 pub async fn serve<B>(
     gateway: Arc<Gateway>,
-    intake: Intake,
+    context: RequestContext,
     target: Target,
     path: String,
     body: B,
@@ -26,22 +26,22 @@
 where
     B: RequestBody,
 {
-    let service = intake.session.callable(&target)?;
-    need_kind(&service, ServiceKind::Plain)?;
-    let deadline_at_ms = intake.deadline_at_ms(service.deadline_ms);
-    let body = intake.body(body, deadline_at_ms).await?;
-    let method = intake.parts.method.as_str();
+    let service = context.session.callable(&target)?;
+    require_kind(&service, ServiceKind::Plain)?;
+    let deadline_at_ms = context.deadline_at_ms(service.deadline_ms);
+    let body = context.body(body, deadline_at_ms).await?;
+    let method = context.parts.method.as_str();
     let content = [method.as_bytes(), path.as_bytes(), &body];
-    let job = intake.job(&service, path.clone(), Work::default(), &content)?;
+    let job = context.job(&service, path.clone(), Work::default(), &content)?;
     // A request that may run again needs nobody's leave for it.
-    if let Some(key) = intake.wishes.key.as_deref().filter(|_| !job.idempotent) {
+    if let Some(key) = context.options.key.as_deref().filter(|_| !job.idempotent) {
         let keyed = Keyed {
             key,
             content: &body,
             body: body.clone(),
         };
-        return keyed::serve(&gateway, job, intake.arrived_ms, keyed).await;
+        return keyed::serve(&gateway, job, context.arrived_ms, keyed).await;
     }
-    let answering = Answering::begin(&gateway, job, intake.arrived_ms).await?;
+    let answering = ActiveRequest::admit(&gateway, job, context.arrived_ms).await?;
     answering.relay(body).await
 }
--- a/components/gateway/src/completion_stream.rs
+++ b/components/gateway/src/completion_stream.rs
@@ -16,9 +16,9 @@
 use recovery::{Delivered, Resume};
 use types::{Cause, Failure, RunState};
 
-use crate::answer::{Answering, response};
+use crate::answer::{ActiveRequest, response};
 use crate::attempt::Attempt;
-use crate::body::{AnswerBroken, Body, streamed};
+use crate::body::{AnswerInterrupted, Body, streamed};
 use crate::problem;
 use crate::rejection::Rejection;
 use crate::resumed::Begun;
@@ -108,10 +108,10 @@
 /// The head goes with the first event: engines send theirs before they have begun, and a
 /// request that fails up to there still gets its status and problem document.
 pub async fn serve(
-    mut answering: Answering,
+    mut answering: ActiveRequest,
     body: impl Fn(&[u32]) -> Bytes + Send + 'static,
 ) -> Result<Response<Body>, Rejection> {
-    match answering.exchange.head(&body(&[])).await {
+    match answering.retried_call.send(&body(&[])).await {
         Ok((head, attempt)) if head.status == OK => {
             let streaming = Streaming {
                 answering,
@@ -124,7 +124,7 @@
         // A refusal of the engine's own is no stream; it goes on as it is.
         Ok((head, attempt)) => response(&head.clone(), answering.pass_on(head.status, attempt)),
         Err(failure) => {
-            answering.trace.failed(failure);
+            answering.trace.record_failure(failure);
             Err(failure.into())
         }
     }
@@ -141,7 +141,7 @@
 }
 
 struct Streaming<F> {
-    answering: Answering,
+    answering: ActiveRequest,
     attempt: Attempt,
     said: Said,
     body: F,
@@ -158,10 +158,10 @@
     async fn respond(mut self, head: &Head) -> Result<Response<Body>, Rejection> {
         let first = self.next().await;
         if let Next::Broken(failure) = first {
-            self.answering.trace.failed(failure);
+            self.answering.trace.record_failure(failure);
             return Err(failure.into());
         }
-        let deadline_at_ms = self.answering.exchange.job.deadline_at_ms;
+        let deadline_at_ms = self.answering.retried_call.job.deadline_at_ms;
         let state = State::Begun(first, Box::new(self));
         let events = stream::unfold(state, |state| async { state.next().await });
         response(head, streamed(events, deadline_at_ms))
@@ -187,13 +187,13 @@
     }
 
     /// The answer costs only the tokens that were made.
-    fn give_back_tokens(&mut self) {
+    fn refund_unused_tokens(&mut self) {
         let made = u32::try_from(self.said.token_ids.len()).unwrap_or(u32::MAX);
-        let prompt_tokens = self.answering.exchange.job.work.prompt_tokens;
+        let prompt_tokens = self.answering.retried_call.job.work.prompt_tokens;
         if !self.said.unnamed {
             self.answering
                 .admitted
-                .used(made.saturating_add(prompt_tokens));
+                .refund_unused(made.saturating_add(prompt_tokens));
         }
     }
 
@@ -202,14 +202,14 @@
         self.said.cut();
         loop {
             let flowed = self.said.flowed();
-            let resume = self.answering.exchange.again(failure, flowed).await?;
+            let resume = self.answering.retried_call.retry(failure, flowed).await?;
             let tokens: &[u32] = match resume {
                 Resume::FromStart => &[],
                 Resume::FromTokens => &self.said.token_ids,
             };
             self.said.begun.tokens = tokens.len() as u64;
             let body = (self.body)(tokens);
-            let (head, attempt) = self.answering.exchange.head(&body).await?;
+            let (head, attempt) = self.answering.retried_call.send(&body).await?;
             if head.status == OK {
                 self.attempt = attempt;
                 return Ok(());
@@ -226,7 +226,7 @@
     Ended,
 }
 
-type Item<F> = Option<(Result<Bytes, AnswerBroken>, State<F>)>;
+type Item<F> = Option<(Result<Bytes, AnswerInterrupted>, State<F>)>;
 
 impl<F: Fn(&[u32]) -> Bytes + Send + 'static> State<F> {
     async fn next(self) -> Item<F> {
@@ -237,23 +237,23 @@
                 // `hyper` drops what it has not flushed when a body fails, and it flushes
                 // when a body has nothing at the moment; the event would not be seen.
                 tokio::task::yield_now().await;
-                return Some((Err(AnswerBroken::Cut(failure)), State::Ended));
+                return Some((Err(AnswerInterrupted::CallFailed(failure)), State::Ended));
             }
             State::Ended => return None,
         };
         match next {
             Next::Bytes(bytes) => {
-                streaming.answering.trace.first_byte();
+                streaming.answering.trace.record_first_byte();
                 Some((Ok(bytes), State::Running(streaming)))
             }
             Next::Whole => {
-                streaming.answering.trace.answered(OK);
-                streaming.give_back_tokens();
+                streaming.answering.trace.record_answer(OK);
+                streaming.refund_unused_tokens();
                 None
             }
             Next::Broken(failure) => {
                 let event = broken_event(&streaming.answering, failure);
-                streaming.answering.trace.failed(failure);
+                streaming.answering.trace.record_failure(failure);
                 Some((Ok(event), State::Breaking(failure)))
             }
         }
@@ -262,8 +262,8 @@
 
 /// Tells a caller that reads events why the stream breaks; the cut that follows tells
 /// every other one.
-fn broken_event(answering: &Answering, failure: Failure) -> Bytes {
-    let request_id = &answering.exchange.job.request_id;
+fn broken_event(answering: &ActiveRequest, failure: Failure) -> Bytes {
+    let request_id = &answering.retried_call.job.request_id;
     let document = problem::document(&Rejection::Call(failure), request_id);
     let mut event = BytesMut::from(&b"event: error\ndata: "[..]);
     event.extend_from_slice(&document);
--- a/components/gateway/src/completions.rs
+++ b/components/gateway/src/completions.rs
@@ -5,17 +5,17 @@
 use config::ServiceKind;
 use http::{Method, Response};
 
-use crate::answer::Answering;
+use crate::answer::ActiveRequest;
 use crate::body::Body;
 use crate::completion::{Completion, priority};
 use crate::completion_stream;
 use crate::gateway::Gateway;
 use crate::headers::{DEADLINE_MS_MAX, IDEMPOTENCY_KEY};
-use crate::incoming::RequestBody;
-use crate::intake::{Intake, need_kind};
 use crate::keyed::{self, Keyed};
+use crate::paths::Target;
 use crate::rejection::Rejection;
-use crate::target::Target;
+use crate::request_body::RequestBody;
+use crate::request_context::{RequestContext, require_kind};
 
 /// Path of completions, here and at the engines.
 pub const PATH: &str = "/v1/completions";
@@ -28,29 +28,29 @@
 /// again; else its caller would take it for protected.
 pub async fn serve<B>(
     gateway: Arc<Gateway>,
-    intake: Intake,
+    context: RequestContext,
     body: B,
 ) -> Result<Response<Body>, Rejection>
 where
     B: RequestBody,
 {
-    if intake.parts.method != Method::POST {
+    if context.parts.method != Method::POST {
         return Err(Rejection::Method("POST"));
     }
     // The model stands in the body, and with it the default deadline.
-    let bytes = intake
-        .body(body, intake.deadline_at_ms(DEADLINE_MS_MAX))
+    let bytes = context
+        .body(body, context.deadline_at_ms(DEADLINE_MS_MAX))
         .await?;
     let completion = Completion::parse(&bytes)?;
-    let service = intake
+    let service = context
         .session
         .callable(&Target::parse(&completion.model)?)?;
-    need_kind(&service, ServiceKind::Model)?;
+    require_kind(&service, ServiceKind::Model)?;
     let work = completion.work();
     let content = [completion.prompt.as_bytes()];
-    let job = intake.job(&service, PATH.to_owned(), work, &content)?;
+    let job = context.job(&service, PATH.to_owned(), work, &content)?;
     let (priority, id) = (priority(job.class), job.request_id.clone());
-    let key = intake.wishes.key.as_deref().filter(|_| !job.idempotent);
+    let key = context.options.key.as_deref().filter(|_| !job.idempotent);
     if completion.stream && key.is_some() {
         return Err(Rejection::Header(IDEMPOTENCY_KEY, STREAM_KEY_ALLOWED));
     }
@@ -65,9 +65,9 @@
             content: &bytes,
             body: body(&[]),
         };
-        return keyed::serve(&gateway, job, intake.arrived_ms, keyed).await;
+        return keyed::serve(&gateway, job, context.arrived_ms, keyed).await;
     }
-    let answering = Answering::begin(&gateway, job, intake.arrived_ms).await?;
+    let answering = ActiveRequest::admit(&gateway, job, context.arrived_ms).await?;
     if stream {
         completion_stream::serve(answering, body).await
     } else {
--- a/components/gateway/src/delivery.rs
+++ b/components/gateway/src/delivery.rs
@@ -24,7 +24,7 @@
 use tokio::time::timeout;
 use types::{Cause, Failure, RunState};
 
-use crate::answer_broken::AnswerBroken;
+use crate::answer_interrupted::AnswerInterrupted;
 
 /// Parts between the task and the caller's connection.
 const PARTS_MAX: usize = 8;
@@ -53,7 +53,7 @@
 #[derive(Debug, Default)]
 struct Ending {
     whole: AtomicBool,
-    broken: OnceLock<AnswerBroken>,
+    broken: OnceLock<AnswerInterrupted>,
     given_up: AtomicBool,
     cut: OnceLock<Cut>,
 }
@@ -61,7 +61,7 @@
 impl Ending {
     fn break_with(&self, failure: Failure) {
         // The first reason stays.
-        let _ = self.broken.set(AnswerBroken::Cut(failure));
+        let _ = self.broken.set(AnswerInterrupted::CallFailed(failure));
     }
 
     fn give_up(&self) {
@@ -97,7 +97,10 @@
     }
 
     /// The next part, or the end.
-    pub fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, AnswerBroken>>> {
+    pub fn poll_next(
+        &mut self,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Bytes, AnswerInterrupted>>> {
         if let Some(bytes) = ready!(self.parts.poll_recv(cx)) {
             return Poll::Ready(Some(Ok(bytes)));
         }
@@ -110,7 +113,7 @@
             cx.waker().wake_by_ref();
             return Poll::Pending;
         }
-        let lost = AnswerBroken::Cut(Failure::new(RunState::Unknown, Cause::Internal));
+        let lost = AnswerInterrupted::CallFailed(Failure::new(RunState::Unknown, Cause::Internal));
         let broken = self.ending.broken.get().copied();
         Poll::Ready(Some(Err(broken.unwrap_or(lost))))
     }
@@ -118,7 +121,7 @@
 
 /// Hands the parts over in a task of its own.
 pub fn deliver(
-    parts: impl Stream<Item = Result<Bytes, AnswerBroken>> + Send + 'static,
+    parts: impl Stream<Item = Result<Bytes, AnswerInterrupted>> + Send + 'static,
     deadline_at_ms: u64,
 ) -> Received {
     let (sender, receiver) = mpsc::channel(PARTS_MAX);
@@ -139,7 +142,7 @@
 }
 
 async fn hand_over(
-    parts: impl Stream<Item = Result<Bytes, AnswerBroken>>,
+    parts: impl Stream<Item = Result<Bytes, AnswerInterrupted>>,
     sender: &mpsc::Sender<Bytes>,
     ending: &Ending,
 ) {
@@ -157,7 +160,7 @@
                 Ok(Err(_)) => return,
                 Err(_) => return ending.give_up(),
             },
-            Some(Err(AnswerBroken::Cut(failure))) => return ending.break_with(failure),
+            Some(Err(AnswerInterrupted::CallFailed(failure))) => return ending.break_with(failure),
             None => return ending.whole.store(true, Ordering::SeqCst),
         }
     }
--- a/components/gateway/src/gateway.rs
+++ b/components/gateway/src/gateway.rs
@@ -12,12 +12,12 @@
 
 use crate::accounts::Accounts;
 use crate::keyed::Claims;
-use crate::reach::Reach;
+use crate::reachability::PeerReachability;
 use crate::readiness::Readiness;
 use crate::services::Services;
 use crate::suspects::Quarantine;
 use crate::training::Coordinator;
-use crate::weight_news::WeightNews;
+use crate::weight_authority::WeightAuthority;
 
 /// One entry.
 pub struct Gateway {
@@ -39,13 +39,13 @@
     /// Limits and budgets of each customer.
     pub accounts: Accounts,
     /// Entries that could not be reached lately.
-    pub reach: Reach,
+    pub reachability: PeerReachability,
     /// Calls that crash endpoints.
     pub quarantine: Quarantine,
     /// Claims of idempotency keys.
     pub claims: Claims,
     /// Weight versions in force.
-    pub weights: WeightNews,
+    pub weights: WeightAuthority,
     /// Ledgers of training steps.
     pub training: Coordinator,
     /// How far it is on its way out.
--- a/components/gateway/src/news.rs
+++ b/components/gateway/src/gossip_handlers.rs
@@ -12,13 +12,13 @@
 
 use crate::gateway::Gateway;
 use crate::suspects::{Found, Quarantine};
-use crate::weight_news::WeightNews;
+use crate::weight_authority::WeightAuthority;
 
 /// Digests in one report, so that it fits a datagram.
 const DIGESTS_MAX: usize = 48;
 
 /// What comes up here and is told on.
-pub struct Sources {
+pub struct GossipSources {
     /// Versions that came in force or are to be loaded.
     pub versions: mpsc::Receiver<(ModelKey, Target)>,
     /// Calls that were condemned, and crashes.
@@ -26,7 +26,7 @@
 }
 
 /// Starts the tasks that tell them.
-pub fn start(gateway: &Arc<Gateway>, sources: Sources) {
+pub fn start(gateway: &Arc<Gateway>, sources: GossipSources) {
     tokio::spawn(tell_versions(Arc::clone(gateway), sources.versions));
     tokio::spawn(tell_found(Arc::clone(gateway), sources.condemned));
 }
@@ -70,7 +70,7 @@
 
 /// What is done with the news of others.
 pub fn hooks(
-    weights: &WeightNews,
+    weights: &WeightAuthority,
     quarantine: &Quarantine,
     leaving: &DrainSignal,
     demand: mpsc::Sender<(NodeId, DemandDigest)>,
--- a/components/gateway/src/headers.rs
+++ b/components/gateway/src/headers.rs
@@ -30,7 +30,7 @@
 
 /// What the caller says of its request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Wishes {
+pub struct RequestOptions {
     /// Its class, if stated.
     pub class: Option<Class>,
     /// Its time, if stated, in milliseconds.
@@ -41,7 +41,7 @@
     pub key: Option<String>,
 }
 
-impl Wishes {
+impl RequestOptions {
     /// Reads the headers. Errors when one of them has a value that is not allowed; a
     /// header that comes twice has none.
     pub fn read(headers: &HeaderMap) -> Result<Self, Rejection> {
@@ -100,7 +100,7 @@
 /// Headers that go on to the endpoint. The token stays here, as do the headers that
 /// speak to the system only and those that the agent states anew. An answer that the
 /// system reads must not be compressed. Errors when a value is no text.
-pub fn towards_endpoint(
+pub fn endpoint_headers(
     headers: &HeaderMap,
     request_id: &str,
 ) -> Result<Vec<(String, String)>, Rejection> {
--- a/components/gateway/src/hedged.rs
+++ b/components/gateway/src/hedging.rs
@@ -18,8 +18,8 @@
 use telemetry::Label;
 use types::{Class, Failure};
 
-use crate::attempt::{Attempt, Where};
-use crate::exchange::Exchange;
+use crate::attempt::{Attempt, ReplicaConstraints};
+use crate::retried_call::RetriedCall;
 use crate::services::ServiceState;
 
 /// How long the copy that lost goes on before it is cancelled.
@@ -32,7 +32,7 @@
     Ok((head, attempt))
 }
 
-impl Exchange {
+impl RetriedCall {
     /// Waits for the head of the answer to `first`. The copy that answers first wins.
     pub(crate) async fn first_head(&mut self, first: Attempt, body: &Bytes) -> Headed {
         let Some(state) = self.hedgeable() else {
@@ -93,12 +93,12 @@
 
     /// Sends the second copy to another replica; the first answer of the two.
     async fn race(&mut self, first: BoxFuture<'static, Headed>, body: &Bytes) -> Headed {
-        let place = Where {
+        let constraints = ReplicaConstraints {
             exclude: self.nodes.clone(),
-            only: true,
-            ..self.place.clone()
+            strict: true,
+            ..self.constraints.clone()
         };
-        let start = Attempt::start(&self.gateway, &self.job, body.clone(), &place);
+        let start = Attempt::start(&self.gateway, &self.job, body.clone(), &constraints);
         let (second, first) = match select(first, start.boxed()).await {
             Either::Left((answered, _)) => return answered,
             Either::Right((Ok(second), first)) => (second, first),
--- a/components/gateway/src/keyed/client.rs
+++ b/components/gateway/src/keyed/client.rs
@@ -215,7 +215,7 @@
             deadline_ms: DEADLINE_MS,
         };
         // A doubled record counts once.
-        gateway.ask(to, call).await.map(|_| ())
+        gateway.call_peer(to, call).await.map(|_| ())
     }
 
     /// Writes a record here. A log that says nothing keeps the record waiting; whoever
@@ -279,7 +279,7 @@
     let now_ms = now_ms();
     let others = snapshot.live(ProcessRole::Entry);
     let others = others.map(|member| member.address);
-    let reached = others.filter(|&address| !gateway.reach.is_gone(address, now_ms));
+    let reached = others.filter(|&address| !gateway.reachability.is_unreachable(address, now_ms));
     reached.chain([gateway.identity.node().address]).collect()
 }
 
--- a/components/gateway/src/keyed/relay.rs
+++ b/components/gateway/src/keyed/relay.rs
@@ -23,9 +23,9 @@
 use super::client::{Claimed, Submission};
 use super::replay;
 use super::room::Place;
-use crate::answer::{Answering, response};
+use crate::answer::{ActiveRequest, response};
 use crate::attempt::Attempt;
-use crate::body::{AnswerBroken, Body, streamed};
+use crate::body::{AnswerInterrupted, Body, streamed};
 use crate::gateway::Gateway;
 use crate::job::Job;
 use crate::rejection::Rejection;
@@ -36,7 +36,7 @@
 /// Parts of an answer between the task and the caller's connection.
 const PARTS_MAX: usize = 8;
 
-type Part = Result<Bytes, AnswerBroken>;
+type Part = Result<Bytes, AnswerInterrupted>;
 
 /// What the task tells the caller's side first.
 enum First {
@@ -156,15 +156,15 @@
     }
 
     fn refuse(mut self, failure: Failure, first: oneshot::Sender<First>) {
-        self.trace.failed(failure);
+        self.trace.record_failure(failure);
         // The caller may have gone.
         let _ = first.send(First::Failed(failure));
     }
 
     fn note_other(&mut self, verdict: &Verdict) {
         match verdict.failure(&self.gateway.claims.settings) {
-            Some(failure) => self.trace.failed(failure),
-            None => self.trace.replayed(),
+            Some(failure) => self.trace.record_failure(failure),
+            None => self.trace.record_replay(),
         }
     }
 
@@ -182,8 +182,8 @@
             body,
             ..
         } = self;
-        trace.handed_on();
-        let answering = match Answering::begin(&gateway, job, arrived_ms).await {
+        trace.transfer();
+        let answering = match ActiveRequest::admit(&gateway, job, arrived_ms).await {
             Ok(answering) => answering,
             Err(failure) => {
                 let _ = first.send(First::Failed(failure));
@@ -199,8 +199,8 @@
         match start(&mut holder, &first) {
             Ok(()) => calling.call(&mut holder, first).await,
             Err(failure) => {
-                calling.answering.admitted.used(0);
-                calling.answering.trace.failed(failure);
+                calling.answering.admitted.refund_unused(0);
+                calling.answering.trace.record_failure(failure);
                 let _ = first.send(First::Failed(failure));
                 holder.release()
             }
@@ -219,7 +219,7 @@
 /// A call whose key was won.
 struct Calling {
     gateway: Arc<Gateway>,
-    answering: Answering,
+    answering: ActiveRequest,
     body: Bytes,
 }
 
@@ -230,10 +230,10 @@
         holder: &mut ClaimHolder,
         first: oneshot::Sender<First>,
     ) -> Option<claims::Record> {
-        let (head, attempt) = match self.answering.exchange.head(&self.body).await {
+        let (head, attempt) = match self.answering.retried_call.send(&self.body).await {
             Ok(answered) => answered,
             Err(failure) => {
-                self.answering.trace.failed(failure);
+                self.answering.trace.record_failure(failure);
                 let _ = first.send(First::Failed(failure));
                 return failed(holder, failure);
             }
@@ -242,8 +242,8 @@
         let _ = first.send(First::Answer(head.clone(), received));
         match self.pass_on(attempt, parts).await {
             Ok(body) => {
-                self.answering.trace.answered(head.status);
-                self.answering.give_back_tokens(&body);
+                self.answering.trace.record_answer(head.status);
+                self.answering.refund_unused_tokens(&body);
                 let settings = &self.gateway.claims.settings;
                 holder.done(Outcome::answered(
                     head.status,
@@ -253,7 +253,7 @@
                 ))
             }
             Err(failure) => {
-                self.answering.trace.failed(failure);
+                self.answering.trace.record_failure(failure);
                 failed(holder, failure)
             }
         }
@@ -272,7 +272,7 @@
             match attempt.next().await {
                 CallEvent::Accepted | CallEvent::Started | CallEvent::Head(_) => {}
                 CallEvent::Chunk(bytes) => {
-                    self.answering.trace.first_byte();
+                    self.answering.trace.record_first_byte();
                     if kept.len() <= kept_max {
                         kept.extend_from_slice(&bytes);
                     }
@@ -281,7 +281,9 @@
                 }
                 CallEvent::End => return Ok(kept.freeze()),
                 CallEvent::Failed(failure) => {
-                    let _ = parts.send(Err(AnswerBroken::Cut(failure))).await;
+                    let _ = parts
+                        .send(Err(AnswerInterrupted::CallFailed(failure)))
+                        .await;
                     return Err(failure);
                 }
             }
--- a/components/gateway/src/peer.rs
+++ b/components/gateway/src/peer.rs
@@ -31,16 +31,22 @@
 
 impl Gateway {
     /// Asks another entry, and notes whether it could be reached.
-    pub async fn ask(&self, to: SocketAddr, call: PeerCall<'_>) -> Result<(Head, Bytes), Failure> {
-        let answered = self.call_peer(to, call).await;
+    pub async fn call_peer(
+        &self,
+        to: SocketAddr,
+        call: PeerCall<'_>,
+    ) -> Result<(Head, Bytes), Failure> {
+        let answered = self.send_peer_call(to, call).await;
         match answered {
-            Err(failure) if failure.cause == Cause::LinkLost => self.reach.lost(to, now_ms()),
-            _ => self.reach.found(to),
+            Err(failure) if failure.cause == Cause::LinkLost => {
+                self.reachability.mark_unreachable(to, now_ms())
+            }
+            _ => self.reachability.mark_reachable(to),
         }
         answered
     }
 
-    async fn call_peer(
+    async fn send_peer_call(
         &self,
         to: SocketAddr,
         call: PeerCall<'_>,
--- a/components/gateway/src/reach.rs
+++ b/components/gateway/src/reachability.rs
@@ -15,13 +15,13 @@
 
 /// Entries out of reach, with the time until which they count as that.
 #[derive(Default)]
-pub struct Reach {
+pub struct PeerReachability {
     gone: ArcSwap<HashMap<SocketAddr, u64>>,
 }
 
-impl Reach {
+impl PeerReachability {
     /// A call to this entry found it gone.
-    pub fn lost(&self, entry: SocketAddr, now_ms: u64) {
+    pub fn mark_unreachable(&self, entry: SocketAddr, now_ms: u64) {
         self.gone.rcu(|gone| {
             let mut gone = HashMap::clone(gone);
             gone.retain(|_, until_ms| *until_ms > now_ms);
@@ -31,7 +31,7 @@
     }
 
     /// A call to this entry was answered.
-    pub fn found(&self, entry: SocketAddr) {
+    pub fn mark_reachable(&self, entry: SocketAddr) {
         if !self.gone.load().contains_key(&entry) {
             return;
         }
@@ -43,7 +43,7 @@
     }
 
     /// Whether this entry counts as out of reach.
-    pub fn is_gone(&self, entry: SocketAddr, now_ms: u64) -> bool {
+    pub fn is_unreachable(&self, entry: SocketAddr, now_ms: u64) -> bool {
         let gone = self.gone.load();
         gone.get(&entry).is_some_and(|&until_ms| until_ms > now_ms)
     }
--- a/components/gateway/src/rejection.rs
+++ b/components/gateway/src/rejection.rs
@@ -55,7 +55,7 @@
             display("the body has more than {} bytes", bytes_max)
         }
         /// The caller's connection ended before its body did.
-        BodyBroken {
+        BodyInterrupted {
             display("the body ended before its stated end")
         }
         /// A weight version that is not taken.
@@ -64,11 +64,11 @@
         }
         /// A version named ahead of time where none was announced: a process that knows no
         /// version could only put it in force.
-        NothingInForce(service: ServiceName) {
+        NoActiveVersion(service: ServiceName) {
             display("no version of {} is known to be in force; announce one first", service)
         }
         /// A trainer names a version as its own that nobody has announced.
-        NotInForce(named: WeightVersion, known: WeightVersion) {
+        VersionNotAnnounced(named: WeightVersion, known: WeightVersion) {
             display("version {} is not announced; the newest one known is {}", named, known)
         }
         /// A post that is no step.
@@ -96,7 +96,7 @@
             display("step {} is not held; post it again with the newest cursor", step)
         }
         /// A fetch whose trainer has sent another one with a newer cursor.
-        FetchOver {
+        FetchSuperseded {
             display("a fetch with another cursor came; this one is over")
         }
         /// Refused or failed further on.
@@ -155,9 +155,9 @@
             Rejection::TooLarge(_) => Cause::TooLarge,
             Rejection::Announcement(AnnounceError::Forbidden) => Cause::Forbidden,
             Rejection::Announcement(_)
-            | Rejection::NothingInForce(_)
+            | Rejection::NoActiveVersion(_)
             | Rejection::Fetch(FetchError::StaleEpoch(_)) => Cause::Stale,
-            Rejection::NotInForce(..) => {
+            Rejection::VersionNotAnnounced(..) => {
                 return Failure::not_run(Cause::Stale).retry_after(NEWS_BACK_MS);
             }
             Rejection::Post(PostError::NoRoom(..)) => {
@@ -166,7 +166,7 @@
             }
             Rejection::Post(PostError::OtherContent) => Cause::KeyReused,
             Rejection::StepNotHeld(_) => Cause::NotHosted,
-            Rejection::FetchOver => Cause::Cancelled,
+            Rejection::FetchSuperseded => Cause::Cancelled,
             Rejection::WrongKind(_)
             | Rejection::UnknownPath
             | Rejection::Method(_)
@@ -176,7 +176,7 @@
             | Rejection::Cursor(_)
             | Rejection::Fetch(_)
             | Rejection::Body(_)
-            | Rejection::BodyBroken => Cause::Malformed,
+            | Rejection::BodyInterrupted => Cause::Malformed,
         };
         Failure::not_run(cause)
     }
--- a/components/gateway/src/incoming.rs
+++ b/components/gateway/src/request_body.rs
@@ -75,7 +75,7 @@
     let mut body = std::pin::pin!(body);
     let mut bytes = BytesMut::with_capacity(reserved.bytes());
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|_| Rejection::BodyBroken)?;
+        let frame = frame.map_err(|_| Rejection::BodyInterrupted)?;
         let Ok(mut data) = frame.into_data() else {
             continue;
         };
--- a/components/gateway/src/intake.rs
+++ b/components/gateway/src/request_context.rs
@@ -11,18 +11,18 @@
 use types::{Cause, Class, Failure};
 
 use crate::auth::Session;
-use crate::headers::{Wishes, towards_endpoint};
+use crate::headers::{RequestOptions, endpoint_headers};
 use crate::idempotency::is_idempotent;
-use crate::incoming::{BodyRoom, RequestBody};
 use crate::job::Job;
 use crate::layers::{Arrived, RequestId};
 use crate::rejection::Rejection;
+use crate::request_body::{BodyRoom, RequestBody};
 
 /// Longest time for a body to arrive, where the deadline is later.
 const BODY_TIMEOUT_MS: u64 = 10_000;
 
 /// What every handler needs of a request.
-pub struct Intake {
+pub struct RequestContext {
     /// Method, path and headers.
     pub parts: Parts,
     /// Identity of the request.
@@ -30,13 +30,13 @@
     /// Who asks.
     pub session: Session,
     /// What the caller says of its request.
-    pub wishes: Wishes,
+    pub options: RequestOptions,
     /// When the request came, on the process's monotonic clock.
     pub arrived_ms: u64,
     room: BodyRoom,
 }
 
-impl Intake {
+impl RequestContext {
     /// Reads the parts. The layers have put the extensions in. `room` says where the body
     /// of a session's request counts.
     pub fn new(
@@ -46,21 +46,21 @@
         let internal = || Rejection::Call(Failure::not_run(Cause::Internal));
         let RequestId(request_id) = parts.extensions.remove().ok_or_else(internal)?;
         let session: Session = parts.extensions.remove().ok_or_else(internal)?;
-        let wishes = parts.extensions.remove().ok_or_else(internal)?;
+        let options = parts.extensions.remove().ok_or_else(internal)?;
         let Arrived { at_ms } = parts.extensions.remove().ok_or_else(internal)?;
         Ok(Self {
             room: room(&session),
             parts,
             request_id,
             session,
-            wishes,
+            options,
             arrived_ms: at_ms,
         })
     }
 
     /// When the caller gives up: its own deadline, else `default_ms` after it came.
     pub fn deadline_at_ms(&self, default_ms: u32) -> u64 {
-        let deadline_ms = self.wishes.deadline_ms.unwrap_or(default_ms);
+        let deadline_ms = self.options.deadline_ms.unwrap_or(default_ms);
         self.arrived_ms + u64::from(deadline_ms)
     }
 
@@ -71,7 +71,7 @@
     {
         let left_ms = deadline_at_ms.saturating_sub(now_ms());
         let wait = Duration::from_millis(left_ms.min(BODY_TIMEOUT_MS));
-        let class = self.wishes.class.unwrap_or(Class::Interactive);
+        let class = self.options.class.unwrap_or(Class::Interactive);
         self.room.read(body, class, wait).await
     }
 
@@ -91,19 +91,19 @@
             request_id: self.request_id.clone(),
             payer: payer.clone(),
             service: Arc::clone(service),
-            class: self.session.holder.class_of(self.wishes.class, service),
-            idempotent: is_idempotent(service, method, &path, self.wishes.idempotent),
+            class: self.session.holder.class_of(self.options.class, service),
+            idempotent: is_idempotent(service, method, &path, self.options.idempotent),
             deadline_at_ms: self.deadline_at_ms(service.deadline_ms),
             method: method.to_owned(),
             path,
-            headers: towards_endpoint(&self.parts.headers, &self.request_id)?,
+            headers: endpoint_headers(&self.parts.headers, &self.request_id)?,
             work,
         })
     }
 }
 
 /// Errors when a service is of another kind than the path serves.
-pub fn need_kind(service: &Service, kind: ServiceKind) -> Result<(), Rejection> {
+pub fn require_kind(service: &Service, kind: ServiceKind) -> Result<(), Rejection> {
     if service.kind == kind {
         return Ok(());
     }
--- a/components/gateway/src/exchange.rs
+++ b/components/gateway/src/retried_call.rs
@@ -13,7 +13,7 @@
 use types::{Cause, Failure, NodeId, RunState};
 
 use crate::accounts::Account;
-use crate::attempt::{Attempt, Where};
+use crate::attempt::{Attempt, ReplicaConstraints};
 use crate::gateway::Gateway;
 use crate::job::Job;
 
@@ -21,27 +21,32 @@
 const BACK_MS: u64 = 500;
 
 /// A request and its attempts so far.
-pub struct Exchange {
+pub struct RetriedCall {
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) account: Arc<Account>,
     /// The request.
     pub job: Job,
-    pub(crate) place: Where,
+    pub(crate) constraints: ReplicaConstraints,
     pub(crate) endpoints: Vec<SocketAddr>,
     pub(crate) nodes: Vec<NodeId>,
     /// Whether any attempt so far ran, the worst of them.
     run: RunState,
 }
 
-impl Exchange {
+impl RetriedCall {
     /// A request that was not sent yet.
-    pub fn new(gateway: Arc<Gateway>, account: Arc<Account>, job: Job, place: Where) -> Self {
+    pub fn new(
+        gateway: Arc<Gateway>,
+        account: Arc<Account>,
+        job: Job,
+        constraints: ReplicaConstraints,
+    ) -> Self {
         account.budget.record_first_attempt();
         Self {
             gateway,
             account,
             job,
-            place,
+            constraints,
             endpoints: Vec::new(),
             nodes: Vec::new(),
             run: RunState::NotRun,
@@ -50,7 +55,7 @@
 
     /// Sends an attempt with this body.
     async fn start(&mut self, body: Bytes) -> Result<Attempt, Failure> {
-        let started = Attempt::start(&self.gateway, &self.job, body, &self.place).await;
+        let started = Attempt::start(&self.gateway, &self.job, body, &self.constraints).await;
         let attempt = started.map_err(|failure| self.last(failure))?;
         self.endpoints.push(attempt.address());
         self.nodes.push(attempt.node());
@@ -58,7 +63,7 @@
     }
 
     /// Decides on a failed attempt; waits out the pause before the next one.
-    pub async fn again(&mut self, failure: Failure, flowed: Delivered) -> Result<Resume, Failure> {
+    pub async fn retry(&mut self, failure: Failure, flowed: Delivered) -> Result<Resume, Failure> {
         let now_ms = now_ms();
         self.run = self.run.max(failure.run);
         let tried = FailedAttempt {
@@ -77,7 +82,7 @@
             RetryDecision::Retry {
                 after_ms, resume, ..
             } => {
-                self.place.exclude.clone_from(&self.nodes);
+                self.constraints.exclude.clone_from(&self.nodes);
                 tokio::time::sleep(Duration::from_millis(after_ms)).await;
                 Ok(resume)
             }
@@ -85,13 +90,13 @@
     }
 
     /// Sends attempts until one answers with a head, or the request has failed for good.
-    pub async fn head(&mut self, body: &Bytes) -> Result<(Head, Attempt), Failure> {
+    pub async fn send(&mut self, body: &Bytes) -> Result<(Head, Attempt), Failure> {
         loop {
             let attempt = self.start(body.clone()).await?;
             match self.first_head(attempt, body).await {
                 Ok(answered) => return Ok(answered),
                 Err(failure) => {
-                    self.again(failure, Delivered::Nothing).await?;
+                    self.retry(failure, Delivered::Nothing).await?;
                 }
             }
         }
@@ -102,7 +107,7 @@
     /// believing that it did not.
     fn last(&self, failure: Failure) -> Failure {
         let run = failure.run.max(self.run);
-        with_time_to_come_back(Failure { run, ..failure })
+        with_retry_after(Failure { run, ..failure })
     }
 
     fn log_failed(&self, failure: Failure, decision: &RetryDecision) {
@@ -117,7 +122,7 @@
 
 /// A refusal that says nothing of when to come back gets a time, spread by chance, where
 /// coming back may help.
-pub fn with_time_to_come_back(failure: Failure) -> Failure {
+pub fn with_retry_after(failure: Failure) -> Failure {
     let helps = matches!(
         failure.cause,
         Cause::NoEndpoint
--- a/components/gateway/src/routes.rs
+++ b/components/gateway/src/routes.rs
@@ -14,12 +14,12 @@
 use crate::body_budget::BodyBudget;
 use crate::drained::Drained;
 use crate::gateway::Gateway;
-use crate::headers::Wishes;
-use crate::incoming::{BODY_BYTES_MAX, BodyRoom, RequestBody};
-use crate::intake::Intake;
+use crate::headers::RequestOptions;
 use crate::layers::{Arrived, answered, checked};
+use crate::paths::Route;
 use crate::rejection::Rejection;
-use crate::target::Route;
+use crate::request_body::{BODY_BYTES_MAX, BodyRoom, RequestBody};
+use crate::request_context::RequestContext;
 use crate::{calls, completions, training};
 
 /// The service that answers every request of the public address.
@@ -48,7 +48,7 @@
             parts.extensions.insert(session);
             Ok(())
         }))
-        .layer(checked(wishes))
+        .layer(checked(options))
         .service(service_fn(move |request| {
             handle(handling.clone(), budget.clone(), request)
         }))
@@ -71,9 +71,9 @@
     Ok(())
 }
 
-fn wishes(parts: &mut Parts) -> Result<(), Rejection> {
-    let wishes = Wishes::read(&parts.headers)?;
-    parts.extensions.insert(wishes);
+fn options(parts: &mut Parts) -> Result<(), Rejection> {
+    let options = RequestOptions::read(&parts.headers)?;
+    parts.extensions.insert(options);
     Ok(())
 }
 
@@ -87,15 +87,15 @@
 {
     let (parts, body) = request.into_parts();
     let route = Route::parse(parts.uri.path(), parts.uri.query())?;
-    let intake = Intake::new(parts, |session| BodyRoom {
+    let context = RequestContext::new(parts, |session| BodyRoom {
         account: gateway.accounts.get(&session.holder.customer),
         budget,
     })?;
     match route {
-        Route::Completions => completions::serve(gateway, intake, body).await,
-        Route::Service(target, path) => calls::serve(gateway, intake, target, path, body).await,
+        Route::Completions => completions::serve(gateway, context, body).await,
+        Route::Service(target, path) => calls::serve(gateway, context, target, path, body).await,
         Route::Training(service, route) => {
-            training::serve(gateway, intake, service, route, body).await
+            training::serve(gateway, context, service, route, body).await
         }
     }
 }
--- a/components/gateway/src/start.rs
+++ b/components/gateway/src/start.rs
@@ -17,16 +17,16 @@
 use crate::accounts::Accounts;
 use crate::error::EntryError;
 use crate::gateway::Gateway;
+use crate::gossip_handlers::{self, GossipSources};
 use crate::keyed::{self, Claims};
-use crate::news::{self, Sources};
-use crate::reach::Reach;
+use crate::reachability::PeerReachability;
 use crate::readiness::Readiness;
 use crate::refresh;
 use crate::services::Services;
 use crate::suspects::Quarantine;
 use crate::training::{Coordinator, Copier, spawn};
 use crate::tuning::Tuning;
-use crate::weight_news::WeightNews;
+use crate::weight_authority::WeightAuthority;
 
 /// First part of the names of an entry's metrics.
 const METRICS_PREFIX: &str = "hornbeamrock.entry";
@@ -67,10 +67,10 @@
     let feed = ConfigFeed::start(own, log, quick_links.clone(), feed_settings);
     let (versions, in_force) = mpsc::channel(VERSIONS_MAX);
     let (condemned, to_tell) = mpsc::unbounded_channel();
-    let weights = WeightNews::start(versions);
+    let weights = WeightAuthority::start(versions);
     let quarantine = Quarantine::start(condemned);
     let (demand, told) = mpsc::channel(DEMANDS_MAX);
-    let hooks = news::hooks(&weights, &quarantine, &parts.leaving, demand);
+    let hooks = gossip_handlers::hooks(&weights, &quarantine, &parts.leaving, demand);
     let gossip = start_gossip(common, tuning.gossip, &identity, parts.udp, &feed, hooks);
     let here = locality(&identity);
     let (training, coordinator) = Coordinator::new();
@@ -83,7 +83,7 @@
         services: Services::new(tuning.routing, tuning.admission, here),
         hedging: tuning.hedging,
         accounts: Accounts::new(settings.ceilings, tuning.retries),
-        reach: Reach::default(),
+        reachability: PeerReachability::default(),
         quarantine,
         claims,
         weights,
@@ -100,11 +100,11 @@
         copier,
         cursor_keys(&common.keys),
     );
-    let sources = Sources {
+    let sources = GossipSources {
         versions: in_force,
         condemned: to_tell,
     };
-    news::start(&gateway, sources);
+    gossip_handlers::start(&gateway, sources);
     tokio::spawn(refresh::run(Arc::clone(&gateway), told, tuning.shares));
     Ok(gateway)
 }
--- a/components/gateway/src/trace.rs
+++ b/components/gateway/src/trace.rs
@@ -37,12 +37,12 @@
     }
 
     /// Another trace records the rest.
-    pub fn handed_on(mut self) {
+    pub fn transfer(mut self) {
         self.ended = true;
     }
 
     /// The answer has begun.
-    pub fn first_byte(&mut self) {
+    pub fn record_first_byte(&mut self) {
         if self.first_byte_ms.is_some() {
             return;
         }
@@ -53,17 +53,17 @@
     }
 
     /// The answer is whole.
-    pub fn answered(&mut self, status: u16) {
+    pub fn record_answer(&mut self, status: u16) {
         self.end("answered", "", Some(status));
     }
 
     /// The answer is that of an earlier submission.
-    pub fn replayed(&mut self) {
+    pub fn record_replay(&mut self) {
         self.end("answered", "replayed", None);
     }
 
     /// There is no whole answer.
-    pub fn failed(&mut self, failure: Failure) {
+    pub fn record_failure(&mut self, failure: Failure) {
         self.end(failure.run.as_str(), failure.cause.as_str(), None);
     }
 
--- a/components/gateway/src/training/api.rs
+++ b/components/gateway/src/training/api.rs
@@ -18,11 +18,11 @@
 use crate::answer::response;
 use crate::body::{Body, full};
 use crate::gateway::Gateway;
-use crate::incoming::RequestBody;
-use crate::intake::{Intake, need_kind};
+use crate::paths::TrainingRoute;
 use crate::rejection::Rejection;
-use crate::target::TrainingRoute;
-use crate::weight_news::{Announced, Want};
+use crate::request_body::RequestBody;
+use crate::request_context::{RequestContext, require_kind};
+use crate::weight_authority::{VersionAction, VersionRequest};
 
 /// Time for a training call that states none, in milliseconds.
 const DEADLINE_MS: u32 = 60_000;
@@ -30,7 +30,7 @@
 /// Serves one call of the training API.
 pub async fn serve<B>(
     gateway: Arc<Gateway>,
-    intake: Intake,
+    context: RequestContext,
     service: ServiceName,
     route: TrainingRoute,
     body: B,
@@ -38,36 +38,36 @@
 where
     B: RequestBody,
 {
-    if intake.parts.method != Method::POST {
+    if context.parts.method != Method::POST {
         return Err(Rejection::Method("POST"));
     }
     let model = match route {
-        TrainingRoute::Rollback => intake.session.operable(&service)?,
-        _ => intake.session.trainable(&service)?,
+        TrainingRoute::Rollback => context.session.operable(&service)?,
+        _ => context.session.trainable(&service)?,
     };
-    need_kind(&model, ServiceKind::Model)?;
+    require_kind(&model, ServiceKind::Model)?;
     let _working = gateway.drain.admit(now_ms())?;
-    let _place = place(&gateway, &intake)?;
-    let deadline_at_ms = intake.deadline_at_ms(DEADLINE_MS);
-    let bytes = intake.body(body, deadline_at_ms).await?;
-    let want = match route {
-        TrainingRoute::Weights => Want::Announce,
-        TrainingRoute::Prepare => Want::Prepare,
-        TrainingRoute::Rollback => Want::RollBack,
+    let _place = place(&gateway, &context)?;
+    let deadline_at_ms = context.deadline_at_ms(DEADLINE_MS);
+    let bytes = context.body(body, deadline_at_ms).await?;
+    let action = match route {
+        TrainingRoute::Weights => VersionAction::Announce,
+        TrainingRoute::Prepare => VersionAction::Prepare,
+        TrainingRoute::Rollback => VersionAction::RollBack,
         TrainingRoute::Steps | TrainingRoute::Fetch { .. } => {
-            let call = home_call(&intake, &model, route, bytes, deadline_at_ms)?;
+            let call = home_call(&context, &model, route, bytes, deadline_at_ms)?;
             let (head, body) = to_home(&gateway, call).await?;
             return response(&head, full(body));
         }
     };
-    announce(&gateway, &intake, &model, want, &bytes).await
+    announce(&gateway, &context, &model, action, &bytes).await
 }
 
 /// Counts the call among its customer's requests, and keeps it among its training calls
 /// in progress until the guard is dropped. It holds none of the customer's requests in
 /// progress: a fetch waits for seconds and takes no endpoint's time.
-fn place(gateway: &Gateway, intake: &Intake) -> Result<Place, Rejection> {
-    let customer = &intake.session.holder.customer;
+fn place(gateway: &Gateway, context: &RequestContext) -> Result<Place, Rejection> {
+    let customer = &context.session.holder.customer;
     let account = gateway.accounts.get(customer);
     // The configuration is newer than the last tick; the customer is there with the next.
     let account = account.ok_or(Failure::not_run(Cause::NoEndpoint))?;
@@ -81,31 +81,31 @@
 
 async fn announce(
     gateway: &Gateway,
-    intake: &Intake,
+    context: &RequestContext,
     model: &Service,
-    want: Want,
+    action: VersionAction,
     bytes: &[u8],
 ) -> Result<Response<Body>, Rejection> {
     let version = parse::<Version>(bytes)?.get()?;
-    let holder = &intake.session.holder;
+    let holder = &context.session.holder;
     let key = ModelKey {
         customer: model.owner.clone(),
         service: model.name.clone(),
     };
-    if want == Want::Prepare && !gateway.weights.targets().contains_key(&key) {
-        return Err(Rejection::NothingInForce(model.name.clone()));
+    if action == VersionAction::Prepare && !gateway.weights.targets().contains_key(&key) {
+        return Err(Rejection::NoActiveVersion(model.name.clone()));
     }
-    let announced = Announced {
+    let request = VersionRequest {
         customer: holder.customer.clone(),
         role: holder.role,
         model: key,
-        want,
+        action,
         version,
     };
-    let announcement = gateway.weights.announce(announced).await?;
+    let announcement = gateway.weights.announce(request).await?;
     let (AnnounceOutcome::Changed(target) | AnnounceOutcome::Known(target)) = announcement;
     log::info!(
-        event = "weights-announced", request_id = intake.request_id.as_str(),
+        event = "weights-announced", request_id = context.request_id.as_str(),
         customer = model.owner.as_str(), service = model.name.as_str(),
         version = target.serve.to_string(), load = target.load.to_string(); ""
     );
@@ -119,7 +119,7 @@
 }
 
 fn home_call(
-    intake: &Intake,
+    context: &RequestContext,
     model: &Service,
     route: TrainingRoute,
     body: Bytes,
@@ -130,14 +130,14 @@
         _ => parse::<StepBody>(&body)?.step,
     };
     Ok(HomeCall {
-        request_id: intake.request_id.clone(),
+        request_id: context.request_id.clone(),
         key: StepKey {
             customer: model.owner.clone(),
             service: model.name.clone(),
             step,
         },
         route,
-        path: intake.parts.uri.path().to_owned(),
+        path: context.parts.uri.path().to_owned(),
         body,
         deadline_at_ms,
     })
--- a/components/gateway/src/training/coordinator_fetch.rs
+++ b/components/gateway/src/training/coordinator_fetch.rs
@@ -88,7 +88,7 @@
         for waiting in ended {
             self.fetch_ended(&waiting.fetch.key, now_ms);
             // Its trainer has gone on.
-            let _ = waiting.answer.send(Err(Rejection::FetchOver));
+            let _ = waiting.answer.send(Err(Rejection::FetchSuperseded));
         }
     }
 
--- a/components/gateway/src/training/copies.rs
+++ b/components/gateway/src/training/copies.rs
@@ -114,7 +114,7 @@
         body: Bytes::from(body),
         deadline_ms: DEADLINE_MS,
     };
-    gateway.ask(to, call).await.is_ok()
+    gateway.call_peer(to, call).await.is_ok()
 }
 
 /// Reads the body of a call that brings copies.
--- a/components/gateway/src/training/forward.rs
+++ b/components/gateway/src/training/forward.rs
@@ -10,10 +10,10 @@
 use types::{Cause, Failure};
 
 use super::inner::{HomeCall, at_home};
-use crate::exchange::with_time_to_come_back;
 use crate::gateway::Gateway;
 use crate::peer::PeerCall;
 use crate::rejection::Rejection;
+use crate::retried_call::with_retry_after;
 
 const NOT_FOUND: u16 = 404;
 
@@ -27,7 +27,8 @@
     let snapshot = gateway.gossip.snapshot();
     let now_ms = now_ms();
     let live = snapshot.live(ProcessRole::Entry);
-    let reached = live.filter(|member| !gateway.reach.is_gone(member.address, now_ms));
+    let reached =
+        live.filter(|member| !gateway.reachability.is_unreachable(member.address, now_ms));
     let others = reached.map(|member| Entry {
         address: member.address,
         failure_domain: member.failure_domain.clone(),
@@ -65,7 +66,7 @@
             }
             Err(Rejection::StepNotHeld(step)) => last = Rejection::StepNotHeld(step),
             Err(Rejection::Call(failure)) => {
-                last = Rejection::Call(with_time_to_come_back(failure));
+                last = Rejection::Call(with_retry_after(failure));
             }
             answered => return answered,
         }
@@ -87,5 +88,5 @@
         body: call.body.clone(),
         deadline_ms: u32::try_from(left_ms).unwrap_or(u32::MAX),
     };
-    Ok(gateway.ask(home, call).await?)
+    Ok(gateway.call_peer(home, call).await?)
 }
--- a/components/gateway/src/training/inner.rs
+++ b/components/gateway/src/training/inner.rs
@@ -17,9 +17,9 @@
 use super::copies::{COPIES_PATH, parse as parse_copies};
 use super::orders::{Fetch, Post, Reply};
 use crate::gateway::Gateway;
+use crate::paths::{Route, TrainingRoute};
 use crate::problem;
 use crate::rejection::Rejection;
-use crate::target::{Route, TrainingRoute};
 
 const TRAINING: &str = "/v1/training/";
 const JSON: &str = "application/json";
@@ -162,7 +162,7 @@
             return Ok(());
         }
         if now_ms() >= until_ms {
-            return Err(Rejection::NotInForce(version, known));
+            return Err(Rejection::VersionNotAnnounced(version, known));
         }
         tokio::time::sleep(LOOK).await;
     }
--- a/components/gateway/src/training/run.rs
+++ b/components/gateway/src/training/run.rs
@@ -14,7 +14,7 @@
 use super::listening::Listening;
 use super::orders::{Order, RunFault, RunNews};
 use crate::admission::admit_in_turn;
-use crate::attempt::{Attempt, Where};
+use crate::attempt::{Attempt, ReplicaConstraints};
 use crate::completion::priority;
 use crate::completions::PATH;
 use crate::gateway::Gateway;
@@ -65,8 +65,8 @@
         let (job, body) = self.job();
         let refused = |failure| (fault(failure), self.start.resume.clone());
         let mut admitted = admit_in_turn(gateway, &job).await.map_err(refused)?;
-        let place = place(gateway, &job, self.start.to);
-        let attempt = Attempt::start(gateway, &job, body, &place).await;
+        let constraints = constraints(gateway, &job, self.start.to);
+        let attempt = Attempt::start(gateway, &job, body, &constraints).await;
         let attempt = match attempt {
             Ok(attempt) if attempt.address() == self.start.to => attempt,
             // The replica went since the ledger chose it.
@@ -83,7 +83,7 @@
                 self.stop,
             )
             .await;
-        admitted.used(listening.tokens().saturating_add(job.work.prompt_tokens));
+        admitted.refund_unused(listening.tokens().saturating_add(job.work.prompt_tokens));
         match heard {
             Ok(()) => Ok(listening.whole()),
             Err(fault) => Err((fault, listening.partial())),
@@ -136,16 +136,16 @@
 }
 
 /// All replicas but the one that the ledger chose are passed over.
-fn place(gateway: &Gateway, job: &Job, to: std::net::SocketAddr) -> Where {
+fn constraints(gateway: &Gateway, job: &Job, to: std::net::SocketAddr) -> ReplicaConstraints {
     let service = &job.service;
     let state = gateway.services.get(&service.owner, &service.name);
     let table = state.map(|state| state.table());
     let nodes = table.iter().flat_map(|table| table.replica_states());
     let others = nodes.map(|slot| slot.replica.node);
-    Where {
+    ReplicaConstraints {
         exclude: others.filter(|node| node.address != to).collect(),
-        only: true,
-        at_least: None,
+        strict: true,
+        min_version: None,
     }
 }
 
--- a/components/gateway/src/training/score.rs
+++ b/components/gateway/src/training/score.rs
@@ -16,11 +16,11 @@
 
 use super::orders::Order;
 use crate::admission::admit_in_turn;
-use crate::attempt::{Attempt, Where};
-use crate::exchange::Exchange;
+use crate::attempt::{Attempt, ReplicaConstraints};
 use crate::gateway::Gateway;
 use crate::headers::REQUEST_ID;
 use crate::job::Job;
+use crate::retried_call::RetriedCall;
 
 const PATH: &str = "/score";
 const OK: u16 = 200;
@@ -74,12 +74,12 @@
         let (job, body) = self.job().ok_or(Failure::not_run(Cause::NotHosted))?;
         let admitted = admit_in_turn(&gateway, &job).await?;
         let account = Arc::clone(&admitted.account);
-        let mut exchange = Exchange::new(gateway, account, job, Where::default());
+        let mut call = RetriedCall::new(gateway, account, job, ReplicaConstraints::default());
         loop {
-            let (head, attempt) = exchange.head(&body).await?;
+            let (head, attempt) = call.send(&body).await?;
             match whole(attempt, head.status).await {
                 Ok(score) => return Ok(score),
-                Err(failure) => exchange.again(failure, Delivered::Nothing).await?,
+                Err(failure) => call.retry(failure, Delivered::Nothing).await?,
             };
         }
     }
--- a/components/gateway/src/weight_news.rs
+++ b/components/gateway/src/weight_authority.rs
@@ -16,7 +16,7 @@
 
 /// What a trainer or operator wants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Want {
+pub enum VersionAction {
     /// Put the version in force.
     Announce,
     /// Have the version loaded, to be put in force soon.
@@ -27,7 +27,7 @@
 
 /// An announcement by the holder of a token.
 #[derive(Debug)]
-pub struct Announced {
+pub struct VersionRequest {
     /// Customer of the token.
     pub customer: CustomerName,
     /// Role of the token.
@@ -35,7 +35,7 @@
     /// The model.
     pub model: ModelKey,
     /// What is wanted.
-    pub want: Want,
+    pub action: VersionAction,
     /// The version.
     pub version: WeightVersion,
 }
@@ -43,7 +43,7 @@
 type Answer = oneshot::Sender<Result<AnnounceOutcome, AnnounceError>>;
 
 enum Order {
-    Announce(Announced, Answer),
+    Announce(VersionRequest, Answer),
     Heard(ModelKey, Target),
 }
 
@@ -51,18 +51,18 @@
 
 /// Handle to the authority; clones share one state.
 #[derive(Clone)]
-pub struct WeightNews {
+pub struct WeightAuthority {
     orders: mpsc::Sender<Order>,
     targets: Arc<ArcSwap<Targets>>,
 }
 
-impl WeightNews {
+impl WeightAuthority {
     /// Starts the owner. Every change goes into `changed`.
-    pub fn start(changed: mpsc::Sender<(ModelKey, Target)>) -> WeightNews {
+    pub fn start(changed: mpsc::Sender<(ModelKey, Target)>) -> WeightAuthority {
         let (orders, inbox) = mpsc::channel(ORDERS_MAX);
         let targets = Arc::new(ArcSwap::default());
         tokio::spawn(own(inbox, Arc::clone(&targets), changed));
-        WeightNews { orders, targets }
+        WeightAuthority { orders, targets }
     }
 
     /// Versions in force.
@@ -71,10 +71,10 @@
     }
 
     /// Takes an announcement in, or says why not.
-    pub async fn announce(&self, announced: Announced) -> Result<AnnounceOutcome, Rejection> {
+    pub async fn announce(&self, request: VersionRequest) -> Result<AnnounceOutcome, Rejection> {
         let internal = || Rejection::Call(Failure::not_run(Cause::Internal));
         let (answer, answered) = oneshot::channel();
-        let order = Order::Announce(announced, answer);
+        let order = Order::Announce(request, answer);
         self.orders.send(order).await.map_err(|_| internal())?;
         let outcome = answered.await.map_err(|_| internal())?;
         outcome.map_err(Rejection::Announcement)
@@ -95,13 +95,13 @@
     let mut authority = Authority::new();
     while let Some(order) = inbox.recv().await {
         let changed_model = match order {
-            Order::Announce(announced, answer) => {
-                let outcome = announce(&mut authority, &announced);
+            Order::Announce(request, answer) => {
+                let outcome = announce(&mut authority, &request);
                 let news = matches!(outcome, Ok(AnnounceOutcome::Changed(_)));
                 publish(&authority, &targets);
                 // The one who asked may have gone; the announcement stands.
                 let _ = answer.send(outcome);
-                news.then_some(announced.model)
+                news.then_some(request.model)
             }
             Order::Heard(model, target) => {
                 let news = authority.merge(&model, target);
@@ -120,16 +120,16 @@
 
 fn announce(
     authority: &mut Authority,
-    announced: &Announced,
+    request: &VersionRequest,
 ) -> Result<AnnounceOutcome, AnnounceError> {
     let by = Announcer {
-        customer: &announced.customer,
-        role: announced.role,
+        customer: &request.customer,
+        role: request.role,
     };
-    match announced.want {
-        Want::Prepare => authority.prepare(&by, &announced.model, announced.version),
-        Want::Announce => authority.announce(&by, &announced.model, announced.version),
-        Want::RollBack => authority.roll_back(&by, &announced.model, announced.version),
+    match request.action {
+        VersionAction::Prepare => authority.prepare(&by, &request.model, request.version),
+        VersionAction::Announce => authority.announce(&by, &request.model, request.version),
+        VersionAction::RollBack => authority.roll_back(&by, &request.model, request.version),
     }
 }
 
--- a/components/gateway/tests/parts.rs
+++ b/components/gateway/tests/parts.rs
@@ -6,10 +6,10 @@
 use config::{Ledger, Publish, Record, TokenDigest, View};
 use gateway::auth::authenticate;
 use gateway::completion::{Completion, used_tokens};
-use gateway::headers::{Wishes, request_id, towards_endpoint};
+use gateway::headers::{RequestOptions, endpoint_headers, request_id};
 use gateway::idempotency::is_idempotent;
+use gateway::paths::{Route, Target, TrainingRoute};
 use gateway::rejection::Rejection;
-use gateway::target::{Route, Target, TrainingRoute};
 use http::HeaderMap;
 use types::{Class, CustomerName, Role};
 
@@ -155,20 +155,23 @@
 
 #[test]
 fn can_read_wishes() {
-    let read = Wishes::read(&headers(&[
+    let read = RequestOptions::read(&headers(&[
         ("x-hornbeamrock-class", "background"),
         ("x-hornbeamrock-deadline-ms", "600000"),
         ("x-hornbeamrock-idempotent", "true"),
         ("idempotency-key", "file-7"),
     ]));
-    let wishes = Wishes {
+    let wishes = RequestOptions {
         class: Some(Class::Background),
         deadline_ms: Some(600_000),
         idempotent: Some(true),
         key: Some("file-7".to_owned()),
     };
     assert_eq!(read, Ok(wishes));
-    assert_eq!(Wishes::read(&HeaderMap::new()), Ok(Wishes::default()));
+    assert_eq!(
+        RequestOptions::read(&HeaderMap::new()),
+        Ok(RequestOptions::default())
+    );
 }
 
 #[test]
@@ -188,7 +191,7 @@
         ],
     ];
     for case in cases {
-        let read = Wishes::read(&headers(case));
+        let read = RequestOptions::read(&headers(case));
         let name = case[0].0;
         assert!(
             matches!(read, Err(Rejection::Header(n, _)) if n == name),
@@ -199,7 +202,7 @@
 
 #[test]
 fn can_pass_headers_on_without_token_and_connection() {
-    let passed = towards_endpoint(
+    let passed = endpoint_headers(
         &headers(&[
             ("authorization", "Bearer secret"),
             ("connection", "close, x-hop"),
--- a/components/gateway/tests/unread.rs
+++ b/components/gateway/tests/unread.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use futures_util::stream::{self, Stream};
 use futures_util::{StreamExt, future};
-use gateway::body::{AnswerBroken, streamed};
+use gateway::body::{AnswerInterrupted, streamed};
 use gateway::server;
 use http::{Request, Response};
 use http_body_util::BodyExt;
@@ -40,7 +40,7 @@
 
 /// An answer without an end, and the news that what it holds was released.
 fn endless() -> (
-    impl Stream<Item = Result<Bytes, AnswerBroken>> + Send + 'static,
+    impl Stream<Item = Result<Bytes, AnswerInterrupted>> + Send + 'static,
     oneshot::Receiver<()>,
 ) {
     let (held, released) = oneshot::channel();
@@ -99,7 +99,7 @@
 
 #[tokio::test]
 async fn can_release_an_answer_whose_caller_is_gone() {
-    let silent = stream::once(future::pending::<Result<Bytes, AnswerBroken>>());
+    let silent = stream::once(future::pending::<Result<Bytes, AnswerInterrupted>>());
     let (held, released) = oneshot::channel();
     let held = Held(Some(held));
     let parts = silent.inspect(move |_| {
