--- a/components/gateway/src/accounts.rs
+++ b/components/gateway/src/accounts.rs
@@ -21,9 +21,9 @@
     /// Its limits and its use of them.
     pub customer: Arc<Customer>,
     /// Retries that its requests have left.
-    pub budget: RetryBudget,
+    pub retry_budget: RetryBudget,
     /// Its requests' bodies.
-    pub bodies: Arc<BodyUse>,
+    pub body_use: Arc<BodyUse>,
     /// Its training calls in progress here.
     pub training: Places,
     weight: AtomicU32,
@@ -33,8 +33,8 @@
     fn new(budget: &BudgetSettings) -> Self {
         Self {
             customer: Arc::new(Customer::new(&CustomerLimits::default(), 1.0)),
-            budget: RetryBudget::new(budget),
-            bodies: Arc::default(),
+            retry_budget: RetryBudget::new(budget),
+            body_use: Arc::default(),
             training: Places::default(),
             weight: AtomicU32::new(1),
         }
@@ -45,17 +45,18 @@
         self.weight.load(Ordering::Relaxed)
     }
 
-    fn set(&self, limits: &Limits, ceilings: &Ceilings, share: f64) {
-        let weight = bounded(limits.weight, ceilings.weight);
+    fn update(&self, limits: &Limits, ceilings: &Ceilings, share: f64) {
+        let weight = capped(limits.weight, ceilings.weight);
         self.weight.store(weight, Ordering::Relaxed);
-        self.customer.set_limits(&whole(limits, ceilings), share);
+        self.customer
+            .set_limits(&effective_limits(limits, ceilings), share);
     }
 }
 
 /// What the customer may use on all entries together: what its text says, which it writes
 /// itself, and no more than the operator of the platform allows.
-fn whole(limits: &Limits, ceilings: &Ceilings) -> CustomerLimits {
-    let of = |stated, ceiling| Some(bounded(stated, ceiling));
+fn effective_limits(limits: &Limits, ceilings: &Ceilings) -> CustomerLimits {
+    let of = |stated, ceiling| Some(capped(stated, ceiling));
     CustomerLimits {
         requests_per_s: of(limits.requests_per_s, ceilings.requests_per_s),
         in_progress: of(limits.in_progress, ceilings.in_progress),
@@ -63,7 +64,7 @@
     }
 }
 
-fn bounded(stated: u32, ceiling: Option<u32>) -> u32 {
+fn capped(stated: u32, ceiling: Option<u32>) -> u32 {
     ceiling.map_or(stated, |ceiling| stated.min(ceiling))
 }
 
@@ -97,7 +98,7 @@
         for (name, customer) in view.customers() {
             let known = old.get(name).cloned();
             let account = known.unwrap_or_else(|| Arc::new(Account::new(&self.budget)));
-            account.set(&customer.limits, &self.ceilings, share(name));
+            account.update(&customer.limits, &self.ceilings, share(name));
             next.insert(name.clone(), account);
         }
         self.accounts.store(Arc::new(next));
@@ -111,7 +112,7 @@
             let account = accounts.get(name)?;
             let offered = account.customer.take_offered();
             let part = demand(
-                &whole(&customer.limits, &self.ceilings),
+                &effective_limits(&customer.limits, &self.ceilings),
                 &offered,
                 elapsed_ms,
             );
--- a/components/gateway/src/admission.rs
+++ b/components/gateway/src/admission.rs
@@ -32,19 +32,19 @@
 /// Lets a request in, after a wait where its service is busy, or refuses it.
 pub async fn admit(gateway: &Gateway, job: &Job) -> Result<Admitted, Failure> {
     let working = gateway.drain.admit(now_ms())?;
-    let account = account(gateway, job)?;
+    let account = find_account(gateway, job)?;
     let tokens = job.work.tokens();
     let in_progress = account
         .customer
         .admit(job.class, tokens, now_ms(), rand::random())?;
-    pass_gate(gateway, job, account, in_progress, working).await
+    enter_gate(gateway, job, account, in_progress, working).await
 }
 
 /// Lets a request in when there is room for it within the customer's limits, in the order
 /// of arrival, and then as [`admit`] does. For a step's own work: refused, each of its
 /// samples would come back by itself, and be refused among the customer's other calls.
 pub async fn admit_in_turn(gateway: &Gateway, job: &Job) -> Result<Admitted, Failure> {
-    let account = account(gateway, job)?;
+    let account = find_account(gateway, job)?;
     let left = Duration::from_millis(job.left_ms(now_ms()));
     let turn = account
         .customer
@@ -52,23 +52,23 @@
     let entered = tokio::time::timeout(left, turn).await;
     let in_progress = entered.map_err(|_| Failure::not_run(Cause::DeadlinePassed))?;
     let working = gateway.drain.admit(now_ms())?;
-    pass_gate(gateway, job, account, in_progress, working).await
+    enter_gate(gateway, job, account, in_progress, working).await
 }
 
-fn account(gateway: &Gateway, job: &Job) -> Result<Arc<Account>, Failure> {
+fn find_account(gateway: &Gateway, job: &Job) -> Result<Arc<Account>, Failure> {
     let account = gateway.accounts.get(&job.payer);
     // The configuration is newer than the last tick; the customer is there with the next.
     account.ok_or(Failure::not_run(Cause::NoEndpoint))
 }
 
-async fn pass_gate(
+async fn enter_gate(
     gateway: &Gateway,
     job: &Job,
     account: Arc<Account>,
     mut in_progress: InProgress,
     working: WorkGuard,
 ) -> Result<Admitted, Failure> {
-    let permit = match permit(gateway, job, &account).await {
+    let permit = match acquire_permit(gateway, job, &account).await {
         Ok(permit) => permit,
         Err(failure) => {
             in_progress.refund_unused(0);
@@ -83,7 +83,7 @@
     })
 }
 
-async fn permit(
+async fn acquire_permit(
     gateway: &Gateway,
     job: &Job,
     account: &Account,
--- a/components/gateway/src/answer.rs
+++ b/components/gateway/src/answer.rs
@@ -24,7 +24,7 @@
 
 /// An answer of a stated length up to this is taken whole before it goes on, so that one
 /// that is cut can be asked for again. Longer ones go on as they come.
-const COLLECTED_BYTES_MAX: usize = 64 * 1024;
+const BUFFERED_BYTES_MAX: usize = 64 * 1024;
 
 /// A request that is being answered, with all that it holds.
 pub struct ActiveRequest {
@@ -67,17 +67,17 @@
 
     /// Sends the request and answers with what its endpoint answers.
     pub async fn relay(mut self, body: Bytes) -> Result<Response<Body>, Rejection> {
-        let answered = self.answered(&body).await;
+        let answered = self.fetch_answer(&body).await;
         match answered {
-            Ok((head, Content::Whole(bytes))) => {
+            Ok((head, Content::Buffered(bytes))) => {
                 self.trace.record_first_byte();
                 self.trace.record_answer(head.status);
                 self.refund_unused_tokens(&bytes);
                 response(&head, full(bytes))
             }
-            Ok((head, Content::Comes(attempt))) => {
+            Ok((head, Content::Streaming(attempt))) => {
                 let status = head.status;
-                response(&head, self.pass_on(status, *attempt))
+                response(&head, self.stream_rest(status, *attempt))
             }
             Err(failure) => {
                 self.trace.record_failure(failure);
@@ -98,14 +98,14 @@
         }
     }
 
-    async fn answered(&mut self, body: &Bytes) -> Result<(Head, Content), Failure> {
+    async fn fetch_answer(&mut self, body: &Bytes) -> Result<(Head, Content), Failure> {
         loop {
             let (head, mut attempt) = self.retried_call.send(body).await?;
             if !self.retried_call.job.idempotent || !is_short(&head) {
-                return Ok((head, Content::Comes(Box::new(attempt))));
+                return Ok((head, Content::Streaming(Box::new(attempt))));
             }
-            match whole(&mut attempt).await {
-                Ok(bytes) => return Ok((head, Content::Whole(bytes))),
+            match read_answer(&mut attempt).await {
+                Ok(bytes) => return Ok((head, Content::Buffered(bytes))),
                 // The caller has seen nothing of it yet.
                 Err(failure) => self.retried_call.retry(failure, Delivered::Nothing).await?,
             };
@@ -114,44 +114,44 @@
 
     /// The rest of an answer as it comes. When the stream is dropped, the call is
     /// cancelled; when it breaks, the caller's connection is cut.
-    pub fn pass_on(self, status: u16, attempt: Attempt) -> Body {
+    pub fn stream_rest(self, status: u16, attempt: Attempt) -> Body {
         let deadline_at_ms = self.retried_call.job.deadline_at_ms;
-        let passing = Passing {
-            answering: self,
+        let state = AnswerStream {
+            request: self,
             attempt,
             status,
         };
-        let parts = stream::unfold(Some(passing), |passing| async { passing?.next().await });
+        let parts = stream::unfold(Some(state), |state| async { state?.next().await });
         streamed(parts, deadline_at_ms)
     }
 }
 
 enum Content {
-    Whole(Bytes),
-    Comes(Box<Attempt>),
+    Buffered(Bytes),
+    Streaming(Box<Attempt>),
 }
 
-struct Passing {
-    answering: ActiveRequest,
+struct AnswerStream {
+    request: ActiveRequest,
     attempt: Attempt,
     status: u16,
 }
 
-impl Passing {
+impl AnswerStream {
     async fn next(mut self) -> Option<(Result<Bytes, AnswerInterrupted>, Option<Self>)> {
         loop {
             match self.attempt.next().await {
                 CallEvent::Accepted | CallEvent::Started | CallEvent::Head(_) => {}
                 CallEvent::Chunk(bytes) => {
-                    self.answering.trace.record_first_byte();
+                    self.request.trace.record_first_byte();
                     return Some((Ok(bytes), Some(self)));
                 }
                 CallEvent::End => {
-                    self.answering.trace.record_answer(self.status);
+                    self.request.trace.record_answer(self.status);
                     return None;
                 }
                 CallEvent::Failed(failure) => {
-                    self.answering.trace.record_failure(failure);
+                    self.request.trace.record_failure(failure);
                     return Some((Err(AnswerInterrupted::CallFailed(failure)), None));
                 }
             }
@@ -165,10 +165,10 @@
         .iter()
         .find(|(name, _)| CONTENT_LENGTH == name.as_str());
     let bytes = stated.and_then(|(_, value)| value.parse::<usize>().ok());
-    bytes.is_some_and(|bytes| bytes <= COLLECTED_BYTES_MAX)
+    bytes.is_some_and(|bytes| bytes <= BUFFERED_BYTES_MAX)
 }
 
-async fn whole(attempt: &mut Attempt) -> Result<Bytes, Failure> {
+async fn read_answer(attempt: &mut Attempt) -> Result<Bytes, Failure> {
     let mut bytes = BytesMut::new();
     loop {
         match attempt.next().await {
--- a/components/gateway/src/attempt.rs
+++ b/components/gateway/src/attempt.rs
@@ -15,10 +15,10 @@
 use crate::endpoint_life::EndpointLife;
 use crate::gateway::Gateway;
 use crate::job::Job;
-use crate::suspects::{Entered, InFlight};
+use crate::suspects::{InFlightAttempt, StartPermission};
 
 /// Pause while every replica has a suspect that is tried apart, in milliseconds.
-const APART_MS: u64 = 100;
+const ISOLATION_RETRY_MS: u64 = 100;
 
 /// What an attempt may be sent to.
 #[derive(Clone, Debug, Default)]
@@ -35,16 +35,16 @@
 pub struct Attempt {
     call: Call,
     /// Taken when the attempt has ended.
-    held: Option<Held>,
+    reservation: Option<Reservation>,
     table: Arc<Table>,
     node: NodeId,
     life: EndpointLife,
 }
 
 /// What an attempt holds while it is in progress.
-struct Held {
+struct Reservation {
     choice: Choice,
-    in_flight: InFlight,
+    in_flight: InFlightAttempt,
 }
 
 impl Attempt {
@@ -55,9 +55,9 @@
         body: Bytes,
         constraints: &ReplicaConstraints,
     ) -> Result<Attempt, Failure> {
-        let (table, held) = take_replica(gateway, job, constraints).await?;
-        let node = held.choice.node;
-        let life = EndpointLife::now(gateway, job, node);
+        let (table, reservation) = reserve_replica(gateway, job, constraints).await?;
+        let node = reservation.choice.node;
+        let life = EndpointLife::current(gateway, job, node);
         let links = gateway.links_for(job.idempotent);
         let open = job.open(links.next_id(), body, now_ms());
         log::debug!(
@@ -66,7 +66,7 @@
         );
         Ok(Attempt {
             call: links.call(node.address, open),
-            held: Some(held),
+            reservation: Some(reservation),
             table,
             node,
             life,
@@ -89,35 +89,37 @@
         match event {
             CallEvent::Accepted | CallEvent::Started => {}
             CallEvent::Head(_) | CallEvent::Chunk(_) => {
-                if let Some(held) = &self.held {
-                    held.choice.outstanding.record_answer_start();
+                if let Some(reservation) = &self.reservation {
+                    reservation.choice.outstanding.record_answer_start();
                 }
             }
             CallEvent::End => {
-                if let Some(in_flight) = self.settle(Outcome::Answered) {
-                    in_flight.complete();
+                if let Some(in_flight) = self.finish(Outcome::Answered) {
+                    in_flight.record_success();
                 }
             }
-            CallEvent::Failed(failure) => return CallEvent::Failed(self.failed(failure).await),
+            CallEvent::Failed(failure) => {
+                return CallEvent::Failed(self.handle_failure(failure).await);
+            }
         }
         event
     }
 
-    async fn failed(&mut self, failure: Failure) -> Failure {
-        let in_flight = self.settle(says(failure));
+    async fn handle_failure(&mut self, failure: Failure) -> Failure {
+        let in_flight = self.finish(replica_outcome(failure));
         let lost = failure.cause == Cause::EndpointLost && failure.run != RunState::NotRun;
         let Some(in_flight) = in_flight.filter(|_| lost) else {
             return failure;
         };
         if self.life.has_ended().await {
-            return in_flight.lost().await.unwrap_or(failure);
+            return in_flight.record_crash().await.unwrap_or(failure);
         }
         // A crash whose news came after the wait would count nowhere, and a call that
         // crashes endpoints would get more of them than the stated bound.
         let life = self.life.clone();
         tokio::spawn(async move {
-            if life.ends_late().await {
-                in_flight.lost().await;
+            if life.has_ended_late().await {
+                in_flight.record_crash().await;
             }
         });
         failure
@@ -137,15 +139,15 @@
         }
     }
 
-    fn settle(&mut self, outcome: Outcome) -> Option<InFlight> {
-        let held = self.held.take()?;
-        held.choice.finish(&self.table, outcome, now_ms());
-        Some(held.in_flight)
+    fn finish(&mut self, outcome: Outcome) -> Option<InFlightAttempt> {
+        let reservation = self.reservation.take()?;
+        reservation.choice.finish(&self.table, outcome, now_ms());
+        Some(reservation.in_flight)
     }
 }
 
 /// What a failure says about the replica.
-fn says(failure: Failure) -> Outcome {
+fn replica_outcome(failure: Failure) -> Outcome {
     match failure.cause {
         Cause::LinkLost
         | Cause::EndpointLost
@@ -158,26 +160,26 @@
 }
 
 /// Chooses a replica and has the call known as in flight there.
-async fn take_replica(
+async fn reserve_replica(
     gateway: &Gateway,
     job: &Job,
     constraints: &ReplicaConstraints,
-) -> Result<(Arc<Table>, Held), Failure> {
+) -> Result<(Arc<Table>, Reservation), Failure> {
     let service = &job.service;
     let state = gateway.services.get(&service.owner, &service.name);
     let state = state.ok_or(Failure::not_run(Cause::NoEndpoint))?;
-    let mut apart: Vec<NodeId> = Vec::new();
+    let mut isolating: Vec<NodeId> = Vec::new();
     loop {
         let now_ms = now_ms();
         if job.left_ms(now_ms) == 0 {
             return Err(Failure::not_run(Cause::DeadlinePassed));
         }
         let table = state.table();
-        let choice = match choose(gateway, job, &table, constraints, &apart, now_ms) {
+        let choice = match choose(gateway, job, &table, constraints, &isolating, now_ms) {
             // Every other replica has a suspect that is tried apart there; it ends soon.
-            Err(_) if !apart.is_empty() && !constraints.strict => {
-                apart.clear();
-                pause(job, APART_MS).await;
+            Err(_) if !isolating.is_empty() && !constraints.strict => {
+                isolating.clear();
+                pause(job, ISOLATION_RETRY_MS).await;
                 continue;
             }
             // Told to come back, the caller would send it until it crashes the next one.
@@ -188,23 +190,24 @@
             Ok(choice) => choice,
         };
         let node = choice.node;
-        let entered = gateway
-            .quarantine
-            .enter(job.digest, node.address, copies(job));
-        match entered.await {
-            Entered::Run(in_flight) if takes_work(gateway, job, node) => {
-                return Ok((table, Held { choice, in_flight }));
+        let permission =
+            gateway
+                .quarantine
+                .try_start(job.digest, node.address, copy_placement(job));
+        match permission.await {
+            StartPermission::Start(in_flight) if accepts_work(gateway, job, node) => {
+                return Ok((table, Reservation { choice, in_flight }));
             }
-            Entered::Run(_) => {}
-            Entered::Elsewhere => apart.push(node),
-            Entered::Wait { wait_ms } => pause(job, u64::from(wait_ms)).await,
-            Entered::Refused(failure) => return Err(failure),
+            StartPermission::Start(_) => {}
+            StartPermission::OtherEndpoint => isolating.push(node),
+            StartPermission::Wait { wait_ms } => pause(job, u64::from(wait_ms)).await,
+            StartPermission::Refused(failure) => return Err(failure),
         }
     }
 }
 
 /// The samples of one group are copies of one call and have to spread.
-fn copies(job: &Job) -> CopyPlacement {
+fn copy_placement(job: &Job) -> CopyPlacement {
     match job.class {
         Class::Sampling => CopyPlacement::Unlimited,
         _ => CopyPlacement::Limited,
@@ -218,7 +221,7 @@
 
 /// Whether the newest view has the replica taking work. The table is as old as the last
 /// tick, and the request may have waited since the replica was chosen.
-fn takes_work(gateway: &Gateway, job: &Job, node: NodeId) -> bool {
+fn accepts_work(gateway: &Gateway, job: &Job, node: NodeId) -> bool {
     let service = &job.service;
     let snapshot = gateway.gossip.snapshot();
     snapshot.accepts_work(&service.owner, &service.name, node)
@@ -231,20 +234,20 @@
     job: &Job,
     table: &Table,
     constraints: &ReplicaConstraints,
-    apart: &[NodeId],
+    isolating: &[NodeId],
     now_ms: u64,
 ) -> Result<Choice, Failure> {
-    let both = [&constraints.exclude, apart].concat();
-    let choice = match choose_but(gateway, job, table, constraints, both, now_ms) {
+    let both = [&constraints.exclude, isolating].concat();
+    let choice = match choose_excluding(gateway, job, table, constraints, both, now_ms) {
         Err(ChoiceError::Tried) if !constraints.strict && !constraints.exclude.is_empty() => {
-            choose_but(gateway, job, table, constraints, apart.to_vec(), now_ms)
+            choose_excluding(gateway, job, table, constraints, isolating.to_vec(), now_ms)
         }
         choice => choice,
     };
     choice.map_err(Failure::from)
 }
 
-fn choose_but(
+fn choose_excluding(
     gateway: &Gateway,
     job: &Job,
     table: &Table,
@@ -261,7 +264,7 @@
             ..Requirements::default()
         };
         let choice = routing::choose_replica(table, &requirements, rand::random(), now_ms)?;
-        if takes_work(gateway, job, choice.node) {
+        if accepts_work(gateway, job, choice.node) {
             return Ok(choice);
         }
         tried.push(choice.node);
--- a/components/gateway/src/auth.rs
+++ b/components/gateway/src/auth.rs
@@ -7,7 +7,7 @@
 use http::header::AUTHORIZATION;
 use types::{CustomerName, Role, ServiceName};
 
-use crate::paths::Target;
+use crate::paths::ServiceTarget;
 use crate::rejection::Rejection;
 
 const SCHEME: &str = "bearer";
@@ -48,7 +48,7 @@
     ///
     /// Of another customer's services nobody learns which exist: one that is not there and
     /// one that is not shared get the same answer.
-    pub fn callable(&self, target: &Target) -> Result<Arc<Service>, Rejection> {
+    pub fn callable(&self, target: &ServiceTarget) -> Result<Arc<Service>, Rejection> {
         let holder = &self.holder;
         let owner = target.owner_for(&holder.customer);
         if self.view.may_call(holder, owner, &target.service) {
--- a/components/gateway/src/body.rs
+++ b/components/gateway/src/body.rs
@@ -8,8 +8,8 @@
 use http_body_util::Full;
 use hyper::body::{Body as HttpBody, Frame, SizeHint};
 
-use crate::connections::Busy;
-use crate::delivery::{Cut, Received, deliver};
+use crate::connections::BusyGuard;
+use crate::delivery::{ConnectionCut, DeliveredParts, deliver};
 
 pub use crate::answer_interrupted::AnswerInterrupted;
 
@@ -17,12 +17,12 @@
 pub struct Body {
     kind: Kind,
     /// Its connection has a request in progress until the body is dropped.
-    busy: Option<Busy>,
+    busy: Option<BusyGuard>,
 }
 
 enum Kind {
     Full(Full<Bytes>),
-    Parts(Received),
+    Parts(DeliveredParts),
 }
 
 impl Body {
@@ -31,14 +31,14 @@
     }
 
     /// Holds this until the answer has been handed over.
-    pub fn hold(&mut self, busy: Busy) {
+    pub fn set_busy_guard(&mut self, busy: BusyGuard) {
         self.busy = Some(busy);
     }
 
     /// Has the caller's connection cut when the caller does not take this answer.
-    pub fn cut_with(&self, cut: &Cut) {
+    pub fn set_cut(&self, cut: &ConnectionCut) {
         if let Kind::Parts(received) = &self.kind {
-            received.cut_with(cut);
+            received.set_cut(cut);
         }
     }
 }
--- a/components/gateway/src/body_budget.rs
+++ b/components/gateway/src/body_budget.rs
@@ -84,8 +84,8 @@
         self: &Arc<Self>,
         customer: &Arc<BodyUse>,
         bytes: usize,
-    ) -> Result<Reserved, OverBudget> {
-        let mut reserved = Reserved {
+    ) -> Result<BodyReservation, OverBudget> {
+        let mut reserved = BodyReservation {
             budget: Arc::clone(self),
             customer: Arc::clone(customer),
             bytes: 0,
@@ -94,13 +94,13 @@
         Ok(reserved)
     }
 
-    fn take(&self, customer: &BodyUse, bytes: usize) -> Result<(), OverBudget> {
-        let process = taken(&self.held_bytes, bytes, self.process_bytes_max);
+    fn try_reserve(&self, customer: &BodyUse, bytes: usize) -> Result<(), OverBudget> {
+        let process = add_within(&self.held_bytes, bytes, self.process_bytes_max);
         let held = process.ok_or(OverBudget::Process)?;
         // What was free before these bytes; they are the customer's own.
         let free = self.process_bytes_max - held;
         let customer_max = self.customer_bytes_max.min(free);
-        if taken(&customer.0, bytes, customer_max).is_none() {
+        if add_within(&customer.0, bytes, customer_max).is_none() {
             self.held_bytes.fetch_sub(bytes, Ordering::Relaxed);
             return Err(OverBudget::Customer);
         }
@@ -109,7 +109,7 @@
 }
 
 /// Adds `bytes` unless the sum would be over `bytes_max`; gives what was there before.
-fn taken(held: &AtomicUsize, bytes: usize, bytes_max: usize) -> Option<usize> {
+fn add_within(held: &AtomicUsize, bytes: usize, bytes_max: usize) -> Option<usize> {
     let more = |held: usize| held.checked_add(bytes).filter(|&sum| sum <= bytes_max);
     held.fetch_update(Ordering::Relaxed, Ordering::Relaxed, more)
         .ok()
@@ -117,16 +117,16 @@
 
 /// Reserved bytes of one body; dropped, it gives them back.
 #[derive(Debug)]
-pub struct Reserved {
+pub struct BodyReservation {
     budget: Arc<BodyBudget>,
     customer: Arc<BodyUse>,
     bytes: usize,
 }
 
-impl Reserved {
+impl BodyReservation {
     /// Reserves more bytes for the same body.
     pub fn grow(&mut self, bytes: usize) -> Result<(), OverBudget> {
-        self.budget.take(&self.customer, bytes)?;
+        self.budget.try_reserve(&self.customer, bytes)?;
         self.bytes += bytes;
         Ok(())
     }
@@ -137,7 +137,7 @@
     }
 }
 
-impl Drop for Reserved {
+impl Drop for BodyReservation {
     fn drop(&mut self) {
         self.customer.0.fetch_sub(self.bytes, Ordering::Relaxed);
         let held = &self.budget.held_bytes;
--- a/components/gateway/src/caller_stream.rs
+++ b/components/gateway/src/caller_stream.rs
@@ -17,7 +17,7 @@
 
 /// What the owner of a connection knows of its socket. Clones share one state.
 #[derive(Clone, Debug, Default)]
-pub struct Socket(Arc<Flags>);
+pub struct SocketState(Arc<Flags>);
 
 #[derive(Debug, Default)]
 struct Flags {
@@ -25,7 +25,7 @@
     blocked: AtomicBool,
 }
 
-impl Socket {
+impl SocketState {
     /// The connection ends in a reset. A caller who reads until the connection is closed
     /// can't tell a cut answer from a whole one by anything else.
     pub fn reset(&self) {
@@ -41,24 +41,24 @@
 /// A caller's socket.
 pub struct CallerStream {
     stream: TcpStream,
-    stall: Duration,
+    stall_timeout: Duration,
     /// Runs while the socket takes nothing.
-    stalled: Option<Pin<Box<Sleep>>>,
-    socket: Socket,
+    stall_timer: Option<Pin<Box<Sleep>>>,
+    socket: SocketState,
 }
 
 impl CallerStream {
     /// Watches a socket; after `stall` without a byte taken its writes are errors.
-    pub fn new(stream: TcpStream, stall: Duration, socket: Socket) -> Self {
+    pub fn new(stream: TcpStream, stall_timeout: Duration, socket: SocketState) -> Self {
         Self {
             stream,
-            stall,
-            stalled: None,
+            stall_timeout,
+            stall_timer: None,
             socket,
         }
     }
 
-    fn watched<T>(
+    fn check_stall<T>(
         &mut self,
         cx: &mut Context<'_>,
         written: Poll<io::Result<T>>,
@@ -66,12 +66,14 @@
         let blocked = &self.socket.0.blocked;
         blocked.store(written.is_pending(), Ordering::Relaxed);
         if written.is_ready() {
-            self.stalled = None;
+            self.stall_timer = None;
             return written;
         }
-        let stall = self.stall;
-        let stalled = self.stalled.get_or_insert_with(|| Box::pin(sleep(stall)));
-        ready!(stalled.as_mut().poll(cx));
+        let stall_timeout = self.stall_timeout;
+        let stall_timer = self
+            .stall_timer
+            .get_or_insert_with(|| Box::pin(sleep(stall_timeout)));
+        ready!(stall_timer.as_mut().poll(cx));
         self.socket.reset();
         Poll::Ready(Err(io::ErrorKind::TimedOut.into()))
     }
@@ -95,7 +97,7 @@
     ) -> Poll<io::Result<usize>> {
         let own = self.get_mut();
         let written = Pin::new(&mut own.stream).poll_write(cx, buf);
-        own.watched(cx, written)
+        own.check_stall(cx, written)
     }
 
     fn poll_write_vectored(
@@ -105,7 +107,7 @@
     ) -> Poll<io::Result<usize>> {
         let own = self.get_mut();
         let written = Pin::new(&mut own.stream).poll_write_vectored(cx, bufs);
-        own.watched(cx, written)
+        own.check_stall(cx, written)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/components/gateway/src/calls.rs
+++ b/components/gateway/src/calls.rs
@@ -10,7 +10,7 @@
 use crate::body::Body;
 use crate::gateway::Gateway;
 use crate::keyed::{self, Keyed};
-use crate::paths::Target;
+use crate::paths::ServiceTarget;
 use crate::rejection::Rejection;
 use crate::request_body::RequestBody;
 use crate::request_context::{RequestContext, require_kind};
@@ -19,7 +19,7 @@
 pub async fn serve<B>(
     gateway: Arc<Gateway>,
     context: RequestContext,
-    target: Target,
+    target: ServiceTarget,
     path: String,
     body: B,
 ) -> Result<Response<Body>, Rejection>
@@ -42,6 +42,6 @@
         };
         return keyed::serve(&gateway, job, context.arrived_ms, keyed).await;
     }
-    let answering = ActiveRequest::admit(&gateway, job, context.arrived_ms).await?;
-    answering.relay(body).await
+    let request = ActiveRequest::admit(&gateway, job, context.arrived_ms).await?;
+    request.relay(body).await
 }
--- a/components/gateway/src/completion_stream.rs
+++ b/components/gateway/src/completion_stream.rs
@@ -21,7 +21,7 @@
 use crate::body::{AnswerInterrupted, Body, streamed};
 use crate::problem;
 use crate::rejection::Rejection;
-use crate::resumed::Begun;
+use crate::resumed::Continuation;
 
 /// Longest line of a stream.
 const LINE_BYTES_MAX: usize = 256 * 1024;
@@ -30,58 +30,59 @@
 const OK: u16 = 200;
 
 /// What the engines say of a completion, over all attempts.
-struct Said {
+struct StreamState {
     parser: Parser,
     /// Bytes after the last whole event.
-    rest: BytesMut,
+    partial_event: BytesMut,
     token_ids: Vec<u32>,
     /// Text came whose tokens have no ids.
-    unnamed: bool,
-    sent: bool,
-    begun: Begun,
+    has_text_without_ids: bool,
+    has_sent: bool,
+    continuation: Continuation,
 }
 
-impl Said {
+impl StreamState {
     fn new() -> Self {
         Self {
             parser: Parser::new(LINE_BYTES_MAX),
-            rest: BytesMut::new(),
+            partial_event: BytesMut::new(),
             token_ids: Vec::new(),
-            unnamed: false,
-            sent: false,
-            begun: Begun::default(),
+            has_text_without_ids: false,
+            has_sent: false,
+            continuation: Continuation::default(),
         }
     }
 
     /// Takes bytes in; gives the whole events that they complete.
-    fn take(&mut self, bytes: &[u8]) -> Result<Bytes, Failure> {
+    fn push(&mut self, bytes: &[u8]) -> Result<Bytes, Failure> {
         let not_an_answer = || Failure::new(RunState::Failed, Cause::EndpointError);
-        self.rest.extend_from_slice(bytes);
-        let whole = whole_events(&self.rest);
-        if self.rest.len() - whole > EVENT_BYTES_MAX {
+        self.partial_event.extend_from_slice(bytes);
+        let whole = complete_events_len(&self.partial_event);
+        if self.partial_event.len() - whole > EVENT_BYTES_MAX {
             return Err(not_an_answer());
         }
-        let events = self.rest.split_to(whole).freeze();
-        let (token_ids, unnamed) = (&mut self.token_ids, &mut self.unnamed);
+        let events = self.partial_event.split_to(whole).freeze();
+        let (token_ids, has_text_without_ids) =
+            (&mut self.token_ids, &mut self.has_text_without_ids);
         let parsed = self.parser.push(&events, |piece| {
-            *unnamed |= piece.token_ids.is_empty() && !piece.text.is_empty();
+            *has_text_without_ids |= piece.token_ids.is_empty() && !piece.text.is_empty();
             token_ids.extend(piece.token_ids);
             Ok(())
         });
         parsed.map_err(|_| not_an_answer())?;
-        self.sent |= !events.is_empty();
-        self.begun.note(&events);
-        Ok(self.begun.restate(events))
+        self.has_sent |= !events.is_empty();
+        self.continuation.record_id(&events);
+        Ok(self.continuation.rewrite(events))
     }
 
     /// Forgets the part of an event that was cut; the next engine begins a new one.
-    fn cut(&mut self) {
+    fn discard_partial_event(&mut self) {
         self.parser = Parser::new(LINE_BYTES_MAX);
-        self.rest.clear();
+        self.partial_event.clear();
     }
 
-    fn flowed(&self) -> Delivered {
-        match (self.sent, self.unnamed) {
+    fn delivered(&self) -> Delivered {
+        match (self.has_sent, self.has_text_without_ids) {
             (false, _) => Delivered::Nothing,
             (true, false) => Delivered::Tokens,
             (true, true) => Delivered::Bytes,
@@ -90,7 +91,7 @@
 }
 
 /// Bytes up to the end of the last blank line.
-fn whole_events(bytes: &[u8]) -> usize {
+fn complete_events_len(bytes: &[u8]) -> usize {
     let line_end = |at: &usize| bytes.get(*at) == Some(&b'\n');
     let ends = (0..bytes.len()).rev().filter(line_end);
     ends.filter(|&at| at > 0)
@@ -108,23 +109,23 @@
 /// The head goes with the first event: engines send theirs before they have begun, and a
 /// request that fails up to there still gets its status and problem document.
 pub async fn serve(
-    mut answering: ActiveRequest,
+    mut request: ActiveRequest,
     body: impl Fn(&[u32]) -> Bytes + Send + 'static,
 ) -> Result<Response<Body>, Rejection> {
-    match answering.retried_call.send(&body(&[])).await {
+    match request.retried_call.send(&body(&[])).await {
         Ok((head, attempt)) if head.status == OK => {
-            let streaming = Streaming {
-                answering,
+            let streaming = CompletionStream {
+                request,
                 attempt,
-                said: Said::new(),
+                state: StreamState::new(),
                 body,
             };
             streaming.respond(&stream_head(head)).await
         }
         // A refusal of the engine's own is no stream; it goes on as it is.
-        Ok((head, attempt)) => response(&head.clone(), answering.pass_on(head.status, attempt)),
+        Ok((head, attempt)) => response(&head.clone(), request.stream_rest(head.status, attempt)),
         Err(failure) => {
-            answering.trace.record_failure(failure);
+            request.trace.record_failure(failure);
             Err(failure.into())
         }
     }
@@ -140,29 +141,29 @@
     }
 }
 
-struct Streaming<F> {
-    answering: ActiveRequest,
+struct CompletionStream<F> {
+    request: ActiveRequest,
     attempt: Attempt,
-    said: Said,
+    state: StreamState,
     body: F,
 }
 
 /// What the caller's stream does next.
 enum Next {
     Bytes(Bytes),
-    Whole,
-    Broken(Failure),
+    End,
+    Failed(Failure),
 }
 
-impl<F: Fn(&[u32]) -> Bytes + Send + 'static> Streaming<F> {
+impl<F: Fn(&[u32]) -> Bytes + Send + 'static> CompletionStream<F> {
     async fn respond(mut self, head: &Head) -> Result<Response<Body>, Rejection> {
         let first = self.next().await;
-        if let Next::Broken(failure) = first {
-            self.answering.trace.record_failure(failure);
+        if let Next::Failed(failure) = first {
+            self.request.trace.record_failure(failure);
             return Err(failure.into());
         }
-        let deadline_at_ms = self.answering.retried_call.job.deadline_at_ms;
-        let state = State::Begun(first, Box::new(self));
+        let deadline_at_ms = self.request.retried_call.job.deadline_at_ms;
+        let state = State::First(first, Box::new(self));
         let events = stream::unfold(state, |state| async { state.next().await });
         response(head, streamed(events, deadline_at_ms))
     }
@@ -171,45 +172,45 @@
         loop {
             let failure = match self.attempt.next().await {
                 CallEvent::Accepted | CallEvent::Started | CallEvent::Head(_) => continue,
-                CallEvent::Chunk(bytes) => match self.said.take(&bytes) {
+                CallEvent::Chunk(bytes) => match self.state.push(&bytes) {
                     Ok(events) if events.is_empty() => continue,
                     Ok(events) => return Next::Bytes(events),
                     Err(failure) => failure,
                 },
-                CallEvent::End if self.said.parser.is_whole() => return Next::Whole,
+                CallEvent::End if self.state.parser.is_whole() => return Next::End,
                 CallEvent::End => Failure::new(RunState::Failed, Cause::Truncated),
                 CallEvent::Failed(failure) => failure,
             };
-            if let Err(failure) = self.go_on(failure).await {
-                return Next::Broken(failure);
+            if let Err(failure) = self.resume_elsewhere(failure).await {
+                return Next::Failed(failure);
             }
         }
     }
 
     /// The answer costs only the tokens that were made.
     fn refund_unused_tokens(&mut self) {
-        let made = u32::try_from(self.said.token_ids.len()).unwrap_or(u32::MAX);
-        let prompt_tokens = self.answering.retried_call.job.work.prompt_tokens;
-        if !self.said.unnamed {
-            self.answering
+        let made = u32::try_from(self.state.token_ids.len()).unwrap_or(u32::MAX);
+        let prompt_tokens = self.request.retried_call.job.work.prompt_tokens;
+        if !self.state.has_text_without_ids {
+            self.request
                 .admitted
                 .refund_unused(made.saturating_add(prompt_tokens));
         }
     }
 
     /// Goes on at another engine, or says why not.
-    async fn go_on(&mut self, mut failure: Failure) -> Result<(), Failure> {
-        self.said.cut();
+    async fn resume_elsewhere(&mut self, mut failure: Failure) -> Result<(), Failure> {
+        self.state.discard_partial_event();
         loop {
-            let flowed = self.said.flowed();
-            let resume = self.answering.retried_call.retry(failure, flowed).await?;
+            let delivered = self.state.delivered();
+            let resume = self.request.retried_call.retry(failure, delivered).await?;
             let tokens: &[u32] = match resume {
                 Resume::FromStart => &[],
-                Resume::FromTokens => &self.said.token_ids,
+                Resume::FromTokens => &self.state.token_ids,
             };
-            self.said.begun.tokens = tokens.len() as u64;
+            self.state.continuation.tokens = tokens.len() as u64;
             let body = (self.body)(tokens);
-            let (head, attempt) = self.answering.retried_call.send(&body).await?;
+            let (head, attempt) = self.request.retried_call.send(&body).await?;
             if head.status == OK {
                 self.attempt = attempt;
                 return Ok(());
@@ -220,9 +221,9 @@
 }
 
 enum State<F> {
-    Begun(Next, Box<Streaming<F>>),
-    Running(Box<Streaming<F>>),
-    Breaking(Failure),
+    First(Next, Box<CompletionStream<F>>),
+    Running(Box<CompletionStream<F>>),
+    Failing(Failure),
     Ended,
 }
 
@@ -231,9 +232,9 @@
 impl<F: Fn(&[u32]) -> Bytes + Send + 'static> State<F> {
     async fn next(self) -> Item<F> {
         let (next, mut streaming) = match self {
-            State::Begun(next, streaming) => (next, streaming),
+            State::First(next, streaming) => (next, streaming),
             State::Running(mut streaming) => (streaming.next().await, streaming),
-            State::Breaking(failure) => {
+            State::Failing(failure) => {
                 // `hyper` drops what it has not flushed when a body fails, and it flushes
                 // when a body has nothing at the moment; the event would not be seen.
                 tokio::task::yield_now().await;
@@ -243,18 +244,18 @@
         };
         match next {
             Next::Bytes(bytes) => {
-                streaming.answering.trace.record_first_byte();
+                streaming.request.trace.record_first_byte();
                 Some((Ok(bytes), State::Running(streaming)))
             }
-            Next::Whole => {
-                streaming.answering.trace.record_answer(OK);
+            Next::End => {
+                streaming.request.trace.record_answer(OK);
                 streaming.refund_unused_tokens();
                 None
             }
-            Next::Broken(failure) => {
-                let event = broken_event(&streaming.answering, failure);
-                streaming.answering.trace.record_failure(failure);
-                Some((Ok(event), State::Breaking(failure)))
+            Next::Failed(failure) => {
+                let event = problem_event(&streaming.request, failure);
+                streaming.request.trace.record_failure(failure);
+                Some((Ok(event), State::Failing(failure)))
             }
         }
     }
@@ -262,8 +263,8 @@
 
 /// Tells a caller that reads events why the stream breaks; the cut that follows tells
 /// every other one.
-fn broken_event(answering: &ActiveRequest, failure: Failure) -> Bytes {
-    let request_id = &answering.retried_call.job.request_id;
+fn problem_event(request: &ActiveRequest, failure: Failure) -> Bytes {
+    let request_id = &request.retried_call.job.request_id;
     let document = problem::document(&Rejection::Call(failure), request_id);
     let mut event = BytesMut::from(&b"event: error\ndata: "[..]);
     event.extend_from_slice(&document);
--- a/components/gateway/src/completions.rs
+++ b/components/gateway/src/completions.rs
@@ -12,7 +12,7 @@
 use crate::gateway::Gateway;
 use crate::headers::{DEADLINE_MS_MAX, IDEMPOTENCY_KEY};
 use crate::keyed::{self, Keyed};
-use crate::paths::Target;
+use crate::paths::ServiceTarget;
 use crate::rejection::Rejection;
 use crate::request_body::RequestBody;
 use crate::request_context::{RequestContext, require_kind};
@@ -44,7 +44,7 @@
     let completion = Completion::parse(&bytes)?;
     let service = context
         .session
-        .callable(&Target::parse(&completion.model)?)?;
+        .callable(&ServiceTarget::parse(&completion.model)?)?;
     require_kind(&service, ServiceKind::Model)?;
     let work = completion.work();
     let content = [completion.prompt.as_bytes()];
@@ -67,10 +67,10 @@
         };
         return keyed::serve(&gateway, job, context.arrived_ms, keyed).await;
     }
-    let answering = ActiveRequest::admit(&gateway, job, context.arrived_ms).await?;
+    let request = ActiveRequest::admit(&gateway, job, context.arrived_ms).await?;
     if stream {
-        completion_stream::serve(answering, body).await
+        completion_stream::serve(request, body).await
     } else {
-        answering.relay(body(&[])).await
+        request.relay(body(&[])).await
     }
 }
--- a/components/gateway/src/connection.rs
+++ b/components/gateway/src/connection.rs
@@ -22,12 +22,12 @@
 use tower::{Service, ServiceExt, service_fn};
 
 use crate::body::Body;
-use crate::caller_stream::{CallerStream, Socket};
+use crate::caller_stream::{CallerStream, SocketState};
 use crate::connections::Connection;
-use crate::delivery::{Cut, STALL};
+use crate::delivery::{ConnectionCut, STALL_TIMEOUT};
 
 /// Time for the first request of a connection.
-const FIRST_HEAD: Duration = Duration::from_secs(5);
+const FIRST_HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time for the head of a later one, from the end of the one before.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(60);
 /// Most headers of a request.
@@ -35,11 +35,11 @@
 /// Bytes of a request's head, and of a connection's read buffer.
 const HEAD_BYTES_MAX: usize = 32 * 1024;
 /// Time for the last part of an answer that is cut to reach a caller who does read.
-const LAST_PART: Duration = Duration::from_secs(1);
+const FINAL_PART_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time for an idle connection that makes room to end in order.
-const CLOSE_IN_ORDER: Duration = Duration::from_millis(50);
+const GRACEFUL_CLOSE_TIMEOUT: Duration = Duration::from_millis(50);
 /// Time for the first request of a connection when the process stops.
-const FIRST_REQUEST: Duration = Duration::from_millis(500);
+const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(500);
 
 /// A service that answers the requests of the public address; each connection has a clone.
 pub trait PublicService:
@@ -59,7 +59,7 @@
 }
 
 /// Waits until `stop` is true, or its sender is gone.
-pub(crate) async fn stopped(stop: &mut watch::Receiver<bool>) {
+pub(crate) async fn wait_for_stop(stop: &mut watch::Receiver<bool>) {
     let _ = stop.wait_for(|&stop| stop).await;
 }
 
@@ -75,10 +75,15 @@
 {
     // A small answer must not wait for an acknowledgement of the one before.
     let _ = stream.set_nodelay(true);
-    let seen = Arc::new(Seen::default());
-    let (cut, socket) = (Cut::default(), Socket::default());
-    let service = answering(service, Arc::clone(&state), Arc::clone(&seen), cut.clone());
-    let stream = CallerStream::new(stream, STALL, socket.clone());
+    let history = Arc::new(RequestHistory::default());
+    let (cut, socket) = (ConnectionCut::default(), SocketState::default());
+    let service = track_requests(
+        service,
+        Arc::clone(&state),
+        Arc::clone(&history),
+        cut.clone(),
+    );
+    let stream = CallerStream::new(stream, STALL_TIMEOUT, socket.clone());
     let served = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(HEADER_TIMEOUT)
@@ -86,9 +91,9 @@
         .max_buf_size(HEAD_BYTES_MAX)
         .serve_connection(TokioIo::new(stream), TowerToHyperService::new(service));
     let mut served = pin!(served);
-    let mut stopping = pin!(stop_due(&mut stop, &seen));
-    let mut unread = pin!(unread_for_long(&cut));
-    let mut first_head = pin!(sleep(FIRST_HEAD));
+    let mut stopping = pin!(wait_for_shutdown(&mut stop, &history));
+    let mut unread = pin!(wait_until_unread(&cut));
+    let mut first_head = pin!(sleep(FIRST_HEAD_TIMEOUT));
     let (mut is_stopping, mut is_head_due) = (false, false);
     let ended = loop {
         tokio::select! {
@@ -101,16 +106,16 @@
             }
             () = first_head.as_mut(), if !is_head_due => {
                 is_head_due = true;
-                if !seen.has_begun() {
+                if !history.has_request() {
                     return;
                 }
             }
-            () = state.close_wanted() => {
-                if state.stays() {
+            () = state.close_requested() => {
+                if state.cancel_close_if_busy() {
                     continue;
                 }
                 served.as_mut().graceful_shutdown();
-                if let Ok(ended) = timeout(CLOSE_IN_ORDER, served.as_mut()).await {
+                if let Ok(ended) = timeout(GRACEFUL_CLOSE_TIMEOUT, served.as_mut()).await {
                     break ended;
                 }
                 // Part of a head has come, which may take its time; nothing runs of it.
@@ -125,54 +130,54 @@
         }
     };
     if let Err(reason) = ended {
-        on_broken(&reason, &seen, &socket);
+        handle_error(&reason, &history, &socket);
     }
 }
 
 /// Waits until the process stops and no first request can be on its way any longer.
-async fn stop_due(stop: &mut watch::Receiver<bool>, seen: &Seen) {
-    stopped(stop).await;
+async fn wait_for_shutdown(stop: &mut watch::Receiver<bool>, history: &RequestHistory) {
+    wait_for_stop(stop).await;
     // `hyper` closes a connection whose first request has not been read, though it
     // may be on its way. Its answer will be a refusal that closes the connection.
-    if !seen.has_begun() {
-        sleep(FIRST_REQUEST).await;
+    if !history.has_request() {
+        sleep(FIRST_REQUEST_GRACE).await;
     }
 }
 
 /// Waits until an answer was cut and its caller has had the time to read the last part.
-async fn unread_for_long(cut: &Cut) {
-    cut.wanted().await;
-    sleep(LAST_PART).await;
+async fn wait_until_unread(cut: &ConnectionCut) {
+    cut.requested().await;
+    sleep(FINAL_PART_TIMEOUT).await;
 }
 
 /// A connection that breaks concerns only its caller, who sees it.
-fn on_broken(reason: &hyper::Error, seen: &Seen, socket: &Socket) {
+fn handle_error(reason: &hyper::Error, history: &RequestHistory, socket: &SocketState) {
     log::debug!(event = "connection-ended", reason:% = reason; "");
-    if seen.ends_by_close() {
+    if history.ends_by_close() {
         socket.reset();
     }
 }
 
 /// The service of one connection, which is busy until an answer has been handed over.
-fn answering<S>(
+fn track_requests<S>(
     service: S,
     state: Arc<Connection>,
-    seen: Arc<Seen>,
-    cut: Cut,
+    history: Arc<RequestHistory>,
+    cut: ConnectionCut,
 ) -> impl Service<Request<Incoming>, Response = Response<Body>, Error = Infallible, Future: Send> + Clone
 where
     S: PublicService,
 {
     service_fn(move |request| {
-        let busy = state.begin();
-        seen.note(&request);
+        let busy = state.begin_request();
+        history.record(&request);
         let answer = service.clone().oneshot(request);
         let cut = cut.clone();
         async move {
             let mut response = answer.await?;
             let body = response.body_mut();
-            body.cut_with(&cut);
-            body.hold(busy);
+            body.set_cut(&cut);
+            body.set_busy_guard(busy);
             Ok(response)
         }
     })
@@ -180,23 +185,23 @@
 
 /// What a connection's requests were so far.
 #[derive(Default)]
-struct Seen {
+struct RequestHistory {
     /// There was one.
-    begun: AtomicBool,
+    has_request: AtomicBool,
     /// Its answer ends where the connection is closed; an end like any other would make
     /// a cut answer look whole.
     ends_by_close: AtomicBool,
 }
 
-impl Seen {
-    fn note<B>(&self, request: &Request<B>) {
-        self.begun.store(true, Ordering::Relaxed);
+impl RequestHistory {
+    fn record<B>(&self, request: &Request<B>) {
+        self.has_request.store(true, Ordering::Relaxed);
         let old = request.version() < Version::HTTP_11;
         self.ends_by_close.store(old, Ordering::Relaxed);
     }
 
-    fn has_begun(&self) -> bool {
-        self.begun.load(Ordering::Relaxed)
+    fn has_request(&self) -> bool {
+        self.has_request.load(Ordering::Relaxed)
     }
 
     fn ends_by_close(&self) -> bool {
--- a/components/gateway/src/connections.rs
+++ b/components/gateway/src/connections.rs
@@ -17,13 +17,13 @@
 const BUSY: u64 = u64::MAX;
 /// Of all connections, this part is closed at a time, so that each new one does not have
 /// to look through all.
-const CLOSED_PART: usize = 16;
+const CLOSE_DIVISOR: usize = 16;
 /// A connection that is idle for less may have its next request under way.
 const IDLE_MS_MIN: u64 = 500;
 /// Between two closings, the first of which have ended then.
-const CLOSE_EVERY_MS: u64 = 100;
+const CLOSE_INTERVAL_MS: u64 = 100;
 /// Between two log lines of connections that were closed for others.
-const LOG_EVERY_MS: u64 = 10_000;
+const LOG_INTERVAL_MS: u64 = 10_000;
 
 /// One connection.
 #[derive(Debug)]
@@ -44,9 +44,9 @@
     }
 
     /// A request has come; it ends with the guard.
-    pub fn begin(self: &Arc<Self>) -> Busy {
+    pub fn begin_request(self: &Arc<Self>) -> BusyGuard {
         self.idle_since_ms.store(BUSY, Ordering::SeqCst);
-        Busy(Arc::clone(self))
+        BusyGuard(Arc::clone(self))
     }
 
     /// Whether a request is in progress.
@@ -55,7 +55,7 @@
     }
 
     /// Waits until the connection is to make room.
-    pub async fn close_wanted(&self) {
+    pub async fn close_requested(&self) {
         self.close.notified().await;
     }
 
@@ -65,7 +65,7 @@
     }
 
     /// Whether it stays after all: a request came meanwhile.
-    pub fn stays(&self) -> bool {
+    pub fn cancel_close_if_busy(&self) -> bool {
         let is_busy = self.is_busy();
         if is_busy {
             self.closing.store(false, Ordering::Relaxed);
@@ -88,9 +88,9 @@
 
 /// A connection with a request in progress; dropped, the connection is idle.
 #[derive(Debug)]
-pub struct Busy(Arc<Connection>);
+pub struct BusyGuard(Arc<Connection>);
 
-impl Drop for Busy {
+impl Drop for BusyGuard {
     fn drop(&mut self) {
         self.0.idle_since_ms.store(now_ms(), Ordering::SeqCst);
     }
@@ -102,8 +102,8 @@
     max: usize,
     open: HashMap<Id, Arc<Connection>>,
     closed: usize,
-    closed_ms: Option<u64>,
-    logged_ms: Option<u64>,
+    last_close_ms: Option<u64>,
+    last_log_ms: Option<u64>,
 }
 
 impl Connections {
@@ -113,41 +113,41 @@
             max,
             open: HashMap::new(),
             closed: 0,
-            closed_ms: None,
-            logged_ms: None,
+            last_close_ms: None,
+            last_log_ms: None,
         }
     }
 
     /// Whether another one may be opened.
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.open.len() < self.max
     }
 
     /// A connection is served by this task.
-    pub fn opened(&mut self, task: Id, connection: Arc<Connection>) {
+    pub fn add(&mut self, task: Id, connection: Arc<Connection>) {
         self.open.insert(task, connection);
     }
 
     /// The task has ended.
-    pub fn ended(&mut self, task: Id) {
+    pub fn remove(&mut self, task: Id) {
         self.open.remove(&task);
     }
 
     /// Closes those that have been idle for the longest time, unless there is room or some
     /// were closed just now; gives their number.
-    pub fn make_room(&mut self, now_ms: u64) -> usize {
-        let just_now = |closed_ms| now_ms < closed_ms + CLOSE_EVERY_MS;
-        if self.has_room() || self.closed_ms.is_some_and(just_now) {
+    pub fn close_idle(&mut self, now_ms: u64) -> usize {
+        let just_now = |last_close_ms| now_ms < last_close_ms + CLOSE_INTERVAL_MS;
+        if self.has_capacity() || self.last_close_ms.is_some_and(just_now) {
             return 0;
         }
-        self.closed_ms = Some(now_ms);
+        self.last_close_ms = Some(now_ms);
         let idle = self.open.values().filter_map(|connection| {
             let since_ms = connection.idle_since_ms(now_ms)?;
             Some((since_ms, connection))
         });
         let mut idle: Vec<_> = idle.collect();
         idle.sort_by_key(|(since_ms, _)| *since_ms);
-        let part = (self.max / CLOSED_PART).max(1);
+        let part = (self.max / CLOSE_DIVISOR).max(1);
         let oldest = idle.iter().take(part);
         let closed = oldest.map(|(_, connection)| connection.close()).count();
         self.closed += closed;
@@ -156,11 +156,11 @@
     }
 
     fn log(&mut self, now_ms: u64) {
-        let lately = |logged_ms| now_ms < logged_ms + LOG_EVERY_MS;
-        if self.logged_ms.is_some_and(lately) {
+        let lately = |last_log_ms| now_ms < last_log_ms + LOG_INTERVAL_MS;
+        if self.last_log_ms.is_some_and(lately) {
             return;
         }
-        self.logged_ms = Some(now_ms);
+        self.last_log_ms = Some(now_ms);
         let closed = std::mem::take(&mut self.closed);
         log::warn!(event = "connections-full", open = self.open.len(), closed; "");
     }
--- a/components/gateway/src/delivery.rs
+++ b/components/gateway/src/delivery.rs
@@ -27,54 +27,54 @@
 use crate::answer_interrupted::AnswerInterrupted;
 
 /// Parts between the task and the caller's connection.
-const PARTS_MAX: usize = 8;
+const BUFFERED_PARTS_MAX: usize = 8;
 /// Longest time without the caller taking a part.
-pub const STALL: Duration = Duration::from_secs(5);
+pub const STALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time after the deadline for the answer's own end, which says more than a cut.
-const GRACE: Duration = Duration::from_secs(1);
+const DEADLINE_GRACE: Duration = Duration::from_secs(1);
 
 /// Cuts a caller's connection, whatever its socket does.
 #[derive(Clone, Debug, Default)]
-pub struct Cut(Arc<Notify>);
+pub struct ConnectionCut(Arc<Notify>);
 
-impl Cut {
+impl ConnectionCut {
     /// Cuts the connection.
     pub fn cut(&self) {
         self.0.notify_one();
     }
 
     /// Waits until the connection is to be cut.
-    pub async fn wanted(&self) {
+    pub async fn requested(&self) {
         self.0.notified().await;
     }
 }
 
 /// How an answer ended, for both sides of its delivery.
 #[derive(Debug, Default)]
-struct Ending {
-    whole: AtomicBool,
-    broken: OnceLock<AnswerInterrupted>,
-    given_up: AtomicBool,
-    cut: OnceLock<Cut>,
+struct DeliveryState {
+    is_complete: AtomicBool,
+    error: OnceLock<AnswerInterrupted>,
+    is_abandoned: AtomicBool,
+    cut: OnceLock<ConnectionCut>,
 }
 
-impl Ending {
-    fn break_with(&self, failure: Failure) {
+impl DeliveryState {
+    fn fail(&self, failure: Failure) {
         // The first reason stays.
-        let _ = self.broken.set(AnswerInterrupted::CallFailed(failure));
+        let _ = self.error.set(AnswerInterrupted::CallFailed(failure));
     }
 
-    fn give_up(&self) {
-        self.break_with(Failure::new(RunState::Unknown, Cause::Cancelled));
+    fn abandon(&self) {
+        self.fail(Failure::new(RunState::Unknown, Cause::Cancelled));
         // Set first, looked at after; `cut_with` does it the other way round, so one of
         // the two sees the other.
-        self.given_up.store(true, Ordering::SeqCst);
-        self.cut_where_given_up();
+        self.is_abandoned.store(true, Ordering::SeqCst);
+        self.cut_if_abandoned();
     }
 
-    fn cut_where_given_up(&self) {
+    fn cut_if_abandoned(&self) {
         if let Some(cut) = self.cut.get()
-            && self.given_up.load(Ordering::SeqCst)
+            && self.is_abandoned.load(Ordering::SeqCst)
         {
             cut.cut();
         }
@@ -83,17 +83,17 @@
 
 /// The caller's side of an answer.
 #[derive(Debug)]
-pub struct Received {
+pub struct DeliveredParts {
     parts: mpsc::Receiver<Bytes>,
-    ending: Arc<Ending>,
-    flushed: bool,
+    state: Arc<DeliveryState>,
+    has_yielded: bool,
 }
 
-impl Received {
+impl DeliveredParts {
     /// Cuts a connection when the caller does not take the answer.
-    pub fn cut_with(&self, cut: &Cut) {
-        let _ = self.ending.cut.set(cut.clone());
-        self.ending.cut_where_given_up();
+    pub fn set_cut(&self, cut: &ConnectionCut) {
+        let _ = self.state.cut.set(cut.clone());
+        self.state.cut_if_abandoned();
     }
 
     /// The next part, or the end.
@@ -104,18 +104,18 @@
         if let Some(bytes) = ready!(self.parts.poll_recv(cx)) {
             return Poll::Ready(Some(Ok(bytes)));
         }
-        if self.ending.whole.load(Ordering::SeqCst) {
+        if self.state.is_complete.load(Ordering::SeqCst) {
             return Poll::Ready(None);
         }
         // `hyper` drops what it has not flushed when a body fails, and it flushes when a
         // body has nothing at the moment; the last part would not be seen.
-        if !std::mem::replace(&mut self.flushed, true) {
+        if !std::mem::replace(&mut self.has_yielded, true) {
             cx.waker().wake_by_ref();
             return Poll::Pending;
         }
         let lost = AnswerInterrupted::CallFailed(Failure::new(RunState::Unknown, Cause::Internal));
-        let broken = self.ending.broken.get().copied();
-        Poll::Ready(Some(Err(broken.unwrap_or(lost))))
+        let error = self.state.error.get().copied();
+        Poll::Ready(Some(Err(error.unwrap_or(lost))))
     }
 }
 
@@ -123,28 +123,28 @@
 pub fn deliver(
     parts: impl Stream<Item = Result<Bytes, AnswerInterrupted>> + Send + 'static,
     deadline_at_ms: u64,
-) -> Received {
-    let (sender, receiver) = mpsc::channel(PARTS_MAX);
-    let ending = Arc::new(Ending::default());
-    let received = Received {
+) -> DeliveredParts {
+    let (sender, receiver) = mpsc::channel(BUFFERED_PARTS_MAX);
+    let state = Arc::new(DeliveryState::default());
+    let received = DeliveredParts {
         parts: receiver,
-        ending: Arc::clone(&ending),
-        flushed: false,
+        state: Arc::clone(&state),
+        has_yielded: false,
     };
     let left = Duration::from_millis(deadline_at_ms.saturating_sub(now_ms()));
     tokio::spawn(async move {
-        let handed = timeout(left + GRACE, hand_over(parts, &sender, &ending)).await;
-        if handed.is_err() {
-            ending.give_up();
+        let forwarded = timeout(left + DEADLINE_GRACE, forward_parts(parts, &sender, &state)).await;
+        if forwarded.is_err() {
+            state.abandon();
         }
     });
     received
 }
 
-async fn hand_over(
+async fn forward_parts(
     parts: impl Stream<Item = Result<Bytes, AnswerInterrupted>>,
     sender: &mpsc::Sender<Bytes>,
-    ending: &Ending,
+    state: &DeliveryState,
 ) {
     let mut parts = pin!(parts);
     loop {
@@ -155,13 +155,13 @@
             part = parts.next() => part,
         };
         match part {
-            Some(Ok(bytes)) => match timeout(STALL, sender.send(bytes)).await {
+            Some(Ok(bytes)) => match timeout(STALL_TIMEOUT, sender.send(bytes)).await {
                 Ok(Ok(())) => {}
                 Ok(Err(_)) => return,
-                Err(_) => return ending.give_up(),
+                Err(_) => return state.abandon(),
             },
-            Some(Err(AnswerInterrupted::CallFailed(failure))) => return ending.break_with(failure),
-            None => return ending.whole.store(true, Ordering::SeqCst),
+            Some(Err(AnswerInterrupted::CallFailed(failure))) => return state.fail(failure),
+            None => return state.is_complete.store(true, Ordering::SeqCst),
         }
     }
 }
--- a/components/gateway/src/descriptors.rs
+++ b/components/gateway/src/descriptors.rs
@@ -9,7 +9,7 @@
 /// Connections of callers at a time, however many descriptors there are.
 const CONNECTIONS_MAX: usize = 16_384;
 /// Descriptors for connections to agents, entries, the log and endpoints, and for files.
-const RESERVED: usize = 512;
+const RESERVED_DESCRIPTORS: usize = 512;
 
 /// Raises the soft limit to the hard one; gives the limit in force, `None` without one.
 pub fn raise_limit() -> Option<u64> {
@@ -31,6 +31,6 @@
     let Some(limit) = limit.and_then(|limit| usize::try_from(limit).ok()) else {
         return CONNECTIONS_MAX;
     };
-    let reserved = RESERVED.min(limit / 2);
+    let reserved = RESERVED_DESCRIPTORS.min(limit / 2);
     (limit - reserved).clamp(1, CONNECTIONS_MAX)
 }
--- a/components/gateway/src/drained.rs
+++ b/components/gateway/src/drained.rs
@@ -13,19 +13,19 @@
 use hyper::body::{Body, Frame, SizeHint};
 
 /// Most bytes that are thrown away.
-const BYTES_MAX: usize = 32 << 20;
+const DISCARDED_BYTES_MAX: usize = 32 << 20;
 /// Longest time for it.
-const TIMEOUT: Duration = Duration::from_secs(2);
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A request's body; dropped before its end, the rest is read by a task of its own.
-pub struct Drained<B: Body + Unpin + Send + 'static>
+pub struct DrainedBody<B: Body + Unpin + Send + 'static>
 where
     B::Data: Send,
 {
     body: Option<B>,
 }
 
-impl<B> Drained<B>
+impl<B> DrainedBody<B>
 where
     B: Body + Unpin + Send + 'static,
     B::Data: Send,
@@ -36,7 +36,7 @@
     }
 }
 
-impl<B> Body for Drained<B>
+impl<B> Body for DrainedBody<B>
 where
     B: Body + Unpin + Send + 'static,
     B::Data: Send,
@@ -65,7 +65,7 @@
     }
 }
 
-impl<B> Drop for Drained<B>
+impl<B> Drop for DrainedBody<B>
 where
     B: Body + Unpin + Send + 'static,
     B::Data: Send,
@@ -74,13 +74,13 @@
         let rest = self.body.take().filter(|body| !body.is_end_stream());
         // Outside a runtime the process is ending, and its connections with it.
         if let (Some(rest), Ok(runtime)) = (rest, tokio::runtime::Handle::try_current()) {
-            runtime.spawn(tokio::time::timeout(TIMEOUT, discard(rest)));
+            runtime.spawn(tokio::time::timeout(DISCARD_TIMEOUT, discard(rest)));
         }
     }
 }
 
 async fn discard<B: Body + Unpin>(mut body: B) {
-    let mut left = BYTES_MAX;
+    let mut left = DISCARDED_BYTES_MAX;
     while let Some(Ok(frame)) = body.frame().await {
         let bytes = frame.data_ref().map_or(0, Buf::remaining);
         match left.checked_sub(bytes) {
--- a/components/gateway/src/endpoint_life.rs
+++ b/components/gateway/src/endpoint_life.rs
@@ -13,11 +13,11 @@
 use crate::job::Job;
 
 /// How long the agent's news is waited for, in milliseconds.
-const NEWS_MS: u64 = 400;
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+const CRASH_REPORT_TIMEOUT_MS: u64 = 400;
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// How long news that is late still counts, in milliseconds.
-const LATE_NEWS_MS: u64 = 3_000;
+const LATE_CRASH_REPORT_TIMEOUT_MS: u64 = 3_000;
 
 /// The life of an endpoint at the hand-over of a call.
 #[derive(Clone)]
@@ -31,7 +31,7 @@
 
 impl EndpointLife {
     /// The life known now.
-    pub fn now(gateway: &Gateway, job: &Job, node: NodeId) -> Self {
+    pub fn current(gateway: &Gateway, job: &Job, node: NodeId) -> Self {
         let mut life = Self {
             gossip: gateway.gossip.clone(),
             owner: job.service.owner.clone(),
@@ -46,15 +46,15 @@
     /// Waits for news that the life is over; false when none comes. An endpoint that is
     /// down is not listed.
     pub async fn has_ended(&self) -> bool {
-        self.ends_within(NEWS_MS).await
+        self.wait_for_end(CRASH_REPORT_TIMEOUT_MS).await
     }
 
     /// The same for news that comes after the caller has his answer.
-    pub async fn ends_late(&self) -> bool {
-        self.ends_within(LATE_NEWS_MS).await
+    pub async fn has_ended_late(&self) -> bool {
+        self.wait_for_end(LATE_CRASH_REPORT_TIMEOUT_MS).await
     }
 
-    async fn ends_within(&self, wait_ms: u64) -> bool {
+    async fn wait_for_end(&self, wait_ms: u64) -> bool {
         let until_ms = now_ms() + wait_ms;
         loop {
             if self.newest() != self.life {
@@ -63,7 +63,7 @@
             if now_ms() >= until_ms {
                 return false;
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
--- a/components/gateway/src/entry.rs
+++ b/components/gateway/src/entry.rs
@@ -18,7 +18,7 @@
 use crate::error::EntryError;
 use crate::gateway::Gateway;
 use crate::readiness::Readiness;
-use crate::start::{Parts, start};
+use crate::start::{ProcessParts, start};
 use crate::tuning::Tuning;
 use crate::{inner, routes, server, status};
 
@@ -76,7 +76,7 @@
             admin,
             links,
         } = self.sockets;
-        let parts = Parts {
+        let parts = ProcessParts {
             identity,
             udp,
             links: links.clone(),
@@ -110,7 +110,7 @@
     mut settled: watch::Receiver<bool>,
 ) {
     let gateway = Arc::clone(gateway);
-    let handle = move |incoming| inner::take(&gateway, incoming);
+    let handle = move |incoming| inner::handle_call(&gateway, incoming);
     let stop = async move {
         // The sender is gone only when the process ends.
         let _ = settled.wait_for(|settled| *settled).await;
--- a/components/gateway/src/gossip_handlers.rs
+++ b/components/gateway/src/gossip_handlers.rs
@@ -11,7 +11,7 @@
 use weights::{ModelKey, Target};
 
 use crate::gateway::Gateway;
-use crate::suspects::{Found, Quarantine};
+use crate::suspects::{Quarantine, QuarantineEvent};
 use crate::weight_authority::WeightAuthority;
 
 /// Digests in one report, so that it fits a datagram.
@@ -22,17 +22,20 @@
     /// Versions that came in force or are to be loaded.
     pub versions: mpsc::Receiver<(ModelKey, Target)>,
     /// Calls that were condemned, and crashes.
-    pub condemned: mpsc::UnboundedReceiver<Found>,
+    pub quarantine_events: mpsc::UnboundedReceiver<QuarantineEvent>,
 }
 
 /// Starts the tasks that tell them.
 pub fn start(gateway: &Arc<Gateway>, sources: GossipSources) {
-    tokio::spawn(tell_versions(Arc::clone(gateway), sources.versions));
-    tokio::spawn(tell_found(Arc::clone(gateway), sources.condemned));
+    tokio::spawn(spread_versions(Arc::clone(gateway), sources.versions));
+    tokio::spawn(spread_quarantine_events(
+        Arc::clone(gateway),
+        sources.quarantine_events,
+    ));
 }
 
 /// Tells every version that comes in force to the other processes and to the ledgers.
-async fn tell_versions(gateway: Arc<Gateway>, mut versions: mpsc::Receiver<(ModelKey, Target)>) {
+async fn spread_versions(gateway: Arc<Gateway>, mut versions: mpsc::Receiver<(ModelKey, Target)>) {
     while let Some((model, target)) = versions.recv().await {
         gateway.gossip.spread(GossipMessage::Weights {
             customer: model.customer.clone(),
@@ -43,19 +46,22 @@
     }
 }
 
-async fn tell_found(gateway: Arc<Gateway>, mut found: mpsc::UnboundedReceiver<Found>) {
-    while let Some(found) = found.recv().await {
-        match found {
-            Found::Condemned(condemned) => gateway.gossip.spread(GossipMessage::Quarantined {
-                digest: condemned.digest.0,
-                left_ms: condemned.left_ms,
+async fn spread_quarantine_events(
+    gateway: Arc<Gateway>,
+    mut event: mpsc::UnboundedReceiver<QuarantineEvent>,
+) {
+    while let Some(event) = event.recv().await {
+        match event {
+            QuarantineEvent::Condemned(call) => gateway.gossip.spread(GossipMessage::Quarantined {
+                digest: call.digest.0,
+                left_ms: call.left_ms,
             }),
-            Found::Crashed(crashed) => tell_crashed(&gateway, &crashed),
+            QuarantineEvent::Crashed(crashed) => send_crash_report(&gateway, &crashed),
         }
     }
 }
 
-fn tell_crashed(gateway: &Gateway, crashed: &EndpointCrash) {
+fn send_crash_report(gateway: &Gateway, crashed: &EndpointCrash) {
     for digests in crashed.in_flight.chunks(DIGESTS_MAX) {
         let report = CrashReport {
             entry: gateway.identity.node().address,
@@ -79,7 +85,7 @@
     let quarantine = quarantine.clone();
     let leaving = leaving.clone();
     GossipHooks {
-        on_message: Arc::new(move |news| match news {
+        on_message: Arc::new(move |message| match message {
             GossipMessage::Weights {
                 customer,
                 service,
@@ -89,10 +95,10 @@
                     customer: customer.clone(),
                     service: service.clone(),
                 };
-                weights.heard(model, *target);
+                weights.merge_from_peer(model, *target);
             }
             GossipMessage::Quarantined { digest, left_ms } => {
-                quarantine.heard(CallDigest(*digest), *left_ms);
+                quarantine.record_peer_verdict(CallDigest(*digest), *left_ms);
             }
             GossipMessage::Crashed(report) => {
                 log::info!(
@@ -104,7 +110,7 @@
                     endpoint: report.endpoint,
                     in_flight: in_flight.collect(),
                 };
-                quarantine.heard_crash(report.entry, crashed);
+                quarantine.record_peer_crash(report.entry, crashed);
             }
             _ => {}
         }),
--- a/components/gateway/src/headers.rs
+++ b/components/gateway/src/headers.rs
@@ -106,12 +106,12 @@
 ) -> Result<Vec<(String, String)>, Rejection> {
     let passed = adapters::end_to_end(headers);
     let mut passed = passed.map_err(|_| Rejection::HeaderText)?;
-    passed.retain(|(name, _)| !stays(name));
+    passed.retain(|(name, _)| !is_withheld(name));
     passed.push((REQUEST_ID.to_owned(), request_id.to_owned()));
     Ok(passed)
 }
 
-fn stays(name: &str) -> bool {
+fn is_withheld(name: &str) -> bool {
     let own = [AUTHORIZATION, CONTENT_LENGTH, ACCEPT_ENCODING];
     own.iter().any(|header| header == name)
         || [CLASS, DEADLINE_MS, IDEMPOTENT, IDEMPOTENCY_KEY, REQUEST_ID].contains(&name)
--- a/components/gateway/src/hedging.rs
+++ b/components/gateway/src/hedging.rs
@@ -23,24 +23,24 @@
 use crate::services::ServiceState;
 
 /// How long the copy that lost goes on before it is cancelled.
-const LOSER_MS: Duration = Duration::from_millis(1_000);
+const LOSER_CANCEL_DELAY: Duration = Duration::from_millis(1_000);
 
-type Headed = Result<(Head, Attempt), Failure>;
+type HeadResult = Result<(Head, Attempt), Failure>;
 
-async fn headed(mut attempt: Attempt) -> Headed {
+async fn wait_for_head(mut attempt: Attempt) -> HeadResult {
     let head = attempt.head().await?;
     Ok((head, attempt))
 }
 
 impl RetriedCall {
     /// Waits for the head of the answer to `first`. The copy that answers first wins.
-    pub(crate) async fn first_head(&mut self, first: Attempt, body: &Bytes) -> Headed {
-        let Some(state) = self.hedgeable() else {
-            return headed(first).await;
+    pub(crate) async fn head_with_hedge(&mut self, first: Attempt, body: &Bytes) -> HeadResult {
+        let Some(state) = self.hedgeable_state() else {
+            return wait_for_head(first).await;
         };
         let sent_at_ms = now_ms();
-        let first = headed(first).boxed();
-        match self.until_due(first, &state, sent_at_ms).await {
+        let first = wait_for_head(first).boxed();
+        match self.wait_until_hedge_due(first, &state, sent_at_ms).await {
             Either::Left(answered) => {
                 let now_ms = now_ms();
                 if answered.is_ok() {
@@ -49,12 +49,12 @@
                 answered
             }
             // Not counted: the wait before the second copy would make the next one longer.
-            Either::Right(first) => self.race(first, body).await,
+            Either::Right(first) => self.send_hedge(first, body).await,
         }
     }
 
     /// The service's state, if this request may have two copies out.
-    fn hedgeable(&self) -> Option<Arc<ServiceState>> {
+    fn hedgeable_state(&self) -> Option<Arc<ServiceState>> {
         let job = &self.job;
         let service = &job.service;
         let may = job.idempotent && job.class == Class::Interactive;
@@ -63,12 +63,12 @@
     }
 
     /// The first copy's answer, or the copy when it is time for a second one.
-    async fn until_due(
+    async fn wait_until_hedge_due(
         &self,
-        mut first: BoxFuture<'static, Headed>,
+        mut first: BoxFuture<'static, HeadResult>,
         state: &ServiceState,
         sent_at_ms: u64,
-    ) -> Either<Headed, BoxFuture<'static, Headed>> {
+    ) -> Either<HeadResult, BoxFuture<'static, HeadResult>> {
         let settings = &self.gateway.hedging;
         loop {
             let now_ms = now_ms();
@@ -77,7 +77,7 @@
                 deadline_ms: self.job.deadline_at_ms,
                 may_run_twice: true,
             };
-            let spend = || self.account.budget.try_spend(now_ms);
+            let spend = || self.account.retry_budget.try_spend(now_ms);
             match decide_hedge(slow, &state.latencies, settings, now_ms, spend) {
                 HedgeDecision::Never => return Either::Left(first.await),
                 HedgeDecision::Send => return Either::Right(first),
@@ -92,7 +92,11 @@
     }
 
     /// Sends the second copy to another replica; the first answer of the two.
-    async fn race(&mut self, first: BoxFuture<'static, Headed>, body: &Bytes) -> Headed {
+    async fn send_hedge(
+        &mut self,
+        first: BoxFuture<'static, HeadResult>,
+        body: &Bytes,
+    ) -> HeadResult {
         let constraints = ReplicaConstraints {
             exclude: self.nodes.clone(),
             strict: true,
@@ -109,9 +113,9 @@
         self.nodes.push(second.node());
         let label = Label::of(&self.job.payer, self.job.class);
         self.gateway.metrics.count("hedges_total", label, 1);
-        match select(first, headed(second).boxed()).await {
+        match select(first, wait_for_head(second).boxed()).await {
             Either::Left((answered, other)) | Either::Right((answered, other)) => {
-                either(answered, other).await
+                first_success(answered, other).await
             }
         }
     }
@@ -120,9 +124,9 @@
 /// One copy's answer, or the other's where that one failed. The copy that lost is given
 /// up a little later: cancelled at once, its replica would look idle to the choice, which
 /// would send it the next call too.
-async fn either(answered: Headed, other: BoxFuture<'static, Headed>) -> Headed {
+async fn first_success(answered: HeadResult, other: BoxFuture<'static, HeadResult>) -> HeadResult {
     let Err(failure) = answered else {
-        tokio::spawn(tokio::time::timeout(LOSER_MS, other));
+        tokio::spawn(tokio::time::timeout(LOSER_CANCEL_DELAY, other));
         return answered;
     };
     let outcome = other.await;
--- a/components/gateway/src/inner.rs
+++ b/components/gateway/src/inner.rs
@@ -17,14 +17,14 @@
 const CHUNK_BYTES: usize = 64 * 1024;
 
 /// Takes one call; returns at once.
-pub fn take(gateway: &Arc<Gateway>, incoming: IncomingCall) {
+pub fn handle_call(gateway: &Arc<Gateway>, incoming: IncomingCall) {
     let gateway = Arc::clone(gateway);
     tokio::spawn(async move {
         let IncomingCall { open, answer, .. } = incoming;
         answer.mark_accepted();
         answer.mark_started();
         tokio::select! {
-            answered = respond(&gateway, open) => give(&answer, answered).await,
+            answered = respond(&gateway, open) => send_answer(&answer, answered).await,
             () = answer.cancelled() => {}
         }
     });
@@ -51,7 +51,7 @@
     }
 }
 
-async fn give(answer: &AnswerSender, answered: Result<(Head, Bytes), Failure>) {
+async fn send_answer(answer: &AnswerSender, answered: Result<(Head, Bytes), Failure>) {
     let (head, mut body) = match answered {
         Ok(answered) => answered,
         Err(failure) => return answer.fail(failure),
--- a/components/gateway/src/layers.rs
+++ b/components/gateway/src/layers.rs
@@ -23,30 +23,30 @@
 
 /// When a request came, on the process's monotonic clock; an extension of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Arrived {
+pub struct ArrivalTime {
     /// Milliseconds.
     pub at_ms: u64,
 }
 
 /// Lets a request through only if `check` agrees; `check` may add extensions.
 #[derive(Clone)]
-pub struct Checked<F, S> {
+pub struct CheckService<F, S> {
     check: F,
     inner: S,
 }
 
 /// A layer of [`Checked`].
-pub fn checked<F, S>(check: F) -> impl Layer<S, Service = Checked<F, S>> + Clone
+pub fn check_layer<F, S>(check: F) -> impl Layer<S, Service = CheckService<F, S>> + Clone
 where
     F: Fn(&mut Parts) -> Result<(), Rejection> + Clone,
 {
-    layer_fn(move |inner| Checked {
+    layer_fn(move |inner| CheckService {
         check: check.clone(),
         inner,
     })
 }
 
-impl<F, S, B> Service<Request<B>> for Checked<F, S>
+impl<F, S, B> Service<Request<B>> for CheckService<F, S>
 where
     F: Fn(&mut Parts) -> Result<(), Rejection>,
     S: Service<Request<B>, Response = Response<Body>, Error = Rejection>,
@@ -71,7 +71,7 @@
 
 /// Gives every request its id and turns rejections into problem documents.
 #[derive(Clone)]
-pub struct Answered<F, L, S> {
+pub struct ProblemService<F, L, S> {
     next_id: F,
     is_leaving: L,
     inner: S,
@@ -81,22 +81,22 @@
 /// `is_leaving`, every answer asks its caller to open another connection: one that is
 /// closed while it is idle may cross with its next request, which the caller could then
 /// not know to have been run or not.
-pub fn answered<F, L, S>(
+pub fn problem_layer<F, L, S>(
     next_id: F,
     is_leaving: L,
-) -> impl Layer<S, Service = Answered<F, L, S>> + Clone
+) -> impl Layer<S, Service = ProblemService<F, L, S>> + Clone
 where
     F: Fn() -> String + Clone,
     L: Fn() -> bool + Clone,
 {
-    layer_fn(move |inner| Answered {
+    layer_fn(move |inner| ProblemService {
         next_id: next_id.clone(),
         is_leaving: is_leaving.clone(),
         inner,
     })
 }
 
-impl<F, L, S, B> Service<Request<B>> for Answered<F, L, S>
+impl<F, L, S, B> Service<Request<B>> for ProblemService<F, L, S>
 where
     F: Fn() -> String,
     L: Fn() -> bool + Clone + Send + 'static,
--- a/components/gateway/src/paths.rs
+++ b/components/gateway/src/paths.rs
@@ -10,14 +10,14 @@
 
 /// A service as a caller names it: `service`, or `owner.service` for another customer's.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Target {
+pub struct ServiceTarget {
     /// Customer that owns it; `None` for the caller's own.
     pub owner: Option<CustomerName>,
     /// The service.
     pub service: ServiceName,
 }
 
-impl Target {
+impl ServiceTarget {
     /// Reads the name. A text that is no name names no service.
     pub fn parse(text: &str) -> Result<Self, Rejection> {
         let unknown = || Rejection::UnknownService(shortened(text));
@@ -51,7 +51,7 @@
     /// A completion.
     Completions,
     /// A call of a plain service, with the path and query that it gets.
-    Service(Target, String),
+    Service(ServiceTarget, String),
     /// Something of a training step or its weights.
     Training(ServiceName, TrainingRoute),
 }
@@ -92,7 +92,7 @@
 
 fn service_route(rest: &str, query: Option<&str>) -> Result<Route, Rejection> {
     let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
-    let target = Target::parse(name)?;
+    let target = ServiceTarget::parse(name)?;
     let path = match query {
         Some(query) => format!("/{path}?{query}"),
         None => format!("/{path}"),
--- a/components/gateway/src/problem.rs
+++ b/components/gateway/src/problem.rs
@@ -99,10 +99,10 @@
 
 /// Value of `Retry-After`, where coming back helps.
 pub fn retry_after_s(rejection: &Rejection) -> Option<u32> {
-    rejection.failure().retry_after_ms.map(whole_seconds)
+    rejection.failure().retry_after_ms.map(round_up_to_seconds)
 }
 
 /// `Retry-After` has whole seconds; rounded up, so that nobody comes back too early.
-fn whole_seconds(retry_after_ms: u32) -> u32 {
+fn round_up_to_seconds(retry_after_ms: u32) -> u32 {
     retry_after_ms.div_ceil(MS_PER_S).max(1)
 }
--- a/components/gateway/src/reachability.rs
+++ b/components/gateway/src/reachability.rs
@@ -11,40 +11,42 @@
 
 /// How long an entry counts as out of reach after a call that failed, in milliseconds;
 /// longer than the view takes to notice its death.
-const GONE_MS: u64 = 15_000;
+const UNREACHABLE_MS: u64 = 15_000;
 
 /// Entries out of reach, with the time until which they count as that.
 #[derive(Default)]
 pub struct PeerReachability {
-    gone: ArcSwap<HashMap<SocketAddr, u64>>,
+    unreachable: ArcSwap<HashMap<SocketAddr, u64>>,
 }
 
 impl PeerReachability {
     /// A call to this entry found it gone.
     pub fn mark_unreachable(&self, entry: SocketAddr, now_ms: u64) {
-        self.gone.rcu(|gone| {
-            let mut gone = HashMap::clone(gone);
-            gone.retain(|_, until_ms| *until_ms > now_ms);
-            gone.insert(entry, now_ms + GONE_MS);
-            gone
+        self.unreachable.rcu(|unreachable| {
+            let mut unreachable = HashMap::clone(unreachable);
+            unreachable.retain(|_, until_ms| *until_ms > now_ms);
+            unreachable.insert(entry, now_ms + UNREACHABLE_MS);
+            unreachable
         });
     }
 
     /// A call to this entry was answered.
     pub fn mark_reachable(&self, entry: SocketAddr) {
-        if !self.gone.load().contains_key(&entry) {
+        if !self.unreachable.load().contains_key(&entry) {
             return;
         }
-        self.gone.rcu(|gone| {
-            let mut gone = HashMap::clone(gone);
-            gone.remove(&entry);
-            gone
+        self.unreachable.rcu(|unreachable| {
+            let mut unreachable = HashMap::clone(unreachable);
+            unreachable.remove(&entry);
+            unreachable
         });
     }
 
     /// Whether this entry counts as out of reach.
     pub fn is_unreachable(&self, entry: SocketAddr, now_ms: u64) -> bool {
-        let gone = self.gone.load();
-        gone.get(&entry).is_some_and(|&until_ms| until_ms > now_ms)
+        let unreachable = self.unreachable.load();
+        unreachable
+            .get(&entry)
+            .is_some_and(|&until_ms| until_ms > now_ms)
     }
 }
--- a/components/gateway/src/readiness.rs
+++ b/components/gateway/src/readiness.rs
@@ -21,13 +21,13 @@
     /// Agents in the view.
     pub agents: usize,
     /// An agent has answered, now or earlier.
-    pub agent_heard: bool,
+    pub agent_answered: bool,
     /// A process has been heard.
-    pub any_heard: bool,
+    pub any_peer_answered: bool,
     /// Datagrams that were not authentic.
     pub datagrams_dropped: u64,
     /// Since the start, in milliseconds.
-    pub up_ms: u64,
+    pub uptime_ms: u64,
 }
 
 /// Whether requests may come, and why not.
@@ -47,24 +47,24 @@
 
 impl Readiness {
     /// By these facts.
-    pub fn of(facts: &Facts) -> Readiness {
+    pub fn from_facts(facts: &Facts) -> Readiness {
         if facts.leaving {
             return Readiness::Leaving;
         }
         if !facts.configured {
             return Readiness::Unconfigured;
         }
-        if facts.agent_heard {
+        if facts.agent_answered {
             return Readiness::Ready;
         }
-        if facts.datagrams_dropped > 0 && !facts.any_heard {
+        if facts.datagrams_dropped > 0 && !facts.any_peer_answered {
             return Readiness::WrongKey;
         }
         let wait_ms = match facts.agents {
             0 => LISTED_MS_MAX,
             _ => ANSWER_MS_MAX,
         };
-        if facts.up_ms < wait_ms {
+        if facts.uptime_ms < wait_ms {
             return Readiness::NoAnswer;
         }
         Readiness::Ready
--- a/components/gateway/src/refresh.rs
+++ b/components/gateway/src/refresh.rs
@@ -20,22 +20,22 @@
 /// since the newest view is asked right before each hand-over.
 const TICK: Duration = Duration::from_millis(100);
 /// Ticks between two levels of the metrics.
-const LEVELS_EVERY: u64 = 10;
+const GAUGE_INTERVAL_TICKS: u64 = 10;
 
 /// Demand that other entries told.
-pub type Told = mpsc::Receiver<(NodeId, DemandDigest)>;
+pub type PeerDemands = mpsc::Receiver<(NodeId, DemandDigest)>;
 
 /// Runs until the task is dropped.
-pub async fn run(gateway: Arc<Gateway>, mut told: Told, shares: ShareSettings) {
+pub async fn run(gateway: Arc<Gateway>, mut peer_demands: PeerDemands, shares: ShareSettings) {
     let mut shares = Shares::new(shares);
     let mut ticks: u64 = 0;
     loop {
-        while let Ok((peer, demand)) = told.try_recv() {
+        while let Ok((peer, demand)) = peer_demands.try_recv() {
             shares.record_digest(peer, &demand, now_ms());
         }
         refresh(&gateway, &mut shares);
-        if ticks.is_multiple_of(LEVELS_EVERY) {
-            levels(&gateway);
+        if ticks.is_multiple_of(GAUGE_INTERVAL_TICKS) {
+            report_gauges(&gateway);
         }
         ticks += 1;
         tokio::time::sleep(TICK).await;
@@ -50,7 +50,7 @@
     if let Some(elapsed_ms) = shares.elapsed_if_due_ms(now_ms) {
         let live = snapshot.live(ProcessRole::Entry);
         let (peers, addresses): (Vec<NodeId>, Vec<SocketAddr>) = live
-            .filter_map(|entry| Some((node(entry)?, entry.address)))
+            .filter_map(|entry| Some((node_id(entry)?, entry.address)))
             .unzip();
         let demands = gateway.accounts.demands(&view, elapsed_ms);
         let digest = shares.run_round(&peers, demands, elapsed_ms, now_ms);
@@ -58,27 +58,27 @@
             .gossip
             .send_to(addresses, GossipMessage::Demand(digest));
     }
-    check_readiness(gateway, &snapshot, now_ms);
+    update_readiness(gateway, &snapshot, now_ms);
     let share = |customer: &_| shares.share(customer, now_ms);
     gateway.accounts.refresh(&view, share);
 }
 
-fn check_readiness(gateway: &Gateway, snapshot: &Snapshot, now_ms: u64) {
+fn update_readiness(gateway: &Gateway, snapshot: &Snapshot, now_ms: u64) {
     let before = **gateway.readiness.load();
-    let is_heard = |member: &&MemberState| member.incarnation.is_some();
+    let has_answered = |member: &&MemberState| member.incarnation.is_some();
     let agents = || {
         let members = snapshot.members.iter();
         members.filter(|member| member.role == ProcessRole::Agent)
     };
-    let readiness = Readiness::of(&Facts {
+    let readiness = Readiness::from_facts(&Facts {
         configured: gateway.feed.is_initialized(),
         leaving: gateway.drain.is_leaving(),
         agents: agents().count(),
         // Ready once is ready: later the view itself says who is left.
-        agent_heard: before == Readiness::Ready || agents().any(|agent| is_heard(&agent)),
-        any_heard: snapshot.members.iter().any(|member| is_heard(&member)),
+        agent_answered: before == Readiness::Ready || agents().any(|agent| has_answered(&agent)),
+        any_peer_answered: snapshot.members.iter().any(|member| has_answered(&member)),
         datagrams_dropped: gateway.links.traffic().datagrams_dropped,
-        up_ms: now_ms,
+        uptime_ms: now_ms,
     });
     if readiness == before {
         return;
@@ -93,7 +93,7 @@
 }
 
 /// A life of an entry; one that was never heard has none yet.
-fn node(entry: &MemberState) -> Option<NodeId> {
+fn node_id(entry: &MemberState) -> Option<NodeId> {
     let incarnation = entry.incarnation?;
     Some(NodeId {
         address: entry.address,
@@ -101,7 +101,7 @@
     })
 }
 
-fn levels(gateway: &Gateway) {
+fn report_gauges(gateway: &Gateway) {
     let in_progress = gateway.drain.work_counter().count() as u64;
     let label = Label::default();
     gateway
--- a/components/gateway/src/rejection.rs
+++ b/components/gateway/src/rejection.rs
@@ -112,8 +112,8 @@
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum BodyFault {
         /// Not JSON, or not of the expected form.
-        Json(line: usize, column: usize, what: String) {
-            display("line {} column {}: {}", line, column, what)
+        Json(line: usize, column: usize, message: String) {
+            display("line {} column {}: {}", line, column, message)
         }
         /// A field with a value that is not allowed.
         Field(name: &'static str, allowed: &'static str) {
@@ -125,19 +125,19 @@
 impl BodyFault {
     /// What a JSON parser complains of.
     pub fn json(reason: &serde_json::Error) -> Self {
-        let mut what = reason.to_string();
-        what.truncate(FAULT_BYTES_MAX);
-        BodyFault::Json(reason.line(), reason.column(), what)
+        let mut message = reason.to_string();
+        message.truncate(PARSER_MESSAGE_BYTES_MAX);
+        BodyFault::Json(reason.line(), reason.column(), message)
     }
 }
 
 /// When a trainer may come back whose version has not got here yet.
-const NEWS_BACK_MS: u32 = 1_000;
+const VERSION_RETRY_AFTER_MS: u32 = 1_000;
 /// When a trainer whose customer has no room for a further step may come back: steps end
 /// in seconds to minutes.
-const STEP_ROOM_BACK_MS: u32 = 5_000;
+const STEP_CAPACITY_RETRY_AFTER_MS: u32 = 5_000;
 /// Longest part of a parser's complaint that goes into an answer, in bytes.
-const FAULT_BYTES_MAX: usize = 200;
+const PARSER_MESSAGE_BYTES_MAX: usize = 200;
 
 impl Rejection {
     /// A body's field that is not as it must be.
@@ -158,11 +158,11 @@
             | Rejection::NoActiveVersion(_)
             | Rejection::Fetch(FetchError::StaleEpoch(_)) => Cause::Stale,
             Rejection::VersionNotAnnounced(..) => {
-                return Failure::not_run(Cause::Stale).retry_after(NEWS_BACK_MS);
+                return Failure::not_run(Cause::Stale).retry_after(VERSION_RETRY_AFTER_MS);
             }
             Rejection::Post(PostError::NoRoom(..)) => {
                 let failure = Failure::not_run(Cause::CustomerLimit);
-                return failure.retry_after(STEP_ROOM_BACK_MS);
+                return failure.retry_after(STEP_CAPACITY_RETRY_AFTER_MS);
             }
             Rejection::Post(PostError::OtherContent) => Cause::KeyReused,
             Rejection::StepNotHeld(_) => Cause::NotHosted,
--- a/components/gateway/src/request_body.rs
+++ b/components/gateway/src/request_body.rs
@@ -10,13 +10,13 @@
 use types::{Cause, Class, Failure};
 
 use crate::accounts::Account;
-use crate::body_budget::{BodyBudget, OverBudget, Reserved};
+use crate::body_budget::{BodyBudget, BodyReservation, OverBudget};
 use crate::rejection::Rejection;
 
 /// Largest body of a request.
 pub const BODY_BYTES_MAX: usize = 4 << 20;
 /// When a request that found no room for its body may come back, before the spread.
-const BACK_MS: u64 = 500;
+const RETRY_AFTER_BASE_MS: u64 = 500;
 
 /// A request's body as it comes from a caller.
 pub trait RequestBody: Body<Error: Into<Box<dyn std::error::Error + Send + Sync>>> {}
@@ -24,7 +24,7 @@
 impl<B> RequestBody for B where B: Body<Error: Into<Box<dyn std::error::Error + Send + Sync>>> {}
 
 /// Where a request's body counts.
-pub struct BodyRoom {
+pub struct BodyLimits {
     /// The customer's account, unless the configuration is newer than the last tick.
     pub account: Option<Arc<Account>>,
     /// The budget of the process.
@@ -32,18 +32,18 @@
 }
 
 /// A body with the bytes that are reserved for it.
-struct Held {
+struct ReservedBytes {
     bytes: Bytes,
-    _reserved: Reserved,
+    _reserved: BodyReservation,
 }
 
-impl AsRef<[u8]> for Held {
+impl AsRef<[u8]> for ReservedBytes {
     fn as_ref(&self) -> &[u8] {
         &self.bytes
     }
 }
 
-impl BodyRoom {
+impl BodyLimits {
     /// Reads a whole body within `wait`. Its customer is counted in meanwhile, and its
     /// bytes are counted until the last view of them is dropped.
     pub async fn read<B>(&self, body: B, class: Class, wait: Duration) -> Result<Bytes, Rejection>
@@ -61,14 +61,14 @@
         if stated > BODY_BYTES_MAX {
             return Err(Rejection::TooLarge(BODY_BYTES_MAX));
         }
-        let reserved = self.budget.reserve(&account.bodies, stated);
-        let read = whole(body, reserved.map_err(refused)?);
+        let reserved = self.budget.reserve(&account.body_use, stated);
+        let read = read_body(body, reserved.map_err(over_budget)?);
         let late = Failure::not_run(Cause::DeadlinePassed);
         tokio::time::timeout(wait, read).await.map_err(|_| late)?
     }
 }
 
-async fn whole<B>(body: B, mut reserved: Reserved) -> Result<Bytes, Rejection>
+async fn read_body<B>(body: B, mut reserved: BodyReservation) -> Result<Bytes, Rejection>
 where
     B: RequestBody,
 {
@@ -84,7 +84,7 @@
             return Err(Rejection::TooLarge(BODY_BYTES_MAX));
         }
         let more = length.saturating_sub(reserved.bytes());
-        reserved.grow(more).map_err(refused)?;
+        reserved.grow(more).map_err(over_budget)?;
         while data.has_remaining() {
             let part = data.chunk();
             bytes.extend_from_slice(part);
@@ -92,13 +92,13 @@
             data.advance(taken);
         }
     }
-    Ok(Bytes::from_owner(Held {
+    Ok(Bytes::from_owner(ReservedBytes {
         bytes: bytes.freeze(),
         _reserved: reserved,
     }))
 }
 
-fn refused(over: OverBudget) -> Failure {
-    let back_ms = retry_after_ms(BACK_MS, rand::random());
-    over.failure().retry_after(back_ms)
+fn over_budget(over: OverBudget) -> Failure {
+    let retry_after_ms = retry_after_ms(RETRY_AFTER_BASE_MS, rand::random());
+    over.failure().retry_after(retry_after_ms)
 }
--- a/components/gateway/src/request_context.rs
+++ b/components/gateway/src/request_context.rs
@@ -14,9 +14,9 @@
 use crate::headers::{RequestOptions, endpoint_headers};
 use crate::idempotency::is_idempotent;
 use crate::job::Job;
-use crate::layers::{Arrived, RequestId};
+use crate::layers::{ArrivalTime, RequestId};
 use crate::rejection::Rejection;
-use crate::request_body::{BodyRoom, RequestBody};
+use crate::request_body::{BodyLimits, RequestBody};
 
 /// Longest time for a body to arrive, where the deadline is later.
 const BODY_TIMEOUT_MS: u64 = 10_000;
@@ -33,7 +33,7 @@
     pub options: RequestOptions,
     /// When the request came, on the process's monotonic clock.
     pub arrived_ms: u64,
-    room: BodyRoom,
+    body_limits: BodyLimits,
 }
 
 impl RequestContext {
@@ -41,15 +41,15 @@
     /// of a session's request counts.
     pub fn new(
         mut parts: Parts,
-        room: impl FnOnce(&Session) -> BodyRoom,
+        body_limits: impl FnOnce(&Session) -> BodyLimits,
     ) -> Result<Self, Rejection> {
         let internal = || Rejection::Call(Failure::not_run(Cause::Internal));
         let RequestId(request_id) = parts.extensions.remove().ok_or_else(internal)?;
         let session: Session = parts.extensions.remove().ok_or_else(internal)?;
         let options = parts.extensions.remove().ok_or_else(internal)?;
-        let Arrived { at_ms } = parts.extensions.remove().ok_or_else(internal)?;
+        let ArrivalTime { at_ms } = parts.extensions.remove().ok_or_else(internal)?;
         Ok(Self {
-            room: room(&session),
+            body_limits: body_limits(&session),
             parts,
             request_id,
             session,
@@ -72,7 +72,7 @@
         let left_ms = deadline_at_ms.saturating_sub(now_ms());
         let wait = Duration::from_millis(left_ms.min(BODY_TIMEOUT_MS));
         let class = self.options.class.unwrap_or(Class::Interactive);
-        self.room.read(body, class, wait).await
+        self.body_limits.read(body, class, wait).await
     }
 
     /// The job of a call to `service`. `content` is what makes it the same call when its
--- a/components/gateway/src/resumed.rs
+++ b/components/gateway/src/resumed.rs
@@ -15,33 +15,33 @@
 
 /// What the first engine said of the completion, and what the next one was given.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Begun {
+pub struct Continuation {
     /// Id of the completion; `None` before its first event.
     pub id: Option<String>,
     /// Tokens that the present engine was given.
     pub tokens: u64,
 }
 
-impl Begun {
+impl Continuation {
     /// Notes the id of the first event.
-    pub fn note(&mut self, events: &[u8]) {
+    pub fn record_id(&mut self, events: &[u8]) {
         if self.id.is_none() {
             self.id = first_id(events);
         }
     }
 
     /// Whole events of the present engine, as the caller gets them.
-    pub fn restate(&self, events: Bytes) -> Bytes {
+    pub fn rewrite(&self, events: Bytes) -> Bytes {
         let text = match std::str::from_utf8(&events) {
             Ok(text) if self.tokens > 0 => text,
             _ => return events,
         };
         let lines = text.split_inclusive('\n');
-        let restated: String = lines.map(|line| self.restate_line(line)).collect();
-        Bytes::from(restated)
+        let rewritten: String = lines.map(|line| self.rewrite_line(line)).collect();
+        Bytes::from(rewritten)
     }
 
-    fn restate_line(&self, line: &str) -> String {
+    fn rewrite_line(&self, line: &str) -> String {
         let data = line.trim_end().strip_prefix(DATA);
         let Some(Ok(mut chunk)) = data.map(serde_json::from_str::<Value>) else {
             return line.to_owned();
@@ -50,12 +50,12 @@
             *own = id.as_str().into();
         }
         if let Some(usage) = chunk.get_mut(USAGE) {
-            self.restate_usage(usage);
+            self.rewrite_usage(usage);
         }
         format!("{DATA}{chunk}\n")
     }
 
-    fn restate_usage(&self, usage: &mut Value) {
+    fn rewrite_usage(&self, usage: &mut Value) {
         let prompt = usage.get(PROMPT_TOKENS).and_then(Value::as_u64);
         let completion = usage.get(COMPLETION_TOKENS).and_then(Value::as_u64);
         let (Some(prompt), Some(completion)) = (prompt, completion) else {
--- a/components/gateway/src/retried_call.rs
+++ b/components/gateway/src/retried_call.rs
@@ -18,7 +18,7 @@
 use crate::job::Job;
 
 /// When a request that found no endpoint may come back, before the spread.
-const BACK_MS: u64 = 500;
+const RETRY_AFTER_BASE_MS: u64 = 500;
 
 /// A request and its attempts so far.
 pub struct RetriedCall {
@@ -30,7 +30,7 @@
     pub(crate) endpoints: Vec<SocketAddr>,
     pub(crate) nodes: Vec<NodeId>,
     /// Whether any attempt so far ran, the worst of them.
-    run: RunState,
+    worst_run_state: RunState,
 }
 
 impl RetriedCall {
@@ -41,7 +41,7 @@
         job: Job,
         constraints: ReplicaConstraints,
     ) -> Self {
-        account.budget.record_first_attempt();
+        account.retry_budget.record_first_attempt();
         Self {
             gateway,
             account,
@@ -49,36 +49,40 @@
             constraints,
             endpoints: Vec::new(),
             nodes: Vec::new(),
-            run: RunState::NotRun,
+            worst_run_state: RunState::NotRun,
         }
     }
 
     /// Sends an attempt with this body.
-    async fn start(&mut self, body: Bytes) -> Result<Attempt, Failure> {
+    async fn start_attempt(&mut self, body: Bytes) -> Result<Attempt, Failure> {
         let started = Attempt::start(&self.gateway, &self.job, body, &self.constraints).await;
-        let attempt = started.map_err(|failure| self.last(failure))?;
+        let attempt = started.map_err(|failure| self.final_failure(failure))?;
         self.endpoints.push(attempt.address());
         self.nodes.push(attempt.node());
         Ok(attempt)
     }
 
     /// Decides on a failed attempt; waits out the pause before the next one.
-    pub async fn retry(&mut self, failure: Failure, flowed: Delivered) -> Result<Resume, Failure> {
+    pub async fn retry(
+        &mut self,
+        failure: Failure,
+        delivered: Delivered,
+    ) -> Result<Resume, Failure> {
         let now_ms = now_ms();
-        self.run = self.run.max(failure.run);
-        let tried = FailedAttempt {
+        self.worst_run_state = self.worst_run_state.max(failure.run);
+        let failed_attempt = FailedAttempt {
             failure,
             idempotent: self.job.idempotent,
-            delivered: flowed,
+            delivered,
             endpoints: &self.endpoints,
             deadline_left_ms: self.job.left_ms(now_ms),
         };
-        let budget = || self.account.budget.try_spend(now_ms);
+        let budget = || self.account.retry_budget.try_spend(now_ms);
         let settings = RetrySettings::default();
-        let decision = decide_retry(&settings, &tried, rand::random(), budget);
+        let decision = decide_retry(&settings, &failed_attempt, rand::random(), budget);
         self.log_failed(failure, &decision);
         match decision {
-            RetryDecision::Final(failure) => Err(self.last(failure)),
+            RetryDecision::Final(failure) => Err(self.final_failure(failure)),
             RetryDecision::Retry {
                 after_ms, resume, ..
             } => {
@@ -92,8 +96,8 @@
     /// Sends attempts until one answers with a head, or the request has failed for good.
     pub async fn send(&mut self, body: &Bytes) -> Result<(Head, Attempt), Failure> {
         loop {
-            let attempt = self.start(body.clone()).await?;
-            match self.first_head(attempt, body).await {
+            let attempt = self.start_attempt(body.clone()).await?;
+            match self.head_with_hedge(attempt, body).await {
                 Ok(answered) => return Ok(answered),
                 Err(failure) => {
                     self.retry(failure, Delivered::Nothing).await?;
@@ -105,8 +109,8 @@
     /// The answer to the caller. An attempt that was refused says nothing of the one
     /// before it, which may have run; the caller would send a request that ran again,
     /// believing that it did not.
-    fn last(&self, failure: Failure) -> Failure {
-        let run = failure.run.max(self.run);
+    fn final_failure(&self, failure: Failure) -> Failure {
+        let run = failure.run.max(self.worst_run_state);
         with_retry_after(Failure { run, ..failure })
     }
 
@@ -135,5 +139,5 @@
     if failure.run != RunState::NotRun || failure.retry_after_ms.is_some() || !helps {
         return failure;
     }
-    failure.retry_after(retry_after_ms(BACK_MS, rand::random()))
+    failure.retry_after(retry_after_ms(RETRY_AFTER_BASE_MS, rand::random()))
 }
--- a/components/gateway/src/routes.rs
+++ b/components/gateway/src/routes.rs
@@ -12,13 +12,13 @@
 use crate::auth::authenticate;
 use crate::body::Body;
 use crate::body_budget::BodyBudget;
-use crate::drained::Drained;
+use crate::drained::DrainedBody;
 use crate::gateway::Gateway;
 use crate::headers::RequestOptions;
-use crate::layers::{Arrived, answered, checked};
+use crate::layers::{ArrivalTime, check_layer, problem_layer};
 use crate::paths::Route;
 use crate::rejection::Rejection;
-use crate::request_body::{BODY_BYTES_MAX, BodyRoom, RequestBody};
+use crate::request_body::{BODY_BYTES_MAX, BodyLimits, RequestBody};
 use crate::request_context::RequestContext;
 use crate::{calls, completions, training};
 
@@ -37,18 +37,20 @@
     let (known, handling) = (gateway.clone(), gateway.clone());
     let budget = Arc::new(BodyBudget::default());
     ServiceBuilder::new()
-        .map_request(|request: Request<B>| request.map(Drained::new))
-        .layer(answered(
+        .map_request(|request: Request<B>| request.map(DrainedBody::new))
+        .layer(problem_layer(
             move || ids.links.next_id().to_string(),
             move || drains.drain.is_leaving(),
         ))
-        .layer(checked(move |parts: &mut Parts| fits(parts, &clocks.pulse)))
-        .layer(checked(move |parts: &mut Parts| {
+        .layer(check_layer(move |parts: &mut Parts| {
+            check_arrival(parts, &clocks.pulse)
+        }))
+        .layer(check_layer(move |parts: &mut Parts| {
             let session = authenticate(known.feed.view(), &parts.headers)?;
             parts.extensions.insert(session);
             Ok(())
         }))
-        .layer(checked(options))
+        .layer(check_layer(read_options))
         .service(service_fn(move |request| {
             handle(handling.clone(), budget.clone(), request)
         }))
@@ -59,10 +61,10 @@
 ///
 /// A process that was frozen reads requests out of its socket buffers long after they
 /// came, when their callers may have given up. Its pause counts as part of their time.
-fn fits(parts: &mut Parts, pulse: &PauseDetector) -> Result<(), Rejection> {
+fn check_arrival(parts: &mut Parts, pulse: &PauseDetector) -> Result<(), Rejection> {
     let now_ms = now_ms();
     let at_ms = now_ms.saturating_sub(pulse.arrival_age_ms(now_ms));
-    parts.extensions.insert(Arrived { at_ms });
+    parts.extensions.insert(ArrivalTime { at_ms });
     let stated = parts.headers.get(CONTENT_LENGTH);
     let length = stated.and_then(|value| value.to_str().ok()?.parse::<usize>().ok());
     if length.is_some_and(|bytes| bytes > BODY_BYTES_MAX) {
@@ -71,7 +73,7 @@
     Ok(())
 }
 
-fn options(parts: &mut Parts) -> Result<(), Rejection> {
+fn read_options(parts: &mut Parts) -> Result<(), Rejection> {
     let options = RequestOptions::read(&parts.headers)?;
     parts.extensions.insert(options);
     Ok(())
@@ -87,7 +89,7 @@
 {
     let (parts, body) = request.into_parts();
     let route = Route::parse(parts.uri.path(), parts.uri.query())?;
-    let context = RequestContext::new(parts, |session| BodyRoom {
+    let context = RequestContext::new(parts, |session| BodyLimits {
         account: gateway.accounts.get(&session.holder.customer),
         budget,
     })?;
--- a/components/gateway/src/server.rs
+++ b/components/gateway/src/server.rs
@@ -17,18 +17,18 @@
 use tokio::task::{Id, JoinError, JoinSet};
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::connection::{self, PublicService, stopped};
+use crate::connection::{self, PublicService, wait_for_stop};
 use crate::connections::{Connection, Connections};
 use crate::descriptors::{connections_max, raise_limit};
 
 /// Pause after an accept that failed, such as for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Between two looks for connections that can make room.
-const ROOM_LOOK: Duration = Duration::from_millis(50);
+const CAPACITY_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Quiet time after which nobody is taken to come any more.
-const QUIET: Duration = Duration::from_millis(50);
+const QUIET_PERIOD: Duration = Duration::from_millis(50);
 /// Longest time of taking connections only to refuse their requests.
-const REFUSE_FOR: Duration = Duration::from_secs(1);
+const REFUSAL_PERIOD: Duration = Duration::from_secs(1);
 
 /// Raises the limit of descriptors and serves `listener` with `service` until `stop` turns
 /// true; returns once every connection has ended.
@@ -54,27 +54,27 @@
     let mut tasks = JoinSet::new();
     let mut connections = Connections::new(connections_max);
     let mut stopping = stop.clone();
-    let begin = |tasks: &mut JoinSet<()>, connections: &mut Connections, stream| {
+    let start = |tasks: &mut JoinSet<()>, connections: &mut Connections, stream| {
         let state = Connection::new();
         let served = connection::serve(stream, Arc::clone(&state), service.clone(), stop.clone());
-        connections.opened(tasks.spawn(served).id(), state);
+        connections.add(tasks.spawn(served).id(), state);
     };
     loop {
-        connections.make_room(now_ms());
-        let room = connections.has_room();
+        connections.close_idle(now_ms());
+        let has_capacity = connections.has_capacity();
         tokio::select! {
-            () = stopped(&mut stopping) => break,
-            stream = accept(&listener), if room => begin(&mut tasks, &mut connections, stream),
-            Some(ended) = tasks.join_next_with_id() => connections.ended(id_of(&ended)),
-            () = sleep(ROOM_LOOK), if !room => {}
+            () = wait_for_stop(&mut stopping) => break,
+            stream = accept(&listener), if has_capacity => start(&mut tasks, &mut connections, stream),
+            Some(ended) = tasks.join_next_with_id() => connections.remove(id_of(&ended)),
+            () = sleep(CAPACITY_CHECK_INTERVAL), if !has_capacity => {}
         }
     }
-    let refuse_until = Instant::now() + REFUSE_FOR;
-    while Instant::now() < refuse_until && connections.has_room() {
-        let Ok(stream) = timeout(QUIET, accept(&listener)).await else {
+    let refuse_until = Instant::now() + REFUSAL_PERIOD;
+    while Instant::now() < refuse_until && connections.has_capacity() {
+        let Ok(stream) = timeout(QUIET_PERIOD, accept(&listener)).await else {
             break;
         };
-        begin(&mut tasks, &mut connections, stream);
+        start(&mut tasks, &mut connections, stream);
     }
     drop(listener);
     while tasks.join_next().await.is_some() {}
@@ -91,7 +91,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => return stream,
-            Err(_) => sleep(ACCEPT_PAUSE).await,
+            Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
--- a/components/gateway/src/services.rs
+++ b/components/gateway/src/services.rs
@@ -18,7 +18,7 @@
 const PLAIN_SLOTS_PER_REPLICA: u32 = 256;
 
 /// How long a latency counts at least, in milliseconds.
-const LATENCIES_MS: u64 = 10_000;
+const LATENCY_RETENTION_MS: u64 = 10_000;
 
 /// One service as this entry sees it.
 pub struct ServiceState {
@@ -37,7 +37,7 @@
         Self {
             table: ArcSwap::from_pointee(Table::empty(Arc::clone(settings))),
             gate,
-            latencies: Latencies::new(LATENCIES_MS),
+            latencies: Latencies::new(LATENCY_RETENTION_MS),
         }
     }
 
@@ -77,7 +77,7 @@
     pub fn refresh(&self, snapshot: &Snapshot, view: &config::View) {
         let old = self.states.load();
         let mut next = States::new();
-        for (owner, service, named) in known(snapshot, &old, view) {
+        for (owner, service, named) in known_services(snapshot, &old, view) {
             if state(&next, owner, service).is_some() {
                 continue;
             }
@@ -117,7 +117,7 @@
 /// Services that the configuration names and that have, or had, a replica. One whose last
 /// replica went keeps its state: the counters of its calls in progress stay the ones that
 /// the returning replica gets.
-fn known<'a>(
+fn known_services<'a>(
     snapshot: &'a Snapshot,
     old: &'a States,
     view: &'a config::View,
--- a/components/gateway/src/start.rs
+++ b/components/gateway/src/start.rs
@@ -34,12 +34,12 @@
 /// milliseconds. Its caller waits as well, and another replica answers in a few.
 const QUICK_REATTACH_MS: u64 = 500;
 /// Versions in force that wait to be told on.
-const VERSIONS_MAX: usize = 256;
+const VERSION_QUEUE_MAX: usize = 256;
 /// Demands told by other entries that wait; a tick takes them all.
-const DEMANDS_MAX: usize = 1_024;
+const DEMAND_QUEUE_MAX: usize = 1_024;
 
 /// What the process has before it starts.
-pub struct Parts {
+pub struct ProcessParts {
     /// Who it is.
     pub identity: Arc<Identity>,
     /// Socket for news.
@@ -54,7 +54,7 @@
 pub fn start(
     settings: &EntrySettings,
     tuning: Tuning,
-    parts: Parts,
+    parts: ProcessParts,
 ) -> Result<Arc<Gateway>, EntryError> {
     let common = &settings.common;
     let identity = parts.identity;
@@ -65,11 +65,11 @@
     let own = identity.node().address;
     let feed_settings = tuning.feed.with_retention(common.log_retention_ms);
     let feed = ConfigFeed::start(own, log, quick_links.clone(), feed_settings);
-    let (versions, in_force) = mpsc::channel(VERSIONS_MAX);
-    let (condemned, to_tell) = mpsc::unbounded_channel();
+    let (versions, version_inbox) = mpsc::channel(VERSION_QUEUE_MAX);
+    let (quarantine_events, event_inbox) = mpsc::unbounded_channel();
     let weights = WeightAuthority::start(versions);
-    let quarantine = Quarantine::start(condemned);
-    let (demand, told) = mpsc::channel(DEMANDS_MAX);
+    let quarantine = Quarantine::start(quarantine_events);
+    let (demand, peer_demands) = mpsc::channel(DEMAND_QUEUE_MAX);
     let hooks = gossip_handlers::hooks(&weights, &quarantine, &parts.leaving, demand);
     let gossip = start_gossip(common, tuning.gossip, &identity, parts.udp, &feed, hooks);
     let here = locality(&identity);
@@ -101,11 +101,15 @@
         cursor_keys(&common.keys),
     );
     let sources = GossipSources {
-        versions: in_force,
-        condemned: to_tell,
+        versions: version_inbox,
+        quarantine_events: event_inbox,
     };
     gossip_handlers::start(&gateway, sources);
-    tokio::spawn(refresh::run(Arc::clone(&gateway), told, tuning.shares));
+    tokio::spawn(refresh::run(
+        Arc::clone(&gateway),
+        peer_demands,
+        tuning.shares,
+    ));
     Ok(gateway)
 }
 
--- a/components/gateway/src/status.rs
+++ b/components/gateway/src/status.rs
@@ -165,13 +165,13 @@
     let known = view.services().filter_map(|service| {
         let state = gateway.services.get(&service.owner, &service.name)?;
         let table = state.table();
-        let room = state.gate.capacity();
+        let capacity = state.gate.capacity();
         Some(Service {
             owner: service.owner.to_string(),
             service: service.name.to_string(),
-            in_progress: room.in_progress,
+            in_progress: capacity.in_progress,
             waiting: state.gate.waiting(),
-            slots: room.limit,
+            slots: capacity.limit,
             ejected: table.ejected_count(),
             replicas: table.replica_states().iter().map(replica).collect(),
         })
--- a/components/gateway/src/suspects.rs
+++ b/components/gateway/src/suspects.rs
@@ -12,25 +12,25 @@
 use types::{Cause, Failure};
 
 /// Time between two looks for records whose time is over.
-const EXPIRE_EVERY_MS: u64 = 10_000;
+const EXPIRE_INTERVAL_MS: u64 = 10_000;
 
-enum Order {
-    Enter(
+enum Command {
+    TryStart(
         CallDigest,
         SocketAddr,
         CopyPlacement,
         oneshot::Sender<StartDecision>,
     ),
-    Complete(AttemptId),
-    Leave(AttemptId),
-    Lost(AttemptId, oneshot::Sender<Verdict>),
-    Heard(CallDigest, u32),
-    HeardCrash(SocketAddr, EndpointCrash),
-    Standing(CallDigest, oneshot::Sender<DigestStatus>),
+    RecordSuccess(AttemptId),
+    RecordEnd(AttemptId),
+    RecordCrash(AttemptId, oneshot::Sender<Verdict>),
+    RecordPeerVerdict(CallDigest, u32),
+    RecordPeerCrash(SocketAddr, EndpointCrash),
+    QueryStatus(CallDigest, oneshot::Sender<DigestStatus>),
 }
 
 /// What came up here and the other processes are to know.
-pub enum Found {
+pub enum QuarantineEvent {
     /// A call is condemned.
     Condemned(CondemnedCall),
     /// An endpoint crashed.
@@ -44,15 +44,15 @@
 /// count as in flight for ever.
 #[derive(Clone)]
 pub struct Quarantine {
-    orders: mpsc::UnboundedSender<Order>,
+    commands: mpsc::UnboundedSender<Command>,
 }
 
 /// What an attempt is told.
-pub enum Entered {
+pub enum StartPermission {
     /// It may go.
-    Run(InFlight),
+    Start(InFlightAttempt),
     /// Not to this endpoint now.
-    Elsewhere,
+    OtherEndpoint,
     /// To none now; ask again.
     Wait {
         /// When, in milliseconds from now.
@@ -63,40 +63,40 @@
 }
 
 /// An attempt that the record knows as in flight; dropped, it is known to have ended.
-pub struct InFlight {
-    run: Option<AttemptId>,
-    orders: mpsc::UnboundedSender<Order>,
+pub struct InFlightAttempt {
+    id: Option<AttemptId>,
+    commands: mpsc::UnboundedSender<Command>,
 }
 
 impl Quarantine {
     /// Starts the owner. What it finds goes into `found`.
-    pub fn start(found: mpsc::UnboundedSender<Found>) -> Quarantine {
-        let (orders, inbox) = mpsc::unbounded_channel();
-        tokio::spawn(own(inbox, found));
-        Quarantine { orders }
+    pub fn start(events: mpsc::UnboundedSender<QuarantineEvent>) -> Quarantine {
+        let (commands, inbox) = mpsc::unbounded_channel();
+        tokio::spawn(run_owner(inbox, events));
+        Quarantine { commands }
     }
 
     /// Asks for an endpoint.
-    pub async fn enter(
+    pub async fn try_start(
         &self,
         digest: CallDigest,
         endpoint: SocketAddr,
         copies: CopyPlacement,
-    ) -> Entered {
+    ) -> StartPermission {
         let (answer, answered) = oneshot::channel();
-        let internal = Entered::Refused(Failure::not_run(Cause::Internal));
-        let order = Order::Enter(digest, endpoint, copies, answer);
-        if self.orders.send(order).is_err() {
+        let internal = StartPermission::Refused(Failure::not_run(Cause::Internal));
+        let command = Command::TryStart(digest, endpoint, copies, answer);
+        if self.commands.send(command).is_err() {
             return internal;
         }
         match answered.await {
-            Ok(StartDecision::Start(run)) => Entered::Run(InFlight {
-                run: Some(run),
-                orders: self.orders.clone(),
+            Ok(StartDecision::Start(id)) => StartPermission::Start(InFlightAttempt {
+                id: Some(id),
+                commands: self.commands.clone(),
             }),
-            Ok(StartDecision::OtherEndpoint) => Entered::Elsewhere,
-            Ok(StartDecision::Wait { wait_ms }) => Entered::Wait { wait_ms },
-            Ok(StartDecision::Refuse(failure)) => Entered::Refused(failure),
+            Ok(StartDecision::OtherEndpoint) => StartPermission::OtherEndpoint,
+            Ok(StartDecision::Wait { wait_ms }) => StartPermission::Wait { wait_ms },
+            Ok(StartDecision::Refuse(failure)) => StartPermission::Refused(failure),
             Err(_) => internal,
         }
     }
@@ -104,7 +104,9 @@
     /// The final answer to a call that is condemned, where no endpoint is to be had for it.
     pub async fn refusal(&self, digest: CallDigest) -> Option<Failure> {
         let (answer, answered) = oneshot::channel();
-        self.orders.send(Order::Standing(digest, answer)).ok()?;
+        self.commands
+            .send(Command::QueryStatus(digest, answer))
+            .ok()?;
         match answered.await.ok()? {
             DigestStatus::Condemned { left_ms } => {
                 Some(Failure::not_run(Cause::Quarantined).retry_after(left_ms))
@@ -114,31 +116,33 @@
     }
 
     /// Another process has condemned this.
-    pub fn heard(&self, digest: CallDigest, left_ms: u32) {
+    pub fn record_peer_verdict(&self, digest: CallDigest, left_ms: u32) {
         // The owner is gone only when the process ends.
-        let _ = self.orders.send(Order::Heard(digest, left_ms));
+        let _ = self
+            .commands
+            .send(Command::RecordPeerVerdict(digest, left_ms));
     }
 
     /// Another entry had these calls in flight at a crash.
-    pub fn heard_crash(&self, entry: SocketAddr, crashed: EndpointCrash) {
+    pub fn record_peer_crash(&self, entry: SocketAddr, crashed: EndpointCrash) {
         // The owner is gone only when the process ends.
-        let _ = self.orders.send(Order::HeardCrash(entry, crashed));
+        let _ = self.commands.send(Command::RecordPeerCrash(entry, crashed));
     }
 }
 
-impl InFlight {
+impl InFlightAttempt {
     /// The whole answer came.
-    pub fn complete(mut self) {
-        if let Some(run) = self.run.take() {
-            let _ = self.orders.send(Order::Complete(run));
+    pub fn record_success(mut self) {
+        if let Some(id) = self.id.take() {
+            let _ = self.commands.send(Command::RecordSuccess(id));
         }
     }
 
     /// The endpoint crashed under it; gives the final answer, if that is one.
-    pub async fn lost(mut self) -> Option<Failure> {
-        let run = self.run.take()?;
+    pub async fn record_crash(mut self) -> Option<Failure> {
+        let id = self.id.take()?;
         let (answer, answered) = oneshot::channel();
-        self.orders.send(Order::Lost(run, answer)).ok()?;
+        self.commands.send(Command::RecordCrash(id, answer)).ok()?;
         match answered.await.ok()? {
             Verdict::Retry => None,
             Verdict::Final(failure) => Some(failure),
@@ -146,58 +150,65 @@
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightAttempt {
     fn drop(&mut self) {
-        if let Some(run) = self.run.take() {
-            let _ = self.orders.send(Order::Leave(run));
+        if let Some(id) = self.id.take() {
+            let _ = self.commands.send(Command::RecordEnd(id));
         }
     }
 }
 
-async fn own(mut inbox: mpsc::UnboundedReceiver<Order>, found: mpsc::UnboundedSender<Found>) {
+async fn run_owner(
+    mut inbox: mpsc::UnboundedReceiver<Command>,
+    events: mpsc::UnboundedSender<QuarantineEvent>,
+) {
     let mut suspects = Suspects::new(SuspectSettings::default());
-    let mut expire_at_ms = now_ms() + EXPIRE_EVERY_MS;
-    while let Some(order) = inbox.recv().await {
+    let mut expire_at_ms = now_ms() + EXPIRE_INTERVAL_MS;
+    while let Some(command) = inbox.recv().await {
         let now_ms = now_ms();
-        take(&mut suspects, order, now_ms);
-        for told in suspects.take_condemned() {
-            log::warn!(event = "call-condemned", left_ms = told.left_ms; "");
+        handle(&mut suspects, command, now_ms);
+        for condemned in suspects.take_condemned() {
+            log::warn!(event = "call-condemned", left_ms = condemned.left_ms; "");
             // The reader is gone only when the process ends.
-            let _ = found.send(Found::Condemned(told));
+            let _ = events.send(QuarantineEvent::Condemned(condemned));
         }
         for crashed in suspects.take_crashes() {
             log::info!(
                 event = "endpoint-crashed", agent:% = crashed.endpoint,
                 in_flight = crashed.in_flight.len(); ""
             );
-            let _ = found.send(Found::Crashed(crashed));
+            let _ = events.send(QuarantineEvent::Crashed(crashed));
         }
         if now_ms >= expire_at_ms {
-            expire_at_ms = now_ms + EXPIRE_EVERY_MS;
+            expire_at_ms = now_ms + EXPIRE_INTERVAL_MS;
             suspects.expire(now_ms);
         }
     }
 }
 
-fn take(suspects: &mut Suspects, order: Order, now_ms: u64) {
-    match order {
-        Order::Enter(digest, endpoint, copies, answer) => {
+fn handle(suspects: &mut Suspects, command: Command, now_ms: u64) {
+    match command {
+        Command::TryStart(digest, endpoint, copies, answer) => {
             let entry = suspects.try_start(digest, endpoint, copies, now_ms);
             // The one who asked may have gone; then its run never began.
-            if let Err(StartDecision::Start(run)) = answer.send(entry) {
-                suspects.record_end(run, now_ms);
+            if let Err(StartDecision::Start(id)) = answer.send(entry) {
+                suspects.record_end(id, now_ms);
             }
         }
-        Order::Complete(run) => suspects.record_success(run),
-        Order::Leave(run) => suspects.record_end(run, now_ms),
-        Order::Lost(run, answer) => {
-            let _ = answer.send(suspects.record_crash(run, now_ms));
+        Command::RecordSuccess(id) => suspects.record_success(id),
+        Command::RecordEnd(id) => suspects.record_end(id, now_ms),
+        Command::RecordCrash(id, answer) => {
+            let _ = answer.send(suspects.record_crash(id, now_ms));
         }
-        Order::Standing(digest, answer) => {
+        Command::QueryStatus(digest, answer) => {
             suspects.condemn_if_sole_cause(digest, now_ms);
             let _ = answer.send(suspects.status(digest, now_ms));
         }
-        Order::Heard(digest, left_ms) => suspects.record_peer_verdict(digest, left_ms, now_ms),
-        Order::HeardCrash(entry, crashed) => suspects.record_peer_crash(entry, &crashed, now_ms),
+        Command::RecordPeerVerdict(digest, left_ms) => {
+            suspects.record_peer_verdict(digest, left_ms, now_ms)
+        }
+        Command::RecordPeerCrash(entry, crashed) => {
+            suspects.record_peer_crash(entry, &crashed, now_ms)
+        }
     }
 }
--- a/components/gateway/src/trace.rs
+++ b/components/gateway/src/trace.rs
@@ -16,21 +16,21 @@
     customer: CustomerName,
     service: Arc<config::Service>,
     class: Class,
-    began_ms: u64,
+    started_ms: u64,
     first_byte_ms: Option<u64>,
     ended: bool,
 }
 
 impl Trace {
     /// A request that began at `began_ms`.
-    pub fn new(metrics: Metrics, job: &Job, began_ms: u64) -> Self {
+    pub fn new(metrics: Metrics, job: &Job, started_ms: u64) -> Self {
         Self {
             metrics,
             request_id: job.request_id.clone(),
             customer: job.payer.clone(),
             service: Arc::clone(&job.service),
             class: job.class,
-            began_ms,
+            started_ms,
             first_byte_ms: None,
             ended: false,
         }
@@ -46,7 +46,7 @@
         if self.first_byte_ms.is_some() {
             return;
         }
-        let took_ms = now_ms().saturating_sub(self.began_ms);
+        let took_ms = now_ms().saturating_sub(self.started_ms);
         self.first_byte_ms = Some(took_ms);
         let label = Label::of(&self.customer, self.class);
         self.metrics.record("request_first_byte_ms", label, took_ms);
@@ -54,24 +54,24 @@
 
     /// The answer is whole.
     pub fn record_answer(&mut self, status: u16) {
-        self.end("answered", "", Some(status));
+        self.finish("answered", "", Some(status));
     }
 
     /// The answer is that of an earlier submission.
     pub fn record_replay(&mut self) {
-        self.end("answered", "replayed", None);
+        self.finish("answered", "replayed", None);
     }
 
     /// There is no whole answer.
     pub fn record_failure(&mut self, failure: Failure) {
-        self.end(failure.run.as_str(), failure.cause.as_str(), None);
+        self.finish(failure.run.as_str(), failure.cause.as_str(), None);
     }
 
-    fn end(&mut self, outcome: &'static str, cause: &'static str, status: Option<u16>) {
+    fn finish(&mut self, outcome: &'static str, cause: &'static str, status: Option<u16>) {
         if std::mem::replace(&mut self.ended, true) {
             return;
         }
-        let took_ms = now_ms().saturating_sub(self.began_ms);
+        let took_ms = now_ms().saturating_sub(self.started_ms);
         let label = Label::of(&self.customer, self.class);
         self.metrics.record("request_ms", label, took_ms);
         self.metrics.count(counter(outcome), label, 1);
@@ -97,6 +97,6 @@
 
 impl Drop for Trace {
     fn drop(&mut self) {
-        self.end("cancelled", "cancelled", None);
+        self.finish("cancelled", "cancelled", None);
     }
 }
--- a/components/gateway/src/weight_authority.rs
+++ b/components/gateway/src/weight_authority.rs
@@ -12,7 +12,7 @@
 use crate::rejection::Rejection;
 
 /// Orders that wait at most.
-const ORDERS_MAX: usize = 256;
+const COMMAND_QUEUE_MAX: usize = 256;
 
 /// What a trainer or operator wants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,9 +42,9 @@
 
 type Answer = oneshot::Sender<Result<AnnounceOutcome, AnnounceError>>;
 
-enum Order {
+enum Command {
     Announce(VersionRequest, Answer),
-    Heard(ModelKey, Target),
+    MergeFromPeer(ModelKey, Target),
 }
 
 type Targets = BTreeMap<ModelKey, Target>;
@@ -52,17 +52,17 @@
 /// Handle to the authority; clones share one state.
 #[derive(Clone)]
 pub struct WeightAuthority {
-    orders: mpsc::Sender<Order>,
+    commands: mpsc::Sender<Command>,
     targets: Arc<ArcSwap<Targets>>,
 }
 
 impl WeightAuthority {
     /// Starts the owner. Every change goes into `changed`.
     pub fn start(changed: mpsc::Sender<(ModelKey, Target)>) -> WeightAuthority {
-        let (orders, inbox) = mpsc::channel(ORDERS_MAX);
+        let (commands, inbox) = mpsc::channel(COMMAND_QUEUE_MAX);
         let targets = Arc::new(ArcSwap::default());
-        tokio::spawn(own(inbox, Arc::clone(&targets), changed));
-        WeightAuthority { orders, targets }
+        tokio::spawn(run_owner(inbox, Arc::clone(&targets), changed));
+        WeightAuthority { commands, targets }
     }
 
     /// Versions in force.
@@ -74,39 +74,41 @@
     pub async fn announce(&self, request: VersionRequest) -> Result<AnnounceOutcome, Rejection> {
         let internal = || Rejection::Call(Failure::not_run(Cause::Internal));
         let (answer, answered) = oneshot::channel();
-        let order = Order::Announce(request, answer);
-        self.orders.send(order).await.map_err(|_| internal())?;
+        let command = Command::Announce(request, answer);
+        self.commands.send(command).await.map_err(|_| internal())?;
         let outcome = answered.await.map_err(|_| internal())?;
         outcome.map_err(Rejection::Announcement)
     }
 
     /// Another process knows of these versions. A full queue loses the hint until the
     /// rumour comes again.
-    pub fn heard(&self, model: ModelKey, target: Target) {
-        let _ = self.orders.try_send(Order::Heard(model, target));
+    pub fn merge_from_peer(&self, model: ModelKey, target: Target) {
+        let _ = self
+            .commands
+            .try_send(Command::MergeFromPeer(model, target));
     }
 }
 
-async fn own(
-    mut inbox: mpsc::Receiver<Order>,
+async fn run_owner(
+    mut inbox: mpsc::Receiver<Command>,
     targets: Arc<ArcSwap<Targets>>,
     changed: mpsc::Sender<(ModelKey, Target)>,
 ) {
     let mut authority = Authority::new();
-    while let Some(order) = inbox.recv().await {
-        let changed_model = match order {
-            Order::Announce(request, answer) => {
+    while let Some(command) = inbox.recv().await {
+        let changed_model = match command {
+            Command::Announce(request, answer) => {
                 let outcome = announce(&mut authority, &request);
-                let news = matches!(outcome, Ok(AnnounceOutcome::Changed(_)));
+                let is_changed = matches!(outcome, Ok(AnnounceOutcome::Changed(_)));
                 publish(&authority, &targets);
                 // The one who asked may have gone; the announcement stands.
                 let _ = answer.send(outcome);
-                news.then_some(request.model)
+                is_changed.then_some(request.model)
             }
-            Order::Heard(model, target) => {
-                let news = authority.merge(&model, target);
+            Command::MergeFromPeer(model, target) => {
+                let is_changed = authority.merge(&model, target);
                 publish(&authority, &targets);
-                news.then_some(model)
+                is_changed.then_some(model)
             }
         };
         if let Some(model) = changed_model
--- a/components/gateway/tests/connections.rs
+++ b/components/gateway/tests/connections.rs
@@ -181,20 +181,20 @@
     for number in 0..max {
         let connection = Connection::new();
         // Idle ones come in the order of their times; the first three are busy.
-        let busy = (number < 3).then(|| connection.begin());
-        connections.opened(tokio::spawn(async {}).id(), connection.clone());
+        let busy = (number < 3).then(|| connection.begin_request());
+        connections.add(tokio::spawn(async {}).id(), connection.clone());
         opened.push((connection, busy));
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
-    assert_eq!(connections.make_room(now_ms()), 0, "too young");
+    assert_eq!(connections.close_idle(now_ms()), 0, "too young");
     let now_ms = now_ms() + 1_000;
-    assert_eq!(connections.make_room(now_ms), 2);
-    assert_eq!(connections.make_room(now_ms + 1), 0, "just after");
+    assert_eq!(connections.close_idle(now_ms), 2);
+    assert_eq!(connections.close_idle(now_ms + 1), 0, "just after");
     let closing = opened.iter().enumerate();
     let closing = closing.filter(|(_, (connection, _))| connection.is_closing());
     let closing: Vec<usize> = closing.map(|(number, _)| number).collect();
     assert_eq!(closing, [3, 4]);
-    assert_eq!(connections.make_room(now_ms + 200), 2);
+    assert_eq!(connections.close_idle(now_ms + 200), 2);
 }
 
 #[test]
--- a/components/gateway/tests/parts.rs
+++ b/components/gateway/tests/parts.rs
@@ -8,7 +8,7 @@
 use gateway::completion::{Completion, used_tokens};
 use gateway::headers::{RequestOptions, endpoint_headers, request_id};
 use gateway::idempotency::is_idempotent;
-use gateway::paths::{Route, Target, TrainingRoute};
+use gateway::paths::{Route, ServiceTarget, TrainingRoute};
 use gateway::rejection::Rejection;
 use http::HeaderMap;
 use types::{Class, CustomerName, Role};
@@ -62,7 +62,7 @@
         query: Option<&'static str>,
         route: Result<Route, Rejection>,
     }
-    let own = |service: &str| Target {
+    let own = |service: &str| ServiceTarget {
         owner: None,
         service: service.parse().unwrap(),
     };
@@ -90,7 +90,7 @@
             path: "/v1/services/office.guichet/a",
             query: None,
             route: Ok(Route::Service(
-                Target {
+                ServiceTarget {
                     owner: Some("office".parse().unwrap()),
                     service: "guichet".parse().unwrap(),
                 },
@@ -318,7 +318,7 @@
 fn can_do_only_what_the_role_allows() {
     let redacteurs = "redacteurs".parse().unwrap();
     let guichet = "guichet".parse().unwrap();
-    let target = Target::parse("guichet").unwrap();
+    let target = ServiceTarget::parse("guichet").unwrap();
     for role in Role::ALL {
         let token = format!("Bearer {role}");
         let mut headers = HeaderMap::new();
@@ -429,7 +429,7 @@
         let _ = Route::parse(&format!("/v1/services/{path}"), None);
         let _ = Route::parse(&format!("/v1/training/{path}"), None);
         let _ = Completion::parse(&body);
-        let _ = Target::parse(&path);
+        let _ = ServiceTarget::parse(&path);
         true
     }
 }
--- a/components/gateway/tests/readiness.rs
+++ b/components/gateway/tests/readiness.rs
@@ -16,8 +16,8 @@
     let up = Facts {
         configured: true,
         agents: 3,
-        any_heard: true,
-        up_ms: 100,
+        any_peer_answered: true,
+        uptime_ms: 100,
         ..Facts::default()
     };
     let case = |name, facts, readiness| Case {
@@ -26,13 +26,13 @@
         readiness,
     };
     let heard = Facts {
-        agent_heard: true,
+        agent_answered: true,
         ..up
     };
     let foreign = Facts {
-        any_heard: false,
+        any_peer_answered: false,
         datagrams_dropped: 1,
-        up_ms: 60_000,
+        uptime_ms: 60_000,
         ..up
     };
     let cases = [
@@ -40,7 +40,10 @@
         case("an agent has answered", heard, Readiness::Ready),
         case(
             "all agents are down",
-            Facts { up_ms: 5_000, ..up },
+            Facts {
+                uptime_ms: 5_000,
+                ..up
+            },
             Readiness::Ready,
         ),
         case(
@@ -52,7 +55,7 @@
             "no agent is listed",
             Facts {
                 agents: 0,
-                up_ms: 1_000,
+                uptime_ms: 1_000,
                 ..up
             },
             Readiness::Ready,
@@ -61,7 +64,7 @@
         case(
             "one of the others has a wrong key",
             Facts {
-                any_heard: true,
+                any_peer_answered: true,
                 ..foreign
             },
             Readiness::Ready,
@@ -84,7 +87,12 @@
         ),
     ];
     for case in cases {
-        assert_eq!(Readiness::of(&case.facts), case.readiness, "{}", case.name);
+        assert_eq!(
+            Readiness::from_facts(&case.facts),
+            case.readiness,
+            "{}",
+            case.name
+        );
     }
 }
 
