--- a/components/gateway/src/accounts.rs
+++ b/components/gateway/src/accounts.rs
@@ -1,6 +1,7 @@
-//! What the entry keeps of each customer: its limits, its weight in the fair queue and
-//! its budget of retries. Rebuilt on a tick from the configuration in force; the path of
-//! a request only reads.
+//! Per-customer state of the entry: limits, weight in the fair queue and retry budget.
+//!
+//! A periodic task rebuilds this state from the active configuration; request handlers only
+//! read it.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,16 +16,16 @@
 use crate::body_budget::BodyUse;
 use crate::training::Places;
 
-/// One customer as this entry sees it.
+/// State of one customer on this entry.
 #[derive(Debug)]
 pub struct Account {
-    /// Its limits and its use of them.
+    /// Limits of the customer and their current usage.
     pub customer: Arc<Customer>,
-    /// Retries that its requests have left.
+    /// Limits how many retries the customer's requests may cause.
     pub retry_budget: RetryBudget,
-    /// Its requests' bodies.
+    /// Bytes of request bodies that are held for the customer.
     pub body_use: Arc<BodyUse>,
-    /// Its training calls in progress here.
+    /// Training calls of the customer in progress on this entry.
     pub training: Places,
     weight: AtomicU32,
 }
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Its share in the fair queue.
+    /// Weight of the customer in the fair queues of services.
     pub fn weight(&self) -> u32 {
         self.weight.load(Ordering::Relaxed)
     }
@@ -53,8 +54,8 @@
     }
 }
 
-/// What the customer may use on all entries together: what its text says, which it writes
-/// itself, and no more than the operator of the platform allows.
+/// Limits of the customer over all entries: the values from the customer's own configuration,
+/// capped by the platform operator's ceilings.
 fn effective_limits(limits: &Limits, ceilings: &Ceilings) -> CustomerLimits {
     let of = |stated, ceiling| Some(capped(stated, ceiling));
     CustomerLimits {
@@ -68,7 +69,7 @@
     ceiling.map_or(stated, |ceiling| stated.min(ceiling))
 }
 
-/// All customers of the configuration in force.
+/// Accounts of all customers in the active configuration.
 #[derive(Default)]
 pub struct Accounts {
     accounts: ArcSwap<HashMap<CustomerName, Arc<Account>>>,
@@ -77,7 +78,7 @@
 }
 
 impl Accounts {
-    /// No customer yet.
+    /// Creates an empty set; [`Accounts::refresh`] adds the customers.
     pub fn new(ceilings: Ceilings, budget: BudgetSettings) -> Self {
         Self {
             accounts: ArcSwap::default(),
@@ -86,12 +87,13 @@
         }
     }
 
-    /// A customer's account, unless the configuration does not name it.
+    /// Returns a customer's account, or `None` if the configuration does not contain the customer.
     pub fn get(&self, customer: &CustomerName) -> Option<Arc<Account>> {
         self.accounts.load().get(customer).cloned()
     }
 
-    /// Takes a new configuration in. `share` is this entry's part of a customer's limits.
+    /// Applies a new configuration. `share` returns the fraction of a customer's limits that this
+    /// entry may use.
     pub fn refresh(&self, view: &View, share: impl Fn(&CustomerName) -> f64) {
         let old = self.accounts.load();
         let mut next = HashMap::new();
@@ -104,8 +106,8 @@
         self.accounts.store(Arc::new(next));
     }
 
-    /// What each customer asked of this entry in the last `elapsed_ms` milliseconds, as a
-    /// part of its limits.
+    /// Returns each customer's offered load on this entry during the last `elapsed_ms`
+    /// milliseconds, as a fraction of the customer's limits.
     pub fn demands(&self, view: &View, elapsed_ms: u64) -> Vec<(CustomerName, f64)> {
         let accounts = self.accounts.load();
         let named = view.customers().filter_map(|(name, customer)| {
--- a/components/gateway/src/admission.rs
+++ b/components/gateway/src/admission.rs
@@ -1,4 +1,5 @@
-//! Admission of a request: the process's drain, the customer's limits, the service's gate.
+//! Admits requests: checks the drain state of the process, the customer's limits and the
+//! service's gate.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,10 +13,9 @@
 use crate::gateway::Gateway;
 use crate::job::Job;
 
-/// Everything that a request holds while it is in progress; dropped, it gives all back.
+/// Resources that a request holds while it is in progress. Dropping the value releases them.
 #[derive(Debug)]
 pub struct Admitted {
-    /// The customer's account.
     pub account: Arc<Account>,
     in_progress: InProgress,
     _permit: Option<Permit>,
@@ -23,13 +23,13 @@
 }
 
 impl Admitted {
-    /// Gives back the tokens that the request did not use.
+    /// Returns the tokens to the customer's limit that the request reserved and did not use.
     pub fn refund_unused(&mut self, tokens: u32) {
         self.in_progress.refund_unused(tokens);
     }
 }
 
-/// Lets a request in, after a wait where its service is busy, or refuses it.
+/// Admits a request or refuses it; waits for a slot if the service is busy.
 pub async fn admit(gateway: &Gateway, job: &Job) -> Result<Admitted, Failure> {
     let working = gateway.drain.admit(now_ms())?;
     let account = find_account(gateway, job)?;
@@ -40,9 +40,9 @@
     enter_gate(gateway, job, account, in_progress, working).await
 }
 
-/// Lets a request in when there is room for it within the customer's limits, in the order
-/// of arrival, and then as [`admit`] does. For a step's own work: refused, each of its
-/// samples would come back by itself, and be refused among the customer's other calls.
+/// Admits a request like [`admit`], but waits in arrival order until the customer's limits
+/// permit it. Used for the runs of training steps: a refused run would be retried, and every
+/// retry would compete with the customer's other calls and could be refused again.
 pub async fn admit_in_turn(gateway: &Gateway, job: &Job) -> Result<Admitted, Failure> {
     let account = find_account(gateway, job)?;
     let left = Duration::from_millis(job.left_ms(now_ms()));
@@ -57,7 +57,7 @@
 
 fn find_account(gateway: &Gateway, job: &Job) -> Result<Arc<Account>, Failure> {
     let account = gateway.accounts.get(&job.payer);
-    // The configuration is newer than the last tick; the customer is there with the next.
+    // The configuration changed after the last refresh. The next refresh adds the account.
     account.ok_or(Failure::not_run(Cause::NoEndpoint))
 }
 
--- a/components/gateway/src/answer.rs
+++ b/components/gateway/src/answer.rs
@@ -1,4 +1,4 @@
-//! From an attempt that has its head to the answer that the caller gets.
+//! Produces the client's response from an attempt whose response head has arrived.
 
 use std::sync::Arc;
 
@@ -22,22 +22,23 @@
 use crate::retried_call::RetriedCall;
 use crate::trace::Trace;
 
-/// An answer of a stated length up to this is taken whole before it goes on, so that one
-/// that is cut can be asked for again. Longer ones go on as they come.
+/// Answers of idempotent calls with a content length up to this limit are buffered before they
+/// are sent to the caller, so that an interrupted answer can be requested again. Longer answers
+/// are streamed.
 const BUFFERED_BYTES_MAX: usize = 64 * 1024;
 
-/// A request that is being answered, with all that it holds.
+/// A request in progress with the resources that it holds.
 pub struct ActiveRequest {
-    /// The request and its attempts.
+    /// The call to the endpoint with all its attempts.
     pub retried_call: RetriedCall,
-    /// What it holds.
+    /// Limits, queue slot and drain guard of the request.
     pub admitted: Admitted,
-    /// What is recorded of it.
+    /// Records metrics and the log line at the end of the request.
     pub trace: Trace,
 }
 
 impl ActiveRequest {
-    /// Lets a request in, or refuses it.
+    /// Admits a request or refuses it.
     pub async fn admit(
         gateway: &Arc<Gateway>,
         job: Job,
@@ -65,7 +66,7 @@
         })
     }
 
-    /// Sends the request and answers with what its endpoint answers.
+    /// Sends the request to an endpoint and returns the endpoint's answer.
     pub async fn relay(mut self, body: Bytes) -> Result<Response<Body>, Rejection> {
         let answered = self.fetch_answer(&body).await;
         match answered {
@@ -89,7 +90,8 @@
         }
     }
 
-    /// A completion that states its use costs only that.
+    /// Returns the unused part of the reserved tokens if the answer is a completion that states
+    /// its token usage.
     pub fn refund_unused_tokens(&mut self, answer: &[u8]) {
         if self.retried_call.job.service.kind == ServiceKind::Model
             && let Some(tokens) = completion::used_tokens(answer)
@@ -106,14 +108,14 @@
             }
             match read_answer(&mut attempt).await {
                 Ok(bytes) => return Ok((head, Content::Buffered(bytes))),
-                // The caller has seen nothing of it yet.
+                // No byte of this answer was sent to the caller.
                 Err(failure) => self.retried_call.retry(failure, Delivered::Nothing).await?,
             };
         }
     }
 
-    /// The rest of an answer as it comes. When the stream is dropped, the call is
-    /// cancelled; when it breaks, the caller's connection is cut.
+    /// Streams the rest of an answer as it arrives. Dropping the stream cancels the call; an
+    /// interrupted answer closes the caller's connection.
     pub fn stream_rest(self, status: u16, attempt: Attempt) -> Body {
         let deadline_at_ms = self.retried_call.job.deadline_at_ms;
         let state = AnswerStream {
@@ -180,7 +182,7 @@
     }
 }
 
-/// The answer with an endpoint's status and headers.
+/// Builds a response with the status and headers of an endpoint's answer.
 pub fn response(head: &Head, body: Body) -> Result<Response<Body>, Rejection> {
     let bad = || Failure::new(RunState::Failed, Cause::EndpointError);
     let mut response = Response::new(body);
--- a/components/gateway/src/attempt.rs
+++ b/components/gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at one replica.
+//! One attempt of a call at one replica.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,38 +17,39 @@
 use crate::job::Job;
 use crate::suspects::{InFlightAttempt, StartPermission};
 
-/// Pause while every replica has a suspect that is tried apart, in milliseconds.
+/// Delay before the next choice when all remaining replicas are isolating a suspect call, in
+/// milliseconds.
 const ISOLATION_RETRY_MS: u64 = 100;
 
-/// What an attempt may be sent to.
+/// Constraints on the replica of an attempt.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaConstraints {
-    /// Replicas not to be taken, unless there is no other.
+    /// Replicas to avoid, for example those where an earlier attempt failed.
     pub exclude: Vec<NodeId>,
-    /// Not even then.
+    /// If true, excluded replicas are not chosen even if no other replica is available.
     pub strict: bool,
-    /// Lowest weight version that will do.
+    /// Minimum weight version of the replica; `None` accepts any version.
     pub min_version: Option<WeightVersion>,
 }
 
-/// An attempt in progress. Dropped before its last event, it is cancelled.
+/// An attempt in progress. Dropping it before its last event cancels the call.
 pub struct Attempt {
     call: Call,
-    /// Taken when the attempt has ended.
+    /// `None` once the attempt has ended.
     reservation: Option<Reservation>,
     table: Arc<Table>,
     node: NodeId,
     life: EndpointLife,
 }
 
-/// What an attempt holds while it is in progress.
+/// Resources of an attempt in progress.
 struct Reservation {
     choice: Choice,
     in_flight: InFlightAttempt,
 }
 
 impl Attempt {
-    /// Chooses a replica and sends the call.
+    /// Chooses a replica and sends the call to it.
     pub async fn start(
         gateway: &Gateway,
         job: &Job,
@@ -73,17 +74,17 @@
         })
     }
 
-    /// The replica.
+    /// Returns the chosen replica.
     pub fn node(&self) -> NodeId {
         self.node
     }
 
-    /// Address of the replica's agent.
+    /// Returns the address of the replica's agent.
     pub fn address(&self) -> SocketAddr {
         self.node.address
     }
 
-    /// Waits for the next event.
+    /// Waits for the next event of the call.
     pub async fn next(&mut self) -> CallEvent {
         let event = self.call.next().await;
         match event {
@@ -114,8 +115,8 @@
         if self.life.has_ended().await {
             return in_flight.record_crash().await.unwrap_or(failure);
         }
-        // A crash whose news came after the wait would count nowhere, and a call that
-        // crashes endpoints would get more of them than the stated bound.
+        // The crash report may arrive after the wait above. An ignored crash would let a call that
+        // crashes endpoints exceed the limit on such crashes.
         let life = self.life.clone();
         tokio::spawn(async move {
             if life.has_ended_late().await {
@@ -146,7 +147,7 @@
     }
 }
 
-/// What a failure says about the replica.
+/// Classifies a failure for the replica's statistics.
 fn replica_outcome(failure: Failure) -> Outcome {
     match failure.cause {
         Cause::LinkLost
@@ -159,7 +160,7 @@
     }
 }
 
-/// Chooses a replica and has the call known as in flight there.
+/// Chooses a replica and registers the call as in flight at its endpoint.
 async fn reserve_replica(
     gateway: &Gateway,
     job: &Job,
@@ -176,13 +177,14 @@
         }
         let table = state.table();
         let choice = match choose(gateway, job, &table, constraints, &isolating, now_ms) {
-            // Every other replica has a suspect that is tried apart there; it ends soon.
+            // All other replicas are running a suspect call alone. Such runs end soon.
             Err(_) if !isolating.is_empty() && !constraints.strict => {
                 isolating.clear();
                 pause(job, ISOLATION_RETRY_MS).await;
                 continue;
             }
-            // Told to come back, the caller would send it until it crashes the next one.
+            // A condemned call gets a final refusal here. With a retriable error the caller would
+            // repeat it until it crashes the next replica.
             Err(failure) => {
                 let refusal = gateway.quarantine.refusal(job.digest).await;
                 return Err(refusal.unwrap_or(failure));
@@ -206,7 +208,7 @@
     }
 }
 
-/// The samples of one group are copies of one call and have to spread.
+/// Samples of a group are copies of the same call and must be able to run on several replicas.
 fn copy_placement(job: &Job) -> CopyPlacement {
     match job.class {
         Class::Sampling => CopyPlacement::Unlimited,
@@ -219,16 +221,17 @@
     tokio::time::sleep(Duration::from_millis(wait_ms)).await;
 }
 
-/// Whether the newest view has the replica taking work. The table is as old as the last
-/// tick, and the request may have waited since the replica was chosen.
+/// Returns whether the replica accepts work according to the newest membership snapshot. The
+/// routing table is only as recent as the last refresh, and the request may have waited since
+/// the replica was chosen.
 fn accepts_work(gateway: &Gateway, job: &Job, node: NodeId) -> bool {
     let service = &job.service;
     let snapshot = gateway.gossip.snapshot();
     snapshot.accepts_work(&service.owner, &service.name, node)
 }
 
-/// Chooses a replica that takes work, none of `apart`. Those that failed this request
-/// already are passed over unless there is no other.
+/// Chooses a replica that accepts work and is not in `isolating`. Replicas in
+/// `constraints.exclude` are chosen only if there is no other, and never in strict mode.
 fn choose(
     gateway: &Gateway,
     job: &Job,
--- a/components/gateway/src/auth.rs
+++ b/components/gateway/src/auth.rs
@@ -1,4 +1,4 @@
-//! Who asks: the holder of the bearer token, by the configuration in force now.
+//! Authenticates requests by their bearer token, using the active configuration.
 
 use std::sync::Arc;
 
@@ -11,20 +11,21 @@
 use crate::rejection::Rejection;
 
 const SCHEME: &str = "bearer";
-/// Longest token, in bytes; a longer one is not hashed.
+/// Maximum length of a token in bytes. Longer tokens are rejected before they are hashed.
 const TOKEN_BYTES_MAX: usize = 512;
 
-/// A holder, with the configuration by which it was recognised; an extension of the
-/// request, so that one request sees one configuration.
+/// An authenticated token holder with the configuration that identified it. Stored as a request
+/// extension, so that a request sees only one version of the configuration.
 #[derive(Clone)]
 pub struct Session {
-    /// Configuration in force when the request came.
+    /// Configuration that was active when the request arrived.
     pub view: Arc<View>,
-    /// Who asks.
+    /// Customer, role and permitted services of the token.
     pub holder: TokenHolder,
 }
 
-/// Finds the holder of a request's token.
+/// Returns the session of the request's bearer token. Errors when the token is missing, given
+/// several times or not configured.
 pub fn authenticate(view: Arc<View>, headers: &HeaderMap) -> Result<Session, Rejection> {
     let token = bearer(headers).ok_or(Rejection::Unauthenticated)?;
     let holder = view.authenticate(token).cloned();
@@ -44,10 +45,10 @@
 }
 
 impl Session {
-    /// The service that a caller names, if the holder may call it.
+    /// Returns the requested service if the token holder may call it.
     ///
-    /// Of another customer's services nobody learns which exist: one that is not there and
-    /// one that is not shared get the same answer.
+    /// A missing service of another customer and one that is not shared give the same error, so
+    /// that callers cannot find out which services other customers have.
     pub fn callable(&self, target: &ServiceTarget) -> Result<Arc<Service>, Rejection> {
         let holder = &self.holder;
         let owner = target.owner_for(&holder.customer);
@@ -61,7 +62,7 @@
         Err(Rejection::NotAllowed(owner.clone(), target.service.clone()))
     }
 
-    /// The holder's own model, if it may train it.
+    /// Returns the token holder's own model if the holder may train it.
     pub fn trainable(&self, name: &ServiceName) -> Result<Arc<Service>, Rejection> {
         let service = self.named(&self.holder.customer, name)?;
         self.need(Role::Trainer)?;
@@ -71,7 +72,7 @@
         Err(self.not_allowed(name))
     }
 
-    /// The holder's own service, if it may operate it.
+    /// Returns the token holder's own service if the holder may operate it.
     pub fn operable(&self, name: &ServiceName) -> Result<Arc<Service>, Rejection> {
         let service = self.named(&self.holder.customer, name)?;
         self.need(Role::Operator)?;
--- a/components/gateway/src/body.rs
+++ b/components/gateway/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers towards callers.
+//! Response bodies of the public address.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -13,10 +13,10 @@
 
 pub use crate::answer_interrupted::AnswerInterrupted;
 
-/// Body of an answer.
+/// Response body: complete bytes or a stream of parts.
 pub struct Body {
     kind: Kind,
-    /// Its connection has a request in progress until the body is dropped.
+    /// Marks the connection as busy until the body is dropped.
     busy: Option<BusyGuard>,
 }
 
@@ -30,12 +30,13 @@
         Self { kind, busy: None }
     }
 
-    /// Holds this until the answer has been handed over.
+    /// Keeps the connection marked as busy until the body is dropped.
     pub fn set_busy_guard(&mut self, busy: BusyGuard) {
         self.busy = Some(busy);
     }
 
-    /// Has the caller's connection cut when the caller does not take this answer.
+    /// Sets the handle that closes the caller's connection if the caller does not read the answer.
+    /// Has no effect on bodies that are not streamed.
     pub fn set_cut(&self, cut: &ConnectionCut) {
         if let Kind::Parts(received) = &self.kind {
             received.set_cut(cut);
@@ -43,13 +44,13 @@
     }
 }
 
-/// A body that is whole already.
+/// Creates a body from complete bytes.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Body::new(Kind::Full(Full::new(bytes.into())))
 }
 
-/// A body of parts as they come. `parts` is dropped when it has ended, when the caller is
-/// gone, and when the caller does not take the parts in time.
+/// Creates a body that sends `parts` as they arrive. `parts` is dropped when it ends, when the
+/// caller disconnects, and when the caller does not read the parts in time.
 pub fn streamed(
     parts: impl Stream<Item = Result<Bytes, AnswerInterrupted>> + Send + 'static,
     deadline_at_ms: u64,
--- a/components/gateway/src/body_budget.rs
+++ b/components/gateway/src/body_budget.rs
@@ -1,14 +1,14 @@
-//! How many bytes of requests' bodies the process holds at a time.
+//! Limits the memory that request bodies occupy in the process.
 //!
-//! A body is read before its request is known in full, so nothing else bounds it: some
-//! hundred callers that each leave the end of a large body out would fill the VM's
-//! memory, and every customer's requests would end with the process. A body's bytes are
-//! reserved before they are read: all of them where the length is stated, else as they
-//! come. They count until the last view of the body is dropped.
+//! A body is read before the request is admitted, so no other limit applies to it: a few
+//! hundred callers that send incomplete large bodies could exhaust the VM's memory and end the
+//! process with all customers' requests. Bytes are reserved before they are read: the whole
+//! length if it is stated, otherwise chunk by chunk. The reservation is released when the last
+//! reference to the body is dropped.
 //!
-//! A customer may hold no more than is left free of the process's budget. So each one
-//! that holds much leaves as much for the next, and one that begins finds room whatever
-//! the others do.
+//! A customer may hold at most as many bytes as remain free in the process's budget. A customer
+//! with large bodies therefore leaves at least the same amount to others, and a customer that
+//! holds nothing can always reserve some bytes.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -16,20 +16,20 @@
 use quick_error::quick_error;
 use types::{Cause, Failure};
 
-/// Bytes of bodies at a time, of all customers.
+/// Limit for the bodies of all customers together.
 const PROCESS_BYTES_MAX: usize = 128 << 20;
-/// Bytes of bodies at a time, of one customer.
+/// Limit for the bodies of one customer.
 const CUSTOMER_BYTES_MAX: usize = 32 << 20;
 
 quick_error! {
-    /// A body that there is no room for.
+    /// A reservation that exceeds a limit.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum OverBudget {
-        /// The customer holds its part already.
+        /// The customer's limit is exceeded.
         Customer {
             display("the customer's bodies in flight are at their limit")
         }
-        /// All customers together hold what the process has.
+        /// The limit of the process is exceeded.
         Process {
             display("the process's bodies in flight are at their limit")
         }
@@ -37,7 +37,7 @@
 }
 
 impl OverBudget {
-    /// The answer to the caller, without the time to come back.
+    /// Returns the failure for the caller, without a retry delay.
     pub fn failure(self) -> Failure {
         match self {
             OverBudget::Customer => Failure::not_run(Cause::CustomerLimit),
@@ -46,11 +46,11 @@
     }
 }
 
-/// The bodies of one customer.
+/// Number of body bytes that are reserved for one customer.
 #[derive(Debug, Default)]
 pub struct BodyUse(AtomicUsize);
 
-/// The bodies of the process.
+/// Budget for the body bytes of all requests of the process.
 #[derive(Debug)]
 pub struct BodyBudget {
     process_bytes_max: usize,
@@ -65,7 +65,7 @@
 }
 
 impl BodyBudget {
-    /// A budget of so many bytes for all customers, and for each of them.
+    /// Creates a budget with a limit for all customers together and a limit for each customer.
     pub fn new(process_bytes_max: usize, customer_bytes_max: usize) -> Self {
         Self {
             process_bytes_max,
@@ -74,12 +74,12 @@
         }
     }
 
-    /// Bytes that all customers hold.
+    /// Returns the number of bytes reserved for all customers.
     pub fn held_bytes(&self) -> usize {
         self.held_bytes.load(Ordering::Relaxed)
     }
 
-    /// Reserves the bytes of a body, or says what is in the way.
+    /// Reserves `bytes` for a body, or returns the limit that would be exceeded.
     pub fn reserve(
         self: &Arc<Self>,
         customer: &Arc<BodyUse>,
@@ -97,7 +97,7 @@
     fn try_reserve(&self, customer: &BodyUse, bytes: usize) -> Result<(), OverBudget> {
         let process = add_within(&self.held_bytes, bytes, self.process_bytes_max);
         let held = process.ok_or(OverBudget::Process)?;
-        // What was free before these bytes; they are the customer's own.
+        // Free bytes before this reservation, which counts as the customer's own.
         let free = self.process_bytes_max - held;
         let customer_max = self.customer_bytes_max.min(free);
         if add_within(&customer.0, bytes, customer_max).is_none() {
@@ -108,14 +108,14 @@
     }
 }
 
-/// Adds `bytes` unless the sum would be over `bytes_max`; gives what was there before.
+/// Adds `bytes` unless the sum would exceed `bytes_max`; returns the previous value.
 fn add_within(held: &AtomicUsize, bytes: usize, bytes_max: usize) -> Option<usize> {
     let more = |held: usize| held.checked_add(bytes).filter(|&sum| sum <= bytes_max);
     held.fetch_update(Ordering::Relaxed, Ordering::Relaxed, more)
         .ok()
 }
 
-/// Reserved bytes of one body; dropped, it gives them back.
+/// Reserved bytes of one body. Dropping the value releases them.
 #[derive(Debug)]
 pub struct BodyReservation {
     budget: Arc<BodyBudget>,
@@ -124,14 +124,14 @@
 }
 
 impl BodyReservation {
-    /// Reserves more bytes for the same body.
+    /// Reserves additional bytes for the same body.
     pub fn grow(&mut self, bytes: usize) -> Result<(), OverBudget> {
         self.budget.try_reserve(&self.customer, bytes)?;
         self.bytes += bytes;
         Ok(())
     }
 
-    /// Bytes that are reserved.
+    /// Returns the number of reserved bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
--- a/components/gateway/src/caller_stream.rs
+++ b/components/gateway/src/caller_stream.rs
@@ -1,8 +1,8 @@
-//! The socket of a caller: one that takes nothing for a while is an error.
+//! Socket of a caller that reports an error when the caller stops reading.
 //!
-//! What stands in the buffers of a connection has no other bound in time: its request has
-//! ended for the system, and a caller who never reads would keep its connection, its
-//! descriptor and its buffers for ever, and a process that leaves would wait for it.
+//! Without this timeout a caller that never reads would occupy a connection, a descriptor and
+//! buffers forever, because the request itself has already ended. A draining process would also
+//! wait for such a caller.
 
 use std::io;
 use std::pin::Pin;
@@ -15,7 +15,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{Sleep, sleep};
 
-/// What the owner of a connection knows of its socket. Clones share one state.
+/// State of a caller's socket that the connection task can read and change. Clones share it.
 #[derive(Clone, Debug, Default)]
 pub struct SocketState(Arc<Flags>);
 
@@ -26,29 +26,29 @@
 }
 
 impl SocketState {
-    /// The connection ends in a reset. A caller who reads until the connection is closed
-    /// can't tell a cut answer from a whole one by anything else.
+    /// Makes the connection end with a TCP reset. For a caller that reads until the connection
+    /// closes, only a reset distinguishes an interrupted answer from a complete one.
     pub fn reset(&self) {
         self.0.reset.store(true, Ordering::Relaxed);
     }
 
-    /// Whether bytes wait for the caller to take those before them.
+    /// Returns whether a write is waiting for the caller to read earlier bytes.
     pub fn is_blocked(&self) -> bool {
         self.0.blocked.load(Ordering::Relaxed)
     }
 }
 
-/// A caller's socket.
+/// TCP stream of a caller with a timeout for blocked writes.
 pub struct CallerStream {
     stream: TcpStream,
     stall_timeout: Duration,
-    /// Runs while the socket takes nothing.
+    /// Timer that runs while a write is blocked.
     stall_timer: Option<Pin<Box<Sleep>>>,
     socket: SocketState,
 }
 
 impl CallerStream {
-    /// Watches a socket; after `stall` without a byte taken its writes are errors.
+    /// Wraps a socket. Writes fail when no byte is accepted for `stall_timeout`.
     pub fn new(stream: TcpStream, stall_timeout: Duration, socket: SocketState) -> Self {
         Self {
             stream,
@@ -126,7 +126,7 @@
 impl Drop for CallerStream {
     fn drop(&mut self) {
         if self.socket.0.reset.load(Ordering::Relaxed) {
-            // Where it fails, the connection is closed as any other.
+            // If this fails, the connection is closed without a reset.
             let _ = self.stream.set_zero_linger();
         }
     }
--- a/components/gateway/src/calls.rs
+++ b/components/gateway/src/calls.rs
@@ -1,4 +1,4 @@
-//! Plain calls: `/v1/services/{service}/{path}`, any method and body.
+//! Calls of plain services: `/v1/services/{service}/{path}` with any method and body.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 use crate::request_body::RequestBody;
 use crate::request_context::{RequestContext, require_kind};
 
-/// Serves a plain call.
+/// Handles a call of a plain service.
 pub async fn serve<B>(
     gateway: Arc<Gateway>,
     context: RequestContext,
@@ -33,7 +33,7 @@
     let method = context.parts.method.as_str();
     let content = [method.as_bytes(), path.as_bytes(), &body];
     let job = context.job(&service, path.clone(), Work::default(), &content)?;
-    // A request that may run again needs nobody's leave for it.
+    // An idempotent request needs no claim on its key, because it may run several times.
     if let Some(key) = context.options.key.as_deref().filter(|_| !job.idempotent) {
         let keyed = Keyed {
             key,
--- a/components/gateway/src/completion.rs
+++ b/components/gateway/src/completion.rs
@@ -1,5 +1,5 @@
-//! Bodies of completions: what the system reads and changes of them. Everything else
-//! that a caller writes goes to the engine as it is.
+//! Parses and rewrites the bodies of completion requests. Fields that are not listed here are
+//! forwarded to the engine unchanged.
 
 use bytes::Bytes;
 use serde::Deserialize;
@@ -17,15 +17,15 @@
 const REQUEST_ID: &str = "request_id";
 const PRIORITY: &str = "priority";
 
-/// Most tokens that a completion may ask for.
+/// Maximum value of `max_tokens`.
 pub const MAX_TOKENS_MAX: u64 = 65_536;
-/// Tokens where the caller states none; stated towards the engine, so that limits and
-/// engine go by one number.
+/// Default of `max_tokens`. The value is always sent to the engine, so that the customer's
+/// limits and the engine use the same number.
 const MAX_TOKENS_DEFAULT: u64 = 256;
-/// Rough bytes of a prompt for each of its tokens, for limits and load only.
+/// Estimated number of prompt bytes per token, used only for limits and load estimates.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Priority of a class towards an engine; lower goes first.
+/// Returns the engine priority of a class. Lower values run first.
 pub fn priority(class: Class) -> u32 {
     match class {
         Class::Interactive => 0,
@@ -45,14 +45,14 @@
     completion_tokens: u32,
 }
 
-/// Tokens that a whole answer says it used.
+/// Returns the tokens that a complete answer reports as used, or `None` if it reports none.
 pub fn used_tokens(answer: &[u8]) -> Option<u32> {
     let answer: Answer = serde_json::from_slice(answer).ok()?;
     let usage = answer.usage?;
     Some(usage.prompt_tokens.saturating_add(usage.completion_tokens))
 }
 
-/// Size of a completion.
+/// Estimates the size of a completion.
 pub fn work(prompt: &str, max_tokens: u64) -> routing::Work {
     let prompt_tokens = prompt.len().div_ceil(BYTES_PER_TOKEN);
     routing::Work {
@@ -61,22 +61,22 @@
     }
 }
 
-/// A checked completion request.
+/// A validated completion request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Completion {
     fields: Map<String, Value>,
-    /// Model as the caller names it.
+    /// Model name as the caller gave it.
     pub model: String,
-    /// The prompt.
+    /// Text to complete.
     pub prompt: String,
-    /// Whether the answer is a stream of events.
+    /// Whether the answer is streamed as server-sent events.
     pub stream: bool,
-    /// Most tokens of the answer.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u64,
 }
 
 impl Completion {
-    /// Reads a body. Errors name the field and what is allowed.
+    /// Parses and validates a body. Errors name the field and the allowed values.
     pub fn parse(body: &[u8]) -> Result<Self, Rejection> {
         let parsed = serde_json::from_slice(body);
         let fields: Map<String, Value> =
@@ -97,13 +97,13 @@
         })
     }
 
-    /// Its size, by a rough count of the prompt's tokens.
+    /// Estimates the size of the request from the length of its prompt.
     pub fn work(&self) -> routing::Work {
         work(&self.prompt, self.max_tokens)
     }
 
-    /// The body for an engine: its own name of the model, the request's id and priority,
-    /// and the tokens that an earlier endpoint generated already.
+    /// Returns the body for an engine. It contains the engine's name for the model, the request's
+    /// id and priority, and the tokens that an earlier engine already generated.
     pub fn for_engine(
         &self,
         model: &str,
@@ -119,7 +119,7 @@
         if !resume_tokens.is_empty() {
             fields.insert(RESUME_TOKENS.to_owned(), resume_tokens.into());
         }
-        // A map of JSON values always serialises.
+        // Serialising a map of JSON values cannot fail.
         serde_json::to_vec(&fields).unwrap_or_default().into()
     }
 }
--- a/components/gateway/src/completion_stream.rs
+++ b/components/gateway/src/completion_stream.rs
@@ -1,10 +1,10 @@
-//! A completion that is streamed to its caller and goes on at another engine when its
-//! own one is lost.
+//! Streams a completion to its caller and resumes it at another engine after a failure.
 //!
-//! Only whole events go on to the caller: a cut inside one would otherwise run into the
-//! first event of the next engine. The ids of the tokens that the caller has go to the
-//! next engine, which generates the rest. Without the ids, nobody can go on, and the
-//! caller sees a broken stream: an event with the problem, then a cut connection.
+//! Only complete events are sent to the caller, because a partial event would be joined with
+//! the first event of the next engine. The next engine gets the ids of the tokens that the
+//! caller already has and generates the rest. If an engine sent text without token ids, the
+//! stream cannot be resumed: the caller gets an error event with the problem document, and then
+//! the connection is closed.
 
 use adapters::sse::Parser;
 use bytes::{Bytes, BytesMut};
@@ -23,19 +23,19 @@
 use crate::rejection::Rejection;
 use crate::resumed::Continuation;
 
-/// Longest line of a stream.
+/// Maximum length of a line in an event stream.
 const LINE_BYTES_MAX: usize = 256 * 1024;
-/// Most bytes of an event that has not ended.
+/// Maximum size of an incomplete event.
 const EVENT_BYTES_MAX: usize = 512 * 1024;
 const OK: u16 = 200;
 
-/// What the engines say of a completion, over all attempts.
+/// State of the event stream over all attempts.
 struct StreamState {
     parser: Parser,
-    /// Bytes after the last whole event.
+    /// Bytes after the last complete event.
     partial_event: BytesMut,
     token_ids: Vec<u32>,
-    /// Text came whose tokens have no ids.
+    /// Whether an engine sent text without token ids.
     has_text_without_ids: bool,
     has_sent: bool,
     continuation: Continuation,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Takes bytes in; gives the whole events that they complete.
+    /// Adds received bytes and returns the events that are now complete.
     fn push(&mut self, bytes: &[u8]) -> Result<Bytes, Failure> {
         let not_an_answer = || Failure::new(RunState::Failed, Cause::EndpointError);
         self.partial_event.extend_from_slice(bytes);
@@ -75,7 +75,7 @@
         Ok(self.continuation.rewrite(events))
     }
 
-    /// Forgets the part of an event that was cut; the next engine begins a new one.
+    /// Discards a partial event. The next engine starts with a new event.
     fn discard_partial_event(&mut self) {
         self.parser = Parser::new(LINE_BYTES_MAX);
         self.partial_event.clear();
@@ -90,7 +90,7 @@
     }
 }
 
-/// Bytes up to the end of the last blank line.
+/// Returns the number of bytes up to the end of the last blank line.
 fn complete_events_len(bytes: &[u8]) -> usize {
     let line_end = |at: &usize| bytes.get(*at) == Some(&b'\n');
     let ends = (0..bytes.len()).rev().filter(line_end);
@@ -103,11 +103,12 @@
         .map_or(0, |at| at + 1)
 }
 
-/// Sends the request and streams what its engines say. `body` makes the body for an
-/// engine that goes on after these tokens.
+/// Sends the request and streams the events of its engines. `body` builds the request body for
+/// an engine that continues after the given tokens.
 ///
-/// The head goes with the first event: engines send theirs before they have begun, and a
-/// request that fails up to there still gets its status and problem document.
+/// The response head is sent together with the first event. Engines send their head before they
+/// start generating, and a request that fails before its first event must still get an error
+/// status and a problem document.
 pub async fn serve(
     mut request: ActiveRequest,
     body: impl Fn(&[u32]) -> Bytes + Send + 'static,
@@ -122,7 +123,7 @@
             };
             streaming.respond(&stream_head(head)).await
         }
-        // A refusal of the engine's own is no stream; it goes on as it is.
+        // The engine refused the request. Its answer is no event stream and is relayed unchanged.
         Ok((head, attempt)) => response(&head.clone(), request.stream_rest(head.status, attempt)),
         Err(failure) => {
             request.trace.record_failure(failure);
@@ -131,7 +132,7 @@
     }
 }
 
-/// The length, if an engine states one, is that of its own part only.
+/// Removes the content length, which would cover only the part of one engine.
 fn stream_head(head: Head) -> Head {
     let of_length = |name: &str| HeaderName::try_from(name).is_ok_and(|n| n == CONTENT_LENGTH);
     let headers = head.headers.into_iter();
@@ -148,7 +149,7 @@
     body: F,
 }
 
-/// What the caller's stream does next.
+/// Next item of the caller's stream.
 enum Next {
     Bytes(Bytes),
     End,
@@ -187,7 +188,7 @@
         }
     }
 
-    /// The answer costs only the tokens that were made.
+    /// Returns the reserved tokens that were not generated.
     fn refund_unused_tokens(&mut self) {
         let made = u32::try_from(self.state.token_ids.len()).unwrap_or(u32::MAX);
         let prompt_tokens = self.request.retried_call.job.work.prompt_tokens;
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Goes on at another engine, or says why not.
+    /// Resumes the completion at another engine. Errors when the failure is final.
     async fn resume_elsewhere(&mut self, mut failure: Failure) -> Result<(), Failure> {
         self.state.discard_partial_event();
         loop {
@@ -235,8 +236,8 @@
             State::First(next, streaming) => (next, streaming),
             State::Running(mut streaming) => (streaming.next().await, streaming),
             State::Failing(failure) => {
-                // `hyper` drops what it has not flushed when a body fails, and it flushes
-                // when a body has nothing at the moment; the event would not be seen.
+                // `hyper` discards unflushed data when a body fails, and flushes while a body is
+                // pending. Without this yield the caller would not receive the error event.
                 tokio::task::yield_now().await;
                 return Some((Err(AnswerInterrupted::CallFailed(failure)), State::Ended));
             }
@@ -261,8 +262,8 @@
     }
 }
 
-/// Tells a caller that reads events why the stream breaks; the cut that follows tells
-/// every other one.
+/// Builds the error event for a failed stream. Callers that do not read events notice the failure
+/// by the closed connection.
 fn problem_event(request: &ActiveRequest, failure: Failure) -> Bytes {
     let request_id = &request.retried_call.job.request_id;
     let document = problem::document(&Rejection::Call(failure), request_id);
--- a/components/gateway/src/completions.rs
+++ b/components/gateway/src/completions.rs
@@ -1,4 +1,4 @@
-//! Completions: `POST /v1/completions`.
+//! Handler of completions: `POST /v1/completions`.
 
 use std::sync::Arc;
 
@@ -17,15 +17,16 @@
 use crate::request_body::RequestBody;
 use crate::request_context::{RequestContext, require_kind};
 
-/// Path of completions, here and at the engines.
+/// Path of completions, both at the entry and at the engines.
 pub const PATH: &str = "/v1/completions";
 
-/// What a caller may do with the key of a stream.
+/// Allowed use of an idempotency key with a streamed completion.
 const STREAM_KEY_ALLOWED: &str = "a key only where the stream may run again";
 
-/// Serves a completion. One that runs once and has a key is claimed like a plain call. A
-/// stream can't be recorded and given again, so with a key it must be one that may run
-/// again; else its caller would take it for protected.
+/// Handles a completion. A non-idempotent completion with an idempotency key is claimed like a
+/// plain call. A streamed completion cannot be recorded and replayed, so it is rejected if it has
+/// a key and is not idempotent; otherwise its caller would assume that the key prevents a second
+/// run.
 pub async fn serve<B>(
     gateway: Arc<Gateway>,
     context: RequestContext,
@@ -37,7 +38,7 @@
     if context.parts.method != Method::POST {
         return Err(Rejection::Method("POST"));
     }
-    // The model stands in the body, and with it the default deadline.
+    // The model and its default deadline are known only after the body is read.
     let bytes = context
         .body(body, context.deadline_at_ms(DEADLINE_MS_MAX))
         .await?;
--- a/components/gateway/src/connection.rs
+++ b/components/gateway/src/connection.rs
@@ -1,9 +1,8 @@
-//! One connection of the public address, from its first request to its end.
+//! Serves one connection of the public address.
 //!
-//! One whose first request does not come within a few seconds is closed.
-//!
-//! A caller who does not read its answer loses its connection. What was cut ends in a
-//! reset, or in an answer without its end: a caller never takes a part for the whole.
+//! A connection that does not send its first request within a few seconds is closed. A connection
+//! whose caller does not read its answer is closed too. An interrupted answer ends in a TCP reset
+//! or without the end of the body, so that a caller cannot mistake it for a complete one.
 
 use std::convert::Infallible;
 use std::pin::pin;
@@ -26,22 +25,22 @@
 use crate::connections::Connection;
 use crate::delivery::{ConnectionCut, STALL_TIMEOUT};
 
-/// Time for the first request of a connection.
+/// Timeout for the first request head of a connection.
 const FIRST_HEAD_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time for the head of a later one, from the end of the one before.
+/// Timeout for the next request head of a kept-alive connection.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(60);
-/// Most headers of a request.
+/// Maximum number of headers of a request.
 const HEADERS_MAX: usize = 64;
-/// Bytes of a request's head, and of a connection's read buffer.
+/// Maximum size of a request head and of a connection's read buffer.
 const HEAD_BYTES_MAX: usize = 32 * 1024;
-/// Time for the last part of an answer that is cut to reach a caller who does read.
+/// Time for a caller that reads slowly to receive the last part of an interrupted answer.
 const FINAL_PART_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time for an idle connection that makes room to end in order.
+/// Time for an orderly shutdown of an idle connection that is closed for a new one.
 const GRACEFUL_CLOSE_TIMEOUT: Duration = Duration::from_millis(50);
-/// Time for the first request of a connection when the process stops.
+/// Time for the first request of a new connection to arrive after the server was stopped.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(500);
 
-/// A service that answers the requests of the public address; each connection has a clone.
+/// Service for the requests of the public address. Every connection uses a clone.
 pub trait PublicService:
     Service<Request<Incoming>, Response = Response<Body>, Error = Infallible, Future: Send>
     + Clone
@@ -58,13 +57,13 @@
 {
 }
 
-/// Waits until `stop` is true, or its sender is gone.
+/// Waits until `stop` is true or its sender is dropped.
 pub(crate) async fn wait_for_stop(stop: &mut watch::Receiver<bool>) {
     let _ = stop.wait_for(|&stop| stop).await;
 }
 
-/// Serves one connection until it ends: by its caller, after `stop` has turned true, or
-/// when `state` is asked to make room.
+/// Serves a connection until the caller closes it, the server stops, or `state` requests that it
+/// be closed for another connection.
 pub(crate) async fn serve<S>(
     stream: TcpStream,
     state: Arc<Connection>,
@@ -73,7 +72,7 @@
 ) where
     S: PublicService,
 {
-    // A small answer must not wait for an acknowledgement of the one before.
+    // Small answers must not be delayed until the previous answer is acknowledged.
     let _ = stream.set_nodelay(true);
     let history = Arc::new(RequestHistory::default());
     let (cut, socket) = (ConnectionCut::default(), SocketState::default());
@@ -97,7 +96,7 @@
     let (mut is_stopping, mut is_head_due) = (false, false);
     let ended = loop {
         tokio::select! {
-            // First of all what has come: a request that is here keeps its connection.
+            // Received data is handled first: a connection whose request has arrived stays open.
             biased;
             ended = served.as_mut() => break ended,
             () = stopping.as_mut(), if !is_stopping => {
@@ -118,7 +117,7 @@
                 if let Ok(ended) = timeout(GRACEFUL_CLOSE_TIMEOUT, served.as_mut()).await {
                     break ended;
                 }
-                // Part of a head has come, which may take its time; nothing runs of it.
+                // The connection has received only part of a request head, so no request is lost.
                 if !state.is_busy() && !socket.is_blocked() {
                     return;
                 }
@@ -134,23 +133,23 @@
     }
 }
 
-/// Waits until the process stops and no first request can be on its way any longer.
+/// Waits until the server stops and the first request of the connection has had time to arrive.
 async fn wait_for_shutdown(stop: &mut watch::Receiver<bool>, history: &RequestHistory) {
     wait_for_stop(stop).await;
-    // `hyper` closes a connection whose first request has not been read, though it
-    // may be on its way. Its answer will be a refusal that closes the connection.
+    // `hyper` closes a connection whose first request was not read yet, even if the request is
+    // already in transit. A late request gets a refusal, which closes the connection.
     if !history.has_request() {
         sleep(FIRST_REQUEST_GRACE).await;
     }
 }
 
-/// Waits until an answer was cut and its caller has had the time to read the last part.
+/// Waits until an answer was interrupted and its caller had time to read the last part.
 async fn wait_until_unread(cut: &ConnectionCut) {
     cut.requested().await;
     sleep(FINAL_PART_TIMEOUT).await;
 }
 
-/// A connection that breaks concerns only its caller, who sees it.
+/// Handles a connection error. Logged at debug level only, because the caller notices it.
 fn handle_error(reason: &hyper::Error, history: &RequestHistory, socket: &SocketState) {
     log::debug!(event = "connection-ended", reason:% = reason; "");
     if history.ends_by_close() {
@@ -158,7 +157,7 @@
     }
 }
 
-/// The service of one connection, which is busy until an answer has been handed over.
+/// Wraps the service of a connection; the connection counts as busy until the answer is sent.
 fn track_requests<S>(
     service: S,
     state: Arc<Connection>,
@@ -183,13 +182,13 @@
     })
 }
 
-/// What a connection's requests were so far.
+/// Facts about the requests that a connection has received.
 #[derive(Default)]
 struct RequestHistory {
-    /// There was one.
+    /// At least one request was received.
     has_request: AtomicBool,
-    /// Its answer ends where the connection is closed; an end like any other would make
-    /// a cut answer look whole.
+    /// The end of the latest answer is marked only by closing the connection (HTTP/1.0), so an
+    /// orderly close would make an interrupted answer look complete.
     ends_by_close: AtomicBool,
 }
 
--- a/components/gateway/src/connections.rs
+++ b/components/gateway/src/connections.rs
@@ -1,9 +1,8 @@
-//! The open connections of callers, and which of them makes room for a new one.
+//! Tracks the open connections of callers and selects those that are closed for new ones.
 //!
-//! An idle connection costs its caller nothing, so a few thousand of them would shut
-//! everybody else out. When no more may be opened, those that have had no request in
-//! progress for the longest time are closed. A connection with a request is never closed
-//! for another one.
+//! Idle connections cost a caller nothing, so a few thousand of them could block all other
+//! callers. When the maximum is reached, the connections that have been idle for the longest time
+//! are closed. Connections with a request in progress are never closed for another connection.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,19 +12,20 @@
 use tokio::sync::Notify;
 use tokio::task::Id;
 
-/// In place of a time: a request is in progress.
+/// Value of `idle_since_ms` while a request is in progress.
 const BUSY: u64 = u64::MAX;
-/// Of all connections, this part is closed at a time, so that each new one does not have
-/// to look through all.
+/// Closes one in so many connections at a time, so that the connections are not scanned for every
+/// new one.
 const CLOSE_DIVISOR: usize = 16;
-/// A connection that is idle for less may have its next request under way.
+/// Minimum idle time before a connection may be closed. The next request of a connection that was
+/// idle for less time may already be in transit.
 const IDLE_MS_MIN: u64 = 500;
-/// Between two closings, the first of which have ended then.
+/// Time between two rounds of closing, within which the closed connections end.
 const CLOSE_INTERVAL_MS: u64 = 100;
-/// Between two log lines of connections that were closed for others.
+/// Minimum time between two log lines about closed connections.
 const LOG_INTERVAL_MS: u64 = 10_000;
 
-/// One connection.
+/// State of one connection, shared by its task and the accept loop.
 #[derive(Debug)]
 pub struct Connection {
     idle_since_ms: AtomicU64,
@@ -34,7 +34,7 @@
 }
 
 impl Connection {
-    /// A connection without a request so far.
+    /// Creates the state of a connection that has not received a request.
     pub fn new() -> Arc<Self> {
         Arc::new(Self {
             idle_since_ms: AtomicU64::new(now_ms()),
@@ -43,28 +43,28 @@
         })
     }
 
-    /// A request has come; it ends with the guard.
+    /// Marks the connection as busy until the guard is dropped.
     pub fn begin_request(self: &Arc<Self>) -> BusyGuard {
         self.idle_since_ms.store(BUSY, Ordering::SeqCst);
         BusyGuard(Arc::clone(self))
     }
 
-    /// Whether a request is in progress.
+    /// Returns whether a request is in progress.
     pub fn is_busy(&self) -> bool {
         self.idle_since_ms.load(Ordering::SeqCst) == BUSY
     }
 
-    /// Waits until the connection is to make room.
+    /// Waits until the connection is selected for closing.
     pub async fn close_requested(&self) {
         self.close.notified().await;
     }
 
-    /// Whether it was told to make room.
+    /// Returns whether the connection was selected for closing.
     pub fn is_closing(&self) -> bool {
         self.closing.load(Ordering::Relaxed)
     }
 
-    /// Whether it stays after all: a request came meanwhile.
+    /// Cancels the closing and returns true if a request has arrived in the meantime.
     pub fn cancel_close_if_busy(&self) -> bool {
         let is_busy = self.is_busy();
         if is_busy {
@@ -73,7 +73,7 @@
         is_busy
     }
 
-    /// Since when it could be closed.
+    /// Returns the start of the idle time, or `None` if the connection must not be closed now.
     fn idle_since_ms(&self, now_ms: u64) -> Option<u64> {
         let since_ms = self.idle_since_ms.load(Ordering::SeqCst);
         let is_idle = since_ms.saturating_add(IDLE_MS_MIN) <= now_ms;
@@ -86,7 +86,7 @@
     }
 }
 
-/// A connection with a request in progress; dropped, the connection is idle.
+/// Marks a connection as busy. Dropping the guard marks it as idle.
 #[derive(Debug)]
 pub struct BusyGuard(Arc<Connection>);
 
@@ -96,7 +96,7 @@
     }
 }
 
-/// All connections, in the hands of the task that accepts them.
+/// All open connections, owned by the task that accepts them.
 #[derive(Debug)]
 pub struct Connections {
     max: usize,
@@ -107,7 +107,7 @@
 }
 
 impl Connections {
-    /// None so far, and at most `max`.
+    /// Creates an empty set for at most `max` connections.
     pub fn new(max: usize) -> Self {
         Self {
             max,
@@ -118,23 +118,23 @@
         }
     }
 
-    /// Whether another one may be opened.
+    /// Returns whether another connection may be opened.
     pub fn has_capacity(&self) -> bool {
         self.open.len() < self.max
     }
 
-    /// A connection is served by this task.
+    /// Adds a connection that is served by this task.
     pub fn add(&mut self, task: Id, connection: Arc<Connection>) {
         self.open.insert(task, connection);
     }
 
-    /// The task has ended.
+    /// Removes the connection of a task that has ended.
     pub fn remove(&mut self, task: Id) {
         self.open.remove(&task);
     }
 
-    /// Closes those that have been idle for the longest time, unless there is room or some
-    /// were closed just now; gives their number.
+    /// Closes the connections that have been idle for the longest time and returns their number.
+    /// Does nothing while there is capacity or shortly after the previous round.
     pub fn close_idle(&mut self, now_ms: u64) -> usize {
         let just_now = |last_close_ms| now_ms < last_close_ms + CLOSE_INTERVAL_MS;
         if self.has_capacity() || self.last_close_ms.is_some_and(just_now) {
--- a/components/gateway/src/delivery.rs
+++ b/components/gateway/src/delivery.rs
@@ -1,15 +1,15 @@
-//! Parts of an answer on their way to a caller who may not read them.
+//! Delivers the parts of an answer to a caller that may not read them.
 //!
-//! `hyper` asks a body for its next part only when the caller's socket takes bytes. What
-//! a request holds (its place at the service, its count among the customer's requests,
-//! its part of the drain) must not hang on that: a caller who reads nothing would keep
-//! it for ever, a few hundred of them would shut everybody out of a service, and the
-//! process could not leave. So a task of its own takes the parts and hands them over. It
-//! drops the answer, with all that it holds, when the caller takes nothing for a while
-//! or the request's time is over, and has the connection cut.
+//! `hyper` polls a body for its next part only when the caller's socket accepts bytes. The
+//! resources of a request (its slot at the service, its count in the customer's limit and its
+//! drain guard) must not depend on that: a caller that never reads would hold them forever, a few
+//! hundred such callers would block a service, and the process could not drain. A separate task
+//! therefore reads the parts and sends them through a bounded channel. The task drops the answer
+//! with its resources and closes the connection when the caller accepts nothing for a while or
+//! the deadline has passed.
 //!
-//! The caller can't take what it has for the whole: without an explicit end the body
-//! ends in an error, whatever became of the task.
+//! A body without an explicit end returns an error, whatever happened to the task, so the caller
+//! cannot mistake a partial answer for a complete one.
 
 use std::pin::pin;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -26,30 +26,31 @@
 
 use crate::answer_interrupted::AnswerInterrupted;
 
-/// Parts between the task and the caller's connection.
+/// Maximum number of parts buffered between the task and the caller's connection.
 const BUFFERED_PARTS_MAX: usize = 8;
-/// Longest time without the caller taking a part.
+/// Maximum time for which the caller may accept no part.
 pub const STALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time after the deadline for the answer's own end, which says more than a cut.
+/// Additional time after the deadline in which the answer can end with its own error, which is
+/// more specific than a closed connection.
 const DEADLINE_GRACE: Duration = Duration::from_secs(1);
 
-/// Cuts a caller's connection, whatever its socket does.
+/// Handle that closes a caller's connection even if its socket accepts no bytes.
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionCut(Arc<Notify>);
 
 impl ConnectionCut {
-    /// Cuts the connection.
+    /// Requests that the connection be closed.
     pub fn cut(&self) {
         self.0.notify_one();
     }
 
-    /// Waits until the connection is to be cut.
+    /// Waits until the connection is to be closed.
     pub async fn requested(&self) {
         self.0.notified().await;
     }
 }
 
-/// How an answer ended, for both sides of its delivery.
+/// End of an answer, shared by the sending task and the receiving body.
 #[derive(Debug, Default)]
 struct DeliveryState {
     is_complete: AtomicBool,
@@ -60,14 +61,14 @@
 
 impl DeliveryState {
     fn fail(&self, failure: Failure) {
-        // The first reason stays.
+        // Keeps the first error.
         let _ = self.error.set(AnswerInterrupted::CallFailed(failure));
     }
 
     fn abandon(&self) {
         self.fail(Failure::new(RunState::Unknown, Cause::Cancelled));
-        // Set first, looked at after; `cut_with` does it the other way round, so one of
-        // the two sees the other.
+        // `abandon` sets the flag and then reads the handle; `set_cut` sets the handle and then
+        // reads the flag. At least one of them sees both values.
         self.is_abandoned.store(true, Ordering::SeqCst);
         self.cut_if_abandoned();
     }
@@ -81,7 +82,7 @@
     }
 }
 
-/// The caller's side of an answer.
+/// Receiving side of an answer, polled by the response body.
 #[derive(Debug)]
 pub struct DeliveredParts {
     parts: mpsc::Receiver<Bytes>,
@@ -90,13 +91,13 @@
 }
 
 impl DeliveredParts {
-    /// Cuts a connection when the caller does not take the answer.
+    /// Sets the handle that closes the connection if the caller does not read the answer.
     pub fn set_cut(&self, cut: &ConnectionCut) {
         let _ = self.state.cut.set(cut.clone());
         self.state.cut_if_abandoned();
     }
 
-    /// The next part, or the end.
+    /// Returns the next part, the end, or the error that ended the answer early.
     pub fn poll_next(
         &mut self,
         cx: &mut Context<'_>,
@@ -107,8 +108,8 @@
         if self.state.is_complete.load(Ordering::SeqCst) {
             return Poll::Ready(None);
         }
-        // `hyper` drops what it has not flushed when a body fails, and it flushes when a
-        // body has nothing at the moment; the last part would not be seen.
+        // `hyper` discards unflushed data when a body fails, and flushes while a body is pending.
+        // Without this extra poll the caller would not receive the last part.
         if !std::mem::replace(&mut self.has_yielded, true) {
             cx.waker().wake_by_ref();
             return Poll::Pending;
@@ -119,7 +120,7 @@
     }
 }
 
-/// Hands the parts over in a task of its own.
+/// Starts a task that sends the parts, and returns the receiving side.
 pub fn deliver(
     parts: impl Stream<Item = Result<Bytes, AnswerInterrupted>> + Send + 'static,
     deadline_at_ms: u64,
@@ -150,7 +151,7 @@
     loop {
         let part = tokio::select! {
             biased;
-            // The caller is gone.
+            // The caller has disconnected.
             () = sender.closed() => return,
             part = parts.next() => part,
         };
--- a/components/gateway/src/descriptors.rs
+++ b/components/gateway/src/descriptors.rs
@@ -1,17 +1,17 @@
-//! File descriptors of the process, and how many of them callers may take.
+//! Limits the file descriptors that connections of callers may use.
 //!
-//! A process that gives its last descriptor to a caller can reach no agent, no other
-//! entry and not the log, and every caller gets a refusal. The usual soft limit of 1,024
-//! is used up by as many idle connections, for which nobody needs a token.
+//! A process without free descriptors cannot connect to agents, other entries or the log, and
+//! refuses every request. The common soft limit of 1,024 is exhausted by as many idle
+//! connections, which can be opened without a token.
 
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 
-/// Connections of callers at a time, however many descriptors there are.
+/// Maximum number of connections, independent of the descriptor limit.
 const CONNECTIONS_MAX: usize = 16_384;
-/// Descriptors for connections to agents, entries, the log and endpoints, and for files.
+/// Descriptors reserved for connections to agents, entries, the log and endpoints, and for files.
 const RESERVED_DESCRIPTORS: usize = 512;
 
-/// Raises the soft limit to the hard one; gives the limit in force, `None` without one.
+/// Raises the soft limit to the hard limit. Returns the resulting limit, `None` if unlimited.
 pub fn raise_limit() -> Option<u64> {
     let limit = getrlimit(Resource::Nofile);
     let raised = Rlimit {
@@ -20,13 +20,13 @@
     };
     match setrlimit(Resource::Nofile, raised) {
         Ok(()) => limit.maximum,
-        // The soft limit is what there is.
+        // The soft limit could not be raised and remains in effect.
         Err(_) => limit.current,
     }
 }
 
-/// Connections of callers under a limit of descriptors. Under a small one half is left
-/// for everything else.
+/// Returns the maximum number of connections for a descriptor limit. With a small limit, half of
+/// the descriptors are reserved for other uses.
 pub fn connections_max(limit: Option<u64>) -> usize {
     let Some(limit) = limit.and_then(|limit| usize::try_from(limit).ok()) else {
         return CONNECTIONS_MAX;
--- a/components/gateway/src/drained.rs
+++ b/components/gateway/src/drained.rs
@@ -1,8 +1,8 @@
-//! The rest of a body that a refusal leaves unread.
+//! Discards the unread rest of a request body after the request was refused.
 //!
-//! A connection that is closed with bytes unread is reset, and the reset may overtake the
-//! answer: a caller whose body is too large would see a broken connection in place of the
-//! reason. So the rest is read and thrown away, within bounds of bytes and time.
+//! Closing a connection with unread bytes causes a TCP reset, which may arrive before the
+//! response: a caller with a body that is too large would see a broken connection instead of the
+//! reason. The rest is therefore read and discarded, limited in size and time.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -12,12 +12,12 @@
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, SizeHint};
 
-/// Most bytes that are thrown away.
+/// Maximum number of bytes that are discarded.
 const DISCARDED_BYTES_MAX: usize = 32 << 20;
-/// Longest time for it.
+/// Maximum time for discarding.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A request's body; dropped before its end, the rest is read by a task of its own.
+/// Request body whose unread rest is discarded by a separate task when the body is dropped.
 pub struct DrainedBody<B: Body + Unpin + Send + 'static>
 where
     B::Data: Send,
@@ -30,7 +30,7 @@
     B: Body + Unpin + Send + 'static,
     B::Data: Send,
 {
-    /// Wraps a body.
+    /// Wraps a request body.
     pub fn new(body: B) -> Self {
         Self { body: Some(body) }
     }
@@ -72,7 +72,7 @@
 {
     fn drop(&mut self) {
         let rest = self.body.take().filter(|body| !body.is_end_stream());
-        // Outside a runtime the process is ending, and its connections with it.
+        // Without a runtime the process is ending and closes its connections anyway.
         if let (Some(rest), Ok(runtime)) = (rest, tokio::runtime::Handle::try_current()) {
             runtime.spawn(tokio::time::timeout(DISCARD_TIMEOUT, discard(rest)));
         }
--- a/components/gateway/src/endpoint_life.rs
+++ b/components/gateway/src/endpoint_life.rs
@@ -1,8 +1,8 @@
-//! Whether an endpoint crashed under a call, or only the connection to it broke.
+//! Determines whether an endpoint crashed during a call or only the connection to it failed.
 //!
-//! A connection that is cut is no crash: taken for one, two of them would have a common
-//! consultation refused for minutes. The agent looks at its endpoint as soon as a call has
-//! lost it and tells the entries; they wait a moment for that.
+//! A failed connection must not count as a crash: two such failures would have a common call
+//! refused for minutes. An agent checks its endpoint as soon as a call has lost it and gossips the
+//! result to the entries, which wait a short time for this update.
 
 use std::time::Duration;
 
@@ -12,14 +12,15 @@
 use crate::gateway::Gateway;
 use crate::job::Job;
 
-/// How long the agent's news is waited for, in milliseconds.
+/// How long a failed call waits for the agent's update, in milliseconds.
 const CRASH_REPORT_TIMEOUT_MS: u64 = 400;
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How long news that is late still counts, in milliseconds.
+/// How long a late update still counts as a crash during the call, in milliseconds.
 const LATE_CRASH_REPORT_TIMEOUT_MS: u64 = 3_000;
 
-/// The life of an endpoint at the hand-over of a call.
+/// The life of an endpoint (the number that its agent raises at every restart) at the time when a
+/// call is sent.
 #[derive(Clone)]
 pub struct EndpointLife {
     gossip: Gossip,
@@ -30,7 +31,7 @@
 }
 
 impl EndpointLife {
-    /// The life known now.
+    /// Returns the life in the current membership snapshot.
     pub fn current(gateway: &Gateway, job: &Job, node: NodeId) -> Self {
         let mut life = Self {
             gossip: gateway.gossip.clone(),
@@ -43,13 +44,14 @@
         life
     }
 
-    /// Waits for news that the life is over; false when none comes. An endpoint that is
-    /// down is not listed.
+    /// Waits for an update that shows that the life has ended; false if none arrives in time. An
+    /// endpoint that is down is not listed, which counts as ended.
     pub async fn has_ended(&self) -> bool {
         self.wait_for_end(CRASH_REPORT_TIMEOUT_MS).await
     }
 
-    /// The same for news that comes after the caller has his answer.
+    /// Same as [`Self::has_ended`], but with the longer timeout that applies after the caller has
+    /// received its answer.
     pub async fn has_ended_late(&self) -> bool {
         self.wait_for_end(LATE_CRASH_REPORT_TIMEOUT_MS).await
     }
--- a/components/gateway/src/entry.rs
+++ b/components/gateway/src/entry.rs
@@ -1,4 +1,4 @@
-//! Puts an entry together from its settings and runs it until it has left.
+//! Builds an entry from its settings and runs it until it has drained.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 use crate::tuning::Tuning;
 use crate::{inner, routes, server, status};
 
-/// An entry that has its addresses and runs when told to.
+/// An entry with bound sockets that is not running yet.
 pub struct Entry {
     settings: EntrySettings,
     tuning: Tuning,
@@ -31,8 +31,8 @@
 }
 
 impl Entry {
-    /// Takes the addresses of the settings; with port 0 the system chooses the ports.
-    /// Errors when an address is taken or no key is set.
+    /// Binds the configured addresses; with port 0 the operating system chooses the ports. Errors
+    /// when an address is in use or no key is configured.
     pub async fn bind(settings: EntrySettings, tuning: Tuning) -> Result<Entry, EntryError> {
         let sockets = Sockets::bind(&settings.common, ProcessRole::Entry).await?;
         let address = settings.listen;
@@ -46,23 +46,23 @@
         })
     }
 
-    /// Address for callers, trainers and operators.
+    /// Returns the address for callers, trainers and operators.
     pub fn public_address(&self) -> Result<SocketAddr, NodeError> {
         self.public.local_addr().map_err(NodeError::Address)
     }
 
-    /// Address for the system's own processes.
+    /// Returns the address for other processes of the system.
     pub fn inner_address(&self) -> SocketAddr {
         self.sockets.identity.node().address
     }
 
-    /// Address for operators.
+    /// Returns the address of the admin server.
     pub fn admin_address(&self) -> Result<SocketAddr, NodeError> {
         self.sockets.admin_address()
     }
 
-    /// Runs until the entry has left, which begins when `stop` completes, an operator
-    /// asks for it or the platform says so. Errors when it can't start.
+    /// Runs until the entry has drained. Draining starts when `stop` completes, an operator
+    /// requests it or the platform announces it. Errors when the entry cannot start.
     pub async fn run(
         self,
         stop: impl Future<Output = ()> + Send + 'static,
@@ -112,7 +112,7 @@
     let gateway = Arc::clone(gateway);
     let handle = move |incoming| inner::handle_call(&gateway, incoming);
     let stop = async move {
-        // The sender is gone only when the process ends.
+        // The sender is dropped only when the process ends.
         let _ = settled.wait_for(|settled| *settled).await;
     };
     link::serve(listener, links, handle, stop).await;
--- a/components/gateway/src/error.rs
+++ b/components/gateway/src/error.rs
@@ -1,4 +1,4 @@
-//! Why an entry can't start.
+//! Errors that prevent an entry from starting.
 
 use claims::SettingsError;
 use node::NodeError;
@@ -6,21 +6,21 @@
 use telemetry::MetricsError;
 
 quick_error! {
-    /// Why an entry can't start.
+    /// An error that prevents an entry from starting.
     #[derive(Debug)]
     pub enum EntryError {
-        /// Its addresses, threads or signals.
+        /// Sockets, threads, signals or metrics could not be set up.
         Node(reason: NodeError) {
             from()
             from(reason: MetricsError) -> (NodeError::Metrics(reason))
             source(reason)
             display("{}", reason)
         }
-        /// The settings of claims.
+        /// The claim settings do not fit the retention time of the log.
         Claims(reason: SettingsError) {
             from()
             source(reason)
-            display("--log-retention-ms is not allowed: {}", reason)
+            display("invalid --log-retention-ms: {}", reason)
         }
     }
 }
--- a/components/gateway/src/gateway.rs
+++ b/components/gateway/src/gateway.rs
@@ -1,5 +1,4 @@
-//! What all requests of one entry share. The path of a request reads snapshots and
-//! atomics only.
+//! State shared by all requests of an entry. Request handlers read only snapshots and atomics.
 
 use std::sync::Arc;
 
@@ -19,47 +18,47 @@
 use crate::training::Coordinator;
 use crate::weight_authority::WeightAuthority;
 
-/// One entry.
+/// Shared state of one entry.
 pub struct Gateway {
-    /// Who it is.
+    /// Address, incarnation and location of this process.
     pub identity: Arc<Identity>,
-    /// Configuration in force.
+    /// Active configurations of the customers.
     pub feed: ConfigFeed,
-    /// View of the other processes.
+    /// Membership view and the messages gossiped to other processes.
     pub gossip: Gossip,
-    /// Connections to agents and other entries. After a lost connection a call waits a
-    /// while for its callee to come back, since it can't be made anew.
+    /// Connections for calls that must not run twice. After a lost connection such a call waits for
+    /// the callee to reconnect, because it cannot be sent again.
     pub links: Links,
-    /// Connections for calls that may run again: they wait less, and are made elsewhere.
+    /// Connections for idempotent calls, which wait less and are then sent to another replica.
     pub quick_links: Links,
-    /// Replicas and gates of each service.
+    /// Routing table and admission queue of each service.
     pub services: Services,
-    /// When a slow call gets a second copy.
+    /// Settings of hedged requests.
     pub hedging: HedgeSettings,
-    /// Limits and budgets of each customer.
+    /// Limits and retry budget of each customer.
     pub accounts: Accounts,
-    /// Entries that could not be reached lately.
+    /// Entries that this entry failed to reach recently.
     pub reachability: PeerReachability,
-    /// Calls that crash endpoints.
+    /// Record of the calls that crash endpoints.
     pub quarantine: Quarantine,
-    /// Claims of idempotency keys.
+    /// Claims on idempotency keys.
     pub claims: Claims,
-    /// Weight versions in force.
+    /// Active weight version of each model.
     pub weights: WeightAuthority,
-    /// Ledgers of training steps.
+    /// Handle to the task that owns the ledgers of training steps.
     pub training: Coordinator,
-    /// How far it is on its way out.
+    /// State of draining, and the count of work in progress.
     pub drain: Drain,
-    /// Heartbeat of the process.
+    /// Detects that the process was suspended.
     pub pulse: PauseDetector,
-    /// Metrics.
+    /// Metrics of this entry.
     pub metrics: Metrics,
-    /// Readiness as of the last tick, without the drain.
+    /// Readiness at the last refresh, without the drain state.
     pub readiness: ArcSwap<Readiness>,
 }
 
 impl Gateway {
-    /// The connections for calls of this kind.
+    /// Returns the connections to use for a call, depending on whether it is idempotent.
     pub fn links_for(&self, idempotent: bool) -> &Links {
         if idempotent {
             &self.quick_links
@@ -68,7 +67,7 @@
         }
     }
 
-    /// Whether the balancer may send requests here, and why not.
+    /// Returns whether the balancer may send requests to this entry, or the reason why not.
     pub fn readiness(&self) -> Readiness {
         if self.drain.is_ready() {
             **self.readiness.load()
--- a/components/gateway/src/gossip_handlers.rs
+++ b/components/gateway/src/gossip_handlers.rs
@@ -1,4 +1,4 @@
-//! News that this entry tells the other processes, and what it does with theirs.
+//! Gossips local events to the other processes and handles the messages that they send.
 
 use std::sync::Arc;
 
@@ -14,18 +14,18 @@
 use crate::suspects::{Quarantine, QuarantineEvent};
 use crate::weight_authority::WeightAuthority;
 
-/// Digests in one report, so that it fits a datagram.
+/// Maximum number of digests in one crash report, so that the report fits a datagram.
 const DIGESTS_MAX: usize = 48;
 
-/// What comes up here and is told on.
+/// Local events that are to be gossiped.
 pub struct GossipSources {
-    /// Versions that came in force or are to be loaded.
+    /// Weight versions that became active or are to be loaded.
     pub versions: mpsc::Receiver<(ModelKey, Target)>,
-    /// Calls that were condemned, and crashes.
+    /// Condemned calls and endpoint crashes.
     pub quarantine_events: mpsc::UnboundedReceiver<QuarantineEvent>,
 }
 
-/// Starts the tasks that tell them.
+/// Starts the tasks that gossip the local events.
 pub fn start(gateway: &Arc<Gateway>, sources: GossipSources) {
     tokio::spawn(spread_versions(Arc::clone(gateway), sources.versions));
     tokio::spawn(spread_quarantine_events(
@@ -34,7 +34,7 @@
     ));
 }
 
-/// Tells every version that comes in force to the other processes and to the ledgers.
+/// Gossips every change of a model's weight version and passes it to the ledgers.
 async fn spread_versions(gateway: Arc<Gateway>, mut versions: mpsc::Receiver<(ModelKey, Target)>) {
     while let Some((model, target)) = versions.recv().await {
         gateway.gossip.spread(GossipMessage::Weights {
@@ -74,7 +74,7 @@
     }
 }
 
-/// What is done with the news of others.
+/// Returns the handlers of messages from other processes.
 pub fn hooks(
     weights: &WeightAuthority,
     quarantine: &Quarantine,
@@ -114,7 +114,7 @@
             }
             _ => {}
         }),
-        // A full queue loses the digest; the next one makes it good.
+        // If the queue is full, the digest is dropped. The peer's next digest replaces it.
         on_demand: Arc::new(move |from, digest| _ = demand.try_send((from, digest))),
         on_own_leaving: Arc::new(move || leaving.trigger()),
         ..GossipHooks::default()
--- a/components/gateway/src/headers.rs
+++ b/components/gateway/src/headers.rs
@@ -1,26 +1,26 @@
-//! Headers: what a caller says of its request, and what goes on to the endpoint.
+//! Request headers: the options that a caller states and the headers forwarded to the endpoint.
 
 use http::header::{ACCEPT_ENCODING, AUTHORIZATION, CONTENT_LENGTH, HeaderMap};
 use types::Class;
 
 use crate::rejection::Rejection;
 
-/// Class of the request.
+/// Header with the class of the request.
 pub const CLASS: &str = "x-hornbeamrock-class";
-/// Time that the caller gives, in milliseconds.
+/// Header with the time that the caller allows for the request, in milliseconds.
 pub const DEADLINE_MS: &str = "x-hornbeamrock-deadline-ms";
-/// Whether the request may run more than once.
+/// Header that states whether the request may run more than once.
 pub const IDEMPOTENT: &str = "x-hornbeamrock-idempotent";
-/// Names a non-idempotent request, so that the caller can send it again.
+/// Header that identifies a non-idempotent request, so that the caller can safely repeat it.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Names the request in answers and in the log lines of every process.
+/// Header with the id of the request, used in answers and in the log lines of every process.
 pub const REQUEST_ID: &str = "x-request-id";
 
-/// Longest deadline, in milliseconds.
+/// Maximum deadline, in milliseconds.
 pub const DEADLINE_MS_MAX: u32 = 600_000;
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 pub const KEY_BYTES_MAX: usize = 128;
-/// Longest request id that is taken from the caller, in bytes.
+/// Maximum length of a request id that is accepted from the caller, in bytes.
 pub const REQUEST_ID_BYTES_MAX: usize = 64;
 
 const CLASS_ALLOWED: &str = "interactive, background or sampling";
@@ -28,22 +28,21 @@
 const IDEMPOTENT_ALLOWED: &str = "true or false";
 const KEY_ALLOWED: &str = "1 to 128 visible ASCII characters";
 
-/// What the caller says of its request.
+/// Options that the caller states in headers; `None` where a header is missing.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestOptions {
-    /// Its class, if stated.
+    /// Class of the request.
     pub class: Option<Class>,
-    /// Its time, if stated, in milliseconds.
+    /// Time allowed for the request, in milliseconds.
     pub deadline_ms: Option<u32>,
-    /// Whether it may run more than once, if stated.
+    /// Whether the request may run more than once.
     pub idempotent: Option<bool>,
-    /// Its idempotency key, if it has one.
+    /// Idempotency key of the request.
     pub key: Option<String>,
 }
 
 impl RequestOptions {
-    /// Reads the headers. Errors when one of them has a value that is not allowed; a
-    /// header that comes twice has none.
+    /// Parses the headers. Errors when a header has an invalid value or is given more than once.
     pub fn read(headers: &HeaderMap) -> Result<Self, Rejection> {
         Ok(Self {
             class: read(headers, CLASS, CLASS_ALLOWED, Class::parse)?,
@@ -89,7 +88,7 @@
     (fits && visible).then(|| text.to_owned())
 }
 
-/// The caller's own request id, if it has a usable one.
+/// Returns the request id that the caller stated, if it is valid.
 pub fn request_id(headers: &HeaderMap) -> Option<&str> {
     let id = headers.get(REQUEST_ID)?.to_str().ok()?;
     let fits = (1..=REQUEST_ID_BYTES_MAX).contains(&id.len());
@@ -97,9 +96,9 @@
     (fits && id.bytes().all(plain)).then_some(id)
 }
 
-/// Headers that go on to the endpoint. The token stays here, as do the headers that
-/// speak to the system only and those that the agent states anew. An answer that the
-/// system reads must not be compressed. Errors when a value is no text.
+/// Returns the headers to forward to the endpoint. Removed are the token, the headers that only
+/// the entry interprets, and the headers that the agent sets itself. `accept-encoding` is removed
+/// too, because the entry must be able to read the answer. Errors when a value is not UTF-8.
 pub fn endpoint_headers(
     headers: &HeaderMap,
     request_id: &str,
--- a/components/gateway/src/hedging.rs
+++ b/components/gateway/src/hedging.rs
@@ -1,10 +1,10 @@
-//! The head of an answer, from a second copy of the call where the first is slow.
+//! Hedged requests: sends a second copy of a call when the first one is slow.
 //!
-//! A replica that has become slow keeps its calls until load moves away from it; the ones
-//! it has are late meanwhile, and a late answer loses the bid. Only interactive calls of
-//! plain services that may run twice get a second copy: one of a completion would have
-//! an engine generate twice. It is paid from the customer's retries, so a whole service
-//! that slows down is not sent twice the load.
+//! A replica that has become slow keeps its calls until load balancing avoids it. Until then its
+//! calls are late, and a late answer loses the bid. Only interactive, idempotent calls of plain
+//! services are hedged: a hedged completion would make an engine generate the text twice. Hedges
+//! are paid from the customer's retry budget, so that a service that becomes slow as a whole does
+//! not receive twice the load.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 use crate::retried_call::RetriedCall;
 use crate::services::ServiceState;
 
-/// How long the copy that lost goes on before it is cancelled.
+/// How long the losing copy continues before it is cancelled.
 const LOSER_CANCEL_DELAY: Duration = Duration::from_millis(1_000);
 
 type HeadResult = Result<(Head, Attempt), Failure>;
@@ -33,7 +33,8 @@
 }
 
 impl RetriedCall {
-    /// Waits for the head of the answer to `first`. The copy that answers first wins.
+    /// Waits for the head of the answer to `first` and sends a hedge if it is slow. The copy that
+    /// answers first is used.
     pub(crate) async fn head_with_hedge(&mut self, first: Attempt, body: &Bytes) -> HeadResult {
         let Some(state) = self.hedgeable_state() else {
             return wait_for_head(first).await;
@@ -48,12 +49,12 @@
                 }
                 answered
             }
-            // Not counted: the wait before the second copy would make the next one longer.
+            // Not recorded: the wait before the hedge would raise the threshold for the next one.
             Either::Right(first) => self.send_hedge(first, body).await,
         }
     }
 
-    /// The service's state, if this request may have two copies out.
+    /// Returns the service's state if this call may be hedged.
     fn hedgeable_state(&self) -> Option<Arc<ServiceState>> {
         let job = &self.job;
         let service = &job.service;
@@ -62,7 +63,7 @@
         may.then(|| self.gateway.services.get(&service.owner, &service.name))?
     }
 
-    /// The first copy's answer, or the copy when it is time for a second one.
+    /// Returns the first copy's answer, or the first copy itself when a hedge is due.
     async fn wait_until_hedge_due(
         &self,
         mut first: BoxFuture<'static, HeadResult>,
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Sends the second copy to another replica; the first answer of the two.
+    /// Sends the second copy to another replica and returns the first answer of the two.
     async fn send_hedge(
         &mut self,
         first: BoxFuture<'static, HeadResult>,
@@ -106,7 +107,7 @@
         let (second, first) = match select(first, start.boxed()).await {
             Either::Left((answered, _)) => return answered,
             Either::Right((Ok(second), first)) => (second, first),
-            // No other replica takes it; the first copy is still out.
+            // No other replica accepts the call. The first copy is still in progress.
             Either::Right((Err(_), first)) => return first.await,
         };
         self.endpoints.push(second.address());
@@ -121,16 +122,16 @@
     }
 }
 
-/// One copy's answer, or the other's where that one failed. The copy that lost is given
-/// up a little later: cancelled at once, its replica would look idle to the choice, which
-/// would send it the next call too.
+/// Returns the first copy's answer, or that of the other copy if the first one failed. The losing
+/// copy is cancelled with a delay: if it were cancelled at once, its replica would look idle to
+/// load balancing and would receive the next call too.
 async fn first_success(answered: HeadResult, other: BoxFuture<'static, HeadResult>) -> HeadResult {
     let Err(failure) = answered else {
         tokio::spawn(tokio::time::timeout(LOSER_CANCEL_DELAY, other));
         return answered;
     };
     let outcome = other.await;
-    // Neither failure hides that the other copy may have run.
+    // The result must state that the call may have run if that holds for either copy.
     outcome.map_err(|last| Failure {
         run: last.run.max(failure.run),
         ..last
--- a/components/gateway/src/idempotency.rs
+++ b/components/gateway/src/idempotency.rs
@@ -1,12 +1,13 @@
-//! Whether a request may run more than once.
+//! Decides whether a request may run more than once.
 
 use config::{CallPattern, Service};
 
 const ANY_METHOD: &str = "*";
 
-/// The configuration decides by method and path. A caller can always say that a request
-/// runs at most once; that it may run again, only where the configuration does not name
-/// the call, and only for a path that every endpoint reads in the same way.
+/// Decides by method and path according to the configuration. A caller can always request at most
+/// one run. A caller can declare a call idempotent only if the configuration does not list it as
+/// non-idempotent and the path has one interpretation for every endpoint (no percent-encoding, dot
+/// segments or similar).
 pub fn is_idempotent(service: &Service, method: &str, path: &str, stated: Option<bool>) -> bool {
     match stated {
         Some(false) => false,
@@ -22,8 +23,8 @@
     plain && !service.non_idempotent.iter().any(named)
 }
 
-/// Whether a plain path begins like a pattern's; wider than the pattern itself, which
-/// errs to the side of running once.
+/// Returns whether a path starts with the pattern's path, ignoring case. Matches more paths than
+/// the pattern itself; a false match only means that the call runs at most once.
 fn has_prefix(pattern: &CallPattern, method: &str, path: &str) -> bool {
     let method_fits = pattern.method == ANY_METHOD || pattern.method.eq_ignore_ascii_case(method);
     let start = path.as_bytes().get(..pattern.path.len());
--- a/components/gateway/src/inner.rs
+++ b/components/gateway/src/inner.rs
@@ -1,5 +1,5 @@
-//! Calls from other processes of the system: configuration texts for peers, training
-//! calls for their home entry, copies for the second home.
+//! Handles calls from other processes of the system: configuration texts for peers, claim records,
+//! training calls for their home entry, and copies for the second home.
 
 use std::sync::Arc;
 
@@ -13,10 +13,10 @@
 use crate::{keyed, training};
 
 const OK: u16 = 200;
-/// Largest part of an answer that goes into one chunk.
+/// Maximum size of a chunk of the answer.
 const CHUNK_BYTES: usize = 64 * 1024;
 
-/// Takes one call; returns at once.
+/// Handles a call in a separate task; returns immediately.
 pub fn handle_call(gateway: &Arc<Gateway>, incoming: IncomingCall) {
     let gateway = Arc::clone(gateway);
     tokio::spawn(async move {
--- a/components/gateway/src/job.rs
+++ b/components/gateway/src/job.rs
@@ -1,4 +1,4 @@
-//! A checked request on its way to an endpoint.
+//! A validated request that is to be sent to an endpoint.
 
 use std::sync::Arc;
 
@@ -8,40 +8,37 @@
 use quarantine::CallDigest;
 use types::{CallId, Class, CustomerName};
 
-/// One request, whatever the number of attempts that it takes.
+/// A request, independent of the number of attempts.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// Its identity in answers and log lines.
+    /// Id of the request in answers and log lines.
     pub request_id: String,
-    /// Customer that pays for it.
+    /// Customer whose limits and weight apply.
     pub payer: CustomerName,
-    /// Service that it calls.
     pub service: Arc<Service>,
-    /// Its class.
     pub class: Class,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// When its caller gives up, on the process's monotonic clock.
+    /// Deadline on the process's monotonic clock.
     pub deadline_at_ms: u64,
-    /// Names the call by its content, whoever sends it again.
+    /// Identifies the call by its content, independent of who repeats it.
     pub digest: CallDigest,
-    /// HTTP method.
     pub method: String,
-    /// Path with query, as the endpoint gets it.
+    /// Path with query as sent to the endpoint.
     pub path: String,
-    /// Headers for the endpoint.
+    /// Headers sent to the endpoint.
     pub headers: Vec<(String, String)>,
-    /// Its size, for the choice of a replica and for limits.
+    /// Estimated size, used for the choice of a replica and for limits.
     pub work: routing::Work,
 }
 
 impl Job {
-    /// Time until the deadline, in milliseconds.
+    /// Returns the time until the deadline in milliseconds, 0 if it has passed.
     pub fn left_ms(&self, now_ms: u64) -> u64 {
         self.deadline_at_ms.saturating_sub(now_ms)
     }
 
-    /// The call for one attempt.
+    /// Creates the call message for one attempt.
     pub fn open(&self, id: CallId, body: Bytes, now_ms: u64) -> Open {
         Open {
             id,
--- a/components/gateway/src/layers.rs
+++ b/components/gateway/src/layers.rs
@@ -1,5 +1,5 @@
-//! Layers of `tower` around the handler of requests: each checks one thing or adds one,
-//! and the outermost ones turn a rejection into its problem document.
+//! `tower` layers around the request handler. Each layer performs one check or adds one value; the
+//! outermost layer converts rejections into problem documents.
 
 use std::convert::Infallible;
 use std::task::{Context, Poll};
@@ -17,25 +17,24 @@
 use crate::problem;
 use crate::rejection::Rejection;
 
-/// Identity of a request in answers and log lines; an extension of the request.
+/// Id of a request in answers and log lines; stored as a request extension.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestId(pub String);
 
-/// When a request came, on the process's monotonic clock; an extension of the request.
+/// Arrival time of a request on the process's monotonic clock; stored as a request extension.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ArrivalTime {
-    /// Milliseconds.
     pub at_ms: u64,
 }
 
-/// Lets a request through only if `check` agrees; `check` may add extensions.
+/// Forwards a request only if `check` accepts it. `check` may add extensions to the request.
 #[derive(Clone)]
 pub struct CheckService<F, S> {
     check: F,
     inner: S,
 }
 
-/// A layer of [`Checked`].
+/// Creates a layer of [`CheckService`].
 pub fn check_layer<F, S>(check: F) -> impl Layer<S, Service = CheckService<F, S>> + Clone
 where
     F: Fn(&mut Parts) -> Result<(), Rejection> + Clone,
@@ -69,7 +68,7 @@
     }
 }
 
-/// Gives every request its id and turns rejections into problem documents.
+/// Assigns an id to every request and converts rejections into problem documents.
 #[derive(Clone)]
 pub struct ProblemService<F, L, S> {
     next_id: F,
@@ -77,10 +76,11 @@
     inner: S,
 }
 
-/// A layer of [`Answered`]. `next_id` is asked where the caller brings no usable id. Once
-/// `is_leaving`, every answer asks its caller to open another connection: one that is
-/// closed while it is idle may cross with its next request, which the caller could then
-/// not know to have been run or not.
+/// Creates a layer of [`ProblemService`]. `next_id` is called if the caller states no valid id.
+///
+/// While `is_leaving` returns true, every response asks the caller to close the connection.
+/// Closing an idle connection could coincide with the caller's next request, and the caller
+/// could not know whether that request ran.
 pub fn problem_layer<F, L, S>(
     next_id: F,
     is_leaving: L,
@@ -109,7 +109,7 @@
     type Future = BoxFuture<'static, Result<Response<Body>, Infallible>>;
 
     fn poll_ready(&mut self, _cx: &mut Context<'_>) -> Poll<Result<(), Infallible>> {
-        // The inner service is waited for inside the call, where its error has an answer.
+        // Readiness of the inner service is awaited in `call`, where an error can be answered.
         Poll::Ready(Ok(()))
     }
 
--- a/components/gateway/src/lib.rs
+++ b/components/gateway/src/lib.rs
@@ -1,5 +1,5 @@
-//! The entry of hornbeamrock: takes requests behind the platform's balancer and sends
-//! each to an endpoint; keeps training steps for their trainers.
+//! The entry of hornbeamrock: receives requests behind the platform's load balancer, sends each
+//! to an endpoint, and coordinates training steps for their trainers.
 
 mod accounts;
 mod admission;
--- a/components/gateway/src/peer.rs
+++ b/components/gateway/src/peer.rs
@@ -1,4 +1,4 @@
-//! Calls of this entry to other entries. Each may be made twice.
+//! Calls from this entry to other entries. All of them are idempotent.
 
 use std::net::SocketAddr;
 
@@ -10,27 +10,25 @@
 
 use crate::gateway::Gateway;
 
-/// Largest answer of an entry.
+/// Maximum size of an entry's answer.
 const ANSWER_BYTES_MAX: usize = 32 << 20;
 
 /// A call to another entry.
 pub struct PeerCall<'a> {
-    /// Identity of the caller's request, if it is made for one.
+    /// Id of the caller's request that caused the call; empty if there is none.
     pub request_id: &'a str,
-    /// Customer that it is made for.
+    /// Customer on whose behalf the call is made.
     pub customer: &'a CustomerName,
-    /// Service of that customer that it is about.
+    /// Service of the customer that the call concerns.
     pub service: &'a ServiceName,
-    /// What is asked.
     pub path: &'a str,
-    /// Its content.
     pub body: Bytes,
-    /// Time until nobody wants the answer, in milliseconds.
+    /// Time limit of the call, in milliseconds.
     pub deadline_ms: u32,
 }
 
 impl Gateway {
-    /// Asks another entry, and notes whether it could be reached.
+    /// Calls another entry and records whether the entry was reachable.
     pub async fn call_peer(
         &self,
         to: SocketAddr,
--- a/components/gateway/src/problem.rs
+++ b/components/gateway/src/problem.rs
@@ -1,4 +1,4 @@
-//! Problem documents (RFC 9457): what a caller reads when there is no whole answer.
+//! Problem documents (RFC 9457), sent when a request has no complete answer.
 
 use bytes::Bytes;
 use http::header::{CONTENT_TYPE, RETRY_AFTER};
@@ -11,11 +11,11 @@
 
 /// Media type of a problem document.
 pub const PROBLEM_JSON: &str = "application/problem+json";
-/// Before a cause's word it makes the document's `type`.
+/// Prefix of the `type` member; the name of the cause follows.
 const TYPE_PREFIX: &str = "urn:hornbeamrock:problem:";
 const MS_PER_S: u32 = 1_000;
 
-/// The document's members.
+/// Members of the problem document.
 #[derive(Serialize)]
 struct Problem<'a> {
     #[serde(rename = "type")]
@@ -30,7 +30,7 @@
     retry_after_ms: Option<u32>,
 }
 
-/// The HTTP status of a rejection.
+/// Returns the HTTP status of a rejection.
 pub fn status(rejection: &Rejection) -> StatusCode {
     match rejection {
         Rejection::UnknownPath | Rejection::StepNotHeld(_) => StatusCode::NOT_FOUND,
@@ -64,7 +64,7 @@
     }
 }
 
-/// The document as JSON.
+/// Returns the problem document as JSON.
 pub fn document(rejection: &Rejection, request_id: &str) -> Bytes {
     let failure = rejection.failure();
     let status = status(rejection);
@@ -78,11 +78,12 @@
         request_id,
         retry_after_ms: failure.retry_after_ms,
     };
-    // Only text and numbers, so it always serialises; an empty body stands in.
+    // Text and numbers always serialise; an empty body is the fallback.
     serde_json::to_vec(&problem).unwrap_or_default().into()
 }
 
-/// The whole answer: status, document and, where it helps, `Retry-After`.
+/// Returns the complete response: status, problem document and, where a retry may help,
+/// `Retry-After`.
 pub fn response(rejection: &Rejection, request_id: &str) -> Response<Body> {
     let mut response = Response::new(full(document(rejection, request_id)));
     *response.status_mut() = status(rejection);
@@ -97,12 +98,12 @@
     response
 }
 
-/// Value of `Retry-After`, where coming back helps.
+/// Returns the value of `Retry-After` in seconds, or `None` if the rejection has no retry delay.
 pub fn retry_after_s(rejection: &Rejection) -> Option<u32> {
     rejection.failure().retry_after_ms.map(round_up_to_seconds)
 }
 
-/// `Retry-After` has whole seconds; rounded up, so that nobody comes back too early.
+/// Rounds up to whole seconds, so that callers do not retry too early.
 fn round_up_to_seconds(retry_after_ms: u32) -> u32 {
     retry_after_ms.div_ceil(MS_PER_S).max(1)
 }
--- a/components/gateway/src/reachability.rs
+++ b/components/gateway/src/reachability.rs
@@ -1,26 +1,26 @@
-//! Entries that could not be reached lately, by this entry's own calls.
+//! Tracks the entries that this entry's own calls recently failed to reach.
 //!
-//! Entries probe one another rarely, so the death of one shows in the view only after
-//! seconds, and its steps would wait for their new home all that time. A call that found
-//! it gone says so at once. Taken for gone by mistake, a living home costs doubled runs.
+//! Entries probe each other rarely, so the membership view shows the death of an entry only after
+//! seconds, and its steps would wait that long for a new home. A failed call reveals it
+//! immediately. A home that is wrongly considered unreachable only causes duplicate runs.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
 use arc_swap::ArcSwap;
 
-/// How long an entry counts as out of reach after a call that failed, in milliseconds;
-/// longer than the view takes to notice its death.
+/// How long an entry counts as unreachable after a failed call, in milliseconds. Longer than the
+/// membership view takes to notice its death.
 const UNREACHABLE_MS: u64 = 15_000;
 
-/// Entries out of reach, with the time until which they count as that.
+/// Unreachable entries, each with the time until which it counts as unreachable.
 #[derive(Default)]
 pub struct PeerReachability {
     unreachable: ArcSwap<HashMap<SocketAddr, u64>>,
 }
 
 impl PeerReachability {
-    /// A call to this entry found it gone.
+    /// Records that a call could not reach this entry.
     pub fn mark_unreachable(&self, entry: SocketAddr, now_ms: u64) {
         self.unreachable.rcu(|unreachable| {
             let mut unreachable = HashMap::clone(unreachable);
@@ -30,7 +30,7 @@
         });
     }
 
-    /// A call to this entry was answered.
+    /// Records that this entry answered a call.
     pub fn mark_reachable(&self, entry: SocketAddr) {
         if !self.unreachable.load().contains_key(&entry) {
             return;
@@ -42,7 +42,7 @@
         });
     }
 
-    /// Whether this entry counts as out of reach.
+    /// Returns whether this entry counts as unreachable.
     pub fn is_unreachable(&self, entry: SocketAddr, now_ms: u64) -> bool {
         let unreachable = self.unreachable.load();
         unreachable
--- a/components/gateway/src/readiness.rs
+++ b/components/gateway/src/readiness.rs
@@ -1,52 +1,52 @@
-//! Whether the balancer may send requests to this entry.
+//! Decides whether the load balancer may send requests to this entry.
 //!
-//! An entry that knows the configuration and no replica refuses every request. It begins
-//! so, for as long as its first probes take, and stays so with a wrong key. It is ready
-//! when one listed agent has answered; after a bounded wait it is ready without, as all
-//! agents may be down and a refusal with a cause says more than a closed balancer. Where
-//! others' datagrams came in the meantime and none was authentic, the key is wrong.
+//! An entry that knows the configuration but no replica refuses every request. This is the case
+//! until the first probes are answered, and permanently with a wrong key. An entry becomes ready
+//! when a listed agent has answered, or after a limited wait: if all agents are down, a refusal
+//! that states its cause is more useful than an entry that the load balancer skips. If datagrams
+//! of other processes arrived in the meantime and none was authentic, the key is wrong.
 
-/// Longest wait for the first answer of an agent, in milliseconds.
+/// Maximum wait for the first answer of an agent, in milliseconds.
 const ANSWER_MS_MAX: u64 = 5_000;
-/// How long an entry waits for the first agent to be listed, in milliseconds.
+/// Maximum wait for the first agent to be listed, in milliseconds.
 const LISTED_MS_MAX: u64 = 1_000;
 
-/// What is known at a moment.
+/// Inputs of the decision.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Facts {
-    /// The configuration is known.
+    /// The entry has read the configuration.
     pub configured: bool,
     /// The process is leaving.
     pub leaving: bool,
-    /// Agents in the view.
+    /// Number of agents in the membership view.
     pub agents: usize,
-    /// An agent has answered, now or earlier.
+    /// At least one agent has answered since the start.
     pub agent_answered: bool,
-    /// A process has been heard.
+    /// At least one other process has been heard by an authentic datagram.
     pub any_peer_answered: bool,
-    /// Datagrams that were not authentic.
+    /// Number of datagrams dropped because they were not authentic.
     pub datagrams_dropped: u64,
-    /// Since the start, in milliseconds.
+    /// Time since the start of the process, in milliseconds.
     pub uptime_ms: u64,
 }
 
-/// Whether requests may come, and why not.
+/// Whether the load balancer may send requests, and otherwise the reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
-    /// Requests may come.
+    /// The load balancer may send requests.
     Ready,
     /// The process is leaving.
     Leaving,
-    /// The configuration is not known.
+    /// The entry has not read the configuration yet.
     Unconfigured,
     /// No agent has answered yet.
     NoAnswer,
-    /// Whatever came from others was not signed with a key of this entry.
+    /// Datagrams of other processes arrived, but none was signed with a key of this entry.
     WrongKey,
 }
 
 impl Readiness {
-    /// By these facts.
+    /// Decides from these inputs.
     pub fn from_facts(facts: &Facts) -> Readiness {
         if facts.leaving {
             return Readiness::Leaving;
@@ -70,7 +70,7 @@
         Readiness::Ready
     }
 
-    /// The word for it on the status page and in log lines.
+    /// Name in the status page and in log lines.
     pub fn as_str(self) -> &'static str {
         match self {
             Readiness::Ready => "ready",
--- a/components/gateway/src/refresh.rs
+++ b/components/gateway/src/refresh.rs
@@ -1,5 +1,5 @@
-//! The tick that turns the view of the processes and the configuration into what the path
-//! of a request reads.
+//! Periodic task that derives the state read by request handlers from the membership view and the
+//! configuration.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,13 +16,13 @@
 use crate::gateway::Gateway;
 use crate::readiness::{Facts, Readiness};
 
-/// Time between two ticks. A replica that begins to leave is seen before the next tick,
-/// since the newest view is asked right before each hand-over.
+/// Interval of the task. A replica that starts draining between two ticks gets no calls, because
+/// the newest membership view is checked right before a call is sent.
 const TICK: Duration = Duration::from_millis(100);
-/// Ticks between two levels of the metrics.
+/// Number of ticks between two reports of the gauges.
 const GAUGE_INTERVAL_TICKS: u64 = 10;
 
-/// Demand that other entries told.
+/// Demand digests received from other entries.
 pub type PeerDemands = mpsc::Receiver<(NodeId, DemandDigest)>;
 
 /// Runs until the task is dropped.
@@ -74,7 +74,7 @@
         configured: gateway.feed.is_initialized(),
         leaving: gateway.drain.is_leaving(),
         agents: agents().count(),
-        // Ready once is ready: later the view itself says who is left.
+        // Once ready, the entry stays ready: the membership view then shows which agents are left.
         agent_answered: before == Readiness::Ready || agents().any(|agent| has_answered(&agent)),
         any_peer_answered: snapshot.members.iter().any(|member| has_answered(&member)),
         datagrams_dropped: gateway.links.traffic().datagrams_dropped,
@@ -92,7 +92,7 @@
     }
 }
 
-/// A life of an entry; one that was never heard has none yet.
+/// Returns the node id of an entry, or `None` if nothing was received from the entry yet.
 fn node_id(entry: &MemberState) -> Option<NodeId> {
     let incarnation = entry.incarnation?;
     Some(NodeId {
--- a/components/gateway/src/rejection.rs
+++ b/components/gateway/src/rejection.rs
@@ -1,5 +1,5 @@
-//! Why a request is answered with a problem document instead of its answer. Every
-//! variant maps to one [`Failure`], and so to an outcome and a cause.
+//! Errors that are answered with a problem document. Every variant maps to one [`Failure`], which
+//! gives the outcome and the cause.
 
 use quick_error::quick_error;
 use samples::{CursorError, FetchError, PostError, StepError};
@@ -7,99 +7,99 @@
 use weights::AnnounceError;
 
 quick_error! {
-    /// A request that ends without its answer.
+    /// Reason why a request is refused or fails.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum Rejection {
-        /// No bearer token, or one that nobody holds.
+        /// The bearer token is missing or not configured.
         Unauthenticated {
             display("no token, or a token that nobody holds")
         }
-        /// The holder's role does not allow this.
+        /// The role of the token does not permit the request.
         Role(needed: Role) {
             display("this needs a token of role {}", needed)
         }
-        /// The holder may not call this service.
+        /// The token does not permit calls to this service.
         NotAllowed(owner: CustomerName, service: ServiceName) {
             display("the holder of this token may not call {}.{}", owner, service)
         }
-        /// No such service.
+        /// The service does not exist.
         UnknownService(service: String) {
             display("there is no service '{}'", service)
         }
-        /// The service is of another kind than the path needs.
+        /// The service is of another kind than the path requires.
         WrongKind(needed: &'static str) {
             display("this path serves services of kind {} only", needed)
         }
-        /// No such path.
+        /// The path does not exist.
         UnknownPath {
             display("there is nothing at this path")
         }
-        /// The path takes other methods.
+        /// The path does not support the method.
         Method(allowed: &'static str) {
             display("this path takes {} only", allowed)
         }
-        /// A header with a value that is not allowed.
+        /// A header has an invalid value.
         Header(name: &'static str, allowed: &'static str) {
             display("the header {} is not well formed: allowed is {}", name, allowed)
         }
-        /// A header whose value is no text.
+        /// The value of a header is not UTF-8.
         HeaderText {
             display("the value of a header is not UTF-8")
         }
-        /// A body that is not what the path takes.
+        /// The body is malformed.
         Body(reason: BodyFault) {
             display("the body is not well formed: {}", reason)
         }
-        /// A body over the limit.
+        /// The body exceeds the size limit.
         TooLarge(bytes_max: usize) {
             display("the body has more than {} bytes", bytes_max)
         }
-        /// The caller's connection ended before its body did.
+        /// The caller's connection failed before the end of the body.
         BodyInterrupted {
             display("the body ended before its stated end")
         }
-        /// A weight version that is not taken.
+        /// The announced weight version is not accepted.
         Announcement(reason: AnnounceError) {
             display("{}", reason)
         }
-        /// A version named ahead of time where none was announced: a process that knows no
-        /// version could only put it in force.
+        /// A version is to be prepared while no version of the model is active. A process that knows no
+        /// version would activate the prepared one.
         NoActiveVersion(service: ServiceName) {
             display("no version of {} is known to be in force; announce one first", service)
         }
-        /// A trainer names a version as its own that nobody has announced.
+        /// A trainer states a version of its own that was never announced.
         VersionNotAnnounced(named: WeightVersion, known: WeightVersion) {
             display("version {} is not announced; the newest one known is {}", named, known)
         }
-        /// A post that is no step.
+        /// The posted step is malformed.
         Step(reason: StepError) {
             display("{}", reason)
             from()
         }
-        /// A step that is known with another content.
+        /// The posted step is refused, for example because it exists with other content.
         Post(reason: PostError) {
             display("{}", reason)
             from()
         }
-        /// A cursor that is not of this step.
+        /// The cursor does not belong to this step.
         Cursor(reason: CursorError) {
             display("{}", reason)
             from()
         }
-        /// A fetch that gets nothing.
+        /// The fetch is refused.
         Fetch(reason: FetchError) {
             display("{}", reason)
             from()
         }
-        /// No entry holds the step any more.
+        /// No entry has the step any more.
         StepNotHeld(step: u64) {
             display("step {} is not held; post it again with the newest cursor", step)
         }
-        /// A fetch whose trainer has sent another one with a newer cursor.
+        /// The trainer sent another fetch with a newer cursor.
         FetchSuperseded {
             display("a fetch with another cursor came; this one is over")
         }
-        /// Refused or failed further on.
+        /// The call was refused or failed at a later stage.
         Call(failure: Failure) {
             display("{}", describe(*failure))
             from()
@@ -108,14 +108,14 @@
 }
 
 quick_error! {
-    /// What is wrong with a body.
+    /// What is wrong with a request body.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum BodyFault {
-        /// Not JSON, or not of the expected form.
+        /// The body is not JSON or not of the expected form.
         Json(line: usize, column: usize, message: String) {
             display("line {} column {}: {}", line, column, message)
         }
-        /// A field with a value that is not allowed.
+        /// A field has an invalid value.
         Field(name: &'static str, allowed: &'static str) {
             display("'{}' must be {}", name, allowed)
         }
@@ -123,7 +123,7 @@
 }
 
 impl BodyFault {
-    /// What a JSON parser complains of.
+    /// Converts the error of the JSON parser.
     pub fn json(reason: &serde_json::Error) -> Self {
         let mut message = reason.to_string();
         message.truncate(PARSER_MESSAGE_BYTES_MAX);
@@ -131,21 +131,21 @@
     }
 }
 
-/// When a trainer may come back whose version has not got here yet.
+/// Retry delay for a trainer whose version has not reached this entry yet, in milliseconds.
 const VERSION_RETRY_AFTER_MS: u32 = 1_000;
-/// When a trainer whose customer has no room for a further step may come back: steps end
-/// in seconds to minutes.
+/// Retry delay for a trainer whose customer has reached its limit of open steps, in milliseconds.
+/// Steps end within seconds to minutes.
 const STEP_CAPACITY_RETRY_AFTER_MS: u32 = 5_000;
-/// Longest part of a parser's complaint that goes into an answer, in bytes.
+/// Maximum length of a parser message in an answer, in bytes.
 const PARSER_MESSAGE_BYTES_MAX: usize = 200;
 
 impl Rejection {
-    /// A body's field that is not as it must be.
+    /// Creates the rejection of a body field with an invalid value.
     pub fn field(name: &'static str, allowed: &'static str) -> Self {
         Rejection::Body(BodyFault::Field(name, allowed))
     }
 
-    /// Outcome, cause and time to come back.
+    /// Returns outcome, cause and retry delay.
     pub fn failure(&self) -> Failure {
         let cause = match self {
             Rejection::Call(failure) => return *failure,
--- a/components/gateway/src/request_body.rs
+++ b/components/gateway/src/request_body.rs
@@ -1,4 +1,4 @@
-//! The body of a request while it is read: within the budget of bytes, and in time.
+//! Reads request bodies within the byte budget and the time limit.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,25 +13,25 @@
 use crate::body_budget::{BodyBudget, BodyReservation, OverBudget};
 use crate::rejection::Rejection;
 
-/// Largest body of a request.
+/// Maximum size of a request body.
 pub const BODY_BYTES_MAX: usize = 4 << 20;
-/// When a request that found no room for its body may come back, before the spread.
+/// Base of the randomised retry delay for a request whose body exceeds a budget, in milliseconds.
 const RETRY_AFTER_BASE_MS: u64 = 500;
 
-/// A request's body as it comes from a caller.
+/// Body of a request as received from a caller.
 pub trait RequestBody: Body<Error: Into<Box<dyn std::error::Error + Send + Sync>>> {}
 
 impl<B> RequestBody for B where B: Body<Error: Into<Box<dyn std::error::Error + Send + Sync>>> {}
 
-/// Where a request's body counts.
+/// Limits that apply to a request's body.
 pub struct BodyLimits {
-    /// The customer's account, unless the configuration is newer than the last tick.
+    /// Account of the customer; `None` if the configuration changed after the last refresh.
     pub account: Option<Arc<Account>>,
-    /// The budget of the process.
+    /// Byte budget of the process.
     pub budget: Arc<BodyBudget>,
 }
 
-/// A body with the bytes that are reserved for it.
+/// A complete body together with its reservation.
 struct ReservedBytes {
     bytes: Bytes,
     _reserved: BodyReservation,
@@ -44,8 +44,8 @@
 }
 
 impl BodyLimits {
-    /// Reads a whole body within `wait`. Its customer is counted in meanwhile, and its
-    /// bytes are counted until the last view of them is dropped.
+    /// Reads a complete body within `wait`. The request counts towards the customer's limit while
+    /// the body is read. The bytes stay reserved until the last reference to them is dropped.
     pub async fn read<B>(&self, body: B, class: Class, wait: Duration) -> Result<Bytes, Rejection>
     where
         B: RequestBody,
--- a/components/gateway/src/request_context.rs
+++ b/components/gateway/src/request_context.rs
@@ -1,4 +1,4 @@
-//! From an HTTP request to a checked job.
+//! Converts an HTTP request into a validated job.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,27 +18,27 @@
 use crate::rejection::Rejection;
 use crate::request_body::{BodyLimits, RequestBody};
 
-/// Longest time for a body to arrive, where the deadline is later.
+/// Maximum time for receiving a body, even if the deadline is later.
 const BODY_TIMEOUT_MS: u64 = 10_000;
 
-/// What every handler needs of a request.
+/// Data of a request that every handler needs.
 pub struct RequestContext {
     /// Method, path and headers.
     pub parts: Parts,
-    /// Identity of the request.
+    /// Id of the request in answers and log lines.
     pub request_id: String,
-    /// Who asks.
+    /// The authenticated token holder.
     pub session: Session,
-    /// What the caller says of its request.
+    /// Options that the caller stated in headers.
     pub options: RequestOptions,
-    /// When the request came, on the process's monotonic clock.
+    /// Arrival time of the request on the process's monotonic clock.
     pub arrived_ms: u64,
     body_limits: BodyLimits,
 }
 
 impl RequestContext {
-    /// Reads the parts. The layers have put the extensions in. `room` says where the body
-    /// of a session's request counts.
+    /// Reads the extensions that the layers have added. `body_limits` returns the limits for the
+    /// body of a session's request.
     pub fn new(
         mut parts: Parts,
         body_limits: impl FnOnce(&Session) -> BodyLimits,
@@ -58,13 +58,13 @@
         })
     }
 
-    /// When the caller gives up: its own deadline, else `default_ms` after it came.
+    /// Returns the deadline: the caller's own, or `default_ms` after the arrival.
     pub fn deadline_at_ms(&self, default_ms: u32) -> u64 {
         let deadline_ms = self.options.deadline_ms.unwrap_or(default_ms);
         self.arrived_ms + u64::from(deadline_ms)
     }
 
-    /// Reads the whole body in time.
+    /// Reads the complete body within the time limit.
     pub async fn body<B>(&self, body: B, deadline_at_ms: u64) -> Result<Bytes, Rejection>
     where
         B: RequestBody,
@@ -75,8 +75,8 @@
         self.body_limits.read(body, class, wait).await
     }
 
-    /// The job of a call to `service`. `content` is what makes it the same call when its
-    /// caller sends it again.
+    /// Creates the job for a call to `service`. Calls with the same `content` have the same digest,
+    /// also when the caller repeats them.
     pub fn job(
         &self,
         service: &Arc<Service>,
@@ -102,7 +102,7 @@
     }
 }
 
-/// Errors when a service is of another kind than the path serves.
+/// Errors when a service is not of the kind that the path requires.
 pub fn require_kind(service: &Service, kind: ServiceKind) -> Result<(), Rejection> {
     if service.kind == kind {
         return Ok(());
--- a/components/gateway/src/resumed.rs
+++ b/components/gateway/src/resumed.rs
@@ -1,8 +1,8 @@
-//! Events of an engine that goes on with another one's stream, as one stream.
+//! Rewrites the events of an engine that resumes a stream, so that the caller sees one stream.
 //!
-//! The second engine has its own id for the completion and counts the tokens that it was
-//! given as part of the prompt; a caller that follows the id or pays by the usage would
-//! see two half completions.
+//! The second engine assigns its own completion id and counts the tokens that it was given as part
+//! of the prompt. Without rewriting, a caller that uses the id or the token usage would see two
+//! partial completions.
 
 use bytes::Bytes;
 use serde_json::Value;
@@ -13,24 +13,24 @@
 const PROMPT_TOKENS: &str = "prompt_tokens";
 const COMPLETION_TOKENS: &str = "completion_tokens";
 
-/// What the first engine said of the completion, and what the next one was given.
+/// Data that is needed to rewrite the events of the current engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Continuation {
-    /// Id of the completion; `None` before its first event.
+    /// Id that the first engine gave the completion; `None` before its first event.
     pub id: Option<String>,
-    /// Tokens that the present engine was given.
+    /// Number of generated tokens that the current engine was given; 0 for the first engine.
     pub tokens: u64,
 }
 
 impl Continuation {
-    /// Notes the id of the first event.
+    /// Records the completion id of the first event.
     pub fn record_id(&mut self, events: &[u8]) {
         if self.id.is_none() {
             self.id = first_id(events);
         }
     }
 
-    /// Whole events of the present engine, as the caller gets them.
+    /// Rewrites complete events of the current engine for the caller.
     pub fn rewrite(&self, events: Bytes) -> Bytes {
         let text = match std::str::from_utf8(&events) {
             Ok(text) if self.tokens > 0 => text,
--- a/components/gateway/src/retried_call.rs
+++ b/components/gateway/src/retried_call.rs
@@ -1,5 +1,5 @@
-//! A request over as many attempts as `recovery` allows: the only place of the process
-//! where a call is sent again.
+//! A call with the attempts that `recovery` allows. This is the only place in the process where a
+//! call is sent again.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,24 +17,23 @@
 use crate::gateway::Gateway;
 use crate::job::Job;
 
-/// When a request that found no endpoint may come back, before the spread.
+/// Base of the randomised retry delay for a request that found no endpoint, in milliseconds.
 const RETRY_AFTER_BASE_MS: u64 = 500;
 
-/// A request and its attempts so far.
+/// A call and its attempts so far.
 pub struct RetriedCall {
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) account: Arc<Account>,
-    /// The request.
     pub job: Job,
     pub(crate) constraints: ReplicaConstraints,
     pub(crate) endpoints: Vec<SocketAddr>,
     pub(crate) nodes: Vec<NodeId>,
-    /// Whether any attempt so far ran, the worst of them.
+    /// Worst run state of the attempts so far: whether any of them ran or may have run.
     worst_run_state: RunState,
 }
 
 impl RetriedCall {
-    /// A request that was not sent yet.
+    /// Creates a call that was not sent yet.
     pub fn new(
         gateway: Arc<Gateway>,
         account: Arc<Account>,
@@ -53,7 +52,7 @@
         }
     }
 
-    /// Sends an attempt with this body.
+    /// Starts an attempt with this body.
     async fn start_attempt(&mut self, body: Bytes) -> Result<Attempt, Failure> {
         let started = Attempt::start(&self.gateway, &self.job, body, &self.constraints).await;
         let attempt = started.map_err(|failure| self.final_failure(failure))?;
@@ -62,7 +61,8 @@
         Ok(attempt)
     }
 
-    /// Decides on a failed attempt; waits out the pause before the next one.
+    /// Decides whether to retry after a failed attempt and waits for the backoff delay. Errors when
+    /// the failure is final.
     pub async fn retry(
         &mut self,
         failure: Failure,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Sends attempts until one answers with a head, or the request has failed for good.
+    /// Sends attempts until one returns a response head or the call has finally failed.
     pub async fn send(&mut self, body: &Bytes) -> Result<(Head, Attempt), Failure> {
         loop {
             let attempt = self.start_attempt(body.clone()).await?;
@@ -106,9 +106,9 @@
         }
     }
 
-    /// The answer to the caller. An attempt that was refused says nothing of the one
-    /// before it, which may have run; the caller would send a request that ran again,
-    /// believing that it did not.
+    /// Returns the failure for the caller with the worst run state of all attempts. A refusal of the
+    /// last attempt says nothing about earlier ones, which may have run; the caller would otherwise
+    /// repeat a call that ran.
     fn final_failure(&self, failure: Failure) -> Failure {
         let run = failure.run.max(self.worst_run_state);
         with_retry_after(Failure { run, ..failure })
@@ -124,8 +124,7 @@
     }
 }
 
-/// A refusal that says nothing of when to come back gets a time, spread by chance, where
-/// coming back may help.
+/// Adds a randomised retry delay to a refusal without one, if a retry may succeed.
 pub fn with_retry_after(failure: Failure) -> Failure {
     let helps = matches!(
         failure.cause,
--- a/components/gateway/src/routes.rs
+++ b/components/gateway/src/routes.rs
@@ -1,4 +1,4 @@
-//! The public address as one service: layers, then the handler of each path.
+//! Service of the public address: the layers and the dispatch to the handler of each path.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -22,7 +22,7 @@
 use crate::request_context::RequestContext;
 use crate::{calls, completions, training};
 
-/// The service that answers every request of the public address.
+/// Returns the service that answers the requests of the public address.
 pub fn service<B>(
     gateway: &Arc<Gateway>,
 ) -> impl Service<Request<B>, Response = Response<Body>, Error = Infallible, Future: Send>
@@ -56,11 +56,10 @@
         }))
 }
 
-/// Notes when the request came; refuses by its stated length a body that would be refused
-/// after it was read.
+/// Records the arrival time, and rejects a body whose stated length exceeds the limit.
 ///
-/// A process that was frozen reads requests out of its socket buffers long after they
-/// came, when their callers may have given up. Its pause counts as part of their time.
+/// A process that was suspended reads requests from its socket buffers long after they arrived,
+/// when their callers may no longer wait. The suspension is counted as part of the request's time.
 fn check_arrival(parts: &mut Parts, pulse: &PauseDetector) -> Result<(), Rejection> {
     let now_ms = now_ms();
     let at_ms = now_ms.saturating_sub(pulse.arrival_age_ms(now_ms));
