--- a/components/gateway/src/gossip_handlers.rs
+++ b/components/gateway/src/gossip_handlers.rs
@@ -34,7 +34,7 @@
     ));
 }
 
-/// Gossips every change of a model's weight version and passes it to the ledgers.
+/// Gossips every change of a model's target version and passes the active version to the ledgers.
 async fn spread_versions(gateway: Arc<Gateway>, mut versions: mpsc::Receiver<(ModelKey, Target)>) {
     while let Some((model, target)) = versions.recv().await {
         gateway.gossip.spread(GossipMessage::Weights {
--- a/components/gateway/src/paths.rs
+++ b/components/gateway/src/paths.rs
@@ -1,4 +1,4 @@
-//! Paths of the public address, and names of services as callers write them.
+//! Parses the paths of the public address and the names of services in requests.
 
 use types::{CustomerName, ServiceName};
 
@@ -8,17 +8,17 @@
 const SERVICES: &str = "/v1/services/";
 const TRAINING: &str = "/v1/training/";
 
-/// A service as a caller names it: `service`, or `owner.service` for another customer's.
+/// A service as named by a caller: `service`, or `owner.service` for a service of another customer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceTarget {
-    /// Customer that owns it; `None` for the caller's own.
+    /// Customer that owns the service; `None` for the caller's customer.
     pub owner: Option<CustomerName>,
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
 }
 
 impl ServiceTarget {
-    /// Reads the name. A text that is no name names no service.
+    /// Parses a name. An invalid name gives the same error as an unknown service.
     pub fn parse(text: &str) -> Result<Self, Rejection> {
         let unknown = || Rejection::UnknownService(shortened(text));
         let (owner, service) = match text.split_once('.') {
@@ -32,42 +32,42 @@
         })
     }
 
-    /// The owner, where `customer` asks.
+    /// Returns the owner of the service when `customer` makes the request.
     pub fn owner_for<'a>(&'a self, customer: &'a CustomerName) -> &'a CustomerName {
         self.owner.as_ref().unwrap_or(customer)
     }
 }
 
-/// Longest part of an unknown name that goes into an answer, in characters.
+/// Maximum number of characters of an unknown name that are included in an answer.
 const SHOWN_CHARACTERS_MAX: usize = 128;
 
 fn shortened(text: &str) -> String {
     text.chars().take(SHOWN_CHARACTERS_MAX).collect()
 }
 
-/// What a path asks for.
+/// Operation that a path selects.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Route {
     /// A completion.
     Completions,
-    /// A call of a plain service, with the path and query that it gets.
+    /// A call of a plain service with the path and query for its endpoint.
     Service(ServiceTarget, String),
-    /// Something of a training step or its weights.
+    /// An operation on training steps or weights of a model.
     Training(ServiceName, TrainingRoute),
 }
 
-/// What a path under `/v1/training/` asks for.
+/// Operation that a path under `/v1/training/` selects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrainingRoute {
-    /// Announces a weight version.
+    /// Announces a weight version, which becomes active.
     Weights,
-    /// Names a weight version that will be announced soon, so that engines load it now.
+    /// Announces that a weight version will become active soon, so that engines load it in advance.
     Prepare,
-    /// Goes back to older weights.
+    /// Rolls back to older weights.
     Rollback,
-    /// Posts a step.
+    /// Posts a training step.
     Steps,
-    /// Fetches samples of a step.
+    /// Fetches samples of a training step.
     Fetch {
         /// Number of the step.
         step: u64,
@@ -75,7 +75,7 @@
 }
 
 impl Route {
-    /// Reads a path with its query.
+    /// Parses a path and its query.
     pub fn parse(path: &str, query: Option<&str>) -> Result<Self, Rejection> {
         if path == COMPLETIONS {
             return Ok(Route::Completions);
--- a/components/gateway/src/readiness.rs
+++ b/components/gateway/src/readiness.rs
@@ -22,7 +22,7 @@
     pub agents: usize,
     /// At least one agent has answered since the start.
     pub agent_answered: bool,
-    /// At least one other process has been heard by an authentic datagram.
+    /// At least one authentic datagram of another process was received.
     pub any_peer_answered: bool,
     /// Number of datagrams dropped because they were not authentic.
     pub datagrams_dropped: u64,
--- a/components/gateway/src/rejection.rs
+++ b/components/gateway/src/rejection.rs
@@ -62,8 +62,8 @@
         Announcement(reason: AnnounceError) {
             display("{}", reason)
         }
-        /// A version is to be prepared while no version of the model is active. A process that knows no
-        /// version would activate the prepared one.
+        /// A version is to be prepared while no version of the model is active. A process that
+        /// knows no version would activate the prepared one.
         NoActiveVersion(service: ServiceName) {
             display("no version of {} is known to be in force; announce one first", service)
         }
--- a/components/gateway/src/retried_call.rs
+++ b/components/gateway/src/retried_call.rs
@@ -17,7 +17,7 @@
 use crate::gateway::Gateway;
 use crate::job::Job;
 
-/// Base of the randomised retry delay for a request that found no endpoint, in milliseconds.
+/// Base of the randomised delay that a refusal without a delay of its own gets, in milliseconds.
 const RETRY_AFTER_BASE_MS: u64 = 500;
 
 /// A call and its attempts so far.
@@ -106,9 +106,9 @@
         }
     }
 
-    /// Returns the failure for the caller with the worst run state of all attempts. A refusal of the
-    /// last attempt says nothing about earlier ones, which may have run; the caller would otherwise
-    /// repeat a call that ran.
+    /// Returns the failure for the caller with the worst run state of all attempts. A refusal of
+    /// the last attempt says nothing about earlier ones, which may have run; the caller would
+    /// otherwise repeat a call that ran.
     fn final_failure(&self, failure: Failure) -> Failure {
         let run = failure.run.max(self.worst_run_state);
         with_retry_after(Failure { run, ..failure })
--- a/components/gateway/src/server.rs
+++ b/components/gateway/src/server.rs
@@ -1,12 +1,12 @@
-//! The public address: accepts connections and serves requests until the process leaves.
+//! Accepts connections on the public address and serves their requests until the process stops.
 //!
-//! A connection that is idle when the process stops is closed; one with a request in
-//! progress gets its whole answer first. New connections are still taken for as long,
-//! and their requests refused: one that a caller opened just before would otherwise be
-//! reset in the kernel's queue, and the caller could not tell whether its request ran.
+//! When the process stops, idle connections are closed, and connections with a request in progress
+//! get their complete answer first. New connections are still accepted for a short time and their
+//! requests are refused. Otherwise the kernel would reset connections that callers have just
+//! opened, and the callers could not tell whether their requests ran.
 //!
-//! There are only so many connections, and some descriptors are not for callers at all.
-//! When all are taken, idle connections are closed for new ones.
+//! The number of connections is limited, and some descriptors are reserved for other uses. When
+//! the limit is reached, idle connections are closed for new ones.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,17 +21,17 @@
 use crate::connections::{Connection, Connections};
 use crate::descriptors::{connections_max, raise_limit};
 
-/// Pause after an accept that failed, such as for want of file descriptors.
+/// Delay after a failed accept, for example because no file descriptor was free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Between two looks for connections that can make room.
+/// Interval at which idle connections are closed while the limit is reached.
 const CAPACITY_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Quiet time after which nobody is taken to come any more.
+/// Accepting ends when no connection arrives for this time after the stop.
 const QUIET_PERIOD: Duration = Duration::from_millis(50);
-/// Longest time of taking connections only to refuse their requests.
+/// Maximum time for which connections are accepted after the stop.
 const REFUSAL_PERIOD: Duration = Duration::from_secs(1);
 
-/// Raises the limit of descriptors and serves `listener` with `service` until `stop` turns
-/// true; returns once every connection has ended.
+/// Raises the descriptor limit and serves `listener` with `service` until `stop` becomes true.
+/// Returns when all connections have ended.
 pub async fn serve<S>(listener: TcpListener, service: S, stop: watch::Receiver<bool>)
 where
     S: PublicService,
@@ -42,7 +42,7 @@
     serve_at_most(connections_max, listener, service, stop).await;
 }
 
-/// As [`serve`], with at most so many connections at a time.
+/// Same as [`serve`], with a given maximum number of connections.
 pub async fn serve_at_most<S>(
     connections_max: usize,
     listener: TcpListener,
--- a/components/gateway/src/services.rs
+++ b/components/gateway/src/services.rs
@@ -1,5 +1,6 @@
-//! What the entry keeps of each service: its table of replicas and its gate. Rebuilt on a
-//! tick from the view of the processes; the path of a request only reads.
+//! Per-service state of the entry: the routing table and the admission queue.
+//!
+//! A periodic task rebuilds this state from the membership view; request handlers only read it.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,20 +13,20 @@
 use routing::{Latencies, Locality, Replica, Report, Settings, Table};
 use types::{CustomerName, ServiceName};
 
-/// Requests of this entry that one replica of a model may have in progress.
+/// Maximum number of requests that this entry has in progress per replica of a model.
 const MODEL_SLOTS_PER_REPLICA: u32 = 64;
-/// The same for a replica of a plain service.
+/// Maximum number of requests that this entry has in progress per replica of a plain service.
 const PLAIN_SLOTS_PER_REPLICA: u32 = 256;
 
-/// How long a latency counts at least, in milliseconds.
+/// Minimum time for which a recorded latency is taken into account, in milliseconds.
 const LATENCY_RETENTION_MS: u64 = 10_000;
 
-/// One service as this entry sees it.
+/// State of one service on this entry.
 pub struct ServiceState {
     table: ArcSwap<Table>,
-    /// Slots of the service on this entry.
+    /// Admission queue with the service's slots on this entry.
     pub gate: Gate,
-    /// Times to the head of interactive calls' answers.
+    /// Times until the response head of interactive calls.
     pub latencies: Latencies,
 }
 
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Its replicas now.
+    /// Returns the current routing table.
     pub fn table(&self) -> Arc<Table> {
         self.table.load_full()
     }
@@ -49,7 +50,7 @@
 
 type States = HashMap<CustomerName, HashMap<ServiceName, Arc<ServiceState>>>;
 
-/// All services that this entry knows replicas of.
+/// States of all services that have or had replicas.
 pub struct Services {
     states: ArcSwap<States>,
     settings: Arc<Settings>,
@@ -58,7 +59,7 @@
 }
 
 impl Services {
-    /// No service yet.
+    /// Creates an empty set; [`Services::refresh`] adds the services.
     pub fn new(settings: Settings, admission: AdmissionSettings, here: Locality) -> Self {
         Self {
             states: ArcSwap::default(),
@@ -68,12 +69,13 @@
         }
     }
 
-    /// A service, if a replica of it was ever seen and its customer still names it.
+    /// Returns the state of a service if a replica of it was ever known and the configuration still
+    /// contains it.
     pub fn get(&self, owner: &CustomerName, service: &ServiceName) -> Option<Arc<ServiceState>> {
         state(&self.states.load(), owner, service).cloned()
     }
 
-    /// Takes a new view in. Services that `view` does not name are forgotten.
+    /// Applies a new membership snapshot. Services that `view` does not contain are removed.
     pub fn refresh(&self, snapshot: &Snapshot, view: &config::View) {
         let old = self.states.load();
         let mut next = States::new();
@@ -102,8 +104,8 @@
             ServiceKind::Plain => PLAIN_SLOTS_PER_REPLICA,
         };
         let count = u32::try_from(replicas.len()).unwrap_or(u32::MAX);
-        // With no replica the choice refuses at once; a gate of no slots would let
-        // requests wait for a slot that never comes.
+        // Without replicas the choice of a replica refuses immediately. A gate with no slots would
+        // let requests wait in vain.
         let limit = count.max(1).saturating_mul(slots_per_replica);
         if state.gate.capacity().limit != limit {
             state.gate.set_limit(limit);
@@ -114,9 +116,9 @@
     }
 }
 
-/// Services that the configuration names and that have, or had, a replica. One whose last
-/// replica went keeps its state: the counters of its calls in progress stay the ones that
-/// the returning replica gets.
+/// Returns the services that the configuration contains and that have, or had, a replica. A
+/// service whose last replica is gone keeps its state, so that a returning replica keeps the
+/// counters of its calls in progress.
 fn known_services<'a>(
     snapshot: &'a Snapshot,
     old: &'a States,
@@ -141,7 +143,7 @@
     states.get(owner)?.get(service)
 }
 
-/// What routing needs of a replica.
+/// Converts a replica of the membership view into a replica of the routing table.
 fn replica(member: &membership::Replica) -> Replica {
     let load = member.load;
     Replica {
--- a/components/gateway/src/start.rs
+++ b/components/gateway/src/start.rs
@@ -1,4 +1,4 @@
-//! Starts everything that the requests of one entry share.
+//! Creates the shared state of an entry and starts its background tasks.
 
 use std::sync::Arc;
 
@@ -28,29 +28,29 @@
 use crate::tuning::Tuning;
 use crate::weight_authority::WeightAuthority;
 
-/// First part of the names of an entry's metrics.
+/// Prefix of the names of an entry's metrics.
 const METRICS_PREFIX: &str = "hornbeamrock.entry";
-/// How long a call that may run again waits for a callee whose connection was lost, in
-/// milliseconds. Its caller waits as well, and another replica answers in a few.
+/// How long an idempotent call waits for a callee whose connection was lost, in milliseconds. The
+/// caller waits during this time, and another replica answers within a few milliseconds.
 const QUICK_REATTACH_MS: u64 = 500;
-/// Versions in force that wait to be told on.
+/// Capacity of the queue of version changes that are to be gossiped.
 const VERSION_QUEUE_MAX: usize = 256;
-/// Demands told by other entries that wait; a tick takes them all.
+/// Capacity of the queue of demand digests from other entries. Each tick empties the queue.
 const DEMAND_QUEUE_MAX: usize = 1_024;
 
-/// What the process has before it starts.
+/// Parts of the process that exist before the entry starts.
 pub struct ProcessParts {
-    /// Who it is.
+    /// Address, incarnation and location of this process.
     pub identity: Arc<Identity>,
-    /// Socket for news.
+    /// Socket for gossip.
     pub udp: Udp,
-    /// Settings of connections.
+    /// Settings of connections to other processes.
     pub links: LinkSettings,
-    /// Order to leave.
+    /// Signal to drain and leave.
     pub leaving: DrainSignal,
 }
 
-/// Starts the tasks of an entry. Errors when metrics or claims can't be set up.
+/// Starts the tasks of an entry. Errors when metrics or claims cannot be set up.
 pub fn start(
     settings: &EntrySettings,
     tuning: Tuning,
@@ -113,7 +113,7 @@
     Ok(gateway)
 }
 
-/// Links of the calls that may run again.
+/// Returns the connections for idempotent calls, which have a shorter reattach time.
 fn quick_links(links: LinkSettings) -> Links {
     Links::new(LinkSettings {
         reattach_for_ms: QUICK_REATTACH_MS,
@@ -158,8 +158,8 @@
     }
 }
 
-/// Cursors are signed with the keys that all processes share, so that any entry reads
-/// the cursor of any other.
+/// Returns the keys that sign cursors. These are the keys shared by all processes, so that every
+/// entry can verify the cursors of all others.
 fn cursor_keys(keys: &[SharedKey]) -> CursorKeys {
     let mut bytes = keys.iter().map(|key| key.0);
     let signs = bytes.next().unwrap_or_default();
--- a/components/gateway/src/status.rs
+++ b/components/gateway/src/status.rs
@@ -1,4 +1,4 @@
-//! What the admin address shows of an entry.
+//! Status page of the admin server.
 
 use std::sync::Arc;
 
@@ -29,7 +29,7 @@
     metrics: Vec<Row>,
 }
 
-/// Bytes of the system's own processes since the start.
+/// Bytes exchanged with other processes of the system since the start.
 #[derive(Serialize)]
 struct Traffic {
     calls_sent_bytes: u64,
@@ -82,12 +82,12 @@
     version: String,
 }
 
-/// The state as JSON.
+/// Returns the state of the entry as JSON.
 pub async fn json(gateway: Arc<Gateway>) -> String {
     let steps = gateway.training.status().await;
     let metrics = gateway.metrics.rows().await;
     let status = status(&gateway, steps, metrics);
-    // Plain fields always serialise; an empty text stands in.
+    // Plain fields always serialise; an empty text is the fallback.
     serde_json::to_string(&status).unwrap_or_default()
 }
 
--- a/components/gateway/src/suspects.rs
+++ b/components/gateway/src/suspects.rs
@@ -1,5 +1,7 @@
-//! Keeps calls that crash endpoints from crashing more of them. One task owns the record;
-//! every attempt asks it before its hand-over and tells it how it ended.
+//! Prevents calls that crash endpoints from crashing more of them.
+//!
+//! One task owns the record of suspect calls. Every attempt asks it for permission before it is
+//! sent, and reports how it ended.
 
 use std::net::SocketAddr;
 
@@ -11,7 +13,7 @@
 use tokio::sync::{mpsc, oneshot};
 use types::{Cause, Failure};
 
-/// Time between two looks for records whose time is over.
+/// Interval at which expired records are removed.
 const EXPIRE_INTERVAL_MS: u64 = 10_000;
 
 enum Command {
@@ -29,54 +31,54 @@
     QueryStatus(CallDigest, oneshot::Sender<DigestStatus>),
 }
 
-/// What came up here and the other processes are to know.
+/// Local event that other processes must learn.
 pub enum QuarantineEvent {
-    /// A call is condemned.
+    /// A call was condemned.
     Condemned(CondemnedCall),
-    /// An endpoint crashed.
+    /// An endpoint crashed with calls of this entry in flight.
     Crashed(EndpointCrash),
 }
 
-/// Handle to the record; clones share one state.
+/// Handle to the owner of the record; clones share one state.
 ///
-/// The queue has no bound of its own: an attempt has at most two orders in it, and
-/// admission bounds the attempts. A bound would lose the end of a call, which would then
-/// count as in flight for ever.
+/// The command queue needs no bound: an attempt has at most two commands in the queue, and
+/// admission limits the attempts. With a bound, the end of a call could be dropped, and the call
+/// would count as in flight forever.
 #[derive(Clone)]
 pub struct Quarantine {
     commands: mpsc::UnboundedSender<Command>,
 }
 
-/// What an attempt is told.
+/// Answer to an attempt that asks to start.
 pub enum StartPermission {
-    /// It may go.
+    /// The attempt may start at the endpoint.
     Start(InFlightAttempt),
-    /// Not to this endpoint now.
+    /// The attempt must not start at this endpoint now; another endpoint may accept it.
     OtherEndpoint,
-    /// To none now; ask again.
+    /// The attempt must not start anywhere now.
     Wait {
-        /// When, in milliseconds from now.
+        /// Delay before asking again, in milliseconds.
         wait_ms: u32,
     },
-    /// It is refused.
+    /// The attempt is refused.
     Refused(Failure),
 }
 
-/// An attempt that the record knows as in flight; dropped, it is known to have ended.
+/// An attempt that is recorded as in flight. Dropping the value records its end.
 pub struct InFlightAttempt {
     id: Option<AttemptId>,
     commands: mpsc::UnboundedSender<Command>,
 }
 
 impl Quarantine {
-    /// Starts the owner. What it finds goes into `found`.
+    /// Starts the owner task. Events are sent to `events`.
     pub fn start(events: mpsc::UnboundedSender<QuarantineEvent>) -> Quarantine {
         let (commands, inbox) = mpsc::unbounded_channel();
         tokio::spawn(run_owner(inbox, events));
         Quarantine { commands }
     }
 
-    /// Asks for an endpoint.
+    /// Asks for permission to start an attempt at an endpoint.
     pub async fn try_start(
         &self,
         digest: CallDigest,
@@ -101,7 +103,7 @@
         }
     }
 
-    /// The final answer to a call that is condemned, where no endpoint is to be had for it.
+    /// Returns the final failure if the call is condemned.
     pub async fn refusal(&self, digest: CallDigest) -> Option<Failure> {
         let (answer, answered) = oneshot::channel();
         self.commands
@@ -115,30 +117,30 @@
         }
     }
 
-    /// Another process has condemned this.
+    /// Records that another process has condemned a call.
     pub fn record_peer_verdict(&self, digest: CallDigest, left_ms: u32) {
-        // The owner is gone only when the process ends.
+        // The owner ends only with the process.
         let _ = self
             .commands
             .send(Command::RecordPeerVerdict(digest, left_ms));
     }
 
-    /// Another entry had these calls in flight at a crash.
+    /// Records that another entry had these calls in flight when an endpoint crashed.
     pub fn record_peer_crash(&self, entry: SocketAddr, crashed: EndpointCrash) {
-        // The owner is gone only when the process ends.
+        // The owner ends only with the process.
         let _ = self.commands.send(Command::RecordPeerCrash(entry, crashed));
     }
 }
 
 impl InFlightAttempt {
-    /// The whole answer came.
+    /// Records that the complete answer arrived.
     pub fn record_success(mut self) {
         if let Some(id) = self.id.take() {
             let _ = self.commands.send(Command::RecordSuccess(id));
         }
     }
 
-    /// The endpoint crashed under it; gives the final answer, if that is one.
+    /// Records that the endpoint crashed during the attempt. Returns the failure if it is final.
     pub async fn record_crash(mut self) -> Option<Failure> {
         let id = self.id.take()?;
         let (answer, answered) = oneshot::channel();
@@ -169,7 +171,7 @@
         handle(&mut suspects, command, now_ms);
         for condemned in suspects.take_condemned() {
             log::warn!(event = "call-condemned", left_ms = condemned.left_ms; "");
-            // The reader is gone only when the process ends.
+            // The receiver ends only with the process.
             let _ = events.send(QuarantineEvent::Condemned(condemned));
         }
         for crashed in suspects.take_crashes() {
@@ -190,7 +192,7 @@
     match command {
         Command::TryStart(digest, endpoint, copies, answer) => {
             let entry = suspects.try_start(digest, endpoint, copies, now_ms);
-            // The one who asked may have gone; then its run never began.
+            // The caller was cancelled before the answer arrived, so its attempt never started.
             if let Err(StartDecision::Start(id)) = answer.send(entry) {
                 suspects.record_end(id, now_ms);
             }
--- a/components/gateway/src/trace.rs
+++ b/components/gateway/src/trace.rs
@@ -1,4 +1,4 @@
-//! What is recorded of one request: a log line, a counter and a latency.
+//! Records a log line, a counter and latencies for each request.
 
 use std::sync::Arc;
 
@@ -8,8 +8,8 @@
 
 use crate::job::Job;
 
-/// Records a request's end once; dropped before an end is told, it records that the
-/// caller went away.
+/// Records the end of a request exactly once. Dropping the value before an end was recorded
+/// records a cancellation by the caller.
 pub struct Trace {
     metrics: Metrics,
     request_id: String,
@@ -22,7 +22,7 @@
 }
 
 impl Trace {
-    /// A request that began at `began_ms`.
+    /// Starts recording a request that began at `started_ms`.
     pub fn new(metrics: Metrics, job: &Job, started_ms: u64) -> Self {
         Self {
             metrics,
@@ -36,12 +36,12 @@
         }
     }
 
-    /// Another trace records the rest.
+    /// Ends this trace without recording; another trace records the rest of the request.
     pub fn transfer(mut self) {
         self.ended = true;
     }
 
-    /// The answer has begun.
+    /// Records the time until the first byte of the answer.
     pub fn record_first_byte(&mut self) {
         if self.first_byte_ms.is_some() {
             return;
@@ -52,17 +52,17 @@
         self.metrics.record("request_first_byte_ms", label, took_ms);
     }
 
-    /// The answer is whole.
+    /// Records that the answer is complete.
     pub fn record_answer(&mut self, status: u16) {
         self.finish("answered", "", Some(status));
     }
 
-    /// The answer is that of an earlier submission.
+    /// Records that the recorded answer of an earlier submission was replayed.
     pub fn record_replay(&mut self) {
         self.finish("answered", "replayed", None);
     }
 
-    /// There is no whole answer.
+    /// Records that there is no complete answer.
     pub fn record_failure(&mut self, failure: Failure) {
         self.finish(failure.run.as_str(), failure.cause.as_str(), None);
     }
--- a/components/gateway/src/tuning.rs
+++ b/components/gateway/src/tuning.rs
@@ -1,22 +1,22 @@
-//! Times and bounds of an entry.
+//! Time and size limits of an entry that are not command-line flags.
 
 use node::{FeedSettings, GossipSettings};
 
-/// Times and bounds that are not among the flags; tests shorten them.
+/// Settings that are not command-line flags. Tests use shorter times.
 #[derive(Clone, Debug, Default)]
 pub struct Tuning {
-    /// Configuration.
+    /// Reading of the configuration log.
     pub feed: FeedSettings,
-    /// News over UDP.
+    /// Gossip over UDP.
     pub gossip: GossipSettings,
-    /// Choice of replicas.
+    /// Choice of replicas and ejection of failing ones.
     pub routing: routing::Settings,
-    /// Second copies of slow calls; with [`u32::MAX`] calls to know there are none.
+    /// Hedged requests. Setting the minimum number of known calls to [`u32::MAX`] disables them.
     pub hedging: routing::hedge::HedgeSettings,
-    /// Shares of customers' limits.
+    /// Division of customers' limits among the entries.
     pub shares: limits::ShareSettings,
-    /// Queues of services.
+    /// Admission queues of services.
     pub admission: limits::AdmissionSettings,
-    /// Retries of a customer.
+    /// Retry budgets of customers.
     pub retries: limits::BudgetSettings,
 }
--- a/components/gateway/src/weight_authority.rs
+++ b/components/gateway/src/weight_authority.rs
@@ -1,5 +1,5 @@
-//! Which weight version of each model is in force, as this entry knows it. One task owns
-//! the authority; everybody else reads an immutable snapshot.
+//! Keeps the active weight version of each model as known to this entry. One task owns the
+//! authority; all others read an immutable snapshot.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,32 +11,29 @@
 
 use crate::rejection::Rejection;
 
-/// Orders that wait at most.
+/// Capacity of the command queue.
 const COMMAND_QUEUE_MAX: usize = 256;
 
-/// What a trainer or operator wants.
+/// Change that a trainer or operator requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionAction {
-    /// Put the version in force.
+    /// Make the version active.
     Announce,
-    /// Have the version loaded, to be put in force soon.
+    /// Load the version in advance; it becomes active with a later announcement.
     Prepare,
-    /// Go back, under a raised epoch.
+    /// Return to this version under a higher epoch.
     RollBack,
 }
 
-/// An announcement by the holder of a token.
+/// A change of a model's version, requested with a token.
 #[derive(Debug)]
 pub struct VersionRequest {
     /// Customer of the token.
     pub customer: CustomerName,
     /// Role of the token.
     pub role: Role,
-    /// The model.
     pub model: ModelKey,
-    /// What is wanted.
     pub action: VersionAction,
-    /// The version.
     pub version: WeightVersion,
 }
 
@@ -57,7 +54,7 @@
 }
 
 impl WeightAuthority {
-    /// Starts the owner. Every change goes into `changed`.
+    /// Starts the owner task. Every change is sent to `changed`.
     pub fn start(changed: mpsc::Sender<(ModelKey, Target)>) -> WeightAuthority {
         let (commands, inbox) = mpsc::channel(COMMAND_QUEUE_MAX);
         let targets = Arc::new(ArcSwap::default());
@@ -65,12 +62,12 @@
         WeightAuthority { commands, targets }
     }
 
-    /// Versions in force.
+    /// Returns the current target versions of all models.
     pub fn targets(&self) -> Arc<Targets> {
         self.targets.load_full()
     }
 
-    /// Takes an announcement in, or says why not.
+    /// Applies a version change, or returns why it is rejected.
     pub async fn announce(&self, request: VersionRequest) -> Result<AnnounceOutcome, Rejection> {
         let internal = || Rejection::Call(Failure::not_run(Cause::Internal));
         let (answer, answered) = oneshot::channel();
@@ -80,8 +77,8 @@
         outcome.map_err(Rejection::Announcement)
     }
 
-    /// Another process knows of these versions. A full queue loses the hint until the
-    /// rumour comes again.
+    /// Merges a target received from another process. If the queue is full, the target is
+    /// dropped; the gossip repeats it.
     pub fn merge_from_peer(&self, model: ModelKey, target: Target) {
         let _ = self
             .commands
@@ -101,7 +98,7 @@
                 let outcome = announce(&mut authority, &request);
                 let is_changed = matches!(outcome, Ok(AnnounceOutcome::Changed(_)));
                 publish(&authority, &targets);
-                // The one who asked may have gone; the announcement stands.
+                // The requester may have been cancelled; the announcement remains in effect.
                 let _ = answer.send(outcome);
                 is_changed.then_some(request.model)
             }
@@ -114,7 +111,7 @@
         if let Some(model) = changed_model
             && let Some(target) = authority.target(&model)
         {
-            // The reader is gone only when the process ends.
+            // The receiver ends only with the process.
             let _ = changed.send((model, target)).await;
         }
     }
