--- a/components/gateway/src/attempt.rs
+++ b/components/gateway/src/attempt.rs
@@ -240,8 +240,8 @@
     isolating: &[NodeId],
     now_ms: u64,
 ) -> Result<Choice, Failure> {
-    let both = [&constraints.exclude, isolating].concat();
-    let choice = match choose_excluding(gateway, job, table, constraints, both, now_ms) {
+    let excluded = [&constraints.exclude, isolating].concat();
+    let choice = match choose_excluding(gateway, job, table, constraints, excluded, now_ms) {
         Err(ChoiceError::Tried) if !constraints.strict && !constraints.exclude.is_empty() => {
             choose_excluding(gateway, job, table, constraints, isolating.to_vec(), now_ms)
         }
--- a/components/gateway/src/auth.rs
+++ b/components/gateway/src/auth.rs
@@ -27,13 +27,13 @@
 /// Returns the session of the request's bearer token. Errors when the token is missing, given
 /// several times or not configured.
 pub fn authenticate(view: Arc<View>, headers: &HeaderMap) -> Result<Session, Rejection> {
-    let token = bearer(headers).ok_or(Rejection::Unauthenticated)?;
+    let token = bearer_token(headers).ok_or(Rejection::Unauthenticated)?;
     let holder = view.authenticate(token).cloned();
     let holder = holder.ok_or(Rejection::Unauthenticated)?;
     Ok(Session { view, holder })
 }
 
-fn bearer(headers: &HeaderMap) -> Option<&str> {
+fn bearer_token(headers: &HeaderMap) -> Option<&str> {
     let mut values = headers.get_all(AUTHORIZATION).iter();
     let value = values.next()?.to_str().ok()?;
     if values.next().is_some() {
@@ -53,19 +53,19 @@
         let holder = &self.holder;
         let owner = target.owner_for(&holder.customer);
         if self.view.may_call(holder, owner, &target.service) {
-            return self.named(owner, &target.service);
+            return self.find_service(owner, &target.service);
         }
         if *owner == holder.customer {
-            self.named(owner, &target.service)?;
-            self.need(Role::Caller)?;
+            self.find_service(owner, &target.service)?;
+            self.require_role(Role::Caller)?;
         }
         Err(Rejection::NotAllowed(owner.clone(), target.service.clone()))
     }
 
     /// Returns the token holder's own model if the holder may train it.
     pub fn trainable(&self, name: &ServiceName) -> Result<Arc<Service>, Rejection> {
-        let service = self.named(&self.holder.customer, name)?;
-        self.need(Role::Trainer)?;
+        let service = self.find_service(&self.holder.customer, name)?;
+        self.require_role(Role::Trainer)?;
         if self.view.may_train(&self.holder, name) {
             return Ok(service);
         }
@@ -74,20 +74,24 @@
 
     /// Returns the token holder's own service if the holder may operate it.
     pub fn operable(&self, name: &ServiceName) -> Result<Arc<Service>, Rejection> {
-        let service = self.named(&self.holder.customer, name)?;
-        self.need(Role::Operator)?;
+        let service = self.find_service(&self.holder.customer, name)?;
+        self.require_role(Role::Operator)?;
         if self.view.may_operate(&self.holder, name) {
             return Ok(service);
         }
         Err(self.not_allowed(name))
     }
 
-    fn named(&self, owner: &CustomerName, name: &ServiceName) -> Result<Arc<Service>, Rejection> {
+    fn find_service(
+        &self,
+        owner: &CustomerName,
+        name: &ServiceName,
+    ) -> Result<Arc<Service>, Rejection> {
         let service = self.view.service(owner, name).cloned();
         service.ok_or_else(|| Rejection::UnknownService(name.to_string()))
     }
 
-    fn need(&self, role: Role) -> Result<(), Rejection> {
+    fn require_role(&self, role: Role) -> Result<(), Rejection> {
         if self.holder.role == role {
             return Ok(());
         }
--- a/components/gateway/src/completion_stream.rs
+++ b/components/gateway/src/completion_stream.rs
@@ -150,7 +150,7 @@
 }
 
 /// Next item of the caller's stream.
-enum Next {
+enum StreamItem {
     Bytes(Bytes),
     End,
     Failed(Failure),
@@ -159,31 +159,31 @@
 impl<F: Fn(&[u32]) -> Bytes + Send + 'static> CompletionStream<F> {
     async fn respond(mut self, head: &Head) -> Result<Response<Body>, Rejection> {
         let first = self.next().await;
-        if let Next::Failed(failure) = first {
+        if let StreamItem::Failed(failure) = first {
             self.request.trace.record_failure(failure);
             return Err(failure.into());
         }
         let deadline_at_ms = self.request.retried_call.job.deadline_at_ms;
-        let state = State::First(first, Box::new(self));
-        let events = stream::unfold(state, |state| async { state.next().await });
+        let phase = StreamPhase::First(first, Box::new(self));
+        let events = stream::unfold(phase, |phase| async { phase.next().await });
         response(head, streamed(events, deadline_at_ms))
     }
 
-    async fn next(&mut self) -> Next {
+    async fn next(&mut self) -> StreamItem {
         loop {
             let failure = match self.attempt.next().await {
                 CallEvent::Accepted | CallEvent::Started | CallEvent::Head(_) => continue,
                 CallEvent::Chunk(bytes) => match self.state.push(&bytes) {
                     Ok(events) if events.is_empty() => continue,
-                    Ok(events) => return Next::Bytes(events),
+                    Ok(events) => return StreamItem::Bytes(events),
                     Err(failure) => failure,
                 },
-                CallEvent::End if self.state.parser.is_whole() => return Next::End,
+                CallEvent::End if self.state.parser.is_whole() => return StreamItem::End,
                 CallEvent::End => Failure::new(RunState::Failed, Cause::Truncated),
                 CallEvent::Failed(failure) => failure,
             };
             if let Err(failure) = self.resume_elsewhere(failure).await {
-                return Next::Failed(failure);
+                return StreamItem::Failed(failure);
             }
         }
     }
@@ -221,42 +221,45 @@
     }
 }
 
-enum State<F> {
-    First(Next, Box<CompletionStream<F>>),
+enum StreamPhase<F> {
+    First(StreamItem, Box<CompletionStream<F>>),
     Running(Box<CompletionStream<F>>),
     Failing(Failure),
     Ended,
 }
 
-type Item<F> = Option<(Result<Bytes, AnswerInterrupted>, State<F>)>;
+type Item<F> = Option<(Result<Bytes, AnswerInterrupted>, StreamPhase<F>)>;
 
-impl<F: Fn(&[u32]) -> Bytes + Send + 'static> State<F> {
+impl<F: Fn(&[u32]) -> Bytes + Send + 'static> StreamPhase<F> {
     async fn next(self) -> Item<F> {
         let (next, mut streaming) = match self {
-            State::First(next, streaming) => (next, streaming),
-            State::Running(mut streaming) => (streaming.next().await, streaming),
-            State::Failing(failure) => {
+            StreamPhase::First(next, streaming) => (next, streaming),
+            StreamPhase::Running(mut streaming) => (streaming.next().await, streaming),
+            StreamPhase::Failing(failure) => {
                 // `hyper` discards unflushed data when a body fails, and flushes while a body is
                 // pending. Without this yield the caller would not receive the error event.
                 tokio::task::yield_now().await;
-                return Some((Err(AnswerInterrupted::CallFailed(failure)), State::Ended));
+                return Some((
+                    Err(AnswerInterrupted::CallFailed(failure)),
+                    StreamPhase::Ended,
+                ));
             }
-            State::Ended => return None,
+            StreamPhase::Ended => return None,
         };
         match next {
-            Next::Bytes(bytes) => {
+            StreamItem::Bytes(bytes) => {
                 streaming.request.trace.record_first_byte();
-                Some((Ok(bytes), State::Running(streaming)))
+                Some((Ok(bytes), StreamPhase::Running(streaming)))
             }
-            Next::End => {
+            StreamItem::End => {
                 streaming.request.trace.record_answer(OK);
                 streaming.refund_unused_tokens();
                 None
             }
-            Next::Failed(failure) => {
+            StreamItem::Failed(failure) => {
                 let event = problem_event(&streaming.request, failure);
                 streaming.request.trace.record_failure(failure);
-                Some((Ok(event), State::Failing(failure)))
+                Some((Ok(event), StreamPhase::Failing(failure)))
             }
         }
     }
--- a/components/gateway/src/delivery.rs
+++ b/components/gateway/src/delivery.rs
@@ -134,8 +134,8 @@
     };
     let left = Duration::from_millis(deadline_at_ms.saturating_sub(now_ms()));
     tokio::spawn(async move {
-        let forwarded = timeout(left + DEADLINE_GRACE, forward_parts(parts, &sender, &state)).await;
-        if forwarded.is_err() {
+        let result = timeout(left + DEADLINE_GRACE, forward_parts(parts, &sender, &state)).await;
+        if result.is_err() {
             state.abandon();
         }
     });
--- a/components/gateway/src/drained.rs
+++ b/components/gateway/src/drained.rs
@@ -80,11 +80,11 @@
 }
 
 async fn discard<B: Body + Unpin>(mut body: B) {
-    let mut left = DISCARDED_BYTES_MAX;
+    let mut remaining_bytes = DISCARDED_BYTES_MAX;
     while let Some(Ok(frame)) = body.frame().await {
         let bytes = frame.data_ref().map_or(0, Buf::remaining);
-        match left.checked_sub(bytes) {
-            Some(rest) => left = rest,
+        match remaining_bytes.checked_sub(bytes) {
+            Some(rest) => remaining_bytes = rest,
             None => return,
         }
     }
--- a/components/gateway/src/gossip_handlers.rs
+++ b/components/gateway/src/gossip_handlers.rs
@@ -48,9 +48,9 @@
 
 async fn spread_quarantine_events(
     gateway: Arc<Gateway>,
-    mut event: mpsc::UnboundedReceiver<QuarantineEvent>,
+    mut events: mpsc::UnboundedReceiver<QuarantineEvent>,
 ) {
-    while let Some(event) = event.recv().await {
+    while let Some(event) = events.recv().await {
         match event {
             QuarantineEvent::Condemned(call) => gateway.gossip.spread(GossipMessage::Quarantined {
                 digest: call.digest.0,
--- a/components/gateway/src/hedging.rs
+++ b/components/gateway/src/hedging.rs
@@ -122,9 +122,9 @@
     }
 }
 
-/// Returns the first copy's answer, or that of the other copy if the first one failed. The losing
-/// copy is cancelled with a delay: if it were cancelled at once, its replica would look idle to
-/// load balancing and would receive the next call too.
+/// Returns the answer of the copy that finished first, or that of the other copy if the first one
+/// failed. The losing copy is cancelled with a delay: if it were cancelled at once, its replica
+/// would look idle to load balancing and would receive the next call too.
 async fn first_success(answered: HeadResult, other: BoxFuture<'static, HeadResult>) -> HeadResult {
     let Err(failure) = answered else {
         tokio::spawn(tokio::time::timeout(LOSER_CANCEL_DELAY, other));
--- a/components/gateway/src/idempotency.rs
+++ b/components/gateway/src/idempotency.rs
@@ -18,9 +18,9 @@
 
 fn may_override(service: &Service, method: &str, path: &str) -> bool {
     let path = path.split('?').next().unwrap_or_default();
-    let plain = !path.contains(['%', ';', '\\']) && !path.contains("//") && !path.contains("/.");
-    let named = |pattern: &CallPattern| has_prefix(pattern, method, path);
-    plain && !service.non_idempotent.iter().any(named)
+    let is_plain = !path.contains(['%', ';', '\\']) && !path.contains("//") && !path.contains("/.");
+    let is_listed = |pattern: &CallPattern| has_prefix(pattern, method, path);
+    is_plain && !service.non_idempotent.iter().any(is_listed)
 }
 
 /// Returns whether a path starts with the pattern's path, ignoring case. Matches more paths than
--- a/components/gateway/src/readiness.rs
+++ b/components/gateway/src/readiness.rs
@@ -7,9 +7,9 @@
 //! of other processes arrived in the meantime and none was authentic, the key is wrong.
 
 /// Maximum wait for the first answer of an agent, in milliseconds.
-const ANSWER_MS_MAX: u64 = 5_000;
+const AGENT_ANSWER_TIMEOUT_MS: u64 = 5_000;
 /// Maximum wait for the first agent to be listed, in milliseconds.
-const LISTED_MS_MAX: u64 = 1_000;
+const AGENT_LISTED_TIMEOUT_MS: u64 = 1_000;
 
 /// Inputs of the decision.
 #[derive(Clone, Copy, Debug, Default)]
@@ -61,8 +61,8 @@
             return Readiness::WrongKey;
         }
         let wait_ms = match facts.agents {
-            0 => LISTED_MS_MAX,
-            _ => ANSWER_MS_MAX,
+            0 => AGENT_LISTED_TIMEOUT_MS,
+            _ => AGENT_ANSWER_TIMEOUT_MS,
         };
         if facts.uptime_ms < wait_ms {
             return Readiness::NoAnswer;
--- a/components/gateway/src/server.rs
+++ b/components/gateway/src/server.rs
@@ -65,7 +65,7 @@
         tokio::select! {
             () = wait_for_stop(&mut stopping) => break,
             stream = accept(&listener), if has_capacity => start(&mut tasks, &mut connections, stream),
-            Some(ended) = tasks.join_next_with_id() => connections.remove(id_of(&ended)),
+            Some(ended) = tasks.join_next_with_id() => connections.remove(task_id(&ended)),
             () = sleep(CAPACITY_CHECK_INTERVAL), if !has_capacity => {}
         }
     }
@@ -80,7 +80,7 @@
     while tasks.join_next().await.is_some() {}
 }
 
-fn id_of(ended: &Result<(Id, ()), JoinError>) -> Id {
+fn task_id(ended: &Result<(Id, ()), JoinError>) -> Id {
     match ended {
         Ok((id, ())) => *id,
         Err(reason) => reason.id(),
--- a/components/gateway/src/services.rs
+++ b/components/gateway/src/services.rs
@@ -86,14 +86,14 @@
             let state = state(&old, owner, service).cloned();
             let new = || ServiceState::new(&self.settings, self.admission.clone());
             let state = state.unwrap_or_else(|| Arc::new(new()));
-            self.refresh_one(&state, snapshot.replicas(owner, service), named.kind);
+            self.refresh_service(&state, snapshot.replicas(owner, service), named.kind);
             let services = next.entry(owner.clone()).or_default();
             services.insert(service.clone(), state);
         }
         self.states.store(Arc::new(next));
     }
 
-    fn refresh_one(
+    fn refresh_service(
         &self,
         state: &ServiceState,
         replicas: &[membership::Replica],
--- a/components/gateway/src/status.rs
+++ b/components/gateway/src/status.rs
@@ -106,7 +106,11 @@
         isolated: snapshot.isolated,
         in_progress: gateway.drain.work_counter().count(),
         config: configured(&view),
-        unmet_dependencies: view.unmet_dependencies().iter().map(unmet).collect(),
+        unmet_dependencies: view
+            .unmet_dependencies()
+            .iter()
+            .map(format_dependency)
+            .collect(),
         members: snapshot.members.iter().map(member).collect(),
         services: services(gateway, &view),
         weights: weights
@@ -143,8 +147,8 @@
     customers
 }
 
-fn unmet(unmet: &config::UnmetDependency) -> String {
-    format!("{} -> {}", unmet.from, unmet.to)
+fn format_dependency(dependency: &config::UnmetDependency) -> String {
+    format!("{} -> {}", dependency.from, dependency.to)
 }
 
 fn member(member: &membership::MemberState) -> Member {
@@ -181,12 +185,12 @@
     known
 }
 
-fn replica(slot: &routing::ReplicaState) -> Replica {
+fn replica(state: &routing::ReplicaState) -> Replica {
     Replica {
-        agent: slot.replica.node.to_string(),
-        failure_domain: slot.replica.failure_domain.to_string(),
-        outstanding: slot.counters().calls(),
-        weights: slot.replica.weights.map(|version| version.to_string()),
-        leaving: slot.replica.leaving,
+        agent: state.replica.node.to_string(),
+        failure_domain: state.replica.failure_domain.to_string(),
+        outstanding: state.counters().calls(),
+        weights: state.replica.weights.map(|version| version.to_string()),
+        leaving: state.replica.leaving,
     }
 }
