--- a/components/gateway/tests/bodies.rs
+++ b/components/gateway/tests/bodies.rs
@@ -18,7 +18,7 @@
 const LARGE_BYTES: usize = 4 << 20;
 
 /// Begins a request whose body never ends.
-async fn unfinished(to: SocketAddr, body_bytes: usize) -> TcpStream {
+async fn send_unfinished_request(to: SocketAddr, body_bytes: usize) -> TcpStream {
     let mut stream = TcpStream::connect(to).await.unwrap();
     let head = format!(
         "POST {COMPLETIONS} HTTP/1.1\r\nHost: entry\r\nAuthorization: Bearer {CLERK}\r\n\
@@ -29,7 +29,7 @@
 }
 
 /// The first part of an answer.
-async fn answer(stream: &mut TcpStream) -> String {
+async fn read_answer(stream: &mut TcpStream) -> String {
     let mut bytes = vec![0; 4_096];
     let length = stream.read(&mut bytes).await.unwrap();
     String::from_utf8_lossy(&bytes[..length]).into_owned()
@@ -40,7 +40,7 @@
 // out of memory and everybody's requests ended. Now the customer's part is bounded, and
 // the first request over it is refused at once, as not run.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn can_bound_unfinished_bodies_of_one_customer() {
+async fn can_limit_unfinished_bodies_of_one_customer() {
     struct Case {
         name: &'static str,
         ceilings: Ceilings,
@@ -76,9 +76,11 @@
         let entry = site.entries[0].address;
         let mut streams = Vec::new();
         for _ in 0..case.connections {
-            streams.push(unfinished(entry, case.body_bytes).await);
+            streams.push(send_unfinished_request(entry, case.body_bytes).await);
         }
-        let answers = streams.iter_mut().map(|stream| Box::pin(answer(stream)));
+        let answers = streams
+            .iter_mut()
+            .map(|stream| Box::pin(read_answer(stream)));
         let first = timeout(PATIENCE, select_all(answers)).await.unwrap().0;
         assert!(first.starts_with("HTTP/1.1 429 "), "{}: {first}", case.name);
         for part in ["customer-limit", "not-run", "retry-after: "] {
@@ -92,49 +94,49 @@
 }
 
 #[test]
-fn can_share_the_bytes_of_bodies() {
+fn can_share_the_body_budget_among_customers() {
     struct Case {
         name: &'static str,
         /// Customer and bytes of bodies that are held.
         held: &'static [(usize, usize)],
-        wanted: (usize, usize),
+        requested: (usize, usize),
         outcome: Result<(), OverBudget>,
     }
     let cases = [
         Case {
             name: "a customer alone, up to its part",
             held: &[(0, 20)],
-            wanted: (0, 10),
+            requested: (0, 10),
             outcome: Ok(()),
         },
         Case {
             name: "a customer alone, over its part",
             held: &[(0, 20)],
-            wanted: (0, 11),
+            requested: (0, 11),
             outcome: Err(OverBudget::Customer),
         },
         Case {
             name: "a customer that holds as much as is left",
             held: &[(0, 30), (1, 30), (2, 20)],
-            wanted: (2, 1),
+            requested: (2, 1),
             outcome: Err(OverBudget::Customer),
         },
         Case {
             name: "a customer that begins while others hold much",
             held: &[(0, 30), (1, 30), (2, 20)],
-            wanted: (3, 20),
+            requested: (3, 20),
             outcome: Ok(()),
         },
         Case {
             name: "more than the process has left",
             held: &[(0, 30), (1, 30), (2, 20)],
-            wanted: (3, 21),
+            requested: (3, 21),
             outcome: Err(OverBudget::Process),
         },
         Case {
             name: "a size that overflows",
             held: &[(0, 1)],
-            wanted: (0, usize::MAX),
+            requested: (0, usize::MAX),
             outcome: Err(OverBudget::Process),
         },
     ];
@@ -148,14 +150,14 @@
         let held: Result<Vec<_>, _> = case.held.iter().map(reserve).collect();
         let held = held.unwrap();
         let before = budget.held_bytes();
-        let wanted = reserve(&case.wanted);
+        let requested = reserve(&case.requested);
         assert_eq!(
-            wanted.as_ref().map(|_| ()).map_err(|over| *over),
+            requested.as_ref().map(|_| ()).map_err(|over| *over),
             case.outcome,
             "{}",
             case.name
         );
-        drop(wanted);
+        drop(requested);
         assert_eq!(budget.held_bytes(), before, "{}", case.name);
         drop(held);
         assert_eq!(budget.held_bytes(), 0, "{}", case.name);
@@ -163,7 +165,7 @@
 }
 
 #[test]
-fn can_give_back_what_a_body_took_as_it_came() {
+fn can_release_the_reservation_of_a_growing_body() {
     let budget = Arc::new(BodyBudget::new(100, 30));
     let customer = Arc::new(BodyUse::default());
     let mut reserved = budget.reserve(&customer, 0).unwrap();
--- a/components/gateway/tests/connections.rs
+++ b/components/gateway/tests/connections.rs
@@ -19,17 +19,17 @@
 use tower::service_fn;
 
 /// Far above what anything here takes; only a test that fails reaches it.
-const PATIENCE: Duration = Duration::from_secs(60);
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 /// Less than the 5 s after which connections without a request end by themselves.
-const BEFORE_THEY_END: Duration = Duration::from_secs(4);
-const MAX: usize = 8;
+const BELOW_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+const CONNECTIONS_MAX: usize = 8;
 const REQUEST: &str = "GET / HTTP/1.1\r\nHost: entry\r\n\r\n";
 
 /// A server of few connections; `/wait` is answered when the gate is open.
 struct Server {
     address: SocketAddr,
     gate: watch::Sender<bool>,
-    begun: watch::Receiver<usize>,
+    started_requests: watch::Receiver<usize>,
     stop: watch::Sender<bool>,
     served: JoinHandle<()>,
 }
@@ -40,11 +40,11 @@
         let address = listener.local_addr().unwrap();
         let (stop, stopping) = watch::channel(false);
         let (gate, gated) = watch::channel(false);
-        let (begin, begun) = watch::channel(0);
+        let (count_request, started_requests) = watch::channel(0);
         let service = service_fn(move |request: Request<Incoming>| {
             let mut gated = gated.clone();
             let waits = request.uri().path() == "/wait";
-            begin.send_modify(|begun| *begun += 1);
+            count_request.send_modify(|started_requests| *started_requests += 1);
             async move {
                 if waits {
                     gated.wait_for(|open| *open).await.unwrap();
@@ -52,11 +52,16 @@
                 Ok::<_, Infallible>(Response::new(full("whole")))
             }
         });
-        let served = tokio::spawn(server::serve_at_most(MAX, listener, service, stopping));
+        let served = tokio::spawn(server::serve_at_most(
+            CONNECTIONS_MAX,
+            listener,
+            service,
+            stopping,
+        ));
         Server {
             address,
             gate,
-            begun,
+            started_requests,
             stop,
             served,
         }
@@ -69,9 +74,9 @@
         stream
     }
 
-    async fn stopped(self) {
+    async fn stop(self) {
         self.stop.send_replace(true);
-        timeout(PATIENCE, self.served).await.unwrap().unwrap();
+        timeout(TEST_TIMEOUT, self.served).await.unwrap().unwrap();
     }
 }
 
@@ -86,12 +91,14 @@
         }
         true
     };
-    timeout(PATIENCE, until).await.unwrap()
+    timeout(TEST_TIMEOUT, until).await.unwrap()
 }
 
 /// Waits until the other side has closed the connection.
 async fn is_closed(stream: &mut TcpStream) -> bool {
-    let read = timeout(PATIENCE, stream.read(&mut [0; 64])).await.unwrap();
+    let read = timeout(TEST_TIMEOUT, stream.read(&mut [0; 64]))
+        .await
+        .unwrap();
     matches!(read, Ok(0) | Err(_))
 }
 
@@ -99,7 +106,7 @@
 // never the whole of a request's head. A caller who comes then used to wait for a minute;
 // now the connection that has been idle for the longest time is closed for it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn can_answer_when_idle_connections_take_all_places() {
+async fn can_answer_when_idle_connections_reach_the_limit() {
     struct Case {
         name: &'static str,
         sent: &'static str,
@@ -125,7 +132,7 @@
     for case in cases {
         let server = Server::start().await;
         let mut idle = Vec::new();
-        for _ in 0..MAX {
+        for _ in 0..CONNECTIONS_MAX {
             let mut stream = server.open(case.sent).await;
             if case.answered {
                 assert!(is_answered(&mut stream).await, "{}", case.name);
@@ -133,10 +140,10 @@
             idle.push(stream);
         }
         let mut caller = server.open(REQUEST).await;
-        let answered = timeout(BEFORE_THEY_END, is_answered(&mut caller)).await;
+        let answered = timeout(BELOW_IDLE_TIMEOUT, is_answered(&mut caller)).await;
         assert_eq!(answered, Ok(true), "{}", case.name);
         assert!(is_closed(&mut idle[0]).await, "{}", case.name);
-        server.stopped().await;
+        server.stop().await;
     }
 }
 
@@ -146,11 +153,18 @@
 async fn can_keep_connections_with_a_request_in_progress() {
     let mut server = Server::start().await;
     let mut busy = Vec::new();
-    for _ in 0..MAX {
+    for _ in 0..CONNECTIONS_MAX {
         busy.push(server.open(&REQUEST.replace("/ ", "/wait ")).await);
     }
-    let begun = server.begun.wait_for(|begun| *begun == MAX);
-    drop(timeout(PATIENCE, begun).await.unwrap().unwrap());
+    let started_requests = server
+        .started_requests
+        .wait_for(|started_requests| *started_requests == CONNECTIONS_MAX);
+    drop(
+        timeout(TEST_TIMEOUT, started_requests)
+            .await
+            .unwrap()
+            .unwrap(),
+    );
     let mut caller = server.open(REQUEST).await;
     // Time for several looks for a connection to close.
     let unanswered = timeout(Duration::from_millis(500), is_answered(&mut caller)).await;
@@ -160,17 +174,17 @@
         assert!(is_answered(stream).await);
     }
     assert!(is_answered(&mut caller).await);
-    server.stopped().await;
+    server.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn can_close_a_connection_whose_first_request_does_not_come() {
+async fn can_close_a_connection_that_sends_no_complete_request() {
     let server = Server::start().await;
     for sent in ["", "GET / HT"] {
         let mut stream = server.open(sent).await;
         assert!(is_closed(&mut stream).await, "{sent:?}");
     }
-    server.stopped().await;
+    server.stop().await;
 }
 
 #[tokio::test]
@@ -198,7 +212,7 @@
 }
 
 #[test]
-fn can_leave_descriptors_for_everything_else() {
+fn can_reserve_descriptors_for_other_uses() {
     struct Case {
         limit: Option<u64>,
         connections_max: usize,
@@ -223,7 +237,7 @@
 }
 
 #[test]
-fn can_raise_the_limit_of_descriptors() {
+fn can_raise_the_descriptor_limit() {
     let raised = descriptors::raise_limit();
     assert_eq!(
         descriptors::raise_limit(),
--- a/components/gateway/tests/hedging.rs
+++ b/components/gateway/tests/hedging.rs
@@ -15,12 +15,12 @@
 const CALLS: usize = 1_200;
 const CALLERS: usize = 8;
 /// Calls by which the service's usual latency is known.
-const FIRST: usize = 200;
-const SLOW_MS: u64 = 300;
+const WARM_UP_CALLS: usize = 200;
+const SLOW_DELAY_MS: u64 = 300;
 /// Header by which the stand-in counts runs.
 const TAG: &str = "x-request-tag";
 
-async fn site(hedging: HedgeSettings) -> Site {
+async fn start_site(hedging: HedgeSettings) -> Site {
     let tuning = Tuning {
         hedging,
         ..Tuning::default()
@@ -37,35 +37,35 @@
 
 /// Makes calls after each other until as many as wanted were made by all callers; the
 /// time of each.
-async fn caller(site: &Site, ask: &Ask, made: &AtomicUsize, calls: usize) -> Vec<u128> {
-    let mut times_ms = Vec::new();
-    while made.fetch_add(1, Ordering::Relaxed) < calls {
+async fn run_caller(site: &Site, ask: &Ask, sent_count: &AtomicUsize, calls: usize) -> Vec<u128> {
+    let mut latencies_ms = Vec::new();
+    while sent_count.fetch_add(1, Ordering::Relaxed) < calls {
         let sent = Instant::now();
         assert_eq!(site.send(0, ask).await.status, 200);
-        times_ms.push(sent.elapsed().as_millis());
+        latencies_ms.push(sent.elapsed().as_millis());
     }
-    times_ms
+    latencies_ms
 }
 
-async fn calls(site: &Site, ask: &Ask, calls: usize) -> Vec<u128> {
-    let made = AtomicUsize::new(0);
-    let callers = (0..CALLERS).map(|_| caller(site, ask, &made, calls));
-    let mut times_ms = join_all(callers).await.concat();
-    times_ms.sort_unstable();
-    times_ms
+async fn run_calls(site: &Site, ask: &Ask, calls: usize) -> Vec<u128> {
+    let sent_count = AtomicUsize::new(0);
+    let callers = (0..CALLERS).map(|_| run_caller(site, ask, &sent_count, calls));
+    let mut latencies_ms = join_all(callers).await.concat();
+    latencies_ms.sort_unstable();
+    latencies_ms
 }
 
 /// Times of the calls that were made after one replica became slow, sorted.
-async fn times_ms(site: &Site, ask: &Ask) -> Vec<u128> {
-    calls(site, ask, FIRST).await;
-    let fault = json!({ "kind": "slow", "delay_ms": SLOW_MS }).to_string();
+async fn measure_with_slow_replica(site: &Site, ask: &Ask) -> Vec<u128> {
+    run_calls(site, ask, WARM_UP_CALLS).await;
+    let fault = json!({ "kind": "slow", "delay_ms": SLOW_DELAY_MS }).to_string();
     let fault = Ask::post("/standin/fault", fault);
     assert_eq!(fault.send(site.services[0].address).await.status, 200);
-    calls(site, ask, CALLS - FIRST).await
+    run_calls(site, ask, CALLS - WARM_UP_CALLS).await
 }
 
-fn show(name: &str, times_ms: &[u128], runs: u64) {
-    let at = |permille: usize| times_ms[times_ms.len() * permille / 1_000];
+fn print_latencies(name: &str, latencies_ms: &[u128], runs: u64) {
+    let at = |permille: usize| latencies_ms[latencies_ms.len() * permille / 1_000];
     let (p50, p95, p99) = (at(500), at(950), at(990));
     println!("{name}: p50 {p50} ms, p95 {p95} ms, p99 {p99} ms, {runs} runs of {CALLS} calls");
 }
@@ -74,34 +74,34 @@
 // calls that it has are late. A clerk waits for the slow replica though two others are
 // idle; a second copy at one of those answers her, and the first is given up.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn can_answer_from_a_second_copy_where_the_first_is_slow() {
+async fn can_answer_from_a_hedge_when_the_first_replica_is_slow() {
     let ask = Ask::get("/v1/services/guichet/records/1").with(TAG, "hedged");
-    let hedged = site(HedgeSettings::default()).await;
-    let times = times_ms(&hedged, &ask).await;
+    let hedged = start_site(HedgeSettings::default()).await;
+    let latencies = measure_with_slow_replica(&hedged, &ask).await;
     let runs = hedged.runs("hedged").await;
-    show("with second copies", &times, runs);
+    print_latencies("with second copies", &latencies, runs);
     assert!(runs > CALLS as u64, "no call was sent twice");
     assert!(
         runs <= CALLS as u64 * 12 / 10,
         "more copies than the budget has"
     );
 
-    let never = HedgeSettings {
+    let disabled = HedgeSettings {
         calls_min: u32::MAX,
         ..HedgeSettings::default()
     };
-    let plain = site(never).await;
-    let times = times_ms(&plain, &ask).await;
-    let runs = plain.runs("hedged").await;
-    show("without", &times, runs);
+    let unhedged = start_site(disabled).await;
+    let latencies = measure_with_slow_replica(&unhedged, &ask).await;
+    let runs = unhedged.runs("hedged").await;
+    print_latencies("without", &latencies, runs);
     assert_eq!(runs, CALLS as u64);
 }
 
 // A sanction check may run once only, however slow its replica is.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn can_leave_calls_alone_that_may_run_once_only() {
+async fn can_leave_non_idempotent_calls_unhedged() {
     let ask = Ask::post("/v1/services/guichet/sanctions", "{}").with(TAG, "once");
-    let site = site(HedgeSettings::default()).await;
-    times_ms(&site, &ask).await;
+    let site = start_site(HedgeSettings::default()).await;
+    measure_with_slow_replica(&site, &ask).await;
     assert_eq!(site.runs("once").await, CALLS as u64);
 }
--- a/components/gateway/tests/parts.rs
+++ b/components/gateway/tests/parts.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn can_read_paths() {
+fn can_parse_paths() {
     struct Case {
         path: &'static str,
         query: Option<&'static str>,
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn can_read_wishes() {
+fn can_parse_request_options() {
     let read = RequestOptions::read(&headers(&[
         ("x-hornbeamrock-class", "background"),
         ("x-hornbeamrock-deadline-ms", "600000"),
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn errors_when_a_wish_is_not_allowed() {
+fn errors_when_a_request_option_is_invalid() {
     let cases: [&[(&str, &str)]; 9] = [
         &[("x-hornbeamrock-class", "Interactive")],
         &[("x-hornbeamrock-deadline-ms", "600001")],
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn can_pass_headers_on_without_token_and_connection() {
+fn can_forward_headers_without_token_and_connection_headers() {
     let passed = endpoint_headers(
         &headers(&[
             ("authorization", "Bearer secret"),
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn can_take_only_a_plain_request_id() {
+fn can_accept_only_a_valid_request_id() {
     let cases = [
         ("portal-42_a:b.c", true),
         ("", false),
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn can_recognise_holders_and_nobody_else() {
+fn can_authenticate_only_configured_tokens() {
     struct Case {
         name: &'static str,
         headers: &'static [(&'static str, &'static str)],
@@ -315,7 +315,7 @@
 }
 
 #[test]
-fn can_do_only_what_the_role_allows() {
+fn can_allow_only_what_the_role_permits() {
     let redacteurs = "redacteurs".parse().unwrap();
     let guichet = "guichet".parse().unwrap();
     let target = ServiceTarget::parse("guichet").unwrap();
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn can_tell_what_may_run_again() {
+fn can_decide_whether_a_call_is_idempotent() {
     struct Case {
         method: &'static str,
         path: &'static str,
@@ -370,9 +370,9 @@
     let owner = CustomerName::new("office").unwrap();
     let service = view.service(&owner, &"guichet".parse().unwrap()).unwrap();
     for case in cases {
-        let told = is_idempotent(service, case.method, case.path, case.stated);
+        let decided = is_idempotent(service, case.method, case.path, case.stated);
         assert_eq!(
-            told, case.idempotent,
+            decided, case.idempotent,
             "{} {} {:?}",
             case.method, case.path, case.stated
         );
@@ -380,7 +380,7 @@
 }
 
 #[test]
-fn errors_when_a_completion_is_not_well_formed() {
+fn errors_when_a_completion_is_malformed() {
     let cases = [
         ("{", "a cut body"),
         ("[]", "no object"),
@@ -409,7 +409,7 @@
 }
 
 #[test]
-fn can_give_an_engine_what_the_caller_wrote_and_its_own_fields() {
+fn can_forward_the_callers_fields_and_add_the_entrys_own() {
     let body = br#"{"model":"office.m","prompt":"a","seed":5,"request_id":"x","priority":-9}"#;
     let completion = Completion::parse(body).unwrap();
     let given = completion.for_engine("m", "r-1", 2, &[7, 8]);
--- a/components/gateway/tests/readiness.rs
+++ b/components/gateway/tests/readiness.rs
@@ -7,7 +7,7 @@
 use gateway::readiness::{Facts, Readiness};
 
 #[test]
-fn can_tell_why_an_entry_is_not_ready() {
+fn can_report_why_an_entry_is_not_ready() {
     struct Case {
         name: &'static str,
         facts: Facts,
@@ -25,11 +25,11 @@
         facts,
         readiness,
     };
-    let heard = Facts {
+    let answered = Facts {
         agent_answered: true,
         ..up
     };
-    let foreign = Facts {
+    let wrong_key = Facts {
         any_peer_answered: false,
         datagrams_dropped: 1,
         uptime_ms: 60_000,
@@ -37,7 +37,7 @@
     };
     let cases = [
         case("first probes are on their way", up, Readiness::NoAnswer),
-        case("an agent has answered", heard, Readiness::Ready),
+        case("an agent has answered", answered, Readiness::Ready),
         case(
             "all agents are down",
             Facts {
@@ -60,12 +60,12 @@
             },
             Readiness::Ready,
         ),
-        case("nothing heard is authentic", foreign, Readiness::WrongKey),
+        case("nothing heard is authentic", wrong_key, Readiness::WrongKey),
         case(
             "one of the others has a wrong key",
             Facts {
                 any_peer_answered: true,
-                ..foreign
+                ..wrong_key
             },
             Readiness::Ready,
         ),
@@ -73,7 +73,7 @@
             "an answer without a configuration",
             Facts {
                 configured: false,
-                ..heard
+                ..answered
             },
             Readiness::Unconfigured,
         ),
@@ -81,7 +81,7 @@
             "it leaves",
             Facts {
                 leaving: true,
-                ..heard
+                ..answered
             },
             Readiness::Leaving,
         ),
@@ -100,14 +100,12 @@
 // configuration from the log, but all others drop its probes and it drops theirs. Ready,
 // it would be sent its part of the requests and refuse each with no-endpoint.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn errors_when_the_key_of_an_entry_is_wrong() {
+async fn errors_when_an_entry_has_a_wrong_key() {
     let mut site = Site::start(Plan::default()).await;
-    let stranger = site.add_entry([8; 32]).await;
-    let status = site
-        .wait_for_status(stranger, "readiness", "wrong-key")
-        .await;
+    let entry = site.add_entry([8; 32]).await;
+    let status = site.wait_for_status(entry, "readiness", "wrong-key").await;
     assert_eq!(status["ready"], false);
     assert!(status["traffic"]["datagrams_dropped"].as_u64().unwrap() > 0);
-    assert_eq!(site.admin(stranger, "/readyz").await, 503);
+    assert_eq!(site.admin(entry, "/readyz").await, 503);
     assert_eq!(site.admin(0, "/readyz").await, 200);
 }
--- a/components/gateway/tests/requests.rs
+++ b/components/gateway/tests/requests.rs
@@ -14,7 +14,7 @@
 const KEY: &str = "idempotency-key";
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn errors_when_a_request_is_bad_and_disturbs_nothing_else() {
+async fn errors_when_a_request_is_invalid_without_affecting_others() {
     struct Case {
         name: &'static str,
         ask: Ask,
@@ -130,8 +130,8 @@
     for case in cases {
         let answer = site.send(0, &case.ask).await;
         let (status, outcome, cause) = answer.problem();
-        let told = (status, cause.as_str());
-        assert_eq!(told, case.problem, "{}", case.name);
+        let reported = (status, cause.as_str());
+        assert_eq!(reported, case.problem, "{}", case.name);
         assert_eq!(outcome, "not-run", "{}", case.name);
         let good = site.send(0, &Ask::get(CONSULT)).await;
         assert_eq!(good.status, 200, "after {}", case.name);
@@ -139,7 +139,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn can_carry_method_path_query_body_and_its_own_request_id() {
+async fn can_forward_method_path_query_body_and_request_id() {
     let site = Site::start(Plan::default()).await;
     let ask = Ask::post("/v1/services/guichet/dossiers/7?page=2", "four")
         .with("x-request-id", "portal-42");
@@ -154,7 +154,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn can_complete_unary_and_streamed_with_the_same_text() {
+async fn can_complete_with_the_same_text_unary_and_streamed() {
     let site = Site::start(Plan {
         engines: 2,
         services: 0,
@@ -182,7 +182,7 @@
 // the entry sends the ids of the tokens that the caller has with the next attempt, which
 // goes on after them. Without that the caller would get a part, or the same tokens again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn can_go_on_with_a_stream_at_another_engine() {
+async fn can_resume_a_stream_at_another_engine() {
     let site = Site::start(Plan {
         engines: 2,
         services: 0,
@@ -191,7 +191,7 @@
     })
     .await;
     let ask = Ask::post(COMPLETIONS, completion("terrace until two", 12, true));
-    let calm = site.send(0, &ask).await;
+    let uninterrupted = site.send(0, &ask).await;
     for engine in &site.engines {
         let mut cut = Fault::new(FaultKind::Cut).times(1).on(COMPLETIONS);
         cut.after = 3;
@@ -199,8 +199,11 @@
     }
     let resumed = site.send(0, &ask).await;
     assert!(resumed.whole, "{}", resumed.text());
-    assert_eq!(resumed.pieces(), calm.pieces());
-    assert_eq!(resumed.last_chunk()["usage"], calm.last_chunk()["usage"]);
+    assert_eq!(resumed.pieces(), uninterrupted.pieces());
+    assert_eq!(
+        resumed.last_chunk()["usage"],
+        uninterrupted.last_chunk()["usage"]
+    );
     assert_eq!(resumed.ids().len(), 1);
 }
 
@@ -208,7 +211,7 @@
 // is cut. Every engine cuts every stream, so the attempts run out after some events. A
 // clean end would let the caller take the part for the whole.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn errors_when_a_stream_breaks_for_good_and_never_ends_clean() {
+async fn errors_when_a_stream_fails_finally_without_a_clean_end() {
     let site = Site::start(Plan {
         engines: 2,
         services: 0,
@@ -233,7 +236,7 @@
 // it ran once: the entry may not send it again. A consultation under the same fault is
 // sent again and answered.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn can_tell_the_outcome_of_a_call_whose_answer_is_lost() {
+async fn can_report_the_outcome_of_a_call_whose_answer_is_lost() {
     let site = Site::start(Plan::default()).await;
     let lost = || Fault::new(FaultKind::AnswerLost).times(1);
     for service in &site.services {
@@ -252,7 +255,7 @@
 // it gets the first answer and the check ran once. The second entry reads the claim and
 // the recorded answer from the log. The same key with another body is refused.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn can_send_a_keyed_call_again_through_another_entry() {
+async fn can_repeat_a_keyed_call_through_another_entry() {
     let site = Site::start(Plan::default()).await;
     let check = Ask::post(SANCTION, r#"{"file":7}"#)
         .with(KEY, "file-7")
@@ -333,7 +336,7 @@
 // The caller whose check is in progress when its entry is told to leave gets its whole
 // answer, and the entry ends only after it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn can_leave_without_cutting_a_request() {
+async fn can_drain_without_interrupting_a_request() {
     let mut site = Site::start(Plan {
         service_ms: 700,
         ..Plan::default()
@@ -355,8 +358,8 @@
 // The caller over its customer's own limit is refused at once, as not run and with a time
 // to come back, and the refused calls ran nowhere.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn errors_when_a_customer_is_over_its_own_limit() {
-    refuses_above(Plan {
+async fn errors_when_a_customer_exceeds_its_own_limit() {
+    assert_refusals_above_the_limit(Plan {
         entries: 1,
         requests_per_s: 1,
         ..Plan::default()
@@ -367,8 +370,8 @@
 // A customer writes the highest limits into its text. The operator of the platform has
 // set a ceiling, which the text can't move.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn errors_when_a_customer_is_over_the_operators_ceiling() {
-    refuses_above(Plan {
+async fn errors_when_a_customer_exceeds_the_operators_ceiling() {
+    assert_refusals_above_the_limit(Plan {
         entries: 1,
         requests_per_s: 100_000,
         ceilings: Ceilings {
@@ -380,7 +383,7 @@
     .await;
 }
 
-async fn refuses_above(plan: Plan) {
+async fn assert_refusals_above_the_limit(plan: Plan) {
     const CALLS: u64 = 20;
     let site = Site::start(plan).await;
     let mut answered = 0;
@@ -404,7 +407,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn can_announce_name_ahead_and_roll_back() {
+async fn can_announce_prepare_and_roll_back_versions() {
     let site = Site::start(Plan {
         engines: 1,
         services: 0,
@@ -415,21 +418,22 @@
         let body = format!(r#"{{"version":"{version}"}}"#);
         Ask::post("/v1/training/redacteurs/weights", body).by(TRAINER)
     };
-    let mut early = weights("1.4");
-    early.path.push_str("/prepare");
-    assert_eq!(site.send(0, &early).await.problem().0, 409);
+    let mut premature = weights("1.4");
+    premature.path.push_str("/prepare");
+    assert_eq!(site.send(0, &premature).await.problem().0, 409);
     assert_eq!(site.send(0, &weights("1.4")).await.json()["version"], "1.4");
     let (status, _, cause) = site.send(0, &weights("1.3")).await.problem();
     assert_eq!((status, cause.as_str()), (409, "stale"));
-    let mut ahead = weights("1.5");
-    ahead.path.push_str("/prepare");
-    let named = site.send(0, &ahead).await.json();
+    let mut prepare = weights("1.5");
+    prepare.path.push_str("/prepare");
+    let prepared = site.send(0, &prepare).await.json();
     assert_eq!(
-        (&named["version"], &named["load"]),
+        (&prepared["version"], &prepared["load"]),
         (&"1.4".into(), &"1.5".into())
     );
-    let back = Ask::post("/v1/training/redacteurs/rollback", r#"{"version":"2.2"}"#).by(OPERATOR);
-    assert_eq!(site.send(0, &back).await.json()["version"], "2.2");
+    let rollback =
+        Ask::post("/v1/training/redacteurs/rollback", r#"{"version":"2.2"}"#).by(OPERATOR);
+    assert_eq!(site.send(0, &rollback).await.json()["version"], "2.2");
     let (status, _, _) = site.send(0, &weights("1.6")).await.problem();
     assert_eq!(status, 409);
 }
--- a/components/gateway/tests/unread.rs
+++ b/components/gateway/tests/unread.rs
@@ -22,30 +22,30 @@
 use tokio::time::{Instant, timeout};
 use tower::service_fn;
 
-const PART: &[u8] = &[b'x'; 64 * 1024];
+const PART_BYTES: &[u8] = &[b'x'; 64 * 1024];
 /// Far above what anything here takes; only a test that fails reaches it.
-const PATIENCE: Duration = Duration::from_secs(60);
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 /// The time that a caller may take nothing, and the time after the deadline.
-const STALL_MS: u64 = 5_000;
-const GRACE_MS: u64 = 1_000;
+const STALL_TIMEOUT_MS: u64 = 5_000;
+const DEADLINE_GRACE_MS: u64 = 1_000;
 
 /// Tells when what an answer holds is dropped.
-struct Held(Option<oneshot::Sender<()>>);
+struct DropNotifier(Option<oneshot::Sender<()>>);
 
-impl Drop for Held {
+impl Drop for DropNotifier {
     fn drop(&mut self) {
         let _ = self.0.take().unwrap().send(());
     }
 }
 
 /// An answer without an end, and the news that what it holds was released.
-fn endless() -> (
+fn endless_answer() -> (
     impl Stream<Item = Result<Bytes, AnswerInterrupted>> + Send + 'static,
     oneshot::Receiver<()>,
 ) {
-    let (held, released) = oneshot::channel();
-    let parts = stream::unfold(Held(Some(held)), |held| async {
-        Some((Ok(Bytes::from_static(PART)), held))
+    let (notifier, released) = oneshot::channel();
+    let parts = stream::unfold(DropNotifier(Some(notifier)), |notifier| async {
+        Some((Ok(Bytes::from_static(PART_BYTES)), notifier))
     });
     (parts, released)
 }
@@ -54,7 +54,7 @@
 // asks for the next part. What the request holds is released all the same, and what was
 // handed over ends in an error and not in an end.
 #[tokio::test(start_paused = true)]
-async fn can_release_what_an_unread_answer_holds() {
+async fn can_release_the_resources_of_an_unread_answer() {
     struct Case {
         name: &'static str,
         deadline_ms: u64,
@@ -64,19 +64,19 @@
         Case {
             name: "the caller takes nothing for a while",
             deadline_ms: 600_000,
-            released_ms: STALL_MS,
+            released_ms: STALL_TIMEOUT_MS,
         },
         Case {
             name: "the time of the request is over",
             deadline_ms: 2_000,
-            released_ms: 2_000 + GRACE_MS,
+            released_ms: 2_000 + DEADLINE_GRACE_MS,
         },
     ];
     for case in cases {
-        let (parts, released) = endless();
+        let (parts, released) = endless_answer();
         let began = Instant::now();
         let body = streamed(parts, now_ms() + case.deadline_ms);
-        timeout(PATIENCE, released).await.unwrap().unwrap();
+        timeout(TEST_TIMEOUT, released).await.unwrap().unwrap();
         let took_ms = began.elapsed().as_millis() as u64;
         // The deadline is on the process's clock, which goes on while the test's is paused.
         let expected = case.released_ms - 200..=case.released_ms + 200;
@@ -86,27 +86,27 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn can_hand_a_whole_answer_to_a_slow_caller() {
+async fn can_deliver_a_complete_answer_to_a_slow_caller() {
     let parts = stream::iter(0..100u8).map(|part| Ok(Bytes::from(vec![part])));
     let mut body = streamed(parts, now_ms() + 600_000);
     let mut bytes = Vec::new();
     while let Some(frame) = body.frame().await {
         bytes.extend_from_slice(&frame.unwrap().into_data().unwrap());
-        tokio::time::sleep(Duration::from_millis(STALL_MS - 1_000)).await;
+        tokio::time::sleep(Duration::from_millis(STALL_TIMEOUT_MS - 1_000)).await;
     }
     assert_eq!(bytes, (0..100).collect::<Vec<u8>>());
 }
 
 #[tokio::test]
-async fn can_release_an_answer_whose_caller_is_gone() {
+async fn can_release_an_answer_whose_caller_has_disconnected() {
     let silent = stream::once(future::pending::<Result<Bytes, AnswerInterrupted>>());
-    let (held, released) = oneshot::channel();
-    let held = Held(Some(held));
+    let (notifier, released) = oneshot::channel();
+    let notifier = DropNotifier(Some(notifier));
     let parts = silent.inspect(move |_| {
-        let _ = &held;
+        let _ = &notifier;
     });
     drop(streamed(parts, now_ms() + 600_000));
-    timeout(PATIENCE, released).await.unwrap().unwrap();
+    timeout(TEST_TIMEOUT, released).await.unwrap().unwrap();
 }
 
 /// Serves answers without an end, of requests with this time.
@@ -115,14 +115,14 @@
     let address = listener.local_addr().unwrap();
     let (stop, stopping) = watch::channel(false);
     let service = service_fn(move |_: Request<Incoming>| {
-        let body = streamed(endless().0, now_ms() + deadline_ms);
+        let body = streamed(endless_answer().0, now_ms() + deadline_ms);
         future::ready(Ok::<_, Infallible>(Response::new(body)))
     });
     let served = tokio::spawn(server::serve(listener, service, stopping));
     (address, stop, served)
 }
 
-async fn ask(to: SocketAddr, version: &str) -> TcpStream {
+async fn send_request(to: SocketAddr, version: &str) -> TcpStream {
     let socket = TcpSocket::new_v4().unwrap();
     socket.set_recv_buffer_size(4_096).unwrap();
     let mut stream = socket.connect(to).await.unwrap();
@@ -150,7 +150,7 @@
 // told to stop: it ends, although their sockets take nothing, and no caller can take what
 // it has for the whole: the connection is reset, or the last chunk is missing.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn can_stop_with_callers_that_do_not_read() {
+async fn can_stop_while_callers_do_not_read() {
     struct Case {
         name: &'static str,
         version: &'static str,
@@ -180,19 +180,19 @@
     ];
     for case in cases {
         let (address, stop, mut served) = serve(500).await;
-        let stream = ask(address, case.version).await;
+        let stream = send_request(address, case.version).await;
         // The answer has begun.
         stream.readable().await.unwrap();
         stop.send_replace(true);
         if case.reads {
-            let (in_order, last) = timeout(PATIENCE, read_to_end(stream)).await.unwrap();
-            let ends = case.version == "1.0" || last.ends_with(b"0\r\n\r\n");
-            assert!(!(in_order && ends), "{}", case.name);
-            timeout(PATIENCE, &mut served).await.unwrap().unwrap();
+            let (is_orderly, last) = timeout(TEST_TIMEOUT, read_to_end(stream)).await.unwrap();
+            let has_end = case.version == "1.0" || last.ends_with(b"0\r\n\r\n");
+            assert!(!(is_orderly && has_end), "{}", case.name);
+            timeout(TEST_TIMEOUT, &mut served).await.unwrap().unwrap();
         } else {
-            timeout(PATIENCE, &mut served).await.unwrap().unwrap();
-            let (in_order, _) = timeout(PATIENCE, read_to_end(stream)).await.unwrap();
-            assert!(!in_order, "{}", case.name);
+            timeout(TEST_TIMEOUT, &mut served).await.unwrap().unwrap();
+            let (is_orderly, _) = timeout(TEST_TIMEOUT, read_to_end(stream)).await.unwrap();
+            assert!(!is_orderly, "{}", case.name);
         }
     }
 }
