--- a/components/gateway/tests/bodies.rs
+++ b/components/gateway/tests/bodies.rs
@@ -1,5 +1,5 @@
-//! Bodies of requests: how many bytes the process holds of them, and for whom.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+//! Limits on the memory held for request bodies.
+#![allow(clippy::unwrap_used)] // clippy.toml allows `unwrap` in test functions, not in their helpers.
 
 mod common;
 
@@ -17,7 +17,7 @@
 const COMPLETIONS: &str = "/v1/completions";
 const LARGE_BYTES: usize = 4 << 20;
 
-/// Begins a request whose body never ends.
+/// Sends a request whose body is incomplete.
 async fn send_unfinished_request(to: SocketAddr, body_bytes: usize) -> TcpStream {
     let mut stream = TcpStream::connect(to).await.unwrap();
     let head = format!(
@@ -28,17 +28,16 @@
     stream
 }
 
-/// The first part of an answer.
+/// Reads the first part of an answer.
 async fn read_answer(stream: &mut TcpStream) -> String {
     let mut bytes = vec![0; 4_096];
     let length = stream.read(&mut bytes).await.unwrap();
     String::from_utf8_lossy(&bytes[..length]).into_owned()
 }
 
-// One caller opens many requests and leaves the end of each body out. Each of them used
-// to be read as far as it came, before any limit of its customer, until the entry was
-// out of memory and everybody's requests ended. Now the customer's part is bounded, and
-// the first request over it is refused at once, as not run.
+// Guards against one caller exhausting the entry's memory with many requests whose bodies never
+// end, each read before the customer's limits apply. The first request over the customer's limits
+// must be refused at once, as not run.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_limit_unfinished_bodies_of_one_customer() {
     struct Case {
@@ -49,13 +48,13 @@
     }
     let cases = [
         Case {
-            name: "the bytes of its bodies",
+            name: "the customer's body budget",
             ceilings: Ceilings::default(),
             connections: 9,
             body_bytes: LARGE_BYTES,
         },
         Case {
-            name: "its requests in progress",
+            name: "the customer's limit of requests in progress",
             ceilings: Ceilings {
                 in_progress: Some(2),
                 ..Ceilings::default()
@@ -97,38 +96,38 @@
 fn can_share_the_body_budget_among_customers() {
     struct Case {
         name: &'static str,
-        /// Customer and bytes of bodies that are held.
+        /// Reserved body bytes, as pairs of customer and size.
         held: &'static [(usize, usize)],
         requested: (usize, usize),
         outcome: Result<(), OverBudget>,
     }
     let cases = [
         Case {
-            name: "a customer alone, up to its part",
+            name: "a single customer, up to its limit",
             held: &[(0, 20)],
             requested: (0, 10),
             outcome: Ok(()),
         },
         Case {
-            name: "a customer alone, over its part",
+            name: "a single customer, over its limit",
             held: &[(0, 20)],
             requested: (0, 11),
             outcome: Err(OverBudget::Customer),
         },
         Case {
-            name: "a customer that holds as much as is left",
+            name: "a customer that holds as much as is free",
             held: &[(0, 30), (1, 30), (2, 20)],
             requested: (2, 1),
             outcome: Err(OverBudget::Customer),
         },
         Case {
-            name: "a customer that begins while others hold much",
+            name: "a new customer while others hold large bodies",
             held: &[(0, 30), (1, 30), (2, 20)],
             requested: (3, 20),
             outcome: Ok(()),
         },
         Case {
-            name: "more than the process has left",
+            name: "more than the process has free",
             held: &[(0, 30), (1, 30), (2, 20)],
             requested: (3, 21),
             outcome: Err(OverBudget::Process),
--- a/components/gateway/tests/connections.rs
+++ b/components/gateway/tests/connections.rs
@@ -1,5 +1,5 @@
-//! Connections of callers when there are no more to be had.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+//! Behaviour at the maximum number of connections.
+#![allow(clippy::unwrap_used)] // clippy.toml allows `unwrap` in test functions, not in their helpers.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -18,14 +18,14 @@
 use tokio::time::timeout;
 use tower::service_fn;
 
-/// Far above what anything here takes; only a test that fails reaches it.
+/// Reached only by a failing test.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
-/// Less than the 5 s after which connections without a request end by themselves.
+/// Less than the 5 s after which connections without a request are closed anyway.
 const BELOW_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 const CONNECTIONS_MAX: usize = 8;
 const REQUEST: &str = "GET / HTTP/1.1\r\nHost: entry\r\n\r\n";
 
-/// A server of few connections; `/wait` is answered when the gate is open.
+/// A server with few connections. Requests for `/wait` are answered only after `gate` opens.
 struct Server {
     address: SocketAddr,
     gate: watch::Sender<bool>,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Opens a connection and sends this.
+    /// Opens a connection and sends `bytes`.
     async fn open(&self, bytes: &str) -> TcpStream {
         let mut stream = TcpStream::connect(self.address).await.unwrap();
         stream.write_all(bytes.as_bytes()).await.unwrap();
@@ -80,7 +80,7 @@
     }
 }
 
-/// Whether a whole answer comes.
+/// Returns whether a complete answer arrives.
 async fn is_answered(stream: &mut TcpStream) -> bool {
     let mut answer = Vec::new();
     let until = async {
@@ -94,7 +94,7 @@
     timeout(TEST_TIMEOUT, until).await.unwrap()
 }
 
-/// Waits until the other side has closed the connection.
+/// Returns whether the server closes the connection.
 async fn is_closed(stream: &mut TcpStream) -> bool {
     let read = timeout(TEST_TIMEOUT, stream.read(&mut [0; 64]))
         .await
@@ -102,9 +102,9 @@
     matches!(read, Ok(0) | Err(_))
 }
 
-// Somebody without a token opens as many connections as there are, and sends nothing, or
-// never the whole of a request's head. A caller who comes then used to wait for a minute;
-// now the connection that has been idle for the longest time is closed for it.
+// Guards against a client without a token blocking all others: it opens every available connection
+// and sends nothing or only part of a request head. The longest idle connection must be closed for
+// a new caller, who would otherwise wait for a minute.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_answer_when_idle_connections_reach_the_limit() {
     struct Case {
@@ -119,7 +119,7 @@
             answered: false,
         },
         Case {
-            name: "a part of a head was sent",
+            name: "part of a request head was sent",
             sent: "GET / HTTP/1.1\r\nHost: ent",
             answered: false,
         },
@@ -147,8 +147,8 @@
     }
 }
 
-// All places are taken by requests in progress. One more caller waits; none of the others
-// is closed for it, and it is answered when one of them has ended.
+// Guards against closing a connection with a request in progress: all connections are busy, so one
+// more caller must wait until one of them has ended.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_keep_connections_with_a_request_in_progress() {
     let mut server = Server::start().await;
@@ -166,7 +166,7 @@
             .unwrap(),
     );
     let mut caller = server.open(REQUEST).await;
-    // Time for several looks for a connection to close.
+    // Long enough for several rounds of closing idle connections.
     let unanswered = timeout(Duration::from_millis(500), is_answered(&mut caller)).await;
     assert!(unanswered.is_err());
     server.gate.send_replace(true);
@@ -194,16 +194,24 @@
     let mut opened = Vec::new();
     for number in 0..max {
         let connection = Connection::new();
-        // Idle ones come in the order of their times; the first three are busy.
+        // Connections 3 and later are idle, oldest first; the first three are busy.
         let busy = (number < 3).then(|| connection.begin_request());
         connections.add(tokio::spawn(async {}).id(), connection.clone());
         opened.push((connection, busy));
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
-    assert_eq!(connections.close_idle(now_ms()), 0, "too young");
+    assert_eq!(
+        connections.close_idle(now_ms()),
+        0,
+        "not idle for long enough"
+    );
     let now_ms = now_ms() + 1_000;
     assert_eq!(connections.close_idle(now_ms), 2);
-    assert_eq!(connections.close_idle(now_ms + 1), 0, "just after");
+    assert_eq!(
+        connections.close_idle(now_ms + 1),
+        0,
+        "too soon after the previous round"
+    );
     let closing = opened.iter().enumerate();
     let closing = closing.filter(|(_, (connection, _))| connection.is_closing());
     let closing: Vec<usize> = closing.map(|(number, _)| number).collect();
@@ -242,6 +250,6 @@
     assert_eq!(
         descriptors::raise_limit(),
         raised,
-        "nothing is left to raise"
+        "the limit is already at its maximum"
     );
 }
--- a/components/gateway/tests/hedging.rs
+++ b/components/gateway/tests/hedging.rs
@@ -1,5 +1,5 @@
-//! Second copies of slow calls.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+//! Hedged requests.
+#![allow(clippy::unwrap_used)] // clippy.toml allows `unwrap` in test functions, not in their helpers.
 
 mod common;
 
@@ -14,7 +14,7 @@
 
 const CALLS: usize = 1_200;
 const CALLERS: usize = 8;
-/// Calls by which the service's usual latency is known.
+/// Calls that establish the service's usual latency before one replica becomes slow.
 const WARM_UP_CALLS: usize = 200;
 const SLOW_DELAY_MS: u64 = 300;
 /// Header by which the stand-in counts runs.
@@ -35,8 +35,8 @@
     Site::start(plan).await
 }
 
-/// Makes calls after each other until as many as wanted were made by all callers; the
-/// time of each.
+/// Sends calls one after another until all callers together have sent `calls`; returns the latency
+/// of each call.
 async fn run_caller(site: &Site, ask: &Ask, sent_count: &AtomicUsize, calls: usize) -> Vec<u128> {
     let mut latencies_ms = Vec::new();
     while sent_count.fetch_add(1, Ordering::Relaxed) < calls {
@@ -55,7 +55,7 @@
     latencies_ms
 }
 
-/// Times of the calls that were made after one replica became slow, sorted.
+/// Makes one replica slow after the warm-up and returns the sorted latencies of the later calls.
 async fn measure_with_slow_replica(site: &Site, ask: &Ask) -> Vec<u128> {
     run_calls(site, ask, WARM_UP_CALLS).await;
     let fault = json!({ "kind": "slow", "delay_ms": SLOW_DELAY_MS }).to_string();
@@ -70,20 +70,19 @@
     println!("{name}: p50 {p50} ms, p95 {p95} ms, p99 {p99} ms, {runs} runs of {CALLS} calls");
 }
 
-// One of three replicas becomes slow. It still answers, so it is not ejected, and the
-// calls that it has are late. A clerk waits for the slow replica though two others are
-// idle; a second copy at one of those answers her, and the first is given up.
+// Guards against late answers while one of three replicas is slow. It still answers, so it is not
+// ejected. A second copy at an idle replica must answer, and the first copy is then cancelled.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_answer_from_a_hedge_when_the_first_replica_is_slow() {
     let ask = Ask::get("/v1/services/guichet/records/1").with(TAG, "hedged");
     let hedged = start_site(HedgeSettings::default()).await;
     let latencies = measure_with_slow_replica(&hedged, &ask).await;
     let runs = hedged.runs("hedged").await;
-    print_latencies("with second copies", &latencies, runs);
-    assert!(runs > CALLS as u64, "no call was sent twice");
+    print_latencies("hedging enabled", &latencies, runs);
+    assert!(runs > CALLS as u64, "no call was hedged");
     assert!(
         runs <= CALLS as u64 * 12 / 10,
-        "more copies than the budget has"
+        "more hedges than the retry budget allows"
     );
 
     let disabled = HedgeSettings {
@@ -93,11 +92,11 @@
     let unhedged = start_site(disabled).await;
     let latencies = measure_with_slow_replica(&unhedged, &ask).await;
     let runs = unhedged.runs("hedged").await;
-    print_latencies("without", &latencies, runs);
+    print_latencies("hedging disabled", &latencies, runs);
     assert_eq!(runs, CALLS as u64);
 }
 
-// A sanction check may run once only, however slow its replica is.
+// Guards against a second run of a call that must run only once, however slow its replica is.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_leave_non_idempotent_calls_unhedged() {
     let ask = Ask::post("/v1/services/guichet/sanctions", "{}").with(TAG, "once");
--- a/components/gateway/tests/parts.rs
+++ b/components/gateway/tests/parsing.rs
@@ -1,5 +1,5 @@
-//! What is read of a request before anything is done: paths, headers, bodies, tokens.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+//! Parsing of requests: paths, headers, bodies and tokens.
+#![allow(clippy::unwrap_used)] // clippy.toml allows `unwrap` in test functions, not in their helpers.
 
 use std::sync::Arc;
 
@@ -266,7 +266,7 @@
             role: Some(Role::Caller),
         },
         Case {
-            name: "another case of the scheme",
+            name: "the scheme in lower case",
             headers: &[("authorization", "bearer trainer")],
             role: Some(Role::Trainer),
         },
@@ -331,7 +331,7 @@
         assert_eq!(allowed, Role::ALL.map(|other| other == role), "{role}");
         assert!(
             session.trainable(&guichet).is_err(),
-            "{role} trains a plain service"
+            "{role} can train a plain service"
         );
     }
 }
@@ -382,24 +382,27 @@
 #[test]
 fn errors_when_a_completion_is_malformed() {
     let cases = [
-        ("{", "a cut body"),
-        ("[]", "no object"),
+        ("{", "a truncated body"),
+        ("[]", "not an object"),
         (r#"{"prompt":"a"}"#, "no model"),
         (r#"{"model":"m"}"#, "no prompt"),
         (r#"{"model":"m","prompt":["a"]}"#, "several prompts"),
         (r#"{"model":"m","prompt":"a","n":2}"#, "several answers"),
         (
             r#"{"model":"m","prompt":"a","stream":"yes"}"#,
-            "a stream that is no boolean",
+            "a stream field that is not a boolean",
+        ),
+        (
+            r#"{"model":"m","prompt":"a","max_tokens":0}"#,
+            "zero tokens",
         ),
-        (r#"{"model":"m","prompt":"a","max_tokens":0}"#, "no tokens"),
         (
             r#"{"model":"m","prompt":"a","max_tokens":65537}"#,
             "too many tokens",
         ),
         (
             r#"{"model":"m","prompt":"a","resume_tokens":[1]}"#,
-            "tokens of the system's own",
+            "a field reserved for the entry",
         ),
     ];
     for (body, name) in cases {
--- a/components/gateway/tests/problems.rs
+++ b/components/gateway/tests/problems.rs
@@ -1,5 +1,5 @@
-//! Problem documents, as callers read them.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+//! Problem documents as sent to callers.
+#![allow(clippy::unwrap_used)] // clippy.toml allows `unwrap` in test functions, not in their helpers.
 
 use gateway::problem;
 use gateway::rejection::{BodyFault, Rejection};
--- a/components/gateway/tests/readiness.rs
+++ b/components/gateway/tests/readiness.rs
@@ -1,5 +1,5 @@
-//! When the balancer may send requests to an entry.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+//! Conditions under which the load balancer may send requests to an entry.
+#![allow(clippy::unwrap_used)] // clippy.toml allows `unwrap` in test functions, not in their helpers.
 
 mod common;
 
@@ -36,7 +36,11 @@
         ..up
     };
     let cases = [
-        case("first probes are on their way", up, Readiness::NoAnswer),
+        case(
+            "the first probes are not answered yet",
+            up,
+            Readiness::NoAnswer,
+        ),
         case("an agent has answered", answered, Readiness::Ready),
         case(
             "all agents are down",
@@ -52,7 +56,7 @@
             Readiness::NoAnswer,
         ),
         case(
-            "no agent is listed",
+            "no agent is listed after the timeout",
             Facts {
                 agents: 0,
                 uptime_ms: 1_000,
@@ -60,9 +64,13 @@
             },
             Readiness::Ready,
         ),
-        case("nothing heard is authentic", wrong_key, Readiness::WrongKey),
         case(
-            "one of the others has a wrong key",
+            "no received datagram is authentic",
+            wrong_key,
+            Readiness::WrongKey,
+        ),
+        case(
+            "another process has a wrong key",
             Facts {
                 any_peer_answered: true,
                 ..wrong_key
@@ -78,7 +86,7 @@
             Readiness::Unconfigured,
         ),
         case(
-            "it leaves",
+            "the process is leaving",
             Facts {
                 leaving: true,
                 ..answered
@@ -96,9 +104,9 @@
     }
 }
 
-// An operator starts an entry with the key of another installation. It reads the
-// configuration from the log, but all others drop its probes and it drops theirs. Ready,
-// it would be sent its part of the requests and refuse each with no-endpoint.
+// Guards against a ready entry that can serve nothing. With the key of another installation the
+// entry reads the configuration, but it and all other processes drop each other's datagrams. If
+// it were ready, it would refuse its share of the requests with no-endpoint.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn errors_when_an_entry_has_a_wrong_key() {
     let mut site = Site::start(Plan::default()).await;
--- a/components/gateway/tests/requests.rs
+++ b/components/gateway/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests through whole entries and agents, with faults at the endpoints and the log.
+//! Requests through complete entries and agents, with faults at the endpoints and the log.
 
 mod common;
 
@@ -38,7 +38,7 @@
             problem: (401, "unauthenticated"),
         },
         Case {
-            name: "a token that nobody holds",
+            name: "a token that is not configured",
             ask: Ask::get(CONSULT).by("nobody"),
             problem: (401, "unauthenticated"),
         },
@@ -53,7 +53,7 @@
             problem: (403, "forbidden"),
         },
         Case {
-            name: "a trainer's token on a roll-back",
+            name: "a trainer's token on a rollback",
             ask: Ask::post("/v1/training/redacteurs/rollback", r#"{"version":"2.0"}"#).by(TRAINER),
             problem: (403, "forbidden"),
         },
@@ -63,7 +63,7 @@
             problem: (404, "unknown-service"),
         },
         Case {
-            name: "a name that is none",
+            name: "an invalid service name",
             ask: Ask::get("/v1/services/Archives/x"),
             problem: (404, "unknown-service"),
         },
@@ -73,7 +73,7 @@
             problem: (403, "forbidden"),
         },
         Case {
-            name: "a model where a plain service is due",
+            name: "a model on the path of plain services",
             ask: Ask::get("/v1/services/redacteurs/v1/models"),
             problem: (400, "malformed"),
         },
@@ -83,7 +83,7 @@
             problem: (404, "malformed"),
         },
         Case {
-            name: "another method",
+            name: "an unsupported method",
             ask: delete,
             problem: (405, "malformed"),
         },
@@ -103,17 +103,17 @@
             problem: (413, "too-large"),
         },
         Case {
-            name: "a class that is none",
+            name: "an invalid class",
             ask: Ask::get(CONSULT).with("x-hornbeamrock-class", "urgent"),
             problem: (400, "malformed"),
         },
         Case {
-            name: "a deadline that is none",
+            name: "an invalid deadline",
             ask: Ask::get(CONSULT).with("x-hornbeamrock-deadline-ms", "0"),
             problem: (400, "malformed"),
         },
         Case {
-            name: "a step that is none",
+            name: "a malformed step",
             ask: Ask::post("/v1/training/redacteurs/steps", "[1]").by(TRAINER),
             problem: (400, "malformed"),
         },
@@ -178,9 +178,9 @@
     assert_eq!(streamed.pieces().concat(), text);
 }
 
-// The caller sees one whole stream. Each of two engines cuts it once after three events;
-// the entry sends the ids of the tokens that the caller has with the next attempt, which
-// goes on after them. Without that the caller would get a part, or the same tokens again.
+// Guards against missing or repeated text when an engine fails during a stream. Each of two engines
+// cuts the stream once after three events; the next attempt must send the ids of the tokens that
+// the caller already has.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_resume_a_stream_at_another_engine() {
     let site = Site::start(Plan {
@@ -207,9 +207,8 @@
     assert_eq!(resumed.ids().len(), 1);
 }
 
-// The caller sees a stream that breaks: an event with the problem, then a connection that
-// is cut. Every engine cuts every stream, so the attempts run out after some events. A
-// clean end would let the caller take the part for the whole.
+// Guards against a partial stream that looks complete. Every engine cuts every stream until the
+// attempts are used up; the caller must get an error event and then a closed connection.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn errors_when_a_stream_fails_finally_without_a_clean_end() {
     let site = Site::start(Plan {
@@ -232,9 +231,8 @@
     assert!(!answer.text().contains("[DONE]"));
 }
 
-// The caller sees "unknown" for a sanction check whose answer was lost after it ran, and
-// it ran once: the entry may not send it again. A consultation under the same fault is
-// sent again and answered.
+// Guards against a second run of a non-idempotent call whose answer was lost after it ran: the
+// caller must get the outcome "unknown". An idempotent call with the same fault is retried.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_report_the_outcome_of_a_call_whose_answer_is_lost() {
     let site = Site::start(Plan::default()).await;
@@ -251,9 +249,8 @@
     assert_eq!(consult.status, 200);
 }
 
-// The caller sends a keyed sanction check through one entry and again through the other:
-// it gets the first answer and the check ran once. The second entry reads the claim and
-// the recorded answer from the log. The same key with another body is refused.
+// Guards against a second run when a keyed call is repeated through another entry, which must
+// replay the answer recorded in the log. The same key with another body must be refused.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_repeat_a_keyed_call_through_another_entry() {
     let site = Site::start(Plan::default()).await;
@@ -277,8 +274,8 @@
     assert_eq!(site.runs("keyed").await, 1);
 }
 
-// The caller sees "not run, come back" for a keyed check while the log is down, and the
-// check did not run. Without the log nobody can know that no other entry runs the key.
+// Guards against running a keyed call while the log is down, when no entry can know whether another
+// entry runs the key. The caller must get a refusal with a retry delay.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn errors_when_the_log_cannot_take_a_claim() {
     let site = Site::start(Plan::default()).await;
@@ -299,10 +296,9 @@
     assert_eq!(unkeyed.status, 200);
 }
 
-// The caller of a prompt that crashes engines gets a final answer, and its own repeat is
-// refused without another crash. Engines die under it; the entry tries the suspect apart
-// and then condemns it. It may miss the news of one crash on a busy machine, so one engine
-// more stands by for the harmless prompt.
+// Guards against a prompt that crashes one engine after another. The entry must condemn the prompt
+// after two crashes and refuse its repetition. It can miss the report of one crash on a busy
+// machine, so one more engine serves the harmless prompt.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn errors_when_a_prompt_has_crashed_two_engines() {
     let site = Site::start(Plan {
@@ -333,8 +329,8 @@
     assert_eq!(harmless.status, 200, "{}", harmless.text());
 }
 
-// The caller whose check is in progress when its entry is told to leave gets its whole
-// answer, and the entry ends only after it.
+// Guards against interrupting a request when its entry drains: the entry must end only after the
+// complete answer was sent.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_drain_without_interrupting_a_request() {
     let mut site = Site::start(Plan {
@@ -355,8 +351,8 @@
     assert!(answer.whole);
 }
 
-// The caller over its customer's own limit is refused at once, as not run and with a time
-// to come back, and the refused calls ran nowhere.
+// Guards against unlimited use by one customer. Calls over its own limit must be refused at once,
+// as not run and with a retry delay, and must not run.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn errors_when_a_customer_exceeds_its_own_limit() {
     assert_refusals_above_the_limit(Plan {
@@ -367,8 +363,8 @@
     .await;
 }
 
-// A customer writes the highest limits into its text. The operator of the platform has
-// set a ceiling, which the text can't move.
+// Guards against a customer that raises its own limits in its configuration. The platform
+// operator's ceiling must apply.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn errors_when_a_customer_exceeds_the_operators_ceiling() {
     assert_refusals_above_the_limit(Plan {
--- a/components/gateway/tests/unread.rs
+++ b/components/gateway/tests/unread.rs
@@ -1,5 +1,5 @@
-//! Answers that their callers do not read.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+//! Answers that callers do not read.
+#![allow(clippy::unwrap_used)] // clippy.toml allows `unwrap` in test functions, not in their helpers.
 
 use std::convert::Infallible;
 use std::io::ErrorKind;
@@ -23,13 +23,13 @@
 use tower::service_fn;
 
 const PART_BYTES: &[u8] = &[b'x'; 64 * 1024];
-/// Far above what anything here takes; only a test that fails reaches it.
+/// Reached only by a failing test.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
-/// The time that a caller may take nothing, and the time after the deadline.
+/// Time for which a caller may accept no bytes, as in the delivery code.
 const STALL_TIMEOUT_MS: u64 = 5_000;
 const DEADLINE_GRACE_MS: u64 = 1_000;
 
-/// Tells when what an answer holds is dropped.
+/// Signals when the resources of an answer are dropped.
 struct DropNotifier(Option<oneshot::Sender<()>>);
 
 impl Drop for DropNotifier {
@@ -38,7 +38,7 @@
     }
 }
 
-/// An answer without an end, and the news that what it holds was released.
+/// Returns an answer that never ends, and a receiver that completes when the answer is dropped.
 fn endless_answer() -> (
     impl Stream<Item = Result<Bytes, AnswerInterrupted>> + Send + 'static,
     oneshot::Receiver<()>,
@@ -50,9 +50,9 @@
     (parts, released)
 }
 
-// The caller opens a connection for a long answer and reads nothing, so `hyper` never
-// asks for the next part. What the request holds is released all the same, and what was
-// handed over ends in an error and not in an end.
+// Guards against a caller that reads nothing and thereby holds a request's resources forever,
+// because `hyper` never polls for the next part. The resources must be released, and the delivered
+// body must end in an error.
 #[tokio::test(start_paused = true)]
 async fn can_release_the_resources_of_an_unread_answer() {
     struct Case {
@@ -62,12 +62,12 @@
     }
     let cases = [
         Case {
-            name: "the caller takes nothing for a while",
+            name: "the caller accepts nothing for the stall timeout",
             deadline_ms: 600_000,
             released_ms: STALL_TIMEOUT_MS,
         },
         Case {
-            name: "the time of the request is over",
+            name: "the deadline has passed",
             deadline_ms: 2_000,
             released_ms: 2_000 + DEADLINE_GRACE_MS,
         },
@@ -78,7 +78,7 @@
         let body = streamed(parts, now_ms() + case.deadline_ms);
         timeout(TEST_TIMEOUT, released).await.unwrap().unwrap();
         let took_ms = began.elapsed().as_millis() as u64;
-        // The deadline is on the process's clock, which goes on while the test's is paused.
+        // The deadline uses the process's clock, which continues while the test's clock is paused.
         let expected = case.released_ms - 200..=case.released_ms + 200;
         assert!(expected.contains(&took_ms), "{}: {took_ms}", case.name);
         assert!(body.collect().await.is_err(), "{}", case.name);
@@ -109,7 +109,7 @@
     timeout(TEST_TIMEOUT, released).await.unwrap().unwrap();
 }
 
-/// Serves answers without an end, of requests with this time.
+/// Starts a server that sends answers without an end to requests with this deadline.
 async fn serve(deadline_ms: u64) -> (SocketAddr, watch::Sender<bool>, JoinHandle<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -131,7 +131,8 @@
     stream
 }
 
-/// Reads to the end of the connection; whether it was closed in order, and its last bytes.
+/// Reads until the connection ends; returns whether it was closed without a reset, and the last
+/// bytes received.
 async fn read_to_end(mut stream: TcpStream) -> (bool, Vec<u8>) {
     let (mut buffer, mut last) = (vec![0; 256 * 1024], Vec::new());
     loop {
@@ -146,9 +147,9 @@
     }
 }
 
-// Callers read nothing, or read on and on past the time of their request. The server is
-// told to stop: it ends, although their sockets take nothing, and no caller can take what
-// it has for the whole: the connection is reset, or the last chunk is missing.
+// Guards against a server that cannot stop because callers do not read, or read past the deadline.
+// No caller may mistake its partial answer for a complete one: the connection must be reset or the
+// last chunk must be missing.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_stop_while_callers_do_not_read() {
     struct Case {
@@ -163,7 +164,7 @@
             reads: false,
         },
         Case {
-            name: "nothing is read of an answer that ends by close",
+            name: "nothing is read of an answer that ends by closing the connection",
             version: "1.0",
             reads: false,
         },
@@ -173,7 +174,7 @@
             reads: true,
         },
         Case {
-            name: "all is read of an answer that ends by close",
+            name: "all is read of an answer that ends by closing the connection",
             version: "1.0",
             reads: true,
         },
@@ -181,7 +182,7 @@
     for case in cases {
         let (address, stop, mut served) = serve(500).await;
         let stream = send_request(address, case.version).await;
-        // The answer has begun.
+        // Waits until the answer has started.
         stream.readable().await.unwrap();
         stop.send_replace(true);
         if case.reads {
