--- a/components/gateway/src/body_budget.rs
+++ b/components/gateway/src/body_budget.rs
@@ -97,7 +97,7 @@
     fn try_reserve(&self, customer: &BodyUse, bytes: usize) -> Result<(), OverBudget> {
         let process = add_within(&self.held_bytes, bytes, self.process_bytes_max);
         let held = process.ok_or(OverBudget::Process)?;
-        // Free bytes before this reservation, which counts as the customer's own.
+        // Free bytes before this reservation; the reservation itself counts towards the customer.
         let free = self.process_bytes_max - held;
         let customer_max = self.customer_bytes_max.min(free);
         if add_within(&customer.0, bytes, customer_max).is_none() {
--- a/components/gateway/src/completion_stream.rs
+++ b/components/gateway/src/completion_stream.rs
@@ -57,11 +57,11 @@
     fn push(&mut self, bytes: &[u8]) -> Result<Bytes, Failure> {
         let not_an_answer = || Failure::new(RunState::Failed, Cause::EndpointError);
         self.partial_event.extend_from_slice(bytes);
-        let whole = complete_events_len(&self.partial_event);
-        if self.partial_event.len() - whole > EVENT_BYTES_MAX {
+        let complete_bytes = complete_events_len(&self.partial_event);
+        if self.partial_event.len() - complete_bytes > EVENT_BYTES_MAX {
             return Err(not_an_answer());
         }
-        let events = self.partial_event.split_to(whole).freeze();
+        let events = self.partial_event.split_to(complete_bytes).freeze();
         let (token_ids, has_text_without_ids) =
             (&mut self.token_ids, &mut self.has_text_without_ids);
         let parsed = self.parser.push(&events, |piece| {
--- a/components/gateway/src/connections.rs
+++ b/components/gateway/src/connections.rs
@@ -136,8 +136,8 @@
     /// Closes the connections that have been idle for the longest time and returns their number.
     /// Does nothing while there is capacity or shortly after the previous round.
     pub fn close_idle(&mut self, now_ms: u64) -> usize {
-        let just_now = |last_close_ms| now_ms < last_close_ms + CLOSE_INTERVAL_MS;
-        if self.has_capacity() || self.last_close_ms.is_some_and(just_now) {
+        let is_recent = |last_close_ms| now_ms < last_close_ms + CLOSE_INTERVAL_MS;
+        if self.has_capacity() || self.last_close_ms.is_some_and(is_recent) {
             return 0;
         }
         self.last_close_ms = Some(now_ms);
@@ -147,8 +147,8 @@
         });
         let mut idle: Vec<_> = idle.collect();
         idle.sort_by_key(|(since_ms, _)| *since_ms);
-        let part = (self.max / CLOSE_DIVISOR).max(1);
-        let oldest = idle.iter().take(part);
+        let close_count = (self.max / CLOSE_DIVISOR).max(1);
+        let oldest = idle.iter().take(close_count);
         let closed = oldest.map(|(_, connection)| connection.close()).count();
         self.closed += closed;
         self.log(now_ms);
@@ -156,8 +156,8 @@
     }
 
     fn log(&mut self, now_ms: u64) {
-        let lately = |last_log_ms| now_ms < last_log_ms + LOG_INTERVAL_MS;
-        if self.last_log_ms.is_some_and(lately) {
+        let is_recent = |last_log_ms| now_ms < last_log_ms + LOG_INTERVAL_MS;
+        if self.last_log_ms.is_some_and(is_recent) {
             return;
         }
         self.last_log_ms = Some(now_ms);
--- a/components/gateway/src/endpoint_life.rs
+++ b/components/gateway/src/endpoint_life.rs
@@ -1,7 +1,7 @@
 //! Determines whether an endpoint crashed during a call or only the connection to it failed.
 //!
-//! A failed connection must not count as a crash: two such failures would have a common call
-//! refused for minutes. An agent checks its endpoint as soon as a call has lost it and gossips the
+//! A failed connection must not count as a crash: two such failures would quarantine an ordinary
+//! call for minutes. An agent checks its endpoint as soon as a call has lost it and gossips the
 //! result to the entries, which wait a short time for this update.
 
 use std::time::Duration;
--- a/components/gateway/src/entry.rs
+++ b/components/gateway/src/entry.rs
@@ -119,13 +119,13 @@
 }
 
 fn admin_hooks(gateway: &Arc<Gateway>, leaving: &DrainSignal) -> AdminHooks {
-    let ready = Arc::clone(gateway);
-    let shown = Arc::clone(gateway);
+    let ready_gateway = Arc::clone(gateway);
+    let status_gateway = Arc::clone(gateway);
     let leaving = leaving.clone();
     AdminHooks {
-        ready: Arc::new(move || ready.readiness() == Readiness::Ready),
+        ready: Arc::new(move || ready_gateway.readiness() == Readiness::Ready),
         status: Arc::new(move || -> BoxFuture<'static, String> {
-            status::json(Arc::clone(&shown)).boxed()
+            status::json(Arc::clone(&status_gateway)).boxed()
         }),
         drain: Arc::new(move || leaving.trigger()),
     }
--- a/components/gateway/src/request_body.rs
+++ b/components/gateway/src/request_body.rs
@@ -88,8 +88,8 @@
         while data.has_remaining() {
             let part = data.chunk();
             bytes.extend_from_slice(part);
-            let taken = part.len();
-            data.advance(taken);
+            let copied = part.len();
+            data.advance(copied);
         }
     }
     Ok(Bytes::from_owner(ReservedBytes {
