--- a/components/gateway/src/answer.rs
+++ b/components/gateway/src/answer.rs
@@ -1,4 +1,4 @@
-//! From an attempt that has its head to the answer that the caller gets.
+//! Produces the client's response from an attempt whose response head has arrived.
 
 use std::sync::Arc;
 
@@ -13,141 +13,148 @@
 use types::{Cause, Failure, RunState};
 
 use crate::admission::{Admitted, admit};
-use crate::attempt::{Attempt, Where};
-use crate::body::{AnswerBroken, Body, full, streamed};
+use crate::attempt::{Attempt, ReplicaConstraints};
+use crate::body::{AnswerInterrupted, Body, full, streamed};
 use crate::completion;
-use crate::exchange::Exchange;
 use crate::gateway::Gateway;
 use crate::job::Job;
 use crate::rejection::Rejection;
+use crate::retried_call::RetriedCall;
 use crate::trace::Trace;
 
-/// An answer of a stated length up to this is taken whole before it goes on, so that one
-/// that is cut can be asked for again. Longer ones go on as they come.
-const COLLECTED_BYTES_MAX: usize = 64 * 1024;
+/// Answers of idempotent calls with a content length up to this limit are buffered before they
+/// are sent to the caller, so that an interrupted answer can be requested again. Longer answers
+/// are streamed.
+const BUFFERED_BYTES_MAX: usize = 64 * 1024;
 
-/// A request that is being answered, with all that it holds.
-pub struct Answering {
-    /// The request and its attempts.
-    pub exchange: Exchange,
-    /// What it holds.
+/// A request in progress with the resources that it holds.
+pub struct ActiveRequest {
+    /// The call to the endpoint with all its attempts.
+    pub retried_call: RetriedCall,
+    /// Limits, queue slot and drain guard of the request.
     pub admitted: Admitted,
-    /// What is recorded of it.
+    /// Records metrics and the log line at the end of the request.
     pub trace: Trace,
 }
 
-impl Answering {
-    /// Lets a request in, or refuses it.
-    pub async fn begin(
+impl ActiveRequest {
+    /// Admits a request or refuses it.
+    pub async fn admit(
         gateway: &Arc<Gateway>,
         job: Job,
         arrived_ms: u64,
-    ) -> Result<Answering, Failure> {
+    ) -> Result<ActiveRequest, Failure> {
         let mut trace = Trace::new(gateway.metrics.clone(), &job, arrived_ms);
         let admitted = match admit(gateway, &job).await {
             Ok(admitted) => admitted,
             Err(failure) => {
-                trace.failed(failure);
+                trace.record_failure(failure);
                 return Err(failure);
             }
         };
         let account = Arc::clone(&admitted.account);
-        let exchange = Exchange::new(Arc::clone(gateway), account, job, Where::default());
-        Ok(Answering {
-            exchange,
+        let retried_call = RetriedCall::new(
+            Arc::clone(gateway),
+            account,
+            job,
+            ReplicaConstraints::default(),
+        );
+        Ok(ActiveRequest {
+            retried_call,
             admitted,
             trace,
         })
     }
 
-    /// Sends the request and answers with what its endpoint answers.
+    /// Sends the request to an endpoint and returns the endpoint's answer.
     pub async fn relay(mut self, body: Bytes) -> Result<Response<Body>, Rejection> {
-        let answered = self.answered(&body).await;
+        let answered = self.fetch_answer(&body).await;
         match answered {
-            Ok((head, Content::Whole(bytes))) => {
-                self.trace.first_byte();
-                self.trace.answered(head.status);
-                self.give_back_tokens(&bytes);
+            Ok((head, Content::Buffered(bytes))) => {
+                self.trace.record_first_byte();
+                self.trace.record_answer(head.status);
+                self.refund_unused_tokens(&bytes);
                 response(&head, full(bytes))
             }
-            Ok((head, Content::Comes(attempt))) => {
+            Ok((head, Content::Streaming(attempt))) => {
                 let status = head.status;
-                response(&head, self.pass_on(status, *attempt))
+                response(&head, self.stream_rest(status, *attempt))
             }
             Err(failure) => {
-                self.trace.failed(failure);
+                self.trace.record_failure(failure);
                 if failure.run == RunState::NotRun {
-                    self.admitted.used(0);
+                    self.admitted.refund_unused(0);
                 }
                 Err(failure.into())
             }
         }
     }
 
-    /// A completion that states its use costs only that.
-    pub fn give_back_tokens(&mut self, answer: &[u8]) {
-        if self.exchange.job.service.kind == ServiceKind::Model
+    /// Returns the unused part of the reserved tokens if the answer is a completion that states
+    /// its token usage.
+    pub fn refund_unused_tokens(&mut self, answer: &[u8]) {
+        if self.retried_call.job.service.kind == ServiceKind::Model
             && let Some(tokens) = completion::used_tokens(answer)
         {
-            self.admitted.used(tokens);
+            self.admitted.refund_unused(tokens);
         }
     }
 
-    async fn answered(&mut self, body: &Bytes) -> Result<(Head, Content), Failure> {
+    async fn fetch_answer(&mut self, body: &Bytes) -> Result<(Head, Content), Failure> {
         loop {
-            let (head, mut attempt) = self.exchange.head(body).await?;
-            if !self.exchange.job.idempotent || !is_short(&head) {
-                return Ok((head, Content::Comes(Box::new(attempt))));
+            let (head, mut attempt) = self.retried_call.send(body).await?;
+            if !self.retried_call.job.idempotent || !is_short(&head) {
+                return Ok((head, Content::Streaming(Box::new(attempt))));
             }
-            match whole(&mut attempt).await {
-                Ok(bytes) => return Ok((head, Content::Whole(bytes))),
-                // The caller has seen nothing of it yet.
-                Err(failure) => self.exchange.again(failure, Delivered::Nothing).await?,
+            match read_answer(&mut attempt).await {
+                Ok(bytes) => return Ok((head, Content::Buffered(bytes))),
+                // No byte of this answer was sent to the caller.
+                Err(failure) => self.retried_call.retry(failure, Delivered::Nothing).await?,
             };
         }
     }
 
-    /// The rest of an answer as it comes. When the stream is dropped, the call is
-    /// cancelled; when it breaks, the caller's connection is cut.
-    pub fn pass_on(self, status: u16, attempt: Attempt) -> Body {
-        let deadline_at_ms = self.exchange.job.deadline_at_ms;
-        let passing = Passing {
-            answering: self,
+    /// Streams the rest of an answer as it arrives. Dropping the stream cancels the call; an
+    /// interrupted answer closes the caller's connection.
+    pub fn stream_rest(self, status: u16, attempt: Attempt) -> Body {
+        let deadline_at_ms = self.retried_call.job.deadline_at_ms;
+        let state = AnswerStream {
+            request: self,
             attempt,
             status,
         };
-        let parts = stream::unfold(Some(passing), |passing| async { passing?.next().await });
+        let parts = stream::unfold(Some(state), |state| async { state?.next().await });
         streamed(parts, deadline_at_ms)
     }
 }
 
 enum Content {
-    Whole(Bytes),
-    Comes(Box<Attempt>),
+    Buffered(Bytes),
+    Streaming(Box<Attempt>),
 }
 
-struct Passing {
-    answering: Answering,
+struct AnswerStream {
+    request: ActiveRequest,
     attempt: Attempt,
     status: u16,
 }
 
-impl Passing {
-    async fn next(mut self) -> Option<(Result<Bytes, AnswerBroken>, Option<Self>)> {
+impl AnswerStream {
+    async fn next(mut self) -> Option<(Result<Bytes, AnswerInterrupted>, Option<Self>)> {
         loop {
             match self.attempt.next().await {
                 CallEvent::Accepted | CallEvent::Started | CallEvent::Head(_) => {}
                 CallEvent::Chunk(bytes) => {
-                    self.answering.trace.first_byte();
+                    self.request.trace.record_first_byte();
                     return Some((Ok(bytes), Some(self)));
                 }
                 CallEvent::End => {
-                    self.answering.trace.answered(self.status);
+                    self.request.trace.record_answer(self.status);
                     return None;
                 }
                 CallEvent::Failed(failure) => {
-                    self.answering.trace.failed(failure);
-                    return Some((Err(AnswerBroken::Cut(failure)), None));
+                    self.request.trace.record_failure(failure);
+                    return Some((Err(AnswerInterrupted::CallFailed(failure)), None));
                 }
             }
         }
@@ -160,10 +167,10 @@
         .iter()
         .find(|(name, _)| CONTENT_LENGTH == name.as_str());
     let bytes = stated.and_then(|(_, value)| value.parse::<usize>().ok());
-    bytes.is_some_and(|bytes| bytes <= COLLECTED_BYTES_MAX)
+    bytes.is_some_and(|bytes| bytes <= BUFFERED_BYTES_MAX)
 }
 
-async fn whole(attempt: &mut Attempt) -> Result<Bytes, Failure> {
+async fn read_answer(attempt: &mut Attempt) -> Result<Bytes, Failure> {
     let mut bytes = BytesMut::new();
     loop {
         match attempt.next().await {
@@ -175,7 +182,7 @@
     }
 }
 
-/// The answer with an endpoint's status and headers.
+/// Builds a response with the status and headers of an endpoint's answer.
 pub fn response(head: &Head, body: Body) -> Result<Response<Body>, Rejection> {
     let bad = || Failure::new(RunState::Failed, Cause::EndpointError);
     let mut response = Response::new(body);
--- a/components/gateway/src/auth.rs
+++ b/components/gateway/src/auth.rs
@@ -1,4 +1,4 @@
-//! Who asks: the holder of the bearer token, by the configuration in force now.
+//! Authenticates requests by their bearer token, using the active configuration.
 
 use std::sync::Arc;
 
@@ -7,32 +7,33 @@
 use http::header::AUTHORIZATION;
 use types::{CustomerName, Role, ServiceName};
 
+use crate::paths::ServiceTarget;
 use crate::rejection::Rejection;
-use crate::target::Target;
 
 const SCHEME: &str = "bearer";
-/// Longest token, in bytes; a longer one is not hashed.
+/// Maximum length of a token in bytes. Longer tokens are rejected before they are hashed.
 const TOKEN_BYTES_MAX: usize = 512;
 
-/// A holder, with the configuration by which it was recognised; an extension of the
-/// request, so that one request sees one configuration.
+/// An authenticated token holder with the configuration that identified it. Stored as a request
+/// extension, so that a request sees only one version of the configuration.
 #[derive(Clone)]
 pub struct Session {
-    /// Configuration in force when the request came.
+    /// Configuration that was active when the request arrived.
     pub view: Arc<View>,
-    /// Who asks.
+    /// Customer, role and permitted services of the token.
     pub holder: TokenHolder,
 }
 
-/// Finds the holder of a request's token.
+/// Returns the session of the request's bearer token. Errors when the token is missing, given
+/// several times or not configured.
 pub fn authenticate(view: Arc<View>, headers: &HeaderMap) -> Result<Session, Rejection> {
-    let token = bearer(headers).ok_or(Rejection::Unauthenticated)?;
+    let token = bearer_token(headers).ok_or(Rejection::Unauthenticated)?;
     let holder = view.authenticate(token).cloned();
     let holder = holder.ok_or(Rejection::Unauthenticated)?;
     Ok(Session { view, holder })
 }
 
-fn bearer(headers: &HeaderMap) -> Option<&str> {
+fn bearer_token(headers: &HeaderMap) -> Option<&str> {
     let mut values = headers.get_all(AUTHORIZATION).iter();
     let value = values.next()?.to_str().ok()?;
     if values.next().is_some() {
@@ -44,49 +45,53 @@
 }
 
 impl Session {
-    /// The service that a caller names, if the holder may call it.
+    /// Returns the requested service if the token holder may call it.
     ///
-    /// Of another customer's services nobody learns which exist: one that is not there and
-    /// one that is not shared get the same answer.
-    pub fn callable(&self, target: &Target) -> Result<Arc<Service>, Rejection> {
+    /// A missing service of another customer and one that is not shared give the same error, so
+    /// that callers cannot find out which services other customers have.
+    pub fn callable(&self, target: &ServiceTarget) -> Result<Arc<Service>, Rejection> {
         let holder = &self.holder;
         let owner = target.owner_for(&holder.customer);
         if self.view.may_call(holder, owner, &target.service) {
-            return self.named(owner, &target.service);
+            return self.find_service(owner, &target.service);
         }
         if *owner == holder.customer {
-            self.named(owner, &target.service)?;
-            self.need(Role::Caller)?;
+            self.find_service(owner, &target.service)?;
+            self.require_role(Role::Caller)?;
         }
         Err(Rejection::NotAllowed(owner.clone(), target.service.clone()))
     }
 
-    /// The holder's own model, if it may train it.
+    /// Returns the token holder's own model if the holder may train it.
     pub fn trainable(&self, name: &ServiceName) -> Result<Arc<Service>, Rejection> {
-        let service = self.named(&self.holder.customer, name)?;
-        self.need(Role::Trainer)?;
+        let service = self.find_service(&self.holder.customer, name)?;
+        self.require_role(Role::Trainer)?;
         if self.view.may_train(&self.holder, name) {
             return Ok(service);
         }
         Err(self.not_allowed(name))
     }
 
-    /// The holder's own service, if it may operate it.
+    /// Returns the token holder's own service if the holder may operate it.
     pub fn operable(&self, name: &ServiceName) -> Result<Arc<Service>, Rejection> {
-        let service = self.named(&self.holder.customer, name)?;
-        self.need(Role::Operator)?;
+        let service = self.find_service(&self.holder.customer, name)?;
+        self.require_role(Role::Operator)?;
         if self.view.may_operate(&self.holder, name) {
             return Ok(service);
         }
         Err(self.not_allowed(name))
     }
 
-    fn named(&self, owner: &CustomerName, name: &ServiceName) -> Result<Arc<Service>, Rejection> {
+    fn find_service(
+        &self,
+        owner: &CustomerName,
+        name: &ServiceName,
+    ) -> Result<Arc<Service>, Rejection> {
         let service = self.view.service(owner, name).cloned();
         service.ok_or_else(|| Rejection::UnknownService(name.to_string()))
     }
 
-    fn need(&self, role: Role) -> Result<(), Rejection> {
+    fn require_role(&self, role: Role) -> Result<(), Rejection> {
         if self.holder.role == role {
             return Ok(());
         }
--- a/components/gateway/src/caller_stream.rs
+++ b/components/gateway/src/caller_stream.rs
@@ -1,8 +1,8 @@
-//! The socket of a caller: one that takes nothing for a while is an error.
+//! Socket of a caller that reports an error when the caller stops reading.
 //!
-//! What stands in the buffers of a connection has no other bound in time: its request has
-//! ended for the system, and a caller who never reads would keep its connection, its
-//! descriptor and its buffers for ever, and a process that leaves would wait for it.
+//! Without this timeout a caller that never reads would occupy a connection, a descriptor and
+//! buffers forever, because the request itself has already ended. A draining process would also
+//! wait for such a caller.
 
 use std::io;
 use std::pin::Pin;
@@ -15,9 +15,9 @@
 use tokio::net::TcpStream;
 use tokio::time::{Sleep, sleep};
 
-/// What the owner of a connection knows of its socket. Clones share one state.
+/// State of a caller's socket that the connection task can read and change. Clones share it.
 #[derive(Clone, Debug, Default)]
-pub struct Socket(Arc<Flags>);
+pub struct SocketState(Arc<Flags>);
 
 #[derive(Debug, Default)]
 struct Flags {
@@ -25,40 +25,40 @@
     blocked: AtomicBool,
 }
 
-impl Socket {
-    /// The connection ends in a reset. A caller who reads until the connection is closed
-    /// can't tell a cut answer from a whole one by anything else.
+impl SocketState {
+    /// Makes the connection end with a TCP reset. For a caller that reads until the connection
+    /// closes, only a reset distinguishes an interrupted answer from a complete one.
     pub fn reset(&self) {
         self.0.reset.store(true, Ordering::Relaxed);
     }
 
-    /// Whether bytes wait for the caller to take those before them.
+    /// Returns whether a write is waiting for the caller to read earlier bytes.
     pub fn is_blocked(&self) -> bool {
         self.0.blocked.load(Ordering::Relaxed)
     }
 }
 
-/// A caller's socket.
+/// TCP stream of a caller with a timeout for blocked writes.
 pub struct CallerStream {
     stream: TcpStream,
-    stall: Duration,
-    /// Runs while the socket takes nothing.
-    stalled: Option<Pin<Box<Sleep>>>,
-    socket: Socket,
+    stall_timeout: Duration,
+    /// Timer that runs while a write is blocked.
+    stall_timer: Option<Pin<Box<Sleep>>>,
+    socket: SocketState,
 }
 
 impl CallerStream {
-    /// Watches a socket; after `stall` without a byte taken its writes are errors.
-    pub fn new(stream: TcpStream, stall: Duration, socket: Socket) -> Self {
+    /// Wraps a socket. Writes fail when no byte is accepted for `stall_timeout`.
+    pub fn new(stream: TcpStream, stall_timeout: Duration, socket: SocketState) -> Self {
         Self {
             stream,
-            stall,
-            stalled: None,
+            stall_timeout,
+            stall_timer: None,
             socket,
         }
     }
 
-    fn watched<T>(
+    fn check_stall<T>(
         &mut self,
         cx: &mut Context<'_>,
         written: Poll<io::Result<T>>,
@@ -66,12 +66,14 @@
         let blocked = &self.socket.0.blocked;
         blocked.store(written.is_pending(), Ordering::Relaxed);
         if written.is_ready() {
-            self.stalled = None;
+            self.stall_timer = None;
             return written;
         }
-        let stall = self.stall;
-        let stalled = self.stalled.get_or_insert_with(|| Box::pin(sleep(stall)));
-        ready!(stalled.as_mut().poll(cx));
+        let stall_timeout = self.stall_timeout;
+        let stall_timer = self
+            .stall_timer
+            .get_or_insert_with(|| Box::pin(sleep(stall_timeout)));
+        ready!(stall_timer.as_mut().poll(cx));
         self.socket.reset();
         Poll::Ready(Err(io::ErrorKind::TimedOut.into()))
     }
@@ -95,7 +97,7 @@
     ) -> Poll<io::Result<usize>> {
         let own = self.get_mut();
         let written = Pin::new(&mut own.stream).poll_write(cx, buf);
-        own.watched(cx, written)
+        own.check_stall(cx, written)
     }
 
     fn poll_write_vectored(
@@ -105,7 +107,7 @@
     ) -> Poll<io::Result<usize>> {
         let own = self.get_mut();
         let written = Pin::new(&mut own.stream).poll_write_vectored(cx, bufs);
-        own.watched(cx, written)
+        own.check_stall(cx, written)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -124,7 +126,7 @@
 impl Drop for CallerStream {
     fn drop(&mut self) {
         if self.socket.0.reset.load(Ordering::Relaxed) {
-            // Where it fails, the connection is closed as any other.
+            // If this fails, the connection is closed without a reset.
             let _ = self.stream.set_zero_linger();
         }
     }
--- a/components/gateway/src/calls.rs
+++ b/components/gateway/src/calls.rs
@@ -1,4 +1,4 @@
-//! Plain calls: `/v1/services/{service}/{path}`, any method and body.
+//! Calls of plain services: `/v1/services/{service}/{path}` with any method and body.
 
 use std::sync::Arc;
 
@@ -6,42 +6,42 @@
 use http::Response;
 use routing::Work;
 
-use crate::answer::Answering;
+use crate::answer::ActiveRequest;
 use crate::body::Body;
 use crate::gateway::Gateway;
-use crate::incoming::RequestBody;
-use crate::intake::{Intake, need_kind};
 use crate::keyed::{self, KeyedRequest};
+use crate::paths::ServiceTarget;
 use crate::rejection::Rejection;
-use crate::target::Target;
+use crate::request_body::RequestBody;
+use crate::request_context::{RequestContext, require_kind};
 
-/// Serves a plain call.
+/// Handles a call of a plain service.
 pub async fn serve<B>(
     gateway: Arc<Gateway>,
-    intake: Intake,
-    target: Target,
+    context: RequestContext,
+    target: ServiceTarget,
     path: String,
     body: B,
 ) -> Result<Response<Body>, Rejection>
 where
     B: RequestBody,
 {
-    let service = intake.session.callable(&target)?;
-    need_kind(&service, ServiceKind::Plain)?;
-    let deadline_at_ms = intake.deadline_at_ms(service.deadline_ms);
-    let body = intake.body(body, deadline_at_ms).await?;
-    let method = intake.parts.method.as_str();
+    let service = context.session.callable(&target)?;
+    require_kind(&service, ServiceKind::Plain)?;
+    let deadline_at_ms = context.deadline_at_ms(service.deadline_ms);
+    let body = context.body(body, deadline_at_ms).await?;
+    let method = context.parts.method.as_str();
     let content = [method.as_bytes(), path.as_bytes(), &body];
-    let job = intake.job(&service, path.clone(), Work::default(), &content)?;
-    // A request that may run again needs nobody's leave for it.
-    if let Some(key) = intake.wishes.key.as_deref().filter(|_| !job.idempotent) {
+    let job = context.job(&service, path.clone(), Work::default(), &content)?;
+    // An idempotent request needs no claim on its key, because it may run several times.
+    if let Some(key) = context.options.key.as_deref().filter(|_| !job.idempotent) {
         let keyed = KeyedRequest {
             key,
             content: &body,
             body: body.clone(),
         };
-        return keyed::serve(&gateway, job, intake.arrived_ms, keyed).await;
+        return keyed::serve(&gateway, job, context.arrived_ms, keyed).await;
     }
-    let answering = Answering::begin(&gateway, job, intake.arrived_ms).await?;
-    answering.relay(body).await
+    let request = ActiveRequest::admit(&gateway, job, context.arrived_ms).await?;
+    request.relay(body).await
 }
--- a/components/gateway/src/completion_stream.rs
+++ b/components/gateway/src/completion_stream.rs
@@ -1,10 +1,10 @@
-//! A completion that is streamed to its caller and goes on at another engine when its
-//! own one is lost.
+//! Streams a completion to its caller and resumes it at another engine after a failure.
 //!
-//! Only whole events go on to the caller: a cut inside one would otherwise run into the
-//! first event of the next engine. The ids of the tokens that the caller has go to the
-//! next engine, which generates the rest. Without the ids, nobody can go on, and the
-//! caller sees a broken stream: an event with the problem, then a cut connection.
+//! Only complete events are sent to the caller, because a partial event would be joined with
+//! the first event of the next engine. The next engine gets the ids of the tokens that the
+//! caller already has and generates the rest. If an engine sent text without token ids, the
+//! stream cannot be resumed: the caller gets an error event with the problem document, and then
+//! the connection is closed.
 
 use adapters::sse::Parser;
 use bytes::{Bytes, BytesMut};
@@ -16,72 +16,73 @@
 use recovery::{Delivered, Resume};
 use types::{Cause, Failure, RunState};
 
-use crate::answer::{Answering, response};
+use crate::answer::{ActiveRequest, response};
 use crate::attempt::Attempt;
-use crate::body::{AnswerBroken, Body, streamed};
+use crate::body::{AnswerInterrupted, Body, streamed};
 use crate::problem;
 use crate::rejection::Rejection;
-use crate::resumed::Begun;
+use crate::resumed::Continuation;
 
-/// Longest line of a stream.
+/// Maximum length of a line in an event stream.
 const LINE_BYTES_MAX: usize = 256 * 1024;
-/// Most bytes of an event that has not ended.
+/// Maximum size of an incomplete event.
 const EVENT_BYTES_MAX: usize = 512 * 1024;
 const OK: u16 = 200;
 
-/// What the engines say of a completion, over all attempts.
-struct Said {
+/// State of the event stream over all attempts.
+struct StreamState {
     parser: Parser,
-    /// Bytes after the last whole event.
-    rest: BytesMut,
+    /// Bytes after the last complete event.
+    partial_event: BytesMut,
     token_ids: Vec<u32>,
-    /// Text came whose tokens have no ids.
-    unnamed: bool,
-    sent: bool,
-    begun: Begun,
+    /// Whether an engine sent text without token ids.
+    has_text_without_ids: bool,
+    has_sent: bool,
+    continuation: Continuation,
 }
 
-impl Said {
+impl StreamState {
     fn new() -> Self {
         Self {
             parser: Parser::new(LINE_BYTES_MAX),
-            rest: BytesMut::new(),
+            partial_event: BytesMut::new(),
             token_ids: Vec::new(),
-            unnamed: false,
-            sent: false,
-            begun: Begun::default(),
+            has_text_without_ids: false,
+            has_sent: false,
+            continuation: Continuation::default(),
         }
     }
 
-    /// Takes bytes in; gives the whole events that they complete.
-    fn take(&mut self, bytes: &[u8]) -> Result<Bytes, Failure> {
+    /// Adds received bytes and returns the events that are now complete.
+    fn push(&mut self, bytes: &[u8]) -> Result<Bytes, Failure> {
         let not_an_answer = || Failure::new(RunState::Failed, Cause::EndpointError);
-        self.rest.extend_from_slice(bytes);
-        let whole = whole_events(&self.rest);
-        if self.rest.len() - whole > EVENT_BYTES_MAX {
+        self.partial_event.extend_from_slice(bytes);
+        let complete_bytes = complete_events_len(&self.partial_event);
+        if self.partial_event.len() - complete_bytes > EVENT_BYTES_MAX {
             return Err(not_an_answer());
         }
-        let events = self.rest.split_to(whole).freeze();
-        let (token_ids, unnamed) = (&mut self.token_ids, &mut self.unnamed);
+        let events = self.partial_event.split_to(complete_bytes).freeze();
+        let (token_ids, has_text_without_ids) =
+            (&mut self.token_ids, &mut self.has_text_without_ids);
         let parsed = self.parser.push(&events, |piece| {
-            *unnamed |= piece.token_ids.is_empty() && !piece.text.is_empty();
+            *has_text_without_ids |= piece.token_ids.is_empty() && !piece.text.is_empty();
             token_ids.extend(piece.token_ids);
             Ok(())
         });
         parsed.map_err(|_| not_an_answer())?;
-        self.sent |= !events.is_empty();
-        self.begun.note(&events);
-        Ok(self.begun.restate(events))
+        self.has_sent |= !events.is_empty();
+        self.continuation.record_id(&events);
+        Ok(self.continuation.rewrite(events))
     }
 
-    /// Forgets the part of an event that was cut; the next engine begins a new one.
-    fn cut(&mut self) {
+    /// Discards a partial event. The next engine starts with a new event.
+    fn discard_partial_event(&mut self) {
         self.parser = Parser::new(LINE_BYTES_MAX);
-        self.rest.clear();
+        self.partial_event.clear();
     }
 
-    fn flowed(&self) -> Delivered {
-        match (self.sent, self.unnamed) {
+    fn delivered(&self) -> Delivered {
+        match (self.has_sent, self.has_text_without_ids) {
             (false, _) => Delivered::Nothing,
             (true, false) => Delivered::Tokens,
             (true, true) => Delivered::Bytes,
@@ -89,8 +90,8 @@
     }
 }
 
-/// Bytes up to the end of the last blank line.
-fn whole_events(bytes: &[u8]) -> usize {
+/// Returns the number of bytes up to the end of the last blank line.
+fn complete_events_len(bytes: &[u8]) -> usize {
     let line_end = |at: &usize| bytes.get(*at) == Some(&b'\n');
     let ends = (0..bytes.len()).rev().filter(line_end);
     ends.filter(|&at| at > 0)
@@ -102,35 +103,36 @@
         .map_or(0, |at| at + 1)
 }
 
-/// Sends the request and streams what its engines say. `body` makes the body for an
-/// engine that goes on after these tokens.
+/// Sends the request and streams the events of its engines. `body` builds the request body for
+/// an engine that continues after the given tokens.
 ///
-/// The head goes with the first event: engines send theirs before they have begun, and a
-/// request that fails up to there still gets its status and problem document.
+/// The response head is sent together with the first event. Engines send their head before they
+/// start generating, and a request that fails before its first event must still get an error
+/// status and a problem document.
 pub async fn serve(
-    mut answering: Answering,
+    mut request: ActiveRequest,
     body: impl Fn(&[u32]) -> Bytes + Send + 'static,
 ) -> Result<Response<Body>, Rejection> {
-    match answering.exchange.head(&body(&[])).await {
+    match request.retried_call.send(&body(&[])).await {
         Ok((head, attempt)) if head.status == OK => {
-            let streaming = Streaming {
-                answering,
+            let streaming = CompletionStream {
+                request,
                 attempt,
-                said: Said::new(),
+                state: StreamState::new(),
                 body,
             };
             streaming.respond(&stream_head(head)).await
         }
-        // A refusal of the engine's own is no stream; it goes on as it is.
-        Ok((head, attempt)) => response(&head.clone(), answering.pass_on(head.status, attempt)),
+        // The engine refused the request. Its answer is no event stream and is relayed unchanged.
+        Ok((head, attempt)) => response(&head.clone(), request.stream_rest(head.status, attempt)),
         Err(failure) => {
-            answering.trace.failed(failure);
+            request.trace.record_failure(failure);
             Err(failure.into())
         }
     }
 }
 
-/// The length, if an engine states one, is that of its own part only.
+/// Removes the content length, which would cover only the part of one engine.
 fn stream_head(head: Head) -> Head {
     let of_length = |name: &str| HeaderName::try_from(name).is_ok_and(|n| n == CONTENT_LENGTH);
     let headers = head.headers.into_iter();
@@ -140,76 +142,76 @@
     }
 }
 
-struct Streaming<F> {
-    answering: Answering,
+struct CompletionStream<F> {
+    request: ActiveRequest,
     attempt: Attempt,
-    said: Said,
+    state: StreamState,
     body: F,
 }
 
-/// What the caller's stream does next.
-enum Next {
+/// Next item of the caller's stream.
+enum StreamItem {
     Bytes(Bytes),
-    Whole,
-    Broken(Failure),
+    End,
+    Failed(Failure),
 }
 
-impl<F: Fn(&[u32]) -> Bytes + Send + 'static> Streaming<F> {
+impl<F: Fn(&[u32]) -> Bytes + Send + 'static> CompletionStream<F> {
     async fn respond(mut self, head: &Head) -> Result<Response<Body>, Rejection> {
         let first = self.next().await;
-        if let Next::Broken(failure) = first {
-            self.answering.trace.failed(failure);
+        if let StreamItem::Failed(failure) = first {
+            self.request.trace.record_failure(failure);
             return Err(failure.into());
         }
-        let deadline_at_ms = self.answering.exchange.job.deadline_at_ms;
-        let state = State::Begun(first, Box::new(self));
-        let events = stream::unfold(state, |state| async { state.next().await });
+        let deadline_at_ms = self.request.retried_call.job.deadline_at_ms;
+        let phase = StreamPhase::First(first, Box::new(self));
+        let events = stream::unfold(phase, |phase| async { phase.next().await });
         response(head, streamed(events, deadline_at_ms))
     }
 
-    async fn next(&mut self) -> Next {
+    async fn next(&mut self) -> StreamItem {
         loop {
             let failure = match self.attempt.next().await {
                 CallEvent::Accepted | CallEvent::Started | CallEvent::Head(_) => continue,
-                CallEvent::Chunk(bytes) => match self.said.take(&bytes) {
+                CallEvent::Chunk(bytes) => match self.state.push(&bytes) {
                     Ok(events) if events.is_empty() => continue,
-                    Ok(events) => return Next::Bytes(events),
+                    Ok(events) => return StreamItem::Bytes(events),
                     Err(failure) => failure,
                 },
-                CallEvent::End if self.said.parser.is_whole() => return Next::Whole,
+                CallEvent::End if self.state.parser.is_whole() => return StreamItem::End,
                 CallEvent::End => Failure::new(RunState::Failed, Cause::Truncated),
                 CallEvent::Failed(failure) => failure,
             };
-            if let Err(failure) = self.go_on(failure).await {
-                return Next::Broken(failure);
+            if let Err(failure) = self.resume_elsewhere(failure).await {
+                return StreamItem::Failed(failure);
             }
         }
     }
 
-    /// The answer costs only the tokens that were made.
-    fn give_back_tokens(&mut self) {
-        let made = u32::try_from(self.said.token_ids.len()).unwrap_or(u32::MAX);
-        let prompt_tokens = self.answering.exchange.job.work.prompt_tokens;
-        if !self.said.unnamed {
-            self.answering
+    /// Returns the reserved tokens that were not generated.
+    fn refund_unused_tokens(&mut self) {
+        let made = u32::try_from(self.state.token_ids.len()).unwrap_or(u32::MAX);
+        let prompt_tokens = self.request.retried_call.job.work.prompt_tokens;
+        if !self.state.has_text_without_ids {
+            self.request
                 .admitted
-                .used(made.saturating_add(prompt_tokens));
+                .refund_unused(made.saturating_add(prompt_tokens));
         }
     }
 
-    /// Goes on at another engine, or says why not.
-    async fn go_on(&mut self, mut failure: Failure) -> Result<(), Failure> {
-        self.said.cut();
+    /// Resumes the completion at another engine. Errors when the failure is final.
+    async fn resume_elsewhere(&mut self, mut failure: Failure) -> Result<(), Failure> {
+        self.state.discard_partial_event();
         loop {
-            let flowed = self.said.flowed();
-            let resume = self.answering.exchange.again(failure, flowed).await?;
+            let delivered = self.state.delivered();
+            let resume = self.request.retried_call.retry(failure, delivered).await?;
             let tokens: &[u32] = match resume {
                 Resume::FromStart => &[],
-                Resume::FromTokens => &self.said.token_ids,
+                Resume::FromTokens => &self.state.token_ids,
             };
-            self.said.begun.tokens = tokens.len() as u64;
+            self.state.continuation.tokens = tokens.len() as u64;
             let body = (self.body)(tokens);
-            let (head, attempt) = self.answering.exchange.head(&body).await?;
+            let (head, attempt) = self.request.retried_call.send(&body).await?;
             if head.status == OK {
                 self.attempt = attempt;
                 return Ok(());
@@ -219,51 +221,54 @@
     }
 }
 
-enum State<F> {
-    Begun(Next, Box<Streaming<F>>),
-    Running(Box<Streaming<F>>),
-    Breaking(Failure),
+enum StreamPhase<F> {
+    First(StreamItem, Box<CompletionStream<F>>),
+    Running(Box<CompletionStream<F>>),
+    Failing(Failure),
     Ended,
 }
 
-type Item<F> = Option<(Result<Bytes, AnswerBroken>, State<F>)>;
+type Item<F> = Option<(Result<Bytes, AnswerInterrupted>, StreamPhase<F>)>;
 
-impl<F: Fn(&[u32]) -> Bytes + Send + 'static> State<F> {
+impl<F: Fn(&[u32]) -> Bytes + Send + 'static> StreamPhase<F> {
     async fn next(self) -> Item<F> {
         let (next, mut streaming) = match self {
-            State::Begun(next, streaming) => (next, streaming),
-            State::Running(mut streaming) => (streaming.next().await, streaming),
-            State::Breaking(failure) => {
-                // `hyper` drops what it has not flushed when a body fails, and it flushes
-                // when a body has nothing at the moment; the event would not be seen.
+            StreamPhase::First(next, streaming) => (next, streaming),
+            StreamPhase::Running(mut streaming) => (streaming.next().await, streaming),
+            StreamPhase::Failing(failure) => {
+                // `hyper` discards unflushed data when a body fails, and flushes while a body is
+                // pending. Without this yield the caller would not receive the error event.
                 tokio::task::yield_now().await;
-                return Some((Err(AnswerBroken::Cut(failure)), State::Ended));
+                return Some((
+                    Err(AnswerInterrupted::CallFailed(failure)),
+                    StreamPhase::Ended,
+                ));
             }
-            State::Ended => return None,
+            StreamPhase::Ended => return None,
         };
         match next {
-            Next::Bytes(bytes) => {
-                streaming.answering.trace.first_byte();
-                Some((Ok(bytes), State::Running(streaming)))
+            StreamItem::Bytes(bytes) => {
+                streaming.request.trace.record_first_byte();
+                Some((Ok(bytes), StreamPhase::Running(streaming)))
             }
-            Next::Whole => {
-                streaming.answering.trace.answered(OK);
-                streaming.give_back_tokens();
+            StreamItem::End => {
+                streaming.request.trace.record_answer(OK);
+                streaming.refund_unused_tokens();
                 None
             }
-            Next::Broken(failure) => {
-                let event = broken_event(&streaming.answering, failure);
-                streaming.answering.trace.failed(failure);
-                Some((Ok(event), State::Breaking(failure)))
+            StreamItem::Failed(failure) => {
+                let event = problem_event(&streaming.request, failure);
+                streaming.request.trace.record_failure(failure);
+                Some((Ok(event), StreamPhase::Failing(failure)))
             }
         }
     }
 }
 
-/// Tells a caller that reads events why the stream breaks; the cut that follows tells
-/// every other one.
-fn broken_event(answering: &Answering, failure: Failure) -> Bytes {
-    let request_id = &answering.exchange.job.request_id;
+/// Builds the error event for a failed stream. Callers that do not read events notice the failure
+/// by the closed connection.
+fn problem_event(request: &ActiveRequest, failure: Failure) -> Bytes {
+    let request_id = &request.retried_call.job.request_id;
     let document = problem::document(&Rejection::Call(failure), request_id);
     let mut event = BytesMut::from(&b"event: error\ndata: "[..]);
     event.extend_from_slice(&document);
--- a/components/gateway/src/completions.rs
+++ b/components/gateway/src/completions.rs
@@ -1,56 +1,57 @@
-//! Completions: `POST /v1/completions`.
+//! Handler of completions: `POST /v1/completions`.
 
 use std::sync::Arc;
 
 use config::ServiceKind;
 use http::{Method, Response};
 
-use crate::answer::Answering;
+use crate::answer::ActiveRequest;
 use crate::body::Body;
 use crate::completion::{Completion, priority};
 use crate::completion_stream;
 use crate::gateway::Gateway;
 use crate::headers::{DEADLINE_MS_MAX, IDEMPOTENCY_KEY};
-use crate::incoming::RequestBody;
-use crate::intake::{Intake, need_kind};
 use crate::keyed::{self, KeyedRequest};
+use crate::paths::ServiceTarget;
 use crate::rejection::Rejection;
-use crate::target::Target;
+use crate::request_body::RequestBody;
+use crate::request_context::{RequestContext, require_kind};
 
-/// Path of completions, here and at the engines.
+/// Path of completions, both at the entry and at the engines.
 pub const PATH: &str = "/v1/completions";
 
-/// What a caller may do with the key of a stream.
+/// Allowed use of an idempotency key with a streamed completion.
 const STREAM_KEY_ALLOWED: &str = "a key only where the stream may run again";
 
-/// Serves a completion. One that runs once and has a key is claimed like a plain call. A
-/// stream can't be recorded and given again, so with a key it must be one that may run
-/// again; else its caller would take it for protected.
+/// Handles a completion. A non-idempotent completion with an idempotency key is claimed like a
+/// plain call. A streamed completion cannot be recorded and replayed, so it is rejected if it has
+/// a key and is not idempotent; otherwise its caller would assume that the key prevents a second
+/// run.
 pub async fn serve<B>(
     gateway: Arc<Gateway>,
-    intake: Intake,
+    context: RequestContext,
     body: B,
 ) -> Result<Response<Body>, Rejection>
 where
     B: RequestBody,
 {
-    if intake.parts.method != Method::POST {
+    if context.parts.method != Method::POST {
         return Err(Rejection::Method("POST"));
     }
-    // The model stands in the body, and with it the default deadline.
-    let bytes = intake
-        .body(body, intake.deadline_at_ms(DEADLINE_MS_MAX))
+    // The model and its default deadline are known only after the body is read.
+    let bytes = context
+        .body(body, context.deadline_at_ms(DEADLINE_MS_MAX))
         .await?;
     let completion = Completion::parse(&bytes)?;
-    let service = intake
+    let service = context
         .session
-        .callable(&Target::parse(&completion.model)?)?;
-    need_kind(&service, ServiceKind::Model)?;
+        .callable(&ServiceTarget::parse(&completion.model)?)?;
+    require_kind(&service, ServiceKind::Model)?;
     let work = completion.work();
     let content = [completion.prompt.as_bytes()];
-    let job = intake.job(&service, PATH.to_owned(), work, &content)?;
+    let job = context.job(&service, PATH.to_owned(), work, &content)?;
     let (priority, id) = (priority(job.class), job.request_id.clone());
-    let key = intake.wishes.key.as_deref().filter(|_| !job.idempotent);
+    let key = context.options.key.as_deref().filter(|_| !job.idempotent);
     if completion.stream && key.is_some() {
         return Err(Rejection::Header(IDEMPOTENCY_KEY, STREAM_KEY_ALLOWED));
     }
@@ -65,12 +66,12 @@
             content: &bytes,
             body: body(&[]),
         };
-        return keyed::serve(&gateway, job, intake.arrived_ms, keyed).await;
+        return keyed::serve(&gateway, job, context.arrived_ms, keyed).await;
     }
-    let answering = Answering::begin(&gateway, job, intake.arrived_ms).await?;
+    let request = ActiveRequest::admit(&gateway, job, context.arrived_ms).await?;
     if stream {
-        completion_stream::serve(answering, body).await
+        completion_stream::serve(request, body).await
     } else {
-        answering.relay(body(&[])).await
+        request.relay(body(&[])).await
     }
 }
--- a/components/gateway/src/inner.rs
+++ b/components/gateway/src/inner.rs
@@ -1,5 +1,5 @@
-//! Calls from other processes of the system: configuration texts for peers, training
-//! calls for their home entry, copies for the second home.
+//! Handles calls from other processes of the system: configuration texts for peers, claim records,
+//! training calls for their home entry, and copies for the second home.
 
 use std::sync::Arc;
 
@@ -13,18 +13,18 @@
 use crate::{keyed, training};
 
 const OK: u16 = 200;
-/// Largest part of an answer that goes into one chunk.
+/// Maximum size of a chunk of the answer.
 const CHUNK_BYTES: usize = 64 * 1024;
 
-/// Takes one call; returns at once.
-pub fn take(gateway: &Arc<Gateway>, incoming: IncomingCall) {
+/// Handles a call in a separate task; returns immediately.
+pub fn handle_call(gateway: &Arc<Gateway>, incoming: IncomingCall) {
     let gateway = Arc::clone(gateway);
     tokio::spawn(async move {
         let IncomingCall { open, answer, .. } = incoming;
         answer.mark_accepted();
         answer.mark_started();
         tokio::select! {
-            answered = respond(&gateway, open) => give(&answer, answered).await,
+            answered = respond(&gateway, open) => send_answer(&answer, answered).await,
             () = answer.cancelled() => {}
         }
     });
@@ -51,7 +51,7 @@
     }
 }
 
-async fn give(answer: &AnswerSender, answered: Result<(Head, Bytes), Failure>) {
+async fn send_answer(answer: &AnswerSender, answered: Result<(Head, Bytes), Failure>) {
     let (head, mut body) = match answered {
         Ok(answered) => answered,
         Err(failure) => return answer.fail(failure),
--- a/components/gateway/src/keyed/client.rs
+++ b/components/gateway/src/keyed/client.rs
@@ -214,7 +214,7 @@
             deadline_ms: WRITE_TIMEOUT_MS,
         };
         // The call may be repeated: a duplicate record has no effect.
-        gateway.ask(to, call).await.map(|_| ())
+        gateway.call_peer(to, call).await.map(|_| ())
     }
 
     /// Passes a record to this entry's own writer. While the log does not respond, the record stays
@@ -280,7 +280,7 @@
     let now_ms = now_ms();
     let others = snapshot.live(ProcessRole::Entry);
     let others = others.map(|member| member.address);
-    let reached = others.filter(|&address| !gateway.reach.is_gone(address, now_ms));
+    let reached = others.filter(|&address| !gateway.reachability.is_unreachable(address, now_ms));
     reached.chain([gateway.identity.node().address]).collect()
 }
 
--- a/components/gateway/src/keyed/relay.rs
+++ b/components/gateway/src/keyed/relay.rs
@@ -23,9 +23,9 @@
 use super::client::{ClaimOutcome, Submission};
 use super::replay;
 use super::wait_limit::ClaimWaitGuard;
-use crate::answer::{Answering, response};
+use crate::answer::{ActiveRequest, response};
 use crate::attempt::Attempt;
-use crate::body::{AnswerBroken, Body, streamed};
+use crate::body::{AnswerInterrupted, Body, streamed};
 use crate::gateway::Gateway;
 use crate::job::Job;
 use crate::rejection::Rejection;
@@ -36,7 +36,7 @@
 /// Parts of an answer that are buffered between the task and the caller's connection.
 const BUFFERED_PARTS_MAX: usize = 8;
 
-type Part = Result<Bytes, AnswerBroken>;
+type Part = Result<Bytes, AnswerInterrupted>;
 
 /// First message from the task to the caller's connection.
 enum FirstReply {
@@ -158,15 +158,15 @@
     }
 
     fn refuse(mut self, failure: Failure, first: oneshot::Sender<FirstReply>) {
-        self.trace.failed(failure);
+        self.trace.record_failure(failure);
         // The caller may have disconnected.
         let _ = first.send(FirstReply::Failed(failure));
     }
 
     fn trace_other(&mut self, verdict: &Verdict) {
         match verdict.failure(&self.gateway.claims.settings) {
-            Some(failure) => self.trace.failed(failure),
-            None => self.trace.replayed(),
+            Some(failure) => self.trace.record_failure(failure),
+            None => self.trace.record_replay(),
         }
     }
 
@@ -185,8 +185,8 @@
             body,
             ..
         } = self;
-        trace.handed_on();
-        let answering = match Answering::begin(&gateway, job, arrived_ms).await {
+        trace.transfer();
+        let answering = match ActiveRequest::admit(&gateway, job, arrived_ms).await {
             Ok(answering) => answering,
             Err(failure) => {
                 let _ = first.send(FirstReply::Failed(failure));
@@ -202,8 +202,8 @@
         match start_holder(&mut holder, &first) {
             Ok(()) => keyed_call.call(&mut holder, first).await,
             Err(failure) => {
-                keyed_call.answering.admitted.used(0);
-                keyed_call.answering.trace.failed(failure);
+                keyed_call.answering.admitted.refund_unused(0);
+                keyed_call.answering.trace.record_failure(failure);
                 let _ = first.send(FirstReply::Failed(failure));
                 holder.release()
             }
@@ -225,7 +225,7 @@
 /// A call whose claim has won.
 struct KeyedCall {
     gateway: Arc<Gateway>,
-    answering: Answering,
+    answering: ActiveRequest,
     body: Bytes,
 }
 
@@ -236,10 +236,10 @@
         holder: &mut ClaimHolder,
         first: oneshot::Sender<FirstReply>,
     ) -> Option<claims::Record> {
-        let (head, attempt) = match self.answering.exchange.head(&self.body).await {
+        let (head, attempt) = match self.answering.retried_call.send(&self.body).await {
             Ok(answered) => answered,
             Err(failure) => {
-                self.answering.trace.failed(failure);
+                self.answering.trace.record_failure(failure);
                 let _ = first.send(FirstReply::Failed(failure));
                 return record_failure(holder, failure);
             }
@@ -248,8 +248,8 @@
         let _ = first.send(FirstReply::Answer(head.clone(), received));
         match self.relay(attempt, parts).await {
             Ok(body) => {
-                self.answering.trace.answered(head.status);
-                self.answering.give_back_tokens(&body);
+                self.answering.trace.record_answer(head.status);
+                self.answering.refund_unused_tokens(&body);
                 let settings = &self.gateway.claims.settings;
                 holder.done(Outcome::answered(
                     head.status,
@@ -259,7 +259,7 @@
                 ))
             }
             Err(failure) => {
-                self.answering.trace.failed(failure);
+                self.answering.trace.record_failure(failure);
                 record_failure(holder, failure)
             }
         }
@@ -278,7 +278,7 @@
             match attempt.next().await {
                 CallEvent::Accepted | CallEvent::Started | CallEvent::Head(_) => {}
                 CallEvent::Chunk(bytes) => {
-                    self.answering.trace.first_byte();
+                    self.answering.trace.record_first_byte();
                     if buffered.len() <= buffered_bytes_max {
                         buffered.extend_from_slice(&bytes);
                     }
@@ -287,7 +287,9 @@
                 }
                 CallEvent::End => return Ok(buffered.freeze()),
                 CallEvent::Failed(failure) => {
-                    let _ = parts.send(Err(AnswerBroken::Cut(failure))).await;
+                    let _ = parts
+                        .send(Err(AnswerInterrupted::CallFailed(failure)))
+                        .await;
                     return Err(failure);
                 }
             }
--- a/components/gateway/src/layers.rs
+++ b/components/gateway/src/layers.rs
@@ -1,5 +1,5 @@
-//! Layers of `tower` around the handler of requests: each checks one thing or adds one,
-//! and the outermost ones turn a rejection into its problem document.
+//! `tower` layers around the request handler. Each layer performs one check or adds one value; the
+//! outermost layer converts rejections into problem documents.
 
 use std::convert::Infallible;
 use std::task::{Context, Poll};
@@ -17,36 +17,35 @@
 use crate::problem;
 use crate::rejection::Rejection;
 
-/// Identity of a request in answers and log lines; an extension of the request.
+/// Id of a request in answers and log lines; stored as a request extension.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestId(pub String);
 
-/// When a request came, on the process's monotonic clock; an extension of the request.
+/// Arrival time of a request on the process's monotonic clock; stored as a request extension.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Arrived {
-    /// Milliseconds.
+pub struct ArrivalTime {
     pub at_ms: u64,
 }
 
-/// Lets a request through only if `check` agrees; `check` may add extensions.
+/// Forwards a request only if `check` accepts it. `check` may add extensions to the request.
 #[derive(Clone)]
-pub struct Checked<F, S> {
+pub struct CheckService<F, S> {
     check: F,
     inner: S,
 }
 
-/// A layer of [`Checked`].
-pub fn checked<F, S>(check: F) -> impl Layer<S, Service = Checked<F, S>> + Clone
+/// Creates a layer of [`CheckService`].
+pub fn check_layer<F, S>(check: F) -> impl Layer<S, Service = CheckService<F, S>> + Clone
 where
     F: Fn(&mut Parts) -> Result<(), Rejection> + Clone,
 {
-    layer_fn(move |inner| Checked {
+    layer_fn(move |inner| CheckService {
         check: check.clone(),
         inner,
     })
 }
 
-impl<F, S, B> Service<Request<B>> for Checked<F, S>
+impl<F, S, B> Service<Request<B>> for CheckService<F, S>
 where
     F: Fn(&mut Parts) -> Result<(), Rejection>,
     S: Service<Request<B>, Response = Response<Body>, Error = Rejection>,
@@ -69,34 +68,35 @@
     }
 }
 
-/// Gives every request its id and turns rejections into problem documents.
+/// Assigns an id to every request and converts rejections into problem documents.
 #[derive(Clone)]
-pub struct Answered<F, L, S> {
+pub struct ProblemService<F, L, S> {
     next_id: F,
     is_leaving: L,
     inner: S,
 }
 
-/// A layer of [`Answered`]. `next_id` is asked where the caller brings no usable id. Once
-/// `is_leaving`, every answer asks its caller to open another connection: one that is
-/// closed while it is idle may cross with its next request, which the caller could then
-/// not know to have been run or not.
-pub fn answered<F, L, S>(
+/// Creates a layer of [`ProblemService`]. `next_id` is called if the caller states no valid id.
+///
+/// While `is_leaving` returns true, every response asks the caller to close the connection.
+/// Closing an idle connection could coincide with the caller's next request, and the caller
+/// could not know whether that request ran.
+pub fn problem_layer<F, L, S>(
     next_id: F,
     is_leaving: L,
-) -> impl Layer<S, Service = Answered<F, L, S>> + Clone
+) -> impl Layer<S, Service = ProblemService<F, L, S>> + Clone
 where
     F: Fn() -> String + Clone,
     L: Fn() -> bool + Clone,
 {
-    layer_fn(move |inner| Answered {
+    layer_fn(move |inner| ProblemService {
         next_id: next_id.clone(),
         is_leaving: is_leaving.clone(),
         inner,
     })
 }
 
-impl<F, L, S, B> Service<Request<B>> for Answered<F, L, S>
+impl<F, L, S, B> Service<Request<B>> for ProblemService<F, L, S>
 where
     F: Fn() -> String,
     L: Fn() -> bool + Clone + Send + 'static,
@@ -109,7 +109,7 @@
     type Future = BoxFuture<'static, Result<Response<Body>, Infallible>>;
 
     fn poll_ready(&mut self, _cx: &mut Context<'_>) -> Poll<Result<(), Infallible>> {
-        // The inner service is waited for inside the call, where its error has an answer.
+        // Readiness of the inner service is awaited in `call`, where an error can be answered.
         Poll::Ready(Ok(()))
     }
 
--- a/components/gateway/src/lib.rs
+++ b/components/gateway/src/lib.rs
@@ -1,10 +1,10 @@
-//! The entry of hornbeamrock: takes requests behind the platform's balancer and sends
-//! each to an endpoint; keeps training steps for their trainers.
+//! The entry of hornbeamrock: receives requests behind the platform's load balancer, sends each
+//! to an endpoint, and coordinates training steps for their trainers.
 
 mod accounts;
 mod admission;
 mod answer;
-mod answer_broken;
+mod answer_interrupted;
 mod attempt;
 pub mod auth;
 pub mod body;
@@ -22,36 +22,36 @@
 mod endpoint_life;
 mod entry;
 mod error;
-mod exchange;
 mod gateway;
+mod gossip_handlers;
 pub mod headers;
-mod hedged;
+mod hedging;
 pub mod idempotency;
-mod incoming;
 mod inner;
-mod intake;
 mod job;
 mod keyed;
 mod layers;
-mod news;
+pub mod paths;
 mod peer;
 pub mod problem;
-mod reach;
+mod reachability;
 pub mod readiness;
 mod refresh;
 pub mod rejection;
+mod request_body;
+mod request_context;
 mod resumed;
+mod retried_call;
 mod routes;
 pub mod server;
 mod services;
 mod start;
 mod status;
 mod suspects;
-pub mod target;
 mod trace;
 mod training;
 mod tuning;
-mod weight_news;
+mod weight_authority;
 
 pub use entry::Entry;
 pub use error::EntryError;
--- a/components/gateway/src/peer.rs
+++ b/components/gateway/src/peer.rs
@@ -1,4 +1,4 @@
-//! Calls of this entry to other entries. Each may be made twice.
+//! Calls from this entry to other entries. All of them are idempotent.
 
 use std::net::SocketAddr;
 
@@ -10,37 +10,41 @@
 
 use crate::gateway::Gateway;
 
-/// Largest answer of an entry.
+/// Maximum size of an entry's answer.
 const ANSWER_BYTES_MAX: usize = 32 << 20;
 
 /// A call to another entry.
 pub struct PeerCall<'a> {
-    /// Identity of the caller's request, if it is made for one.
+    /// Id of the caller's request that caused the call; empty if there is none.
     pub request_id: &'a str,
-    /// Customer that it is made for.
+    /// Customer on whose behalf the call is made.
     pub customer: &'a CustomerName,
-    /// Service of that customer that it is about.
+    /// Service of the customer that the call concerns.
     pub service: &'a ServiceName,
-    /// What is asked.
     pub path: &'a str,
-    /// Its content.
     pub body: Bytes,
-    /// Time until nobody wants the answer, in milliseconds.
+    /// Time limit of the call, in milliseconds.
     pub deadline_ms: u32,
 }
 
 impl Gateway {
-    /// Asks another entry, and notes whether it could be reached.
-    pub async fn ask(&self, to: SocketAddr, call: PeerCall<'_>) -> Result<(Head, Bytes), Failure> {
-        let answered = self.call_peer(to, call).await;
+    /// Calls another entry and records whether the entry was reachable.
+    pub async fn call_peer(
+        &self,
+        to: SocketAddr,
+        call: PeerCall<'_>,
+    ) -> Result<(Head, Bytes), Failure> {
+        let answered = self.send_peer_call(to, call).await;
         match answered {
-            Err(failure) if failure.cause == Cause::LinkLost => self.reach.lost(to, now_ms()),
-            _ => self.reach.found(to),
+            Err(failure) if failure.cause == Cause::LinkLost => {
+                self.reachability.mark_unreachable(to, now_ms())
+            }
+            _ => self.reachability.mark_reachable(to),
         }
         answered
     }
 
-    async fn call_peer(
+    async fn send_peer_call(
         &self,
         to: SocketAddr,
         call: PeerCall<'_>,
--- a/components/gateway/src/intake.rs
+++ b/components/gateway/src/request_context.rs
@@ -1,4 +1,4 @@
-//! From an HTTP request to a checked job.
+//! Converts an HTTP request into a validated job.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,72 +11,72 @@
 use types::{Cause, Class, Failure};
 
 use crate::auth::Session;
-use crate::headers::{Wishes, towards_endpoint};
+use crate::headers::{RequestOptions, endpoint_headers};
 use crate::idempotency::is_idempotent;
-use crate::incoming::{BodyRoom, RequestBody};
 use crate::job::Job;
-use crate::layers::{Arrived, RequestId};
+use crate::layers::{ArrivalTime, RequestId};
 use crate::rejection::Rejection;
+use crate::request_body::{BodyLimits, RequestBody};
 
-/// Longest time for a body to arrive, where the deadline is later.
+/// Maximum time for receiving a body, even if the deadline is later.
 const BODY_TIMEOUT_MS: u64 = 10_000;
 
-/// What every handler needs of a request.
-pub struct Intake {
+/// Data of a request that every handler needs.
+pub struct RequestContext {
     /// Method, path and headers.
     pub parts: Parts,
-    /// Identity of the request.
+    /// Id of the request in answers and log lines.
     pub request_id: String,
-    /// Who asks.
+    /// The authenticated token holder.
     pub session: Session,
-    /// What the caller says of its request.
-    pub wishes: Wishes,
-    /// When the request came, on the process's monotonic clock.
+    /// Options that the caller stated in headers.
+    pub options: RequestOptions,
+    /// Arrival time of the request on the process's monotonic clock.
     pub arrived_ms: u64,
-    room: BodyRoom,
+    body_limits: BodyLimits,
 }
 
-impl Intake {
-    /// Reads the parts. The layers have put the extensions in. `room` says where the body
-    /// of a session's request counts.
+impl RequestContext {
+    /// Reads the extensions that the layers have added. `body_limits` returns the limits for the
+    /// body of a session's request.
     pub fn new(
         mut parts: Parts,
-        room: impl FnOnce(&Session) -> BodyRoom,
+        body_limits: impl FnOnce(&Session) -> BodyLimits,
     ) -> Result<Self, Rejection> {
         let internal = || Rejection::Call(Failure::not_run(Cause::Internal));
         let RequestId(request_id) = parts.extensions.remove().ok_or_else(internal)?;
         let session: Session = parts.extensions.remove().ok_or_else(internal)?;
-        let wishes = parts.extensions.remove().ok_or_else(internal)?;
-        let Arrived { at_ms } = parts.extensions.remove().ok_or_else(internal)?;
+        let options = parts.extensions.remove().ok_or_else(internal)?;
+        let ArrivalTime { at_ms } = parts.extensions.remove().ok_or_else(internal)?;
         Ok(Self {
-            room: room(&session),
+            body_limits: body_limits(&session),
             parts,
             request_id,
             session,
-            wishes,
+            options,
             arrived_ms: at_ms,
         })
     }
 
-    /// When the caller gives up: its own deadline, else `default_ms` after it came.
+    /// Returns the deadline: the caller's own, or `default_ms` after the arrival.
     pub fn deadline_at_ms(&self, default_ms: u32) -> u64 {
-        let deadline_ms = self.wishes.deadline_ms.unwrap_or(default_ms);
+        let deadline_ms = self.options.deadline_ms.unwrap_or(default_ms);
         self.arrived_ms + u64::from(deadline_ms)
     }
 
-    /// Reads the whole body in time.
+    /// Reads the complete body within the time limit.
     pub async fn body<B>(&self, body: B, deadline_at_ms: u64) -> Result<Bytes, Rejection>
     where
         B: RequestBody,
     {
         let left_ms = deadline_at_ms.saturating_sub(now_ms());
         let wait = Duration::from_millis(left_ms.min(BODY_TIMEOUT_MS));
-        let class = self.wishes.class.unwrap_or(Class::Interactive);
-        self.room.read(body, class, wait).await
+        let class = self.options.class.unwrap_or(Class::Interactive);
+        self.body_limits.read(body, class, wait).await
     }
 
-    /// The job of a call to `service`. `content` is what makes it the same call when its
-    /// caller sends it again.
+    /// Creates the job for a call to `service`. Calls with the same `content` have the same digest,
+    /// also when the caller repeats them.
     pub fn job(
         &self,
         service: &Arc<Service>,
@@ -91,19 +91,19 @@
             request_id: self.request_id.clone(),
             payer: payer.clone(),
             service: Arc::clone(service),
-            class: self.session.holder.class_of(self.wishes.class, service),
-            idempotent: is_idempotent(service, method, &path, self.wishes.idempotent),
+            class: self.session.holder.class_of(self.options.class, service),
+            idempotent: is_idempotent(service, method, &path, self.options.idempotent),
             deadline_at_ms: self.deadline_at_ms(service.deadline_ms),
             method: method.to_owned(),
             path,
-            headers: towards_endpoint(&self.parts.headers, &self.request_id)?,
+            headers: endpoint_headers(&self.parts.headers, &self.request_id)?,
             work,
         })
     }
 }
 
-/// Errors when a service is of another kind than the path serves.
-pub fn need_kind(service: &Service, kind: ServiceKind) -> Result<(), Rejection> {
+/// Errors when a service is not of the kind that the path requires.
+pub fn require_kind(service: &Service, kind: ServiceKind) -> Result<(), Rejection> {
     if service.kind == kind {
         return Ok(());
     }
--- a/components/gateway/src/resumed.rs
+++ b/components/gateway/src/resumed.rs
@@ -1,8 +1,8 @@
-//! Events of an engine that goes on with another one's stream, as one stream.
+//! Rewrites the events of an engine that resumes a stream, so that the caller sees one stream.
 //!
-//! The second engine has its own id for the completion and counts the tokens that it was
-//! given as part of the prompt; a caller that follows the id or pays by the usage would
-//! see two half completions.
+//! The second engine assigns its own completion id and counts the tokens that it was given as part
+//! of the prompt. Without rewriting, a caller that uses the id or the token usage would see two
+//! partial completions.
 
 use bytes::Bytes;
 use serde_json::Value;
@@ -13,35 +13,35 @@
 const PROMPT_TOKENS: &str = "prompt_tokens";
 const COMPLETION_TOKENS: &str = "completion_tokens";
 
-/// What the first engine said of the completion, and what the next one was given.
+/// Data that is needed to rewrite the events of the current engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Begun {
-    /// Id of the completion; `None` before its first event.
+pub struct Continuation {
+    /// Id that the first engine gave the completion; `None` before its first event.
     pub id: Option<String>,
-    /// Tokens that the present engine was given.
+    /// Number of generated tokens that the current engine was given; 0 for the first engine.
     pub tokens: u64,
 }
 
-impl Begun {
-    /// Notes the id of the first event.
-    pub fn note(&mut self, events: &[u8]) {
+impl Continuation {
+    /// Records the completion id of the first event.
+    pub fn record_id(&mut self, events: &[u8]) {
         if self.id.is_none() {
             self.id = first_id(events);
         }
     }
 
-    /// Whole events of the present engine, as the caller gets them.
-    pub fn restate(&self, events: Bytes) -> Bytes {
+    /// Rewrites complete events of the current engine for the caller.
+    pub fn rewrite(&self, events: Bytes) -> Bytes {
         let text = match std::str::from_utf8(&events) {
             Ok(text) if self.tokens > 0 => text,
             _ => return events,
         };
         let lines = text.split_inclusive('\n');
-        let restated: String = lines.map(|line| self.restate_line(line)).collect();
-        Bytes::from(restated)
+        let rewritten: String = lines.map(|line| self.rewrite_line(line)).collect();
+        Bytes::from(rewritten)
     }
 
-    fn restate_line(&self, line: &str) -> String {
+    fn rewrite_line(&self, line: &str) -> String {
         let data = line.trim_end().strip_prefix(DATA);
         let Some(Ok(mut chunk)) = data.map(serde_json::from_str::<Value>) else {
             return line.to_owned();
@@ -50,12 +50,12 @@
             *own = id.as_str().into();
         }
         if let Some(usage) = chunk.get_mut(USAGE) {
-            self.restate_usage(usage);
+            self.rewrite_usage(usage);
         }
         format!("{DATA}{chunk}\n")
     }
 
-    fn restate_usage(&self, usage: &mut Value) {
+    fn rewrite_usage(&self, usage: &mut Value) {
         let prompt = usage.get(PROMPT_TOKENS).and_then(Value::as_u64);
         let completion = usage.get(COMPLETION_TOKENS).and_then(Value::as_u64);
         let (Some(prompt), Some(completion)) = (prompt, completion) else {
--- a/components/gateway/src/routes.rs
+++ b/components/gateway/src/routes.rs
@@ -1,4 +1,4 @@
-//! The public address as one service: layers, then the handler of each path.
+//! Service of the public address: the layers and the dispatch to the handler of each path.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -12,17 +12,17 @@
 use crate::auth::authenticate;
 use crate::body::Body;
 use crate::body_budget::BodyBudget;
-use crate::drained::Drained;
+use crate::drained::DrainedBody;
 use crate::gateway::Gateway;
-use crate::headers::Wishes;
-use crate::incoming::{BODY_BYTES_MAX, BodyRoom, RequestBody};
-use crate::intake::Intake;
-use crate::layers::{Arrived, answered, checked};
+use crate::headers::RequestOptions;
+use crate::layers::{ArrivalTime, check_layer, problem_layer};
+use crate::paths::Route;
 use crate::rejection::Rejection;
-use crate::target::Route;
+use crate::request_body::{BODY_BYTES_MAX, BodyLimits, RequestBody};
+use crate::request_context::RequestContext;
 use crate::{calls, completions, training};
 
-/// The service that answers every request of the public address.
+/// Returns the service that answers the requests of the public address.
 pub fn service<B>(
     gateway: &Arc<Gateway>,
 ) -> impl Service<Request<B>, Response = Response<Body>, Error = Infallible, Future: Send>
@@ -37,32 +37,33 @@
     let (known, handling) = (gateway.clone(), gateway.clone());
     let budget = Arc::new(BodyBudget::default());
     ServiceBuilder::new()
-        .map_request(|request: Request<B>| request.map(Drained::new))
-        .layer(answered(
+        .map_request(|request: Request<B>| request.map(DrainedBody::new))
+        .layer(problem_layer(
             move || ids.links.next_id().to_string(),
             move || drains.drain.is_leaving(),
         ))
-        .layer(checked(move |parts: &mut Parts| fits(parts, &clocks.pulse)))
-        .layer(checked(move |parts: &mut Parts| {
+        .layer(check_layer(move |parts: &mut Parts| {
+            check_arrival(parts, &clocks.pulse)
+        }))
+        .layer(check_layer(move |parts: &mut Parts| {
             let session = authenticate(known.feed.view(), &parts.headers)?;
             parts.extensions.insert(session);
             Ok(())
         }))
-        .layer(checked(wishes))
+        .layer(check_layer(read_options))
         .service(service_fn(move |request| {
             handle(handling.clone(), budget.clone(), request)
         }))
 }
 
-/// Notes when the request came; refuses by its stated length a body that would be refused
-/// after it was read.
+/// Records the arrival time, and rejects a body whose stated length exceeds the limit.
 ///
-/// A process that was frozen reads requests out of its socket buffers long after they
-/// came, when their callers may have given up. Its pause counts as part of their time.
-fn fits(parts: &mut Parts, pulse: &PauseDetector) -> Result<(), Rejection> {
+/// A process that was suspended reads requests from its socket buffers long after they arrived,
+/// when their callers may no longer wait. The suspension is counted as part of the request's time.
+fn check_arrival(parts: &mut Parts, pulse: &PauseDetector) -> Result<(), Rejection> {
     let now_ms = now_ms();
     let at_ms = now_ms.saturating_sub(pulse.arrival_age_ms(now_ms));
-    parts.extensions.insert(Arrived { at_ms });
+    parts.extensions.insert(ArrivalTime { at_ms });
     let stated = parts.headers.get(CONTENT_LENGTH);
     let length = stated.and_then(|value| value.to_str().ok()?.parse::<usize>().ok());
     if length.is_some_and(|bytes| bytes > BODY_BYTES_MAX) {
@@ -71,9 +72,9 @@
     Ok(())
 }
 
-fn wishes(parts: &mut Parts) -> Result<(), Rejection> {
-    let wishes = Wishes::read(&parts.headers)?;
-    parts.extensions.insert(wishes);
+fn read_options(parts: &mut Parts) -> Result<(), Rejection> {
+    let options = RequestOptions::read(&parts.headers)?;
+    parts.extensions.insert(options);
     Ok(())
 }
 
@@ -87,15 +88,15 @@
 {
     let (parts, body) = request.into_parts();
     let route = Route::parse(parts.uri.path(), parts.uri.query())?;
-    let intake = Intake::new(parts, |session| BodyRoom {
+    let context = RequestContext::new(parts, |session| BodyLimits {
         account: gateway.accounts.get(&session.holder.customer),
         budget,
     })?;
     match route {
-        Route::Completions => completions::serve(gateway, intake, body).await,
-        Route::Service(target, path) => calls::serve(gateway, intake, target, path, body).await,
+        Route::Completions => completions::serve(gateway, context, body).await,
+        Route::Service(target, path) => calls::serve(gateway, context, target, path, body).await,
         Route::Training(service, route) => {
-            training::serve(gateway, intake, service, route, body).await
+            training::serve(gateway, context, service, route, body).await
         }
     }
 }
--- a/components/gateway/src/server.rs
+++ b/components/gateway/src/server.rs
@@ -1,12 +1,12 @@
-//! The public address: accepts connections and serves requests until the process leaves.
+//! Accepts connections on the public address and serves their requests until the process stops.
 //!
-//! A connection that is idle when the process stops is closed; one with a request in
-//! progress gets its whole answer first. New connections are still taken for as long,
-//! and their requests refused: one that a caller opened just before would otherwise be
-//! reset in the kernel's queue, and the caller could not tell whether its request ran.
+//! When the process stops, idle connections are closed, and connections with a request in progress
+//! get their complete answer first. New connections are still accepted for a short time and their
+//! requests are refused. Otherwise the kernel would reset connections that callers have just
+//! opened, and the callers could not tell whether their requests ran.
 //!
-//! There are only so many connections, and some descriptors are not for callers at all.
-//! When all are taken, idle connections are closed for new ones.
+//! The number of connections is limited, and some descriptors are reserved for other uses. When
+//! the limit is reached, idle connections are closed for new ones.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,21 +17,21 @@
 use tokio::task::{Id, JoinError, JoinSet};
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::connection::{self, PublicService, stopped};
+use crate::connection::{self, PublicService, wait_for_stop};
 use crate::connections::{Connection, Connections};
 use crate::descriptors::{connections_max, raise_limit};
 
-/// Pause after an accept that failed, such as for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Between two looks for connections that can make room.
-const ROOM_LOOK: Duration = Duration::from_millis(50);
-/// Quiet time after which nobody is taken to come any more.
-const QUIET: Duration = Duration::from_millis(50);
-/// Longest time of taking connections only to refuse their requests.
-const REFUSE_FOR: Duration = Duration::from_secs(1);
+/// Delay after a failed accept, for example because no file descriptor was free.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Interval at which idle connections are closed while the limit is reached.
+const CAPACITY_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Accepting ends when no connection arrives for this time after the stop.
+const QUIET_PERIOD: Duration = Duration::from_millis(50);
+/// Maximum time for which connections are accepted after the stop.
+const REFUSAL_PERIOD: Duration = Duration::from_secs(1);
 
-/// Raises the limit of descriptors and serves `listener` with `service` until `stop` turns
-/// true; returns once every connection has ended.
+/// Raises the descriptor limit and serves `listener` with `service` until `stop` becomes true.
+/// Returns when all connections have ended.
 pub async fn serve<S>(listener: TcpListener, service: S, stop: watch::Receiver<bool>)
 where
     S: PublicService,
@@ -42,7 +42,7 @@
     serve_at_most(connections_max, listener, service, stop).await;
 }
 
-/// As [`serve`], with at most so many connections at a time.
+/// Same as [`serve`], with a given maximum number of connections.
 pub async fn serve_at_most<S>(
     connections_max: usize,
     listener: TcpListener,
@@ -54,33 +54,33 @@
     let mut tasks = JoinSet::new();
     let mut connections = Connections::new(connections_max);
     let mut stopping = stop.clone();
-    let begin = |tasks: &mut JoinSet<()>, connections: &mut Connections, stream| {
+    let start = |tasks: &mut JoinSet<()>, connections: &mut Connections, stream| {
         let state = Connection::new();
         let served = connection::serve(stream, Arc::clone(&state), service.clone(), stop.clone());
-        connections.opened(tasks.spawn(served).id(), state);
+        connections.add(tasks.spawn(served).id(), state);
     };
     loop {
-        connections.make_room(now_ms());
-        let room = connections.has_room();
+        connections.close_idle(now_ms());
+        let has_capacity = connections.has_capacity();
         tokio::select! {
-            () = stopped(&mut stopping) => break,
-            stream = accept(&listener), if room => begin(&mut tasks, &mut connections, stream),
-            Some(ended) = tasks.join_next_with_id() => connections.ended(id_of(&ended)),
-            () = sleep(ROOM_LOOK), if !room => {}
+            () = wait_for_stop(&mut stopping) => break,
+            stream = accept(&listener), if has_capacity => start(&mut tasks, &mut connections, stream),
+            Some(ended) = tasks.join_next_with_id() => connections.remove(task_id(&ended)),
+            () = sleep(CAPACITY_CHECK_INTERVAL), if !has_capacity => {}
         }
     }
-    let refuse_until = Instant::now() + REFUSE_FOR;
-    while Instant::now() < refuse_until && connections.has_room() {
-        let Ok(stream) = timeout(QUIET, accept(&listener)).await else {
+    let refuse_until = Instant::now() + REFUSAL_PERIOD;
+    while Instant::now() < refuse_until && connections.has_capacity() {
+        let Ok(stream) = timeout(QUIET_PERIOD, accept(&listener)).await else {
             break;
         };
-        begin(&mut tasks, &mut connections, stream);
+        start(&mut tasks, &mut connections, stream);
     }
     drop(listener);
     while tasks.join_next().await.is_some() {}
 }
 
-fn id_of(ended: &Result<(Id, ()), JoinError>) -> Id {
+fn task_id(ended: &Result<(Id, ()), JoinError>) -> Id {
     match ended {
         Ok((id, ())) => *id,
         Err(reason) => reason.id(),
@@ -91,7 +91,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => return stream,
-            Err(_) => sleep(ACCEPT_PAUSE).await,
+            Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
--- a/components/gateway/src/start.rs
+++ b/components/gateway/src/start.rs
@@ -1,4 +1,4 @@
-//! Starts everything that the requests of one entry share.
+//! Creates the shared state of an entry and starts its background tasks.
 
 use std::sync::Arc;
 
@@ -17,44 +17,44 @@
 use crate::accounts::Accounts;
 use crate::error::EntryError;
 use crate::gateway::Gateway;
+use crate::gossip_handlers::{self, GossipSources};
 use crate::keyed::{self, Claims};
-use crate::news::{self, Sources};
-use crate::reach::Reach;
+use crate::reachability::PeerReachability;
 use crate::readiness::Readiness;
 use crate::refresh;
 use crate::services::Services;
 use crate::suspects::Quarantine;
 use crate::training::{Coordinator, Copier, spawn_coordinator};
 use crate::tuning::Tuning;
-use crate::weight_news::WeightNews;
+use crate::weight_authority::WeightAuthority;
 
-/// First part of the names of an entry's metrics.
+/// Prefix of the names of an entry's metrics.
 const METRICS_PREFIX: &str = "hornbeamrock.entry";
-/// How long a call that may run again waits for a callee whose connection was lost, in
-/// milliseconds. Its caller waits as well, and another replica answers in a few.
+/// How long an idempotent call waits for a callee whose connection was lost, in milliseconds. The
+/// caller waits during this time, and another replica answers within a few milliseconds.
 const QUICK_REATTACH_MS: u64 = 500;
-/// Versions in force that wait to be told on.
-const VERSIONS_MAX: usize = 256;
-/// Demands told by other entries that wait; a tick takes them all.
-const DEMANDS_MAX: usize = 1_024;
+/// Capacity of the queue of version changes that are to be gossiped.
+const VERSION_QUEUE_MAX: usize = 256;
+/// Capacity of the queue of demand digests from other entries. Each tick empties the queue.
+const DEMAND_QUEUE_MAX: usize = 1_024;
 
-/// What the process has before it starts.
-pub struct Parts {
-    /// Who it is.
+/// Parts of the process that exist before the entry starts.
+pub struct ProcessParts {
+    /// Address, incarnation and location of this process.
     pub identity: Arc<Identity>,
-    /// Socket for news.
+    /// Socket for gossip.
     pub udp: Udp,
-    /// Settings of connections.
+    /// Settings of connections to other processes.
     pub links: LinkSettings,
-    /// Order to leave.
+    /// Signal to drain and leave.
     pub leaving: DrainSignal,
 }
 
-/// Starts the tasks of an entry. Errors when metrics or claims can't be set up.
+/// Starts the tasks of an entry. Errors when metrics or claims cannot be set up.
 pub fn start(
     settings: &EntrySettings,
     tuning: Tuning,
-    parts: Parts,
+    parts: ProcessParts,
 ) -> Result<Arc<Gateway>, EntryError> {
     let common = &settings.common;
     let identity = parts.identity;
@@ -65,12 +65,12 @@
     let own = identity.node().address;
     let feed_settings = tuning.feed.with_retention(common.log_retention_ms);
     let feed = ConfigFeed::start(own, log, quick_links.clone(), feed_settings);
-    let (versions, in_force) = mpsc::channel(VERSIONS_MAX);
-    let (condemned, to_tell) = mpsc::unbounded_channel();
-    let weights = WeightNews::start(versions);
-    let quarantine = Quarantine::start(condemned);
-    let (demand, told) = mpsc::channel(DEMANDS_MAX);
-    let hooks = news::hooks(&weights, &quarantine, &parts.leaving, demand);
+    let (versions, version_inbox) = mpsc::channel(VERSION_QUEUE_MAX);
+    let (quarantine_events, event_inbox) = mpsc::unbounded_channel();
+    let weights = WeightAuthority::start(versions);
+    let quarantine = Quarantine::start(quarantine_events);
+    let (demand, peer_demands) = mpsc::channel(DEMAND_QUEUE_MAX);
+    let hooks = gossip_handlers::hooks(&weights, &quarantine, &parts.leaving, demand);
     let gossip = start_gossip(common, tuning.gossip, &identity, parts.udp, &feed, hooks);
     let here = locality(&identity);
     let (training, coordinator) = Coordinator::new();
@@ -83,7 +83,7 @@
         services: Services::new(tuning.routing, tuning.admission, here),
         hedging: tuning.hedging,
         accounts: Accounts::new(settings.ceilings, tuning.retries),
-        reach: Reach::default(),
+        reachability: PeerReachability::default(),
         quarantine,
         claims,
         weights,
@@ -100,16 +100,20 @@
         copier,
         cursor_keys(&common.keys),
     );
-    let sources = Sources {
-        versions: in_force,
-        condemned: to_tell,
+    let sources = GossipSources {
+        versions: version_inbox,
+        quarantine_events: event_inbox,
     };
-    news::start(&gateway, sources);
-    tokio::spawn(refresh::run(Arc::clone(&gateway), told, tuning.shares));
+    gossip_handlers::start(&gateway, sources);
+    tokio::spawn(refresh::run(
+        Arc::clone(&gateway),
+        peer_demands,
+        tuning.shares,
+    ));
     Ok(gateway)
 }
 
-/// Links of the calls that may run again.
+/// Returns the connections for idempotent calls, which have a shorter reattach time.
 fn quick_links(links: LinkSettings) -> Links {
     Links::new(LinkSettings {
         reattach_for_ms: QUICK_REATTACH_MS,
@@ -154,8 +158,8 @@
     }
 }
 
-/// Cursors are signed with the keys that all processes share, so that any entry reads
-/// the cursor of any other.
+/// Returns the keys that sign cursors. These are the keys shared by all processes, so that every
+/// entry can verify the cursors of all others.
 fn cursor_keys(keys: &[SharedKey]) -> CursorKeys {
     let mut bytes = keys.iter().map(|key| key.0);
     let signs = bytes.next().unwrap_or_default();
--- a/components/gateway/src/status.rs
+++ b/components/gateway/src/status.rs
@@ -1,4 +1,4 @@
-//! What the admin address shows of an entry.
+//! Status page of the admin server.
 
 use std::sync::Arc;
 
@@ -29,7 +29,7 @@
     metrics: Vec<Row>,
 }
 
-/// Bytes of the system's own processes since the start.
+/// Bytes exchanged with other processes of the system since the start.
 #[derive(Serialize)]
 struct Traffic {
     calls_sent_bytes: u64,
@@ -82,12 +82,12 @@
     version: String,
 }
 
-/// The state as JSON.
+/// Returns the state of the entry as JSON.
 pub async fn json(gateway: Arc<Gateway>) -> String {
     let steps = gateway.training.status().await;
     let metrics = gateway.metrics.rows().await;
     let status = status(&gateway, steps, metrics);
-    // Plain fields always serialise; an empty text stands in.
+    // Plain fields always serialise; an empty text is the fallback.
     serde_json::to_string(&status).unwrap_or_default()
 }
 
@@ -106,7 +106,11 @@
         isolated: snapshot.isolated,
         in_progress: gateway.drain.work_counter().count(),
         config: configured(&view),
-        unmet_dependencies: view.unmet_dependencies().iter().map(unmet).collect(),
+        unmet_dependencies: view
+            .unmet_dependencies()
+            .iter()
+            .map(format_dependency)
+            .collect(),
         members: snapshot.members.iter().map(member).collect(),
         services: services(gateway, &view),
         weights: weights
@@ -143,8 +147,8 @@
     customers
 }
 
-fn unmet(unmet: &config::UnmetDependency) -> String {
-    format!("{} -> {}", unmet.from, unmet.to)
+fn format_dependency(dependency: &config::UnmetDependency) -> String {
+    format!("{} -> {}", dependency.from, dependency.to)
 }
 
 fn member(member: &membership::MemberState) -> Member {
@@ -165,13 +169,13 @@
     let known = view.services().filter_map(|service| {
         let state = gateway.services.get(&service.owner, &service.name)?;
         let table = state.table();
-        let room = state.gate.capacity();
+        let capacity = state.gate.capacity();
         Some(Service {
             owner: service.owner.to_string(),
             service: service.name.to_string(),
-            in_progress: room.in_progress,
+            in_progress: capacity.in_progress,
             waiting: state.gate.waiting(),
-            slots: room.limit,
+            slots: capacity.limit,
             ejected: table.ejected_count(),
             replicas: table.replica_states().iter().map(replica).collect(),
         })
@@ -181,12 +185,12 @@
     known
 }
 
-fn replica(slot: &routing::ReplicaState) -> Replica {
+fn replica(state: &routing::ReplicaState) -> Replica {
     Replica {
-        agent: slot.replica.node.to_string(),
-        failure_domain: slot.replica.failure_domain.to_string(),
-        outstanding: slot.counters().calls(),
-        weights: slot.replica.weights.map(|version| version.to_string()),
-        leaving: slot.replica.leaving,
+        agent: state.replica.node.to_string(),
+        failure_domain: state.replica.failure_domain.to_string(),
+        outstanding: state.counters().calls(),
+        weights: state.replica.weights.map(|version| version.to_string()),
+        leaving: state.replica.leaving,
     }
 }
--- a/components/gateway/src/trace.rs
+++ b/components/gateway/src/trace.rs
@@ -1,4 +1,4 @@
-//! What is recorded of one request: a log line, a counter and a latency.
+//! Records a log line, a counter and latencies for each request.
 
 use std::sync::Arc;
 
@@ -8,70 +8,70 @@
 
 use crate::job::Job;
 
-/// Records a request's end once; dropped before an end is told, it records that the
-/// caller went away.
+/// Records the end of a request exactly once. Dropping the value before an end was recorded
+/// records a cancellation by the caller.
 pub struct Trace {
     metrics: Metrics,
     request_id: String,
     customer: CustomerName,
     service: Arc<config::Service>,
     class: Class,
-    began_ms: u64,
+    started_ms: u64,
     first_byte_ms: Option<u64>,
     ended: bool,
 }
 
 impl Trace {
-    /// A request that began at `began_ms`.
-    pub fn new(metrics: Metrics, job: &Job, began_ms: u64) -> Self {
+    /// Starts recording a request that began at `started_ms`.
+    pub fn new(metrics: Metrics, job: &Job, started_ms: u64) -> Self {
         Self {
             metrics,
             request_id: job.request_id.clone(),
             customer: job.payer.clone(),
             service: Arc::clone(&job.service),
             class: job.class,
-            began_ms,
+            started_ms,
             first_byte_ms: None,
             ended: false,
         }
     }
 
-    /// Another trace records the rest.
-    pub fn handed_on(mut self) {
+    /// Ends this trace without recording; another trace records the rest of the request.
+    pub fn transfer(mut self) {
         self.ended = true;
     }
 
-    /// The answer has begun.
-    pub fn first_byte(&mut self) {
+    /// Records the time until the first byte of the answer.
+    pub fn record_first_byte(&mut self) {
         if self.first_byte_ms.is_some() {
             return;
         }
-        let took_ms = now_ms().saturating_sub(self.began_ms);
+        let took_ms = now_ms().saturating_sub(self.started_ms);
         self.first_byte_ms = Some(took_ms);
         let label = Label::of(&self.customer, self.class);
         self.metrics.record("request_first_byte_ms", label, took_ms);
     }
 
-    /// The answer is whole.
-    pub fn answered(&mut self, status: u16) {
-        self.end("answered", "", Some(status));
+    /// Records that the answer is complete.
+    pub fn record_answer(&mut self, status: u16) {
+        self.finish("answered", "", Some(status));
     }
 
-    /// The answer is that of an earlier submission.
-    pub fn replayed(&mut self) {
-        self.end("answered", "replayed", None);
+    /// Records that the recorded answer of an earlier submission was replayed.
+    pub fn record_replay(&mut self) {
+        self.finish("answered", "replayed", None);
     }
 
-    /// There is no whole answer.
-    pub fn failed(&mut self, failure: Failure) {
-        self.end(failure.run.as_str(), failure.cause.as_str(), None);
+    /// Records that there is no complete answer.
+    pub fn record_failure(&mut self, failure: Failure) {
+        self.finish(failure.run.as_str(), failure.cause.as_str(), None);
     }
 
-    fn end(&mut self, outcome: &'static str, cause: &'static str, status: Option<u16>) {
+    fn finish(&mut self, outcome: &'static str, cause: &'static str, status: Option<u16>) {
         if std::mem::replace(&mut self.ended, true) {
             return;
         }
-        let took_ms = now_ms().saturating_sub(self.began_ms);
+        let took_ms = now_ms().saturating_sub(self.started_ms);
         let label = Label::of(&self.customer, self.class);
         self.metrics.record("request_ms", label, took_ms);
         self.metrics.count(counter(outcome), label, 1);
@@ -97,6 +97,6 @@
 
 impl Drop for Trace {
     fn drop(&mut self) {
-        self.end("cancelled", "cancelled", None);
+        self.finish("cancelled", "cancelled", None);
     }
 }
--- a/components/gateway/src/training/api.rs
+++ b/components/gateway/src/training/api.rs
@@ -18,11 +18,11 @@
 use crate::answer::response;
 use crate::body::{Body, full};
 use crate::gateway::Gateway;
-use crate::incoming::RequestBody;
-use crate::intake::{Intake, need_kind};
+use crate::paths::TrainingRoute;
 use crate::rejection::Rejection;
-use crate::target::TrainingRoute;
-use crate::weight_news::{Announced, Want};
+use crate::request_body::RequestBody;
+use crate::request_context::{RequestContext, require_kind};
+use crate::weight_authority::{VersionAction, VersionRequest};
 
 /// Deadline of a training call that does not state one.
 const DEFAULT_DEADLINE_MS: u32 = 60_000;
@@ -30,7 +30,7 @@
 /// Serves one call of the training API.
 pub async fn serve<B>(
     gateway: Arc<Gateway>,
-    intake: Intake,
+    context: RequestContext,
     service: ServiceName,
     route: TrainingRoute,
     body: B,
@@ -38,36 +38,36 @@
 where
     B: RequestBody,
 {
-    if intake.parts.method != Method::POST {
+    if context.parts.method != Method::POST {
         return Err(Rejection::Method("POST"));
     }
     let model = match route {
-        TrainingRoute::Rollback => intake.session.operable(&service)?,
-        _ => intake.session.trainable(&service)?,
+        TrainingRoute::Rollback => context.session.operable(&service)?,
+        _ => context.session.trainable(&service)?,
     };
-    need_kind(&model, ServiceKind::Model)?;
+    require_kind(&model, ServiceKind::Model)?;
     let _work_guard = gateway.drain.admit(now_ms())?;
-    let _call_guard = begin_call(&gateway, &intake)?;
-    let deadline_at_ms = intake.deadline_at_ms(DEFAULT_DEADLINE_MS);
-    let bytes = intake.body(body, deadline_at_ms).await?;
-    let want = match route {
-        TrainingRoute::Weights => Want::Announce,
-        TrainingRoute::Prepare => Want::Prepare,
-        TrainingRoute::Rollback => Want::RollBack,
+    let _call_guard = begin_call(&gateway, &context)?;
+    let deadline_at_ms = context.deadline_at_ms(DEFAULT_DEADLINE_MS);
+    let bytes = context.body(body, deadline_at_ms).await?;
+    let action = match route {
+        TrainingRoute::Weights => VersionAction::Announce,
+        TrainingRoute::Prepare => VersionAction::Prepare,
+        TrainingRoute::Rollback => VersionAction::RollBack,
         TrainingRoute::Steps | TrainingRoute::Fetch { .. } => {
-            let call = home_call(&intake, &model, route, bytes, deadline_at_ms)?;
+            let call = home_call(&context, &model, route, bytes, deadline_at_ms)?;
             let (head, body) = forward_to_home(&gateway, call).await?;
             return response(&head, full(body));
         }
     };
-    announce(&gateway, &intake, &model, want, &bytes).await
+    announce(&gateway, &context, &model, action, &bytes).await
 }
 
 /// Counts the call against its customer's request rate, and against the customer's training calls
 /// in progress until the guard is dropped. It does not count as one of the customer's requests in
 /// progress, because a fetch waits for seconds without using an endpoint.
-fn begin_call(gateway: &Gateway, intake: &Intake) -> Result<TrainingCallGuard, Rejection> {
-    let customer = &intake.session.holder.customer;
+fn begin_call(gateway: &Gateway, context: &RequestContext) -> Result<TrainingCallGuard, Rejection> {
+    let customer = &context.session.holder.customer;
     let account = gateway.accounts.get(customer);
     // The configuration is newer than the last refresh of the accounts; the next refresh adds the
     // customer.
@@ -82,31 +82,31 @@
 
 async fn announce(
     gateway: &Gateway,
-    intake: &Intake,
+    context: &RequestContext,
     model: &Service,
-    want: Want,
+    action: VersionAction,
     bytes: &[u8],
 ) -> Result<Response<Body>, Rejection> {
     let version = parse::<VersionBody>(bytes)?.version()?;
-    let holder = &intake.session.holder;
+    let holder = &context.session.holder;
     let key = ModelKey {
         customer: model.owner.clone(),
         service: model.name.clone(),
     };
-    if want == Want::Prepare && !gateway.weights.targets().contains_key(&key) {
-        return Err(Rejection::NothingInForce(model.name.clone()));
+    if action == VersionAction::Prepare && !gateway.weights.targets().contains_key(&key) {
+        return Err(Rejection::NoActiveVersion(model.name.clone()));
     }
-    let announced = Announced {
+    let request = VersionRequest {
         customer: holder.customer.clone(),
         role: holder.role,
         model: key,
-        want,
+        action,
         version,
     };
-    let announcement = gateway.weights.announce(announced).await?;
+    let announcement = gateway.weights.announce(request).await?;
     let (AnnounceOutcome::Changed(target) | AnnounceOutcome::Known(target)) = announcement;
     log::info!(
-        event = "weights-announced", request_id = intake.request_id.as_str(),
+        event = "weights-announced", request_id = context.request_id.as_str(),
         customer = model.owner.as_str(), service = model.name.as_str(),
         version = target.serve.to_string(), load = target.load.to_string(); ""
     );
@@ -120,7 +120,7 @@
 }
 
 fn home_call(
-    intake: &Intake,
+    context: &RequestContext,
     model: &Service,
     route: TrainingRoute,
     body: Bytes,
@@ -131,14 +131,14 @@
         _ => parse::<StepBody>(&body)?.step,
     };
     Ok(HomeCall {
-        request_id: intake.request_id.clone(),
+        request_id: context.request_id.clone(),
         key: StepKey {
             customer: model.owner.clone(),
             service: model.name.clone(),
             step,
         },
         route,
-        path: intake.parts.uri.path().to_owned(),
+        path: context.parts.uri.path().to_owned(),
         body,
         deadline_at_ms,
     })
--- a/components/gateway/src/training/coordinator_fetch.rs
+++ b/components/gateway/src/training/coordinator_fetch.rs
@@ -90,7 +90,7 @@
         for waiting in superseded {
             self.end_fetch(&waiting.fetch.key, now_ms);
             // The trainer no longer reads this answer.
-            let _ = waiting.answer.send(Err(Rejection::FetchOver));
+            let _ = waiting.answer.send(Err(Rejection::FetchSuperseded));
         }
     }
 
--- a/components/gateway/src/training/copies.rs
+++ b/components/gateway/src/training/copies.rs
@@ -117,7 +117,7 @@
         body: Bytes::from(body),
         deadline_ms: TIMEOUT_MS,
     };
-    gateway.ask(to, call).await.is_ok()
+    gateway.call_peer(to, call).await.is_ok()
 }
 
 /// Parses the body of a call that sends copies.
--- a/components/gateway/src/training/inner.rs
+++ b/components/gateway/src/training/inner.rs
@@ -17,9 +17,9 @@
 use super::commands::{Fetch, Post, Reply};
 use super::copies::{COPIES_PATH, parse as parse_copies};
 use crate::gateway::Gateway;
+use crate::paths::{Route, TrainingRoute};
 use crate::problem;
 use crate::rejection::Rejection;
-use crate::target::{Route, TrainingRoute};
 
 const TRAINING_PREFIX: &str = "/v1/training/";
 const JSON: &str = "application/json";
@@ -164,7 +164,7 @@
             return Ok(());
         }
         if now_ms() >= until_ms {
-            return Err(Rejection::NotInForce(version, known));
+            return Err(Rejection::VersionNotAnnounced(version, known));
         }
         tokio::time::sleep(POLL_INTERVAL).await;
     }
--- a/components/gateway/src/training/run.rs
+++ b/components/gateway/src/training/run.rs
@@ -15,7 +15,7 @@
 use super::commands::{Command, RunFault, RunReport};
 use super::run_recorder::RunRecorder;
 use crate::admission::admit_in_turn;
-use crate::attempt::{Attempt, Where};
+use crate::attempt::{Attempt, ReplicaConstraints};
 use crate::completion::priority;
 use crate::completions::PATH;
 use crate::gateway::Gateway;
@@ -82,7 +82,7 @@
                 self.stop,
             )
             .await;
-        admitted.used(
+        admitted.refund_unused(
             recorder
                 .token_count()
                 .saturating_add(job.work.prompt_tokens),
@@ -140,16 +140,16 @@
 }
 
 /// Excludes all replicas except the one that the ledger has chosen.
-fn only_replica(gateway: &Gateway, job: &Job, to: std::net::SocketAddr) -> Where {
+fn only_replica(gateway: &Gateway, job: &Job, to: std::net::SocketAddr) -> ReplicaConstraints {
     let service = &job.service;
     let state = gateway.services.get(&service.owner, &service.name);
     let table = state.map(|state| state.table());
     let replicas = table.iter().flat_map(|table| table.replica_states());
     let others = replicas.map(|state| state.replica.node);
-    Where {
+    ReplicaConstraints {
         exclude: others.filter(|node| node.address != to).collect(),
-        only: true,
-        at_least: None,
+        strict: true,
+        min_version: None,
     }
 }
 
--- a/components/gateway/tests/connections.rs
+++ b/components/gateway/tests/connections.rs
@@ -1,5 +1,5 @@
-//! Connections of callers when there are no more to be had.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+//! Behaviour at the maximum number of connections.
+#![allow(clippy::unwrap_used)] // clippy.toml allows `unwrap` in test functions, not in their helpers.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -18,18 +18,18 @@
 use tokio::time::timeout;
 use tower::service_fn;
 
-/// Far above what anything here takes; only a test that fails reaches it.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// Less than the 5 s after which connections without a request end by themselves.
-const BEFORE_THEY_END: Duration = Duration::from_secs(4);
-const MAX: usize = 8;
+/// Reached only by a failing test.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
+/// Less than the 5 s after which connections without a request are closed anyway.
+const BELOW_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+const CONNECTIONS_MAX: usize = 8;
 const REQUEST: &str = "GET / HTTP/1.1\r\nHost: entry\r\n\r\n";
 
-/// A server of few connections; `/wait` is answered when the gate is open.
+/// A server with few connections. Requests for `/wait` are answered only after `gate` opens.
 struct Server {
     address: SocketAddr,
     gate: watch::Sender<bool>,
-    begun: watch::Receiver<usize>,
+    started_requests: watch::Receiver<usize>,
     stop: watch::Sender<bool>,
     served: JoinHandle<()>,
 }
@@ -40,11 +40,11 @@
         let address = listener.local_addr().unwrap();
         let (stop, stopping) = watch::channel(false);
         let (gate, gated) = watch::channel(false);
-        let (begin, begun) = watch::channel(0);
+        let (count_request, started_requests) = watch::channel(0);
         let service = service_fn(move |request: Request<Incoming>| {
             let mut gated = gated.clone();
             let waits = request.uri().path() == "/wait";
-            begin.send_modify(|begun| *begun += 1);
+            count_request.send_modify(|started_requests| *started_requests += 1);
             async move {
                 if waits {
                     gated.wait_for(|open| *open).await.unwrap();
@@ -52,30 +52,35 @@
                 Ok::<_, Infallible>(Response::new(full("whole")))
             }
         });
-        let served = tokio::spawn(server::serve_at_most(MAX, listener, service, stopping));
+        let served = tokio::spawn(server::serve_at_most(
+            CONNECTIONS_MAX,
+            listener,
+            service,
+            stopping,
+        ));
         Server {
             address,
             gate,
-            begun,
+            started_requests,
             stop,
             served,
         }
     }
 
-    /// Opens a connection and sends this.
+    /// Opens a connection and sends `bytes`.
     async fn open(&self, bytes: &str) -> TcpStream {
         let mut stream = TcpStream::connect(self.address).await.unwrap();
         stream.write_all(bytes.as_bytes()).await.unwrap();
         stream
     }
 
-    async fn stopped(self) {
+    async fn stop(self) {
         self.stop.send_replace(true);
-        timeout(PATIENCE, self.served).await.unwrap().unwrap();
+        timeout(TEST_TIMEOUT, self.served).await.unwrap().unwrap();
     }
 }
 
-/// Whether a whole answer comes.
+/// Returns whether a complete answer arrives.
 async fn is_answered(stream: &mut TcpStream) -> bool {
     let mut answer = Vec::new();
     let until = async {
@@ -86,20 +91,22 @@
         }
         true
     };
-    timeout(PATIENCE, until).await.unwrap()
+    timeout(TEST_TIMEOUT, until).await.unwrap()
 }
 
-/// Waits until the other side has closed the connection.
+/// Returns whether the server closes the connection.
 async fn is_closed(stream: &mut TcpStream) -> bool {
-    let read = timeout(PATIENCE, stream.read(&mut [0; 64])).await.unwrap();
+    let read = timeout(TEST_TIMEOUT, stream.read(&mut [0; 64]))
+        .await
+        .unwrap();
     matches!(read, Ok(0) | Err(_))
 }
 
-// Somebody without a token opens as many connections as there are, and sends nothing, or
-// never the whole of a request's head. A caller who comes then used to wait for a minute;
-// now the connection that has been idle for the longest time is closed for it.
+// Guards against a client without a token blocking all others: it opens every available connection
+// and sends nothing or only part of a request head. The longest idle connection must be closed for
+// a new caller, who would otherwise wait for a minute.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn can_answer_when_idle_connections_take_all_places() {
+async fn can_answer_when_idle_connections_reach_the_limit() {
     struct Case {
         name: &'static str,
         sent: &'static str,
@@ -112,7 +119,7 @@
             answered: false,
         },
         Case {
-            name: "a part of a head was sent",
+            name: "part of a request head was sent",
             sent: "GET / HTTP/1.1\r\nHost: ent",
             answered: false,
         },
@@ -125,7 +132,7 @@
     for case in cases {
         let server = Server::start().await;
         let mut idle = Vec::new();
-        for _ in 0..MAX {
+        for _ in 0..CONNECTIONS_MAX {
             let mut stream = server.open(case.sent).await;
             if case.answered {
                 assert!(is_answered(&mut stream).await, "{}", case.name);
@@ -133,26 +140,33 @@
             idle.push(stream);
         }
         let mut caller = server.open(REQUEST).await;
-        let answered = timeout(BEFORE_THEY_END, is_answered(&mut caller)).await;
+        let answered = timeout(BELOW_IDLE_TIMEOUT, is_answered(&mut caller)).await;
         assert_eq!(answered, Ok(true), "{}", case.name);
         assert!(is_closed(&mut idle[0]).await, "{}", case.name);
-        server.stopped().await;
+        server.stop().await;
     }
 }
 
-// All places are taken by requests in progress. One more caller waits; none of the others
-// is closed for it, and it is answered when one of them has ended.
+// Guards against closing a connection with a request in progress: all connections are busy, so one
+// more caller must wait until one of them has ended.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_keep_connections_with_a_request_in_progress() {
     let mut server = Server::start().await;
     let mut busy = Vec::new();
-    for _ in 0..MAX {
+    for _ in 0..CONNECTIONS_MAX {
         busy.push(server.open(&REQUEST.replace("/ ", "/wait ")).await);
     }
-    let begun = server.begun.wait_for(|begun| *begun == MAX);
-    drop(timeout(PATIENCE, begun).await.unwrap().unwrap());
+    let started_requests = server
+        .started_requests
+        .wait_for(|started_requests| *started_requests == CONNECTIONS_MAX);
+    drop(
+        timeout(TEST_TIMEOUT, started_requests)
+            .await
+            .unwrap()
+            .unwrap(),
+    );
     let mut caller = server.open(REQUEST).await;
-    // Time for several looks for a connection to close.
+    // Long enough for several rounds of closing idle connections.
     let unanswered = timeout(Duration::from_millis(500), is_answered(&mut caller)).await;
     assert!(unanswered.is_err());
     server.gate.send_replace(true);
@@ -160,17 +174,17 @@
         assert!(is_answered(stream).await);
     }
     assert!(is_answered(&mut caller).await);
-    server.stopped().await;
+    server.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn can_close_a_connection_whose_first_request_does_not_come() {
+async fn can_close_a_connection_that_sends_no_complete_request() {
     let server = Server::start().await;
     for sent in ["", "GET / HT"] {
         let mut stream = server.open(sent).await;
         assert!(is_closed(&mut stream).await, "{sent:?}");
     }
-    server.stopped().await;
+    server.stop().await;
 }
 
 #[tokio::test]
@@ -180,25 +194,33 @@
     let mut opened = Vec::new();
     for number in 0..max {
         let connection = Connection::new();
-        // Idle ones come in the order of their times; the first three are busy.
-        let busy = (number < 3).then(|| connection.begin());
-        connections.opened(tokio::spawn(async {}).id(), connection.clone());
+        // Connections 3 and later are idle, oldest first; the first three are busy.
+        let busy = (number < 3).then(|| connection.begin_request());
+        connections.add(tokio::spawn(async {}).id(), connection.clone());
         opened.push((connection, busy));
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
-    assert_eq!(connections.make_room(now_ms()), 0, "too young");
+    assert_eq!(
+        connections.close_idle(now_ms()),
+        0,
+        "not idle for long enough"
+    );
     let now_ms = now_ms() + 1_000;
-    assert_eq!(connections.make_room(now_ms), 2);
-    assert_eq!(connections.make_room(now_ms + 1), 0, "just after");
+    assert_eq!(connections.close_idle(now_ms), 2);
+    assert_eq!(
+        connections.close_idle(now_ms + 1),
+        0,
+        "too soon after the previous round"
+    );
     let closing = opened.iter().enumerate();
     let closing = closing.filter(|(_, (connection, _))| connection.is_closing());
     let closing: Vec<usize> = closing.map(|(number, _)| number).collect();
     assert_eq!(closing, [3, 4]);
-    assert_eq!(connections.make_room(now_ms + 200), 2);
+    assert_eq!(connections.close_idle(now_ms + 200), 2);
 }
 
 #[test]
-fn can_leave_descriptors_for_everything_else() {
+fn can_reserve_descriptors_for_other_uses() {
     struct Case {
         limit: Option<u64>,
         connections_max: usize,
@@ -223,11 +245,11 @@
 }
 
 #[test]
-fn can_raise_the_limit_of_descriptors() {
+fn can_raise_the_descriptor_limit() {
     let raised = descriptors::raise_limit();
     assert_eq!(
         descriptors::raise_limit(),
         raised,
-        "nothing is left to raise"
+        "the limit is already at its maximum"
     );
 }
--- a/components/gateway/tests/parts.rs
+++ b/components/gateway/tests/parsing.rs
@@ -1,15 +1,15 @@
-//! What is read of a request before anything is done: paths, headers, bodies, tokens.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+//! Parsing of requests: paths, headers, bodies and tokens.
+#![allow(clippy::unwrap_used)] // clippy.toml allows `unwrap` in test functions, not in their helpers.
 
 use std::sync::Arc;
 
 use config::{Ledger, Publish, Record, TokenDigest, View};
 use gateway::auth::authenticate;
 use gateway::completion::{Completion, used_tokens};
-use gateway::headers::{Wishes, request_id, towards_endpoint};
+use gateway::headers::{RequestOptions, endpoint_headers, request_id};
 use gateway::idempotency::is_idempotent;
+use gateway::paths::{Route, ServiceTarget, TrainingRoute};
 use gateway::rejection::Rejection;
-use gateway::target::{Route, Target, TrainingRoute};
 use http::HeaderMap;
 use types::{Class, CustomerName, Role};
 
@@ -56,13 +56,13 @@
 }
 
 #[test]
-fn can_read_paths() {
+fn can_parse_paths() {
     struct Case {
         path: &'static str,
         query: Option<&'static str>,
         route: Result<Route, Rejection>,
     }
-    let own = |service: &str| Target {
+    let own = |service: &str| ServiceTarget {
         owner: None,
         service: service.parse().unwrap(),
     };
@@ -90,7 +90,7 @@
             path: "/v1/services/office.guichet/a",
             query: None,
             route: Ok(Route::Service(
-                Target {
+                ServiceTarget {
                     owner: Some("office".parse().unwrap()),
                     service: "guichet".parse().unwrap(),
                 },
@@ -154,25 +154,28 @@
 }
 
 #[test]
-fn can_read_wishes() {
-    let read = Wishes::read(&headers(&[
+fn can_parse_request_options() {
+    let read = RequestOptions::read(&headers(&[
         ("x-hornbeamrock-class", "background"),
         ("x-hornbeamrock-deadline-ms", "600000"),
         ("x-hornbeamrock-idempotent", "true"),
         ("idempotency-key", "file-7"),
     ]));
-    let wishes = Wishes {
+    let wishes = RequestOptions {
         class: Some(Class::Background),
         deadline_ms: Some(600_000),
         idempotent: Some(true),
         key: Some("file-7".to_owned()),
     };
     assert_eq!(read, Ok(wishes));
-    assert_eq!(Wishes::read(&HeaderMap::new()), Ok(Wishes::default()));
+    assert_eq!(
+        RequestOptions::read(&HeaderMap::new()),
+        Ok(RequestOptions::default())
+    );
 }
 
 #[test]
-fn errors_when_a_wish_is_not_allowed() {
+fn errors_when_a_request_option_is_invalid() {
     let cases: [&[(&str, &str)]; 9] = [
         &[("x-hornbeamrock-class", "Interactive")],
         &[("x-hornbeamrock-deadline-ms", "600001")],
@@ -188,7 +191,7 @@
         ],
     ];
     for case in cases {
-        let read = Wishes::read(&headers(case));
+        let read = RequestOptions::read(&headers(case));
         let name = case[0].0;
         assert!(
             matches!(read, Err(Rejection::Header(n, _)) if n == name),
@@ -198,8 +201,8 @@
 }
 
 #[test]
-fn can_pass_headers_on_without_token_and_connection() {
-    let passed = towards_endpoint(
+fn can_forward_headers_without_token_and_connection_headers() {
+    let passed = endpoint_headers(
         &headers(&[
             ("authorization", "Bearer secret"),
             ("connection", "close, x-hop"),
@@ -228,7 +231,7 @@
 }
 
 #[test]
-fn can_take_only_a_plain_request_id() {
+fn can_accept_only_a_valid_request_id() {
     let cases = [
         ("portal-42_a:b.c", true),
         ("", false),
@@ -250,7 +253,7 @@
 }
 
 #[test]
-fn can_recognise_holders_and_nobody_else() {
+fn can_authenticate_only_configured_tokens() {
     struct Case {
         name: &'static str,
         headers: &'static [(&'static str, &'static str)],
@@ -263,7 +266,7 @@
             role: Some(Role::Caller),
         },
         Case {
-            name: "another case of the scheme",
+            name: "the scheme in lower case",
             headers: &[("authorization", "bearer trainer")],
             role: Some(Role::Trainer),
         },
@@ -312,10 +315,10 @@
 }
 
 #[test]
-fn can_do_only_what_the_role_allows() {
+fn can_allow_only_what_the_role_permits() {
     let redacteurs = "redacteurs".parse().unwrap();
     let guichet = "guichet".parse().unwrap();
-    let target = Target::parse("guichet").unwrap();
+    let target = ServiceTarget::parse("guichet").unwrap();
     for role in Role::ALL {
         let token = format!("Bearer {role}");
         let mut headers = HeaderMap::new();
@@ -328,13 +331,13 @@
         assert_eq!(allowed, Role::ALL.map(|other| other == role), "{role}");
         assert!(
             session.trainable(&guichet).is_err(),
-            "{role} trains a plain service"
+            "{role} can train a plain service"
         );
     }
 }
 
 #[test]
-fn can_tell_what_may_run_again() {
+fn can_decide_whether_a_call_is_idempotent() {
     struct Case {
         method: &'static str,
         path: &'static str,
@@ -367,9 +370,9 @@
     let owner = CustomerName::new("office").unwrap();
     let service = view.service(&owner, &"guichet".parse().unwrap()).unwrap();
     for case in cases {
-        let told = is_idempotent(service, case.method, case.path, case.stated);
+        let decided = is_idempotent(service, case.method, case.path, case.stated);
         assert_eq!(
-            told, case.idempotent,
+            decided, case.idempotent,
             "{} {} {:?}",
             case.method, case.path, case.stated
         );
@@ -377,26 +380,29 @@
 }
 
 #[test]
-fn errors_when_a_completion_is_not_well_formed() {
+fn errors_when_a_completion_is_malformed() {
     let cases = [
-        ("{", "a cut body"),
-        ("[]", "no object"),
+        ("{", "a truncated body"),
+        ("[]", "not an object"),
         (r#"{"prompt":"a"}"#, "no model"),
         (r#"{"model":"m"}"#, "no prompt"),
         (r#"{"model":"m","prompt":["a"]}"#, "several prompts"),
         (r#"{"model":"m","prompt":"a","n":2}"#, "several answers"),
         (
             r#"{"model":"m","prompt":"a","stream":"yes"}"#,
-            "a stream that is no boolean",
+            "a stream field that is not a boolean",
+        ),
+        (
+            r#"{"model":"m","prompt":"a","max_tokens":0}"#,
+            "zero tokens",
         ),
-        (r#"{"model":"m","prompt":"a","max_tokens":0}"#, "no tokens"),
         (
             r#"{"model":"m","prompt":"a","max_tokens":65537}"#,
             "too many tokens",
         ),
         (
             r#"{"model":"m","prompt":"a","resume_tokens":[1]}"#,
-            "tokens of the system's own",
+            "a field reserved for the entry",
         ),
     ];
     for (body, name) in cases {
@@ -406,7 +412,7 @@
 }
 
 #[test]
-fn can_give_an_engine_what_the_caller_wrote_and_its_own_fields() {
+fn can_forward_the_callers_fields_and_add_the_entrys_own() {
     let body = br#"{"model":"office.m","prompt":"a","seed":5,"request_id":"x","priority":-9}"#;
     let completion = Completion::parse(body).unwrap();
     let given = completion.for_engine("m", "r-1", 2, &[7, 8]);
@@ -426,7 +432,7 @@
         let _ = Route::parse(&format!("/v1/services/{path}"), None);
         let _ = Route::parse(&format!("/v1/training/{path}"), None);
         let _ = Completion::parse(&body);
-        let _ = Target::parse(&path);
+        let _ = ServiceTarget::parse(&path);
         true
     }
 }
--- a/components/gateway/tests/readiness.rs
+++ b/components/gateway/tests/readiness.rs
@@ -1,5 +1,5 @@
-//! When the balancer may send requests to an entry.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+//! Conditions under which the load balancer may send requests to an entry.
+#![allow(clippy::unwrap_used)] // clippy.toml allows `unwrap` in test functions, not in their helpers.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use gateway::readiness::{Facts, Readiness};
 
 #[test]
-fn can_tell_why_an_entry_is_not_ready() {
+fn can_report_why_an_entry_is_not_ready() {
     struct Case {
         name: &'static str,
         facts: Facts,
@@ -16,8 +16,8 @@
     let up = Facts {
         configured: true,
         agents: 3,
-        any_heard: true,
-        up_ms: 100,
+        any_peer_answered: true,
+        uptime_ms: 100,
         ..Facts::default()
     };
     let case = |name, facts, readiness| Case {
@@ -25,22 +25,29 @@
         facts,
         readiness,
     };
-    let heard = Facts {
-        agent_heard: true,
+    let answered = Facts {
+        agent_answered: true,
         ..up
     };
-    let foreign = Facts {
-        any_heard: false,
+    let wrong_key = Facts {
+        any_peer_answered: false,
         datagrams_dropped: 1,
-        up_ms: 60_000,
+        uptime_ms: 60_000,
         ..up
     };
     let cases = [
-        case("first probes are on their way", up, Readiness::NoAnswer),
-        case("an agent has answered", heard, Readiness::Ready),
+        case(
+            "the first probes are not answered yet",
+            up,
+            Readiness::NoAnswer,
+        ),
+        case("an agent has answered", answered, Readiness::Ready),
         case(
             "all agents are down",
-            Facts { up_ms: 5_000, ..up },
+            Facts {
+                uptime_ms: 5_000,
+                ..up
+            },
             Readiness::Ready,
         ),
         case(
@@ -49,20 +56,24 @@
             Readiness::NoAnswer,
         ),
         case(
-            "no agent is listed",
+            "no agent is listed after the timeout",
             Facts {
                 agents: 0,
-                up_ms: 1_000,
+                uptime_ms: 1_000,
                 ..up
             },
             Readiness::Ready,
         ),
-        case("nothing heard is authentic", foreign, Readiness::WrongKey),
         case(
-            "one of the others has a wrong key",
+            "no received datagram is authentic",
+            wrong_key,
+            Readiness::WrongKey,
+        ),
+        case(
+            "another process has a wrong key",
             Facts {
-                any_heard: true,
-                ..foreign
+                any_peer_answered: true,
+                ..wrong_key
             },
             Readiness::Ready,
         ),
@@ -70,36 +81,39 @@
             "an answer without a configuration",
             Facts {
                 configured: false,
-                ..heard
+                ..answered
             },
             Readiness::Unconfigured,
         ),
         case(
-            "it leaves",
+            "the process is leaving",
             Facts {
                 leaving: true,
-                ..heard
+                ..answered
             },
             Readiness::Leaving,
         ),
     ];
     for case in cases {
-        assert_eq!(Readiness::of(&case.facts), case.readiness, "{}", case.name);
+        assert_eq!(
+            Readiness::from_facts(&case.facts),
+            case.readiness,
+            "{}",
+            case.name
+        );
     }
 }
 
-// An operator starts an entry with the key of another installation. It reads the
-// configuration from the log, but all others drop its probes and it drops theirs. Ready,
-// it would be sent its part of the requests and refuse each with no-endpoint.
+// Guards against a ready entry that can serve nothing. With the key of another installation the
+// entry reads the configuration, but it and all other processes drop each other's datagrams. If
+// it were ready, it would refuse its share of the requests with no-endpoint.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn errors_when_the_key_of_an_entry_is_wrong() {
+async fn errors_when_an_entry_has_a_wrong_key() {
     let mut site = Site::start(SiteSettings::default()).await;
-    let stranger = site.add_entry([8; 32]).await;
-    let status = site
-        .wait_for_status(stranger, "readiness", "wrong-key")
-        .await;
+    let entry = site.add_entry([8; 32]).await;
+    let status = site.wait_for_status(entry, "readiness", "wrong-key").await;
     assert_eq!(status["ready"], false);
     assert!(status["traffic"]["datagrams_dropped"].as_u64().unwrap() > 0);
-    assert_eq!(site.admin_status(stranger, "/readyz").await, 503);
+    assert_eq!(site.admin_status(entry, "/readyz").await, 503);
     assert_eq!(site.admin_status(0, "/readyz").await, 200);
 }
--- a/components/gateway/tests/requests.rs
+++ b/components/gateway/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests through whole entries and agents, with faults at the endpoints and the log.
+//! Requests through complete entries and agents, with faults at the endpoints and the log.
 
 mod common;
 
@@ -14,7 +14,7 @@
 const KEY: &str = "idempotency-key";
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn errors_when_a_request_is_bad_and_disturbs_nothing_else() {
+async fn errors_when_a_request_is_invalid_without_affecting_others() {
     struct Case {
         name: &'static str,
         ask: TestRequest,
@@ -38,7 +38,7 @@
             problem: (401, "unauthenticated"),
         },
         Case {
-            name: "a token that nobody holds",
+            name: "a token that is not configured",
             ask: TestRequest::get(CONSULT).with_token("nobody"),
             problem: (401, "unauthenticated"),
         },
@@ -53,7 +53,7 @@
             problem: (403, "forbidden"),
         },
         Case {
-            name: "a trainer's token on a roll-back",
+            name: "a trainer's token on a rollback",
             ask: TestRequest::post("/v1/training/redacteurs/rollback", r#"{"version":"2.0"}"#)
                 .with_token(TRAINER),
             problem: (403, "forbidden"),
@@ -64,7 +64,7 @@
             problem: (404, "unknown-service"),
         },
         Case {
-            name: "a name that is none",
+            name: "an invalid service name",
             ask: TestRequest::get("/v1/services/Archives/x"),
             problem: (404, "unknown-service"),
         },
@@ -74,7 +74,7 @@
             problem: (403, "forbidden"),
         },
         Case {
-            name: "a model where a plain service is due",
+            name: "a model on the path of plain services",
             ask: TestRequest::get("/v1/services/redacteurs/v1/models"),
             problem: (400, "malformed"),
         },
@@ -84,7 +84,7 @@
             problem: (404, "malformed"),
         },
         Case {
-            name: "another method",
+            name: "an unsupported method",
             ask: delete,
             problem: (405, "malformed"),
         },
@@ -104,17 +104,17 @@
             problem: (413, "too-large"),
         },
         Case {
-            name: "a class that is none",
+            name: "an invalid class",
             ask: TestRequest::get(CONSULT).with_header("x-hornbeamrock-class", "urgent"),
             problem: (400, "malformed"),
         },
         Case {
-            name: "a deadline that is none",
+            name: "an invalid deadline",
             ask: TestRequest::get(CONSULT).with_header("x-hornbeamrock-deadline-ms", "0"),
             problem: (400, "malformed"),
         },
         Case {
-            name: "a step that is none",
+            name: "a malformed step",
             ask: TestRequest::post("/v1/training/redacteurs/steps", "[1]").with_token(TRAINER),
             problem: (400, "malformed"),
         },
@@ -131,8 +131,8 @@
     for case in cases {
         let answer = site.send(0, &case.ask).await;
         let (status, outcome, cause) = answer.problem();
-        let told = (status, cause.as_str());
-        assert_eq!(told, case.problem, "{}", case.name);
+        let reported = (status, cause.as_str());
+        assert_eq!(reported, case.problem, "{}", case.name);
         assert_eq!(outcome, "not-run", "{}", case.name);
         let good = site.send(0, &TestRequest::get(CONSULT)).await;
         assert_eq!(good.status, 200, "after {}", case.name);
@@ -140,7 +140,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn can_carry_method_path_query_body_and_its_own_request_id() {
+async fn can_forward_method_path_query_body_and_request_id() {
     let site = Site::start(SiteSettings::default()).await;
     let ask = TestRequest::post("/v1/services/guichet/dossiers/7?page=2", "four")
         .with_header("x-request-id", "portal-42");
@@ -155,7 +155,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn can_complete_unary_and_streamed_with_the_same_text() {
+async fn can_complete_with_the_same_text_unary_and_streamed() {
     let site = Site::start(SiteSettings {
         engines: 2,
         services: 0,
@@ -185,11 +185,11 @@
     assert_eq!(streamed.texts().concat(), text);
 }
 
-// The caller sees one whole stream. Each of two engines cuts it once after three events;
-// the entry sends the ids of the tokens that the caller has with the next attempt, which
-// goes on after them. Without that the caller would get a part, or the same tokens again.
+// Guards against missing or repeated text when an engine fails during a stream. Each of two engines
+// cuts the stream once after three events; the next attempt must send the ids of the tokens that
+// the caller already has.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn can_go_on_with_a_stream_at_another_engine() {
+async fn can_resume_a_stream_at_another_engine() {
     let site = Site::start(SiteSettings {
         engines: 2,
         services: 0,
@@ -198,7 +198,7 @@
     })
     .await;
     let ask = TestRequest::post(COMPLETIONS, completion("terrace until two", 12, true));
-    let calm = site.send(0, &ask).await;
+    let uninterrupted = site.send(0, &ask).await;
     for engine in &site.engines {
         let mut cut = Fault::new(FaultKind::Cut).times(1).on(COMPLETIONS);
         cut.after = 3;
@@ -206,16 +206,18 @@
     }
     let resumed = site.send(0, &ask).await;
     assert!(resumed.is_complete, "{}", resumed.text());
-    assert_eq!(resumed.texts(), calm.texts());
-    assert_eq!(resumed.last_chunk()["usage"], calm.last_chunk()["usage"]);
+    assert_eq!(resumed.texts(), uninterrupted.texts());
+    assert_eq!(
+        resumed.last_chunk()["usage"],
+        uninterrupted.last_chunk()["usage"]
+    );
     assert_eq!(resumed.ids().len(), 1);
 }
 
-// The caller sees a stream that breaks: an event with the problem, then a connection that
-// is cut. Every engine cuts every stream, so the attempts run out after some events. A
-// clean end would let the caller take the part for the whole.
+// Guards against a partial stream that looks complete. Every engine cuts every stream until the
+// attempts are used up; the caller must get an error event and then a closed connection.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn errors_when_a_stream_breaks_for_good_and_never_ends_clean() {
+async fn errors_when_a_stream_fails_finally_without_a_clean_end() {
     let site = Site::start(SiteSettings {
         engines: 2,
         services: 0,
@@ -236,11 +238,10 @@
     assert!(!answer.text().contains("[DONE]"));
 }
 
-// The caller sees "unknown" for a sanction check whose answer was lost after it ran, and
-// it ran once: the entry may not send it again. A consultation under the same fault is
-// sent again and answered.
+// Guards against a second run of a non-idempotent call whose answer was lost after it ran: the
+// caller must get the outcome "unknown". An idempotent call with the same fault is retried.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn can_tell_the_outcome_of_a_call_whose_answer_is_lost() {
+async fn can_report_the_outcome_of_a_call_whose_answer_is_lost() {
     let site = Site::start(SiteSettings::default()).await;
     let lost = || Fault::new(FaultKind::AnswerLost).times(1);
     for service in &site.services {
@@ -255,11 +256,10 @@
     assert_eq!(consult.status, 200);
 }
 
-// The caller sends a keyed sanction check through one entry and again through the other:
-// it gets the first answer and the check ran once. The second entry reads the claim and
-// the recorded answer from the log. The same key with another body is refused.
+// Guards against a second run when a keyed call is repeated through another entry, which must
+// replay the answer recorded in the log. The same key with another body must be refused.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn can_send_a_keyed_call_again_through_another_entry() {
+async fn can_repeat_a_keyed_call_through_another_entry() {
     let site = Site::start(SiteSettings::default()).await;
     let check = TestRequest::post(SANCTION, r#"{"file":7}"#)
         .with_header(KEY, "file-7")
@@ -281,8 +281,8 @@
     assert_eq!(site.run_count("keyed").await, 1);
 }
 
-// The caller sees "not run, come back" for a keyed check while the log is down, and the
-// check did not run. Without the log nobody can know that no other entry runs the key.
+// Guards against running a keyed call while the log is down, when no entry can know whether another
+// entry runs the key. The caller must get a refusal with a retry delay.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn errors_when_the_log_cannot_take_a_claim() {
     let site = Site::start(SiteSettings::default()).await;
@@ -303,10 +303,9 @@
     assert_eq!(unkeyed.status, 200);
 }
 
-// The caller of a prompt that crashes engines gets a final answer, and its own repeat is
-// refused without another crash. Engines die under it; the entry tries the suspect apart
-// and then condemns it. It may miss the news of one crash on a busy machine, so one engine
-// more stands by for the harmless prompt.
+// Guards against a prompt that crashes one engine after another. The entry must condemn the prompt
+// after two crashes and refuse its repetition. It can miss the report of one crash on a busy
+// machine, so one more engine serves the harmless prompt.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn errors_when_a_prompt_has_crashed_two_engines() {
     let site = Site::start(SiteSettings {
@@ -337,10 +336,10 @@
     assert_eq!(harmless.status, 200, "{}", harmless.text());
 }
 
-// The caller whose check is in progress when its entry is told to leave gets its whole
-// answer, and the entry ends only after it.
+// Guards against interrupting a request when its entry drains: the entry must end only after the
+// complete answer was sent.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn can_leave_without_cutting_a_request() {
+async fn can_drain_without_interrupting_a_request() {
     let mut site = Site::start(SiteSettings {
         service_ms: 700,
         ..SiteSettings::default()
@@ -359,11 +358,11 @@
     assert!(answer.is_complete);
 }
 
-// The caller over its customer's own limit is refused at once, as not run and with a time
-// to come back, and the refused calls ran nowhere.
+// Guards against unlimited use by one customer. Calls over its own limit must be refused at once,
+// as not run and with a retry delay, and must not run.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn errors_when_a_customer_is_over_its_own_limit() {
-    refuses_above(SiteSettings {
+async fn errors_when_a_customer_exceeds_its_own_limit() {
+    assert_refusals_above_the_limit(SiteSettings {
         entries: 1,
         requests_per_s: 1,
         ..SiteSettings::default()
@@ -371,11 +370,11 @@
     .await;
 }
 
-// A customer writes the highest limits into its text. The operator of the platform has
-// set a ceiling, which the text can't move.
+// Guards against a customer that raises its own limits in its configuration. The platform
+// operator's ceiling must apply.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn errors_when_a_customer_is_over_the_operators_ceiling() {
-    refuses_above(SiteSettings {
+async fn errors_when_a_customer_exceeds_the_operators_ceiling() {
+    assert_refusals_above_the_limit(SiteSettings {
         entries: 1,
         requests_per_s: 100_000,
         ceilings: Ceilings {
@@ -387,7 +386,7 @@
     .await;
 }
 
-async fn refuses_above(plan: SiteSettings) {
+async fn assert_refusals_above_the_limit(plan: SiteSettings) {
     const CALLS: u64 = 20;
     let site = Site::start(plan).await;
     let mut answered = 0;
@@ -414,7 +413,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn can_announce_name_ahead_and_roll_back() {
+async fn can_announce_prepare_and_roll_back_versions() {
     let site = Site::start(SiteSettings {
         engines: 1,
         services: 0,
@@ -425,22 +424,22 @@
         let body = format!(r#"{{"version":"{version}"}}"#);
         TestRequest::post("/v1/training/redacteurs/weights", body).with_token(TRAINER)
     };
-    let mut early = weights("1.4");
-    early.path.push_str("/prepare");
-    assert_eq!(site.send(0, &early).await.problem().0, 409);
+    let mut premature = weights("1.4");
+    premature.path.push_str("/prepare");
+    assert_eq!(site.send(0, &premature).await.problem().0, 409);
     assert_eq!(site.send(0, &weights("1.4")).await.json()["version"], "1.4");
     let (status, _, cause) = site.send(0, &weights("1.3")).await.problem();
     assert_eq!((status, cause.as_str()), (409, "stale"));
-    let mut ahead = weights("1.5");
-    ahead.path.push_str("/prepare");
-    let named = site.send(0, &ahead).await.json();
+    let mut prepare = weights("1.5");
+    prepare.path.push_str("/prepare");
+    let prepared = site.send(0, &prepare).await.json();
     assert_eq!(
-        (&named["version"], &named["load"]),
+        (&prepared["version"], &prepared["load"]),
         (&"1.4".into(), &"1.5".into())
     );
-    let back = TestRequest::post("/v1/training/redacteurs/rollback", r#"{"version":"2.2"}"#)
+    let rollback = TestRequest::post("/v1/training/redacteurs/rollback", r#"{"version":"2.2"}"#)
         .with_token(OPERATOR);
-    assert_eq!(site.send(0, &back).await.json()["version"], "2.2");
+    assert_eq!(site.send(0, &rollback).await.json()["version"], "2.2");
     let (status, _, _) = site.send(0, &weights("1.6")).await.problem();
     assert_eq!(status, 409);
 }
