--- a/components/adapters/src/body.rs
+++ b/components/adapters/src/body.rs
@@ -12,7 +12,7 @@
 
 use crate::connection::Connection;
 use crate::endpoint::Shared;
-use crate::error::{Loss, PlatformError};
+use crate::error::{AnswerLoss, PlatformError};
 
 /// How the end of a body shows.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -75,7 +75,7 @@
     }
 
     /// The rest of the body, whole.
-    pub async fn whole(mut self) -> Result<Bytes, PlatformError> {
+    pub async fn read_to_end(mut self) -> Result<Bytes, PlatformError> {
         let mut all = Vec::new();
         while let Some(bytes) = self.next().await? {
             all.extend_from_slice(&bytes);
@@ -84,12 +84,14 @@
     }
 
     async fn read(&mut self) -> Result<Option<Bytes>, PlatformError> {
-        let silence = Duration::from_millis(self.shared.settings.silence_ms);
+        let silence = Duration::from_millis(self.shared.settings.read_timeout_ms);
         loop {
             let wait_until = self.deadline.min(Instant::now() + silence);
             let frame = match timeout_at(wait_until, self.incoming.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
-                Ok(Some(Err(_))) => return Err(PlatformError::Unknown(Loss::ClosedMidAnswer)),
+                Ok(Some(Err(_))) => {
+                    return Err(PlatformError::OutcomeUnknown(AnswerLoss::ClosedMidAnswer));
+                }
                 Ok(None) => return self.ended(),
                 Err(_) => return Err(self.late(wait_until)),
             };
@@ -108,7 +110,7 @@
 
     fn ended(&mut self) -> Result<Option<Bytes>, PlatformError> {
         if self.end == End::Unstated {
-            return Err(PlatformError::Unknown(Loss::NoStatedEnd));
+            return Err(PlatformError::OutcomeUnknown(AnswerLoss::NoStatedEnd));
         }
         let progress = std::mem::replace(&mut self.progress, Progress::Whole);
         if let Progress::Reading(connection) = progress {
@@ -120,10 +122,10 @@
     fn late(&self, wait_until: Instant) -> PlatformError {
         self.shared.idle.clear();
         let deadline_passed = wait_until == self.deadline;
-        PlatformError::Unknown(if deadline_passed {
-            Loss::DeadlinePassed
+        PlatformError::OutcomeUnknown(if deadline_passed {
+            AnswerLoss::DeadlinePassed
         } else {
-            Loss::Silent
+            AnswerLoss::Silent
         })
     }
 }
--- a/components/adapters/src/client.rs
+++ b/components/adapters/src/client.rs
@@ -111,11 +111,11 @@
     ) -> Result<Bytes, PlatformError> {
         let response = self.endpoint.send(request, deadline_ms).await?;
         if (200..300).contains(&response.head.status) {
-            return response.body.whole().await;
+            return response.body.read_to_end().await;
         }
         let refusal = refused(&response.head);
         // Reading the rest only lets the connection be used again.
-        let _ = response.body.whole().await;
+        let _ = response.body.read_to_end().await;
         Err(refusal)
     }
 }
--- a/components/adapters/src/connection.rs
+++ b/components/adapters/src/connection.rs
@@ -16,7 +16,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use crate::error::{ConnectFault, Loss, MalformedPart, PlatformError};
+use crate::error::{AnswerLoss, MalformedPart, NotSentCause, PlatformError};
 
 /// Longest head of an answer, and largest read at once.
 const BUFFER_BYTES_MAX: usize = 128 * 1024;
@@ -64,8 +64,8 @@
         let connect_by = deadline.min(Instant::now() + connect_timeout);
         let stream = match timeout_at(connect_by, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
-            Ok(Err(_)) => return Err(PlatformError::NotSent(ConnectFault::Unreachable)),
-            Err(_) => return Err(PlatformError::NotSent(ConnectFault::TimedOut)),
+            Ok(Err(_)) => return Err(PlatformError::NotSent(NotSentCause::Unreachable)),
+            Err(_) => return Err(PlatformError::NotSent(NotSentCause::TimedOut)),
         };
         // Only latency is lost where the option cannot be set.
         let _ = stream.set_nodelay(true);
@@ -73,7 +73,7 @@
             .max_buf_size(BUFFER_BYTES_MAX)
             .handshake(TokioIo::new(stream))
             .await
-            .map_err(|_| PlatformError::NotSent(ConnectFault::Unreachable))?;
+            .map_err(|_| PlatformError::NotSent(NotSentCause::Unreachable))?;
         let task = tokio::spawn(async move {
             // The same error reaches whoever waits for the exchange.
             let _ = driver.await;
@@ -113,7 +113,7 @@
                 Some(message) => Sent::Unsent(message),
                 None => Sent::Failed(self.classify(lost.error())),
             },
-            Err(_) => Sent::Failed(PlatformError::Unknown(Loss::DeadlinePassed)),
+            Err(_) => Sent::Failed(PlatformError::OutcomeUnknown(AnswerLoss::DeadlinePassed)),
         }
     }
 
@@ -124,7 +124,7 @@
         if error.is_parse() {
             return PlatformError::Malformed(MalformedPart::Http);
         }
-        PlatformError::Unknown(Loss::ClosedBeforeAnswer {
+        PlatformError::OutcomeUnknown(AnswerLoss::ClosedBeforeAnswer {
             reused: self.reused,
         })
     }
--- a/components/adapters/src/endpoint.rs
+++ b/components/adapters/src/endpoint.rs
@@ -19,8 +19,8 @@
 
 use crate::body::Body;
 use crate::connection::{Connection, Message, Sent};
-use crate::error::{ConnectFault, Loss, PlatformError};
-use crate::headers::{end_to_end, is_hop_by_hop};
+use crate::error::{AnswerLoss, NotSentCause, PlatformError};
+use crate::headers::{end_to_end_headers, is_hop_by_hop};
 use crate::idle::Idle;
 
 /// Limits of the exchanges with one address.
@@ -29,23 +29,23 @@
     /// Longest time to connect.
     pub connect_timeout_ms: u64,
     /// Longest time without a byte inside a begun answer.
-    pub silence_ms: u64,
+    pub read_timeout_ms: u64,
     /// Largest body of an answer.
     pub body_bytes_max: usize,
     /// Idle connections kept at most.
-    pub idle_max: usize,
+    pub idle_connections_max: usize,
     /// Longest time that a connection is kept idle.
-    pub idle_for_ms: u64,
+    pub idle_timeout_ms: u64,
 }
 
 impl Default for EndpointSettings {
     fn default() -> Self {
         Self {
             connect_timeout_ms: 1_000,
-            silence_ms: 30_000,
+            read_timeout_ms: 30_000,
             body_bytes_max: 64 << 20,
-            idle_max: 16,
-            idle_for_ms: 5_000,
+            idle_connections_max: 16,
+            idle_timeout_ms: 5_000,
         }
     }
 }
@@ -123,7 +123,7 @@
 impl Endpoint {
     /// An endpoint at `address`; nothing is connected yet.
     pub fn new(address: SocketAddr, settings: EndpointSettings) -> Endpoint {
-        let idle = Idle::new(settings.idle_max);
+        let idle = Idle::new(settings.idle_connections_max);
         let shared = Shared {
             address,
             settings,
@@ -148,12 +148,12 @@
         request: Request,
         deadline_ms: u64,
     ) -> Result<Response, PlatformError> {
-        self.send_announced(request, deadline_ms, || {}).await
+        self.send_with_callback(request, deadline_ms, || {}).await
     }
 
     /// The same; `before_write` is called once, right before the first byte may go out,
     /// so that whoever keeps account of the call knows from when on it may have run.
-    pub async fn send_announced(
+    pub async fn send_with_callback(
         &self,
         request: Request,
         deadline_ms: u64,
@@ -161,7 +161,7 @@
     ) -> Result<Response, PlatformError> {
         let deadline = Instant::now() + Duration::from_millis(deadline_ms);
         if deadline_ms == 0 {
-            return Err(PlatformError::NotSent(ConnectFault::DeadlinePassed));
+            return Err(PlatformError::NotSent(NotSentCause::DeadlinePassed));
         }
         let reuse = request.reuse;
         let message = self.message(request)?;
@@ -195,7 +195,7 @@
         announce(&mut before_write, deadline)?;
         match connection.send(message, deadline).await {
             Sent::Answer(answer) => Ok((connection, answer)),
-            Sent::Unsent(_) => Err(PlatformError::NotSent(ConnectFault::Unreachable)),
+            Sent::Unsent(_) => Err(PlatformError::NotSent(NotSentCause::Unreachable)),
             Sent::Failed(error) => Err(self.failed(error)),
         }
     }
@@ -204,7 +204,7 @@
         if !reuse {
             return None;
         }
-        let idle_for = Duration::from_millis(self.shared.settings.idle_for_ms);
+        let idle_for = Duration::from_millis(self.shared.settings.idle_timeout_ms);
         while let Some(mut connection) = self.shared.idle.take() {
             if connection.is_usable(idle_for).await {
                 return Some(connection);
@@ -214,14 +214,14 @@
     }
 
     fn failed(&self, error: PlatformError) -> PlatformError {
-        if error == PlatformError::Unknown(Loss::DeadlinePassed) {
+        if error == PlatformError::OutcomeUnknown(AnswerLoss::DeadlinePassed) {
             self.shared.idle.clear();
         }
         error
     }
 
     fn message(&self, request: Request) -> Result<Message, PlatformError> {
-        build(request, self.shared.address).ok_or(PlatformError::NotSent(ConnectFault::BadRequest))
+        build(request, self.shared.address).ok_or(PlatformError::NotSent(NotSentCause::BadRequest))
     }
 
     fn response(
@@ -240,7 +240,7 @@
         );
         let head = AnswerHead {
             status: head.status.as_u16(),
-            headers: end_to_end(&head.headers)?,
+            headers: end_to_end_headers(&head.headers)?,
         };
         Ok(Response { head, body })
     }
@@ -253,7 +253,7 @@
     deadline: Instant,
 ) -> Result<(), PlatformError> {
     if Instant::now() >= deadline {
-        return Err(PlatformError::NotSent(ConnectFault::DeadlinePassed));
+        return Err(PlatformError::NotSent(NotSentCause::DeadlinePassed));
     }
     if let Some(before_write) = before_write.take() {
         before_write();
--- a/components/adapters/src/engine.rs
+++ b/components/adapters/src/engine.rs
@@ -151,7 +151,7 @@
     }
 
     /// The engine's load.
-    pub async fn report(&self) -> Result<LoadReport, PlatformError> {
+    pub async fn load_report(&self) -> Result<LoadReport, PlatformError> {
         let deadline_ms = self.client.deadline_ms();
         self.client
             .get("/engine/load".to_owned(), deadline_ms)
--- a/components/adapters/src/error.rs
+++ b/components/adapters/src/error.rs
@@ -8,7 +8,7 @@
 
 /// Why no byte of a request was written.
 #[key]
-pub enum ConnectFault {
+pub enum NotSentCause {
     /// The connection was refused or could not be made.
     Unreachable,
     /// The connection was not made in time.
@@ -21,7 +21,7 @@
 
 /// How an answer was lost after the request was, or may have been, written.
 #[key]
-pub enum Loss {
+pub enum AnswerLoss {
     /// The connection closed before the head of the answer was complete. `reused` says
     /// that it had carried an earlier exchange, so the other side may have closed it as
     /// idle.
@@ -56,7 +56,7 @@
     #[value]
     pub enum PlatformError {
         /// No byte of the request was written.
-        NotSent(fault: ConnectFault) {
+        NotSent(fault: NotSentCause) {
             display("not sent: {:?}", fault)
         }
         /// The other side answered with an HTTP status that is no success, and perhaps
@@ -66,7 +66,7 @@
             display("refused with status {}", status)
         }
         /// The request was or may have been written, and its answer is lost or late.
-        Unknown(loss: Loss) {
+        OutcomeUnknown(loss: AnswerLoss) {
             display("sent, answer lost: {:?}", loss)
         }
         /// The answer is not what the contract says.
@@ -89,7 +89,7 @@
         match self {
             PlatformError::NotSent(_) => false,
             PlatformError::Refused { status, .. } => matches!(status, 500 | 502 | 504),
-            PlatformError::Unknown(_)
+            PlatformError::OutcomeUnknown(_)
             | PlatformError::Malformed(_)
             | PlatformError::TooLarge(_) => true,
         }
--- a/components/adapters/src/headers.rs
+++ b/components/adapters/src/headers.rs
@@ -32,7 +32,7 @@
 
 /// Which headers of a message stay on its connection: the hop-by-hop ones, and those that
 /// its `Connection` names.
-pub fn stays_on_connection(headers: &HeaderMap) -> impl Fn(&HeaderName) -> bool + use<> {
+pub fn hop_by_hop_predicate(headers: &HeaderMap) -> impl Fn(&HeaderName) -> bool + use<> {
     let named = named_by_connection(headers);
     move |name| {
         let name = name.as_str();
@@ -43,8 +43,8 @@
 /// The headers of a message that go on to the next hop, names in lower case.
 ///
 /// A value that is not UTF-8 is an error, since dropping it would change the message unseen.
-pub fn end_to_end(headers: &HeaderMap) -> Result<Vec<(String, String)>, PlatformError> {
-    let stays = stays_on_connection(headers);
+pub fn end_to_end_headers(headers: &HeaderMap) -> Result<Vec<(String, String)>, PlatformError> {
+    let stays = hop_by_hop_predicate(headers);
     let mut kept = Vec::with_capacity(headers.len());
     for (name, value) in headers {
         if stays(name) {
--- a/components/adapters/src/lib.rs
+++ b/components/adapters/src/lib.rs
@@ -25,8 +25,8 @@
 pub use engine::{
     CacheEvent, CacheEventKind, CachePage, Engine, EngineModel, EngineState, LoadReport,
 };
-pub use error::{ConnectFault, Loss, MalformedPart, PlatformError};
-pub use headers::{end_to_end, stays_on_connection};
+pub use error::{AnswerLoss, MalformedPart, NotSentCause, PlatformError};
+pub use headers::{end_to_end_headers, hop_by_hop_predicate};
 pub use log::{LogClient, LogPage, LogRecord};
 pub use prefix::{BLOCK_BYTES, prefix_blocks};
 pub use scorer::Scorer;
--- a/components/adapters/src/log.rs
+++ b/components/adapters/src/log.rs
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Appends a record and gives its offset. After [`PlatformError::Unknown`] the
+    /// Appends a record and gives its offset. After [`PlatformError::OutcomeUnknown`] the
     /// record may or may not be in the log; read it back before relying on either.
     pub async fn append(&self, stream: &str, record: &str) -> Result<u64, PlatformError> {
         let path = format!("/streams/{stream}/records");
--- a/components/adapters/src/sse.rs
+++ b/components/adapters/src/sse.rs
@@ -24,11 +24,11 @@
             display("the completion has more than {} bytes", limit_bytes)
         }
         /// A data line that is no chunk of a completion.
-        BadChunk {
+        InvalidChunk {
             display("a data line is no chunk of a completion")
         }
         /// A stamp that is no version.
-        BadStamp(err: VersionError) {
+        InvalidVersion(err: VersionError) {
             display("bad weight version in a chunk: {}", err)
             from()
         }
@@ -41,7 +41,7 @@
 
 /// Why a completion ended.
 #[key]
-pub enum Finish {
+pub enum FinishReason {
     /// The model ended it.
     Stop,
     /// It reached the limit of its tokens.
@@ -50,19 +50,19 @@
     Other,
 }
 
-impl Finish {
+impl FinishReason {
     /// The finish reason with this word.
-    pub fn parse(word: &str) -> Finish {
+    pub fn parse(word: &str) -> FinishReason {
         match word {
-            "stop" => Finish::Stop,
-            "length" => Finish::Length,
-            _ => Finish::Other,
+            "stop" => FinishReason::Stop,
+            "length" => FinishReason::Length,
+            _ => FinishReason::Other,
         }
     }
 
     /// Whether the completion ran to its end.
-    pub fn is_whole(self) -> bool {
-        self != Finish::Other
+    pub fn is_complete(self) -> bool {
+        self != FinishReason::Other
     }
 }
 
@@ -77,8 +77,8 @@
     pub token_ids: Vec<u32>,
     /// Version that made the chunk, where the engine stamped it.
     pub version: Option<WeightVersion>,
-    /// Finish reason, in the last chunk.
-    pub finish: Option<Finish>,
+    /// FinishReason reason, in the last chunk.
+    pub finish: Option<FinishReason>,
 }
 
 /// Reads a stream piece by piece and tells whether it is whole.
@@ -86,7 +86,7 @@
 pub struct Parser {
     line: Vec<u8>,
     line_bytes_max: usize,
-    finish: Option<Finish>,
+    finish: Option<FinishReason>,
     unfinished: BTreeSet<u32>,
     done: bool,
 }
@@ -122,12 +122,14 @@
     }
 
     /// Whether the stream gave a finish reason of a whole completion and its terminator.
-    pub fn is_whole(&self) -> bool {
-        self.done && self.unfinished.is_empty() && self.finish.is_some_and(Finish::is_whole)
+    pub fn is_complete(&self) -> bool {
+        self.done
+            && self.unfinished.is_empty()
+            && self.finish.is_some_and(FinishReason::is_complete)
     }
 
     /// The finish reason, once it came; of several the one that is not whole.
-    pub fn finish(&self) -> Option<Finish> {
+    pub fn finish(&self) -> Option<FinishReason> {
         self.finish
     }
 
@@ -153,7 +155,7 @@
             self.done = true;
             return Ok(Vec::new());
         }
-        let chunk: Chunk = serde_json::from_slice(data).map_err(|_| SseError::BadChunk)?;
+        let chunk: Chunk = serde_json::from_slice(data).map_err(|_| SseError::InvalidChunk)?;
         let pieces = chunk.into_pieces()?;
         pieces.iter().for_each(|piece| self.note(piece));
         Ok(pieces)
@@ -165,7 +167,7 @@
             return;
         };
         self.unfinished.remove(&piece.index);
-        if self.finish.is_none_or(Finish::is_whole) {
+        if self.finish.is_none_or(FinishReason::is_complete) {
             self.finish = Some(finish);
         }
     }
@@ -197,7 +199,7 @@
             text: choice.text,
             token_ids: choice.token_ids,
             version,
-            finish: choice.finish_reason.as_deref().map(Finish::parse),
+            finish: choice.finish_reason.as_deref().map(FinishReason::parse),
         };
         Ok(self.choices.into_iter().map(piece).collect())
     }
@@ -216,7 +218,7 @@
     /// Versions on the pieces, each once, in the order of their first piece.
     pub versions: Vec<WeightVersion>,
     /// Whether a piece with text had no stamp, so that the versions are not known.
-    pub unstamped: bool,
+    pub has_unstamped: bool,
 }
 
 impl Transcript {
@@ -234,7 +236,7 @@
         match piece.version {
             Some(version) if self.versions.contains(&version) => {}
             Some(version) => self.versions.push(version),
-            None => self.unstamped = true,
+            None => self.has_unstamped = true,
         }
         Ok(())
     }
--- a/components/adapters/tests/clients.rs
+++ b/components/adapters/tests/clients.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 
 use adapters::{
-    ClientSettings, ConnectFault, Engine, LogClient, Loss, PlatformError, Scorer, VmList, VmState,
-    WeightStore,
+    AnswerLoss, ClientSettings, Engine, LogClient, NotSentCause, PlatformError, Scorer, VmList,
+    VmState, WeightStore,
 };
 use standins::engine::EngineSettings;
 use standins::log::LogSettings;
@@ -98,8 +98,8 @@
     let (handle, log) = log().await;
     handle.fault(Fault::new(FaultKind::AnswerLost).times(1));
     let error = log.append("s", "one").await.unwrap_err();
-    let lost = Loss::ClosedBeforeAnswer { reused: false };
-    assert_eq!(error, PlatformError::Unknown(lost));
+    let lost = AnswerLoss::ClosedBeforeAnswer { reused: false };
+    assert_eq!(error, PlatformError::OutcomeUnknown(lost));
     assert!(error.may_have_taken_effect());
     assert_eq!(records(&log).await, ["one"]);
 }
@@ -112,7 +112,10 @@
     let hasty = LogClient::new(handle.address, &impatient());
     handle.fault(Fault::new(FaultKind::Slow).times(1).delayed(2 * SHORT_MS));
     let error = hasty.append("s", "one").await.unwrap_err();
-    assert_eq!(error, PlatformError::Unknown(Loss::DeadlinePassed));
+    assert_eq!(
+        error,
+        PlatformError::OutcomeUnknown(AnswerLoss::DeadlinePassed)
+    );
     let page = log.read("s", 0, 10, DEADLINE_MS).await.unwrap();
     assert_eq!(page.records[0].data, "one");
 }
@@ -139,13 +142,13 @@
         Case {
             name: "silence",
             fault: Fault::new(FaultKind::Silent),
-            expected: PlatformError::Unknown(Loss::DeadlinePassed),
+            expected: PlatformError::OutcomeUnknown(AnswerLoss::DeadlinePassed),
             appended: 0,
         },
         Case {
             name: "an answer cut short",
             fault: Fault::new(FaultKind::Truncate),
-            expected: PlatformError::Unknown(Loss::ClosedMidAnswer),
+            expected: PlatformError::OutcomeUnknown(AnswerLoss::ClosedMidAnswer),
             appended: 1,
         },
     ];
@@ -174,7 +177,7 @@
             _ => tokio::task::yield_now().await,
         }
     };
-    assert_eq!(error, PlatformError::NotSent(ConnectFault::Unreachable));
+    assert_eq!(error, PlatformError::NotSent(NotSentCause::Unreachable));
     let settings = LogSettings::new(address);
     let _back = standins::log::start(settings).await.unwrap();
     assert_eq!(log.append("s", "three").await, Ok(0));
@@ -263,7 +266,7 @@
     let state = engine.state().await.unwrap();
     assert_eq!((state.life, state.models.len()), (1, 1));
     assert_eq!(state.models[0].loaded, [WeightVersion::default()]);
-    assert_eq!(engine.report().await.unwrap().running, 0);
+    assert_eq!(engine.load_report().await.unwrap().running, 0);
     assert_eq!(engine.cancel("nothing").await, Ok(()));
     assert_eq!(engine.cache_events(0).await.unwrap().next, 0);
 }
--- a/components/adapters/tests/endpoint.rs
+++ b/components/adapters/tests/endpoint.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use adapters::{
-    ConnectFault, Endpoint, EndpointSettings, Loss, MalformedPart, PlatformError, Request,
+    AnswerLoss, Endpoint, EndpointSettings, MalformedPart, NotSentCause, PlatformError, Request,
 };
 use support::{Raw, Then};
 
@@ -14,7 +14,7 @@
 
 async fn whole(endpoint: &Endpoint, deadline_ms: u64) -> Result<Vec<u8>, PlatformError> {
     let response = endpoint.send(Request::new("GET", "/"), deadline_ms).await?;
-    Ok(response.body.whole().await?.to_vec())
+    Ok(response.body.read_to_end().await?.to_vec())
 }
 
 fn endpoint(address: SocketAddr) -> Endpoint {
@@ -34,8 +34,8 @@
         deadline_ms: u64,
         expected: Result<&'static str, PlatformError>,
     }
-    let lost = |loss| Err(PlatformError::Unknown(loss));
-    let before = Loss::ClosedBeforeAnswer { reused: false };
+    let lost = |loss| Err(PlatformError::OutcomeUnknown(loss));
+    let before = AnswerLoss::ClosedBeforeAnswer { reused: false };
     let cases = [
         Case {
             name: "whole by its stated length",
@@ -77,35 +77,35 @@
             answer: "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhello",
             then: Then::Close,
             deadline_ms: LONG_MS,
-            expected: lost(Loss::ClosedMidAnswer),
+            expected: lost(AnswerLoss::ClosedMidAnswer),
         },
         Case {
             name: "closed before the chunked end",
             answer: "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n",
             then: Then::Close,
             deadline_ms: LONG_MS,
-            expected: lost(Loss::ClosedMidAnswer),
+            expected: lost(AnswerLoss::ClosedMidAnswer),
         },
         Case {
             name: "closed with no stated end",
             answer: "HTTP/1.1 200 OK\r\n\r\nhello",
             then: Then::Close,
             deadline_ms: LONG_MS,
-            expected: lost(Loss::NoStatedEnd),
+            expected: lost(AnswerLoss::NoStatedEnd),
         },
         Case {
             name: "silent before the answer",
             answer: "",
             then: Then::Hold,
             deadline_ms: SHORT_MS,
-            expected: lost(Loss::DeadlinePassed),
+            expected: lost(AnswerLoss::DeadlinePassed),
         },
         Case {
             name: "silent inside the answer",
             answer: "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhello",
             then: Then::Hold,
             deadline_ms: SHORT_MS,
-            expected: lost(Loss::DeadlinePassed),
+            expected: lost(AnswerLoss::DeadlinePassed),
         },
         Case {
             name: "no HTTP",
@@ -127,7 +127,7 @@
             answer: "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello",
             then: Then::Hold,
             deadline_ms: 0,
-            expected: Err(PlatformError::NotSent(ConnectFault::DeadlinePassed)),
+            expected: Err(PlatformError::NotSent(NotSentCause::DeadlinePassed)),
         },
     ];
     for case in cases {
@@ -144,7 +144,7 @@
     let address = listener.local_addr().unwrap();
     drop(listener);
     let error = whole(&endpoint(address), LONG_MS).await.unwrap_err();
-    assert_eq!(error, PlatformError::NotSent(ConnectFault::Unreachable));
+    assert_eq!(error, PlatformError::NotSent(NotSentCause::Unreachable));
     assert!(!error.may_have_taken_effect());
 }
 
@@ -161,7 +161,7 @@
     for request in requests {
         let name = format!("{request:?}");
         let sent = endpoint(server.address).send(request, LONG_MS).await;
-        let expected = PlatformError::NotSent(ConnectFault::BadRequest);
+        let expected = PlatformError::NotSent(NotSentCause::BadRequest);
         assert_eq!(sent.err(), Some(expected), "{name}");
     }
     assert_eq!(server.connections(), 0);
@@ -195,7 +195,7 @@
     let server = Raw::start(vec![(answer, Then::Hold), (answer, Then::Serve)]).await;
     let endpoint = endpoint(server.address);
     assert_eq!(whole(&endpoint, LONG_MS).await, Ok(b"hello".to_vec()));
-    let late = PlatformError::Unknown(Loss::DeadlinePassed);
+    let late = PlatformError::OutcomeUnknown(AnswerLoss::DeadlinePassed);
     assert_eq!(whole(&endpoint, SHORT_MS).await, Err(late));
     assert_eq!(server.connections(), 1);
     assert_eq!(whole(&endpoint, LONG_MS).await, Ok(b"hello".to_vec()));
@@ -222,7 +222,7 @@
     });
     let endpoint = endpoint(address);
     assert_eq!(whole(&endpoint, LONG_MS).await, Ok(b"ok".to_vec()));
-    let lost = PlatformError::Unknown(Loss::ClosedBeforeAnswer { reused: true });
+    let lost = PlatformError::OutcomeUnknown(AnswerLoss::ClosedBeforeAnswer { reused: true });
     assert_eq!(whole(&endpoint, LONG_MS).await, Err(lost));
     // No second connection waits to be accepted.
     let listener = server.await.unwrap().into_std().unwrap();
@@ -247,7 +247,7 @@
     let request = Request::new("GET", "/");
     let response = endpoint(server.address).send(request, LONG_MS).await;
     let mut body = response.unwrap().body;
-    let lost = Err(PlatformError::Unknown(Loss::ClosedMidAnswer));
+    let lost = Err(PlatformError::OutcomeUnknown(AnswerLoss::ClosedMidAnswer));
     let first = body.next().await;
     assert_eq!(first.unwrap().as_deref(), Some(b"hello".as_slice()));
     assert_eq!(body.next().await, lost);
--- a/components/adapters/tests/sse.rs
+++ b/components/adapters/tests/sse.rs
@@ -1,6 +1,6 @@
 //! Completions streams: what is whole, whatever the bytes' splits.
 
-use adapters::sse::{Finish, Parser, Piece, SseError, Transcript};
+use adapters::sse::{FinishReason, Parser, Piece, SseError, Transcript};
 
 const LINE_BYTES_MAX: usize = 400;
 const TEXT_BYTES_MAX: usize = 40;
@@ -10,7 +10,7 @@
 struct Learned {
     pieces: Vec<Piece>,
     transcript: Transcript,
-    finish: Option<Finish>,
+    finish: Option<FinishReason>,
     whole: bool,
     error: Option<SseError>,
 }
@@ -30,7 +30,7 @@
         pieces,
         transcript,
         finish: parser.finish(),
-        whole: pushed.is_ok() && parser.is_whole(),
+        whole: pushed.is_ok() && parser.is_complete(),
         error: pushed.err(),
     }
 }
@@ -55,7 +55,7 @@
     stream: String,
     text: &'static str,
     versions: &'static [&'static str],
-    unstamped: bool,
+    has_unstamped: bool,
     whole: bool,
     error: Option<SseError>,
 }
@@ -66,7 +66,7 @@
         stream,
         text: "one two",
         versions: &["1.7"],
-        unstamped: false,
+        has_unstamped: false,
         whole,
         error: None,
     };
@@ -106,7 +106,7 @@
             )
         },
         Case {
-            unstamped: true,
+            has_unstamped: true,
             ..clear(
                 "with a chunk of unknown origin",
                 format!("{one}{}{DONE}", chunk(" two", "stop", "")),
@@ -123,7 +123,7 @@
         },
         Case {
             text: "one",
-            error: Some(SseError::BadChunk),
+            error: Some(SseError::InvalidChunk),
             ..clear(
                 "with something else in a data line",
                 format!("{one}data: {{\"error\":\"x\"}}\n\n"),
@@ -152,7 +152,7 @@
             ),
             text: "oneone two",
             versions: &["1.7"],
-            unstamped: false,
+            has_unstamped: false,
             whole: false,
             error: None,
         },
@@ -161,7 +161,7 @@
             stream: String::new(),
             text: "",
             versions: &[],
-            unstamped: false,
+            has_unstamped: false,
             whole: false,
             error: None,
         },
@@ -178,8 +178,8 @@
             let versions: Vec<String> = versions.map(ToString::to_string).collect();
             assert_eq!(learned.transcript.text, case.text, "{} at {at}", case.name);
             assert_eq!(versions, case.versions, "{} at {at}", case.name);
-            let unstamped = learned.transcript.unstamped;
-            assert_eq!(unstamped, case.unstamped, "{} at {at}", case.name);
+            let has_unstamped = learned.transcript.has_unstamped;
+            assert_eq!(has_unstamped, case.has_unstamped, "{} at {at}", case.name);
             assert_eq!(learned.whole, case.whole, "{} at {at}", case.name);
             assert_eq!(learned.error, case.error, "{} at {at}", case.name);
         }
--- a/components/control/src/fleet.rs
+++ b/components/control/src/fleet.rs
@@ -125,7 +125,7 @@
         .await
         .map_err(failed)?;
     let status = response.head.status;
-    let body = response.body.whole().await.map_err(failed)?;
+    let body = response.body.read_to_end().await.map_err(failed)?;
     if status != wanted {
         let detail = String::from_utf8_lossy(&body).into_owned();
         return Err(ControlError::UnexpectedStatus(address, status, detail));
--- a/components/gateway/src/completion_stream.rs
+++ b/components/gateway/src/completion_stream.rs
@@ -176,7 +176,7 @@
                     Ok(events) => return Next::Bytes(events),
                     Err(failure) => failure,
                 },
-                CallEvent::End if self.said.parser.is_whole() => return Next::Whole,
+                CallEvent::End if self.said.parser.is_complete() => return Next::Whole,
                 CallEvent::End => Failure::new(RunState::Failed, Cause::Truncated),
                 CallEvent::Failed(failure) => failure,
             };
--- a/components/gateway/src/headers.rs
+++ b/components/gateway/src/headers.rs
@@ -104,7 +104,7 @@
     headers: &HeaderMap,
     request_id: &str,
 ) -> Result<Vec<(String, String)>, Rejection> {
-    let passed = adapters::end_to_end(headers);
+    let passed = adapters::end_to_end_headers(headers);
     let mut passed = passed.map_err(|_| Rejection::HeaderText)?;
     passed.retain(|(name, _)| !stays(name));
     passed.push((REQUEST_ID.to_owned(), request_id.to_owned()));
--- a/components/gateway/src/training/listening.rs
+++ b/components/gateway/src/training/listening.rs
@@ -86,7 +86,7 @@
                         let _ = orders.try_send(Order::Run(key.clone(), run, news));
                     }
                 }
-                CallEvent::End if self.parser.is_whole() => return Ok(()),
+                CallEvent::End if self.parser.is_complete() => return Ok(()),
                 CallEvent::End => return Err(lost()),
                 CallEvent::Failed(failure) => return Err(fault(failure)),
             }
--- a/components/sidecar/src/completion.rs
+++ b/components/sidecar/src/completion.rs
@@ -3,7 +3,7 @@
 //! reason and terminator, a unary answer its finish reason.
 
 use adapters::AnswerHead;
-use adapters::sse::{Finish, Parser};
+use adapters::sse::{FinishReason, Parser};
 use bytes::Bytes;
 use serde::Deserialize;
 use types::Cause;
@@ -56,7 +56,7 @@
 
     /// Errors when the stream that has ended is not whole.
     pub fn end(&self) -> Result<(), Cause> {
-        if self.0.is_whole() {
+        if self.0.is_complete() {
             Ok(())
         } else {
             Err(Cause::Truncated)
@@ -83,11 +83,13 @@
 /// Errors when a unary completion is not whole.
 pub fn check_document(body: &Bytes) -> Result<(), Cause> {
     let document: Document = serde_json::from_slice(body).map_err(|_| Cause::EndpointError)?;
-    let is_whole = |choice: &Choice| {
+    let is_complete = |choice: &Choice| {
         let reason = choice.finish_reason.as_deref();
-        reason.map(Finish::parse).is_some_and(Finish::is_whole)
+        reason
+            .map(FinishReason::parse)
+            .is_some_and(FinishReason::is_complete)
     };
-    if !document.choices.is_empty() && document.choices.iter().all(is_whole) {
+    if !document.choices.is_empty() && document.choices.iter().all(is_complete) {
         Ok(())
     } else {
         Err(Cause::Truncated)
--- a/components/sidecar/src/relay.rs
+++ b/components/sidecar/src/relay.rs
@@ -64,7 +64,7 @@
         };
         let sent = self
             .endpoint
-            .send_announced(request, left_ms, before_write)
+            .send_with_callback(request, left_ms, before_write)
             .await;
         let response = sent.map_err(|error| failure_of(&error, self.stage))?;
         self.stage = Stage::Answering;
--- a/components/sidecar/src/stage.rs
+++ b/components/sidecar/src/stage.rs
@@ -3,7 +3,7 @@
 //! The rule: "not run" only while no byte has gone out, "failed" only once the endpoint
 //! has shown that it began, "unknown" in between.
 
-use adapters::{ConnectFault, Loss, PlatformError};
+use adapters::{AnswerLoss, NotSentCause, PlatformError};
 use derive::key;
 use types::{Cause, Failure, RunState};
 
@@ -38,7 +38,7 @@
 pub fn failure_of(error: &PlatformError, stage: Stage) -> Failure {
     match *error {
         PlatformError::NotSent(fault) => Failure::not_run(cause_of_fault(fault)),
-        PlatformError::Unknown(loss) => stage.failure(cause_of_loss(loss)),
+        PlatformError::OutcomeUnknown(loss) => stage.failure(cause_of_loss(loss)),
         // Something came back, so the endpoint had the request.
         PlatformError::Refused { .. }
         | PlatformError::Malformed(_)
@@ -46,20 +46,20 @@
     }
 }
 
-fn cause_of_fault(fault: ConnectFault) -> Cause {
+fn cause_of_fault(fault: NotSentCause) -> Cause {
     match fault {
-        ConnectFault::Unreachable | ConnectFault::TimedOut => Cause::EndpointLost,
-        ConnectFault::DeadlinePassed => Cause::DeadlinePassed,
-        ConnectFault::BadRequest => Cause::Malformed,
+        NotSentCause::Unreachable | NotSentCause::TimedOut => Cause::EndpointLost,
+        NotSentCause::DeadlinePassed => Cause::DeadlinePassed,
+        NotSentCause::BadRequest => Cause::Malformed,
     }
 }
 
-fn cause_of_loss(loss: Loss) -> Cause {
+fn cause_of_loss(loss: AnswerLoss) -> Cause {
     match loss {
-        Loss::ClosedBeforeAnswer { .. } | Loss::ClosedMidAnswer | Loss::Silent => {
-            Cause::EndpointLost
-        }
-        Loss::NoStatedEnd => Cause::Truncated,
-        Loss::DeadlinePassed => Cause::DeadlinePassed,
+        AnswerLoss::ClosedBeforeAnswer { .. }
+        | AnswerLoss::ClosedMidAnswer
+        | AnswerLoss::Silent => Cause::EndpointLost,
+        AnswerLoss::NoStatedEnd => Cause::Truncated,
+        AnswerLoss::DeadlinePassed => Cause::DeadlinePassed,
     }
 }
--- a/components/sidecar/src/vitals.rs
+++ b/components/sidecar/src/vitals.rs
@@ -3,7 +3,7 @@
 //! A crash must be told apart from a slow moment: after a crash the calls in flight have
 //! failed and entries suspect them; a slow endpoint only gets no new work for a while.
 
-use adapters::{ConnectFault, PlatformError};
+use adapters::{NotSentCause, PlatformError};
 use derive::{key, value};
 
 /// Looks without an answer until the endpoint gets no new work.
@@ -27,7 +27,7 @@
     /// What a look that failed says.
     pub fn of_error(error: &PlatformError) -> Sign {
         match error {
-            PlatformError::NotSent(ConnectFault::Unreachable) => Sign::Gone,
+            PlatformError::NotSent(NotSentCause::Unreachable) => Sign::Gone,
             _ => Sign::Silent,
         }
     }
--- a/components/sidecar/src/watch.rs
+++ b/components/sidecar/src/watch.rs
@@ -102,7 +102,7 @@
     };
     let mut seen = before.clone();
     // The report is a hint for the choice of an endpoint; an old one does as well.
-    if let Ok(load) = agent.engine.report().await {
+    if let Ok(load) = agent.engine.load_report().await {
         seen.load = load;
         seen.load_read_ms = now_ms();
     }
@@ -131,7 +131,7 @@
 
 async fn well(body: adapters::Body) -> Sign {
     // Reading to the end lets the connection be used again.
-    match body.whole().await {
+    match body.read_to_end().await {
         Ok(_) | Err(PlatformError::TooLarge(_)) => Sign::Answered { life: None },
         Err(_) => Sign::Silent,
     }
--- a/components/sidecar/tests/common/mod.rs
+++ b/components/sidecar/tests/common/mod.rs
@@ -433,7 +433,7 @@
         .send(Request::new("GET", path), 5_000)
         .await
         .unwrap();
-    let body = response.body.whole().await.unwrap();
+    let body = response.body.read_to_end().await.unwrap();
     (
         response.head.status,
         String::from_utf8(body.to_vec()).unwrap(),
--- a/components/sidecar/tests/decisions.rs
+++ b/components/sidecar/tests/decisions.rs
@@ -1,6 +1,6 @@
 //! The agent's decisions that need no socket.
 
-use adapters::{AnswerHead, ConnectFault, Loss, MalformedPart, PlatformError};
+use adapters::{AnswerHead, AnswerLoss, MalformedPart, NotSentCause, PlatformError};
 use bytes::Bytes;
 use sidecar::{Change, Shape, Sign, Stage, StreamCheck, Vitals};
 use sidecar::{check_document, failure_of, name_call};
@@ -17,37 +17,37 @@
 fn errors_say_no_more_than_is_known() {
     let cases = [
         Failing {
-            error: PlatformError::NotSent(ConnectFault::Unreachable),
+            error: PlatformError::NotSent(NotSentCause::Unreachable),
             stage: Stage::Held,
             run: RunState::NotRun,
             cause: Cause::EndpointLost,
         },
         Failing {
-            error: PlatformError::NotSent(ConnectFault::DeadlinePassed),
+            error: PlatformError::NotSent(NotSentCause::DeadlinePassed),
             stage: Stage::Held,
             run: RunState::NotRun,
             cause: Cause::DeadlinePassed,
         },
         Failing {
-            error: PlatformError::Unknown(Loss::ClosedBeforeAnswer { reused: false }),
+            error: PlatformError::OutcomeUnknown(AnswerLoss::ClosedBeforeAnswer { reused: false }),
             stage: Stage::Sent,
             run: RunState::Unknown,
             cause: Cause::EndpointLost,
         },
         Failing {
-            error: PlatformError::Unknown(Loss::DeadlinePassed),
+            error: PlatformError::OutcomeUnknown(AnswerLoss::DeadlinePassed),
             stage: Stage::Sent,
             run: RunState::Unknown,
             cause: Cause::DeadlinePassed,
         },
         Failing {
-            error: PlatformError::Unknown(Loss::ClosedMidAnswer),
+            error: PlatformError::OutcomeUnknown(AnswerLoss::ClosedMidAnswer),
             stage: Stage::Answering,
             run: RunState::Failed,
             cause: Cause::EndpointLost,
         },
         Failing {
-            error: PlatformError::Unknown(Loss::NoStatedEnd),
+            error: PlatformError::OutcomeUnknown(AnswerLoss::NoStatedEnd),
             stage: Stage::Answering,
             run: RunState::Failed,
             cause: Cause::Truncated,
--- a/dev/bench/src/caller.rs
+++ b/dev/bench/src/caller.rs
@@ -45,7 +45,7 @@
     /// A caller of this address.
     pub fn new(address: SocketAddr) -> Caller {
         let settings = EndpointSettings {
-            idle_max: IDLE_MAX,
+            idle_connections_max: IDLE_MAX,
             ..EndpointSettings::default()
         };
         Caller {
@@ -159,7 +159,7 @@
     let mut parser = Parser::new(LINE_BYTES_MAX);
     let mut transcript = Transcript::default();
     let read = parser.push(body, |piece| transcript.add(&piece, TEXT_BYTES_MAX));
-    (read.is_ok() && parser.is_whole()).then_some(transcript)
+    (read.is_ok() && parser.is_complete()).then_some(transcript)
 }
 
 fn broken(reply: &mut Reply, error: &PlatformError) {
--- a/dev/bench/src/status.rs
+++ b/dev/bench/src/status.rs
@@ -70,7 +70,7 @@
     let request = Request::new("GET", path);
     let response = endpoint.send(request, DEADLINE_MS).await.map_err(lost)?;
     let status = response.head.status;
-    let body = response.body.whole().await.map_err(lost)?;
+    let body = response.body.read_to_end().await.map_err(lost)?;
     if status != OK {
         return Err(BenchError::Answer(address, status));
     }
--- a/dev/proof/src/ask.rs
+++ b/dev/proof/src/ask.rs
@@ -140,5 +140,5 @@
     let mut parser = Parser::new(LINE_BYTES_MAX);
     let mut transcript = Transcript::default();
     let read = parser.push(body, |piece| transcript.add(&piece, TEXT_BYTES_MAX));
-    (read.is_ok() && parser.is_whole()).then_some(transcript.text)
+    (read.is_ok() && parser.is_complete()).then_some(transcript.text)
 }
--- a/dev/proof/src/status.rs
+++ b/dev/proof/src/status.rs
@@ -31,7 +31,7 @@
     let endpoint = Endpoint::new(address, EndpointSettings::default());
     let response = endpoint.send(request, DEADLINE_MS).await?;
     let status = response.head.status;
-    let body = response.body.whole().await?;
+    let body = response.body.read_to_end().await?;
     match (200..300).contains(&status) {
         true => Ok(body),
         false => Err(ProofError::Status(address, status)),
--- a/dev/standins/src/trainer/entries.rs
+++ b/dev/standins/src/trainer/entries.rs
@@ -119,7 +119,7 @@
         let deadline_ms = self.exchange_ms + wait_ms;
         let response = entry.send(request, deadline_ms).await?;
         let status = response.head.status;
-        Ok((status, response.body.whole().await?))
+        Ok((status, response.body.read_to_end().await?))
     }
 
     fn request(&self, path: &str, body: &Bytes) -> Request {
--- a/dev/standins/tests/engine.rs
+++ b/dev/standins/tests/engine.rs
@@ -4,7 +4,7 @@
 
 use std::net::SocketAddr;
 
-use adapters::sse::{Finish, Parser, Transcript};
+use adapters::sse::{FinishReason, Parser, Transcript};
 use adapters::{
     CacheEventKind, ClientSettings, Endpoint, EndpointSettings, Engine, PlatformError, Request,
     Response, prefix_blocks,
@@ -100,9 +100,9 @@
         Ok(true)
     }
 
-    async fn rest(mut self) -> (Transcript, Option<Finish>, bool) {
+    async fn rest(mut self) -> (Transcript, Option<FinishReason>, bool) {
         while self.more().await.unwrap() {}
-        let whole = self.parser.is_whole();
+        let whole = self.parser.is_complete();
         (self.transcript, self.parser.finish(), whole)
     }
 }
@@ -132,7 +132,7 @@
         .rest()
         .await;
     assert!(whole);
-    assert_eq!(finish, Some(Finish::Stop));
+    assert_eq!(finish, Some(FinishReason::Stop));
     let ids = serde_json::to_string(&all.token_ids[..5]).unwrap();
     let fields = format!("\"prompt\":\"p\",\"seed\":4,\"resume_tokens\":{ids}");
     let (rest, _, whole) = bench.stream(&fields).await.rest().await;
@@ -309,9 +309,9 @@
     let stream = bench.stream(fields).await;
     bench.engine.cancel("r1").await.unwrap();
     let (_, finish, whole) = stream.rest().await;
-    assert_eq!(finish, Some(Finish::Other));
+    assert_eq!(finish, Some(FinishReason::Other));
     assert!(!whole);
-    assert_eq!(bench.engine.report().await.unwrap().running, 0);
+    assert_eq!(bench.engine.load_report().await.unwrap().running, 0);
 }
 
 #[tokio::test]
--- a/dev/standins/tests/fleet_store.rs
+++ b/dev/standins/tests/fleet_store.rs
@@ -16,7 +16,7 @@
     };
     let answer = door.send(request, DEADLINE_MS).await.unwrap();
     let status = answer.head.status;
-    let body = answer.body.whole().await.unwrap();
+    let body = answer.body.read_to_end().await.unwrap();
     (status, serde_json::from_slice(&body).unwrap())
 }
 
--- a/dev/standins/tests/service.rs
+++ b/dev/standins/tests/service.rs
@@ -27,14 +27,14 @@
         ..Request::new("POST", path)
     };
     let response = endpoint.send(request, DEADLINE_MS).await?;
-    let body = response.body.whole().await?;
+    let body = response.body.read_to_end().await?;
     Ok(String::from_utf8(body.to_vec()).unwrap())
 }
 
 async fn runs(endpoint: &Endpoint) -> BTreeMap<String, u64> {
     let request = Request::new("GET", "/standin/runs");
     let response = endpoint.send(request, DEADLINE_MS).await.unwrap();
-    serde_json::from_slice(&response.body.whole().await.unwrap()).unwrap()
+    serde_json::from_slice(&response.body.read_to_end().await.unwrap()).unwrap()
 }
 
 #[tokio::test]
@@ -87,7 +87,7 @@
 async fn handle_is_up(endpoint: &Endpoint) -> bool {
     let request = Request::new("GET", "/healthz");
     match endpoint.send(request, DEADLINE_MS).await {
-        Ok(response) => response.body.whole().await.is_ok(),
+        Ok(response) => response.body.read_to_end().await.is_ok(),
         Err(_) => false,
     }
 }
