--- a/components/sidecar/src/agent.rs
+++ b/components/sidecar/src/agent.rs
@@ -5,7 +5,7 @@
 
 use crate::engine_names::EngineNames;
 use crate::health::Health;
-use crate::hosting::{Hosting, Site};
+use crate::hosting::{Hosting, HostingRules};
 use adapters::{ClientSettings, Endpoint, EndpointSettings, Engine};
 use arc_swap::ArcSwap;
 use config::{Service, ServiceKind};
@@ -43,7 +43,7 @@
     /// Who it is.
     pub identity: Arc<Identity>,
     /// What the settings say of the endpoint beside it.
-    pub site: Site,
+    pub hosting_rules: HostingRules,
     /// Names of models towards the engine.
     pub engine_names: EngineNames,
     /// Bounds.
@@ -91,12 +91,12 @@
         };
         Agent {
             identity,
-            site: Site {
+            hosting_rules: HostingRules {
                 pool: settings.pool.clone(),
-                kind: kind_of(settings.endpoint_kind),
+                kind: service_kind_of(settings.endpoint_kind),
                 customers: settings.customers.clone(),
             },
-            engine_names: EngineNames::of(&settings.customers),
+            engine_names: EngineNames::for_customers(&settings.customers),
             limits,
             pulse: PauseDetector::start(),
             drain: Drain::new(drain_settings),
@@ -111,7 +111,7 @@
 
     /// Whether work may be sent here: not leaving, and the endpoint answers.
     pub fn is_ready(&self) -> bool {
-        self.drain.is_ready() && self.health.look().up
+        self.drain.is_ready() && self.health.snapshot().up
     }
 
     /// Services that are hosted here now.
@@ -120,20 +120,20 @@
     }
 
     /// Works the hosted services out anew from the configuration in force.
-    pub fn place(&self) {
-        let hosting = Hosting::of(&self.feed.view(), &self.site);
-        note_left_out(&self.hosting(), &hosting);
+    pub fn update_hosting(&self) {
+        let hosting = Hosting::from_view(&self.feed.view(), &self.hosting_rules);
+        log_rejected(&self.hosting(), &hosting);
         self.hosting.store(Arc::new(hosting));
     }
 }
 
 /// Logs each service that is left out once, when it is first seen.
-fn note_left_out(before: &Hosting, now: &Hosting) {
+fn log_rejected(before: &Hosting, now: &Hosting) {
     let known = |service: &Service| {
-        let mut left_out = before.left_out().iter();
-        left_out.any(|known| (&known.owner, &known.name) == (&service.owner, &service.name))
+        let mut rejected = before.rejected().iter();
+        rejected.any(|known| (&known.owner, &known.name) == (&service.owner, &service.name))
     };
-    for service in now.left_out().iter().filter(|service| !known(service)) {
+    for service in now.rejected().iter().filter(|service| !known(service)) {
         log::warn!(
             event = "service-left-out", customer:% = service.owner, service:% = service.name,
             pool:% = service.pool; ""
@@ -141,7 +141,7 @@
     }
 }
 
-fn kind_of(kind: EndpointKind) -> ServiceKind {
+fn service_kind_of(kind: EndpointKind) -> ServiceKind {
     match kind {
         EndpointKind::Model => ServiceKind::Model,
         EndpointKind::Plain => ServiceKind::Plain,
--- a/components/sidecar/src/body.rs
+++ b/components/sidecar/src/body.rs
@@ -14,7 +14,7 @@
 /// request's id is the call's own identity, so that it can be cancelled by name: after a
 /// retry two calls of one request may be on the same engine, and the late cancellation of
 /// the first must not take the second with it, nor one customer cancel another's call.
-pub fn name_call(body: &Bytes, model: &str, id: CallId) -> Result<Bytes, Cause> {
+pub fn set_model_and_call_id(body: &Bytes, model: &str, id: CallId) -> Result<Bytes, Cause> {
     let mut document: Value = serde_json::from_slice(body).map_err(|_| Cause::Malformed)?;
     let Value::Object(fields) = &mut document else {
         return Err(Cause::Malformed);
--- a/components/sidecar/src/calls.rs
+++ b/components/sidecar/src/calls.rs
@@ -12,35 +12,35 @@
 
 use crate::agent::Agent;
 use crate::gate;
-use crate::relay::{Relay, pass};
+use crate::relay::{Relay, send_in_parts};
 
 /// Takes one call in; never waits.
-pub fn take(agent: &Arc<Agent>, call: IncomingCall) {
+pub fn serve_call(agent: &Arc<Agent>, call: IncomingCall) {
     let arrived_ms = now_ms();
     let age_ms = agent.pulse.arrival_age_ms(arrived_ms);
     let agent = Arc::clone(agent);
     tokio::spawn(async move {
         let IncomingCall { open, answer, .. } = call;
         if ConfigFeed::is_text_call(&open) {
-            serve_text(&agent, &open, &answer).await;
+            serve_config_text(&agent, &open, &answer).await;
             return;
         }
-        let ended = run(&agent, &open, &answer, arrived_ms, age_ms).await;
-        match ended {
+        let result = run(&agent, &open, &answer, arrived_ms, age_ms).await;
+        match result {
             Ok(()) => answer.finish(),
             Err(failure) => answer.fail(failure),
         }
-        note(&agent, &open, arrived_ms, ended);
+        record_end(&agent, &open, arrived_ms, result);
     });
 }
 
-async fn serve_text(agent: &Agent, open: &Open, answer: &AnswerSender) {
+async fn serve_config_text(agent: &Agent, open: &Open, answer: &AnswerSender) {
     match agent.feed.serve_text(open).await {
         Ok((head, text)) => {
             answer.mark_accepted();
             answer.mark_started();
             answer.send_head(head).await;
-            pass(answer, text).await;
+            send_in_parts(answer, text).await;
             answer.finish();
         }
         Err(failure) => answer.fail(failure),
@@ -57,21 +57,21 @@
     // Held until the end, so that a drain waits for this call.
     let _working = agent.drain.admit(now_ms())?;
     if agent.drain.work_counter().count() > agent.limits.calls_max {
-        return Err(gate::full());
+        return Err(gate::queue_full());
     }
     let life = agent.health.life();
     let hosting = agent.hosting();
-    let place = gate::place_of(open, &hosting, &agent.health.look())?;
+    let local = gate::find_service(open, &hosting, &agent.health.snapshot())?;
     answer.mark_accepted();
     let left_ms = gate::time_left_ms(open, now_ms() - arrived_ms, age_ms)?;
-    let is_model = place.service.kind == ServiceKind::Model;
-    let engine_model = is_model.then_some(place.engine_model.as_str());
+    let is_model = local.service.kind == ServiceKind::Model;
+    let engine_model = is_model.then_some(local.engine_model.as_str());
     let mut relay = Relay::new(&agent.endpoint, open, answer, engine_model);
-    let ended = relay_until(agent, &mut relay, answer, life, left_ms).await;
-    if let Err(failure) = ended {
+    let result = relay_until(agent, &mut relay, answer, life, left_ms).await;
+    if let Err(failure) = result {
         clean_up(agent, &relay, open, failure);
     }
-    ended
+    result
 }
 
 async fn relay_until(
@@ -83,22 +83,22 @@
 ) -> Result<(), Failure> {
     let cause = tokio::select! {
         biased;
-        ended = relay.run(left_ms) => return ended,
+        result = relay.run(left_ms) => return result,
         () = answer.cancelled() => Cause::Cancelled,
         // An endpoint whose VM died sends no reset; its calls would wait for their
         // deadlines though the watch knows better.
-        () = agent.health.outlived(life) => Cause::EndpointLost,
+        () = agent.health.wait_for_other_life(life) => Cause::EndpointLost,
         // A caller that takes nothing in blocks the answer beyond the deadline of the
-        // exchange, and with it a place at the endpoint.
+        // exchange, and with it a local at the endpoint.
         () = tokio::time::sleep(Duration::from_millis(left_ms)) => Cause::DeadlinePassed,
     };
     Err(relay.stage().failure(cause))
 }
 
-/// Leaves nothing running at the endpoint for a call that has ended badly.
+/// Leaves nothing running at the endpoint for a call that has result badly.
 fn clean_up(agent: &Agent, relay: &Relay<'_>, open: &Open, failure: Failure) {
     if failure.cause == Cause::EndpointLost {
-        agent.health.suspect();
+        agent.health.request_check();
     }
     let may_run = failure.run != types::RunState::NotRun;
     if may_run && relay.is_model() {
@@ -112,23 +112,23 @@
     }
 }
 
-fn note(agent: &Agent, open: &Open, arrived_ms: u64, ended: Result<(), Failure>) {
+fn record_end(agent: &Agent, open: &Open, arrived_ms: u64, result: Result<(), Failure>) {
     let took_ms = now_ms().saturating_sub(arrived_ms);
     let label = Label::of(&open.customer, open.class);
-    let (run, cause) = match ended {
+    let (run, cause) = match result {
         Ok(()) => ("whole", ""),
         Err(failure) => (failure.run.as_str(), failure.cause.as_str()),
     };
     agent.metrics.record("call_ms", label, took_ms);
-    agent.metrics.count(counter(ended), label, 1);
+    agent.metrics.count(counter_name(result), label, 1);
     log::info!(
-        event = "call-ended", request_id = open.request_id.as_str(), call:% = open.id,
+        event = "call-result", request_id = open.request_id.as_str(), call:% = open.id,
         customer:% = open.customer, service:% = open.service, outcome = run, cause, took_ms; ""
     );
 }
 
-fn counter(ended: Result<(), Failure>) -> &'static str {
-    match ended.map_err(|failure| failure.run) {
+fn counter_name(result: Result<(), Failure>) -> &'static str {
+    match result.map_err(|failure| failure.run) {
         Ok(()) => "calls_whole_total",
         Err(types::RunState::NotRun) => "calls_not_run_total",
         Err(types::RunState::Unknown) => "calls_unknown_total",
--- a/components/sidecar/src/completion.rs
+++ b/components/sidecar/src/completion.rs
@@ -15,7 +15,7 @@
 
 /// How the wholeness of an answer shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shape {
+pub enum AnswerFormat {
     /// A stream of server-sent events with a finish reason and a terminator.
     Stream,
     /// One document with a finish reason.
@@ -24,17 +24,17 @@
     Opaque,
 }
 
-impl Shape {
-    /// Shape of the answer with this head, from a model or a plain service.
-    pub fn of(is_model: bool, head: &AnswerHead) -> Shape {
+impl AnswerFormat {
+    /// AnswerFormat of the answer with this head, from a model or a plain service.
+    pub fn of(is_model: bool, head: &AnswerHead) -> AnswerFormat {
         if !is_model || head.status != OK {
-            return Shape::Opaque;
+            return AnswerFormat::Opaque;
         }
         let content_type = head.header("content-type").unwrap_or_default();
         if content_type.starts_with(EVENT_STREAM) {
-            Shape::Stream
+            AnswerFormat::Stream
         } else {
-            Shape::Document
+            AnswerFormat::Document
         }
     }
 }
@@ -55,7 +55,7 @@
     }
 
     /// Errors when the stream that has ended is not whole.
-    pub fn end(&self) -> Result<(), Cause> {
+    pub fn finish(&self) -> Result<(), Cause> {
         if self.0.is_complete() {
             Ok(())
         } else {
--- a/components/sidecar/src/engine_names.rs
+++ b/components/sidecar/src/engine_names.rs
@@ -18,7 +18,7 @@
     /// Names for an endpoint that may host services of these customers. They depend on the
     /// settings alone, never on which texts are accepted just now: a name that changed with
     /// another customer's text would take the model out of service.
-    pub fn of(customers: &[CustomerName]) -> Self {
+    pub fn for_customers(customers: &[CustomerName]) -> Self {
         Self {
             with_owner: customers.len() > 1,
         }
--- /dev/null
+++ b/components/sidecar/src/health_check.rs
@@ -0,0 +1,140 @@
+//! Looks at the endpoint: every now and then, at once when a call has lost it, and
+//! whenever an order wants its state read back. One task makes all looks, so that they
+//! are published in the order in which they were made.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use adapters::{EngineState, PlatformError, Request};
+use config::ServiceKind;
+use node::now_ms;
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::{MissedTickBehavior, interval};
+
+use crate::agent::Agent;
+use crate::health::EndpointSnapshot;
+use crate::health_state::{CheckResult, HealthState};
+
+/// Time between two looks.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Requests for a look that wait at most.
+const PENDING_CHECKS_MAX: usize = 64;
+/// Path at which a plain service says that it is well.
+const HEALTH_PATH: &str = "/healthz";
+/// Statuses from here on say that a plain service is not well.
+const SERVER_ERROR_STATUS_MIN: u16 = 500;
+
+type CheckRequest = oneshot::Sender<Option<EngineState>>;
+
+/// Asks the watching task for a look.
+#[derive(Clone)]
+pub struct HealthChecker {
+    requests: mpsc::Sender<CheckRequest>,
+}
+
+impl HealthChecker {
+    /// Starts to look.
+    pub fn start(agent: Arc<Agent>) -> HealthChecker {
+        let (requests, requested) = mpsc::channel(PENDING_CHECKS_MAX);
+        tokio::spawn(run_checks(agent, requested));
+        HealthChecker { requests }
+    }
+
+    /// The engine's state, read now; `None` when it could not be read.
+    pub async fn read_engine_state(&self) -> Option<EngineState> {
+        let (request, answer) = oneshot::channel();
+        self.requests.send(request).await.ok()?;
+        answer.await.ok().flatten()
+    }
+}
+
+async fn run_checks(agent: Arc<Agent>, mut requested: mpsc::Receiver<CheckRequest>) {
+    let mut health_state = HealthState::default();
+    let mut ticks = interval(CHECK_INTERVAL);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    loop {
+        let request = tokio::select! {
+            _ = ticks.tick() => None,
+            () = agent.health.check_requested() => None,
+            request = requested.recv() => match request {
+                Some(request) => Some(request),
+                None => return,
+            },
+        };
+        let read = check(&agent, &mut health_state).await;
+        if let Some(request) = request {
+            // Whoever requested may have given up meanwhile.
+            let _ = request.send(read);
+        }
+    }
+}
+
+/// One look; gives the engine's state if this very look has read it.
+async fn check(agent: &Agent, health_state: &mut HealthState) -> Option<EngineState> {
+    let before = agent.health.snapshot();
+    let (sign, mut snapshot) = match agent.hosting_rules.kind {
+        ServiceKind::Model => check_engine(agent, &before).await,
+        ServiceKind::Plain => check_plain(agent).await,
+    };
+    let change = health_state.record(sign);
+    snapshot.up = health_state.is_up();
+    let switched = before.engine != snapshot.engine;
+    let answered = matches!(sign, CheckResult::Answered { .. });
+    let read = snapshot.engine.clone().filter(|_| answered);
+    agent.health.publish(snapshot);
+    if change.crashed {
+        agent.health.begin_next_life();
+        log::warn!(event = "endpoint-lost", life = agent.health.life(); "");
+    }
+    if change.up_changed {
+        log::info!(event = "endpoint-turned", up = health_state.is_up(); "");
+    }
+    if change.crashed || change.up_changed || switched {
+        agent.health.notify_change();
+    }
+    read
+}
+
+async fn check_engine(agent: &Agent, before: &EndpointSnapshot) -> (CheckResult, EndpointSnapshot) {
+    let state = match agent.engine.state().await {
+        Ok(state) => state,
+        Err(error) => return (CheckResult::from_error(&error), before.clone()),
+    };
+    let mut snapshot = before.clone();
+    // The report is a hint for the choice of an endpoint; an old one does as well.
+    if let Ok(load) = agent.engine.load_report().await {
+        snapshot.load = load;
+        snapshot.load_read_ms = now_ms();
+    }
+    let life = Some(state.life);
+    snapshot.engine = Some(state);
+    (CheckResult::Answered { life }, snapshot)
+}
+
+async fn check_plain(agent: &Agent) -> (CheckResult, EndpointSnapshot) {
+    let request = Request::new("GET", HEALTH_PATH);
+    let sent = agent
+        .endpoint
+        .send(request, agent.limits.engine_deadline_ms)
+        .await;
+    let sign = match sent {
+        Ok(response) if response.head.status < SERVER_ERROR_STATUS_MIN => {
+            read_health_body(response.body).await
+        }
+        Ok(_) => CheckResult::NoAnswer,
+        Err(error) => CheckResult::from_error(&error),
+    };
+    let snapshot = EndpointSnapshot {
+        load_read_ms: now_ms(),
+        ..EndpointSnapshot::default()
+    };
+    (sign, snapshot)
+}
+
+async fn read_health_body(body: adapters::Body) -> CheckResult {
+    // Reading to the end lets the connection be used again.
+    match body.read_to_end().await {
+        Ok(_) | Err(PlatformError::TooLarge(_)) => CheckResult::Answered { life: None },
+        Err(_) => CheckResult::NoAnswer,
+    }
+}
--- a/components/sidecar/src/vitals.rs
+++ b/components/sidecar/src/health_state.rs
@@ -11,24 +11,24 @@
 
 /// What one look at the endpoint brought.
 #[key]
-pub enum Sign {
+pub enum CheckResult {
     /// It answered; an engine also said which life it is in.
     Answered {
         /// The engine's life; `None` for a plain service.
         life: Option<u64>,
     },
     /// Nothing listens at its address: the process is gone.
-    Gone,
+    Unreachable,
     /// No answer, for whatever reason.
-    Silent,
+    NoAnswer,
 }
 
-impl Sign {
+impl CheckResult {
     /// What a look that failed says.
-    pub fn of_error(error: &PlatformError) -> Sign {
+    pub fn from_error(error: &PlatformError) -> CheckResult {
         match error {
-            PlatformError::NotSent(NotSentCause::Unreachable) => Sign::Gone,
-            _ => Sign::Silent,
+            PlatformError::NotSent(NotSentCause::Unreachable) => CheckResult::Unreachable,
+            _ => CheckResult::NoAnswer,
         }
     }
 }
@@ -36,61 +36,61 @@
 /// What a sign changed.
 #[value]
 #[derive(Copy, Default)]
-pub struct Change {
+pub struct HealthChange {
     /// The endpoint is in another life than before; counted once for each crash.
-    pub lost: bool,
+    pub crashed: bool,
     /// It came up or went down.
-    pub turned: bool,
+    pub up_changed: bool,
 }
 
 /// What the signs so far add up to.
 #[value]
 #[derive(Default)]
-pub struct Vitals {
+pub struct HealthState {
     up: bool,
     engine_life: Option<u64>,
     crash_counted: bool,
     misses: u32,
 }
 
-impl Vitals {
+impl HealthState {
     /// Whether the endpoint takes work.
     pub fn is_up(&self) -> bool {
         self.up
     }
 
     /// Takes a sign in.
-    pub fn see(&mut self, sign: Sign) -> Change {
+    pub fn record(&mut self, sign: CheckResult) -> HealthChange {
         let was_up = self.up;
-        let lost = match sign {
-            Sign::Answered { life } => self.answered(life),
-            Sign::Gone => self.gone(),
-            Sign::Silent => self.silent(),
+        let crashed = match sign {
+            CheckResult::Answered { life } => self.on_answer(life),
+            CheckResult::Unreachable => self.on_unreachable(),
+            CheckResult::NoAnswer => self.on_no_answer(),
         };
-        Change {
-            lost,
-            turned: was_up != self.up,
+        HealthChange {
+            crashed,
+            up_changed: was_up != self.up,
         }
     }
 
-    fn answered(&mut self, life: Option<u64>) -> bool {
+    fn on_answer(&mut self, life: Option<u64>) -> bool {
         let restarted = self.engine_life.is_some() && life != self.engine_life;
-        let lost = restarted && !self.crash_counted;
+        let crashed = restarted && !self.crash_counted;
         self.engine_life = life;
         self.crash_counted = false;
         self.misses = 0;
         self.up = true;
-        lost
+        crashed
     }
 
-    fn gone(&mut self) -> bool {
-        let lost = self.up && !self.crash_counted;
+    fn on_unreachable(&mut self) -> bool {
+        let crashed = self.up && !self.crash_counted;
         self.crash_counted |= self.up;
         self.up = false;
-        lost
+        crashed
     }
 
-    fn silent(&mut self) -> bool {
+    fn on_no_answer(&mut self) -> bool {
         self.misses = self.misses.saturating_add(1);
         if self.misses >= MISSES_TO_DOWN {
             self.up = false;
--- a/components/sidecar/src/hosting.rs
+++ b/components/sidecar/src/hosting.rs
@@ -11,7 +11,7 @@
 
 /// What the settings say of an endpoint.
 #[derive(Clone, Debug)]
-pub struct Site {
+pub struct HostingRules {
     /// Pool that the endpoint belongs to.
     pub pool: PoolName,
     /// What the endpoint is.
@@ -22,7 +22,7 @@
 
 /// One hosted service.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct LocalService {
     /// The service.
     pub service: Arc<Service>,
     /// Name of its model at the engine.
@@ -32,50 +32,51 @@
 /// Services of one endpoint, in the order of owner and name.
 #[derive(Clone, Debug, Default)]
 pub struct Hosting {
-    places: Vec<Place>,
-    left_out: Vec<Arc<Service>>,
+    services: Vec<LocalService>,
+    rejected: Vec<Arc<Service>>,
 }
 
 impl Hosting {
-    /// The services that `view` puts on the site's pool and that its endpoint may and can
+    /// The services that `view` puts on the rules's pool and that its endpoint may and can
     /// serve.
     ///
     /// A customer writes its own text and may name any pool there. Without the check of
     /// the owner its callers would reach another customer's endpoint with a token of their
-    /// own. The site's settings are what no customer's text can change.
-    pub fn of(view: &View, site: &Site) -> Hosting {
-        let placed = view.pool(&site.pool).iter();
+    /// own. The rules's settings are what no customer's text can change.
+    pub fn from_view(view: &View, rules: &HostingRules) -> Hosting {
+        let placed = view.pool(&rules.pool).iter();
         let mut services: Vec<_> = placed
-            .filter(|service| service.kind == site.kind)
+            .filter(|service| service.kind == rules.kind)
             .cloned()
             .collect();
         services.sort_by(|a, b| (&a.owner, &a.name).cmp(&(&b.owner, &b.name)));
-        let names = EngineNames::of(&site.customers);
-        let may_stay = |service: &Arc<Service>| site.customers.contains(&service.owner);
-        let (services, left_out): (Vec<_>, Vec<_>) = services.into_iter().partition(may_stay);
-        let place = |service: Arc<Service>| Place {
-            engine_model: names.name(&service.owner, &service.name),
+        let engine_names = EngineNames::for_customers(&rules.customers);
+        let is_allowed = |service: &Arc<Service>| rules.customers.contains(&service.owner);
+        let (services, rejected): (Vec<_>, Vec<_>) = services.into_iter().partition(is_allowed);
+        let local_service = |service: Arc<Service>| LocalService {
+            engine_model: engine_names.name(&service.owner, &service.name),
             service,
         };
         Hosting {
-            places: services.into_iter().map(place).collect(),
-            left_out,
+            services: services.into_iter().map(local_service).collect(),
+            rejected,
         }
     }
 
     /// The service of this owner and name, if it is hosted here.
-    pub fn find(&self, owner: &CustomerName, name: &ServiceName) -> Option<&Place> {
-        let is_it = |place: &&Place| place.service.owner == *owner && place.service.name == *name;
-        self.places.iter().find(is_it)
+    pub fn find(&self, owner: &CustomerName, name: &ServiceName) -> Option<&LocalService> {
+        let matches =
+            |local: &&LocalService| local.service.owner == *owner && local.service.name == *name;
+        self.services.iter().find(matches)
     }
 
     /// All hosted services.
-    pub fn places(&self) -> &[Place] {
-        &self.places
+    pub fn services(&self) -> &[LocalService] {
+        &self.services
     }
 
     /// Services that a customer put on this pool without being let in to it.
-    pub fn left_out(&self) -> &[Arc<Service>] {
-        &self.left_out
+    pub fn rejected(&self) -> &[Arc<Service>] {
+        &self.rejected
     }
 }
--- a/components/sidecar/src/orders.rs
+++ b/components/sidecar/src/orders.rs
@@ -8,33 +8,33 @@
 use weights::{EngineState, ModelKey, Order, OrderKind, OrderOutcome};
 
 use crate::agent::Agent;
-use crate::watch::Watch;
+use crate::health_check::HealthChecker;
 
 const STATUS_CONFLICT: u16 = 409;
 const STATUS_TOO_MANY: u16 = 429;
 const STATUS_UNAVAILABLE: u16 = 503;
 
 /// An order that has ended.
-pub(crate) struct Ended {
+pub(crate) struct FinishedOrder {
     pub(crate) model: ModelKey,
     pub(crate) order: Order,
     pub(crate) outcome: OrderOutcome,
 }
 
-/// Carries the order out, unless it is too late for it, and sends its end to `ends`.
-pub(crate) async fn carry_out(
+/// Carries the order out, unless it is too late for it, and sends its end to `finished`.
+pub(crate) async fn execute(
     agent: Arc<Agent>,
-    watch: Watch,
+    checker: HealthChecker,
     model: ModelKey,
     order: Order,
     timeout_ms: u64,
-    ends: mpsc::Sender<Ended>,
+    finished: mpsc::Sender<FinishedOrder>,
 ) {
     let outcome = if now_ms() > order.send_before_ms {
         // Frozen since the decision: what it rested on may be long over.
         OrderOutcome::Unknown
     } else {
-        carry_out_now(&agent, &watch, &model, order, timeout_ms).await
+        execute_now(&agent, &checker, &model, order, timeout_ms).await
     };
     if order.kind.is_change() {
         log::info!(
@@ -42,9 +42,9 @@
             outcome:? = outcome; ""
         );
     }
-    // A driver that has gone needs no ends.
-    let _ = ends
-        .send(Ended {
+    // A driver that has gone needs no finished.
+    let _ = finished
+        .send(FinishedOrder {
             model,
             order,
             outcome,
@@ -52,9 +52,9 @@
         .await;
 }
 
-async fn carry_out_now(
+async fn execute_now(
     agent: &Agent,
-    watch: &Watch,
+    checker: &HealthChecker,
     model: &ModelKey,
     order: Order,
     timeout_ms: u64,
@@ -66,15 +66,15 @@
         // The calls of an earlier life of this agent had their connections cut with it,
         // by which the engine drops them; their names died with that life.
         OrderKind::CancelEarlier => return OrderOutcome::Done,
-        OrderKind::Read => return read(watch, name).await,
+        OrderKind::Read => return read_state(checker, name).await,
         OrderKind::Load(version) => agent.engine.load(name, version, fence, timeout_ms).await,
         OrderKind::Switch(version) => agent.engine.switch(name, version, fence, timeout_ms).await,
     };
     done.map_or_else(|error| outcome_of(&error), |()| OrderOutcome::Done)
 }
 
-async fn read(watch: &Watch, name: &str) -> OrderOutcome {
-    let Some(state) = watch.read().await else {
+async fn read_state(checker: &HealthChecker, name: &str) -> OrderOutcome {
+    let Some(state) = checker.read_engine_state().await else {
         return OrderOutcome::Unknown;
     };
     let model = state.models.iter().find(|model| model.model == name);
--- a/components/sidecar/src/relay.rs
+++ b/components/sidecar/src/relay.rs
@@ -1,4 +1,4 @@
-//! One exchange with the endpoint, passed on as it comes.
+//! One exchange with the endpoint, relayed on as it comes.
 
 use adapters::{AnswerHead, Body, Endpoint, Request, Response};
 use bytes::Bytes;
@@ -6,8 +6,8 @@
 use protocol::{Head, Open};
 use types::{Cause, Failure};
 
-use crate::body::name_call;
-use crate::completion::{Shape, StreamCheck, check_document};
+use crate::body::set_model_and_call_id;
+use crate::completion::{AnswerFormat, StreamCheck, check_document};
 use crate::stage::{Stage, failure_of};
 
 /// Largest part of an answer in one frame, so that calls share their connection fairly.
@@ -39,7 +39,7 @@
             open,
             answer,
             engine_model,
-            stage: Stage::Held,
+            stage: Stage::NotSent,
         }
     }
 
@@ -69,19 +69,19 @@
         let response = sent.map_err(|error| failure_of(&error, self.stage))?;
         self.stage = Stage::Answering;
         let Response { head, body } = response;
-        let shape = Shape::of(self.is_model(), &head);
-        let passed = match shape {
-            Shape::Document => self.pass_document(head, body).await,
-            Shape::Stream => self.pass_stream(head, body).await,
-            Shape::Opaque => self.pass_opaque(head, body).await,
+        let shape = AnswerFormat::of(self.is_model(), &head);
+        let relayed = match shape {
+            AnswerFormat::Document => self.relay_document(head, body).await,
+            AnswerFormat::Stream => self.relay_stream(head, body).await,
+            AnswerFormat::Opaque => self.relay_opaque(head, body).await,
         };
-        passed.map_err(Stop::into_failure)
+        relayed.map_err(RelayError::into_failure)
     }
 
     fn request(&self) -> Result<Request, Failure> {
         let body = match self.engine_model {
             Some(model) => {
-                let named = name_call(&self.open.body, model, self.open.id);
+                let named = set_model_and_call_id(&self.open.body, model, self.open.id);
                 named.map_err(Failure::not_run)?
             }
             None => self.open.body.clone(),
@@ -106,71 +106,71 @@
     }
 
     /// Passes a document on only when it is whole, so that a cut one is never seen.
-    async fn pass_document(&self, head: AnswerHead, mut body: Body) -> Result<(), Stop> {
+    async fn relay_document(&self, head: AnswerHead, mut body: Body) -> Result<(), RelayError> {
         let mut document = Vec::new();
         while let Some(bytes) = body.next().await? {
             if document.len() + bytes.len() > DOCUMENT_BYTES_MAX {
-                return Err(Stop::Content(Cause::EndpointError));
+                return Err(RelayError::Content(Cause::EndpointError));
             }
             document.extend_from_slice(&bytes);
         }
         let document = Bytes::from(document);
         check_document(&document)?;
         self.answer.send_head(head_of(head)).await;
-        pass(self.answer, document).await;
+        send_in_parts(self.answer, document).await;
         Ok(())
     }
 
-    async fn pass_stream(&self, head: AnswerHead, mut body: Body) -> Result<(), Stop> {
+    async fn relay_stream(&self, head: AnswerHead, mut body: Body) -> Result<(), RelayError> {
         let mut check = StreamCheck::new();
         self.answer.send_head(head_of(head)).await;
         while let Some(bytes) = body.next().await? {
             check.push(&bytes)?;
-            pass(self.answer, bytes).await;
+            send_in_parts(self.answer, bytes).await;
         }
-        Ok(check.end()?)
+        Ok(check.finish()?)
     }
 
-    async fn pass_opaque(&self, head: AnswerHead, mut body: Body) -> Result<(), Stop> {
+    async fn relay_opaque(&self, head: AnswerHead, mut body: Body) -> Result<(), RelayError> {
         self.answer.send_head(head_of(head)).await;
         while let Some(bytes) = body.next().await? {
-            pass(self.answer, bytes).await;
+            send_in_parts(self.answer, bytes).await;
         }
         Ok(())
     }
 }
 
 /// Passes bytes on in parts of a size that lets other calls through in between.
-pub async fn pass(answer: &AnswerSender, mut bytes: Bytes) {
+pub async fn send_in_parts(answer: &AnswerSender, mut bytes: Bytes) {
     while !bytes.is_empty() {
         let part = bytes.split_to(bytes.len().min(PART_BYTES_MAX));
         answer.send_chunk(part).await;
     }
 }
 
-/// Why an answer that had begun was not passed on to its end.
-enum Stop {
+/// Why an answer that had begun was not relayed on to its end.
+enum RelayError {
     Exchange(adapters::PlatformError),
     Content(Cause),
 }
 
-impl From<adapters::PlatformError> for Stop {
+impl From<adapters::PlatformError> for RelayError {
     fn from(error: adapters::PlatformError) -> Self {
-        Stop::Exchange(error)
+        RelayError::Exchange(error)
     }
 }
 
-impl From<Cause> for Stop {
+impl From<Cause> for RelayError {
     fn from(cause: Cause) -> Self {
-        Stop::Content(cause)
+        RelayError::Content(cause)
     }
 }
 
-impl Stop {
+impl RelayError {
     fn into_failure(self) -> Failure {
         match self {
-            Stop::Exchange(error) => failure_of(&error, Stage::Answering),
-            Stop::Content(cause) => Stage::Answering.failure(cause),
+            RelayError::Exchange(error) => failure_of(&error, Stage::Answering),
+            RelayError::Content(cause) => Stage::Answering.failure(cause),
         }
     }
 }
--- a/components/sidecar/src/stage.rs
+++ b/components/sidecar/src/stage.rs
@@ -11,7 +11,7 @@
 #[key]
 pub enum Stage {
     /// Nothing was written to the endpoint.
-    Held,
+    NotSent,
     /// The request was or may have been written.
     Sent,
     /// The endpoint's answer has begun.
@@ -22,7 +22,7 @@
     /// Whether a call that ends here without a whole answer ran.
     pub fn run_state(self) -> RunState {
         match self {
-            Stage::Held => RunState::NotRun,
+            Stage::NotSent => RunState::NotRun,
             Stage::Sent => RunState::Unknown,
             Stage::Answering => RunState::Failed,
         }
@@ -37,7 +37,7 @@
 /// What an exchange that failed at `stage` says to the caller.
 pub fn failure_of(error: &PlatformError, stage: Stage) -> Failure {
     match *error {
-        PlatformError::NotSent(fault) => Failure::not_run(cause_of_fault(fault)),
+        PlatformError::NotSent(reason) => Failure::not_run(cause_of_not_sent(reason)),
         PlatformError::OutcomeUnknown(loss) => stage.failure(cause_of_loss(loss)),
         // Something came back, so the endpoint had the request.
         PlatformError::Refused { .. }
@@ -46,8 +46,8 @@
     }
 }
 
-fn cause_of_fault(fault: NotSentCause) -> Cause {
-    match fault {
+fn cause_of_not_sent(reason: NotSentCause) -> Cause {
+    match reason {
         NotSentCause::Unreachable | NotSentCause::TimedOut => Cause::EndpointLost,
         NotSentCause::DeadlinePassed => Cause::DeadlinePassed,
         NotSentCause::BadRequest => Cause::Malformed,
--- a/components/sidecar/src/start.rs
+++ b/components/sidecar/src/start.rs
@@ -19,8 +19,8 @@
 use weights::ReconcileSettings;
 
 use crate::agent::{Agent, AgentLimits};
-use crate::watch::Watch;
-use crate::weights_task::{Pace, Weights};
+use crate::health_check::HealthChecker;
+use crate::weights_task::{Weights, WeightsSettings};
 use crate::{calls, status};
 
 /// First part of the names of an agent's metrics.
@@ -39,7 +39,7 @@
     pub reconcile: ReconcileSettings,
 }
 
-/// An agent that has its addresses and runs when told to.
+/// An agent that has its addresses and runs when status_agent to.
 pub struct Sidecar {
     settings: AgentSettings,
     tuning: Tuning,
@@ -94,9 +94,9 @@
         );
         tokio::spawn(follow_changes(Arc::clone(&agent), gossip.clone()));
         tokio::spawn(admin::serve(admin, admin_hooks(&agent, &weights, &leaving)));
-        log::info!(event = "agent-started", node:% = agent.identity.node(), pool:% = agent.site.pool; "");
+        log::info!(event = "agent-started", node:% = agent.identity.node(), pool:% = agent.hosting_rules.pool; "");
         let serving = Arc::clone(&agent);
-        let handle = move |call| calls::take(&serving, call);
+        let handle = move |call| calls::serve_call(&serving, call);
         let settled = leave::announce_and_settle(&agent.drain, &gossip, &leaving);
         tokio::select! {
             () = link::serve(inner, links, handle, settled) => {}
@@ -125,18 +125,18 @@
     let feed = ConfigFeed::start(own, log, Links::new(links.clone()), feed_settings);
     let limits = tuning.limits.clone();
     let agent = Arc::new(Agent::new(settings, limits, identity, feed, metrics));
-    let watch = Watch::start(Arc::clone(&agent));
-    let pace = Pace {
-        reconcile: reconcile(settings.fencing, tuning.reconcile.clone()),
+    let checker = HealthChecker::start(Arc::clone(&agent));
+    let weights_settings = WeightsSettings {
+        reconcile: reconcile_settings(settings.fencing, tuning.reconcile.clone()),
         load_window_ms: settings.load_window_ms,
     };
-    let weights = Weights::start(Arc::clone(&agent), watch, pace);
+    let weights = Weights::start(Arc::clone(&agent), checker, weights_settings);
     Ok((agent, weights))
 }
 
 /// An engine that checks fencing numbers refuses orders that come late, so that nothing
 /// speaks for looking at it more often.
-fn reconcile(fencing: Fencing, settings: ReconcileSettings) -> ReconcileSettings {
+fn reconcile_settings(fencing: Fencing, settings: ReconcileSettings) -> ReconcileSettings {
     match fencing {
         Fencing::Checked => ReconcileSettings {
             uncertain_check_interval_ms: settings.check_interval_ms,
@@ -168,25 +168,25 @@
 }
 
 fn gossip_hooks(agent: &Arc<Agent>, weights: &Weights, leaving: &DrainSignal) -> GossipHooks {
-    let told = Arc::clone(agent);
-    let counted = agent.metrics.clone();
+    let status_agent = Arc::clone(agent);
+    let metrics = agent.metrics.clone();
     let weights = weights.clone();
     let leaving = leaving.clone();
     GossipHooks {
-        statuses: Some(Arc::new(move || status::statuses(&told))),
-        on_message: Arc::new(move |news| {
+        statuses: Some(Arc::new(move || status::statuses(&status_agent))),
+        on_message: Arc::new(move |message| {
             if let GossipMessage::Weights {
                 customer,
                 service,
                 target,
-            } = news
+            } = message
             {
-                weights.heard(customer, service, *target);
+                weights.update_target(customer, service, *target);
             }
         }),
         on_own_leaving: Arc::new(move || leaving.trigger()),
         on_divergence: Arc::new(move |_| {
-            counted.count("config_diverged_total", Label::default(), 1)
+            metrics.count("config_diverged_total", Label::default(), 1)
         }),
         ..GossipHooks::default()
     }
@@ -212,7 +212,7 @@
     let mut configured = agent.feed.changes();
     let mut endpoint = agent.health.changes();
     loop {
-        agent.place();
+        agent.update_hosting();
         gossip.push_status();
         let changed = tokio::select! {
             changed = configured.changed() => changed,
--- a/components/sidecar/src/status.rs
+++ b/components/sidecar/src/status.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 
 use crate::agent::Agent;
-use crate::health::Look;
+use crate::health::EndpointSnapshot;
 use crate::weights_task::Weights;
 
 /// Bytes of a status for the services, out of a datagram's 1,200.
@@ -19,10 +19,10 @@
 
 /// The status that answers a probe, in as many parts as it needs.
 pub fn statuses(agent: &Agent) -> Vec<Status> {
-    let look = agent.health.look();
-    let shares = shares(hosted(agent, &look));
-    let parts = u8::try_from(shares.len()).unwrap_or(u8::MAX);
-    let load = load(agent, &look);
+    let snapshot = agent.health.snapshot();
+    let services = split_services(hosted_services(agent, &snapshot));
+    let parts = u8::try_from(services.len()).unwrap_or(u8::MAX);
+    let load = current_load(agent, &snapshot);
     let part_of = |(part, hosted)| Status {
         failure_domain: agent.identity.failure_domain.clone(),
         region: agent.identity.region.clone(),
@@ -33,42 +33,42 @@
         load,
         endpoint_life: agent.health.life(),
     };
-    (0..parts).zip(shares).map(part_of).collect()
+    (0..parts).zip(services).map(part_of).collect()
 }
 
-/// The services in shares that fit one datagram each, at least one share. A status over
+/// The services in parts that fit one datagram each, at least one part. A status over
 /// the size of a datagram would not be sent at all, and the endpoint would get no work for
 /// any service.
-fn shares(hosted: Vec<HostedService>) -> Vec<Vec<HostedService>> {
-    let mut shares = vec![Vec::new()];
-    let mut room_bytes = HOSTED_BYTES_MAX;
+fn split_services(hosted: Vec<HostedService>) -> Vec<Vec<HostedService>> {
+    let mut parts = vec![Vec::new()];
+    let mut free_bytes = HOSTED_BYTES_MAX;
     for hosted in hosted {
         let names_bytes = hosted.customer.as_str().len() + hosted.service.as_str().len();
         let size_bytes = names_bytes + HOSTED_OVERHEAD_BYTES;
-        if size_bytes > room_bytes {
-            shares.push(Vec::new());
-            room_bytes = HOSTED_BYTES_MAX;
+        if size_bytes > free_bytes {
+            parts.push(Vec::new());
+            free_bytes = HOSTED_BYTES_MAX;
         }
-        room_bytes = room_bytes.saturating_sub(size_bytes);
-        if let Some(share) = shares.last_mut() {
-            share.push(hosted);
+        free_bytes = free_bytes.saturating_sub(size_bytes);
+        if let Some(part) = parts.last_mut() {
+            part.push(hosted);
         }
     }
-    shares
+    parts
 }
 
-fn hosted(agent: &Agent, look: &Look) -> Vec<HostedService> {
-    if !look.up {
+fn hosted_services(agent: &Agent, snapshot: &EndpointSnapshot) -> Vec<HostedService> {
+    if !snapshot.up {
         return Vec::new();
     }
     let hosting = agent.hosting();
-    let places = hosting.places().iter();
-    places
-        .filter_map(|place| {
-            let service = &place.service;
+    let services = hosting.services().iter();
+    services
+        .filter_map(|local| {
+            let service = &local.service;
             let weights = match service.kind {
                 // The version that was read back from the engine, never the one wanted.
-                ServiceKind::Model => Some(look.model(&place.engine_model)?.version),
+                ServiceKind::Model => Some(snapshot.model(&local.engine_model)?.version),
                 ServiceKind::Plain => None,
             };
             Some(HostedService {
@@ -80,20 +80,20 @@
         .collect()
 }
 
-fn load(agent: &Agent, look: &Look) -> Load {
+fn current_load(agent: &Agent, snapshot: &EndpointSnapshot) -> Load {
     let running = agent.drain.work_counter().count();
-    let report = &look.load;
-    let since_read_ms = now_ms().saturating_sub(look.load_read_ms);
+    let report = &snapshot.load;
+    let since_read_ms = now_ms().saturating_sub(snapshot.load_read_ms);
     Load {
-        running: saturated(running as u64),
+        running: saturating_u32(running as u64),
         waiting: report.waiting,
-        prompt_tokens_queued: saturated(report.prompt_tokens_queued),
+        prompt_tokens_queued: saturating_u32(report.prompt_tokens_queued),
         kv_used_permille: u16::try_from(report.kv_used_permille).unwrap_or(u16::MAX),
-        age_ms: saturated(report.age_ms.saturating_add(since_read_ms)),
+        age_ms: saturating_u32(report.age_ms.saturating_add(since_read_ms)),
     }
 }
 
-fn saturated(number: u64) -> u32 {
+fn saturating_u32(number: u64) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
 
@@ -142,19 +142,22 @@
 
 /// The page at the admin address, as JSON.
 pub async fn page(agent: Arc<Agent>, weights: Weights) -> String {
-    let look = agent.health.look();
+    let snapshot = agent.health.snapshot();
     let page = Page {
         node: agent.identity.node().to_string(),
         role: "agent",
         failure_domain: agent.identity.failure_domain.to_string(),
         region: agent.identity.region.to_string(),
-        pool: agent.site.pool.to_string(),
+        pool: agent.hosting_rules.pool.to_string(),
         endpoint: agent.endpoint.address().to_string(),
-        endpoint_up: look.up,
+        endpoint_up: snapshot.up,
         endpoint_life: agent.health.life(),
         leaving: agent.drain.is_leaving(),
         in_progress: agent.drain.work_counter().count(),
-        hosted: hosted(&agent, &look).into_iter().map(hosted_row).collect(),
+        hosted: hosted_services(&agent, &snapshot)
+            .into_iter()
+            .map(hosted_row)
+            .collect(),
         models: weights.statuses().iter().map(model_row).collect(),
         config: config_rows(&agent),
         metrics: agent.metrics.rows().await,
--- a/components/sidecar/src/weights_task.rs
+++ b/components/sidecar/src/weights_task.rs
@@ -14,18 +14,18 @@
 };
 
 use crate::agent::Agent;
-use crate::orders::{Ended, carry_out};
-use crate::watch::Watch;
+use crate::health_check::HealthChecker;
+use crate::orders::{FinishedOrder, execute};
 
 /// Ends of orders that wait at most; a model has one order at a time.
-const ENDS_MAX: usize = 256;
+const FINISHED_QUEUE_MAX: usize = 256;
 /// Longest sleep; hosted services may change in between.
 const SLEEP_MAX_MS: u64 = 1_000;
 const PERMILLE: u64 = 1_000;
 
 /// A version that is in force for a model, as a rumour has it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct VersionNews {
+pub struct TargetUpdate {
     /// The model.
     pub model: ModelKey,
     /// What its engines should do.
@@ -34,7 +34,7 @@
 
 /// How the task paces itself.
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct WeightsSettings {
     /// Orders to the engine.
     pub reconcile: ReconcileSettings,
     /// Time over which replicas spread their loads of a version that is named ahead of
@@ -54,39 +54,39 @@
 /// Handle of the task.
 #[derive(Clone)]
 pub struct Weights {
-    /// Without a bound: the rumours give each piece of news once, so one that is dropped
+    /// Without a bound: the rumours give each piece of updates once, so one that is dropped
     /// never comes again, and they are bounded themselves.
-    news: mpsc::UnboundedSender<VersionNews>,
+    updates: mpsc::UnboundedSender<TargetUpdate>,
     statuses: watch::Receiver<Vec<ModelStatus>>,
 }
 
 impl Weights {
     /// Starts the task.
-    pub fn start(agent: Arc<Agent>, watch: Watch, pace: Pace) -> Weights {
-        let (news, heard) = mpsc::unbounded_channel();
+    pub fn start(agent: Arc<Agent>, checker: HealthChecker, settings: WeightsSettings) -> Weights {
+        let (updates, received) = mpsc::unbounded_channel();
         let (publish, statuses) = watch::channel(Vec::new());
-        let (ends, ended) = mpsc::channel(ENDS_MAX);
+        let (finished_sender, finished) = mpsc::channel(FINISHED_QUEUE_MAX);
         let driver = Driver {
             agent,
-            watch,
-            pace,
+            checker,
+            settings,
             authority: Authority::new(),
             models: BTreeMap::new(),
-            ends,
+            finished_sender,
             publish,
         };
-        tokio::spawn(driver.run(heard, ended));
-        Weights { news, statuses }
+        tokio::spawn(driver.run(received, finished));
+        Weights { updates, statuses }
     }
 
     /// Versions of a model to serve and to hold.
-    pub fn heard(&self, customer: &CustomerName, service: &ServiceName, target: Target) {
+    pub fn update_target(&self, customer: &CustomerName, service: &ServiceName, target: Target) {
         let model = ModelKey {
             customer: customer.clone(),
             service: service.clone(),
         };
-        // A driver that has gone needs no news.
-        let _ = self.news.send(VersionNews { model, target });
+        // A driver that has gone needs no updates.
+        let _ = self.updates.send(TargetUpdate { model, target });
     }
 
     /// Where each model's engine stands.
@@ -97,43 +97,43 @@
 
 struct Driver {
     agent: Arc<Agent>,
-    watch: Watch,
-    pace: Pace,
+    checker: HealthChecker,
+    settings: WeightsSettings,
     authority: Authority,
     models: BTreeMap<ModelKey, Reconciler>,
-    ends: mpsc::Sender<Ended>,
+    finished_sender: mpsc::Sender<FinishedOrder>,
     publish: watch::Sender<Vec<ModelStatus>>,
 }
 
 impl Driver {
     async fn run(
         mut self,
-        mut heard: mpsc::UnboundedReceiver<VersionNews>,
-        mut ended: mpsc::Receiver<Ended>,
+        mut received: mpsc::UnboundedReceiver<TargetUpdate>,
+        mut finished: mpsc::Receiver<FinishedOrder>,
     ) {
         loop {
-            self.follow_hosting();
-            self.give_orders();
-            let sleep = tokio::time::sleep(self.until_next());
+            self.sync_models();
+            self.issue_orders();
+            let sleep = tokio::time::sleep(self.time_until_due());
             tokio::select! {
-                news = heard.recv() => match news {
-                    Some(news) => self.take_news(news),
+                updates = received.recv() => match updates {
+                    Some(updates) => self.apply_update(updates),
                     // Every handle is gone, and with them the agent.
                     None => return,
                 },
-                Some(end) = ended.recv() => self.take_end(end),
+                Some(end) = finished.recv() => self.finish_order(end),
                 () = sleep => {}
             }
         }
     }
 
-    /// Keeps one state machine for each model that is hosted here.
-    fn follow_hosting(&mut self) {
+    /// Keeps one state reconciler for each model that is hosted here.
+    fn sync_models(&mut self) {
         let hosting = self.agent.hosting();
         let hosted: BTreeMap<ModelKey, u64> = hosting
-            .places()
+            .services()
             .iter()
-            .map(|place| &place.service)
+            .map(|local| &local.service)
             .filter(|service| service.kind == ServiceKind::Model)
             .map(|service| {
                 let model = ModelKey {
@@ -150,25 +150,25 @@
             }
             let settings = ReconcileSettings {
                 staleness_bound,
-                ..self.pace.reconcile.clone()
+                ..self.settings.reconcile.clone()
             };
             self.models.insert(model.clone(), Reconciler::new(settings));
-            self.aim(&model);
+            self.set_target(&model);
         }
     }
 
-    fn take_news(&mut self, news: VersionNews) {
-        if self.authority.merge(&news.model, news.target) {
-            self.aim(&news.model);
+    fn apply_update(&mut self, updates: TargetUpdate) {
+        if self.authority.merge(&updates.model, updates.target) {
+            self.set_target(&updates.model);
         }
     }
 
-    /// Tells a hosted model's machine what is wanted; the versions of all other models are
+    /// Tells a hosted model's reconciler what is wanted; the versions of all other models are
     /// only kept, as their services may come to this endpoint later.
-    fn aim(&mut self, model: &ModelKey) {
+    fn set_target(&mut self, model: &ModelKey) {
         let target = self.authority.target(model);
-        let machine = self.models.get_mut(model);
-        let (Some(machine), Some(target)) = (machine, target) else {
+        let reconciler = self.models.get_mut(model);
+        let (Some(reconciler), Some(target)) = (reconciler, target) else {
             return;
         };
         log::info!(
@@ -176,48 +176,48 @@
             version:% = target.serve, load:% = target.load; ""
         );
         let own = self.agent.identity.node().address;
-        let turns = LoadDelays {
+        let delays = LoadDelays {
             serve_ms: 0,
-            preload_ms: preload_delay_ms(own, model, target.load, self.pace.load_window_ms),
+            preload_ms: preload_delay_ms(own, model, target.load, self.settings.load_window_ms),
         };
-        machine.set_target(target, turns, now_ms());
+        reconciler.set_target(target, delays, now_ms());
     }
 
-    fn take_end(&mut self, end: Ended) {
-        if let Some(machine) = self.models.get_mut(&end.model) {
-            machine.finish_order(end.order.id, end.outcome, now_ms(), random_permille());
+    fn finish_order(&mut self, end: FinishedOrder) {
+        if let Some(reconciler) = self.models.get_mut(&end.model) {
+            reconciler.finish_order(end.order.id, end.outcome, now_ms(), random_permille());
         }
     }
 
-    fn give_orders(&mut self) {
+    fn issue_orders(&mut self) {
         let now_ms = now_ms();
-        for (model, machine) in &mut self.models {
-            if let Some(order) = machine.poll(now_ms, random_permille()) {
-                let carried = carry_out(
+        for (model, reconciler) in &mut self.models {
+            if let Some(order) = reconciler.poll(now_ms, random_permille()) {
+                let execution = execute(
                     Arc::clone(&self.agent),
-                    self.watch.clone(),
+                    self.checker.clone(),
                     model.clone(),
                     order,
-                    self.pace.reconcile.order_timeout_ms,
-                    self.ends.clone(),
+                    self.settings.reconcile.order_timeout_ms,
+                    self.finished_sender.clone(),
                 );
-                tokio::spawn(carried);
+                tokio::spawn(execution);
             }
         }
-        let status_of = |(model, machine): (&ModelKey, &Reconciler)| ModelStatus {
+        let status_of = |(model, reconciler): (&ModelKey, &Reconciler)| ModelStatus {
             model: model.clone(),
-            status: machine.status(now_ms),
+            status: reconciler.status(now_ms),
         };
         let statuses = self.models.iter().map(status_of).collect();
         self.publish.send_replace(statuses);
     }
 
-    fn until_next(&self) -> Duration {
+    fn time_until_due(&self) -> Duration {
         let now_ms = now_ms();
         let due_ms = self
             .models
             .values()
-            .map(|machine| machine.next_due_ms(now_ms));
+            .map(|reconciler| reconciler.next_due_ms(now_ms));
         let wait_ms = due_ms
             .min()
             .map_or(SLEEP_MAX_MS, |due_ms| due_ms.saturating_sub(now_ms));
--- a/components/sidecar/tests/calls.rs
+++ b/components/sidecar/tests/calls.rs
@@ -6,7 +6,8 @@
 use std::net::SocketAddr;
 
 use common::{
-    Caller, Ended, OFFICE, Platform, TestAgent, engine_endpoint, get, loopback, plain_endpoint,
+    Caller, Ended, OFFICE_CONFIG, Platform, TestAgent, engine_endpoint, get, loopback,
+    plain_endpoint,
 };
 use protocol::Open;
 use settings::EndpointKind;
@@ -19,7 +20,7 @@
 // is refused before anything leaves, and the engine's weights stay.
 #[tokio::test]
 async fn errors_when_a_caller_gives_orders_to_an_engine() {
-    let (_platform, _endpoint, agent, caller) = rig(EndpointKind::Model).await;
+    let (_platform, _endpoint, agent, caller) = start_site(EndpointKind::Model).await;
     let orders = [
         ("POST", "/engine/switch"),
         ("POST", "/engine/cancel"),
@@ -46,11 +47,11 @@
 #[tokio::test]
 async fn can_answer_a_call_when_idle_connections_are_silent() {
     let platform = Platform::start(&[]).await;
-    platform.publish(OFFICE).await;
+    platform.publish(OFFICE_CONFIG).await;
     let endpoint = silent_after_one_answer().await;
     let agent = TestAgent::start(&platform, endpoint, EndpointKind::Plain).await;
     let caller = Caller::start().await;
-    caller.hosted(&agent).await;
+    caller.wait_until_hosted(&agent).await;
     for _ in 0..2 {
         let open = Open {
             deadline_left_ms: 2_000,
@@ -80,22 +81,22 @@
     address
 }
 
-async fn rig(kind: EndpointKind) -> (Platform, Handle, TestAgent, Caller) {
+async fn start_site(kind: EndpointKind) -> (Platform, Handle, TestAgent, Caller) {
     let platform = Platform::start(&[]).await;
-    platform.publish(OFFICE).await;
+    platform.publish(OFFICE_CONFIG).await;
     let endpoint = match kind {
         EndpointKind::Model => engine_endpoint(0).await,
         EndpointKind::Plain => plain_endpoint(0).await,
     };
     let agent = TestAgent::start(&platform, endpoint.address, kind).await;
     let caller = Caller::start().await;
-    caller.hosted(&agent).await;
+    caller.wait_until_hosted(&agent).await;
     (platform, endpoint, agent, caller)
 }
 
 #[tokio::test]
 async fn can_pass_a_plain_call_with_its_status_and_body() {
-    let (_platform, endpoint, agent, caller) = rig(EndpointKind::Plain).await;
+    let (_platform, endpoint, agent, caller) = start_site(EndpointKind::Plain).await;
     let open = caller.open("guichet", "POST", "/sanctions", r#"{"applicant":"7"}"#);
     let Ended::Whole(status, body) = caller.call(&agent, open).await else {
         panic!("the call has no whole answer");
@@ -113,7 +114,7 @@
 
 #[tokio::test]
 async fn can_pass_completions_whole() {
-    let (_platform, _endpoint, agent, caller) = rig(EndpointKind::Model).await;
+    let (_platform, _endpoint, agent, caller) = start_site(EndpointKind::Model).await;
     let unary = caller.call(&agent, caller.completion("café", false)).await;
     assert!(
         matches!(&unary, Ended::Whole(200, body) if body.contains(r#""weight_versions":["0.0"]"#)),
@@ -164,7 +165,7 @@
             cause: Cause::Malformed,
         },
     ];
-    let (_platform, endpoint, agent, caller) = rig(EndpointKind::Plain).await;
+    let (_platform, endpoint, agent, caller) = start_site(EndpointKind::Plain).await;
     for case in cases {
         let mut open = caller.open("guichet", "POST", "/sanctions", "{}");
         (case.change)(&mut open);
@@ -234,14 +235,14 @@
             failure: Failure::new(RunState::Unknown, Cause::EndpointLost),
         },
     ];
-    let (_platform, endpoint, agent, caller) = rig(EndpointKind::Model).await;
+    let (_platform, endpoint, agent, caller) = start_site(EndpointKind::Model).await;
     for case in cases {
         endpoint.fault(case.fault);
         let open = caller.completion("poison", case.stream);
         let ended = caller.call(&agent, open).await;
         assert_eq!(ended, Ended::Failed(case.failure), "{}", case.name);
         endpoint.clear_faults();
-        caller.hosted(&agent).await;
+        caller.wait_until_hosted(&agent).await;
     }
 }
 
@@ -250,7 +251,7 @@
 // connecting, nothing was written.
 #[tokio::test]
 async fn errors_as_not_run_when_the_endpoint_is_gone() {
-    let (_platform, endpoint, agent, caller) = rig(EndpointKind::Plain).await;
+    let (_platform, endpoint, agent, caller) = start_site(EndpointKind::Plain).await;
     drop(endpoint);
     for _ in 0..2 {
         let open = caller.open("guichet", "POST", "/sanctions", "{}");
@@ -262,7 +263,7 @@
             (RunState::NotRun, Cause::EndpointLost)
         );
         caller
-            .status_where(&agent, |status| status.hosted.is_empty())
+            .wait_for_status(&agent, |status| status.hosted.is_empty())
             .await;
     }
 }
@@ -272,21 +273,21 @@
 #[tokio::test]
 async fn can_cancel_at_the_engine() {
     let platform = Platform::start(&[]).await;
-    platform.publish(OFFICE).await;
+    platform.publish(OFFICE_CONFIG).await;
     let endpoint = engine_endpoint(1_000).await;
     let agent = TestAgent::start(&platform, endpoint.address, EndpointKind::Model).await;
     let caller = Caller::start().await;
-    caller.hosted(&agent).await;
+    caller.wait_until_hosted(&agent).await;
     let mut call = caller
         .links
         .call(agent.address, caller.completion("long", true));
-    common::until(&mut call, |event| {
+    common::wait_for_event(&mut call, |event| {
         matches!(event, link::CallEvent::Chunk(_))
     })
     .await;
     drop(call);
     caller
-        .status_where(&agent, |status| status.load.running == 0)
+        .wait_for_status(&agent, |status| status.load.running == 0)
         .await;
     loop {
         let (_, report) = get(endpoint.address, "/engine/load").await;
--- a/components/sidecar/tests/common/mod.rs
+++ b/components/sidecar/tests/common/mod.rs
@@ -30,9 +30,9 @@
 const LOOPBACK: &str = "127.0.0.1:0";
 const KEY: [u8; 32] = [7; 32];
 /// Far above what anything here takes; only a test that fails reaches it.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-pub const OFFICE: &str = r#"
+pub const OFFICE_CONFIG: &str = r#"
 schema = 1
 customer = "office"
 [[service]]
@@ -45,16 +45,16 @@
 pool = "guichet"
 "#;
 
-pub const SECOND: WeightVersion = WeightVersion {
+pub const VERSION_2: WeightVersion = WeightVersion {
     epoch: 0,
     version: 2,
 };
 
-pub fn second_version() -> GossipMessage {
-    weights(WeightTarget::serve(SECOND))
+pub fn announce_version_2() -> GossipMessage {
+    announce(WeightTarget::serve(VERSION_2))
 }
 
-pub fn weights(target: WeightTarget) -> GossipMessage {
+pub fn announce(target: WeightTarget) -> GossipMessage {
     GossipMessage::Weights {
         customer: "office".parse().unwrap(),
         service: "redacteurs".parse().unwrap(),
@@ -94,10 +94,10 @@
     }
 
     pub async fn publish(&self, text: &str) {
-        self.publish_of("office", text).await;
+        self.publish_for("office", text).await;
     }
 
-    pub async fn publish_of(&self, customer: &str, text: &str) {
+    pub async fn publish_for(&self, customer: &str, text: &str) {
         let customer = CustomerName::new(customer).unwrap();
         let publish = Publish::based_on(customer, None, "first", text);
         let record = Record::Publish(publish).to_json().unwrap();
@@ -126,11 +126,11 @@
 
 /// An engine whose steps take no time; with a scale above 0 they take some.
 pub async fn engine_endpoint(scale_permille: u32) -> Handle {
-    engine_of(scale_permille, &["redacteurs"]).await
+    engine_with_models(scale_permille, &["redacteurs"]).await
 }
 
 /// The same with models of these names.
-pub async fn engine_of(scale_permille: u32, models: &[&str]) -> Handle {
+pub async fn engine_with_models(scale_permille: u32, models: &[&str]) -> Handle {
     let model = |name: &&str| ((*name).to_owned(), WeightVersion::default());
     let settings = EngineSettings {
         models: models.iter().map(model).collect(),
@@ -211,12 +211,15 @@
         }
     }
 
-    pub fn order_leave(&mut self) {
+    pub fn start_leaving(&mut self) {
         self.stop.take().unwrap().send(()).unwrap();
     }
 
-    pub async fn ended(&mut self) {
-        timeout(PATIENCE, &mut self.task).await.unwrap().unwrap();
+    pub async fn wait_until_ended(&mut self) {
+        timeout(TEST_TIMEOUT, &mut self.task)
+            .await
+            .unwrap()
+            .unwrap();
     }
 }
 
@@ -324,10 +327,10 @@
 
     pub async fn call(&self, agent: &TestAgent, open: Open) -> Ended {
         let mut call = self.links.call(agent.address, open);
-        end_of(&mut call).await
+        read_to_end(&mut call).await
     }
 
-    pub async fn tell(&self, agent: &TestAgent, news: GossipMessage) {
+    pub async fn gossip(&self, agent: &TestAgent, news: GossipMessage) {
         let datagram = Datagram {
             from: self.node,
             role: ProcessRole::Entry,
@@ -337,14 +340,14 @@
     }
 
     /// Probes until a status is as wanted.
-    pub async fn status_where(
+    pub async fn wait_for_status(
         &self,
         agent: &TestAgent,
         wanted: impl Fn(&Status) -> bool,
     ) -> Status {
         let seen = async {
             loop {
-                self.tell(agent, GossipMessage::Probe).await;
+                self.gossip(agent, GossipMessage::Probe).await;
                 let heard = timeout(Duration::from_millis(50), self.status_of(agent)).await;
                 if let Ok(status) = heard
                     && wanted(&status)
@@ -353,24 +356,24 @@
                 }
             }
         };
-        timeout(PATIENCE, seen)
+        timeout(TEST_TIMEOUT, seen)
             .await
             .expect("the agent never has the wanted status")
     }
 
     /// The next status that the agent sends, asked or not.
     pub async fn status_of(&self, agent: &TestAgent) -> Status {
-        self.sender_and_status_of(agent).await.1
+        self.next_sender_and_status(agent).await.1
     }
 
     /// The same, with the life of the agent that sends it.
-    pub async fn sender_and_status_of(&self, agent: &TestAgent) -> (NodeId, Status) {
-        let (from, mut statuses) = self.statuses_of(agent).await;
+    pub async fn next_sender_and_status(&self, agent: &TestAgent) -> (NodeId, Status) {
+        let (from, mut statuses) = self.next_statuses(agent).await;
         (from, statuses.remove(0))
     }
 
     /// All statuses of the next datagram that has some.
-    pub async fn statuses_of(&self, agent: &TestAgent) -> (NodeId, Vec<Status>) {
+    pub async fn next_statuses(&self, agent: &TestAgent) -> (NodeId, Vec<Status>) {
         loop {
             let (_, datagram) = self.udp.recv().await;
             let status_of = |news| match news {
@@ -389,18 +392,18 @@
     }
 
     /// Waits until the agent hosts a service.
-    pub async fn hosted(&self, agent: &TestAgent) -> Status {
-        self.status_where(agent, |status| !status.hosted.is_empty())
+    pub async fn wait_until_hosted(&self, agent: &TestAgent) -> Status {
+        self.wait_for_status(agent, |status| !status.hosted.is_empty())
             .await
     }
 }
 
 /// Reads a call to its end.
-pub async fn end_of(call: &mut Call) -> Ended {
+pub async fn read_to_end(call: &mut Call) -> Ended {
     let mut status = 0;
     let mut text = Vec::new();
     loop {
-        match timeout(PATIENCE, call.next())
+        match timeout(TEST_TIMEOUT, call.next())
             .await
             .expect("the call never ends")
         {
@@ -414,9 +417,9 @@
 }
 
 /// Reads a call until an event is as wanted.
-pub async fn until(call: &mut Call, wanted: impl Fn(&CallEvent) -> bool) {
+pub async fn wait_for_event(call: &mut Call, wanted: impl Fn(&CallEvent) -> bool) {
     loop {
-        let event = timeout(PATIENCE, call.next())
+        let event = timeout(TEST_TIMEOUT, call.next())
             .await
             .expect("the event never comes");
         if wanted(&event) {
--- a/components/sidecar/tests/customers.rs
+++ b/components/sidecar/tests/customers.rs
@@ -7,15 +7,15 @@
 use std::collections::BTreeSet;
 
 use common::{
-    Caller, Ended, OFFICE, PATIENCE, Platform, SECOND, TestAgent, engine_of, get, plain_endpoint,
-    second_version,
+    Caller, Ended, OFFICE_CONFIG, Platform, TEST_TIMEOUT, TestAgent, VERSION_2, announce_version_2,
+    engine_with_models, get, plain_endpoint,
 };
 use protocol::{GossipMessage, Open, Status};
 use settings::EndpointKind;
 use tokio::time::timeout;
 use types::{Cause, RunState, WeightVersion};
 
-const RIVAL: &str = r#"
+const RIVAL_CONFIG: &str = r#"
 schema = 1
 customer = "rival"
 [[service]]
@@ -53,14 +53,14 @@
 #[tokio::test]
 async fn errors_when_a_customer_names_a_pool_that_is_not_open_to_it() {
     let platform = Platform::start(&[]).await;
-    platform.publish_of("rival", RIVAL).await;
-    platform.publish(OFFICE).await;
+    platform.publish_for("rival", RIVAL_CONFIG).await;
+    platform.publish(OFFICE_CONFIG).await;
     let endpoint = plain_endpoint(0).await;
     let agent = TestAgent::start(&platform, endpoint.address, EndpointKind::Plain).await;
     let caller = Caller::start().await;
     // The rival's text comes first in the log, so it is judged once the Office's is.
     let status = caller
-        .status_where(&agent, |status| hosts(status, "office"))
+        .wait_for_status(&agent, |status| hosts(status, "office"))
         .await;
     assert!(!hosts(&status, "rival"), "{status:?}");
     let open = of_rival(caller.open("x", "POST", "/sanctions", "{}"));
@@ -85,18 +85,18 @@
 #[tokio::test]
 async fn can_keep_two_models_of_one_name_apart() {
     let platform = Platform::start(&[]).await;
-    platform.publish_of("rival", RIVAL).await;
-    platform.publish(OFFICE).await;
-    let endpoint = engine_of(0, &["office.redacteurs", "rival.redacteurs"]).await;
+    platform.publish_for("rival", RIVAL_CONFIG).await;
+    platform.publish(OFFICE_CONFIG).await;
+    let endpoint = engine_with_models(0, &["office.redacteurs", "rival.redacteurs"]).await;
     let both = ["office", "rival"];
     let kind = EndpointKind::Model;
     let agent = TestAgent::start_for(&platform, endpoint.address, kind, &both).await;
     let caller = Caller::start().await;
     let hosted = |status: &Status| both.iter().all(|customer| hosts(status, customer));
-    caller.status_where(&agent, hosted).await;
-    caller.tell(&agent, second_version()).await;
-    let switched = |status: &Status| version_of(status, "office") == Some(SECOND);
-    let status = caller.status_where(&agent, switched).await;
+    caller.wait_for_status(&agent, hosted).await;
+    caller.gossip(&agent, announce_version_2()).await;
+    let switched = |status: &Status| version_of(status, "office") == Some(VERSION_2);
+    let status = caller.wait_for_status(&agent, switched).await;
     assert_eq!(version_of(&status, "rival"), Some(WeightVersion::default()));
     let open = caller.completion("mine", false);
     let answers = [(open.clone(), "0.2"), (of_rival(open), "0.0")];
@@ -125,7 +125,7 @@
         let text = format!(
             "schema = 1\ncustomer = \"{name}\"\n[[service]]\nname = \"x\"\nkind = \"plain\"\npool = \"guichet\"\n"
         );
-        platform.publish_of(name, &text).await;
+        platform.publish_for(name, &text).await;
     }
     let endpoint = plain_endpoint(0).await;
     let customers: Vec<&str> = names.iter().map(String::as_str).collect();
@@ -135,13 +135,13 @@
     let mut heard = BTreeSet::new();
     let all = async {
         while heard.len() < names.len() {
-            caller.tell(&agent, GossipMessage::Probe).await;
-            let (_, statuses) = caller.statuses_of(&agent).await;
+            caller.gossip(&agent, GossipMessage::Probe).await;
+            let (_, statuses) = caller.next_statuses(&agent).await;
             let hosted = statuses.into_iter().flat_map(|status| status.hosted);
             heard.extend(hosted.map(|hosted| hosted.customer));
         }
     };
-    timeout(PATIENCE, all)
+    timeout(TEST_TIMEOUT, all)
         .await
         .expect("some services are never told of");
 }
--- a/components/sidecar/tests/decisions.rs
+++ b/components/sidecar/tests/decisions.rs
@@ -2,11 +2,11 @@
 
 use adapters::{AnswerHead, AnswerLoss, MalformedPart, NotSentCause, PlatformError};
 use bytes::Bytes;
-use sidecar::{Change, Shape, Sign, Stage, StreamCheck, Vitals};
-use sidecar::{check_document, failure_of, name_call};
+use sidecar::{AnswerFormat, CheckResult, HealthChange, HealthState, Stage, StreamCheck};
+use sidecar::{check_document, failure_of, set_model_and_call_id};
 use types::{CallId, Cause, RunState};
 
-struct Failing {
+struct FailureCase {
     error: PlatformError,
     stage: Stage,
     run: RunState,
@@ -16,43 +16,43 @@
 #[test]
 fn errors_say_no_more_than_is_known() {
     let cases = [
-        Failing {
+        FailureCase {
             error: PlatformError::NotSent(NotSentCause::Unreachable),
-            stage: Stage::Held,
+            stage: Stage::NotSent,
             run: RunState::NotRun,
             cause: Cause::EndpointLost,
         },
-        Failing {
+        FailureCase {
             error: PlatformError::NotSent(NotSentCause::DeadlinePassed),
-            stage: Stage::Held,
+            stage: Stage::NotSent,
             run: RunState::NotRun,
             cause: Cause::DeadlinePassed,
         },
-        Failing {
+        FailureCase {
             error: PlatformError::OutcomeUnknown(AnswerLoss::ClosedBeforeAnswer { reused: false }),
             stage: Stage::Sent,
             run: RunState::Unknown,
             cause: Cause::EndpointLost,
         },
-        Failing {
+        FailureCase {
             error: PlatformError::OutcomeUnknown(AnswerLoss::DeadlinePassed),
             stage: Stage::Sent,
             run: RunState::Unknown,
             cause: Cause::DeadlinePassed,
         },
-        Failing {
+        FailureCase {
             error: PlatformError::OutcomeUnknown(AnswerLoss::ClosedMidAnswer),
             stage: Stage::Answering,
             run: RunState::Failed,
             cause: Cause::EndpointLost,
         },
-        Failing {
+        FailureCase {
             error: PlatformError::OutcomeUnknown(AnswerLoss::NoStatedEnd),
             stage: Stage::Answering,
             run: RunState::Failed,
             cause: Cause::Truncated,
         },
-        Failing {
+        FailureCase {
             error: PlatformError::Malformed(MalformedPart::Http),
             stage: Stage::Sent,
             run: RunState::Failed,
@@ -70,92 +70,106 @@
     }
 }
 
-struct Seen {
+struct HealthCase {
     name: &'static str,
-    signs: &'static [Sign],
-    /// Of the last sign.
-    change: Change,
+    results: &'static [CheckResult],
+    /// Of the last result.
+    change: HealthChange,
     up: bool,
 }
 
-const FIRST: Sign = Sign::Answered { life: Some(1) };
-const SECOND: Sign = Sign::Answered { life: Some(2) };
-const NOTHING: Change = Change {
-    lost: false,
-    turned: false,
+const FIRST_LIFE: CheckResult = CheckResult::Answered { life: Some(1) };
+const SECOND_LIFE: CheckResult = CheckResult::Answered { life: Some(2) };
+const NO_CHANGE: HealthChange = HealthChange {
+    crashed: false,
+    up_changed: false,
 };
-const LOST: Change = Change {
-    lost: true,
-    turned: false,
+const CRASHED: HealthChange = HealthChange {
+    crashed: true,
+    up_changed: false,
 };
-const TURNED: Change = Change {
-    lost: false,
-    turned: true,
+const UP_CHANGED: HealthChange = HealthChange {
+    crashed: false,
+    up_changed: true,
 };
 
 #[test]
 fn can_tell_a_crash_from_silence() {
     let cases = [
-        Seen {
+        HealthCase {
             name: "the first answer brings it up",
-            signs: &[FIRST],
-            change: TURNED,
+            results: &[FIRST_LIFE],
+            change: UP_CHANGED,
             up: true,
         },
-        Seen {
+        HealthCase {
             name: "two misses change nothing",
-            signs: &[FIRST, Sign::Silent, Sign::Silent],
-            change: NOTHING,
+            results: &[FIRST_LIFE, CheckResult::NoAnswer, CheckResult::NoAnswer],
+            change: NO_CHANGE,
             up: true,
         },
-        Seen {
+        HealthCase {
             name: "the third miss takes it down, but it may live",
-            signs: &[FIRST, Sign::Silent, Sign::Silent, Sign::Silent],
-            change: TURNED,
+            results: &[
+                FIRST_LIFE,
+                CheckResult::NoAnswer,
+                CheckResult::NoAnswer,
+                CheckResult::NoAnswer,
+            ],
+            change: UP_CHANGED,
             up: false,
         },
-        Seen {
+        HealthCase {
             name: "a process that is gone is a crash",
-            signs: &[FIRST, Sign::Gone],
-            change: Change {
-                lost: true,
-                turned: true,
+            results: &[FIRST_LIFE, CheckResult::Unreachable],
+            change: HealthChange {
+                crashed: true,
+                up_changed: true,
             },
             up: false,
         },
-        Seen {
+        HealthCase {
             name: "a crash is counted once",
-            signs: &[FIRST, Sign::Gone, SECOND],
-            change: TURNED,
+            results: &[FIRST_LIFE, CheckResult::Unreachable, SECOND_LIFE],
+            change: UP_CHANGED,
             up: true,
         },
-        Seen {
+        HealthCase {
             name: "a restart between two looks is a crash",
-            signs: &[FIRST, SECOND],
-            change: LOST,
+            results: &[FIRST_LIFE, SECOND_LIFE],
+            change: CRASHED,
             up: true,
         },
-        Seen {
+        HealthCase {
             name: "a restart during silence is a crash",
-            signs: &[FIRST, Sign::Silent, Sign::Silent, Sign::Silent, SECOND],
-            change: Change {
-                lost: true,
-                turned: true,
+            results: &[
+                FIRST_LIFE,
+                CheckResult::NoAnswer,
+                CheckResult::NoAnswer,
+                CheckResult::NoAnswer,
+                SECOND_LIFE,
+            ],
+            change: HealthChange {
+                crashed: true,
+                up_changed: true,
             },
             up: true,
         },
-        Seen {
-            name: "one that never was up is not lost",
-            signs: &[Sign::Gone, Sign::Gone],
-            change: NOTHING,
+        HealthCase {
+            name: "one that never was up is not crashed",
+            results: &[CheckResult::Unreachable, CheckResult::Unreachable],
+            change: NO_CHANGE,
             up: false,
         },
     ];
     for case in cases {
-        let mut vitals = Vitals::default();
-        let last = case.signs.iter().fold(NOTHING, |_, &sign| vitals.see(sign));
+        let mut health_state = HealthState::default();
+        let last = case
+            .results
+            .iter()
+            .fold(NO_CHANGE, |_, &result| health_state.record(result));
         assert_eq!(
-            (last, vitals.is_up()),
+            (last, health_state.is_up()),
             (case.change, case.up),
             "{}",
             case.name
@@ -163,7 +177,7 @@
     }
 }
 
-struct Whole {
+struct StreamCase {
     name: &'static str,
     stream: &'static str,
     end: Result<(), Cause>,
@@ -172,27 +186,27 @@
 #[test]
 fn can_tell_a_whole_stream() {
     let cases = [
-        Whole {
+        StreamCase {
             name: "finish reason and terminator",
             stream: "data: {\"choices\":[{\"text\":\"a\",\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n",
             end: Ok(()),
         },
-        Whole {
+        StreamCase {
             name: "no terminator",
             stream: "data: {\"choices\":[{\"text\":\"a\",\"finish_reason\":\"stop\"}]}\n\n",
             end: Err(Cause::Truncated),
         },
-        Whole {
+        StreamCase {
             name: "no finish reason",
             stream: "data: {\"choices\":[{\"text\":\"a\",\"finish_reason\":null}]}\n\ndata: [DONE]\n\n",
             end: Err(Cause::Truncated),
         },
-        Whole {
+        StreamCase {
             name: "cancelled at the engine",
             stream: "data: {\"choices\":[{\"text\":\"\",\"finish_reason\":\"abort\"}]}\n\ndata: [DONE]\n\n",
             end: Err(Cause::Truncated),
         },
-        Whole {
+        StreamCase {
             name: "not a completion",
             stream: "data: {}\n\n",
             end: Err(Cause::EndpointError),
@@ -202,7 +216,12 @@
         let mut check = StreamCheck::new();
         // Byte by byte, as a stream may be split anywhere.
         let pushed = case.stream.bytes().try_for_each(|byte| check.push(&[byte]));
-        assert_eq!(pushed.and_then(|()| check.end()), case.end, "{}", case.name);
+        assert_eq!(
+            pushed.and_then(|()| check.finish()),
+            case.end,
+            "{}",
+            case.name
+        );
     }
 }
 
@@ -235,10 +254,10 @@
     let stream = head(200, "text/event-stream; charset=utf-8");
     let document = head(200, "application/json");
     let refusal = head(400, "application/json");
-    assert_eq!(Shape::of(true, &stream), Shape::Stream);
-    assert_eq!(Shape::of(true, &document), Shape::Document);
-    assert_eq!(Shape::of(true, &refusal), Shape::Opaque);
-    assert_eq!(Shape::of(false, &stream), Shape::Opaque);
+    assert_eq!(AnswerFormat::of(true, &stream), AnswerFormat::Stream);
+    assert_eq!(AnswerFormat::of(true, &document), AnswerFormat::Document);
+    assert_eq!(AnswerFormat::of(true, &refusal), AnswerFormat::Opaque);
+    assert_eq!(AnswerFormat::of(false, &stream), AnswerFormat::Opaque);
 }
 
 #[test]
@@ -250,7 +269,7 @@
     let body =
         Bytes::from_static(br#"{"model":"office.redacteurs","request_id":"another's","x":[1.5]}"#);
     let model = "redacteurs";
-    let named = name_call(&body, model, id).unwrap();
+    let named = set_model_and_call_id(&body, model, id).unwrap();
     let document: serde_json::Value = serde_json::from_slice(&named).unwrap();
     assert_eq!(document["request_id"], id.to_string());
     assert_eq!(document["model"], "redacteurs");
@@ -258,7 +277,7 @@
     for broken in ["", "[]", "{", "7"] {
         let body = Bytes::from_static(broken.as_bytes());
         assert_eq!(
-            name_call(&body, model, id),
+            set_model_and_call_id(&body, model, id),
             Err(Cause::Malformed),
             "{broken}"
         );
@@ -266,21 +285,21 @@
 }
 
 checks::seeded! {
-    /// However the signs come, an endpoint is counted lost only after it was up, and not
+    /// However the results come, an endpoint is counted crashed only after it was up, and not
     /// again before it has answered again.
-    fn counts_each_crash_once(signs: Vec<u8>) -> bool {
-        let mut vitals = Vitals::default();
+    fn counts_each_crash_once(results: Vec<u8>) -> bool {
+        let mut health_state = HealthState::default();
         let mut answered = false;
-        signs.into_iter().all(|sign| {
-            let sign = match sign % 4 {
-                0 => Sign::Gone,
-                1 => Sign::Silent,
-                life => Sign::Answered { life: Some(u64::from(life)) },
+        results.into_iter().all(|result| {
+            let result = match result % 4 {
+                0 => CheckResult::Unreachable,
+                1 => CheckResult::NoAnswer,
+                life => CheckResult::Answered { life: Some(u64::from(life)) },
             };
-            let lost = vitals.see(sign).lost;
-            let allowed = answered || !lost;
-            let answers = matches!(sign, Sign::Answered { .. });
-            answered = answers || (answered && !lost);
+            let crashed = health_state.record(result).crashed;
+            let allowed = answered || !crashed;
+            let answers = matches!(result, CheckResult::Answered { .. });
+            answered = answers || (answered && !crashed);
             allowed
         })
     }
--- a/components/sidecar/tests/life.rs
+++ b/components/sidecar/tests/life.rs
@@ -4,8 +4,9 @@
 mod common;
 
 use common::{
-    Caller, Ended, OFFICE, PATIENCE, Platform, SECOND, TestAgent, end_of, engine_endpoint,
-    engine_with_store, get, loopback, plain_endpoint, second_version, until, weights,
+    Caller, Ended, OFFICE_CONFIG, Platform, TEST_TIMEOUT, TestAgent, VERSION_2, announce,
+    announce_version_2, engine_endpoint, engine_with_store, get, loopback, plain_endpoint,
+    read_to_end, wait_for_event,
 };
 use link::CallEvent;
 use protocol::{GossipMessage, Open};
@@ -22,25 +23,25 @@
 #[tokio::test]
 async fn can_bring_the_engine_to_a_version_through_a_failed_swap_and_a_crash() {
     let platform = Platform::start(&[]).await;
-    platform.publish(OFFICE).await;
+    platform.publish(OFFICE_CONFIG).await;
     let endpoint = engine_endpoint(0).await;
     endpoint.fault(Fault::new(FaultKind::SwapFails).times(1));
     let agent = TestAgent::start(&platform, endpoint.address, EndpointKind::Model).await;
     let caller = Caller::start().await;
-    let first = caller.hosted(&agent).await;
+    let first = caller.wait_until_hosted(&agent).await;
     assert_eq!(first.hosted[0].weights, Some(WeightVersion::default()));
-    caller.tell(&agent, second_version()).await;
+    caller.gossip(&agent, announce_version_2()).await;
     let serves = |status: &protocol::Status| {
         status
             .hosted
             .iter()
-            .any(|hosted| hosted.weights == Some(SECOND))
+            .any(|hosted| hosted.weights == Some(VERSION_2))
     };
-    let switched = caller.status_where(&agent, serves).await;
+    let switched = caller.wait_for_status(&agent, serves).await;
     assert_eq!(switched.endpoint_life, 0);
     endpoint.crash(50);
     let back = |status: &protocol::Status| status.endpoint_life == 1 && serves(status);
-    caller.status_where(&agent, back).await;
+    caller.wait_for_status(&agent, back).await;
     let (_, page) = get(agent.admin, "/status").await;
     assert!(page.contains(r#""wanted":"0.2","serving":"0.2""#), "{page}");
 }
@@ -51,23 +52,23 @@
 #[tokio::test]
 async fn can_load_a_version_ahead_and_switch_without_the_store() {
     let platform = Platform::start(&[]).await;
-    platform.publish(OFFICE).await;
+    platform.publish(OFFICE_CONFIG).await;
     let store = store::start(StoreSettings::new(loopback())).await.unwrap();
     let endpoint = engine_with_store(store.address).await;
     let agent = TestAgent::start(&platform, endpoint.address, EndpointKind::Model).await;
     let caller = Caller::start().await;
-    caller.hosted(&agent).await;
+    caller.wait_until_hosted(&agent).await;
     let ahead = WeightTarget {
         serve: WeightVersion::default(),
-        load: SECOND,
+        load: VERSION_2,
     };
-    caller.tell(&agent, weights(ahead)).await;
+    caller.gossip(&agent, announce(ahead)).await;
     let shows = r#""serving":"0.0","load":"0.2","loaded":true"#;
     while !get(agent.admin, "/status").await.1.contains(shows) {}
     store.fault(Fault::new(FaultKind::Outage));
-    caller.tell(&agent, second_version()).await;
-    let serves = |status: &protocol::Status| status.hosted[0].weights == Some(SECOND);
-    caller.status_where(&agent, serves).await;
+    caller.gossip(&agent, announce_version_2()).await;
+    let serves = |status: &protocol::Status| status.hosted[0].weights == Some(VERSION_2);
+    caller.wait_for_status(&agent, serves).await;
 }
 
 // A non-idempotent call runs when the endpoint dies. The caller hears "unknown", the
@@ -75,17 +76,17 @@
 #[tokio::test]
 async fn can_tell_of_a_crash_at_once() {
     let platform = Platform::start(&[]).await;
-    platform.publish(OFFICE).await;
+    platform.publish(OFFICE_CONFIG).await;
     let endpoint = plain_endpoint(60_000).await;
     let agent = TestAgent::start(&platform, endpoint.address, EndpointKind::Plain).await;
     let caller = Caller::start().await;
-    caller.hosted(&agent).await;
+    caller.wait_until_hosted(&agent).await;
     let open = caller.open("guichet", "POST", "/sanctions", "{}");
     let mut call = caller.links.call(agent.address, open);
-    until(&mut call, |event| *event == CallEvent::Started).await;
+    wait_for_event(&mut call, |event| *event == CallEvent::Started).await;
     while get(endpoint.address, "/standin/runs").await.1 == "{}" {}
     endpoint.crash(600_000);
-    let Ended::Failed(failure) = end_of(&mut call).await else {
+    let Ended::Failed(failure) = read_to_end(&mut call).await else {
         panic!("a dead endpoint answered");
     };
     assert_eq!(
@@ -107,14 +108,14 @@
 #[tokio::test]
 async fn can_tell_silence_from_a_crash() {
     let platform = Platform::start(&[]).await;
-    platform.publish(OFFICE).await;
+    platform.publish(OFFICE_CONFIG).await;
     let endpoint = plain_endpoint(0).await;
     let mut tuning = Tuning::default();
     tuning.limits.engine_deadline_ms = 100;
     let kind = EndpointKind::Plain;
     let agent = TestAgent::start_tuned(&platform, endpoint.address, kind, tuning).await;
     let caller = Caller::start().await;
-    caller.hosted(&agent).await;
+    caller.wait_until_hosted(&agent).await;
     endpoint.fault(Fault::new(FaultKind::Silent));
     let open = Open {
         deadline_left_ms: 300,
@@ -124,7 +125,7 @@
     let late = Failure::new(RunState::Unknown, Cause::DeadlinePassed);
     assert_eq!(ended, Ended::Failed(late));
     caller
-        .status_where(&agent, |status| status.hosted.is_empty())
+        .wait_for_status(&agent, |status| status.hosted.is_empty())
         .await;
     let refused = caller
         .call(&agent, caller.open("guichet", "GET", "/applicants/7", ""))
@@ -134,7 +135,7 @@
         "{refused:?}"
     );
     endpoint.clear_faults();
-    assert_eq!(caller.hosted(&agent).await.endpoint_life, 0);
+    assert_eq!(caller.wait_until_hosted(&agent).await.endpoint_life, 0);
 }
 
 // The log is down when a new VM's agent starts. It learns the accepted text from a peer
@@ -142,11 +143,11 @@
 #[tokio::test]
 async fn can_start_from_a_peer_while_the_log_is_down() {
     let platform = Platform::start(&[]).await;
-    platform.publish(OFFICE).await;
+    platform.publish(OFFICE_CONFIG).await;
     let endpoint = plain_endpoint(0).await;
     let caller = Caller::start().await;
     let old = TestAgent::start(&platform, endpoint.address, EndpointKind::Plain).await;
-    caller.hosted(&old).await;
+    caller.wait_until_hosted(&old).await;
     platform.log.fault(Fault::new(FaultKind::Outage));
     let listed = Platform::start(&[old.address]).await;
     let outage = Platform {
@@ -154,7 +155,7 @@
         vms: listed.vms,
     };
     let new = TestAgent::start(&outage, endpoint.address, EndpointKind::Plain).await;
-    caller.hosted(&new).await;
+    caller.wait_until_hosted(&new).await;
     let ended = caller
         .call(&new, caller.open("guichet", "GET", "/applicants/7", ""))
         .await;
@@ -167,17 +168,17 @@
 #[tokio::test]
 async fn can_leave_without_cutting_off_a_call() {
     let platform = Platform::start(&[]).await;
-    platform.publish(OFFICE).await;
+    platform.publish(OFFICE_CONFIG).await;
     let endpoint = engine_endpoint(1_000).await;
     let mut agent = TestAgent::start(&platform, endpoint.address, EndpointKind::Model).await;
     let caller = Caller::start().await;
-    caller.hosted(&agent).await;
+    caller.wait_until_hosted(&agent).await;
     assert_eq!(get(agent.admin, "/readyz").await.0, 200);
     let mut running = caller
         .links
         .call(agent.address, caller.completion("long", true));
-    until(&mut running, |event| matches!(event, CallEvent::Chunk(_))).await;
-    agent.order_leave();
+    wait_for_event(&mut running, |event| matches!(event, CallEvent::Chunk(_))).await;
+    agent.start_leaving();
     while !caller.status_of(&agent).await.leaving {}
     assert_eq!(get(agent.admin, "/readyz").await.0, 503);
     let late = caller.call(&agent, caller.completion("late", false)).await;
@@ -188,13 +189,13 @@
         (failure.run, failure.cause),
         (RunState::NotRun, Cause::Leaving)
     );
-    let ended = end_of(&mut running).await;
+    let ended = read_to_end(&mut running).await;
     assert!(
         matches!(&ended, Ended::Whole(_, body) if body.trim_end().ends_with("data: [DONE]")),
         "{ended:?}"
     );
     drop(running);
-    agent.ended().await;
+    agent.wait_until_ended().await;
 }
 
 // A VM's clock runs behind, and its agent starts with a lower number than the life before
@@ -203,18 +204,18 @@
 #[tokio::test]
 async fn can_rise_above_an_earlier_life() {
     let platform = Platform::start(&[]).await;
-    platform.publish(OFFICE).await;
+    platform.publish(OFFICE_CONFIG).await;
     let endpoint = plain_endpoint(0).await;
     let agent = TestAgent::start(&platform, endpoint.address, EndpointKind::Plain).await;
     let caller = Caller::start().await;
-    caller.hosted(&agent).await;
+    caller.wait_until_hosted(&agent).await;
     let earlier = Incarnation(u64::MAX - 7);
     caller
-        .tell(&agent, GossipMessage::Incarnation(earlier))
+        .gossip(&agent, GossipMessage::Incarnation(earlier))
         .await;
-    caller.tell(&agent, GossipMessage::Probe).await;
-    while caller.sender_and_status_of(&agent).await.0.incarnation <= earlier {
-        caller.tell(&agent, GossipMessage::Probe).await;
+    caller.gossip(&agent, GossipMessage::Probe).await;
+    while caller.next_sender_and_status(&agent).await.0.incarnation <= earlier {
+        caller.gossip(&agent, GossipMessage::Probe).await;
     }
 }
 
@@ -223,16 +224,16 @@
 #[tokio::test]
 async fn can_leave_on_a_rumour_of_its_own_leaving() {
     let platform = Platform::start(&[]).await;
-    platform.publish(OFFICE).await;
+    platform.publish(OFFICE_CONFIG).await;
     let endpoint = plain_endpoint(0).await;
     let mut agent = TestAgent::start(&platform, endpoint.address, EndpointKind::Plain).await;
     let caller = Caller::start().await;
-    caller.tell(&agent, GossipMessage::Probe).await;
-    let (node, status) = caller.sender_and_status_of(&agent).await;
+    caller.gossip(&agent, GossipMessage::Probe).await;
+    let (node, status) = caller.next_sender_and_status(&agent).await;
     assert!(!status.leaving);
-    caller.tell(&agent, GossipMessage::Leaving { node }).await;
+    caller.gossip(&agent, GossipMessage::Leaving { node }).await;
     while !caller.status_of(&agent).await.leaving {}
-    agent.ended().await;
+    agent.wait_until_ended().await;
 }
 
 // A new agent starts beside a running entry. The entry hears of it without having asked and
@@ -241,9 +242,9 @@
 async fn can_tell_an_entry_of_itself_at_its_start() {
     let caller = Caller::start().await;
     let platform = Platform::start_with_entry(caller.address()).await;
-    platform.publish(OFFICE).await;
+    platform.publish(OFFICE_CONFIG).await;
     let endpoint = plain_endpoint(0).await;
     let agent = TestAgent::start(&platform, endpoint.address, EndpointKind::Plain).await;
-    let status = timeout(PATIENCE, caller.status_of(&agent)).await;
+    let status = timeout(TEST_TIMEOUT, caller.status_of(&agent)).await;
     assert!(!status.expect("no greeting").leaving);
 }
