--- a/components/sidecar/src/agent.rs
+++ b/components/sidecar/src/agent.rs
@@ -1,5 +1,5 @@
-//! State that the agent's tasks share. Nothing here waits: snapshots are swapped whole
-//! and counts are atomics.
+//! State shared by the agent's tasks. No access blocks: snapshots are replaced atomically as a
+//! whole, and counters are atomics.
 
 use std::sync::Arc;
 
@@ -14,16 +14,16 @@
 use settings::{AgentSettings, EndpointKind};
 use telemetry::Metrics;
 
-/// Bounds of what one agent takes on.
+/// Limits of one agent.
 #[derive(Clone, Debug)]
 pub struct AgentLimits {
-    /// Calls in progress at a time.
+    /// Calls in progress at the same time; further calls are refused as not run.
     pub calls_max: usize,
     /// Longest time to connect to the endpoint, in milliseconds.
     pub connect_timeout_ms: u64,
-    /// Deadline of a read or cancellation at the engine, in milliseconds.
+    /// Deadline of a health check, a read of the engine's state or a cancellation, in milliseconds.
     pub engine_deadline_ms: u64,
-    /// Largest answer of an endpoint, in bytes.
+    /// Largest answer accepted from the endpoint, in bytes.
     pub answer_bytes_max: usize,
 }
 
@@ -38,35 +38,30 @@
     }
 }
 
-/// One agent.
 pub struct Agent {
-    /// Who it is.
     pub identity: Arc<Identity>,
-    /// What the settings say of the endpoint beside it.
+    /// Pool, kind and permitted customers of the endpoint beside this agent.
     pub hosting_rules: HostingRules,
-    /// Names of models towards the engine.
     pub engine_names: EngineNames,
-    /// Bounds.
     pub limits: AgentLimits,
-    /// Heartbeat of the process.
+    /// Detects that the process was suspended, so that old calls are not taken for fresh ones.
     pub pulse: PauseDetector,
-    /// How far it is on its way out.
+    /// Progress of leaving: refuses new calls and waits for the running ones.
     pub drain: Drain,
-    /// Configuration in force.
+    /// Active configuration of all customers.
     pub feed: ConfigFeed,
-    /// Calls of the endpoint.
+    /// HTTP client that carries calls to the endpoint.
     pub endpoint: Endpoint,
-    /// Control interface of a model engine.
+    /// Client of the engine's control interface; unused beside a plain service.
     pub engine: Engine,
-    /// What is known of the endpoint.
+    /// Result of the latest health check of the endpoint.
     pub health: Health,
-    /// Metrics.
     pub metrics: Metrics,
     hosting: ArcSwap<Hosting>,
 }
 
 impl Agent {
-    /// An agent that hosts nothing yet.
+    /// Creates an agent that hosts nothing until [`Agent::update_hosting`] is called.
     pub fn new(
         settings: &AgentSettings,
         limits: AgentLimits,
@@ -109,17 +104,17 @@
         }
     }
 
-    /// Whether work may be sent here: not leaving, and the endpoint answers.
+    /// Whether the agent accepts calls: it isn't leaving, and the endpoint is up.
     pub fn is_ready(&self) -> bool {
         self.drain.is_ready() && self.health.snapshot().up
     }
 
-    /// Services that are hosted here now.
+    /// Services that the endpoint hosts now.
     pub fn hosting(&self) -> Arc<Hosting> {
         self.hosting.load_full()
     }
 
-    /// Works the hosted services out anew from the configuration in force.
+    /// Recomputes the hosted services from the active configuration.
     pub fn update_hosting(&self) {
         let hosting = Hosting::from_view(&self.feed.view(), &self.hosting_rules);
         log_rejected(&self.hosting(), &hosting);
@@ -127,7 +122,7 @@
     }
 }
 
-/// Logs each service that is left out once, when it is first seen.
+/// Logs each rejected service once, when it is first seen.
 fn log_rejected(before: &Hosting, now: &Hosting) {
     let known = |service: &Service| {
         let mut rejected = before.rejected().iter();
--- a/components/sidecar/src/body.rs
+++ b/components/sidecar/src/body.rs
@@ -1,4 +1,4 @@
-//! The request's body as the engine gets it.
+//! The request body that is sent to the engine.
 
 use bytes::Bytes;
 use serde_json::Value;
@@ -7,13 +7,13 @@
 const MODEL: &str = "model";
 const REQUEST_ID: &str = "request_id";
 
-/// Names the model and the call in a completion's body, whatever its caller wrote there.
+/// Sets the model and the request id in a completion's body and overwrites the caller's values.
 ///
-/// The model is that of the service that the call was admitted for: an engine may host several
-/// services, and a caller who is let in to one could otherwise have another answer. The
-/// request's id is the call's own identity, so that it can be cancelled by name: after a
-/// retry two calls of one request may be on the same engine, and the late cancellation of
-/// the first must not take the second with it, nor one customer cancel another's call.
+/// The model is that of the service for which the call was admitted: an engine may host several
+/// services, and the field would otherwise let a caller of one service reach the model of another.
+/// The request id is the call's own id, which makes the call cancellable: after a retry, two calls
+/// of one request may run on the same engine, and a late cancellation of the first must not cancel
+/// the second, nor may one customer cancel another's call.
 pub fn set_model_and_call_id(body: &Bytes, model: &str, id: CallId) -> Result<Bytes, Cause> {
     let mut document: Value = serde_json::from_slice(body).map_err(|_| Cause::Malformed)?;
     let Value::Object(fields) = &mut document else {
--- a/components/sidecar/src/calls.rs
+++ b/components/sidecar/src/calls.rs
@@ -1,4 +1,4 @@
-//! Takes calls in and sees each to its final answer.
+//! Accepts calls from entries and follows each to its final answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use crate::gate;
 use crate::relay::{Relay, send_in_parts};
 
-/// Takes one call in; never waits.
+/// Starts a task that serves one call; never blocks.
 pub fn serve_call(agent: &Arc<Agent>, call: IncomingCall) {
     let arrived_ms = now_ms();
     let age_ms = agent.pulse.arrival_age_ms(arrived_ms);
@@ -54,7 +54,7 @@
     arrived_ms: u64,
     age_ms: u64,
 ) -> Result<(), Failure> {
-    // Held until the end, so that a drain waits for this call.
+    // Held until the end of the call, so that a drain waits for it.
     let _working = agent.drain.admit(now_ms())?;
     if agent.drain.work_counter().count() > agent.limits.calls_max {
         return Err(gate::queue_full());
@@ -85,17 +85,17 @@
         biased;
         result = relay.run(left_ms) => return result,
         () = answer.cancelled() => Cause::Cancelled,
-        // An endpoint whose VM died sends no reset; its calls would wait for their
-        // deadlines though the watch knows better.
+        // An endpoint whose VM died sends no TCP reset; without the health check its calls
+        // would wait for their deadlines.
         () = agent.health.wait_for_other_life(life) => Cause::EndpointLost,
-        // A caller that takes nothing in blocks the answer beyond the deadline of the
-        // exchange, and with it a local at the endpoint.
+        // A caller that stops reading blocks the answer beyond the deadline of the exchange
+        // and would keep a slot at the endpoint occupied.
         () = tokio::time::sleep(Duration::from_millis(left_ms)) => Cause::DeadlinePassed,
     };
     Err(relay.stage().failure(cause))
 }
 
-/// Leaves nothing running at the endpoint for a call that has result badly.
+/// Requests a health check if the endpoint was lost, and cancels a model's call that may still run.
 fn clean_up(agent: &Agent, relay: &Relay<'_>, open: &Open, failure: Failure) {
     if failure.cause == Cause::EndpointLost {
         agent.health.request_check();
@@ -122,7 +122,7 @@
     agent.metrics.record("call_ms", label, took_ms);
     agent.metrics.count(counter_name(result), label, 1);
     log::info!(
-        event = "call-result", request_id = open.request_id.as_str(), call:% = open.id,
+        event = "call-ended", request_id = open.request_id.as_str(), call:% = open.id,
         customer:% = open.customer, service:% = open.service, outcome = run, cause, took_ms; ""
     );
 }
--- a/components/sidecar/src/completion.rs
+++ b/components/sidecar/src/completion.rs
@@ -1,6 +1,6 @@
-//! Wholeness of a completion. The endpoint's HTTP may end properly after the engine died
-//! in the middle of an answer, so a clean end is not enough: a stream needs its finish
-//! reason and terminator, a unary answer its finish reason.
+//! Checks whether a completion is complete. After an engine died in the middle of an answer, the
+//! HTTP body may still end properly, so a clean end is not enough: a stream needs its finish reason
+//! and terminator, a unary answer its finish reason.
 
 use adapters::AnswerHead;
 use adapters::sse::{FinishReason, Parser};
@@ -8,24 +8,23 @@
 use serde::Deserialize;
 use types::Cause;
 
-/// Longest line of a stream, in bytes.
 const LINE_BYTES_MAX: usize = 1024 * 1024;
 const EVENT_STREAM: &str = "text/event-stream";
 const OK: u16 = 200;
 
-/// How the wholeness of an answer shows.
+/// Format of an answer, which decides how its completeness is checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerFormat {
-    /// A stream of server-sent events with a finish reason and a terminator.
+    /// Server-sent events, complete with a finish reason and the terminator.
     Stream,
-    /// One document with a finish reason.
+    /// One JSON document, complete with a finish reason.
     Document,
-    /// Any bytes; their stated end is all there is.
+    /// Any other bytes, complete at the end of the HTTP body.
     Opaque,
 }
 
 impl AnswerFormat {
-    /// AnswerFormat of the answer with this head, from a model or a plain service.
+    /// Determines the format from the head of an answer of a model or a plain service.
     pub fn of(is_model: bool, head: &AnswerHead) -> AnswerFormat {
         if !is_model || head.status != OK {
             return AnswerFormat::Opaque;
@@ -39,22 +38,22 @@
     }
 }
 
-/// Watches a stream go by.
+/// Checks a stream while it is relayed.
 pub struct StreamCheck(Parser);
 
 impl StreamCheck {
-    /// A check at the beginning of a stream.
+    /// Creates a check for a stream that has not begun.
     pub fn new() -> Self {
         Self(Parser::new(LINE_BYTES_MAX))
     }
 
-    /// Takes the next bytes; errors when they are not part of a completions stream.
+    /// Adds the next bytes. Returns an error if they are not part of a completions stream.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), Cause> {
         let pushed = self.0.push(bytes, |_| Ok(()));
         pushed.map_err(|_| Cause::EndpointError)
     }
 
-    /// Errors when the stream that has ended is not whole.
+    /// Ends the check. Returns an error if the stream is incomplete.
     pub fn finish(&self) -> Result<(), Cause> {
         if self.0.is_complete() {
             Ok(())
@@ -80,7 +79,7 @@
     finish_reason: Option<String>,
 }
 
-/// Errors when a unary completion is not whole.
+/// Returns an error if a unary completion is malformed or incomplete.
 pub fn check_document(body: &Bytes) -> Result<(), Cause> {
     let document: Document = serde_json::from_slice(body).map_err(|_| Cause::EndpointError)?;
     let is_complete = |choice: &Choice| {
--- a/components/sidecar/src/gate.rs
+++ b/components/sidecar/src/gate.rs
@@ -1,5 +1,5 @@
-//! Whether a call that has arrived may go to the endpoint. Every refusal here is "not
-//! run", because nothing has left for the endpoint yet.
+//! Decides whether a received call may go to the endpoint. Every refusal here means "not run",
+//! because nothing has been sent to the endpoint yet.
 
 use config::ServiceKind;
 use protocol::Open;
@@ -8,14 +8,14 @@
 use crate::health::EndpointSnapshot;
 use crate::hosting::{Hosting, LocalService};
 
-/// When a caller whose endpoint is down or full may come back, in milliseconds.
+/// Time after which a caller may retry when the endpoint is down or full, in milliseconds.
 const RETRY_AFTER_MS: u32 = 200;
 
-/// The one call that a model engine takes from callers.
+/// Method and path of the only call that callers may make to a model engine.
 const COMPLETIONS: (&str, &str) = ("POST", "/v1/completions");
 
-/// Time that the caller still has, in milliseconds, after the call has been here for
-/// `elapsed_ms` and may have waited `age_ms` in a socket buffer before.
+/// Returns the rest of the call's deadline, in milliseconds. The call was received `elapsed_ms` ago
+/// and may have waited `age_ms` in a socket buffer before.
 pub fn time_left_ms(open: &Open, elapsed_ms: u64, age_ms: u64) -> Result<u64, Failure> {
     let left_ms = u64::from(open.deadline_left_ms).saturating_sub(elapsed_ms + age_ms);
     if left_ms == 0 {
@@ -24,7 +24,7 @@
     Ok(left_ms)
 }
 
-/// Where the service of the call is hosted, or why the endpoint can't take the call now.
+/// Returns the hosted service of a call, or the reason for which the endpoint can't serve the call.
 pub fn find_service<'a>(
     open: &Open,
     hosting: &'a Hosting,
@@ -33,8 +33,8 @@
     let hosted = hosting.find(&open.owner, &open.service);
     let local = hosted.ok_or(Failure::not_run(Cause::NotHosted))?;
     let is_model = local.service.kind == ServiceKind::Model;
-    // The orders to an engine lie on the same port. A caller that could reach them would
-    // switch the weights of everybody who shares the engine, or cancel their calls.
+    // The engine's control interface shares the port with the completions. A caller who could
+    // reach it would switch the weights of all users of the engine or cancel their calls.
     if is_model && (open.method.as_str(), path_without_query(open)) != COMPLETIONS {
         return Err(Failure::not_run(Cause::Forbidden));
     }
@@ -52,7 +52,7 @@
     open.path.split('?').next().unwrap_or(&open.path)
 }
 
-/// The refusal of a call beyond the agent's limit.
+/// Failure of a call beyond the agent's limit of calls in progress.
 pub fn queue_full() -> Failure {
     Failure::not_run(Cause::QueueFull).retry_after(RETRY_AFTER_MS)
 }
--- a/components/sidecar/src/health_check.rs
+++ b/components/sidecar/src/health_check.rs
@@ -1,6 +1,6 @@
-//! Looks at the endpoint: every now and then, at once when a call has lost it, and
-//! whenever an order wants its state read back. One task makes all looks, so that they
-//! are published in the order in which they were made.
+//! Checks the endpoint's health: periodically, at once when a call has lost its connection, and
+//! when an order needs the engine's state. A single task makes all checks, so that snapshots are
+//! published in the order of the checks.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,32 +15,32 @@
 use crate::health::EndpointSnapshot;
 use crate::health_state::{CheckResult, HealthState};
 
-/// Time between two looks.
+/// Time between two periodic checks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Requests for a look that wait at most.
+/// Requests for a check that may be queued.
 const PENDING_CHECKS_MAX: usize = 64;
-/// Path at which a plain service says that it is well.
+/// Path of a plain service's health check.
 const HEALTH_PATH: &str = "/healthz";
-/// Statuses from here on say that a plain service is not well.
+/// From this status on, a plain service counts as unhealthy.
 const SERVER_ERROR_STATUS_MIN: u16 = 500;
 
 type CheckRequest = oneshot::Sender<Option<EngineState>>;
 
-/// Asks the watching task for a look.
+/// Handle that requests health checks from the task.
 #[derive(Clone)]
 pub struct HealthChecker {
     requests: mpsc::Sender<CheckRequest>,
 }
 
 impl HealthChecker {
-    /// Starts to look.
+    /// Starts the task that checks the endpoint.
     pub fn start(agent: Arc<Agent>) -> HealthChecker {
         let (requests, requested) = mpsc::channel(PENDING_CHECKS_MAX);
         tokio::spawn(run_checks(agent, requested));
         HealthChecker { requests }
     }
 
-    /// The engine's state, read now; `None` when it could not be read.
+    /// Checks the endpoint now and returns the engine's state, or `None` if the check failed.
     pub async fn read_engine_state(&self) -> Option<EngineState> {
         let (request, answer) = oneshot::channel();
         self.requests.send(request).await.ok()?;
@@ -63,13 +63,13 @@
         };
         let read = check(&agent, &mut health_state).await;
         if let Some(request) = request {
-            // Whoever requested may have given up meanwhile.
+            // The requester may have stopped waiting.
             let _ = request.send(read);
         }
     }
 }
 
-/// One look; gives the engine's state if this very look has read it.
+/// Makes one check. Returns the engine's state only if this check has read it.
 async fn check(agent: &Agent, health_state: &mut HealthState) -> Option<EngineState> {
     let before = agent.health.snapshot();
     let (sign, mut snapshot) = match agent.hosting_rules.kind {
@@ -101,7 +101,7 @@
         Err(error) => return (CheckResult::from_error(&error), before.clone()),
     };
     let mut snapshot = before.clone();
-    // The report is a hint for the choice of an endpoint; an old one does as well.
+    // The load report only guides the choice of a replica, so an outdated one is acceptable.
     if let Ok(load) = agent.engine.load_report().await {
         snapshot.load = load;
         snapshot.load_read_ms = now_ms();
@@ -132,7 +132,7 @@
 }
 
 async fn read_health_body(body: adapters::Body) -> CheckResult {
-    // Reading to the end lets the connection be used again.
+    // Reading the body to its end makes the connection reusable.
     match body.read_to_end().await {
         Ok(_) | Err(PlatformError::TooLarge(_)) => CheckResult::Answered { life: None },
         Err(_) => CheckResult::NoAnswer,
--- a/components/sidecar/src/health_state.rs
+++ b/components/sidecar/src/health_state.rs
@@ -1,30 +1,30 @@
-//! Whether the endpoint lives, judged from what each look at it brought. Pure.
+//! Decides from the results of the health checks whether the endpoint is up. Free of I/O.
 //!
-//! A crash must be told apart from a slow moment: after a crash the calls in flight have
-//! failed and entries suspect them; a slow endpoint only gets no new work for a while.
+//! A crash must be told apart from a delay: after a crash, the calls in flight have failed and
+//! entries suspect them as its cause; a slow endpoint only gets no new calls for a while.
 
 use adapters::{NotSentCause, PlatformError};
 use derive::{key, value};
 
-/// Looks without an answer until the endpoint gets no new work.
+/// Consecutive unanswered checks after which the endpoint gets no new calls.
 const MISSES_TO_DOWN: u32 = 3;
 
-/// What one look at the endpoint brought.
+/// Result of one health check.
 #[key]
 pub enum CheckResult {
-    /// It answered; an engine also said which life it is in.
+    /// The endpoint answered.
     Answered {
-        /// The engine's life; `None` for a plain service.
+        /// Number of the engine's start; `None` for a plain service.
         life: Option<u64>,
     },
-    /// Nothing listens at its address: the process is gone.
+    /// Nothing listens at the endpoint's address, so its process has ended.
     Unreachable,
-    /// No answer, for whatever reason.
+    /// Any other failure; the process may still run.
     NoAnswer,
 }
 
 impl CheckResult {
-    /// What a look that failed says.
+    /// Classifies the error of a failed check.
     pub fn from_error(error: &PlatformError) -> CheckResult {
         match error {
             PlatformError::NotSent(NotSentCause::Unreachable) => CheckResult::Unreachable,
@@ -33,17 +33,17 @@
     }
 }
 
-/// What a sign changed.
+/// Effect of one check result on the state.
 #[value]
 #[derive(Copy, Default)]
 pub struct HealthChange {
-    /// The endpoint is in another life than before; counted once for each crash.
+    /// The endpoint crashed or restarted; set once for each crash.
     pub crashed: bool,
-    /// It came up or went down.
+    /// The endpoint came up or went down.
     pub up_changed: bool,
 }
 
-/// What the signs so far add up to.
+/// State of the endpoint after the check results so far.
 #[value]
 #[derive(Default)]
 pub struct HealthState {
@@ -54,12 +54,12 @@
 }
 
 impl HealthState {
-    /// Whether the endpoint takes work.
+    /// Whether the endpoint accepts calls.
     pub fn is_up(&self) -> bool {
         self.up
     }
 
-    /// Takes a sign in.
+    /// Applies the result of one check.
     pub fn record(&mut self, sign: CheckResult) -> HealthChange {
         let was_up = self.up;
         let crashed = match sign {
--- a/components/sidecar/src/hosting.rs
+++ b/components/sidecar/src/hosting.rs
@@ -1,6 +1,6 @@
-//! Which services the endpoint beside this agent hosts: a pure function of the accepted
-//! texts and the agent's own settings. Every process that holds the same texts comes to
-//! the same answer, so nobody needs to be asked.
+//! Computes the services that the endpoint beside this agent hosts: a pure function of the accepted
+//! configuration and the agent's own settings. Processes with the same configuration compute the
+//! same result, so no coordination is needed.
 
 use std::sync::Arc;
 
@@ -9,27 +9,27 @@
 
 use crate::engine_names::EngineNames;
 
-/// What the settings say of an endpoint.
+/// Rules from the agent's settings that decide which services its endpoint may host.
 #[derive(Clone, Debug)]
 pub struct HostingRules {
     /// Pool that the endpoint belongs to.
     pub pool: PoolName,
-    /// What the endpoint is.
+    /// Only services of this kind are hosted.
     pub kind: ServiceKind,
-    /// Customers whose services it may host.
+    /// Customers whose services the endpoint may host.
     pub customers: Vec<CustomerName>,
 }
 
-/// One hosted service.
+/// A service that the endpoint hosts.
 #[derive(Clone, Debug)]
 pub struct LocalService {
-    /// The service.
+    /// The service in its owner's configuration.
     pub service: Arc<Service>,
-    /// Name of its model at the engine.
+    /// Name of the service's model at the engine; unused for a plain service.
     pub engine_model: String,
 }
 
-/// Services of one endpoint, in the order of owner and name.
+/// Services of one endpoint, ordered by owner and name.
 #[derive(Clone, Debug, Default)]
 pub struct Hosting {
     services: Vec<LocalService>,
@@ -37,12 +37,12 @@
 }
 
 impl Hosting {
-    /// The services that `view` puts on the rules's pool and that its endpoint may and can
-    /// serve.
+    /// Selects the services of `view` that belong to the pool of `rules`, have the endpoint's kind
+    /// and are owned by a permitted customer.
     ///
-    /// A customer writes its own text and may name any pool there. Without the check of
-    /// the owner its callers would reach another customer's endpoint with a token of their
-    /// own. The rules's settings are what no customer's text can change.
+    /// A customer may name any pool in its own configuration. Without the check of the owner, its
+    /// callers would reach another customer's endpoint with a token of their own. The rules come from
+    /// the agent's settings, which no customer's configuration can change.
     pub fn from_view(view: &View, rules: &HostingRules) -> Hosting {
         let placed = view.pool(&rules.pool).iter();
         let mut services: Vec<_> = placed
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The service of this owner and name, if it is hosted here.
+    /// Returns the hosted service of this owner and name.
     pub fn find(&self, owner: &CustomerName, name: &ServiceName) -> Option<&LocalService> {
         let matches =
             |local: &&LocalService| local.service.owner == *owner && local.service.name == *name;
@@ -75,7 +75,7 @@
         &self.services
     }
 
-    /// Services that a customer put on this pool without being let in to it.
+    /// Services whose owners name this pool in their configuration but may not use the endpoint.
     pub fn rejected(&self) -> &[Arc<Service>] {
         &self.rejected
     }
--- a/components/sidecar/src/lib.rs
+++ b/components/sidecar/src/lib.rs
@@ -1,6 +1,6 @@
-//! The agent beside an endpoint: takes calls from entries and hands each to the endpoint
-//! once, drives a model engine to the wanted weights, watches the endpoint's life, and
-//! leaves without cutting off a call.
+//! The agent beside an endpoint: receives calls from entries and sends each to the endpoint at
+//! most once, brings a model engine to the announced weights, detects crashes of the endpoint, and
+//! drains its calls before it leaves.
 
 mod agent;
 mod body;
--- a/components/sidecar/src/orders.rs
+++ b/components/sidecar/src/orders.rs
@@ -1,4 +1,4 @@
-//! Carries one order to the engine and says how it ended, as far as that can be told.
+//! Sends one order to the engine and reports its outcome as far as the outcome is known.
 
 use std::sync::Arc;
 
@@ -14,14 +14,15 @@
 const STATUS_TOO_MANY: u16 = 429;
 const STATUS_UNAVAILABLE: u16 = 503;
 
-/// An order that has ended.
+/// An order and its outcome.
 pub(crate) struct FinishedOrder {
     pub(crate) model: ModelKey,
     pub(crate) order: Order,
     pub(crate) outcome: OrderOutcome,
 }
 
-/// Carries the order out, unless it is too late for it, and sends its end to `finished`.
+/// Executes the order and sends its outcome to `finished`. An order whose latest start time has
+/// passed is not sent to the engine.
 pub(crate) async fn execute(
     agent: Arc<Agent>,
     checker: HealthChecker,
@@ -31,7 +32,7 @@
     finished: mpsc::Sender<FinishedOrder>,
 ) {
     let outcome = if now_ms() > order.send_before_ms {
-        // Frozen since the decision: what it rested on may be long over.
+        // The process was suspended since the decision, whose basis may have changed meanwhile.
         OrderOutcome::Unknown
     } else {
         execute_now(&agent, &checker, &model, order, timeout_ms).await
@@ -42,7 +43,7 @@
             outcome:? = outcome; ""
         );
     }
-    // A driver that has gone needs no finished.
+    // The driver may have ended, and then nobody needs the outcome.
     let _ = finished
         .send(FinishedOrder {
             model,
@@ -63,8 +64,8 @@
     let name = name.as_str();
     let fence = order.fence;
     let done = match order.kind {
-        // The calls of an earlier life of this agent had their connections cut with it,
-        // by which the engine drops them; their names died with that life.
+        // The calls of an earlier run of this agent lost their connections when it ended, which
+        // makes the engine drop them; their ids are unknown to this run.
         OrderKind::CancelEarlier => return OrderOutcome::Done,
         OrderKind::Read => return read_state(checker, name).await,
         OrderKind::Load(version) => agent.engine.load(name, version, fence, timeout_ms).await,
--- a/components/sidecar/src/relay.rs
+++ b/components/sidecar/src/relay.rs
@@ -1,4 +1,4 @@
-//! One exchange with the endpoint, relayed on as it comes.
+//! One exchange with the endpoint, whose answer is relayed to the entry as it arrives.
 
 use adapters::{AnswerHead, Body, Endpoint, Request, Response};
 use bytes::Bytes;
@@ -12,11 +12,11 @@
 
 /// Largest part of an answer in one frame, so that calls share their connection fairly.
 const PART_BYTES_MAX: usize = 64 * 1024;
-/// Largest unary completion; it is held as a whole until it is checked.
+/// Largest unary completion, which is buffered until it is checked.
 const DOCUMENT_BYTES_MAX: usize = 4 * 1024 * 1024;
 const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// One call on its way through the endpoint.
+/// Relays one call to the endpoint and its answer to the entry.
 pub struct Relay<'a> {
     endpoint: &'a Endpoint,
     open: &'a Open,
@@ -27,7 +27,7 @@
 }
 
 impl<'a> Relay<'a> {
-    /// A call that has not left yet.
+    /// Creates the relay of a call of which nothing has been sent yet.
     pub fn new(
         endpoint: &'a Endpoint,
         open: &'a Open,
@@ -48,13 +48,13 @@
         self.stage
     }
 
-    /// Whether the call is a model's, and so can be cancelled by name.
+    /// Whether the call is a model's, so that it can be cancelled at the engine by its id.
     pub fn is_model(&self) -> bool {
         self.engine_model.is_some()
     }
 
-    /// Sends the call and passes the answer on. Returns once the answer is whole; the
-    /// caller of this function then ends it.
+    /// Sends the call and relays the answer. Returns once the answer is complete; ending the
+    /// call towards the entry is left to the caller of this function.
     pub async fn run(&mut self, left_ms: u64) -> Result<(), Failure> {
         let request = self.request()?;
         let (stage, answer) = (&mut self.stage, self.answer);
@@ -98,14 +98,14 @@
             path: self.open.path.clone(),
             headers,
             body,
-            // An idle connection may be closed by the endpoint just as the request goes out,
-            // and then nobody knows whether it ran; or it has gone silent, and the caller
-            // waits for his whole deadline. A connection on the same VM costs little.
+            // The endpoint may close an idle connection just as the request is sent, and then
+            // nobody knows whether the call ran. Or an idle connection has stopped carrying data,
+            // and the caller waits until the deadline. A new connection within a VM is cheap.
             reuse: false,
         })
     }
 
-    /// Passes a document on only when it is whole, so that a cut one is never seen.
+    /// Relays a document only once it is complete, so that no caller sees a truncated one.
     async fn relay_document(&self, head: AnswerHead, mut body: Body) -> Result<(), RelayError> {
         let mut document = Vec::new();
         while let Some(bytes) = body.next().await? {
@@ -140,7 +140,7 @@
     }
 }
 
-/// Passes bytes on in parts of a size that lets other calls through in between.
+/// Sends bytes in frames small enough to let frames of other calls through in between.
 pub async fn send_in_parts(answer: &AnswerSender, mut bytes: Bytes) {
     while !bytes.is_empty() {
         let part = bytes.split_to(bytes.len().min(PART_BYTES_MAX));
@@ -148,7 +148,7 @@
     }
 }
 
-/// Why an answer that had begun was not relayed on to its end.
+/// Why an answer that had begun was not relayed to its end.
 enum RelayError {
     Exchange(adapters::PlatformError),
     Content(Cause),
--- a/components/sidecar/src/stage.rs
+++ b/components/sidecar/src/stage.rs
@@ -1,16 +1,16 @@
-//! How far a call has come at the endpoint, and what a failure at that point says.
+//! Stages of a call at the endpoint, and the run state that a failure at each stage implies.
 //!
-//! The rule: "not run" only while no byte has gone out, "failed" only once the endpoint
-//! has shown that it began, "unknown" in between.
+//! A failure means "not run" only while no byte has been sent, "failed" only after the endpoint has
+//! begun its answer, and "unknown" in between.
 
 use adapters::{AnswerLoss, NotSentCause, PlatformError};
 use derive::key;
 use types::{Cause, Failure, RunState};
 
-/// How far a call has come.
+/// Stage of a call at the endpoint.
 #[key]
 pub enum Stage {
-    /// Nothing was written to the endpoint.
+    /// No byte was written to the endpoint.
     NotSent,
     /// The request was or may have been written.
     Sent,
@@ -19,7 +19,7 @@
 }
 
 impl Stage {
-    /// Whether a call that ends here without a whole answer ran.
+    /// Run state of a call that ends at this stage without a complete answer.
     pub fn run_state(self) -> RunState {
         match self {
             Stage::NotSent => RunState::NotRun,
@@ -28,18 +28,18 @@
         }
     }
 
-    /// The failure of a call that ends here for `cause`.
+    /// Failure of a call that ends at this stage for `cause`.
     pub fn failure(self, cause: Cause) -> Failure {
         Failure::new(self.run_state(), cause)
     }
 }
 
-/// What an exchange that failed at `stage` says to the caller.
+/// Translates the error of an exchange that failed at `stage` into the call's failure.
 pub fn failure_of(error: &PlatformError, stage: Stage) -> Failure {
     match *error {
         PlatformError::NotSent(reason) => Failure::not_run(cause_of_not_sent(reason)),
         PlatformError::OutcomeUnknown(loss) => stage.failure(cause_of_loss(loss)),
-        // Something came back, so the endpoint had the request.
+        // The endpoint has answered, so it had received the request.
         PlatformError::Refused { .. }
         | PlatformError::Malformed(_)
         | PlatformError::TooLarge(_) => Stage::Answering.failure(Cause::EndpointError),
--- a/components/sidecar/src/start.rs
+++ b/components/sidecar/src/start.rs
@@ -1,4 +1,4 @@
-//! Puts an agent together from its settings and runs it until it has left.
+//! Assembles an agent from its settings and runs it until it has left.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -23,23 +23,23 @@
 use crate::weights_task::{Weights, WeightsSettings};
 use crate::{calls, status};
 
-/// First part of the names of an agent's metrics.
+/// Prefix of the names of an agent's metrics.
 const METRICS_PREFIX: &str = "hornbeamrock.agent";
 
-/// Times and bounds that are not among the flags; tests shorten them.
+/// Timings and limits that have no flag; tests shorten them.
 #[derive(Clone, Debug, Default)]
 pub struct Tuning {
-    /// Bounds of what the agent takes on.
+    /// Limits of calls and exchanges with the endpoint.
     pub limits: AgentLimits,
-    /// Configuration.
+    /// Reading of the configuration from the log and from peers.
     pub feed: FeedSettings,
-    /// News over UDP.
+    /// Gossip over UDP.
     pub gossip: GossipSettings,
-    /// Orders to the engine.
+    /// Orders to the engine that bring it to the announced weights.
     pub reconcile: ReconcileSettings,
 }
 
-/// An agent that has its addresses and runs when status_agent to.
+/// An agent whose sockets are bound and that has not started yet.
 pub struct Sidecar {
     settings: AgentSettings,
     tuning: Tuning,
@@ -47,8 +47,8 @@
 }
 
 impl Sidecar {
-    /// Takes the addresses of the settings; with port 0 the system chooses the ports.
-    /// Errors when an address is taken or no key is set.
+    /// Binds the addresses of the settings; for port 0 the operating system chooses a port.
+    /// Returns an error if an address is in use or no key is set.
     pub async fn bind(settings: AgentSettings, tuning: Tuning) -> Result<Sidecar, NodeError> {
         let sockets = Sockets::bind(&settings.common, ProcessRole::Agent).await?;
         Ok(Sidecar {
@@ -58,7 +58,7 @@
         })
     }
 
-    /// Address for the system's own processes.
+    /// Address for entries and other agents.
     pub fn inner_address(&self) -> SocketAddr {
         self.sockets.identity.node().address
     }
@@ -68,8 +68,8 @@
         self.sockets.admin_address()
     }
 
-    /// Runs until the agent has left, which begins when `stop` completes, an operator
-    /// asks for it or the platform says so. Errors when it can't start.
+    /// Runs until the agent has left. It starts to leave when `stop` completes, or when an operator
+    /// or a notice of the platform asks for it. Returns an error if it can't start.
     pub async fn run(
         self,
         stop: impl Future<Output = ()> + Send + 'static,
@@ -134,8 +134,8 @@
     Ok((agent, weights))
 }
 
-/// An engine that checks fencing numbers refuses orders that come late, so that nothing
-/// speaks for looking at it more often.
+/// An engine that checks fencing tokens refuses late orders by itself, so that an uncertain state
+/// needs no more frequent checks than a certain one.
 fn reconcile_settings(fencing: Fencing, settings: ReconcileSettings) -> ReconcileSettings {
     match fencing {
         Fencing::Checked => ReconcileSettings {
@@ -206,8 +206,8 @@
     }
 }
 
-/// Works the hosted services out anew with every change of the configuration, and tells
-/// the probers at once of that and of every change of the endpoint.
+/// Recomputes the hosted services after every change of the configuration, and sends the new status
+/// to the probing entries at once after that and after every change of the endpoint.
 async fn follow_changes(agent: Arc<Agent>, gossip: Gossip) {
     let mut configured = agent.feed.changes();
     let mut endpoint = agent.health.changes();
--- a/components/sidecar/src/status.rs
+++ b/components/sidecar/src/status.rs
@@ -1,5 +1,5 @@
-//! What the agent says of its endpoint: the status that answers a probe, and the page at
-//! the admin address.
+//! The agent's report on its endpoint: the status that answers a probe, and the page at the admin
+//! address.
 
 use std::sync::Arc;
 
@@ -12,12 +12,12 @@
 use crate::health::EndpointSnapshot;
 use crate::weights_task::Weights;
 
-/// Bytes of a status for the services, out of a datagram's 1,200.
+/// Space for services in one status; the rest of a datagram's 1,200 bytes holds the other fields.
 const HOSTED_BYTES_MAX: usize = 950;
-/// Most bytes of one service beside its names: lengths and version.
+/// Largest size of one service without its names: length prefixes and version.
 const HOSTED_OVERHEAD_BYTES: usize = 18;
 
-/// The status that answers a probe, in as many parts as it needs.
+/// Builds the answer to a probe, in as many parts as the services need.
 pub fn statuses(agent: &Agent) -> Vec<Status> {
     let snapshot = agent.health.snapshot();
     let services = split_services(hosted_services(agent, &snapshot));
@@ -36,9 +36,8 @@
     (0..parts).zip(services).map(part_of).collect()
 }
 
-/// The services in parts that fit one datagram each, at least one part. A status over
-/// the size of a datagram would not be sent at all, and the endpoint would get no work for
-/// any service.
+/// Splits the services into parts that fit a datagram each; returns at least one part. A status
+/// larger than a datagram would not be sent, and the endpoint would get no calls for any service.
 fn split_services(hosted: Vec<HostedService>) -> Vec<Vec<HostedService>> {
     let mut parts = vec![Vec::new()];
     let mut free_bytes = HOSTED_BYTES_MAX;
@@ -67,7 +66,7 @@
         .filter_map(|local| {
             let service = &local.service;
             let weights = match service.kind {
-                // The version that was read back from the engine, never the one wanted.
+                // The version that was read from the engine, never the announced one.
                 ServiceKind::Model => Some(snapshot.model(&local.engine_model)?.version),
                 ServiceKind::Plain => None,
             };
@@ -140,7 +139,7 @@
     version: u64,
 }
 
-/// The page at the admin address, as JSON.
+/// The status page at the admin address, as JSON.
 pub async fn page(agent: Arc<Agent>, weights: Weights) -> String {
     let snapshot = agent.health.snapshot();
     let page = Page {
@@ -162,7 +161,7 @@
         config: config_rows(&agent),
         metrics: agent.metrics.rows().await,
     };
-    // Plain strings and numbers always serialise.
+    // A page of strings and numbers can always be serialized.
     serde_json::to_string(&page).unwrap_or_default()
 }
 
--- a/components/sidecar/src/weights_task.rs
+++ b/components/sidecar/src/weights_task.rs
@@ -1,5 +1,5 @@
-//! Brings the models on the engine to the wanted versions: carries out what
-//! `weights::Reconciler` decides, one order at a time for each model.
+//! Brings the models on the engine to their announced versions: executes the decisions of
+//! `weights::Reconciler`, one order at a time for each model.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,51 +17,45 @@
 use crate::health_check::HealthChecker;
 use crate::orders::{FinishedOrder, execute};
 
-/// Ends of orders that wait at most; a model has one order at a time.
+/// Finished orders that may be queued; each model has at most one order in flight.
 const FINISHED_QUEUE_MAX: usize = 256;
-/// Longest sleep; hosted services may change in between.
+/// Longest sleep, after which the hosted services are read again, as they may have changed.
 const SLEEP_MAX_MS: u64 = 1_000;
 const PERMILLE: u64 = 1_000;
 
-/// A version that is in force for a model, as a rumour has it.
+/// A model's target versions, as received by gossip.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetUpdate {
-    /// The model.
     pub model: ModelKey,
-    /// What its engines should do.
     pub target: Target,
 }
 
-/// How the task paces itself.
+/// Settings of the task that drives the weights.
 #[derive(Clone, Debug)]
 pub struct WeightsSettings {
-    /// Orders to the engine.
     pub reconcile: ReconcileSettings,
-    /// Time over which replicas spread their loads of a version that is named ahead of
-    /// time, in milliseconds.
+    /// Time over which replicas spread their preloads of a version that is announced ahead of time,
+    /// in milliseconds.
     pub load_window_ms: u64,
 }
 
 /// State of one model for the status page.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ModelStatus {
-    /// The model.
     pub model: ModelKey,
-    /// Where its engine stands.
     pub status: weights::Status,
 }
 
-/// Handle of the task.
+/// Handle of the task that drives the weights.
 #[derive(Clone)]
 pub struct Weights {
-    /// Without a bound: the rumours give each piece of updates once, so one that is dropped
-    /// never comes again, and they are bounded themselves.
+    /// Unbounded, because gossip delivers each update once and a dropped one would be lost. The
+    /// gossip layer bounds the number of updates.
     updates: mpsc::UnboundedSender<TargetUpdate>,
     statuses: watch::Receiver<Vec<ModelStatus>>,
 }
 
 impl Weights {
-    /// Starts the task.
     pub fn start(agent: Arc<Agent>, checker: HealthChecker, settings: WeightsSettings) -> Weights {
         let (updates, received) = mpsc::unbounded_channel();
         let (publish, statuses) = watch::channel(Vec::new());
@@ -79,17 +73,17 @@
         Weights { updates, statuses }
     }
 
-    /// Versions of a model to serve and to hold.
+    /// Passes on the versions of a model to serve and to load.
     pub fn update_target(&self, customer: &CustomerName, service: &ServiceName, target: Target) {
         let model = ModelKey {
             customer: customer.clone(),
             service: service.clone(),
         };
-        // A driver that has gone needs no updates.
+        // The driver may have ended, and then nobody needs the update.
         let _ = self.updates.send(TargetUpdate { model, target });
     }
 
-    /// Where each model's engine stands.
+    /// State of each hosted model.
     pub fn statuses(&self) -> Vec<ModelStatus> {
         self.statuses.borrow().clone()
     }
@@ -116,9 +110,9 @@
             self.issue_orders();
             let sleep = tokio::time::sleep(self.time_until_due());
             tokio::select! {
-                updates = received.recv() => match updates {
-                    Some(updates) => self.apply_update(updates),
-                    // Every handle is gone, and with them the agent.
+                update = received.recv() => match update {
+                    Some(update) => self.apply_update(update),
+                    // All handles were dropped, so the agent has ended.
                     None => return,
                 },
                 Some(end) = finished.recv() => self.finish_order(end),
@@ -127,7 +121,7 @@
         }
     }
 
-    /// Keeps one state reconciler for each model that is hosted here.
+    /// Keeps one reconciler for each hosted model.
     fn sync_models(&mut self) {
         let hosting = self.agent.hosting();
         let hosted: BTreeMap<ModelKey, u64> = hosting
@@ -157,14 +151,14 @@
         }
     }
 
-    fn apply_update(&mut self, updates: TargetUpdate) {
-        if self.authority.merge(&updates.model, updates.target) {
-            self.set_target(&updates.model);
+    fn apply_update(&mut self, update: TargetUpdate) {
+        if self.authority.merge(&update.model, update.target) {
+            self.set_target(&update.model);
         }
     }
 
-    /// Tells a hosted model's reconciler what is wanted; the versions of all other models are
-    /// only kept, as their services may come to this endpoint later.
+    /// Gives a hosted model's reconciler its target. The targets of other models are only stored,
+    /// as their services may be moved to this endpoint later.
     fn set_target(&mut self, model: &ModelKey) {
         let target = self.authority.target(model);
         let reconciler = self.models.get_mut(model);
--- a/components/sidecar/tests/decisions.rs
+++ b/components/sidecar/tests/decisions.rs
@@ -156,7 +156,7 @@
             up: true,
         },
         HealthCase {
-            name: "one that never was up is not crashed",
+            name: "an endpoint that was never up is not counted as crashed",
             results: &[CheckResult::Unreachable, CheckResult::Unreachable],
             change: NO_CHANGE,
             up: false,
