--- a/components/adapters/src/body.rs
+++ b/components/adapters/src/body.rs
@@ -1,4 +1,4 @@
-//! Body of an answer, read to a checked end.
+//! Body of an answer, read with a check of its completeness.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,33 +14,33 @@
 use crate::endpoint::Shared;
 use crate::error::{AnswerLoss, PlatformError};
 
-/// How the end of a body shows.
+/// How the HTTP message marks the end of its body.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum End {
-    Stated,
-    Unstated,
+enum BodyEnd {
+    Delimited,
+    ConnectionClose,
 }
 
-/// How far a body is read.
-enum Progress {
+/// How much of a body has been read.
+enum ReadState {
     Reading(Connection),
-    Whole,
+    Complete,
     Lost(PlatformError),
 }
 
-/// Body of an answer. Dropped before its end, it closes the connection, by which the
-/// endpoint sees that the call was given up.
+/// Body of an answer. If it is dropped before its end, the connection is closed, which tells the
+/// endpoint that the caller has abandoned the call.
 pub struct Body {
     incoming: Incoming,
-    progress: Progress,
+    state: ReadState,
     shared: Arc<Shared>,
-    end: End,
+    end: BodyEnd,
     deadline: Instant,
     bytes_left: usize,
 }
 
 impl Body {
-    /// The body of an answer whose head came over `connection`.
+    /// Creates the body of an answer whose head arrived over `connection`.
     pub(crate) fn new(
         head: &HeaderMap,
         incoming: Incoming,
@@ -49,32 +49,32 @@
         deadline: Instant,
     ) -> Body {
         Body {
-            end: end_of(head, &incoming),
+            end: end_marker(head, &incoming),
             incoming,
-            progress: Progress::Reading(connection),
+            state: ReadState::Reading(connection),
             bytes_left: shared.settings.body_bytes_max,
             shared,
             deadline,
         }
     }
 
-    /// The next bytes; `None` only at the stated end of a whole body. Once it has
-    /// failed it gives the same error again.
+    /// Returns the next bytes, or `None` at the end of a complete body. After an error, every
+    /// further call returns the same error.
     pub async fn next(&mut self) -> Result<Option<Bytes>, PlatformError> {
-        match &self.progress {
-            Progress::Reading(_) => {}
-            Progress::Whole => return Ok(None),
-            Progress::Lost(error) => return Err(error.clone()),
+        match &self.state {
+            ReadState::Reading(_) => {}
+            ReadState::Complete => return Ok(None),
+            ReadState::Lost(error) => return Err(error.clone()),
         }
         let read = self.read().await;
         if let Err(error) = &read {
-            // Closes the connection.
-            self.progress = Progress::Lost(error.clone());
+            // Drops the connection, which closes it.
+            self.state = ReadState::Lost(error.clone());
         }
         read
     }
 
-    /// The rest of the body, whole.
+    /// Reads the rest of the body. Returns an error if it is incomplete.
     pub async fn read_to_end(mut self) -> Result<Bytes, PlatformError> {
         let mut all = Vec::new();
         while let Some(bytes) = self.next().await? {
@@ -84,16 +84,16 @@
     }
 
     async fn read(&mut self) -> Result<Option<Bytes>, PlatformError> {
-        let silence = Duration::from_millis(self.shared.settings.read_timeout_ms);
+        let read_timeout = Duration::from_millis(self.shared.settings.read_timeout_ms);
         loop {
-            let wait_until = self.deadline.min(Instant::now() + silence);
+            let wait_until = self.deadline.min(Instant::now() + read_timeout);
             let frame = match timeout_at(wait_until, self.incoming.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
                 Ok(Some(Err(_))) => {
                     return Err(PlatformError::OutcomeUnknown(AnswerLoss::ClosedMidAnswer));
                 }
-                Ok(None) => return self.ended(),
-                Err(_) => return Err(self.late(wait_until)),
+                Ok(None) => return self.finish(),
+                Err(_) => return Err(self.timeout_error(wait_until)),
             };
             if let Ok(bytes) = frame.into_data() {
                 return self.within_limit(bytes).map(Some);
@@ -108,18 +108,18 @@
         Ok(bytes)
     }
 
-    fn ended(&mut self) -> Result<Option<Bytes>, PlatformError> {
-        if self.end == End::Unstated {
+    fn finish(&mut self) -> Result<Option<Bytes>, PlatformError> {
+        if self.end == BodyEnd::ConnectionClose {
             return Err(PlatformError::OutcomeUnknown(AnswerLoss::NoStatedEnd));
         }
-        let progress = std::mem::replace(&mut self.progress, Progress::Whole);
-        if let Progress::Reading(connection) = progress {
-            self.shared.idle.keep(connection.now_idle());
+        let state = std::mem::replace(&mut self.state, ReadState::Complete);
+        if let ReadState::Reading(connection) = state {
+            self.shared.idle.put(connection.into_idle());
         }
         Ok(None)
     }
 
-    fn late(&self, wait_until: Instant) -> PlatformError {
+    fn timeout_error(&self, wait_until: Instant) -> PlatformError {
         self.shared.idle.clear();
         let deadline_passed = wait_until == self.deadline;
         PlatformError::OutcomeUnknown(if deadline_passed {
@@ -130,8 +130,12 @@
     }
 }
 
-fn end_of(headers: &HeaderMap, incoming: &Incoming) -> End {
+fn end_marker(headers: &HeaderMap, incoming: &Incoming) -> BodyEnd {
     let chunked = headers.contains_key(TRANSFER_ENCODING);
-    let stated = chunked || incoming.is_end_stream() || incoming.size_hint().exact().is_some();
-    if stated { End::Stated } else { End::Unstated }
+    let delimited = chunked || incoming.is_end_stream() || incoming.size_hint().exact().is_some();
+    if delimited {
+        BodyEnd::Delimited
+    } else {
+        BodyEnd::ConnectionClose
+    }
 }
--- a/components/adapters/src/client.rs
+++ b/components/adapters/src/client.rs
@@ -1,4 +1,4 @@
-//! JSON exchanges with one outside system, each with its deadline.
+//! JSON requests to one outside system, each with a deadline.
 
 use std::net::SocketAddr;
 
@@ -15,11 +15,11 @@
 /// Limits of the exchanges with one outside system.
 #[value]
 pub struct ClientSettings {
-    /// Longest time to connect.
+    /// Longest time to connect, in milliseconds.
     pub connect_timeout_ms: u64,
-    /// Deadline of one exchange; a long poll adds its own wait.
+    /// Deadline of one exchange, in milliseconds; a long poll adds its waiting time.
     pub deadline_ms: u64,
-    /// Largest answer.
+    /// Largest body of an answer, in bytes.
     pub body_bytes_max: usize,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Connections to one outside system.
+/// HTTP client of one outside system; clones share its connections.
 #[derive(Clone)]
 pub(crate) struct Client {
     endpoint: Endpoint,
@@ -53,12 +53,12 @@
         }
     }
 
-    /// Deadline of an exchange that answers at once.
+    /// Deadline of an exchange that isn't a long poll, in milliseconds.
     pub(crate) fn deadline_ms(&self) -> u64 {
         self.deadline_ms
     }
 
-    /// GET, answered by bytes.
+    /// Sends a GET request and returns the body of the answer.
     pub(crate) async fn get_bytes(
         &self,
         path: String,
@@ -67,7 +67,7 @@
         self.exchange(Request::new("GET", path), deadline_ms).await
     }
 
-    /// GET, answered by JSON.
+    /// Sends a GET request and parses the answer as JSON.
     pub(crate) async fn get<T: DeserializeOwned>(
         &self,
         path: String,
@@ -76,8 +76,8 @@
         parse(&self.get_bytes(path, deadline_ms).await?)
     }
 
-    /// POST of a JSON document; the answer's body does not matter.
-    pub(crate) async fn order(
+    /// Sends a JSON document by POST and returns the body of the answer.
+    pub(crate) async fn post_for_bytes(
         &self,
         path: &str,
         document: &impl Serialize,
@@ -86,24 +86,24 @@
         let body = serde_json::to_vec(document)
             .map_err(|_| PlatformError::Malformed(MalformedPart::Json))?;
         let request = Request {
-            headers: vec![json_content()],
+            headers: vec![json_content_type()],
             body: Bytes::from(body),
             ..Request::new("POST", path)
         };
         self.exchange(request, deadline_ms).await
     }
 
-    /// POST of a JSON document, answered by JSON.
+    /// Sends a JSON document by POST and parses the answer as JSON.
     pub(crate) async fn post<T: DeserializeOwned>(
         &self,
         path: &str,
         document: &impl Serialize,
         deadline_ms: u64,
     ) -> Result<T, PlatformError> {
-        parse(&self.order(path, document, deadline_ms).await?)
+        parse(&self.post_for_bytes(path, document, deadline_ms).await?)
     }
 
-    /// Any request; a status that is no success is a refusal.
+    /// Sends any request. A status outside 200 to 299 is returned as a refusal.
     pub(crate) async fn exchange(
         &self,
         request: Request,
@@ -113,23 +113,23 @@
         if (200..300).contains(&response.head.status) {
             return response.body.read_to_end().await;
         }
-        let refusal = refused(&response.head);
-        // Reading the rest only lets the connection be used again.
+        let refusal = refusal_of(&response.head);
+        // The body is read only to make the connection reusable, so that errors don't matter.
         let _ = response.body.read_to_end().await;
         Err(refusal)
     }
 }
 
-/// JSON from an answer's body.
+/// Parses an answer's body as JSON.
 pub(crate) fn parse<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, PlatformError> {
     serde_json::from_slice(bytes).map_err(|_| PlatformError::Malformed(MalformedPart::Json))
 }
 
-fn json_content() -> (String, String) {
+fn json_content_type() -> (String, String) {
     ("content-type".to_owned(), "application/json".to_owned())
 }
 
-fn refused(head: &AnswerHead) -> PlatformError {
+fn refusal_of(head: &AnswerHead) -> PlatformError {
     let retry_after_s = head
         .header("retry-after")
         .and_then(|text| text.trim().parse::<u32>().ok());
--- a/components/adapters/src/connection.rs
+++ b/components/adapters/src/connection.rs
@@ -1,8 +1,8 @@
 //! One HTTP/1.1 connection.
 //!
-//! The connection's driver runs in a task of its own, which ends with the value: who
-//! drops a [`Connection`] in the middle of an exchange closes the socket, and the other
-//! side sees that the exchange was given up.
+//! A task of its own drives the connection and is aborted when the [`Connection`] is dropped.
+//! Dropping a connection in the middle of an exchange thus closes the socket, which tells the other
+//! side that the exchange was abandoned.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,29 +18,29 @@
 
 use crate::error::{AnswerLoss, MalformedPart, NotSentCause, PlatformError};
 
-/// Longest head of an answer, and largest read at once.
+/// Size of the read buffer, which limits the head of an answer.
 const BUFFER_BYTES_MAX: usize = 128 * 1024;
 
-/// How long the driver of a connection gets to notice that its last exchange ended.
-const READY_WITHIN: Duration = Duration::from_millis(200);
+/// How long to wait until a connection is ready for another exchange after its last one ended.
+const READY_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A request as the connection takes it.
+/// A request in the form in which hyper sends it.
 pub(crate) type Message = http::Request<Full<Bytes>>;
 
-/// What became of a request given to a connection.
-pub(crate) enum Sent {
-    /// The answer's head is here.
+/// Outcome of sending a request over a connection.
+pub(crate) enum SendOutcome {
+    /// The head of the answer was received.
     Answer(http::Response<Incoming>),
-    /// The connection had closed, and no byte of the request was written.
+    /// The connection had closed before any byte of the request was written.
     Unsent(Message),
-    /// The exchange failed.
+    /// The exchange failed, possibly after the request was written.
     Failed(PlatformError),
 }
 
-/// Aborts the driver's task with its connection.
-struct Driver(JoinHandle<()>);
+/// Aborts the task that drives a connection when it is dropped.
+struct DriverTask(JoinHandle<()>);
 
-impl Drop for Driver {
+impl Drop for DriverTask {
     fn drop(&mut self) {
         self.0.abort();
     }
@@ -51,23 +51,23 @@
     sender: SendRequest<Full<Bytes>>,
     reused: bool,
     idle_since: Instant,
-    _driver: Driver,
+    _driver: DriverTask,
 }
 
 impl Connection {
-    /// Connects; a failure means that nothing was sent.
+    /// Connects to `address`; after an error nothing was sent.
     pub(crate) async fn open(
         address: SocketAddr,
         connect_timeout: Duration,
         deadline: Instant,
     ) -> Result<Connection, PlatformError> {
-        let connect_by = deadline.min(Instant::now() + connect_timeout);
-        let stream = match timeout_at(connect_by, TcpStream::connect(address)).await {
+        let connect_deadline = deadline.min(Instant::now() + connect_timeout);
+        let stream = match timeout_at(connect_deadline, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(_)) => return Err(PlatformError::NotSent(NotSentCause::Unreachable)),
             Err(_) => return Err(PlatformError::NotSent(NotSentCause::TimedOut)),
         };
-        // Only latency is lost where the option cannot be set.
+        // Without the option, requests only take longer.
         let _ = stream.set_nodelay(true);
         let (sender, driver) = http1::Builder::new()
             .max_buf_size(BUFFER_BYTES_MAX)
@@ -75,45 +75,50 @@
             .await
             .map_err(|_| PlatformError::NotSent(NotSentCause::Unreachable))?;
         let task = tokio::spawn(async move {
-            // The same error reaches whoever waits for the exchange.
+            // The exchange in progress gets the same error.
             let _ = driver.await;
         });
         Ok(Connection {
             sender,
             reused: false,
             idle_since: Instant::now(),
-            _driver: Driver(task),
+            _driver: DriverTask(task),
         })
     }
 
-    /// Marks the end of an exchange.
-    pub(crate) fn now_idle(mut self) -> Connection {
+    /// Marks the connection as idle after a complete exchange.
+    pub(crate) fn into_idle(mut self) -> Connection {
         self.reused = true;
         self.idle_since = Instant::now();
         self
     }
 
-    /// Whether an idle connection still looks usable.
-    pub(crate) async fn is_usable(&mut self, idle_for: Duration) -> bool {
-        if self.idle_since.elapsed() > idle_for {
+    /// Whether the connection has been idle for less than the limit and is still open.
+    pub(crate) async fn is_usable(&mut self, idle_timeout: Duration) -> bool {
+        if self.idle_since.elapsed() > idle_timeout {
             return false;
         }
-        matches!(timeout(READY_WITHIN, self.sender.ready()).await, Ok(Ok(())))
+        matches!(
+            timeout(READY_TIMEOUT, self.sender.ready()).await,
+            Ok(Ok(()))
+        )
     }
 
-    /// Writes the request and waits for the head of its answer.
+    /// Writes the request and waits for the head of the answer.
     ///
-    /// hyper hands a request back only when its connection closed before the request was
-    /// taken up for writing; that is the one case that is [`Sent::Unsent`].
-    pub(crate) async fn send(&mut self, message: Message, deadline: Instant) -> Sent {
+    /// hyper returns a request only if the connection closed before hyper began to write it. That
+    /// case is [`SendOutcome::Unsent`].
+    pub(crate) async fn send(&mut self, message: Message, deadline: Instant) -> SendOutcome {
         let sent = timeout_at(deadline, self.sender.try_send_request(message)).await;
         match sent {
-            Ok(Ok(answer)) => Sent::Answer(answer),
+            Ok(Ok(answer)) => SendOutcome::Answer(answer),
             Ok(Err(mut lost)) => match lost.take_message() {
-                Some(message) => Sent::Unsent(message),
-                None => Sent::Failed(self.classify(lost.error())),
+                Some(message) => SendOutcome::Unsent(message),
+                None => SendOutcome::Failed(self.classify(lost.error())),
             },
-            Err(_) => Sent::Failed(PlatformError::OutcomeUnknown(AnswerLoss::DeadlinePassed)),
+            Err(_) => {
+                SendOutcome::Failed(PlatformError::OutcomeUnknown(AnswerLoss::DeadlinePassed))
+            }
         }
     }
 
--- a/components/adapters/src/endpoint.rs
+++ b/components/adapters/src/endpoint.rs
@@ -1,9 +1,9 @@
-//! Calls to one address over HTTP/1.1, their answers streamed back.
+//! Calls to one address over HTTP/1.1 with streamed answers.
 //!
-//! Each exchange has a deadline that covers its connection, its head and its body. A
-//! connection is used again only after an exchange that ended at its stated end; one
-//! that missed a deadline never is, and takes the idle ones with it: whatever lost
-//! track of it between the two ends has most likely lost track of them too.
+//! Each exchange has one deadline for connecting, the head and the body. A connection is reused
+//! only after a complete exchange. An exchange that misses its deadline closes its connection and
+//! all idle ones: if a device on the path has dropped the state of one connection, it has most
+//! likely dropped that of the idle ones too.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,23 +18,23 @@
 use tokio::time::Instant;
 
 use crate::body::Body;
-use crate::connection::{Connection, Message, Sent};
+use crate::connection::{Connection, Message, SendOutcome};
 use crate::error::{AnswerLoss, NotSentCause, PlatformError};
 use crate::headers::{end_to_end_headers, is_hop_by_hop};
-use crate::idle::Idle;
+use crate::idle::IdlePool;
 
 /// Limits of the exchanges with one address.
 #[value]
 pub struct EndpointSettings {
-    /// Longest time to connect.
+    /// Longest time to connect, in milliseconds.
     pub connect_timeout_ms: u64,
-    /// Longest time without a byte inside a begun answer.
+    /// Longest time without a byte once the answer has begun, in milliseconds.
     pub read_timeout_ms: u64,
-    /// Largest body of an answer.
+    /// Largest body of an answer, in bytes.
     pub body_bytes_max: usize,
-    /// Idle connections kept at most.
+    /// IdlePool connections kept at most; the oldest is closed for a newer one.
     pub idle_connections_max: usize,
-    /// Longest time that a connection is kept idle.
+    /// Longest time that an idle connection is reusable, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -50,25 +50,25 @@
     }
 }
 
-/// A request for an endpoint.
+/// A request to an endpoint.
 #[value]
 pub struct Request {
     /// HTTP method.
     pub method: String,
     /// Path with query.
     pub path: String,
-    /// Headers; hop-by-hop ones and the length are left out or set anew.
+    /// Headers; hop-by-hop headers and the length are dropped and set by the client.
     pub headers: Vec<(String, String)>,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
-    /// Whether an idle connection may carry it. The other side may close an idle
-    /// connection just as the request is written, and then nobody knows whether it ran:
-    /// a call that must not run twice is better off with a fresh one.
+    /// Whether the request may use an idle connection. The other side may close an idle connection
+    /// just as the request is written, and then nobody knows whether the request ran: a call that
+    /// must not run twice needs a new connection.
     pub reuse: bool,
 }
 
 impl Request {
-    /// A request without headers and body, on an idle connection if there is one.
+    /// Creates a request without headers and body that may use an idle connection.
     pub fn new(method: impl Into<String>, path: impl Into<String>) -> Request {
         Request {
             method: method.into(),
@@ -90,7 +90,7 @@
 }
 
 impl AnswerHead {
-    /// First value of a header, by its name in lower case.
+    /// Returns the first value of a header, by its name in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut headers = self.headers.iter();
         headers
@@ -103,27 +103,27 @@
 pub struct Response {
     /// Status and headers.
     pub head: AnswerHead,
-    /// The body.
+    /// The body, which holds the connection until its end.
     pub body: Body,
 }
 
-/// What the clones of an endpoint and the bodies of its answers share.
+/// State shared by the clones of an endpoint and the bodies of its answers.
 pub(crate) struct Shared {
     address: SocketAddr,
     pub(crate) settings: EndpointSettings,
-    pub(crate) idle: Idle,
+    pub(crate) idle: IdlePool,
 }
 
-/// One address that calls go to; a clone shares its connections.
+/// HTTP client of one address; clones share its connections.
 #[derive(Clone)]
 pub struct Endpoint {
     shared: Arc<Shared>,
 }
 
 impl Endpoint {
-    /// An endpoint at `address`; nothing is connected yet.
+    /// Creates a client of `address` without connecting.
     pub fn new(address: SocketAddr, settings: EndpointSettings) -> Endpoint {
-        let idle = Idle::new(settings.idle_connections_max);
+        let idle = IdlePool::new(settings.idle_connections_max);
         let shared = Shared {
             address,
             settings,
@@ -134,15 +134,15 @@
         }
     }
 
-    /// Address of the endpoint.
+    /// Address that requests are sent to.
     pub fn address(&self) -> SocketAddr {
         self.shared.address
     }
 
-    /// Sends a request once and waits for the head of its answer, of any status.
+    /// Sends a request once and waits for the head of the answer, which may have any status.
     ///
-    /// [`PlatformError::NotSent`] means that no byte was written; any other error, that
-    /// the request may have reached the endpoint.
+    /// [`PlatformError::NotSent`] means that no byte was written. After any other error the request
+    /// may have reached the endpoint.
     pub async fn send(
         &self,
         request: Request,
@@ -151,8 +151,8 @@
         self.send_with_callback(request, deadline_ms, || {}).await
     }
 
-    /// The same; `before_write` is called once, right before the first byte may go out,
-    /// so that whoever keeps account of the call knows from when on it may have run.
+    /// Like [`Endpoint::send`], and calls `before_write` once, right before the first byte may be
+    /// written, so that the caller can record from when on the request may have run.
     pub async fn send_with_callback(
         &self,
         request: Request,
@@ -164,7 +164,7 @@
             return Err(PlatformError::NotSent(NotSentCause::DeadlinePassed));
         }
         let reuse = request.reuse;
-        let message = self.message(request)?;
+        let message = self.build_message(request)?;
         let exchange = self.exchange(message, reuse, deadline, before_write);
         let (connection, answer) = exchange.await?;
         self.response(connection, answer, deadline)
@@ -180,23 +180,23 @@
         let mut message = message;
         let mut before_write = Some(before_write);
         while let Some(mut connection) = self.idle_connection(reuse).await {
-            announce(&mut before_write, deadline)?;
+            notify_before_write(&mut before_write, deadline)?;
             match connection.send(message, deadline).await {
-                Sent::Answer(answer) => return Ok((connection, answer)),
-                // Closed while idle and no byte written: taking another connection
-                // repeats nothing.
-                Sent::Unsent(back) => message = back,
-                Sent::Failed(error) => return Err(self.failed(error)),
+                SendOutcome::Answer(answer) => return Ok((connection, answer)),
+                // The connection had closed while idle and no byte was written, so that sending
+                // over another connection doesn't repeat the request.
+                SendOutcome::Unsent(unsent) => message = unsent,
+                SendOutcome::Failed(error) => return Err(self.handle_failure(error)),
             }
         }
         let connect_timeout = Duration::from_millis(self.shared.settings.connect_timeout_ms);
         let mut connection =
             Connection::open(self.shared.address, connect_timeout, deadline).await?;
-        announce(&mut before_write, deadline)?;
+        notify_before_write(&mut before_write, deadline)?;
         match connection.send(message, deadline).await {
-            Sent::Answer(answer) => Ok((connection, answer)),
-            Sent::Unsent(_) => Err(PlatformError::NotSent(NotSentCause::Unreachable)),
-            Sent::Failed(error) => Err(self.failed(error)),
+            SendOutcome::Answer(answer) => Ok((connection, answer)),
+            SendOutcome::Unsent(_) => Err(PlatformError::NotSent(NotSentCause::Unreachable)),
+            SendOutcome::Failed(error) => Err(self.handle_failure(error)),
         }
     }
 
@@ -204,24 +204,25 @@
         if !reuse {
             return None;
         }
-        let idle_for = Duration::from_millis(self.shared.settings.idle_timeout_ms);
+        let idle_timeout = Duration::from_millis(self.shared.settings.idle_timeout_ms);
         while let Some(mut connection) = self.shared.idle.take() {
-            if connection.is_usable(idle_for).await {
+            if connection.is_usable(idle_timeout).await {
                 return Some(connection);
             }
         }
         None
     }
 
-    fn failed(&self, error: PlatformError) -> PlatformError {
+    fn handle_failure(&self, error: PlatformError) -> PlatformError {
         if error == PlatformError::OutcomeUnknown(AnswerLoss::DeadlinePassed) {
             self.shared.idle.clear();
         }
         error
     }
 
-    fn message(&self, request: Request) -> Result<Message, PlatformError> {
-        build(request, self.shared.address).ok_or(PlatformError::NotSent(NotSentCause::BadRequest))
+    fn build_message(&self, request: Request) -> Result<Message, PlatformError> {
+        build_http_request(request, self.shared.address)
+            .ok_or(PlatformError::NotSent(NotSentCause::BadRequest))
     }
 
     fn response(
@@ -246,9 +247,9 @@
     }
 }
 
-/// Says that a request is about to be written. A process that was frozen while it
-/// connected wakes after the deadline, and then nobody waits for the answer any more.
-fn announce(
+/// Calls `before_write` unless the deadline has passed. A process that was suspended while it
+/// connected may resume after the deadline, when nobody waits for the answer any more.
+fn notify_before_write(
     before_write: &mut Option<impl FnOnce()>,
     deadline: Instant,
 ) -> Result<(), PlatformError> {
@@ -261,7 +262,7 @@
     Ok(())
 }
 
-fn build(request: Request, address: SocketAddr) -> Option<Message> {
+fn build_http_request(request: Request, address: SocketAddr) -> Option<Message> {
     let method = Method::from_bytes(request.method.as_bytes()).ok()?;
     if !request.path.starts_with('/') {
         return None;
--- a/components/adapters/src/engine.rs
+++ b/components/adapters/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine's control interface: orders, read-back, load and cache reports.
+//! A model engine's control interface: orders, its state, and reports on load and prefix cache.
 
 use std::net::SocketAddr;
 
@@ -9,77 +9,77 @@
 use crate::client::{Client, ClientSettings};
 use crate::error::PlatformError;
 
-/// One model as an engine hosts it.
+/// A model on an engine.
 #[wire]
 pub struct EngineModel {
-    /// Name of the model.
+    /// Name of the model at the engine.
     pub model: String,
-    /// Version that serves.
+    /// Version that serves calls.
     #[serde(with = "version_text")]
     pub version: WeightVersion,
-    /// Versions in memory, ready to switch to.
+    /// Versions in memory, to which the engine can switch.
     #[serde(with = "version_texts")]
     pub loaded: Vec<WeightVersion>,
 }
 
-/// What an engine says of itself.
+/// State of an engine.
 #[wire]
 pub struct EngineState {
-    /// Grows with each start of the engine.
+    /// Increases with each start of the engine.
     pub life: u64,
-    /// The models on it.
+    /// The models that the engine hosts.
     pub models: Vec<EngineModel>,
 }
 
-/// An engine's load; it lags behind by `age_ms`.
+/// An engine's load as it was `age_ms` ago.
 #[wire]
 #[derive(Copy, Default)]
 pub struct LoadReport {
     /// Sequences in the batch.
     pub running: u32,
-    /// Sequences that wait for a place in it.
+    /// Sequences that wait for a slot in the batch.
     pub waiting: u32,
-    /// Prompt tokens of those that wait.
+    /// Prompt tokens of the waiting sequences.
     pub prompt_tokens_queued: u64,
-    /// Share of the KV cache's memory that sequences hold, in thousandths.
+    /// Share of the KV cache's memory that sequences occupy, in thousandths.
     pub kv_used_permille: u32,
-    /// How old the figures are.
+    /// Age of the figures, in milliseconds.
     pub age_ms: u64,
 }
 
-/// What happened to a block of the prefix cache.
+/// How the prefix cache changed.
 #[wire_key]
 #[serde(rename_all = "lowercase")]
 pub enum CacheEventKind {
-    /// The block is in the cache.
+    /// The block was added to the cache.
     Stored,
-    /// The block left the cache.
+    /// The block was evicted from the cache.
     Removed,
 }
 
 /// One change of the prefix cache.
 #[wire]
 pub struct CacheEvent {
-    /// Number of the event; a jump means that events are lost.
+    /// Sequence number of the event; a gap means that events were lost.
     pub seq: u64,
-    /// What happened.
+    /// Whether the block was added or evicted.
     pub kind: CacheEventKind,
-    /// The block (see [`crate::prefix_blocks`]).
+    /// Hash of the block (see [`crate::prefix_blocks`]).
     #[serde(deserialize_with = "block_from_hex", serialize_with = "block_to_hex")]
     pub block: u64,
 }
 
-/// Cache events from one number on.
+/// Cache events from a sequence number on.
 #[wire]
 pub struct CachePage {
-    /// Number to ask from next.
+    /// Sequence number from which to read next.
     pub next: u64,
-    /// The events that are known by now.
+    /// Events from the requested sequence number on that the engine has recorded so far.
     pub events: Vec<CacheEvent>,
 }
 
 #[derive(Serialize)]
-struct Order<'a> {
+struct OrderRequest<'a> {
     model: &'a str,
     #[serde(with = "version_text")]
     version: WeightVersion,
@@ -87,27 +87,27 @@
 }
 
 #[derive(Serialize)]
-struct Cancel<'a> {
+struct CancelRequest<'a> {
     request_id: &'a str,
 }
 
-/// Client of one engine's control interface; a clone shares its connections.
+/// Client of one engine's control interface; clones share its connections.
 #[derive(Clone)]
 pub struct Engine {
     client: Client,
 }
 
 impl Engine {
-    /// A client of the engine at `address`.
+    /// Creates a client of the engine at `address`.
     pub fn new(address: SocketAddr, settings: &ClientSettings) -> Engine {
         Engine {
             client: Client::new(address, settings),
         }
     }
 
-    /// Loads a version into memory beside the serving one. Loading takes long, so the
-    /// deadline is the caller's. Refused with 409 for an old fencing number, where the
-    /// engine checks it, and with 503 when the weight store gives nothing.
+    /// Loads a version into memory beside the serving one. Loading takes long, so that the caller
+    /// sets the deadline. The engine refuses with 409 for an outdated fencing token, if it checks
+    /// tokens, and with 503 if the weight store is unavailable.
     pub async fn load(
         &self,
         model: &str,
@@ -115,12 +115,12 @@
         fence: u64,
         deadline_ms: u64,
     ) -> Result<(), PlatformError> {
-        self.order("/engine/load", model, version, fence, deadline_ms)
+        self.send_order("/engine/load", model, version, fence, deadline_ms)
             .await
     }
 
-    /// Makes a loaded version the serving one. Whatever the answer, only
-    /// [`Engine::state`] tells which version serves.
+    /// Makes a loaded version the serving one. Only [`Engine::state`] tells which version serves
+    /// afterwards, whatever the answer is.
     pub async fn switch(
         &self,
         model: &str,
@@ -128,11 +128,11 @@
         fence: u64,
         deadline_ms: u64,
     ) -> Result<(), PlatformError> {
-        self.order("/engine/switch", model, version, fence, deadline_ms)
+        self.send_order("/engine/switch", model, version, fence, deadline_ms)
             .await
     }
 
-    /// Reads back what the engine hosts.
+    /// Reads the engine's models and versions.
     pub async fn state(&self) -> Result<EngineState, PlatformError> {
         let deadline_ms = self.client.deadline_ms();
         self.client
@@ -140,17 +140,17 @@
             .await
     }
 
-    /// Gives up the sequences of a request; no error if there are none.
+    /// Cancels the sequences of a request; succeeds if there are none.
     pub async fn cancel(&self, request_id: &str) -> Result<(), PlatformError> {
         let deadline_ms = self.client.deadline_ms();
-        let cancel = Cancel { request_id };
+        let cancel = CancelRequest { request_id };
         self.client
-            .order("/engine/cancel", &cancel, deadline_ms)
+            .post_for_bytes("/engine/cancel", &cancel, deadline_ms)
             .await?;
         Ok(())
     }
 
-    /// The engine's load.
+    /// Reads the engine's load.
     pub async fn load_report(&self) -> Result<LoadReport, PlatformError> {
         let deadline_ms = self.client.deadline_ms();
         self.client
@@ -158,7 +158,7 @@
             .await
     }
 
-    /// Changes of the prefix cache from the event `from` on. Not wired yet; see
+    /// Reads the changes of the prefix cache from the event `from` on. Unused so far; see
     /// `routing::PrefixTracker`.
     pub async fn cache_events(&self, from: u64) -> Result<CachePage, PlatformError> {
         let path = format!("/engine/cache-events?from={from}");
@@ -166,7 +166,7 @@
         self.client.get(path, deadline_ms).await
     }
 
-    async fn order(
+    async fn send_order(
         &self,
         path: &str,
         model: &str,
@@ -174,12 +174,14 @@
         fence: u64,
         deadline_ms: u64,
     ) -> Result<(), PlatformError> {
-        let order = Order {
+        let order = OrderRequest {
             model,
             version,
             fence,
         };
-        self.client.order(path, &order, deadline_ms).await?;
+        self.client
+            .post_for_bytes(path, &order, deadline_ms)
+            .await?;
         Ok(())
     }
 }
@@ -193,7 +195,7 @@
     serializer.collect_str(&format_args!("{block:016x}"))
 }
 
-/// A version as `EPOCH.VERSION`.
+/// Serializes a version as `EPOCH.VERSION`.
 pub(crate) mod version_text {
     use serde::{Deserialize, Deserializer, Serializer};
     use types::WeightVersion;
@@ -208,7 +210,7 @@
     }
 }
 
-/// Versions as a list of `EPOCH.VERSION`.
+/// Serializes versions as a list of `EPOCH.VERSION`.
 mod version_texts {
     use serde::{Deserialize, Deserializer, Serializer};
     use types::WeightVersion;
--- a/components/adapters/src/error.rs
+++ b/components/adapters/src/error.rs
@@ -1,7 +1,7 @@
-//! What went wrong between us and an outside system.
+//! Errors of exchanges with an outside system.
 //!
-//! The one question that every caller has is whether the request may have taken
-//! effect; [`PlatformError::may_have_taken_effect`] answers it.
+//! Every caller needs to know whether the request may have taken effect;
+//! [`PlatformError::may_have_taken_effect`] tells it.
 
 use derive::{key, value};
 use quick_error::quick_error;
@@ -9,45 +9,44 @@
 /// Why no byte of a request was written.
 #[key]
 pub enum NotSentCause {
-    /// The connection was refused or could not be made.
+    /// The connection was refused or failed.
     Unreachable,
-    /// The connection was not made in time.
+    /// The connection was not established within the time limit.
     TimedOut,
-    /// The deadline was over before anything was written.
+    /// The deadline passed before anything was written.
     DeadlinePassed,
-    /// The request cannot be put into HTTP: its method, path or a header is malformed.
+    /// The method, the path or a header of the request is not valid HTTP.
     BadRequest,
 }
 
 /// How an answer was lost after the request was, or may have been, written.
 #[key]
 pub enum AnswerLoss {
-    /// The connection closed before the head of the answer was complete. `reused` says
-    /// that it had carried an earlier exchange, so the other side may have closed it as
-    /// idle.
+    /// The connection closed before the head of the answer was complete.
     ClosedBeforeAnswer {
-        /// Whether the connection had carried an earlier exchange.
+        /// Whether the connection had carried an earlier exchange, so that the other side may have
+        /// closed it as idle.
         reused: bool,
     },
-    /// The connection closed inside the answer's body.
+    /// The connection closed inside the body of the answer.
     ClosedMidAnswer,
-    /// The answer ended with neither a stated length nor a chunked end, so nobody can
-    /// tell whether it is whole.
+    /// The answer has neither a length nor a chunked encoding, so that its completeness can't be
+    /// checked.
     NoStatedEnd,
     /// The deadline of the exchange passed.
     DeadlinePassed,
-    /// No byte of a begun answer came for the longest silence allowed.
+    /// The answer had begun, and no further byte arrived within the read timeout.
     Silent,
 }
 
 /// Which part of an answer is malformed.
 #[key]
 pub enum MalformedPart {
-    /// The bytes are not HTTP.
+    /// The answer is not valid HTTP.
     Http,
-    /// A header's value is not text.
+    /// The value of a header is not UTF-8.
     Header,
-    /// The body is not the JSON that this answer must be.
+    /// The body is not JSON of the expected form.
     Json,
 }
 
@@ -56,26 +55,26 @@
     #[value]
     pub enum PlatformError {
         /// No byte of the request was written.
-        NotSent(fault: NotSentCause) {
-            display("not sent: {:?}", fault)
+        NotSent(cause: NotSentCause) {
+            display("request not sent: {:?}", cause)
         }
-        /// The other side answered with an HTTP status that is no success, and perhaps
-        /// with a time to come back.
+        /// The other side answered with a status outside 200 to 299, and perhaps with the time
+        /// after which to retry.
         #[allow(missing_docs)]
         Refused { status: u16, retry_after_ms: Option<u32> } {
-            display("refused with status {}", status)
+            display("request refused with status {}", status)
         }
-        /// The request was or may have been written, and its answer is lost or late.
+        /// The request was or may have been written, and no complete answer arrived in time.
         OutcomeUnknown(loss: AnswerLoss) {
-            display("sent, answer lost: {:?}", loss)
+            display("request sent, but no complete answer: {:?}", loss)
         }
-        /// The answer is not what the contract says.
+        /// The answer violates the protocol.
         Malformed(part: MalformedPart) {
             display("malformed answer: {:?}", part)
         }
-        /// The answer is over its limit.
+        /// The answer exceeds the size limit.
         TooLarge(limit_bytes: usize) {
-            display("the answer has more than {} bytes", limit_bytes)
+            display("answer exceeds {} bytes", limit_bytes)
         }
     }
 }
@@ -83,8 +82,8 @@
 impl PlatformError {
     /// Whether the request may have taken effect on the other side.
     ///
-    /// A refusal has none, but for the statuses that a server gives after it began
-    /// (500) or in place of one behind it (502, 504).
+    /// A refused request has no effect, except for the statuses that a server returns after it has
+    /// begun the work (500) or on behalf of another server (502, 504).
     pub fn may_have_taken_effect(&self) -> bool {
         match self {
             PlatformError::NotSent(_) => false,
--- a/components/adapters/src/headers.rs
+++ b/components/adapters/src/headers.rs
@@ -1,4 +1,4 @@
-//! Headers that belong to one connection and do not go further.
+//! Hop-by-hop headers, which are valid for one connection only.
 
 use http::header::{
     CONNECTION, EXPECT, HOST, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION, TE, TRAILER,
@@ -11,9 +11,9 @@
 const KEEP_ALIVE: &str = "keep-alive";
 const PROXY_CONNECTION: &str = "proxy-connection";
 
-/// Whether a header is for one connection only, whatever `Connection` says.
+/// Whether a header is always hop-by-hop, independent of the `Connection` header.
 pub(crate) fn is_hop_by_hop(name: &str) -> bool {
-    let of_a_connection = [
+    let always_hop_by_hop = [
         CONNECTION,
         EXPECT,
         HOST,
@@ -24,40 +24,40 @@
         TRANSFER_ENCODING,
         UPGRADE,
     ];
-    let known = of_a_connection.iter().map(http::HeaderName::as_str);
-    known
+    let names = always_hop_by_hop.iter().map(http::HeaderName::as_str);
+    names
         .chain([KEEP_ALIVE, PROXY_CONNECTION])
         .any(|other| other.eq_ignore_ascii_case(name))
 }
 
-/// Which headers of a message stay on its connection: the hop-by-hop ones, and those that
-/// its `Connection` names.
+/// Returns a predicate for the hop-by-hop headers of a message, including those that its
+/// `Connection` header names.
 pub fn hop_by_hop_predicate(headers: &HeaderMap) -> impl Fn(&HeaderName) -> bool + use<> {
-    let named = named_by_connection(headers);
+    let options = connection_options(headers);
     move |name| {
         let name = name.as_str();
-        is_hop_by_hop(name) || named.iter().any(|other| other == name)
+        is_hop_by_hop(name) || options.iter().any(|other| other == name)
     }
 }
 
-/// The headers of a message that go on to the next hop, names in lower case.
+/// Returns the headers of a message that are forwarded to the next hop, names in lower case.
 ///
-/// A value that is not UTF-8 is an error, since dropping it would change the message unseen.
+/// A value that is not UTF-8 is an error, since dropping it would silently change the message.
 pub fn end_to_end_headers(headers: &HeaderMap) -> Result<Vec<(String, String)>, PlatformError> {
-    let stays = hop_by_hop_predicate(headers);
-    let mut kept = Vec::with_capacity(headers.len());
+    let is_hop_by_hop = hop_by_hop_predicate(headers);
+    let mut forwarded = Vec::with_capacity(headers.len());
     for (name, value) in headers {
-        if stays(name) {
+        if is_hop_by_hop(name) {
             continue;
         }
         let text = std::str::from_utf8(value.as_bytes())
             .map_err(|_| PlatformError::Malformed(MalformedPart::Header))?;
-        kept.push((name.as_str().to_owned(), text.to_owned()));
+        forwarded.push((name.as_str().to_owned(), text.to_owned()));
     }
-    Ok(kept)
+    Ok(forwarded)
 }
 
-fn named_by_connection(headers: &HeaderMap) -> Vec<String> {
+fn connection_options(headers: &HeaderMap) -> Vec<String> {
     headers
         .get_all(CONNECTION)
         .iter()
--- a/components/adapters/src/idle.rs
+++ b/components/adapters/src/idle.rs
@@ -1,8 +1,8 @@
-//! Open connections that wait for their next exchange.
+//! Pool of idle connections.
 //!
-//! A handful of slots, each swapped as a whole, so that neither taking nor keeping a
-//! connection waits for anyone. The newest connection stands first; when all slots are
-//! full the oldest falls out and closes.
+//! The pool is a small array of slots, each exchanged atomically, so that neither taking nor
+//! returning a connection blocks. The newest connection is in the first slot; if all slots are
+//! full, the oldest connection is closed.
 
 use std::sync::Arc;
 
@@ -10,19 +10,19 @@
 
 use crate::connection::Connection;
 
-/// Idle connections to one address.
-pub(crate) struct Idle {
+/// IdlePool connections to one address.
+pub(crate) struct IdlePool {
     slots: Box<[ArcSwapOption<Connection>]>,
 }
 
-impl Idle {
-    /// Room for `count` connections.
-    pub(crate) fn new(count: usize) -> Idle {
+impl IdlePool {
+    /// Creates a pool for `count` connections.
+    pub(crate) fn new(count: usize) -> IdlePool {
         let slots = (0..count).map(|_| ArcSwapOption::empty()).collect();
-        Idle { slots }
+        IdlePool { slots }
     }
 
-    /// Takes the newest connection out.
+    /// Removes the newest connection and returns it.
     pub(crate) fn take(&self) -> Option<Connection> {
         self.slots
             .iter()
@@ -30,18 +30,18 @@
             .find_map(Arc::into_inner)
     }
 
-    /// Keeps a connection whose exchange ended cleanly.
-    pub(crate) fn keep(&self, connection: Connection) {
-        let mut moving = Some(Arc::new(connection));
+    /// Adds a connection after a complete exchange.
+    pub(crate) fn put(&self, connection: Connection) {
+        let mut displaced = Some(Arc::new(connection));
         for slot in &self.slots {
-            moving = slot.swap(moving);
-            if moving.is_none() {
+            displaced = slot.swap(displaced);
+            if displaced.is_none() {
                 return;
             }
         }
     }
 
-    /// Closes all of them.
+    /// Closes all idle connections.
     pub(crate) fn clear(&self) {
         for slot in &self.slots {
             slot.store(None);
--- a/components/adapters/src/lib.rs
+++ b/components/adapters/src/lib.rs
@@ -1,8 +1,8 @@
-//! Adapters to the systems outside hornbeamrock: the log, the VM list, the weight
-//! store, model engines, scorers and the endpoints that calls go to.
+//! Adapters to the systems outside hornbeamrock: the log, the VM list, the weight store, model
+//! engines, scorers, and the endpoints that calls go to.
 //!
-//! No adapter tries anything twice. An error says exactly whether the request may have
-//! reached the other side ([`PlatformError`]); whoever called decides on a retry.
+//! No adapter retries. An error tells whether the request may have reached the other side
+//! ([`PlatformError`]), and the caller decides whether to retry.
 
 mod body;
 mod client;
--- a/components/adapters/src/log.rs
+++ b/components/adapters/src/log.rs
@@ -1,4 +1,4 @@
-//! The append-only log service.
+//! Client of the append-only log service.
 
 use std::net::SocketAddr;
 
@@ -9,48 +9,48 @@
 use crate::endpoint::Request;
 use crate::error::PlatformError;
 
-/// One record.
+/// A record of a stream.
 #[wire]
 pub struct LogRecord {
-    /// Its place in the stream.
+    /// Position of the record in its stream.
     pub offset: u64,
-    /// Its text.
+    /// Content of the record.
     pub data: String,
 }
 
-/// What a read gives.
+/// Result of a read.
 #[wire]
 pub struct LogPage {
-    /// Oldest offset that the log still keeps. Above the offset that was asked for,
-    /// it says that records in between are lost to this reader.
+    /// Oldest offset that the log still keeps. If it is above the requested offset, this reader
+    /// has lost the records in between.
     pub first: u64,
-    /// Offset to read from next.
+    /// Offset from which to read next.
     pub next: u64,
-    /// The records, in the order of their offsets.
+    /// The records, ordered by offset.
     pub records: Vec<LogRecord>,
 }
 
 #[wire]
-struct Appended {
+struct AppendResponse {
     offset: u64,
 }
 
-/// Client of the log; a clone shares its connections.
+/// Client of the log; clones share its connections.
 #[derive(Clone)]
 pub struct LogClient {
     client: Client,
 }
 
 impl LogClient {
-    /// A client of the log at `address`.
+    /// Creates a client of the log at `address`.
     pub fn new(address: SocketAddr, settings: &ClientSettings) -> LogClient {
         LogClient {
             client: Client::new(address, settings),
         }
     }
 
-    /// Appends a record and gives its offset. After [`PlatformError::OutcomeUnknown`] the
-    /// record may or may not be in the log; read it back before relying on either.
+    /// Appends a record and returns its offset. After [`PlatformError::OutcomeUnknown`] the record
+    /// may or may not be in the log; the caller has to read the log to find out.
     pub async fn append(&self, stream: &str, record: &str) -> Result<u64, PlatformError> {
         let path = format!("/streams/{stream}/records");
         let request = Request {
@@ -59,12 +59,12 @@
         };
         let deadline_ms = self.client.deadline_ms();
         let answer = self.client.exchange(request, deadline_ms).await?;
-        let appended: Appended = parse(&answer)?;
-        Ok(appended.offset)
+        let response: AppendResponse = parse(&answer)?;
+        Ok(response.offset)
     }
 
-    /// Reads up to `max` records from the offset `from` on, and waits up to `wait_ms`
-    /// for the first one.
+    /// Reads up to `max` records from the offset `from` on. If there are none yet, waits up to
+    /// `wait_ms` for the first one.
     pub async fn read(
         &self,
         stream: &str,
--- a/components/adapters/src/scorer.rs
+++ b/components/adapters/src/scorer.rs
@@ -1,8 +1,7 @@
-//! A service that scores samples.
+//! Client of a service that scores samples.
 //!
-//! Not wired: a scorer is a plain service of the configuration, and the entry calls it
-//! through an agent as it does any other.
-//! The client serves tests of a scorer at its own address.
+//! Only tests use the client, to reach a scorer at its own address. In operation a scorer is a
+//! plain service of the configuration, which entries call through an agent like any other.
 
 use std::net::SocketAddr;
 
@@ -10,35 +9,35 @@
 use crate::error::PlatformError;
 
 #[derive(serde::Serialize)]
-struct Question<'a> {
+struct ScoreRequest<'a> {
     prompt: &'a str,
     completion: &'a str,
 }
 
 #[derive(serde::Deserialize)]
-struct Answer {
+struct ScoreResponse {
     score: f64,
 }
 
-/// Client of a scorer; a clone shares its connections.
+/// Client of a scorer; clones share its connections.
 #[derive(Clone)]
 pub struct Scorer {
     client: Client,
 }
 
 impl Scorer {
-    /// A client of the scorer at `address`.
+    /// Creates a client of the scorer at `address`.
     pub fn new(address: SocketAddr, settings: &ClientSettings) -> Scorer {
         Scorer {
             client: Client::new(address, settings),
         }
     }
 
-    /// Score of a completion of this prompt.
+    /// Returns the score of a completion of this prompt.
     pub async fn score(&self, prompt: &str, completion: &str) -> Result<f64, PlatformError> {
-        let question = Question { prompt, completion };
+        let request = ScoreRequest { prompt, completion };
         let deadline_ms = self.client.deadline_ms();
-        let answer: Answer = self.client.post("/score", &question, deadline_ms).await?;
-        Ok(answer.score)
+        let response: ScoreResponse = self.client.post("/score", &request, deadline_ms).await?;
+        Ok(response.score)
     }
 }
--- a/components/adapters/src/sse.rs
+++ b/components/adapters/src/sse.rs
@@ -1,8 +1,8 @@
-//! Incremental reading of a completions stream (server-sent events).
+//! Incremental parser of a completions stream (server-sent events).
 //!
-//! A chunked body may end properly though the engine died in the middle of the answer.
-//! A stream is whole only when it gave a finish reason of a completion that ran to its
-//! end and, after it, the terminator `[DONE]`. Bytes may be split anywhere.
+//! After an engine died in the middle of an answer, a chunked body may still end properly. A stream
+//! is complete only if a finish reason says that the completion ran to its end, and the terminator
+//! `[DONE]` follows. The bytes may be split anywhere.
 
 use std::collections::BTreeSet;
 
@@ -15,26 +15,26 @@
     /// Why a stream is not a completions stream.
     #[value]
     pub enum SseError {
-        /// A line over its limit.
+        /// A line exceeds the limit.
         LineTooLong(limit_bytes: usize) {
-            display("a line of the stream has more than {} bytes", limit_bytes)
+            display("line of the stream exceeds {} bytes", limit_bytes)
         }
-        /// The text over its limit.
+        /// The text exceeds the limit.
         TextTooLong(limit_bytes: usize) {
-            display("the completion has more than {} bytes", limit_bytes)
+            display("completion exceeds {} bytes", limit_bytes)
         }
-        /// A data line that is no chunk of a completion.
+        /// A data line is not a chunk of a completion.
         InvalidChunk {
-            display("a data line is no chunk of a completion")
+            display("data line is not a chunk of a completion")
         }
-        /// A stamp that is no version.
+        /// The weight version of a chunk is malformed.
         InvalidVersion(err: VersionError) {
-            display("bad weight version in a chunk: {}", err)
+            display("malformed weight version in a chunk: {}", err)
             from()
         }
-        /// A chunk after the terminator.
+        /// A chunk follows the terminator.
         AfterDone {
-            display("data after the terminator")
+            display("data line after the terminator")
         }
     }
 }
@@ -42,18 +42,18 @@
 /// Why a completion ended.
 #[key]
 pub enum FinishReason {
-    /// The model ended it.
+    /// The model ended the completion.
     Stop,
-    /// It reached the limit of its tokens.
+    /// The completion reached its maximum number of tokens.
     Length,
-    /// Anything else: cancelled, aborted. Not a whole answer.
+    /// Any other reason, such as a cancellation; the completion is incomplete.
     Other,
 }
 
 impl FinishReason {
-    /// The finish reason with this word.
-    pub fn parse(word: &str) -> FinishReason {
-        match word {
+    /// Parses the value of `finish_reason`.
+    pub fn parse(text: &str) -> FinishReason {
+        match text {
             "stop" => FinishReason::Stop,
             "length" => FinishReason::Length,
             _ => FinishReason::Other,
@@ -66,44 +66,44 @@
     }
 }
 
-/// What one chunk of a stream adds to one choice.
+/// Content that one chunk of a stream adds to one choice.
 #[value]
 pub struct Piece {
-    /// Which of the completions, where the request asked for several.
+    /// Number of the choice, if the request asked for several completions.
     pub index: u32,
     /// Text that the chunk adds.
     pub text: String,
-    /// Ids of the tokens that the chunk adds, where the engine gives them.
+    /// Ids of the tokens that the chunk adds; empty if the engine sends none.
     pub token_ids: Vec<u32>,
-    /// Version that made the chunk, where the engine stamped it.
+    /// Weight version that generated the chunk; `None` if the engine did not send it.
     pub version: Option<WeightVersion>,
-    /// FinishReason reason, in the last chunk.
+    /// Finish reason, in the last chunk of the choice.
     pub finish: Option<FinishReason>,
 }
 
-/// Reads a stream piece by piece and tells whether it is whole.
+/// Parses a stream incrementally and determines whether it is complete.
 #[value]
 pub struct Parser {
     line: Vec<u8>,
     line_bytes_max: usize,
     finish: Option<FinishReason>,
-    unfinished: BTreeSet<u32>,
-    done: bool,
+    unfinished_choices: BTreeSet<u32>,
+    terminated: bool,
 }
 
 impl Parser {
-    /// A parser that refuses lines of more than `line_bytes_max` bytes.
+    /// Creates a parser that refuses lines of more than `line_bytes_max` bytes.
     pub fn new(line_bytes_max: usize) -> Parser {
         Parser {
             line: Vec::new(),
             line_bytes_max,
             finish: None,
-            unfinished: BTreeSet::new(),
-            done: false,
+            unfinished_choices: BTreeSet::new(),
+            terminated: false,
         }
     }
 
-    /// Takes the next bytes in and gives each piece that they complete to `on_piece`.
+    /// Adds the next bytes and passes each piece that they complete to `on_piece`.
     pub fn push(
         &mut self,
         bytes: &[u8],
@@ -121,14 +121,15 @@
         self.extend(rest)
     }
 
-    /// Whether the stream gave a finish reason of a whole completion and its terminator.
+    /// Whether all choices ran to their end and the terminator was received.
     pub fn is_complete(&self) -> bool {
-        self.done
-            && self.unfinished.is_empty()
+        self.terminated
+            && self.unfinished_choices.is_empty()
             && self.finish.is_some_and(FinishReason::is_complete)
     }
 
-    /// The finish reason, once it came; of several the one that is not whole.
+    /// The finish reason, once received. Of several, the first that is [`FinishReason::Other`],
+    /// else the last.
     pub fn finish(&self) -> Option<FinishReason> {
         self.finish
     }
@@ -143,30 +144,30 @@
 
     fn line(&mut self, line: &[u8]) -> Result<Vec<Piece>, SseError> {
         let line = line.strip_suffix(b"\r").unwrap_or(line);
-        // Blank lines end an event; comments and other fields carry nothing here.
+        // Blank lines end an event; comments and other fields have no content for us.
         let Some(data) = line.strip_prefix(b"data:") else {
             return Ok(Vec::new());
         };
-        if self.done {
+        if self.terminated {
             return Err(SseError::AfterDone);
         }
         let data = data.trim_ascii();
         if data == b"[DONE]" {
-            self.done = true;
+            self.terminated = true;
             return Ok(Vec::new());
         }
         let chunk: Chunk = serde_json::from_slice(data).map_err(|_| SseError::InvalidChunk)?;
         let pieces = chunk.into_pieces()?;
-        pieces.iter().for_each(|piece| self.note(piece));
+        pieces.iter().for_each(|piece| self.record_finish(piece));
         Ok(pieces)
     }
 
-    fn note(&mut self, piece: &Piece) {
+    fn record_finish(&mut self, piece: &Piece) {
         let Some(finish) = piece.finish else {
-            self.unfinished.insert(piece.index);
+            self.unfinished_choices.insert(piece.index);
             return;
         };
-        self.unfinished.remove(&piece.index);
+        self.unfinished_choices.remove(&piece.index);
         if self.finish.is_none_or(FinishReason::is_complete) {
             self.finish = Some(finish);
         }
@@ -191,7 +192,7 @@
 }
 
 impl Chunk {
-    /// A chunk with the usage alone has no choice and so no piece.
+    /// Splits the chunk into one piece per choice. A chunk with usage data only has no choice.
     fn into_pieces(self) -> Result<Vec<Piece>, SseError> {
         let version = self.weight_version.as_deref().map(str::parse).transpose()?;
         let piece = |choice: Choice| Piece {
@@ -205,24 +206,24 @@
     }
 }
 
-/// One completion put together from its pieces.
+/// A completion assembled from its pieces.
 #[value]
 #[derive(Default)]
 pub struct Transcript {
     /// The text so far.
     pub text: String,
-    /// Ids of its tokens, where the engine gives them.
+    /// Ids of the tokens; empty if the engine sends none.
     pub token_ids: Vec<u32>,
-    /// Pieces that added text; about the tokens, for engines that give no ids.
+    /// Number of pieces with content; an estimate of the tokens if the engine sends no ids.
     pub pieces: u32,
-    /// Versions on the pieces, each once, in the order of their first piece.
+    /// Distinct weight versions of the pieces, in the order of their first use.
     pub versions: Vec<WeightVersion>,
-    /// Whether a piece with text had no stamp, so that the versions are not known.
+    /// Whether a piece with content had no version, so that `versions` may be incomplete.
     pub has_unstamped: bool,
 }
 
 impl Transcript {
-    /// Adds a piece; refuses to grow over `text_bytes_max`.
+    /// Adds a piece. Returns an error if the text would exceed `text_bytes_max`.
     pub fn add(&mut self, piece: &Piece, text_bytes_max: usize) -> Result<(), SseError> {
         if self.text.len() + piece.text.len() > text_bytes_max {
             return Err(SseError::TextTooLong(text_bytes_max));
--- a/components/adapters/src/store.rs
+++ b/components/adapters/src/store.rs
@@ -1,7 +1,7 @@
-//! The rate-limited weight store.
+//! Client of the rate-limited weight store.
 //!
-//! Not wired: engines load from the store themselves, and an agent only orders the load.
-//! The client serves the stand-in engine and tests.
+//! Only the stand-in engine and tests use the client: engines load from the store themselves, and
+//! an agent only orders the load.
 
 use std::net::SocketAddr;
 
@@ -11,22 +11,22 @@
 use crate::client::{Client, ClientSettings};
 use crate::error::PlatformError;
 
-/// Client of the weight store; a clone shares its connections.
+/// Client of the weight store; clones share its connections.
 #[derive(Clone)]
 pub struct WeightStore {
     client: Client,
 }
 
 impl WeightStore {
-    /// A client of the store at `address`.
+    /// Creates a client of the store at `address`.
     pub fn new(address: SocketAddr, settings: &ClientSettings) -> WeightStore {
         WeightStore {
             client: Client::new(address, settings),
         }
     }
 
-    /// The weights of one version; refused with 429 and a time to come back over the
-    /// store's rate.
+    /// Fetches the weights of one version. Above its rate the store refuses with 429 and the time
+    /// after which to retry.
     pub async fn fetch(&self, model: &str, version: WeightVersion) -> Result<Bytes, PlatformError> {
         let path = format!("/weights/{model}/{version}");
         let deadline_ms = self.client.deadline_ms();
--- a/components/adapters/src/vms.rs
+++ b/components/adapters/src/vms.rs
@@ -1,4 +1,4 @@
-//! The list of VMs, which lags behind what it lists.
+//! Client of the VM list, which lags behind the actual state of the VMs.
 
 use std::net::SocketAddr;
 
@@ -12,14 +12,14 @@
 #[wire_key]
 #[serde(rename_all = "lowercase")]
 pub enum VmRole {
-    /// An entry.
+    /// An entry, which receives calls from customers.
     Entry,
     /// An agent beside an endpoint.
     Agent,
 }
 
 impl VmRole {
-    /// The role with this word, if there is one.
+    /// Parses the name of a role.
     pub fn parse(text: &str) -> Option<VmRole> {
         match text {
             "entry" => Some(VmRole::Entry),
@@ -29,54 +29,54 @@
     }
 }
 
-/// State of a VM as its list has it.
+/// State of a VM according to the list.
 #[wire_key]
 #[serde(rename_all = "lowercase")]
 pub enum VmState {
-    /// It runs.
+    /// The VM runs.
     Live,
-    /// It is about to go away.
+    /// The VM is about to be removed.
     Leaving,
 }
 
-/// One VM.
+/// A VM and the process on it.
 #[wire]
 pub struct Vm {
-    /// Inner address of the process on it.
+    /// Inner address of the process.
     pub address: SocketAddr,
-    /// Which process that is.
+    /// Role of the process.
     pub role: VmRole,
     /// Failure domain of the VM.
     pub failure_domain: FailureDomain,
     /// Region of the VM.
     pub region: Region,
-    /// Its state.
+    /// State of the VM.
     pub state: VmState,
 }
 
 #[wire]
-struct Listing {
+struct VmListResponse {
     vms: Vec<Vm>,
 }
 
-/// Client of the VM list; a clone shares its connections.
+/// Client of the VM list; clones share its connections.
 #[derive(Clone)]
 pub struct VmList {
     client: Client,
 }
 
 impl VmList {
-    /// A client of the list at `address`.
+    /// Creates a client of the list at `address`.
     pub fn new(address: SocketAddr, settings: &ClientSettings) -> VmList {
         VmList {
             client: Client::new(address, settings),
         }
     }
 
-    /// All VMs that the list has now.
+    /// Reads all VMs of the list.
     pub async fn list(&self) -> Result<Vec<Vm>, PlatformError> {
         let deadline_ms = self.client.deadline_ms();
-        let listing: Listing = self.client.get("/vms".to_owned(), deadline_ms).await?;
-        Ok(listing.vms)
+        let response: VmListResponse = self.client.get("/vms".to_owned(), deadline_ms).await?;
+        Ok(response.vms)
     }
 }
--- a/components/adapters/tests/clients.rs
+++ b/components/adapters/tests/clients.rs
@@ -1,4 +1,4 @@
-//! The adapters against the stand-ins of their systems.
+//! The clients against stand-ins of the log, the VM list, the weight store, a scorer and an engine.
 
 #![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
 
@@ -16,32 +16,32 @@
 use standins::{Fault, FaultKind, Handle};
 use types::WeightVersion;
 
-const DEADLINE_MS: u64 = 20_000;
-const SHORT_MS: u64 = 300;
+const LONG_DEADLINE_MS: u64 = 20_000;
+const SHORT_DEADLINE_MS: u64 = 300;
 
-fn anywhere() -> SocketAddr {
+fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-fn patient() -> ClientSettings {
+fn long_deadline_settings() -> ClientSettings {
     ClientSettings {
-        deadline_ms: DEADLINE_MS,
+        deadline_ms: LONG_DEADLINE_MS,
         ..ClientSettings::default()
     }
 }
 
-fn impatient() -> ClientSettings {
+fn short_deadline_settings() -> ClientSettings {
     ClientSettings {
-        deadline_ms: SHORT_MS,
+        deadline_ms: SHORT_DEADLINE_MS,
         ..ClientSettings::default()
     }
 }
 
 async fn log() -> (Handle, LogClient) {
-    let handle = standins::log::start(LogSettings::new(anywhere()))
+    let handle = standins::log::start(LogSettings::new(loopback()))
         .await
         .unwrap();
-    let client = LogClient::new(handle.address, &patient());
+    let client = LogClient::new(handle.address, &long_deadline_settings());
     (handle, client)
 }
 
@@ -67,7 +67,7 @@
 async fn can_wait_for_a_record() {
     let (_handle, log) = log().await;
     let reader = log.clone();
-    let waiting = tokio::spawn(async move { reader.read("s", 0, 10, DEADLINE_MS).await });
+    let waiting = tokio::spawn(async move { reader.read("s", 0, 10, LONG_DEADLINE_MS).await });
     log.append("other", "x").await.unwrap();
     log.append("s", "one").await.unwrap();
     let page = waiting.await.unwrap().unwrap();
@@ -75,13 +75,13 @@
 }
 
 #[tokio::test]
-async fn reads_from_the_oldest_record_kept() {
+async fn reads_from_the_oldest_retained_record() {
     let settings = LogSettings {
         keep_count: 2,
-        ..LogSettings::new(anywhere())
+        ..LogSettings::new(loopback())
     };
     let handle = standins::log::start(settings).await.unwrap();
-    let log = LogClient::new(handle.address, &patient());
+    let log = LogClient::new(handle.address, &long_deadline_settings());
     for number in 0..5 {
         log.append("s", &number.to_string()).await.unwrap();
     }
@@ -90,9 +90,8 @@
     assert_eq!(page.records[0].offset, 3);
 }
 
-/// The caller sees an append whose outcome is unknown, and finds its record in the log.
-/// The log takes the record, then the connection closes without an answer. The adapter
-/// must neither say that it failed nor append a second time.
+/// Guards against an append that is reported as failed or made twice although the log has stored
+/// the record: the connection closes before the answer, so that the outcome is unknown.
 #[tokio::test]
 async fn errors_as_unknown_when_the_answer_to_an_append_is_lost() {
     let (handle, log) = log().await;
@@ -104,24 +103,28 @@
     assert_eq!(records(&log).await, ["one"]);
 }
 
-/// The caller sees its deadline pass, and later finds the record in the log. The log is
-/// slow; the caller gives up and closes its connection; the append still takes effect.
+/// Guards against a timeout that is taken for a failed append: the log is slow and stores the
+/// record after the caller has closed its connection.
 #[tokio::test]
 async fn errors_as_unknown_when_a_slow_append_takes_effect_later() {
     let (handle, log) = log().await;
-    let hasty = LogClient::new(handle.address, &impatient());
-    handle.fault(Fault::new(FaultKind::Slow).times(1).delayed(2 * SHORT_MS));
-    let error = hasty.append("s", "one").await.unwrap_err();
+    let short_deadline_client = LogClient::new(handle.address, &short_deadline_settings());
+    handle.fault(
+        Fault::new(FaultKind::Slow)
+            .times(1)
+            .delayed(2 * SHORT_DEADLINE_MS),
+    );
+    let error = short_deadline_client.append("s", "one").await.unwrap_err();
     assert_eq!(
         error,
         PlatformError::OutcomeUnknown(AnswerLoss::DeadlinePassed)
     );
-    let page = log.read("s", 0, 10, DEADLINE_MS).await.unwrap();
+    let page = log.read("s", 0, 10, LONG_DEADLINE_MS).await.unwrap();
     assert_eq!(page.records[0].data, "one");
 }
 
 #[tokio::test]
-async fn errors_by_the_kind_of_fault() {
+async fn classifies_errors_by_the_kind_of_fault() {
     struct Case {
         name: &'static str,
         fault: Fault,
@@ -146,7 +149,7 @@
             appended: 0,
         },
         Case {
-            name: "an answer cut short",
+            name: "a truncated answer",
             fault: Fault::new(FaultKind::Truncate),
             expected: PlatformError::OutcomeUnknown(AnswerLoss::ClosedMidAnswer),
             appended: 1,
@@ -155,7 +158,11 @@
     for case in cases {
         let (handle, log) = log().await;
         let silent = case.fault.kind == FaultKind::Silent;
-        let settings = if silent { impatient() } else { patient() };
+        let settings = if silent {
+            short_deadline_settings()
+        } else {
+            long_deadline_settings()
+        };
         let client = LogClient::new(handle.address, &settings);
         handle.fault(case.fault.times(1));
         let error = client.append("s", "one").await.unwrap_err();
@@ -170,7 +177,7 @@
     log.append("s", "one").await.unwrap();
     let address = handle.address;
     drop(handle);
-    // The listener closes with its task, which the runtime drops soon after.
+    // The runtime drops the task with its listener some time after the handle.
     let error = loop {
         match log.append("s", "two").await {
             Err(error @ PlatformError::NotSent(_)) => break error,
@@ -184,13 +191,13 @@
 }
 
 #[tokio::test]
-async fn errors_over_the_rate_of_the_log() {
+async fn errors_above_the_rate_limit_of_the_log() {
     let settings = LogSettings {
         appends_per_s: 1,
-        ..LogSettings::new(anywhere())
+        ..LogSettings::new(loopback())
     };
     let handle = standins::log::start(settings).await.unwrap();
-    let log = LogClient::new(handle.address, &patient());
+    let log = LogClient::new(handle.address, &long_deadline_settings());
     let refused = PlatformError::Refused {
         status: 429,
         retry_after_ms: Some(1_000),
@@ -204,7 +211,7 @@
 }
 
 #[tokio::test]
-async fn can_list_vms_late() {
+async fn can_list_vms_with_a_lag() {
     let vm: adapters::Vm = serde_json::from_str(
         r#"{"address":"127.0.0.1:9","role":"agent","failure_domain":"rennes-a",
             "region":"bretagne","state":"leaving"}"#,
@@ -212,10 +219,10 @@
     .unwrap();
     let settings = VmsSettings {
         vms: vec![vm],
-        ..VmsSettings::new(anywhere())
+        ..VmsSettings::new(loopback())
     };
     let handle = standins::vms::start(settings).await.unwrap();
-    let list = VmList::new(handle.address, &patient());
+    let list = VmList::new(handle.address, &long_deadline_settings());
     let vms = list.list().await.unwrap();
     assert_eq!(vms[0].state, VmState::Leaving);
     let endpoint = adapters::Endpoint::new(handle.address, adapters::EndpointSettings::default());
@@ -223,20 +230,20 @@
         body: r#"{"remove":["127.0.0.1:9"]}"#.into(),
         ..adapters::Request::new("POST", "/standin/vms")
     };
-    let changed = endpoint.send(change, DEADLINE_MS).await.unwrap();
+    let changed = endpoint.send(change, LONG_DEADLINE_MS).await.unwrap();
     assert_eq!(changed.head.status, 200);
-    handle.fault(Fault::new(FaultKind::Lag).delayed(DEADLINE_MS));
+    handle.fault(Fault::new(FaultKind::Lag).delayed(LONG_DEADLINE_MS));
     assert_eq!(list.list().await.unwrap().len(), 1);
     handle.clear_faults();
     assert_eq!(list.list().await.unwrap().len(), 0);
 }
 
 #[tokio::test]
-async fn errors_over_the_rate_of_the_weight_store() {
-    let handle = standins::store::start(StoreSettings::new(anywhere()))
+async fn errors_above_the_rate_limit_of_the_weight_store() {
+    let handle = standins::store::start(StoreSettings::new(loopback()))
         .await
         .unwrap();
-    let store = WeightStore::new(handle.address, &patient());
+    let store = WeightStore::new(handle.address, &long_deadline_settings());
     let version = WeightVersion::default();
     assert!(!store.fetch("m", version).await.unwrap().is_empty());
     handle.fault(Fault::new(FaultKind::StoreRate));
@@ -249,20 +256,20 @@
 
 #[tokio::test]
 async fn can_score_a_sample() {
-    let handle = standins::scorer::start(ScorerSettings::new(anywhere()))
+    let handle = standins::scorer::start(ScorerSettings::new(loopback()))
         .await
         .unwrap();
-    let scorer = Scorer::new(handle.address, &patient());
+    let scorer = Scorer::new(handle.address, &long_deadline_settings());
     let score = scorer.score("p", "c").await.unwrap();
     assert_eq!(score, standins::scorer::score("p", "c"));
 }
 
 #[tokio::test]
-async fn can_read_an_engine_back() {
-    let handle = standins::engine::start(EngineSettings::new(anywhere(), "m"))
+async fn can_read_the_state_of_an_engine() {
+    let handle = standins::engine::start(EngineSettings::new(loopback(), "m"))
         .await
         .unwrap();
-    let engine = Engine::new(handle.address, &patient());
+    let engine = Engine::new(handle.address, &long_deadline_settings());
     let state = engine.state().await.unwrap();
     assert_eq!((state.life, state.models.len()), (1, 1));
     assert_eq!(state.models[0].loaded, [WeightVersion::default()]);
--- a/components/adapters/tests/endpoint.rs
+++ b/components/adapters/tests/endpoint.rs
@@ -1,4 +1,4 @@
-//! Exchanges with an endpoint: which failure is which, and what is a whole answer.
+//! Exchanges with an endpoint: classification of failures, and completeness of answers.
 
 mod support;
 
@@ -7,12 +7,12 @@
 use adapters::{
     AnswerLoss, Endpoint, EndpointSettings, MalformedPart, NotSentCause, PlatformError, Request,
 };
-use support::{Raw, Then};
+use support::{AfterAnswer, RawServer};
 
-const LONG_MS: u64 = 20_000;
-const SHORT_MS: u64 = 300;
+const LONG_DEADLINE_MS: u64 = 20_000;
+const SHORT_DEADLINE_MS: u64 = 300;
 
-async fn whole(endpoint: &Endpoint, deadline_ms: u64) -> Result<Vec<u8>, PlatformError> {
+async fn read_answer(endpoint: &Endpoint, deadline_ms: u64) -> Result<Vec<u8>, PlatformError> {
     let response = endpoint.send(Request::new("GET", "/"), deadline_ms).await?;
     Ok(response.body.read_to_end().await?.to_vec())
 }
@@ -26,11 +26,11 @@
 }
 
 #[tokio::test]
-async fn says_what_became_of_each_exchange() {
+async fn classifies_the_outcome_of_each_exchange() {
     struct Case {
         name: &'static str,
         answer: &'static str,
-        then: Then,
+        then: AfterAnswer,
         deadline_ms: u64,
         expected: Result<&'static str, PlatformError>,
     }
@@ -38,101 +38,101 @@
     let before = AnswerLoss::ClosedBeforeAnswer { reused: false };
     let cases = [
         Case {
-            name: "whole by its stated length",
+            name: "complete by its stated length",
             answer: "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello",
-            then: Then::Hold,
-            deadline_ms: LONG_MS,
+            then: AfterAnswer::Hold,
+            deadline_ms: LONG_DEADLINE_MS,
             expected: Ok("hello"),
         },
         Case {
-            name: "whole by its chunked end",
+            name: "complete by its chunked end",
             answer: "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n",
-            then: Then::Hold,
-            deadline_ms: LONG_MS,
+            then: AfterAnswer::Hold,
+            deadline_ms: LONG_DEADLINE_MS,
             expected: Ok("hello"),
         },
         Case {
             name: "no body by its status",
             answer: "HTTP/1.1 204 No Content\r\n\r\n",
-            then: Then::Hold,
-            deadline_ms: LONG_MS,
+            then: AfterAnswer::Hold,
+            deadline_ms: LONG_DEADLINE_MS,
             expected: Ok(""),
         },
         Case {
             name: "closed before any byte of the answer",
             answer: "",
-            then: Then::Close,
-            deadline_ms: LONG_MS,
+            then: AfterAnswer::Close,
+            deadline_ms: LONG_DEADLINE_MS,
             expected: lost(before),
         },
         Case {
             name: "closed inside the head",
             answer: "HTTP/1.1 200 OK\r\ncontent-le",
-            then: Then::Close,
-            deadline_ms: LONG_MS,
+            then: AfterAnswer::Close,
+            deadline_ms: LONG_DEADLINE_MS,
             expected: lost(before),
         },
         Case {
             name: "closed before the stated length",
             answer: "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhello",
-            then: Then::Close,
-            deadline_ms: LONG_MS,
+            then: AfterAnswer::Close,
+            deadline_ms: LONG_DEADLINE_MS,
             expected: lost(AnswerLoss::ClosedMidAnswer),
         },
         Case {
             name: "closed before the chunked end",
             answer: "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n",
-            then: Then::Close,
-            deadline_ms: LONG_MS,
+            then: AfterAnswer::Close,
+            deadline_ms: LONG_DEADLINE_MS,
             expected: lost(AnswerLoss::ClosedMidAnswer),
         },
         Case {
-            name: "closed with no stated end",
+            name: "closed with neither length nor chunked encoding",
             answer: "HTTP/1.1 200 OK\r\n\r\nhello",
-            then: Then::Close,
-            deadline_ms: LONG_MS,
+            then: AfterAnswer::Close,
+            deadline_ms: LONG_DEADLINE_MS,
             expected: lost(AnswerLoss::NoStatedEnd),
         },
         Case {
             name: "silent before the answer",
             answer: "",
-            then: Then::Hold,
-            deadline_ms: SHORT_MS,
+            then: AfterAnswer::Hold,
+            deadline_ms: SHORT_DEADLINE_MS,
             expected: lost(AnswerLoss::DeadlinePassed),
         },
         Case {
             name: "silent inside the answer",
             answer: "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhello",
-            then: Then::Hold,
-            deadline_ms: SHORT_MS,
+            then: AfterAnswer::Hold,
+            deadline_ms: SHORT_DEADLINE_MS,
             expected: lost(AnswerLoss::DeadlinePassed),
         },
         Case {
-            name: "no HTTP",
+            name: "not HTTP",
             answer: "SSH-2.0-server\r\n\r\n",
-            then: Then::Hold,
-            deadline_ms: LONG_MS,
+            then: AfterAnswer::Hold,
+            deadline_ms: LONG_DEADLINE_MS,
             expected: Err(PlatformError::Malformed(MalformedPart::Http)),
         },
         Case {
             name: "over the limit of 64 bytes",
             answer: "HTTP/1.1 200 OK\r\ncontent-length: 65\r\n\r\n\
                      0123456789012345678901234567890123456789012345678901234567890123X",
-            then: Then::Hold,
-            deadline_ms: LONG_MS,
+            then: AfterAnswer::Hold,
+            deadline_ms: LONG_DEADLINE_MS,
             expected: Err(PlatformError::TooLarge(64)),
         },
         Case {
             name: "no time left",
             answer: "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello",
-            then: Then::Hold,
+            then: AfterAnswer::Hold,
             deadline_ms: 0,
             expected: Err(PlatformError::NotSent(NotSentCause::DeadlinePassed)),
         },
     ];
     for case in cases {
-        let server = Raw::start(vec![(case.answer, case.then)]).await;
-        let got = whole(&endpoint(server.address), case.deadline_ms).await;
+        let server = RawServer::start(vec![(case.answer, case.then)]).await;
+        let got = read_answer(&endpoint(server.address), case.deadline_ms).await;
         let expected = case.expected.map(|text| text.as_bytes().to_vec());
         assert_eq!(got, expected, "{}", case.name);
     }
@@ -143,14 +143,16 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
-    let error = whole(&endpoint(address), LONG_MS).await.unwrap_err();
+    let error = read_answer(&endpoint(address), LONG_DEADLINE_MS)
+        .await
+        .unwrap_err();
     assert_eq!(error, PlatformError::NotSent(NotSentCause::Unreachable));
     assert!(!error.may_have_taken_effect());
 }
 
 #[tokio::test]
-async fn errors_as_not_sent_when_the_request_is_no_http() {
-    let server = Raw::start(vec![("", Then::Hold)]).await;
+async fn errors_as_not_sent_when_the_request_is_not_valid_http() {
+    let server = RawServer::start(vec![("", AfterAnswer::Hold)]).await;
     let mut requests = [
         Request::new("G ET", "/"),
         Request::new("GET", "no-slash"),
@@ -160,7 +162,9 @@
     requests[3].headers = vec![("x-two-lines".to_owned(), "a\r\nb: c".to_owned())];
     for request in requests {
         let name = format!("{request:?}");
-        let sent = endpoint(server.address).send(request, LONG_MS).await;
+        let sent = endpoint(server.address)
+            .send(request, LONG_DEADLINE_MS)
+            .await;
         let expected = PlatformError::NotSent(NotSentCause::BadRequest);
         assert_eq!(sent.err(), Some(expected), "{name}");
     }
@@ -168,43 +172,54 @@
 }
 
 #[tokio::test]
-async fn can_use_a_connection_again_after_a_whole_answer() {
+async fn can_reuse_a_connection_after_a_complete_answer() {
     let answer = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello";
-    let server = Raw::start(vec![(answer, Then::Serve)]).await;
+    let server = RawServer::start(vec![(answer, AfterAnswer::Serve)]).await;
     let endpoint = endpoint(server.address);
     for _ in 0..3 {
-        assert_eq!(whole(&endpoint, LONG_MS).await, Ok(b"hello".to_vec()));
+        assert_eq!(
+            read_answer(&endpoint, LONG_DEADLINE_MS).await,
+            Ok(b"hello".to_vec())
+        );
     }
     assert_eq!(server.connections(), 1);
     let fresh = Request {
         reuse: false,
         ..Request::new("GET", "/")
     };
-    let response = endpoint.send(fresh, LONG_MS).await.unwrap();
+    let response = endpoint.send(fresh, LONG_DEADLINE_MS).await.unwrap();
     assert_eq!(response.head.status, 200);
     assert_eq!(server.connections(), 2);
 }
 
-/// The caller sees its deadline pass on a silent connection, and its next call answered.
-/// The first connection serves one call and then loses track of us; the second call goes
-/// over it and hears nothing. The third must not: a connection that missed a deadline is
-/// closed, so the call gets a fresh one.
+/// Guards against a client that keeps using connections which no longer carry data: the first
+/// connection answers one request and then goes silent, so that the second request misses its
+/// deadline. The third request must get a new connection.
 #[tokio::test]
-async fn errors_when_a_reused_connection_goes_silent_and_then_takes_a_fresh_one() {
+async fn errors_when_a_reused_connection_goes_silent_and_then_opens_a_new_one() {
     let answer = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello";
-    let server = Raw::start(vec![(answer, Then::Hold), (answer, Then::Serve)]).await;
+    let server = RawServer::start(vec![
+        (answer, AfterAnswer::Hold),
+        (answer, AfterAnswer::Serve),
+    ])
+    .await;
     let endpoint = endpoint(server.address);
-    assert_eq!(whole(&endpoint, LONG_MS).await, Ok(b"hello".to_vec()));
+    assert_eq!(
+        read_answer(&endpoint, LONG_DEADLINE_MS).await,
+        Ok(b"hello".to_vec())
+    );
     let late = PlatformError::OutcomeUnknown(AnswerLoss::DeadlinePassed);
-    assert_eq!(whole(&endpoint, SHORT_MS).await, Err(late));
+    assert_eq!(read_answer(&endpoint, SHORT_DEADLINE_MS).await, Err(late));
     assert_eq!(server.connections(), 1);
-    assert_eq!(whole(&endpoint, LONG_MS).await, Ok(b"hello".to_vec()));
+    assert_eq!(
+        read_answer(&endpoint, LONG_DEADLINE_MS).await,
+        Ok(b"hello".to_vec())
+    );
     assert_eq!(server.connections(), 2);
 }
 
-/// The caller sees a lost answer, once, and no second run of its call. The server takes
-/// the second request of a reused connection in and closes it without an answer. Whether
-/// the call ran cannot be known, so it is not sent again by itself.
+/// Guards against a request that runs twice: the server reads a request on a reused connection and
+/// closes it without an answer. Nobody knows whether the request ran, so it must not be resent.
 #[tokio::test]
 async fn errors_when_a_reused_connection_closes_under_a_request() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -221,31 +236,39 @@
         listener
     });
     let endpoint = endpoint(address);
-    assert_eq!(whole(&endpoint, LONG_MS).await, Ok(b"ok".to_vec()));
+    assert_eq!(
+        read_answer(&endpoint, LONG_DEADLINE_MS).await,
+        Ok(b"ok".to_vec())
+    );
     let lost = PlatformError::OutcomeUnknown(AnswerLoss::ClosedBeforeAnswer { reused: true });
-    assert_eq!(whole(&endpoint, LONG_MS).await, Err(lost));
-    // No second connection waits to be accepted.
+    assert_eq!(read_answer(&endpoint, LONG_DEADLINE_MS).await, Err(lost));
+    // There is no second connection to accept.
     let listener = server.await.unwrap().into_std().unwrap();
     assert!(listener.accept().is_err());
 }
 
 #[tokio::test]
-async fn can_take_another_connection_when_an_idle_one_was_closed() {
+async fn can_use_another_connection_when_an_idle_one_was_closed() {
     let answer = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\nconnection: close\r\n\r\nhello";
-    let server = Raw::start(vec![(answer, Then::Close)]).await;
+    let server = RawServer::start(vec![(answer, AfterAnswer::Close)]).await;
     let endpoint = endpoint(server.address);
     for _ in 0..3 {
-        assert_eq!(whole(&endpoint, LONG_MS).await, Ok(b"hello".to_vec()));
+        assert_eq!(
+            read_answer(&endpoint, LONG_DEADLINE_MS).await,
+            Ok(b"hello".to_vec())
+        );
     }
     assert_eq!(server.connections(), 3);
 }
 
 #[tokio::test]
-async fn gives_the_same_error_again_and_never_an_end() {
+async fn repeats_the_error_of_an_incomplete_body() {
     let answer = "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhello";
-    let server = Raw::start(vec![(answer, Then::Close)]).await;
+    let server = RawServer::start(vec![(answer, AfterAnswer::Close)]).await;
     let request = Request::new("GET", "/");
-    let response = endpoint(server.address).send(request, LONG_MS).await;
+    let response = endpoint(server.address)
+        .send(request, LONG_DEADLINE_MS)
+        .await;
     let mut body = response.unwrap().body;
     let lost = Err(PlatformError::OutcomeUnknown(AnswerLoss::ClosedMidAnswer));
     let first = body.next().await;
@@ -255,10 +278,10 @@
 }
 
 #[tokio::test]
-async fn keeps_headers_of_one_connection_to_itself() {
+async fn drops_hop_by_hop_headers() {
     let answer = "HTTP/1.1 200 OK\r\ncontent-length: 0\r\nkeep-alive: timeout=5\r\n\
                   connection: keep-alive, x-hop\r\nx-hop: 1\r\nx-kept: 2\r\n\r\n";
-    let mut server = Raw::start(vec![(answer, Then::Serve)]).await;
+    let mut server = RawServer::start(vec![(answer, AfterAnswer::Serve)]).await;
     let sent = [
         ("host", "elsewhere"),
         ("transfer-encoding", "chunked"),
@@ -273,7 +296,7 @@
         ..Request::new("GET", "/a?b=c")
     };
     let endpoint = endpoint(server.address);
-    let response = endpoint.send(request, LONG_MS).await.unwrap();
+    let response = endpoint.send(request, LONG_DEADLINE_MS).await.unwrap();
     let kept = [("content-length", "0"), ("x-kept", "2")];
     let kept = kept.map(|(name, value)| (name.to_owned(), value.to_owned()));
     assert_eq!(response.head.headers, kept);
--- a/components/adapters/tests/sse.rs
+++ b/components/adapters/tests/sse.rs
@@ -1,21 +1,21 @@
-//! Completions streams: what is whole, whatever the bytes' splits.
+//! Parsing of completions streams: completeness and independence of how the bytes are split.
 
 use adapters::sse::{FinishReason, Parser, Piece, SseError, Transcript};
 
 const LINE_BYTES_MAX: usize = 400;
 const TEXT_BYTES_MAX: usize = 40;
 
-/// All that a reader learns from a stream.
+/// Everything that the parser yields for a stream.
 #[derive(Clone, Debug, PartialEq)]
-struct Learned {
+struct ParsedStream {
     pieces: Vec<Piece>,
     transcript: Transcript,
     finish: Option<FinishReason>,
-    whole: bool,
+    is_complete: bool,
     error: Option<SseError>,
 }
 
-fn read<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> Learned {
+fn read<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> ParsedStream {
     let mut parser = Parser::new(LINE_BYTES_MAX);
     let mut pieces = Vec::new();
     let mut transcript = Transcript::default();
@@ -26,11 +26,11 @@
             Ok(())
         })
     });
-    Learned {
+    ParsedStream {
         pieces,
         transcript,
         finish: parser.finish(),
-        whole: pushed.is_ok() && parser.is_complete(),
+        is_complete: pushed.is_ok() && parser.is_complete(),
         error: pushed.err(),
     }
 }
@@ -38,7 +38,7 @@
 fn chunk(text: &str, finish: &str, version: &str) -> String {
     let finish = match finish {
         "" => "null".to_owned(),
-        word => format!("\"{word}\""),
+        reason => format!("\"{reason}\""),
     };
     let stamp = match version {
         "" => String::new(),
@@ -56,66 +56,66 @@
     text: &'static str,
     versions: &'static [&'static str],
     has_unstamped: bool,
-    whole: bool,
+    is_complete: bool,
     error: Option<SseError>,
 }
 
 fn cases() -> Vec<Case> {
-    let clear = |name, stream, whole| Case {
+    let stamped_case = |name, stream, is_complete| Case {
         name,
         stream,
         text: "one two",
         versions: &["1.7"],
         has_unstamped: false,
-        whole,
+        is_complete,
         error: None,
     };
     let one = chunk("one", "", "1.7");
     let two = chunk(" two", "stop", "1.7");
     let too_long = format!("data: {}\n", "x".repeat(LINE_BYTES_MAX));
     vec![
-        clear("whole", format!("{one}{two}{DONE}"), true),
-        clear("without its terminator", format!("{one}{two}"), false),
-        clear(
-            "with the terminator's line cut short",
+        stamped_case("complete", format!("{one}{two}{DONE}"), true),
+        stamped_case("without its terminator", format!("{one}{two}"), false),
+        stamped_case(
+            "with a truncated terminator line",
             format!("{one}{two}data: [DONE]"),
             false,
         ),
-        clear(
+        stamped_case(
             "without a finish reason",
             format!("{one}{}{DONE}", chunk(" two", "", "1.7")),
             false,
         ),
-        clear(
+        stamped_case(
             "cancelled by the engine",
             format!("{one}{}{DONE}", chunk(" two", "abort", "1.7")),
             false,
         ),
-        clear(
-            "with carriage returns, comments and a chunk of usage alone",
+        stamped_case(
+            "with carriage returns, comments and a chunk with usage data only",
             format!(": hi\r\nevent: x\r\n{one}{two}data:{{\"choices\":[]}}\r\n\r\n{DONE}")
                 .replace("}\n\n", "}\r\n\r\n"),
             true,
         ),
         Case {
             versions: &["1.7", "1.8"],
-            ..clear(
-                "with a switch in its middle",
+            ..stamped_case(
+                "with a weight switch in the middle",
                 format!("{one}{}{DONE}", chunk(" two", "length", "1.8")),
                 true,
             )
         },
         Case {
             has_unstamped: true,
-            ..clear(
-                "with a chunk of unknown origin",
+            ..stamped_case(
+                "with a chunk without a weight version",
                 format!("{one}{}{DONE}", chunk(" two", "stop", "")),
                 true,
             )
         },
         Case {
             error: Some(SseError::AfterDone),
-            ..clear(
+            ..stamped_case(
                 "with a chunk after the terminator",
                 format!("{one}{two}{DONE}{two}"),
                 false,
@@ -124,8 +124,8 @@
         Case {
             text: "one",
             error: Some(SseError::InvalidChunk),
-            ..clear(
-                "with something else in a data line",
+            ..stamped_case(
+                "with a data line that is not a chunk",
                 format!("{one}data: {{\"error\":\"x\"}}\n\n"),
                 false,
             )
@@ -133,13 +133,17 @@
         Case {
             text: "one",
             error: Some(SseError::LineTooLong(LINE_BYTES_MAX)),
-            ..clear("with a line too long", format!("{one}{too_long}"), false)
+            ..stamped_case(
+                "with a line above the limit",
+                format!("{one}{too_long}"),
+                false,
+            )
         },
         Case {
             text: "one",
             error: Some(SseError::TextTooLong(TEXT_BYTES_MAX)),
-            ..clear(
-                "with too much text",
+            ..stamped_case(
+                "with a text above the limit",
                 format!("{one}{}", chunk(&"x".repeat(TEXT_BYTES_MAX), "", "1.7")),
                 false,
             )
@@ -153,7 +157,7 @@
             text: "oneone two",
             versions: &["1.7"],
             has_unstamped: false,
-            whole: false,
+            is_complete: false,
             error: None,
         },
         Case {
@@ -162,7 +166,7 @@
             text: "",
             versions: &[],
             has_unstamped: false,
-            whole: false,
+            is_complete: false,
             error: None,
         },
     ]
@@ -172,31 +176,50 @@
 fn can_read_a_stream_split_at_any_byte() {
     for case in cases() {
         let bytes = case.stream.as_bytes();
-        for at in 0..=bytes.len() {
-            let learned = read([&bytes[..at], &bytes[at..]]);
-            let versions = learned.transcript.versions.iter();
+        for split_at in 0..=bytes.len() {
+            let parsed = read([&bytes[..split_at], &bytes[split_at..]]);
+            let versions = parsed.transcript.versions.iter();
             let versions: Vec<String> = versions.map(ToString::to_string).collect();
-            assert_eq!(learned.transcript.text, case.text, "{} at {at}", case.name);
-            assert_eq!(versions, case.versions, "{} at {at}", case.name);
-            let has_unstamped = learned.transcript.has_unstamped;
-            assert_eq!(has_unstamped, case.has_unstamped, "{} at {at}", case.name);
-            assert_eq!(learned.whole, case.whole, "{} at {at}", case.name);
-            assert_eq!(learned.error, case.error, "{} at {at}", case.name);
+            assert_eq!(
+                parsed.transcript.text, case.text,
+                "{} split at {split_at}",
+                case.name
+            );
+            assert_eq!(versions, case.versions, "{} split at {split_at}", case.name);
+            let has_unstamped = parsed.transcript.has_unstamped;
+            assert_eq!(
+                has_unstamped, case.has_unstamped,
+                "{} split at {split_at}",
+                case.name
+            );
+            assert_eq!(
+                parsed.is_complete, case.is_complete,
+                "{} split at {split_at}",
+                case.name
+            );
+            assert_eq!(
+                parsed.error, case.error,
+                "{} split at {split_at}",
+                case.name
+            );
         }
     }
 }
 
 #[test]
-fn is_not_whole_when_cut_anywhere() {
-    let whole = format!("{}{DONE}", chunk("one", "stop", "1.7"));
-    // The last byte is the blank line's, which adds nothing to the terminator's line.
-    for end in 0..whole.len() - 1 {
-        assert!(!read([&whole.as_bytes()[..end]]).whole, "cut at {end}");
+fn is_incomplete_when_truncated_anywhere() {
+    let stream = format!("{}{DONE}", chunk("one", "stop", "1.7"));
+    // The last byte ends the blank line, and the terminator's line is complete without it.
+    for end in 0..stream.len() - 1 {
+        assert!(
+            !read([&stream.as_bytes()[..end]]).is_complete,
+            "truncated at {end}"
+        );
     }
 }
 
 checks::seeded! {
-    fn reads_the_same_however_it_is_split(number: usize, cuts: Vec<usize>) -> bool {
+    fn parses_the_same_however_the_stream_is_split(number: usize, cuts: Vec<usize>) -> bool {
         let cases = cases();
         let bytes = cases[number % cases.len()].stream.as_bytes();
         let mut cuts: Vec<usize> = cuts.iter().map(|cut| cut % (bytes.len() + 1)).collect();
@@ -206,7 +229,7 @@
         read(parts) == read([bytes])
     }
 
-    fn takes_any_bytes_without_a_panic(parts: Vec<Vec<u8>>) -> bool {
+    fn parses_any_bytes_without_a_panic(parts: Vec<Vec<u8>>) -> bool {
         read(parts.iter().map(Vec::as_slice));
         true
     }
--- a/components/adapters/tests/support/mod.rs
+++ b/components/adapters/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A server that reads requests and writes the bytes that it is told to.
+//! A TCP server that reads requests and answers with fixed bytes.
 
 #![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
 
@@ -10,73 +10,78 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// What the server does after it has written its bytes.
+/// What the server does after it has written its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Then {
+pub enum AfterAnswer {
     /// Closes the connection.
     Close,
-    /// Says nothing more and keeps it open.
+    /// Keeps the connection open and sends nothing more.
     Hold,
-    /// Answers the next request on it with the same bytes.
+    /// Answers the next request on the connection with the same bytes.
     Serve,
 }
 
 /// A running server.
-pub struct Raw {
+pub struct RawServer {
     pub address: SocketAddr,
     pub connections: Arc<AtomicUsize>,
-    /// Heads of the requests as they came.
+    /// Heads of the received requests.
     pub requests: mpsc::UnboundedReceiver<String>,
 }
 
-impl Raw {
-    /// Starts a server whose connections answer by `answers`, one each; the last one
-    /// also stands for all later connections.
-    pub async fn start(answers: Vec<(&'static str, Then)>) -> Raw {
+impl RawServer {
+    /// Starts a server. The connection with number `n` answers with `answers[n]`; the last entry
+    /// also applies to all later connections.
+    pub async fn start(answers: Vec<(&'static str, AfterAnswer)>) -> RawServer {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let connections = Arc::new(AtomicUsize::new(0));
-        let (seen, requests) = mpsc::unbounded_channel();
+        let (request_sender, requests) = mpsc::unbounded_channel();
         let count = connections.clone();
         tokio::spawn(async move {
             loop {
                 let (stream, _) = listener.accept().await.unwrap();
                 let number = count.fetch_add(1, Ordering::SeqCst);
                 let (bytes, then) = answers[number.min(answers.len() - 1)];
-                tokio::spawn(converse(stream, bytes, then, seen.clone()));
+                tokio::spawn(serve_connection(
+                    stream,
+                    bytes,
+                    then,
+                    request_sender.clone(),
+                ));
             }
         });
-        Raw {
+        RawServer {
             address,
             connections,
             requests,
         }
     }
 
-    /// Connections made so far.
+    /// Number of connections accepted so far.
     pub fn connections(&self) -> usize {
         self.connections.load(Ordering::SeqCst)
     }
 }
 
-async fn converse(
+async fn serve_connection(
     mut stream: TcpStream,
     bytes: &'static str,
-    then: Then,
-    seen: mpsc::UnboundedSender<String>,
+    then: AfterAnswer,
+    request_sender: mpsc::UnboundedSender<String>,
 ) {
     while let Some(head) = request_head(&mut stream).await {
-        let _ = seen.send(head);
+        let _ = request_sender.send(head);
         stream.write_all(bytes.as_bytes()).await.unwrap();
         match then {
-            Then::Close => return,
-            Then::Hold => std::future::pending().await,
-            Then::Serve => {}
+            AfterAnswer::Close => return,
+            AfterAnswer::Hold => std::future::pending().await,
+            AfterAnswer::Serve => {}
         }
     }
 }
 
-/// Reads up to the blank line; the requests of these tests have no longer body.
+/// Reads up to the blank line; the requests of these tests have no body.
 async fn request_head(stream: &mut TcpStream) -> Option<String> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
--- a/components/sidecar/examples/swap.rs
+++ b/components/sidecar/examples/swap.rs
@@ -1,12 +1,13 @@
-//! How long new weights take to every replica: agents beside stand-ins of engines, a weight
-//! store that gives so many answers a second, and one process that tells one agent the news.
+//! Measures how long new weights take to reach every replica: agents beside stand-in engines, a
+//! weight store with a limited rate of answers, and one process that announces the versions to a
+//! single agent.
 //!
 //! `cargo run --release -p sidecar --example swap -- REPLICAS STORE_PER_S ROUNDS`
 //!
 //! Each round measures three times, in milliseconds: `at_once_ms` from the announcement of a
-//! version that nobody holds until all engines serve it, `held_ms` from the naming of the
-//! next one ahead of time until all hold it, and `switched_ms` from its announcement until
-//! all serve it.
+//! version that no engine has loaded until all engines serve it, `held_ms` from the announcement of
+//! the next version ahead of time until all engines have loaded it, and `switched_ms` from the
+//! announcement that this version is to be served until all engines serve it.
 
 use std::error::Error;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -26,52 +27,54 @@
 use telemetry::LogLevel;
 use types::{Incarnation, NodeId, WeightTarget, WeightVersion};
 
-type Failed = Box<dyn Error>;
+type BoxError = Box<dyn Error>;
 
 const KEY: [u8; 32] = [7; 32];
 const DOMAINS: [&str; 3] = ["rennes-a", "brest-b", "vannes-c"];
-const TEXT: &str = r#"
+const CONFIG: &str = r#"
 schema = 1
 customer = "office"
 [[service]]
 name = "redacteurs"
 kind = "model"
 "#;
-const POLL: Duration = Duration::from_millis(10);
-const PATIENCE: Duration = Duration::from_secs(300);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+const ROUND_TIMEOUT: Duration = Duration::from_secs(300);
 
 struct Fleet {
     engines: Vec<(Handle, Engine)>,
     agents: Vec<SocketAddr>,
-    teller: Udp,
+    announcer: Udp,
     node: NodeId,
     _platform: [Handle; 3],
 }
 
 #[tokio::main]
-async fn main() -> Result<(), Failed> {
+async fn main() -> Result<(), BoxError> {
     let mut args = std::env::args().skip(1);
     let mut number = |default: u64| args.next().map_or(Ok(default), |text| text.parse());
     let (replicas, per_s, rounds) = (number(24)?, number(4)?, number(3)?);
     let fleet = Fleet::start(replicas, per_s).await?;
     println!("replicas store_per_s at_once_ms held_ms switched_ms");
     for round in 0..rounds {
-        let (first, next) = (at(2 * round + 1), at(2 * round + 2));
+        let (first, next) = (weight_version(2 * round + 1), weight_version(2 * round + 2));
         let at_once_ms = fleet
-            .until(WeightTarget::serve(first), serves(first))
+            .announce_and_wait(WeightTarget::serve(first), serves(first))
             .await?;
         let ahead = WeightTarget {
             serve: first,
             load: next,
         };
-        let held_ms = fleet.until(ahead, holds(next)).await?;
-        let switched_ms = fleet.until(WeightTarget::serve(next), serves(next)).await?;
+        let held_ms = fleet.announce_and_wait(ahead, has_loaded(next)).await?;
+        let switched_ms = fleet
+            .announce_and_wait(WeightTarget::serve(next), serves(next))
+            .await?;
         println!("{replicas} {per_s} {at_once_ms} {held_ms} {switched_ms}");
     }
     Ok(())
 }
 
-fn at(version: u64) -> WeightVersion {
+fn weight_version(version: u64) -> WeightVersion {
     WeightVersion { epoch: 0, version }
 }
 
@@ -79,12 +82,12 @@
     move |model| model.version == version
 }
 
-fn holds(version: WeightVersion) -> impl Fn(&EngineModel) -> bool {
+fn has_loaded(version: WeightVersion) -> impl Fn(&EngineModel) -> bool {
     move |model| model.loaded.contains(&version)
 }
 
 impl Fleet {
-    async fn start(replicas: u64, per_s: u64) -> Result<Fleet, Failed> {
+    async fn start(replicas: u64, per_s: u64) -> Result<Fleet, BoxError> {
         let store = StoreSettings {
             per_s,
             ..StoreSettings::new(loopback())
@@ -117,26 +120,26 @@
         for sidecar in sidecars {
             tokio::spawn(sidecar.run(std::future::pending()));
         }
-        let (teller, node) = teller().await?;
-        // The agents learn of each other and of the text.
+        let (announcer, node) = announcer().await?;
+        // Time for the agents to discover each other and to read the configuration.
         tokio::time::sleep(Duration::from_secs(5)).await;
         Ok(Fleet {
             engines,
             agents: listed.iter().map(|vm| vm.address).collect(),
-            teller,
+            announcer,
             node,
             _platform: [store, log, vms],
         })
     }
 
-    /// Tells one agent the news and gives the time until all engines are as wanted.
-    async fn until(
+    /// Announces versions to one agent and measures the time until all engines match.
+    async fn announce_and_wait(
         &self,
         target: WeightTarget,
         wanted: impl Fn(&EngineModel) -> bool,
-    ) -> Result<u128, Failed> {
+    ) -> Result<u128, BoxError> {
         let began = Instant::now();
-        let news = GossipMessage::Weights {
+        let message = GossipMessage::Weights {
             customer: "office".parse()?,
             service: "redacteurs".parse()?,
             target,
@@ -144,31 +147,31 @@
         let datagram = Datagram {
             from: self.node,
             role: ProcessRole::Entry,
-            messages: vec![news],
+            messages: vec![message],
         };
-        self.teller.send(self.agents[0], &datagram).await?;
+        self.announcer.send(self.agents[0], &datagram).await?;
         for (_, engine) in &self.engines {
             while !engine.state().await?.models.iter().any(&wanted) {
-                if began.elapsed() > PATIENCE {
-                    return Err("an engine never becomes as wanted".into());
+                if began.elapsed() > ROUND_TIMEOUT {
+                    return Err("no match at an engine within the time limit".into());
                 }
-                tokio::time::sleep(POLL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(began.elapsed().as_millis())
     }
 }
 
-async fn publish(log: SocketAddr) -> Result<(), Failed> {
-    let publish = Publish::based_on("office".parse()?, None, "first", TEXT);
+async fn publish(log: SocketAddr) -> Result<(), BoxError> {
+    let publish = Publish::based_on("office".parse()?, None, "first", CONFIG);
     let record = Record::Publish(publish).to_json()?;
     let client = LogClient::new(log, &ClientSettings::default());
     client.append("config", &record).await?;
     Ok(())
 }
 
-async fn teller() -> Result<(Udp, NodeId), Failed> {
-    let settings = |address| -> Result<LinkSettings, Failed> {
+async fn announcer() -> Result<(Udp, NodeId), BoxError> {
+    let settings = |address| -> Result<LinkSettings, BoxError> {
         let node = NodeId {
             address,
             incarnation: Incarnation(1),
@@ -185,7 +188,7 @@
     Ok((udp, node))
 }
 
-fn common(log: SocketAddr, vm_list: SocketAddr, number: u64) -> Result<CommonSettings, Failed> {
+fn common(log: SocketAddr, vm_list: SocketAddr, number: u64) -> Result<CommonSettings, BoxError> {
     Ok(CommonSettings {
         inner_listen: loopback(),
         admin_listen: loopback(),
@@ -206,7 +209,7 @@
     common: CommonSettings,
     endpoint: SocketAddr,
     load_window_ms: u64,
-) -> Result<AgentSettings, Failed> {
+) -> Result<AgentSettings, BoxError> {
     Ok(AgentSettings {
         common,
         endpoint,
@@ -218,7 +221,7 @@
     })
 }
 
-fn vm(address: SocketAddr, number: u64) -> Result<Vm, Failed> {
+fn vm(address: SocketAddr, number: u64) -> Result<Vm, BoxError> {
     Ok(Vm {
         address,
         role: VmRole::Agent,
@@ -236,6 +239,6 @@
     (Ipv4Addr::LOCALHOST, 0).into()
 }
 
-fn free_address() -> Result<SocketAddr, Failed> {
+fn free_address() -> Result<SocketAddr, BoxError> {
     Ok(TcpListener::bind(loopback())?.local_addr()?)
 }
--- a/components/sidecar/src/engine_names.rs
+++ b/components/sidecar/src/engine_names.rs
@@ -8,7 +8,7 @@
 use derive::key;
 use types::{CustomerName, ServiceName};
 
-/// Builds the engine's model names, prefixed by the owner if several customers may share the engine.
+/// Builds the engine's model names, prefixed by the owner if several customers may share it.
 #[key]
 pub struct EngineNames {
     with_owner: bool,
--- a/components/sidecar/src/hosting.rs
+++ b/components/sidecar/src/hosting.rs
@@ -41,8 +41,8 @@
     /// and are owned by a permitted customer.
     ///
     /// A customer may name any pool in its own configuration. Without the check of the owner, its
-    /// callers would reach another customer's endpoint with a token of their own. The rules come from
-    /// the agent's settings, which no customer's configuration can change.
+    /// callers would reach another customer's endpoint with a token of their own. The rules come
+    /// from the agent's settings, which no customer's configuration can change.
     pub fn from_view(view: &View, rules: &HostingRules) -> Hosting {
         let placed = view.pool(&rules.pool).iter();
         let mut services: Vec<_> = placed
--- a/components/sidecar/tests/calls.rs
+++ b/components/sidecar/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls through an agent to a stand-in of its endpoint, whole and broken.
+//! Calls through an agent to a stand-in endpoint, with complete and with interrupted answers.
 #![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
 
 mod common;
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use common::{
-    Caller, Ended, OFFICE_CONFIG, Platform, TestAgent, engine_endpoint, get, loopback,
+    CallResult, Caller, OFFICE_CONFIG, Platform, TestAgent, engine_endpoint, get, loopback,
     plain_endpoint,
 };
 use protocol::Open;
@@ -16,8 +16,8 @@
 use tokio::net::TcpListener;
 use types::{Cause, Failure, RunState};
 
-// A caller who may use a model tries the engine's orders, which lie on the same port. He
-// is refused before anything leaves, and the engine's weights stay.
+// Guards against a caller of a model who reaches the engine's control interface on the same
+// port. Such calls are refused before anything is sent to the engine.
 #[tokio::test]
 async fn errors_when_a_caller_gives_orders_to_an_engine() {
     let (_platform, _endpoint, agent, caller) = start_site(EndpointKind::Model).await;
@@ -30,8 +30,8 @@
     ];
     for (method, path) in orders {
         let open = caller.open("redacteurs", method, path, "{}");
-        let Ended::Failed(failure) = caller.call(&agent, open).await else {
-            panic!("{path} went through");
+        let CallResult::Failed(failure) = caller.call(&agent, open).await else {
+            panic!("{path} was not refused");
         };
         assert_eq!(
             (failure.run, failure.cause),
@@ -41,14 +41,14 @@
     }
 }
 
-// Something between agent and endpoint has lost track of connections that were idle: they
-// carry nothing any more, and new ones work. The second consultation is answered all the
-// same; on the first one's connection its caller would wait for the whole deadline.
+// Guards against a call that waits for its whole deadline on an idle connection that no longer
+// carries data, because something between agent and endpoint has dropped its state, while new
+// connections work.
 #[tokio::test]
 async fn can_answer_a_call_when_idle_connections_are_silent() {
     let platform = Platform::start(&[]).await;
     platform.publish(OFFICE_CONFIG).await;
-    let endpoint = silent_after_one_answer().await;
+    let endpoint = endpoint_with_one_answer_per_connection().await;
     let agent = TestAgent::start(&platform, endpoint, EndpointKind::Plain).await;
     let caller = Caller::start().await;
     caller.wait_until_hosted(&agent).await;
@@ -58,12 +58,12 @@
             ..caller.open("guichet", "GET", "/applicants/7", "")
         };
         let ended = caller.call(&agent, open).await;
-        assert!(matches!(ended, Ended::Whole(200, _)), "{ended:?}");
+        assert!(matches!(ended, CallResult::Complete(200, _)), "{ended:?}");
     }
 }
 
-/// An endpoint that answers the first request of each connection and no later one.
-async fn silent_after_one_answer() -> SocketAddr {
+/// Starts an endpoint that answers only the first request of each connection.
+async fn endpoint_with_one_answer_per_connection() -> SocketAddr {
     let listener = TcpListener::bind(loopback()).await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
@@ -95,39 +95,39 @@
 }
 
 #[tokio::test]
-async fn can_pass_a_plain_call_with_its_status_and_body() {
+async fn can_relay_a_plain_call_with_its_status_and_body() {
     let (_platform, endpoint, agent, caller) = start_site(EndpointKind::Plain).await;
     let open = caller.open("guichet", "POST", "/sanctions", r#"{"applicant":"7"}"#);
-    let Ended::Whole(status, body) = caller.call(&agent, open).await else {
-        panic!("the call has no whole answer");
+    let CallResult::Complete(status, body) = caller.call(&agent, open).await else {
+        panic!("the call has no complete answer");
     };
     assert_eq!(status, 200);
     assert!(body.contains(r#""run":1"#), "{body}");
     let runs = get(endpoint.address, "/standin/runs").await;
     assert_eq!(runs, (200, r#"{"tag":1}"#.to_owned()));
-    // An answer without a body is whole, whatever length it states.
+    // The answer to HEAD has no body and is complete whatever length its head states.
     let head_only = caller
         .call(&agent, caller.open("guichet", "HEAD", "/applicants/7", ""))
         .await;
-    assert_eq!(head_only, Ended::Whole(200, String::new()));
+    assert_eq!(head_only, CallResult::Complete(200, String::new()));
 }
 
 #[tokio::test]
-async fn can_pass_completions_whole() {
+async fn can_relay_complete_completions() {
     let (_platform, _endpoint, agent, caller) = start_site(EndpointKind::Model).await;
     let unary = caller.call(&agent, caller.completion("café", false)).await;
     assert!(
-        matches!(&unary, Ended::Whole(200, body) if body.contains(r#""weight_versions":["0.0"]"#)),
+        matches!(&unary, CallResult::Complete(200, body) if body.contains(r#""weight_versions":["0.0"]"#)),
         "{unary:?}"
     );
     let stream = caller.call(&agent, caller.completion("café", true)).await;
     assert!(
-        matches!(&stream, Ended::Whole(200, body) if body.trim_end().ends_with("data: [DONE]")),
+        matches!(&stream, CallResult::Complete(200, body) if body.trim_end().ends_with("data: [DONE]")),
         "{stream:?}"
     );
 }
 
-struct Refused {
+struct RefusedCase {
     name: &'static str,
     change: fn(&mut Open),
     cause: Cause,
@@ -136,31 +136,31 @@
 #[tokio::test]
 async fn errors_when_the_call_may_not_reach_the_endpoint() {
     let cases = [
-        Refused {
+        RefusedCase {
             name: "a service of another pool",
             change: |open| open.service = "redacteurs".parse().unwrap(),
             cause: Cause::NotHosted,
         },
-        Refused {
+        RefusedCase {
             name: "another owner's service of that name",
             change: |open| open.owner = "collective".parse().unwrap(),
             cause: Cause::NotHosted,
         },
-        Refused {
-            name: "a path to the texts of all customers",
+        RefusedCase {
+            name: "a path to the configuration of all customers",
             change: |open| {
                 open.service = "config-text".parse().unwrap();
                 open.path = "/config/office".to_owned();
             },
             cause: Cause::NotHosted,
         },
-        Refused {
+        RefusedCase {
             name: "no time left",
             change: |open| open.deadline_left_ms = 0,
             cause: Cause::DeadlinePassed,
         },
-        Refused {
-            name: "a path that is none",
+        RefusedCase {
+            name: "a malformed path",
             change: |open| open.path = "no slash".to_owned(),
             cause: Cause::Malformed,
         },
@@ -170,7 +170,7 @@
         let mut open = caller.open("guichet", "POST", "/sanctions", "{}");
         (case.change)(&mut open);
         let ended = caller.call(&agent, open).await;
-        let Ended::Failed(failure) = ended else {
+        let CallResult::Failed(failure) = ended else {
             panic!("{}: {ended:?}", case.name);
         };
         assert_eq!(
@@ -184,22 +184,21 @@
     assert_eq!(runs, (200, "{}".to_owned()));
 }
 
-struct Broken {
+struct InterruptedCase {
     name: &'static str,
     fault: Fault,
     stream: bool,
     failure: Failure,
 }
 
-// The caller sees a failure that says what is known: "failed" once the engine has begun
-// its answer, "unknown" while it has only taken the request. What happens: the engine
-// cuts, ends early or dies during a completion. A proper end of the HTTP body must not
-// pass for a whole answer.
+// Guards against an incomplete answer that passes for a complete one, because the HTTP body ended
+// properly, and against a failure that claims too much: it is "failed" once the engine has begun
+// its answer, and "unknown" if the engine has only received the request.
 #[tokio::test]
-async fn errors_when_the_engine_breaks_off() {
+async fn errors_when_the_engine_ends_an_answer_early() {
     let cases = [
-        Broken {
-            name: "a stream that ends as if it were over",
+        InterruptedCase {
+            name: "a stream that ends properly but early",
             fault: Fault {
                 after: 3,
                 ..Fault::new(FaultKind::Truncate)
@@ -207,8 +206,8 @@
             stream: true,
             failure: Failure::new(RunState::Failed, Cause::Truncated),
         },
-        Broken {
-            name: "a stream that is cut",
+        InterruptedCase {
+            name: "a stream whose connection closes",
             fault: Fault {
                 after: 3,
                 ..Fault::new(FaultKind::Cut)
@@ -216,20 +215,20 @@
             stream: true,
             failure: Failure::new(RunState::Failed, Cause::EndpointLost),
         },
-        Broken {
+        InterruptedCase {
             name: "a document that ends before its stated length",
             fault: Fault::new(FaultKind::Truncate),
             stream: false,
             failure: Failure::new(RunState::Failed, Cause::EndpointLost),
         },
-        Broken {
-            name: "an answer that is lost",
+        InterruptedCase {
+            name: "a connection that closes before the answer",
             fault: Fault::new(FaultKind::AnswerLost).on("/v1/"),
             stream: false,
             failure: Failure::new(RunState::Unknown, Cause::EndpointLost),
         },
-        Broken {
-            name: "an engine that dies of the prompt",
+        InterruptedCase {
+            name: "an engine that crashes on the prompt",
             fault: Fault::new(FaultKind::CrashOn).with_text("poison"),
             stream: false,
             failure: Failure::new(RunState::Unknown, Cause::EndpointLost),
@@ -240,23 +239,23 @@
         endpoint.fault(case.fault);
         let open = caller.completion("poison", case.stream);
         let ended = caller.call(&agent, open).await;
-        assert_eq!(ended, Ended::Failed(case.failure), "{}", case.name);
+        assert_eq!(ended, CallResult::Failed(case.failure), "{}", case.name);
         endpoint.clear_faults();
         caller.wait_until_hosted(&agent).await;
     }
 }
 
-// The caller sees "not run" and may go elsewhere. What happens: the endpoint is gone
-// before the call comes, and whether the agent has noticed or only finds out while
-// connecting, nothing was written.
+// Guards against "unknown" where "not run" is certain: the endpoint has gone before the call
+// arrives, so nothing was written, whether the agent has noticed that before or finds out while
+// it connects.
 #[tokio::test]
 async fn errors_as_not_run_when_the_endpoint_is_gone() {
     let (_platform, endpoint, agent, caller) = start_site(EndpointKind::Plain).await;
     drop(endpoint);
     for _ in 0..2 {
         let open = caller.open("guichet", "POST", "/sanctions", "{}");
-        let Ended::Failed(failure) = caller.call(&agent, open).await else {
-            panic!("a dead endpoint answered");
+        let CallResult::Failed(failure) = caller.call(&agent, open).await else {
+            panic!("a crashed endpoint answered");
         };
         assert_eq!(
             (failure.run, failure.cause),
@@ -268,8 +267,8 @@
     }
 }
 
-// The caller goes away in the middle of a stream. The agent cancels at the engine, so
-// that no tokens are made for nobody.
+// Guards against an engine that generates tokens for nobody: when the caller abandons a stream,
+// the agent cancels the call at the engine.
 #[tokio::test]
 async fn can_cancel_at_the_engine() {
     let platform = Platform::start(&[]).await;
--- a/components/sidecar/tests/common/mod.rs
+++ b/components/sidecar/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! An agent on loopback between stand-ins of the platform and a caller.
+//! An agent on loopback between stand-ins of the platform's services and a caller.
 #![allow(dead_code, clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
 
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
 
 const LOOPBACK: &str = "127.0.0.1:0";
 const KEY: [u8; 32] = [7; 32];
-/// Far above what anything here takes; only a test that fails reaches it.
+/// Far longer than any step of these tests takes, so that only a failing test reaches the limit.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub const OFFICE_CONFIG: &str = r#"
@@ -50,11 +50,11 @@
     version: 2,
 };
 
-pub fn announce_version_2() -> GossipMessage {
-    announce(WeightTarget::serve(VERSION_2))
+pub fn version_2_announcement() -> GossipMessage {
+    announcement(WeightTarget::serve(VERSION_2))
 }
 
-pub fn announce(target: WeightTarget) -> GossipMessage {
+pub fn announcement(target: WeightTarget) -> GossipMessage {
     GossipMessage::Weights {
         customer: "office".parse().unwrap(),
         service: "redacteurs".parse().unwrap(),
@@ -66,7 +66,7 @@
     LOOPBACK.parse().unwrap()
 }
 
-/// The platform's services.
+/// Stand-ins of the log and the VM list.
 pub struct Platform {
     pub log: Handle,
     pub vms: Handle,
@@ -124,12 +124,12 @@
     service::start(settings).await.unwrap()
 }
 
-/// An engine whose steps take no time; with a scale above 0 they take some.
+/// Starts an engine; its steps take no time if the scale is 0.
 pub async fn engine_endpoint(scale_permille: u32) -> Handle {
     engine_with_models(scale_permille, &["redacteurs"]).await
 }
 
-/// The same with models of these names.
+/// Like [`engine_endpoint`], with models of these names.
 pub async fn engine_with_models(scale_permille: u32, models: &[&str]) -> Handle {
     let model = |name: &&str| ((*name).to_owned(), WeightVersion::default());
     let settings = EngineSettings {
@@ -139,7 +139,7 @@
     engine::start(settings).await.unwrap()
 }
 
-/// An engine that loads weights from a store.
+/// Starts an engine that loads weights from a store.
 pub async fn engine_with_store(store: SocketAddr) -> Handle {
     let settings = EngineSettings {
         store: Some(store),
@@ -159,7 +159,7 @@
     }
 }
 
-/// A running agent.
+/// An agent that runs in a task of the test.
 pub struct TestAgent {
     pub address: SocketAddr,
     pub admin: SocketAddr,
@@ -182,7 +182,7 @@
         TestAgent::start_with(settings, tuning).await
     }
 
-    /// An agent that may host services of these customers.
+    /// Starts an agent that may host services of these customers.
     pub async fn start_for(
         platform: &Platform,
         endpoint: SocketAddr,
@@ -258,7 +258,7 @@
     }
 }
 
-/// The entry's side of the links.
+/// Stands in for an entry: makes calls and sends gossip.
 pub struct Caller {
     pub links: Links,
     udp: Udp,
@@ -267,8 +267,8 @@
 
 /// How a call ended.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Ended {
-    Whole(u16, String),
+pub enum CallResult {
+    Complete(u16, String),
     Failed(Failure),
 }
 
@@ -325,21 +325,21 @@
         }
     }
 
-    pub async fn call(&self, agent: &TestAgent, open: Open) -> Ended {
+    pub async fn call(&self, agent: &TestAgent, open: Open) -> CallResult {
         let mut call = self.links.call(agent.address, open);
         read_to_end(&mut call).await
     }
 
-    pub async fn gossip(&self, agent: &TestAgent, news: GossipMessage) {
+    pub async fn gossip(&self, agent: &TestAgent, message: GossipMessage) {
         let datagram = Datagram {
             from: self.node,
             role: ProcessRole::Entry,
-            messages: vec![news],
+            messages: vec![message],
         };
         self.udp.send(agent.address, &datagram).await.unwrap();
     }
 
-    /// Probes until a status is as wanted.
+    /// Sends probes until a status matches.
     pub async fn wait_for_status(
         &self,
         agent: &TestAgent,
@@ -348,8 +348,8 @@
         let seen = async {
             loop {
                 self.gossip(agent, GossipMessage::Probe).await;
-                let heard = timeout(Duration::from_millis(50), self.status_of(agent)).await;
-                if let Ok(status) = heard
+                let received = timeout(Duration::from_millis(50), self.next_status(agent)).await;
+                if let Ok(status) = received
                     && wanted(&status)
                 {
                     return status;
@@ -358,32 +358,32 @@
         };
         timeout(TEST_TIMEOUT, seen)
             .await
-            .expect("the agent never has the wanted status")
+            .expect("no status of the agent matched in time")
     }
 
-    /// The next status that the agent sends, asked or not.
-    pub async fn status_of(&self, agent: &TestAgent) -> Status {
+    /// Waits for the next status that the agent sends, whether it was probed or not.
+    pub async fn next_status(&self, agent: &TestAgent) -> Status {
         self.next_sender_and_status(agent).await.1
     }
 
-    /// The same, with the life of the agent that sends it.
+    /// Like [`Caller::next_status`], with the node id of the sender.
     pub async fn next_sender_and_status(&self, agent: &TestAgent) -> (NodeId, Status) {
         let (from, mut statuses) = self.next_statuses(agent).await;
         (from, statuses.remove(0))
     }
 
-    /// All statuses of the next datagram that has some.
+    /// Returns all statuses of the next datagram that has any.
     pub async fn next_statuses(&self, agent: &TestAgent) -> (NodeId, Vec<Status>) {
         loop {
             let (_, datagram) = self.udp.recv().await;
-            let status_of = |news| match news {
+            let status_in = |message| match message {
                 GossipMessage::Status(status) => Some(*status),
                 _ => None,
             };
             let statuses: Vec<Status> = datagram
                 .messages
                 .into_iter()
-                .filter_map(status_of)
+                .filter_map(status_in)
                 .collect();
             if datagram.from.address == agent.address && !statuses.is_empty() {
                 return (datagram.from, statuses);
@@ -391,7 +391,7 @@
         }
     }
 
-    /// Waits until the agent hosts a service.
+    /// Waits until the agent reports a hosted service.
     pub async fn wait_until_hosted(&self, agent: &TestAgent) -> Status {
         self.wait_for_status(agent, |status| !status.hosted.is_empty())
             .await
@@ -399,34 +399,36 @@
 }
 
 /// Reads a call to its end.
-pub async fn read_to_end(call: &mut Call) -> Ended {
+pub async fn read_to_end(call: &mut Call) -> CallResult {
     let mut status = 0;
     let mut text = Vec::new();
     loop {
         match timeout(TEST_TIMEOUT, call.next())
             .await
-            .expect("the call never ends")
+            .expect("no event of the call within the time limit")
         {
             CallEvent::Head(Head { status: given, .. }) => status = given,
             CallEvent::Chunk(bytes) => text.extend_from_slice(&bytes),
-            CallEvent::End => return Ended::Whole(status, String::from_utf8(text).unwrap()),
-            CallEvent::Failed(failure) => return Ended::Failed(failure),
+            CallEvent::End => {
+                return CallResult::Complete(status, String::from_utf8(text).unwrap());
+            }
+            CallEvent::Failed(failure) => return CallResult::Failed(failure),
             CallEvent::Accepted | CallEvent::Started => {}
         }
     }
 }
 
-/// Reads a call until an event is as wanted.
+/// Reads a call until an event matches.
 pub async fn wait_for_event(call: &mut Call, wanted: impl Fn(&CallEvent) -> bool) {
     loop {
         let event = timeout(TEST_TIMEOUT, call.next())
             .await
-            .expect("the event never comes");
+            .expect("no event of the call within the time limit");
         if wanted(&event) {
             return;
         }
         let last = matches!(event, CallEvent::End | CallEvent::Failed(_));
-        assert!(!last, "the call ended before: {event:?}");
+        assert!(!last, "the call ended before the expected event: {event:?}");
     }
 }
 
--- a/components/sidecar/tests/customers.rs
+++ b/components/sidecar/tests/customers.rs
@@ -1,4 +1,4 @@
-//! Endpoints that several customers name in their texts.
+//! Endpoints that several customers name in their configuration.
 
 #![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
 
@@ -7,8 +7,8 @@
 use std::collections::BTreeSet;
 
 use common::{
-    Caller, Ended, OFFICE_CONFIG, Platform, TEST_TIMEOUT, TestAgent, VERSION_2, announce_version_2,
-    engine_with_models, get, plain_endpoint,
+    CallResult, Caller, OFFICE_CONFIG, Platform, TEST_TIMEOUT, TestAgent, VERSION_2,
+    engine_with_models, get, plain_endpoint, version_2_announcement,
 };
 use protocol::{GossipMessage, Open, Status};
 use settings::EndpointKind;
@@ -47,9 +47,9 @@
     hosted.and_then(|hosted| hosted.weights)
 }
 
-// A customer writes the Office's pool into its own text and calls the service that it put
-// there. It is refused as not run and the Office's register counts no run; the agent tells
-// no entry that it hosts the service, and goes on with the Office's own calls.
+// Guards against a customer who reaches another customer's endpoint by naming that endpoint's pool
+// in its own configuration. The call is refused as not run, the agent reports no such hosted
+// service to entries, and the owner's calls are still answered.
 #[tokio::test]
 async fn errors_when_a_customer_names_a_pool_that_is_not_open_to_it() {
     let platform = Platform::start(&[]).await;
@@ -58,14 +58,14 @@
     let endpoint = plain_endpoint(0).await;
     let agent = TestAgent::start(&platform, endpoint.address, EndpointKind::Plain).await;
     let caller = Caller::start().await;
-    // The rival's text comes first in the log, so it is judged once the Office's is.
+    // The rival's configuration comes first in the log, so it was read when the Office's is hosted.
     let status = caller
         .wait_for_status(&agent, |status| hosts(status, "office"))
         .await;
     assert!(!hosts(&status, "rival"), "{status:?}");
     let open = of_rival(caller.open("x", "POST", "/sanctions", "{}"));
-    let Ended::Failed(failure) = caller.call(&agent, open).await else {
-        panic!("a call of another customer went through");
+    let CallResult::Failed(failure) = caller.call(&agent, open).await else {
+        panic!("a call of another customer was not refused");
     };
     assert_eq!(
         (failure.run, failure.cause),
@@ -75,15 +75,15 @@
     let own = caller.open("guichet", "POST", "/sanctions", "{}");
     assert!(matches!(
         caller.call(&agent, own).await,
-        Ended::Whole(200, _)
+        CallResult::Complete(200, _)
     ));
 }
 
-// Two customers share an engine and both call their model `redacteurs`. The Office's
-// trainer announces a version: only the Office's model switches, and each customer's
-// callers are answered by their own model, whatever name they wrote.
+// Guards against two customers' models of the same name that are mixed up at a shared engine: an
+// announcement must switch its owner's model only, and each customer's calls must be answered by
+// the customer's own model.
 #[tokio::test]
-async fn can_keep_two_models_of_one_name_apart() {
+async fn can_separate_two_models_of_the_same_name() {
     let platform = Platform::start(&[]).await;
     platform.publish_for("rival", RIVAL_CONFIG).await;
     platform.publish(OFFICE_CONFIG).await;
@@ -94,7 +94,7 @@
     let caller = Caller::start().await;
     let hosted = |status: &Status| both.iter().all(|customer| hosts(status, customer));
     caller.wait_for_status(&agent, hosted).await;
-    caller.gossip(&agent, announce_version_2()).await;
+    caller.gossip(&agent, version_2_announcement()).await;
     let switched = |status: &Status| version_of(status, "office") == Some(VERSION_2);
     let status = caller.wait_for_status(&agent, switched).await;
     assert_eq!(version_of(&status, "rival"), Some(WeightVersion::default()));
@@ -105,18 +105,18 @@
             id: caller.links.next_id(),
             ..open
         };
-        let Ended::Whole(200, body) = caller.call(&agent, open).await else {
-            panic!("no whole answer");
+        let CallResult::Complete(200, body) = caller.call(&agent, open).await else {
+            panic!("the call has no complete answer");
         };
         let stamped = format!(r#""weight_versions":["{version}"]"#);
         assert!(body.contains(&stamped), "{body}");
     }
 }
 
-// Forty customers share a pool with long names. Their services need more than one datagram;
-// an entry that probes hears of all of them.
+// Guards against services that entries never learn of: the names of forty customers need more
+// space than one datagram has, and a probe must be answered with all services.
 #[tokio::test]
-async fn can_tell_of_more_services_than_a_datagram_takes() {
+async fn can_report_more_services_than_fit_into_a_datagram() {
     let platform = Platform::start(&[]).await;
     let names: Vec<String> = (0..40)
         .map(|number| format!("customer-of-the-collective-{number}"))
@@ -132,16 +132,16 @@
     let kind = EndpointKind::Plain;
     let agent = TestAgent::start_for(&platform, endpoint.address, kind, &customers).await;
     let caller = Caller::start().await;
-    let mut heard = BTreeSet::new();
+    let mut reported = BTreeSet::new();
     let all = async {
-        while heard.len() < names.len() {
+        while reported.len() < names.len() {
             caller.gossip(&agent, GossipMessage::Probe).await;
             let (_, statuses) = caller.next_statuses(&agent).await;
             let hosted = statuses.into_iter().flat_map(|status| status.hosted);
-            heard.extend(hosted.map(|hosted| hosted.customer));
+            reported.extend(hosted.map(|hosted| hosted.customer));
         }
     };
     timeout(TEST_TIMEOUT, all)
         .await
-        .expect("some services are never told of");
+        .expect("the statuses lack some services");
 }
--- a/components/sidecar/tests/decisions.rs
+++ b/components/sidecar/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! The agent's decisions that need no socket.
+//! Decisions of the agent that need no network.
 
 use adapters::{AnswerHead, AnswerLoss, MalformedPart, NotSentCause, PlatformError};
 use bytes::Bytes;
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn errors_say_no_more_than_is_known() {
+fn failures_claim_no_more_than_is_known() {
     let cases = [
         FailureCase {
             error: PlatformError::NotSent(NotSentCause::Unreachable),
@@ -73,7 +73,7 @@
 struct HealthCase {
     name: &'static str,
     results: &'static [CheckResult],
-    /// Of the last result.
+    /// Effect of the last result.
     change: HealthChange,
     up: bool,
 }
@@ -94,10 +94,10 @@
 };
 
 #[test]
-fn can_tell_a_crash_from_silence() {
+fn can_distinguish_a_crash_from_silence() {
     let cases = [
         HealthCase {
-            name: "the first answer brings it up",
+            name: "the first answer brings the endpoint up",
             results: &[FIRST_LIFE],
             change: UP_CHANGED,
             up: true,
@@ -109,7 +109,7 @@
             up: true,
         },
         HealthCase {
-            name: "the third miss takes it down, but it may live",
+            name: "the third miss takes the endpoint down without counting a crash",
             results: &[
                 FIRST_LIFE,
                 CheckResult::NoAnswer,
@@ -120,7 +120,7 @@
             up: false,
         },
         HealthCase {
-            name: "a process that is gone is a crash",
+            name: "an address without a listener is a crash",
             results: &[FIRST_LIFE, CheckResult::Unreachable],
             change: HealthChange {
                 crashed: true,
@@ -135,7 +135,7 @@
             up: true,
         },
         HealthCase {
-            name: "a restart between two looks is a crash",
+            name: "a restart between two checks is a crash",
             results: &[FIRST_LIFE, SECOND_LIFE],
             change: CRASHED,
             up: true,
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn can_tell_a_whole_stream() {
+fn can_recognize_a_complete_stream() {
     let cases = [
         StreamCase {
             name: "finish reason and terminator",
@@ -214,7 +214,7 @@
     ];
     for case in cases {
         let mut check = StreamCheck::new();
-        // Byte by byte, as a stream may be split anywhere.
+        // One byte at a time, as a stream may be split anywhere.
         let pushed = case.stream.bytes().try_for_each(|byte| check.push(&[byte]));
         assert_eq!(
             pushed.and_then(|()| check.finish()),
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn can_tell_a_whole_document() {
+fn can_recognize_a_complete_document() {
     let cases = [
         (
             r#"{"choices":[{"text":"a","finish_reason":"length"}]}"#,
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn can_tell_which_check_an_answer_needs() {
+fn can_determine_the_format_of_an_answer() {
     let head = |status, content_type: &str| AnswerHead {
         status,
         headers: vec![("content-type".to_owned(), content_type.to_owned())],
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn can_name_a_call_whatever_its_caller_wrote() {
+fn can_overwrite_model_and_request_id_in_a_body() {
     let id = CallId {
         boot: 1,
         counter: 2,
@@ -285,8 +285,8 @@
 }
 
 checks::seeded! {
-    /// However the results come, an endpoint is counted crashed only after it was up, and not
-    /// again before it has answered again.
+    /// An endpoint is counted as crashed only after it was up, and not again before it has answered
+    /// again, whatever the order of the check results.
     fn counts_each_crash_once(results: Vec<u8>) -> bool {
         let mut health_state = HealthState::default();
         let mut answered = false;
--- a/components/sidecar/tests/life.rs
+++ b/components/sidecar/tests/life.rs
@@ -1,12 +1,12 @@
-//! The agent's own life: weights, crashes of the endpoint, an outage of the log, leaving.
+//! Lifecycle of an agent: weights, crashes of the endpoint, an outage of the log, and leaving.
 #![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
 
 mod common;
 
 use common::{
-    Caller, Ended, OFFICE_CONFIG, Platform, TEST_TIMEOUT, TestAgent, VERSION_2, announce,
-    announce_version_2, engine_endpoint, engine_with_store, get, loopback, plain_endpoint,
-    read_to_end, wait_for_event,
+    CallResult, Caller, OFFICE_CONFIG, Platform, TEST_TIMEOUT, TestAgent, VERSION_2, announcement,
+    engine_endpoint, engine_with_store, get, loopback, plain_endpoint, read_to_end,
+    version_2_announcement, wait_for_event,
 };
 use link::CallEvent;
 use protocol::{GossipMessage, Open};
@@ -17,9 +17,9 @@
 use tokio::time::timeout;
 use types::{Cause, Failure, Incarnation, RunState, WeightTarget, WeightVersion};
 
-// The trainer's version is on the engine in the end, and the agent reports it only after
-// it has read it back. What happens: the first switch fails at the engine, then the
-// engine crashes and comes back on its old version.
+// Guards against an engine that stays on an old version after its first switch failed or after it
+// crashed and restarted with the old version, and against an agent that reports a version before it
+// has read it back from the engine.
 #[tokio::test]
 async fn can_bring_the_engine_to_a_version_through_a_failed_swap_and_a_crash() {
     let platform = Platform::start(&[]).await;
@@ -30,7 +30,7 @@
     let caller = Caller::start().await;
     let first = caller.wait_until_hosted(&agent).await;
     assert_eq!(first.hosted[0].weights, Some(WeightVersion::default()));
-    caller.gossip(&agent, announce_version_2()).await;
+    caller.gossip(&agent, version_2_announcement()).await;
     let serves = |status: &protocol::Status| {
         status
             .hosted
@@ -46,9 +46,8 @@
     assert!(page.contains(r#""wanted":"0.2","serving":"0.2""#), "{page}");
 }
 
-// The trainer names a version ahead of time: the engine holds it while it serves the old
-// one. Then the trainer announces it and the engine switches. The store answers nobody from
-// then on, so a load at the switch would fail.
+// Guards against a load at the time of the switch: a version announced ahead of time is loaded
+// while the old one serves, so that the later switch succeeds although the store is down.
 #[tokio::test]
 async fn can_load_a_version_ahead_and_switch_without_the_store() {
     let platform = Platform::start(&[]).await;
@@ -62,19 +61,19 @@
         serve: WeightVersion::default(),
         load: VERSION_2,
     };
-    caller.gossip(&agent, announce(ahead)).await;
+    caller.gossip(&agent, announcement(ahead)).await;
     let shows = r#""serving":"0.0","load":"0.2","loaded":true"#;
     while !get(agent.admin, "/status").await.1.contains(shows) {}
     store.fault(Fault::new(FaultKind::Outage));
-    caller.gossip(&agent, announce_version_2()).await;
+    caller.gossip(&agent, version_2_announcement()).await;
     let serves = |status: &protocol::Status| status.hosted[0].weights == Some(VERSION_2);
     caller.wait_for_status(&agent, serves).await;
 }
 
-// A non-idempotent call runs when the endpoint dies. The caller hears "unknown", the
-// next status counts one more life, and it comes without being asked for.
+// Guards against a crash that entries learn of only with the next probe: the status with the
+// higher count of crashes is sent unasked, and the call that ran is "unknown".
 #[tokio::test]
-async fn can_tell_of_a_crash_at_once() {
+async fn can_report_a_crash_without_a_probe() {
     let platform = Platform::start(&[]).await;
     platform.publish(OFFICE_CONFIG).await;
     let endpoint = plain_endpoint(60_000).await;
@@ -86,15 +85,15 @@
     wait_for_event(&mut call, |event| *event == CallEvent::Started).await;
     while get(endpoint.address, "/standin/runs").await.1 == "{}" {}
     endpoint.crash(600_000);
-    let Ended::Failed(failure) = read_to_end(&mut call).await else {
-        panic!("a dead endpoint answered");
+    let CallResult::Failed(failure) = read_to_end(&mut call).await else {
+        panic!("a crashed endpoint answered");
     };
     assert_eq!(
         (failure.run, failure.cause),
         (RunState::Unknown, Cause::EndpointLost)
     );
     loop {
-        let status = caller.status_of(&agent).await;
+        let status = caller.next_status(&agent).await;
         if status.endpoint_life == 1 {
             assert!(status.hosted.is_empty());
             break;
@@ -102,11 +101,11 @@
     }
 }
 
-// The endpoint takes a sanction check and never says another word. The caller hears
-// "unknown" at its deadline, new calls are refused as not run, and no crash is counted,
-// since the process may well live: when it speaks again it is the same one.
+// Guards against an unresponsive endpoint that is counted as crashed although its process still
+// runs. The call in flight is "unknown" at its deadline, and later calls are refused as not run
+// until the endpoint answers again.
 #[tokio::test]
-async fn can_tell_silence_from_a_crash() {
+async fn can_distinguish_silence_from_a_crash() {
     let platform = Platform::start(&[]).await;
     platform.publish(OFFICE_CONFIG).await;
     let endpoint = plain_endpoint(0).await;
@@ -123,7 +122,7 @@
     };
     let ended = caller.call(&agent, open).await;
     let late = Failure::new(RunState::Unknown, Cause::DeadlinePassed);
-    assert_eq!(ended, Ended::Failed(late));
+    assert_eq!(ended, CallResult::Failed(late));
     caller
         .wait_for_status(&agent, |status| status.hosted.is_empty())
         .await;
@@ -131,15 +130,15 @@
         .call(&agent, caller.open("guichet", "GET", "/applicants/7", ""))
         .await;
     assert!(
-        matches!(refused, Ended::Failed(failure) if failure.run == RunState::NotRun),
+        matches!(refused, CallResult::Failed(failure) if failure.run == RunState::NotRun),
         "{refused:?}"
     );
     endpoint.clear_faults();
     assert_eq!(caller.wait_until_hosted(&agent).await.endpoint_life, 0);
 }
 
-// The log is down when a new VM's agent starts. It learns the accepted text from a peer
-// of the VM list and takes calls.
+// Guards against an agent that can't start during an outage of the log: the agent fetches the
+// accepted configuration from a peer of the VM list.
 #[tokio::test]
 async fn can_start_from_a_peer_while_the_log_is_down() {
     let platform = Platform::start(&[]).await;
@@ -159,12 +158,11 @@
     let ended = caller
         .call(&new, caller.open("guichet", "GET", "/applicants/7", ""))
         .await;
-    assert!(matches!(ended, Ended::Whole(200, _)), "{ended:?}");
+    assert!(matches!(ended, CallResult::Complete(200, _)), "{ended:?}");
 }
 
-// The agent is told to leave in the middle of a call. That call gets its whole answer,
-// later ones are refused as not run, entries are told without asking, and then the
-// process ends.
+// Guards against a call that is cut off when its agent leaves. The running call gets its complete
+// answer, later ones are refused as not run, entries are notified unasked, and the process ends.
 #[tokio::test]
 async fn can_leave_without_cutting_off_a_call() {
     let platform = Platform::start(&[]).await;
@@ -179,11 +177,11 @@
         .call(agent.address, caller.completion("long", true));
     wait_for_event(&mut running, |event| matches!(event, CallEvent::Chunk(_))).await;
     agent.start_leaving();
-    while !caller.status_of(&agent).await.leaving {}
+    while !caller.next_status(&agent).await.leaving {}
     assert_eq!(get(agent.admin, "/readyz").await.0, 503);
     let late = caller.call(&agent, caller.completion("late", false)).await;
-    let Ended::Failed(failure) = late else {
-        panic!("a leaving agent took a call: {late:?}");
+    let CallResult::Failed(failure) = late else {
+        panic!("a leaving agent accepted a call: {late:?}");
     };
     assert_eq!(
         (failure.run, failure.cause),
@@ -191,18 +189,18 @@
     );
     let ended = read_to_end(&mut running).await;
     assert!(
-        matches!(&ended, Ended::Whole(_, body) if body.trim_end().ends_with("data: [DONE]")),
+        matches!(&ended, CallResult::Complete(_, body) if body.trim_end().ends_with("data: [DONE]")),
         "{ended:?}"
     );
     drop(running);
     agent.wait_until_ended().await;
 }
 
-// A VM's clock runs behind, and its agent starts with a lower number than the life before
-// it. An entry tells it of that life; from then on it speaks with a higher one, so that
-// its answers are not taken for late ones of the old life.
+// Guards against answers that entries discard as late ones of an earlier run: after a VM's clock
+// went back, the agent starts with a lower incarnation than before. Once an entry tells it the
+// earlier incarnation, the agent uses a higher one.
 #[tokio::test]
-async fn can_rise_above_an_earlier_life() {
+async fn can_raise_its_incarnation_above_an_earlier_one() {
     let platform = Platform::start(&[]).await;
     platform.publish(OFFICE_CONFIG).await;
     let endpoint = plain_endpoint(0).await;
@@ -219,10 +217,10 @@
     }
 }
 
-// The platform is about to take the VM away and some entry has read so in the VM list.
-// Its rumour reaches the agent, which leaves though nobody has sent it a signal.
+// Guards against an agent that keeps running on a VM which the platform is about to remove: an
+// entry has read this in the VM list and gossips it, and the agent gets no signal.
 #[tokio::test]
-async fn can_leave_on_a_rumour_of_its_own_leaving() {
+async fn can_leave_when_gossip_says_that_it_is_leaving() {
     let platform = Platform::start(&[]).await;
     platform.publish(OFFICE_CONFIG).await;
     let endpoint = plain_endpoint(0).await;
@@ -232,19 +230,19 @@
     let (node, status) = caller.next_sender_and_status(&agent).await;
     assert!(!status.leaving);
     caller.gossip(&agent, GossipMessage::Leaving { node }).await;
-    while !caller.status_of(&agent).await.leaving {}
+    while !caller.next_status(&agent).await.leaving {}
     agent.wait_until_ended().await;
 }
 
-// A new agent starts beside a running entry. The entry hears of it without having asked and
-// without a read of the VM list, which it reads seldom where there are many VMs.
+// Guards against a new agent that gets no calls until the entry reads the VM list again, which is
+// seldom at sites with many VMs: the agent announces itself at its start.
 #[tokio::test]
-async fn can_tell_an_entry_of_itself_at_its_start() {
+async fn can_announce_itself_to_an_entry_at_its_start() {
     let caller = Caller::start().await;
     let platform = Platform::start_with_entry(caller.address()).await;
     platform.publish(OFFICE_CONFIG).await;
     let endpoint = plain_endpoint(0).await;
     let agent = TestAgent::start(&platform, endpoint.address, EndpointKind::Plain).await;
-    let status = timeout(TEST_TIMEOUT, caller.status_of(&agent)).await;
-    assert!(!status.expect("no greeting").leaving);
+    let status = timeout(TEST_TIMEOUT, caller.next_status(&agent)).await;
+    assert!(!status.expect("no status at the start of the agent").leaving);
 }
