--- a/components/adapters/src/endpoint.rs
+++ b/components/adapters/src/endpoint.rs
@@ -32,7 +32,7 @@
     pub read_timeout_ms: u64,
     /// Largest body of an answer, in bytes.
     pub body_bytes_max: usize,
-    /// IdlePool connections kept at most; the oldest is closed for a newer one.
+    /// Idle connections kept at most; the oldest is closed for a newer one.
     pub idle_connections_max: usize,
     /// Longest time that an idle connection is reusable, in milliseconds.
     pub idle_timeout_ms: u64,
@@ -57,7 +57,7 @@
     pub method: String,
     /// Path with query.
     pub path: String,
-    /// Headers; hop-by-hop headers and the length are dropped and set by the client.
+    /// Headers; hop-by-hop headers and the length are replaced by the client's own.
     pub headers: Vec<(String, String)>,
     /// Complete body.
     pub body: Bytes,
--- a/components/adapters/src/idle.rs
+++ b/components/adapters/src/idle.rs
@@ -10,7 +10,7 @@
 
 use crate::connection::Connection;
 
-/// IdlePool connections to one address.
+/// Idle connections to one address.
 pub(crate) struct IdlePool {
     slots: Box<[ArcSwapOption<Connection>]>,
 }
--- a/components/sidecar/src/calls.rs
+++ b/components/sidecar/src/calls.rs
@@ -95,7 +95,8 @@
     Err(relay.stage().failure(cause))
 }
 
-/// Requests a health check if the endpoint was lost, and cancels a model's call that may still run.
+/// Cleans up after a failed call: requests a health check if the endpoint was lost, and cancels a
+/// model's call that may still run.
 fn clean_up(agent: &Agent, relay: &Relay<'_>, open: &Open, failure: Failure) {
     if failure.cause == Cause::EndpointLost {
         agent.health.request_check();
--- a/components/sidecar/src/gate.rs
+++ b/components/sidecar/src/gate.rs
@@ -24,7 +24,7 @@
     Ok(left_ms)
 }
 
-/// Returns the hosted service of a call, or the reason for which the endpoint can't serve the call.
+/// Returns the hosted service of a call, or the failure of a call that the endpoint can't serve.
 pub fn find_service<'a>(
     open: &Open,
     hosting: &'a Hosting,
--- a/components/sidecar/src/health.rs
+++ b/components/sidecar/src/health.rs
@@ -69,7 +69,7 @@
         self.0.changes.subscribe()
     }
 
-    /// How often the endpoint was found crashed or restarted, counted as `endpoint_life`.
+    /// How often the endpoint was found crashed or restarted, reported as `endpoint_life`.
     pub fn life(&self) -> u32 {
         *self.0.life.borrow()
     }
--- a/components/sidecar/src/health_check.rs
+++ b/components/sidecar/src/health_check.rs
@@ -72,14 +72,14 @@
 /// Makes one check. Returns the engine's state only if this check has read it.
 async fn check(agent: &Agent, health_state: &mut HealthState) -> Option<EngineState> {
     let before = agent.health.snapshot();
-    let (sign, mut snapshot) = match agent.hosting_rules.kind {
+    let (result, mut snapshot) = match agent.hosting_rules.kind {
         ServiceKind::Model => check_engine(agent, &before).await,
         ServiceKind::Plain => check_plain(agent).await,
     };
-    let change = health_state.record(sign);
+    let change = health_state.record(result);
     snapshot.up = health_state.is_up();
-    let switched = before.engine != snapshot.engine;
-    let answered = matches!(sign, CheckResult::Answered { .. });
+    let engine_changed = before.engine != snapshot.engine;
+    let answered = matches!(result, CheckResult::Answered { .. });
     let read = snapshot.engine.clone().filter(|_| answered);
     agent.health.publish(snapshot);
     if change.crashed {
@@ -89,7 +89,7 @@
     if change.up_changed {
         log::info!(event = "endpoint-turned", up = health_state.is_up(); "");
     }
-    if change.crashed || change.up_changed || switched {
+    if change.crashed || change.up_changed || engine_changed {
         agent.health.notify_change();
     }
     read
@@ -117,7 +117,7 @@
         .endpoint
         .send(request, agent.limits.engine_deadline_ms)
         .await;
-    let sign = match sent {
+    let result = match sent {
         Ok(response) if response.head.status < SERVER_ERROR_STATUS_MIN => {
             read_health_body(response.body).await
         }
@@ -128,7 +128,7 @@
         load_read_ms: now_ms(),
         ..EndpointSnapshot::default()
     };
-    (sign, snapshot)
+    (result, snapshot)
 }
 
 async fn read_health_body(body: adapters::Body) -> CheckResult {
--- a/components/sidecar/src/health_state.rs
+++ b/components/sidecar/src/health_state.rs
@@ -14,7 +14,7 @@
 pub enum CheckResult {
     /// The endpoint answered.
     Answered {
-        /// Number of the engine's start; `None` for a plain service.
+        /// The engine's own count of its starts; `None` for a plain service.
         life: Option<u64>,
     },
     /// Nothing listens at the endpoint's address, so its process has ended.
@@ -60,9 +60,9 @@
     }
 
     /// Applies the result of one check.
-    pub fn record(&mut self, sign: CheckResult) -> HealthChange {
+    pub fn record(&mut self, result: CheckResult) -> HealthChange {
         let was_up = self.up;
-        let crashed = match sign {
+        let crashed = match result {
             CheckResult::Answered { life } => self.on_answer(life),
             CheckResult::Unreachable => self.on_unreachable(),
             CheckResult::NoAnswer => self.on_no_answer(),
--- a/components/sidecar/src/relay.rs
+++ b/components/sidecar/src/relay.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    /// How far the call has come.
+    /// Stage that the call has reached at the endpoint.
     pub fn stage(&self) -> Stage {
         self.stage
     }
@@ -69,8 +69,8 @@
         let response = sent.map_err(|error| failure_of(&error, self.stage))?;
         self.stage = Stage::Answering;
         let Response { head, body } = response;
-        let shape = AnswerFormat::of(self.is_model(), &head);
-        let relayed = match shape {
+        let format = AnswerFormat::of(self.is_model(), &head);
+        let relayed = match format {
             AnswerFormat::Document => self.relay_document(head, body).await,
             AnswerFormat::Stream => self.relay_stream(head, body).await,
             AnswerFormat::Opaque => self.relay_opaque(head, body).await,
@@ -81,8 +81,8 @@
     fn request(&self) -> Result<Request, Failure> {
         let body = match self.engine_model {
             Some(model) => {
-                let named = set_model_and_call_id(&self.open.body, model, self.open.id);
-                named.map_err(Failure::not_run)?
+                let body = set_model_and_call_id(&self.open.body, model, self.open.id);
+                body.map_err(Failure::not_run)?
             }
             None => self.open.body.clone(),
         };
