--- a/components/adapters/src/lib.rs
+++ b/components/adapters/src/lib.rs
@@ -1,8 +1,8 @@
-//! Adapters to the systems outside hornbeamrock: the log, the VM list, the weight
-//! store, model engines, scorers and the endpoints that calls go to.
+//! Adapters to the systems outside hornbeamrock: the log, the VM list, the weight store, model
+//! engines, scorers, and the endpoints that calls go to.
 //!
-//! No adapter tries anything twice. An error says exactly whether the request may have
-//! reached the other side ([`PlatformError`]); whoever called decides on a retry.
+//! No adapter retries. An error tells whether the request may have reached the other side
+//! ([`PlatformError`]), and the caller decides whether to retry.
 
 mod body;
 mod client;
@@ -25,8 +25,8 @@
 pub use engine::{
     CacheEvent, CacheEventKind, CachePage, Engine, EngineModel, EngineState, LoadReport,
 };
-pub use error::{ConnectFault, Loss, MalformedPart, PlatformError};
-pub use headers::{end_to_end, stays_on_connection};
+pub use error::{AnswerLoss, MalformedPart, NotSentCause, PlatformError};
+pub use headers::{end_to_end_headers, hop_by_hop_predicate};
 pub use log::{LogClient, LogPage, LogRecord};
 pub use prefix::{BLOCK_BYTES, prefix_blocks};
 pub use scorer::Scorer;
--- a/components/gateway/src/completion_stream.rs
+++ b/components/gateway/src/completion_stream.rs
@@ -178,7 +178,7 @@
                     Ok(events) => return StreamItem::Bytes(events),
                     Err(failure) => failure,
                 },
-                CallEvent::End if self.state.parser.is_whole() => return StreamItem::End,
+                CallEvent::End if self.state.parser.is_complete() => return StreamItem::End,
                 CallEvent::End => Failure::new(RunState::Failed, Cause::Truncated),
                 CallEvent::Failed(failure) => failure,
             };
--- a/components/gateway/src/training/run_recorder.rs
+++ b/components/gateway/src/training/run_recorder.rs
@@ -88,7 +88,7 @@
                         let _ = commands.try_send(Command::RunReport(key.clone(), run, report));
                     }
                 }
-                CallEvent::End if self.parser.is_whole() => return Ok(()),
+                CallEvent::End if self.parser.is_complete() => return Ok(()),
                 CallEvent::End => return Err(lost_fault()),
                 CallEvent::Failed(failure) => return Err(run_fault(failure)),
             }
--- a/components/sidecar/src/orders.rs
+++ b/components/sidecar/src/orders.rs
@@ -1,4 +1,4 @@
-//! Carries one order to the engine and says how it ended, as far as that can be told.
+//! Sends one order to the engine and reports its outcome as far as the outcome is known.
 
 use std::sync::Arc;
 
@@ -8,33 +8,34 @@
 use weights::{EngineState, ModelKey, Order, OrderKind, OrderOutcome};
 
 use crate::agent::Agent;
-use crate::watch::Watch;
+use crate::health_check::HealthChecker;
 
 const STATUS_CONFLICT: u16 = 409;
 const STATUS_TOO_MANY: u16 = 429;
 const STATUS_UNAVAILABLE: u16 = 503;
 
-/// An order that has ended.
-pub(crate) struct Ended {
+/// An order and its outcome.
+pub(crate) struct FinishedOrder {
     pub(crate) model: ModelKey,
     pub(crate) order: Order,
     pub(crate) outcome: OrderOutcome,
 }
 
-/// Carries the order out, unless it is too late for it, and sends its end to `ends`.
-pub(crate) async fn carry_out(
+/// Executes the order and sends its outcome to `finished`. An order whose latest start time has
+/// passed is not sent to the engine.
+pub(crate) async fn execute(
     agent: Arc<Agent>,
-    watch: Watch,
+    checker: HealthChecker,
     model: ModelKey,
     order: Order,
     timeout_ms: u64,
-    ends: mpsc::Sender<Ended>,
+    finished: mpsc::Sender<FinishedOrder>,
 ) {
     let outcome = if now_ms() > order.send_before_ms {
-        // Frozen since the decision: what it rested on may be long over.
+        // The process was suspended since the decision, whose basis may have changed meanwhile.
         OrderOutcome::Unknown
     } else {
-        carry_out_now(&agent, &watch, &model, order, timeout_ms).await
+        execute_now(&agent, &checker, &model, order, timeout_ms).await
     };
     if order.kind.is_change() {
         log::info!(
@@ -42,9 +43,9 @@
             outcome:? = outcome; ""
         );
     }
-    // A driver that has gone needs no ends.
-    let _ = ends
-        .send(Ended {
+    // The driver may have ended, and then nobody needs the outcome.
+    let _ = finished
+        .send(FinishedOrder {
             model,
             order,
             outcome,
@@ -52,9 +53,9 @@
         .await;
 }
 
-async fn carry_out_now(
+async fn execute_now(
     agent: &Agent,
-    watch: &Watch,
+    checker: &HealthChecker,
     model: &ModelKey,
     order: Order,
     timeout_ms: u64,
@@ -63,18 +64,18 @@
     let name = name.as_str();
     let fence = order.fence;
     let done = match order.kind {
-        // The calls of an earlier life of this agent had their connections cut with it,
-        // by which the engine drops them; their names died with that life.
+        // The calls of an earlier run of this agent lost their connections when it ended, which
+        // makes the engine drop them; their ids are unknown to this run.
         OrderKind::CancelEarlier => return OrderOutcome::Done,
-        OrderKind::Read => return read(watch, name).await,
+        OrderKind::Read => return read_state(checker, name).await,
         OrderKind::Load(version) => agent.engine.load(name, version, fence, timeout_ms).await,
         OrderKind::Switch(version) => agent.engine.switch(name, version, fence, timeout_ms).await,
     };
     done.map_or_else(|error| outcome_of(&error), |()| OrderOutcome::Done)
 }
 
-async fn read(watch: &Watch, name: &str) -> OrderOutcome {
-    let Some(state) = watch.read().await else {
+async fn read_state(checker: &HealthChecker, name: &str) -> OrderOutcome {
+    let Some(state) = checker.read_engine_state().await else {
         return OrderOutcome::Unknown;
     };
     let model = state.models.iter().find(|model| model.model == name);
--- a/components/sidecar/src/relay.rs
+++ b/components/sidecar/src/relay.rs
@@ -1,4 +1,4 @@
-//! One exchange with the endpoint, passed on as it comes.
+//! One exchange with the endpoint, whose answer is relayed to the entry as it arrives.
 
 use adapters::{AnswerHead, Body, Endpoint, Request, Response};
 use bytes::Bytes;
@@ -6,17 +6,17 @@
 use protocol::{Head, Open};
 use types::{Cause, Failure};
 
-use crate::body::name_call;
-use crate::completion::{Shape, StreamCheck, check_document};
+use crate::body::set_model_and_call_id;
+use crate::completion::{AnswerFormat, StreamCheck, check_document};
 use crate::stage::{Stage, failure_of};
 
 /// Largest part of an answer in one frame, so that calls share their connection fairly.
 const PART_BYTES_MAX: usize = 64 * 1024;
-/// Largest unary completion; it is held as a whole until it is checked.
+/// Largest unary completion, which is buffered until it is checked.
 const DOCUMENT_BYTES_MAX: usize = 4 * 1024 * 1024;
 const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// One call on its way through the endpoint.
+/// Relays one call to the endpoint and its answer to the entry.
 pub struct Relay<'a> {
     endpoint: &'a Endpoint,
     open: &'a Open,
@@ -27,7 +27,7 @@
 }
 
 impl<'a> Relay<'a> {
-    /// A call that has not left yet.
+    /// Creates the relay of a call of which nothing has been sent yet.
     pub fn new(
         endpoint: &'a Endpoint,
         open: &'a Open,
@@ -39,22 +39,22 @@
             open,
             answer,
             engine_model,
-            stage: Stage::Held,
+            stage: Stage::NotSent,
         }
     }
 
-    /// How far the call has come.
+    /// Stage that the call has reached at the endpoint.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// Whether the call is a model's, and so can be cancelled by name.
+    /// Whether the call is a model's, so that it can be cancelled at the engine by its id.
     pub fn is_model(&self) -> bool {
         self.engine_model.is_some()
     }
 
-    /// Sends the call and passes the answer on. Returns once the answer is whole; the
-    /// caller of this function then ends it.
+    /// Sends the call and relays the answer. Returns once the answer is complete; ending the
+    /// call towards the entry is left to the caller of this function.
     pub async fn run(&mut self, left_ms: u64) -> Result<(), Failure> {
         let request = self.request()?;
         let (stage, answer) = (&mut self.stage, self.answer);
@@ -64,25 +64,25 @@
         };
         let sent = self
             .endpoint
-            .send_announced(request, left_ms, before_write)
+            .send_with_callback(request, left_ms, before_write)
             .await;
         let response = sent.map_err(|error| failure_of(&error, self.stage))?;
         self.stage = Stage::Answering;
         let Response { head, body } = response;
-        let shape = Shape::of(self.is_model(), &head);
-        let passed = match shape {
-            Shape::Document => self.pass_document(head, body).await,
-            Shape::Stream => self.pass_stream(head, body).await,
-            Shape::Opaque => self.pass_opaque(head, body).await,
+        let format = AnswerFormat::of(self.is_model(), &head);
+        let relayed = match format {
+            AnswerFormat::Document => self.relay_document(head, body).await,
+            AnswerFormat::Stream => self.relay_stream(head, body).await,
+            AnswerFormat::Opaque => self.relay_opaque(head, body).await,
         };
-        passed.map_err(Stop::into_failure)
+        relayed.map_err(RelayError::into_failure)
     }
 
     fn request(&self) -> Result<Request, Failure> {
         let body = match self.engine_model {
             Some(model) => {
-                let named = name_call(&self.open.body, model, self.open.id);
-                named.map_err(Failure::not_run)?
+                let body = set_model_and_call_id(&self.open.body, model, self.open.id);
+                body.map_err(Failure::not_run)?
             }
             None => self.open.body.clone(),
         };
@@ -98,79 +98,79 @@
             path: self.open.path.clone(),
             headers,
             body,
-            // An idle connection may be closed by the endpoint just as the request goes out,
-            // and then nobody knows whether it ran; or it has gone silent, and the caller
-            // waits for his whole deadline. A connection on the same VM costs little.
+            // The endpoint may close an idle connection just as the request is sent, and then
+            // nobody knows whether the call ran. Or an idle connection has stopped carrying data,
+            // and the caller waits until the deadline. A new connection within a VM is cheap.
             reuse: false,
         })
     }
 
-    /// Passes a document on only when it is whole, so that a cut one is never seen.
-    async fn pass_document(&self, head: AnswerHead, mut body: Body) -> Result<(), Stop> {
+    /// Relays a document only once it is complete, so that no caller sees a truncated one.
+    async fn relay_document(&self, head: AnswerHead, mut body: Body) -> Result<(), RelayError> {
         let mut document = Vec::new();
         while let Some(bytes) = body.next().await? {
             if document.len() + bytes.len() > DOCUMENT_BYTES_MAX {
-                return Err(Stop::Content(Cause::EndpointError));
+                return Err(RelayError::Content(Cause::EndpointError));
             }
             document.extend_from_slice(&bytes);
         }
         let document = Bytes::from(document);
         check_document(&document)?;
         self.answer.send_head(head_of(head)).await;
-        pass(self.answer, document).await;
+        send_in_parts(self.answer, document).await;
         Ok(())
     }
 
-    async fn pass_stream(&self, head: AnswerHead, mut body: Body) -> Result<(), Stop> {
+    async fn relay_stream(&self, head: AnswerHead, mut body: Body) -> Result<(), RelayError> {
         let mut check = StreamCheck::new();
         self.answer.send_head(head_of(head)).await;
         while let Some(bytes) = body.next().await? {
             check.push(&bytes)?;
-            pass(self.answer, bytes).await;
+            send_in_parts(self.answer, bytes).await;
         }
-        Ok(check.end()?)
+        Ok(check.finish()?)
     }
 
-    async fn pass_opaque(&self, head: AnswerHead, mut body: Body) -> Result<(), Stop> {
+    async fn relay_opaque(&self, head: AnswerHead, mut body: Body) -> Result<(), RelayError> {
         self.answer.send_head(head_of(head)).await;
         while let Some(bytes) = body.next().await? {
-            pass(self.answer, bytes).await;
+            send_in_parts(self.answer, bytes).await;
         }
         Ok(())
     }
 }
 
-/// Passes bytes on in parts of a size that lets other calls through in between.
-pub async fn pass(answer: &AnswerSender, mut bytes: Bytes) {
+/// Sends bytes in frames small enough to let frames of other calls through in between.
+pub async fn send_in_parts(answer: &AnswerSender, mut bytes: Bytes) {
     while !bytes.is_empty() {
         let part = bytes.split_to(bytes.len().min(PART_BYTES_MAX));
         answer.send_chunk(part).await;
     }
 }
 
-/// Why an answer that had begun was not passed on to its end.
-enum Stop {
+/// Why an answer that had begun was not relayed to its end.
+enum RelayError {
     Exchange(adapters::PlatformError),
     Content(Cause),
 }
 
-impl From<adapters::PlatformError> for Stop {
+impl From<adapters::PlatformError> for RelayError {
     fn from(error: adapters::PlatformError) -> Self {
-        Stop::Exchange(error)
+        RelayError::Exchange(error)
     }
 }
 
-impl From<Cause> for Stop {
+impl From<Cause> for RelayError {
     fn from(cause: Cause) -> Self {
-        Stop::Content(cause)
+        RelayError::Content(cause)
     }
 }
 
-impl Stop {
+impl RelayError {
     fn into_failure(self) -> Failure {
         match self {
-            Stop::Exchange(error) => failure_of(&error, Stage::Answering),
-            Stop::Content(cause) => Stage::Answering.failure(cause),
+            RelayError::Exchange(error) => failure_of(&error, Stage::Answering),
+            RelayError::Content(cause) => Stage::Answering.failure(cause),
         }
     }
 }
--- a/components/sidecar/src/stage.rs
+++ b/components/sidecar/src/stage.rs
@@ -1,17 +1,17 @@
-//! How far a call has come at the endpoint, and what a failure at that point says.
+//! Stages of a call at the endpoint, and the run state that a failure at each stage implies.
 //!
-//! The rule: "not run" only while no byte has gone out, "failed" only once the endpoint
-//! has shown that it began, "unknown" in between.
+//! A failure means "not run" only while no byte has been sent, "failed" only after the endpoint has
+//! begun its answer, and "unknown" in between.
 
-use adapters::{ConnectFault, Loss, PlatformError};
+use adapters::{AnswerLoss, NotSentCause, PlatformError};
 use derive::key;
 use types::{Cause, Failure, RunState};
 
-/// How far a call has come.
+/// Stage of a call at the endpoint.
 #[key]
 pub enum Stage {
-    /// Nothing was written to the endpoint.
-    Held,
+    /// No byte was written to the endpoint.
+    NotSent,
     /// The request was or may have been written.
     Sent,
     /// The endpoint's answer has begun.
@@ -19,47 +19,47 @@
 }
 
 impl Stage {
-    /// Whether a call that ends here without a whole answer ran.
+    /// Run state of a call that ends at this stage without a complete answer.
     pub fn run_state(self) -> RunState {
         match self {
-            Stage::Held => RunState::NotRun,
+            Stage::NotSent => RunState::NotRun,
             Stage::Sent => RunState::Unknown,
             Stage::Answering => RunState::Failed,
         }
     }
 
-    /// The failure of a call that ends here for `cause`.
+    /// Failure of a call that ends at this stage for `cause`.
     pub fn failure(self, cause: Cause) -> Failure {
         Failure::new(self.run_state(), cause)
     }
 }
 
-/// What an exchange that failed at `stage` says to the caller.
+/// Translates the error of an exchange that failed at `stage` into the call's failure.
 pub fn failure_of(error: &PlatformError, stage: Stage) -> Failure {
     match *error {
-        PlatformError::NotSent(fault) => Failure::not_run(cause_of_fault(fault)),
-        PlatformError::Unknown(loss) => stage.failure(cause_of_loss(loss)),
-        // Something came back, so the endpoint had the request.
+        PlatformError::NotSent(reason) => Failure::not_run(cause_of_not_sent(reason)),
+        PlatformError::OutcomeUnknown(loss) => stage.failure(cause_of_loss(loss)),
+        // The endpoint has answered, so it had received the request.
         PlatformError::Refused { .. }
         | PlatformError::Malformed(_)
         | PlatformError::TooLarge(_) => Stage::Answering.failure(Cause::EndpointError),
     }
 }
 
-fn cause_of_fault(fault: ConnectFault) -> Cause {
-    match fault {
-        ConnectFault::Unreachable | ConnectFault::TimedOut => Cause::EndpointLost,
-        ConnectFault::DeadlinePassed => Cause::DeadlinePassed,
-        ConnectFault::BadRequest => Cause::Malformed,
+fn cause_of_not_sent(reason: NotSentCause) -> Cause {
+    match reason {
+        NotSentCause::Unreachable | NotSentCause::TimedOut => Cause::EndpointLost,
+        NotSentCause::DeadlinePassed => Cause::DeadlinePassed,
+        NotSentCause::BadRequest => Cause::Malformed,
     }
 }
 
-fn cause_of_loss(loss: Loss) -> Cause {
+fn cause_of_loss(loss: AnswerLoss) -> Cause {
     match loss {
-        Loss::ClosedBeforeAnswer { .. } | Loss::ClosedMidAnswer | Loss::Silent => {
-            Cause::EndpointLost
-        }
-        Loss::NoStatedEnd => Cause::Truncated,
-        Loss::DeadlinePassed => Cause::DeadlinePassed,
+        AnswerLoss::ClosedBeforeAnswer { .. }
+        | AnswerLoss::ClosedMidAnswer
+        | AnswerLoss::Silent => Cause::EndpointLost,
+        AnswerLoss::NoStatedEnd => Cause::Truncated,
+        AnswerLoss::DeadlinePassed => Cause::DeadlinePassed,
     }
 }
--- a/components/sidecar/src/start.rs
+++ b/components/sidecar/src/start.rs
@@ -1,4 +1,4 @@
-//! Puts an agent together from its settings and runs it until it has left.
+//! Assembles an agent from its settings and runs it until it has left.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -19,27 +19,27 @@
 use weights::ReconcileSettings;
 
 use crate::agent::{Agent, AgentLimits};
-use crate::watch::Watch;
-use crate::weights_task::{Pace, Weights};
+use crate::health_check::HealthChecker;
+use crate::weights_task::{Weights, WeightsSettings};
 use crate::{calls, status};
 
-/// First part of the names of an agent's metrics.
+/// Prefix of the names of an agent's metrics.
 const METRICS_PREFIX: &str = "hornbeamrock.agent";
 
-/// Times and bounds that are not among the flags; tests shorten them.
+/// Timings and limits that have no flag; tests shorten them.
 #[derive(Clone, Debug, Default)]
 pub struct Tuning {
-    /// Bounds of what the agent takes on.
+    /// Limits of calls and exchanges with the endpoint.
     pub limits: AgentLimits,
-    /// Configuration.
+    /// Reading of the configuration from the log and from peers.
     pub feed: FeedSettings,
-    /// News over UDP.
+    /// Gossip over UDP.
     pub gossip: GossipSettings,
-    /// Orders to the engine.
+    /// Orders to the engine that bring it to the announced weights.
     pub reconcile: ReconcileSettings,
 }
 
-/// An agent that has its addresses and runs when told to.
+/// An agent whose sockets are bound and that has not started yet.
 pub struct Sidecar {
     settings: AgentSettings,
     tuning: Tuning,
@@ -47,8 +47,8 @@
 }
 
 impl Sidecar {
-    /// Takes the addresses of the settings; with port 0 the system chooses the ports.
-    /// Errors when an address is taken or no key is set.
+    /// Binds the addresses of the settings; for port 0 the operating system chooses a port.
+    /// Returns an error if an address is in use or no key is set.
     pub async fn bind(settings: AgentSettings, tuning: Tuning) -> Result<Sidecar, NodeError> {
         let sockets = Sockets::bind(&settings.common, ProcessRole::Agent).await?;
         Ok(Sidecar {
@@ -58,7 +58,7 @@
         })
     }
 
-    /// Address for the system's own processes.
+    /// Address for entries and other agents.
     pub fn inner_address(&self) -> SocketAddr {
         self.sockets.identity.node().address
     }
@@ -68,8 +68,8 @@
         self.sockets.admin_address()
     }
 
-    /// Runs until the agent has left, which begins when `stop` completes, an operator
-    /// asks for it or the platform says so. Errors when it can't start.
+    /// Runs until the agent has left. It starts to leave when `stop` completes, or when an operator
+    /// or a notice of the platform asks for it. Returns an error if it can't start.
     pub async fn run(
         self,
         stop: impl Future<Output = ()> + Send + 'static,
@@ -94,9 +94,9 @@
         );
         tokio::spawn(follow_changes(Arc::clone(&agent), gossip.clone()));
         tokio::spawn(admin::serve(admin, admin_hooks(&agent, &weights, &leaving)));
-        log::info!(event = "agent-started", node:% = agent.identity.node(), pool:% = agent.site.pool; "");
+        log::info!(event = "agent-started", node:% = agent.identity.node(), pool:% = agent.hosting_rules.pool; "");
         let serving = Arc::clone(&agent);
-        let handle = move |call| calls::take(&serving, call);
+        let handle = move |call| calls::serve_call(&serving, call);
         let settled = leave::announce_and_settle(&agent.drain, &gossip, &leaving);
         tokio::select! {
             () = link::serve(inner, links, handle, settled) => {}
@@ -125,18 +125,18 @@
     let feed = ConfigFeed::start(own, log, Links::new(links.clone()), feed_settings);
     let limits = tuning.limits.clone();
     let agent = Arc::new(Agent::new(settings, limits, identity, feed, metrics));
-    let watch = Watch::start(Arc::clone(&agent));
-    let pace = Pace {
-        reconcile: reconcile(settings.fencing, tuning.reconcile.clone()),
+    let checker = HealthChecker::start(Arc::clone(&agent));
+    let weights_settings = WeightsSettings {
+        reconcile: reconcile_settings(settings.fencing, tuning.reconcile.clone()),
         load_window_ms: settings.load_window_ms,
     };
-    let weights = Weights::start(Arc::clone(&agent), watch, pace);
+    let weights = Weights::start(Arc::clone(&agent), checker, weights_settings);
     Ok((agent, weights))
 }
 
-/// An engine that checks fencing numbers refuses orders that come late, so that nothing
-/// speaks for looking at it more often.
-fn reconcile(fencing: Fencing, settings: ReconcileSettings) -> ReconcileSettings {
+/// An engine that checks fencing tokens refuses late orders by itself, so that an uncertain state
+/// needs no more frequent checks than a certain one.
+fn reconcile_settings(fencing: Fencing, settings: ReconcileSettings) -> ReconcileSettings {
     match fencing {
         Fencing::Checked => ReconcileSettings {
             uncertain_check_interval_ms: settings.check_interval_ms,
@@ -168,25 +168,25 @@
 }
 
 fn gossip_hooks(agent: &Arc<Agent>, weights: &Weights, leaving: &DrainSignal) -> GossipHooks {
-    let told = Arc::clone(agent);
-    let counted = agent.metrics.clone();
+    let status_agent = Arc::clone(agent);
+    let metrics = agent.metrics.clone();
     let weights = weights.clone();
     let leaving = leaving.clone();
     GossipHooks {
-        statuses: Some(Arc::new(move || status::statuses(&told))),
-        on_message: Arc::new(move |news| {
+        statuses: Some(Arc::new(move || status::statuses(&status_agent))),
+        on_message: Arc::new(move |message| {
             if let GossipMessage::Weights {
                 customer,
                 service,
                 target,
-            } = news
+            } = message
             {
-                weights.heard(customer, service, *target);
+                weights.update_target(customer, service, *target);
             }
         }),
         on_own_leaving: Arc::new(move || leaving.trigger()),
         on_divergence: Arc::new(move |_| {
-            counted.count("config_diverged_total", Label::default(), 1)
+            metrics.count("config_diverged_total", Label::default(), 1)
         }),
         ..GossipHooks::default()
     }
@@ -206,13 +206,13 @@
     }
 }
 
-/// Works the hosted services out anew with every change of the configuration, and tells
-/// the probers at once of that and of every change of the endpoint.
+/// Recomputes the hosted services after every change of the configuration, and sends the new status
+/// to the probing entries at once after that and after every change of the endpoint.
 async fn follow_changes(agent: Arc<Agent>, gossip: Gossip) {
     let mut configured = agent.feed.changes();
     let mut endpoint = agent.health.changes();
     loop {
-        agent.place();
+        agent.update_hosting();
         gossip.push_status();
         let changed = tokio::select! {
             changed = configured.changed() => changed,
--- a/components/sidecar/src/weights_task.rs
+++ b/components/sidecar/src/weights_task.rs
@@ -1,5 +1,5 @@
-//! Brings the models on the engine to the wanted versions: carries out what
-//! `weights::Reconciler` decides, one order at a time for each model.
+//! Brings the models on the engine to their announced versions: executes the decisions of
+//! `weights::Reconciler`, one order at a time for each model.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,82 +14,76 @@
 };
 
 use crate::agent::Agent;
-use crate::orders::{Ended, carry_out};
-use crate::watch::Watch;
+use crate::health_check::HealthChecker;
+use crate::orders::{FinishedOrder, execute};
 
-/// Ends of orders that wait at most; a model has one order at a time.
-const ENDS_MAX: usize = 256;
-/// Longest sleep; hosted services may change in between.
+/// Finished orders that may be queued; each model has at most one order in flight.
+const FINISHED_QUEUE_MAX: usize = 256;
+/// Longest sleep, after which the hosted services are read again, as they may have changed.
 const SLEEP_MAX_MS: u64 = 1_000;
 const PERMILLE: u64 = 1_000;
 
-/// A version that is in force for a model, as a rumour has it.
+/// A model's target versions, as received by gossip.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct VersionNews {
-    /// The model.
+pub struct TargetUpdate {
     pub model: ModelKey,
-    /// What its engines should do.
     pub target: Target,
 }
 
-/// How the task paces itself.
+/// Settings of the task that drives the weights.
 #[derive(Clone, Debug)]
-pub struct Pace {
-    /// Orders to the engine.
+pub struct WeightsSettings {
     pub reconcile: ReconcileSettings,
-    /// Time over which replicas spread their loads of a version that is named ahead of
-    /// time, in milliseconds.
+    /// Time over which replicas spread their preloads of a version that is announced ahead of time,
+    /// in milliseconds.
     pub load_window_ms: u64,
 }
 
 /// State of one model for the status page.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ModelStatus {
-    /// The model.
     pub model: ModelKey,
-    /// Where its engine stands.
     pub status: weights::Status,
 }
 
-/// Handle of the task.
+/// Handle of the task that drives the weights.
 #[derive(Clone)]
 pub struct Weights {
-    /// Without a bound: the rumours give each piece of news once, so one that is dropped
-    /// never comes again, and they are bounded themselves.
-    news: mpsc::UnboundedSender<VersionNews>,
+    /// Unbounded, because gossip delivers each update once and a dropped one would be lost. The
+    /// gossip layer bounds the number of updates.
+    updates: mpsc::UnboundedSender<TargetUpdate>,
     statuses: watch::Receiver<Vec<ModelStatus>>,
 }
 
 impl Weights {
-    /// Starts the task.
-    pub fn start(agent: Arc<Agent>, watch: Watch, pace: Pace) -> Weights {
-        let (news, heard) = mpsc::unbounded_channel();
+    pub fn start(agent: Arc<Agent>, checker: HealthChecker, settings: WeightsSettings) -> Weights {
+        let (updates, received) = mpsc::unbounded_channel();
         let (publish, statuses) = watch::channel(Vec::new());
-        let (ends, ended) = mpsc::channel(ENDS_MAX);
+        let (finished_sender, finished) = mpsc::channel(FINISHED_QUEUE_MAX);
         let driver = Driver {
             agent,
-            watch,
-            pace,
+            checker,
+            settings,
             authority: Authority::new(),
             models: BTreeMap::new(),
-            ends,
+            finished_sender,
             publish,
         };
-        tokio::spawn(driver.run(heard, ended));
-        Weights { news, statuses }
+        tokio::spawn(driver.run(received, finished));
+        Weights { updates, statuses }
     }
 
-    /// Versions of a model to serve and to hold.
-    pub fn heard(&self, customer: &CustomerName, service: &ServiceName, target: Target) {
+    /// Passes on the versions of a model to serve and to load.
+    pub fn update_target(&self, customer: &CustomerName, service: &ServiceName, target: Target) {
         let model = ModelKey {
             customer: customer.clone(),
             service: service.clone(),
         };
-        // A driver that has gone needs no news.
-        let _ = self.news.send(VersionNews { model, target });
+        // The driver may have ended, and then nobody needs the update.
+        let _ = self.updates.send(TargetUpdate { model, target });
     }
 
-    /// Where each model's engine stands.
+    /// State of each hosted model.
     pub fn statuses(&self) -> Vec<ModelStatus> {
         self.statuses.borrow().clone()
     }
@@ -97,43 +91,43 @@
 
 struct Driver {
     agent: Arc<Agent>,
-    watch: Watch,
-    pace: Pace,
+    checker: HealthChecker,
+    settings: WeightsSettings,
     authority: Authority,
     models: BTreeMap<ModelKey, Reconciler>,
-    ends: mpsc::Sender<Ended>,
+    finished_sender: mpsc::Sender<FinishedOrder>,
     publish: watch::Sender<Vec<ModelStatus>>,
 }
 
 impl Driver {
     async fn run(
         mut self,
-        mut heard: mpsc::UnboundedReceiver<VersionNews>,
-        mut ended: mpsc::Receiver<Ended>,
+        mut received: mpsc::UnboundedReceiver<TargetUpdate>,
+        mut finished: mpsc::Receiver<FinishedOrder>,
     ) {
         loop {
-            self.follow_hosting();
-            self.give_orders();
-            let sleep = tokio::time::sleep(self.until_next());
+            self.sync_models();
+            self.issue_orders();
+            let sleep = tokio::time::sleep(self.time_until_due());
             tokio::select! {
-                news = heard.recv() => match news {
-                    Some(news) => self.take_news(news),
-                    // Every handle is gone, and with them the agent.
+                update = received.recv() => match update {
+                    Some(update) => self.apply_update(update),
+                    // All handles were dropped, so the agent has ended.
                     None => return,
                 },
-                Some(end) = ended.recv() => self.take_end(end),
+                Some(end) = finished.recv() => self.finish_order(end),
                 () = sleep => {}
             }
         }
     }
 
-    /// Keeps one state machine for each model that is hosted here.
-    fn follow_hosting(&mut self) {
+    /// Keeps one reconciler for each hosted model.
+    fn sync_models(&mut self) {
         let hosting = self.agent.hosting();
         let hosted: BTreeMap<ModelKey, u64> = hosting
-            .places()
+            .services()
             .iter()
-            .map(|place| &place.service)
+            .map(|local| &local.service)
             .filter(|service| service.kind == ServiceKind::Model)
             .map(|service| {
                 let model = ModelKey {
@@ -150,25 +144,25 @@
             }
             let settings = ReconcileSettings {
                 staleness_bound,
-                ..self.pace.reconcile.clone()
+                ..self.settings.reconcile.clone()
             };
             self.models.insert(model.clone(), Reconciler::new(settings));
-            self.aim(&model);
+            self.set_target(&model);
         }
     }
 
-    fn take_news(&mut self, news: VersionNews) {
-        if self.authority.merge(&news.model, news.target) {
-            self.aim(&news.model);
+    fn apply_update(&mut self, update: TargetUpdate) {
+        if self.authority.merge(&update.model, update.target) {
+            self.set_target(&update.model);
         }
     }
 
-    /// Tells a hosted model's machine what is wanted; the versions of all other models are
-    /// only kept, as their services may come to this endpoint later.
-    fn aim(&mut self, model: &ModelKey) {
+    /// Gives a hosted model's reconciler its target. The targets of other models are only stored,
+    /// as their services may be moved to this endpoint later.
+    fn set_target(&mut self, model: &ModelKey) {
         let target = self.authority.target(model);
-        let machine = self.models.get_mut(model);
-        let (Some(machine), Some(target)) = (machine, target) else {
+        let reconciler = self.models.get_mut(model);
+        let (Some(reconciler), Some(target)) = (reconciler, target) else {
             return;
         };
         log::info!(
@@ -176,48 +170,48 @@
             version:% = target.serve, load:% = target.load; ""
         );
         let own = self.agent.identity.node().address;
-        let turns = LoadDelays {
+        let delays = LoadDelays {
             serve_ms: 0,
-            preload_ms: preload_delay_ms(own, model, target.load, self.pace.load_window_ms),
+            preload_ms: preload_delay_ms(own, model, target.load, self.settings.load_window_ms),
         };
-        machine.set_target(target, turns, now_ms());
+        reconciler.set_target(target, delays, now_ms());
     }
 
-    fn take_end(&mut self, end: Ended) {
-        if let Some(machine) = self.models.get_mut(&end.model) {
-            machine.finish_order(end.order.id, end.outcome, now_ms(), random_permille());
+    fn finish_order(&mut self, end: FinishedOrder) {
+        if let Some(reconciler) = self.models.get_mut(&end.model) {
+            reconciler.finish_order(end.order.id, end.outcome, now_ms(), random_permille());
         }
     }
 
-    fn give_orders(&mut self) {
+    fn issue_orders(&mut self) {
         let now_ms = now_ms();
-        for (model, machine) in &mut self.models {
-            if let Some(order) = machine.poll(now_ms, random_permille()) {
-                let carried = carry_out(
+        for (model, reconciler) in &mut self.models {
+            if let Some(order) = reconciler.poll(now_ms, random_permille()) {
+                let execution = execute(
                     Arc::clone(&self.agent),
-                    self.watch.clone(),
+                    self.checker.clone(),
                     model.clone(),
                     order,
-                    self.pace.reconcile.order_timeout_ms,
-                    self.ends.clone(),
+                    self.settings.reconcile.order_timeout_ms,
+                    self.finished_sender.clone(),
                 );
-                tokio::spawn(carried);
+                tokio::spawn(execution);
             }
         }
-        let status_of = |(model, machine): (&ModelKey, &Reconciler)| ModelStatus {
+        let status_of = |(model, reconciler): (&ModelKey, &Reconciler)| ModelStatus {
             model: model.clone(),
-            status: machine.status(now_ms),
+            status: reconciler.status(now_ms),
         };
         let statuses = self.models.iter().map(status_of).collect();
         self.publish.send_replace(statuses);
     }
 
-    fn until_next(&self) -> Duration {
+    fn time_until_due(&self) -> Duration {
         let now_ms = now_ms();
         let due_ms = self
             .models
             .values()
-            .map(|machine| machine.next_due_ms(now_ms));
+            .map(|reconciler| reconciler.next_due_ms(now_ms));
         let wait_ms = due_ms
             .min()
             .map_or(SLEEP_MAX_MS, |due_ms| due_ms.saturating_sub(now_ms));
