--- a/bin/ctl/src/cmd/check.rs
+++ b/bin/ctl/src/cmd/check.rs
@@ -8,7 +8,7 @@
 
 /// Checks the file alone, or with `--log` against the other customers' texts too.
 pub async fn run(flags: &ArgMatches) -> Result<(), Failure> {
-    let history = match settings::text(flags, "log") {
+    let history = match settings::optional_text(flags, "log") {
         Some(_) => Some(read_history(&log(flags)?).await?),
         None => None,
     };
--- a/bin/ctl/src/cmd/drain.rs
+++ b/bin/ctl/src/cmd/drain.rs
@@ -8,7 +8,7 @@
 
 /// Tells each process; the first that does not answer ends the command.
 pub async fn run(flags: &ArgMatches) -> Result<(), Failure> {
-    settings::required(flags, "admin", ADMIN)?;
+    settings::required_text(flags, "admin", ADMIN)?;
     for address in addresses(flags, "admin")? {
         control::drain(address).await?;
         println!("{address} is leaving");
--- a/bin/ctl/src/cmd/mod.rs
+++ b/bin/ctl/src/cmd/mod.rs
@@ -18,7 +18,7 @@
 
 use adapters::{ClientSettings, LogClient};
 use clap::ArgMatches;
-use settings::{SettingsError, address, required};
+use settings::{SettingsError, address, required_text};
 
 use failure::Failure;
 
@@ -58,5 +58,5 @@
 }
 
 fn file(flags: &ArgMatches) -> Result<&Path, SettingsError> {
-    required(flags, "file", FILE).map(Path::new)
+    required_text(flags, "file", FILE).map(Path::new)
 }
--- a/bin/ctl/src/cmd/publish.rs
+++ b/bin/ctl/src/cmd/publish.rs
@@ -5,7 +5,7 @@
     PublishProgress, PublishSettings, Published, check_file, publish, read_history,
     wait_until_active,
 };
-use settings::{SettingsError, addresses, milliseconds, text};
+use settings::{SettingsError, addresses, milliseconds, optional_text};
 
 use super::failure::Failure;
 use super::{file, log};
@@ -48,13 +48,13 @@
 }
 
 fn publish_settings(flags: &ArgMatches) -> Result<PublishSettings, SettingsError> {
-    let base = text(flags, "base").map(|value| {
-        let bad = |_| SettingsError::Bad("base", value.to_owned(), BASE);
+    let base = optional_text(flags, "base").map(|value| {
+        let bad = |_| SettingsError::InvalidValue("base", value.to_owned(), BASE);
         value.parse().map_err(bad)
     });
     Ok(PublishSettings {
         base: base.transpose()?,
-        id: text(flags, "id").map(str::to_owned),
+        id: optional_text(flags, "id").map(str::to_owned),
     })
 }
 
--- a/bin/ctl/src/cmd/spread.rs
+++ b/bin/ctl/src/cmd/spread.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 
 use clap::ArgMatches;
-use loglines::{ChangeRow, Spreads, parse};
+use loglines::{ChangeRow, PropagationTimes, parse_line};
 
 use super::failure::Failure;
 use crate::output::{Form, print_json, print_table};
@@ -16,11 +16,11 @@
 /// Reads the logs and prints a row a kind of change.
 pub fn run(flags: &ArgMatches) -> Result<(), Failure> {
     let form = Form::of(flags)?;
-    let mut spreads = Spreads::default();
+    let mut propagation = PropagationTimes::default();
     for path in flags.get_many::<PathBuf>("logs").into_iter().flatten() {
-        take(path, &mut spreads).map_err(|reason| Failure::Logs(path.clone(), reason))?;
+        read_log(path, &mut propagation).map_err(|reason| Failure::Logs(path.clone(), reason))?;
     }
-    let rows = spreads.rows(WITHIN_MS);
+    let rows = propagation.rows(WITHIN_MS);
     match form {
         Form::Json => print_json(&rows),
         Form::Table => table(&rows),
@@ -28,11 +28,11 @@
     Ok(())
 }
 
-fn take(path: &PathBuf, spreads: &mut Spreads) -> std::io::Result<()> {
+fn read_log(path: &PathBuf, propagation: &mut PropagationTimes) -> std::io::Result<()> {
     for line in BufReader::new(File::open(path)?).split(b'\n') {
         let line = line?;
-        if let Some(line) = parse(&String::from_utf8_lossy(&line)) {
-            spreads.take(&line);
+        if let Some(line) = parse_line(&String::from_utf8_lossy(&line)) {
+            propagation.record(&line);
         }
     }
     Ok(())
--- a/bin/ctl/src/cmd/status.rs
+++ b/bin/ctl/src/cmd/status.rs
@@ -3,7 +3,7 @@
 use clap::ArgMatches;
 use control::{ControlError, NodeStatus, StatusReply, statuses};
 use serde::Serialize;
-use settings::{addresses, required};
+use settings::{addresses, required_text};
 
 use super::failure::Failure;
 use crate::output::{Form, print_json, print_table};
@@ -23,7 +23,7 @@
 /// its error after the table.
 pub async fn run(flags: &ArgMatches) -> Result<(), Failure> {
     let form = Form::of(flags)?;
-    required(flags, "admin", ADMIN)?;
+    required_text(flags, "admin", ADMIN)?;
     let replies = statuses(&addresses(flags, "admin")?).await;
     match form {
         Form::Json => print_json(&replies.iter().map(json_row).collect::<Vec<_>>()),
--- a/bin/ctl/src/output.rs
+++ b/bin/ctl/src/output.rs
@@ -2,7 +2,7 @@
 
 use clap::ArgMatches;
 use serde::Serialize;
-use settings::{SettingsError, word};
+use settings::{SettingsError, choice};
 
 const FORMS: &str = "table or json";
 const GAP: &str = "  ";
@@ -19,7 +19,7 @@
 impl Form {
     /// The form that the flags ask for. Errors when it is none.
     pub fn of(matches: &ArgMatches) -> Result<Form, SettingsError> {
-        word(matches, "output", FORMS, |text| match text {
+        choice(matches, "output", FORMS, |text| match text {
             "table" => Some(Form::Table),
             "json" => Some(Form::Json),
             _ => None,
--- a/bin/hornbeamrock/src/cli.rs
+++ b/bin/hornbeamrock/src/cli.rs
@@ -10,7 +10,7 @@
     let log_level = Arg::new("log-level")
         .long("log-level")
         .env("HORNBEAMROCK_LOG_LEVEL")
-        .value_parser(telemetry::LogLevel::WORDS)
+        .value_parser(telemetry::LogLevel::NAMES)
         .default_value("info")
         .help("Lowest level of log lines that are written");
     let front = Command::new(FRONT)
--- a/components/gateway/src/refresh.rs
+++ b/components/gateway/src/refresh.rs
@@ -106,6 +106,6 @@
     let label = Label::default();
     gateway
         .metrics
-        .level("requests_in_progress", label, in_progress);
-    gateway.metrics.level("uptime_ms", label, now_ms());
+        .set_gauge("requests_in_progress", label, in_progress);
+    gateway.metrics.set_gauge("uptime_ms", label, now_ms());
 }
--- a/components/loglines/src/lib.rs
+++ b/components/loglines/src/lib.rs
@@ -4,5 +4,5 @@
 mod line;
 mod spread;
 
-pub use line::{Line, parse};
-pub use spread::{ChangeKind, ChangeRow, Spreads};
+pub use line::{LogLine, parse_line};
+pub use spread::{ChangeKind, ChangeRow, PropagationTimes};
--- a/components/loglines/src/line.rs
+++ b/components/loglines/src/line.rs
@@ -2,7 +2,7 @@
 
 /// A line: when, of which front, which event, and its fields.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line<'a> {
+pub struct LogLine<'a> {
     /// When, in milliseconds of the collector's clock.
     pub at_ms: f64,
     /// The front, as the collector names it.
@@ -12,7 +12,7 @@
     fields: &'a str,
 }
 
-impl<'a> Line<'a> {
+impl<'a> LogLine<'a> {
     /// The value of a field.
     pub fn field(&self, name: &str) -> Option<&'a str> {
         value_of(self.fields, name)
@@ -20,11 +20,11 @@
 }
 
 /// Reads a line as a collector writes it: seconds, the front, then the front's own line.
-pub fn parse(text: &str) -> Option<Line<'_>> {
+pub fn parse_line(text: &str) -> Option<LogLine<'_>> {
     let (seconds, rest) = text.trim_start().split_once(' ')?;
     let seconds: f64 = seconds.parse().ok()?;
     let (front, fields) = rest.split_once(' ')?;
-    Some(Line {
+    Some(LogLine {
         at_ms: seconds * 1e3,
         front,
         event: value_of(fields, "event")?,
--- a/components/loglines/src/spread.rs
+++ b/components/loglines/src/spread.rs
@@ -5,7 +5,7 @@
 use derive::key;
 use serde::Serialize;
 
-use crate::Line;
+use crate::LogLine;
 
 /// Kinds of changes that fronts log when they learn of them.
 #[key]
@@ -53,14 +53,14 @@
 
 /// When each front learnt of each change.
 #[derive(Debug, Default)]
-pub struct Spreads {
+pub struct PropagationTimes {
     known_ms: BTreeMap<(ChangeKind, String), BTreeMap<String, f64>>,
 }
 
-impl Spreads {
+impl PropagationTimes {
     /// Takes a line in. A front that starts later, or again, learns of a change late by itself; its
     /// first word counts.
-    pub fn take(&mut self, line: &Line<'_>) {
+    pub fn record(&mut self, line: &LogLine<'_>) {
         let Some((kind, change)) = change_of(line) else {
             return;
         };
@@ -88,7 +88,7 @@
     }
 }
 
-fn change_of(line: &Line<'_>) -> Option<(ChangeKind, String)> {
+fn change_of(line: &LogLine<'_>) -> Option<(ChangeKind, String)> {
     let field = |name| line.field(name).map(str::to_owned);
     match line.event {
         "routes-in-force" => Some((ChangeKind::Configuration, field("version")?)),
--- a/components/loglines/tests/spread.rs
+++ b/components/loglines/tests/spread.rs
@@ -1,6 +1,6 @@
 //! Changes and the fronts that learn of them, from the lines of a collector.
 
-use loglines::{ChangeKind, Spreads, parse};
+use loglines::{ChangeKind, PropagationTimes, parse_line};
 
 struct Case {
     name: &'static str,
@@ -56,11 +56,11 @@
 #[test]
 fn can_tell_how_long_a_change_takes_to_the_last_front() {
     for case in CASES {
-        let mut spreads = Spreads::default();
-        for line in case.lines.iter().filter_map(|line| parse(line)) {
-            spreads.take(&line);
+        let mut propagation = PropagationTimes::default();
+        for line in case.lines.iter().filter_map(|line| parse_line(line)) {
+            propagation.record(&line);
         }
-        let rows: Vec<_> = spreads
+        let rows: Vec<_> = propagation
             .rows(10_000.0)
             .into_iter()
             .map(|row| {
--- a/components/settings/src/agent.rs
+++ b/components/settings/src/agent.rs
@@ -6,7 +6,7 @@
 use types::{CustomerName, PoolName};
 
 use crate::SettingsError;
-use crate::check::{address, milliseconds, names, word};
+use crate::check::{address, choice, milliseconds, names};
 use crate::common::{CommonSettings, flag, optional_name, with_common};
 
 const KIND: &str = "model or plain";
@@ -98,11 +98,11 @@
 impl AgentSettings {
     /// Checks all settings. The error names the flag, its value and what is allowed.
     pub fn from_matches(matches: &ArgMatches) -> Result<Self, SettingsError> {
-        let endpoint_kind = word(matches, "endpoint-kind", KIND, parse_kind)?;
-        let fencing = word(matches, "fencing", FENCING, parse_fencing)?;
+        let endpoint_kind = choice(matches, "endpoint-kind", KIND, parse_kind)?;
+        let fencing = choice(matches, "fencing", FENCING, parse_fencing)?;
         if endpoint_kind == EndpointKind::Plain && fencing == Fencing::Checked {
             let value = "checked".to_owned();
-            return Err(SettingsError::Clash(
+            return Err(SettingsError::Conflict(
                 "fencing",
                 value,
                 "endpoint-kind",
--- a/components/settings/src/ceilings.rs
+++ b/components/settings/src/ceilings.rs
@@ -8,7 +8,7 @@
 use clap::{ArgMatches, Command};
 
 use crate::SettingsError;
-use crate::check::text;
+use crate::check::optional_text;
 use crate::common::flag;
 
 const WEIGHT: &str = "customer-weight-max";
@@ -67,10 +67,10 @@
 }
 
 fn count(matches: &ArgMatches, flag: &'static str) -> Result<Option<u32>, SettingsError> {
-    let Some(value) = text(matches, flag) else {
+    let Some(value) = optional_text(matches, flag) else {
         return Ok(None);
     };
-    let bad = || SettingsError::Bad(flag, value.to_owned(), COUNT);
+    let bad = || SettingsError::InvalidValue(flag, value.to_owned(), COUNT);
     let number: u32 = value.parse().map_err(|_| bad())?;
     (number > 0).then_some(Some(number)).ok_or_else(bad)
 }
--- a/components/settings/src/check.rs
+++ b/components/settings/src/check.rs
@@ -11,22 +11,22 @@
 const ADDRESS: &str = "an IP number with a port, such as 127.0.0.1:7100";
 
 /// The text of a flag, from the command line or the environment.
-pub fn text<'a>(matches: &'a ArgMatches, flag: &'static str) -> Option<&'a str> {
+pub fn optional_text<'a>(matches: &'a ArgMatches, flag: &'static str) -> Option<&'a str> {
     matches.get_one::<String>(flag).map(String::as_str)
 }
 
 /// The text of a flag that must be set. Errors when it is not.
-pub fn required<'a>(
+pub fn required_text<'a>(
     matches: &'a ArgMatches,
     flag: &'static str,
     allowed: &'static str,
 ) -> Result<&'a str, SettingsError> {
-    text(matches, flag).ok_or(SettingsError::Missing(flag, allowed))
+    optional_text(matches, flag).ok_or(SettingsError::Missing(flag, allowed))
 }
 
 /// An address of IP number and port; names are not resolved. Errors when missing or not one.
 pub fn address(matches: &ArgMatches, flag: &'static str) -> Result<SocketAddr, SettingsError> {
-    let value = required(matches, flag, ADDRESS)?;
+    let value = required_text(matches, flag, ADDRESS)?;
     parse_address(value, flag)
 }
 
@@ -35,7 +35,7 @@
     matches: &ArgMatches,
     flag: &'static str,
 ) -> Result<Vec<SocketAddr>, SettingsError> {
-    let values = text(matches, flag).unwrap_or_default().split(',');
+    let values = optional_text(matches, flag).unwrap_or_default().split(',');
     values
         .map(str::trim)
         .filter(|value| !value.is_empty())
@@ -49,8 +49,8 @@
     flag: &'static str,
     allowed: &'static str,
 ) -> Result<Vec<T>, SettingsError> {
-    let values = text(matches, flag).unwrap_or_default();
-    let bad = |_| SettingsError::Bad(flag, values.to_owned(), allowed);
+    let values = optional_text(matches, flag).unwrap_or_default();
+    let bad = |_| SettingsError::InvalidValue(flag, values.to_owned(), allowed);
     values
         .split(',')
         .map(str::trim)
@@ -64,13 +64,13 @@
     matches: &ArgMatches,
     flag: &'static str,
 ) -> Result<Option<SocketAddr>, SettingsError> {
-    text(matches, flag)
+    optional_text(matches, flag)
         .map(|value| parse_address(value, flag))
         .transpose()
 }
 
 fn parse_address(value: &str, flag: &'static str) -> Result<SocketAddr, SettingsError> {
-    let bad = || SettingsError::Bad(flag, value.to_owned(), ADDRESS);
+    let bad = || SettingsError::InvalidValue(flag, value.to_owned(), ADDRESS);
     value.parse().map_err(|_| bad())
 }
 
@@ -81,19 +81,19 @@
     bounds: RangeInclusive<u64>,
     allowed: &'static str,
 ) -> Result<u64, SettingsError> {
-    let value = required(matches, flag, allowed)?;
-    let bad = || SettingsError::Bad(flag, value.to_owned(), allowed);
+    let value = required_text(matches, flag, allowed)?;
+    let bad = || SettingsError::InvalidValue(flag, value.to_owned(), allowed);
     let number: u64 = value.parse().map_err(|_| bad())?;
     bounds.contains(&number).then_some(number).ok_or_else(bad)
 }
 
 /// A value that one of a few words names. Errors when no word fits.
-pub fn word<T>(
+pub fn choice<T>(
     matches: &ArgMatches,
     flag: &'static str,
     allowed: &'static str,
     parse: impl FnOnce(&str) -> Option<T>,
 ) -> Result<T, SettingsError> {
-    let value = required(matches, flag, allowed)?;
-    parse(value).ok_or_else(|| SettingsError::Bad(flag, value.to_owned(), allowed))
+    let value = required_text(matches, flag, allowed)?;
+    parse(value).ok_or_else(|| SettingsError::InvalidValue(flag, value.to_owned(), allowed))
 }
--- a/components/settings/src/common.rs
+++ b/components/settings/src/common.rs
@@ -7,7 +7,7 @@
 use telemetry::LogLevel;
 use types::{FailureDomain, Region};
 
-use crate::check::{address, milliseconds, optional_address, required, text, word};
+use crate::check::{address, choice, milliseconds, optional_address, optional_text, required_text};
 use crate::{SettingsError, SharedKey, read_keys};
 
 /// Every environment variable is this and the flag in capitals.
@@ -137,7 +137,7 @@
             ("inner-listen", inner_listen),
             ("admin-listen", admin_listen),
         )?;
-        let key_file = PathBuf::from(required(matches, "key-file", KEY_FILE)?);
+        let key_file = PathBuf::from(required_text(matches, "key-file", KEY_FILE)?);
         Ok(Self {
             inner_listen,
             admin_listen,
@@ -147,7 +147,7 @@
             region: name(matches, "region")?,
             keys: read_keys(Path::new(&key_file))?,
             metrics: optional_address(matches, "metrics")?,
-            log_level: word(matches, "log-level", LOG_LEVEL, LogLevel::parse)?,
+            log_level: choice(matches, "log-level", LOG_LEVEL, LogLevel::parse)?,
             settle_ms: milliseconds(matches, "settle-ms", 0..=LEAVE_MS_MAX, LEAVE)?,
             drain_ms: milliseconds(matches, "drain-ms", DRAIN_MS_MIN..=DRAIN_MS_MAX, DRAIN)?,
             log_retention_ms: milliseconds(
@@ -165,8 +165,8 @@
     matches: &ArgMatches,
     flag: &'static str,
 ) -> Result<T, SettingsError> {
-    let value = required(matches, flag, NAME)?;
-    let bad = |_| SettingsError::Bad(flag, value.to_owned(), NAME);
+    let value = required_text(matches, flag, NAME)?;
+    let bad = |_| SettingsError::InvalidValue(flag, value.to_owned(), NAME);
     value.parse().map_err(bad)
 }
 
@@ -175,7 +175,7 @@
     matches: &ArgMatches,
     flag: &'static str,
 ) -> Result<Option<T>, SettingsError> {
-    match text(matches, flag) {
+    match optional_text(matches, flag) {
         Some(_) => name(matches, flag).map(Some),
         None => Ok(None),
     }
@@ -188,7 +188,7 @@
 ) -> Result<(), SettingsError> {
     if value == other_value && value.port() != 0 {
         let value = value.to_string();
-        return Err(SettingsError::Clash(
+        return Err(SettingsError::Conflict(
             flag,
             value,
             other,
--- a/components/settings/src/error.rs
+++ b/components/settings/src/error.rs
@@ -16,20 +16,20 @@
             display("--{} is missing: set it or {}, {}", flag, crate::common::variable(flag), allowed)
         }
         /// A value that is not allowed.
-        Bad(flag: &'static str, value: String, allowed: &'static str) {
+        InvalidValue(flag: &'static str, value: String, allowed: &'static str) {
             display("--{} is '{}': allowed is {}", flag, value, allowed)
         }
         /// Two values that exclude each other.
-        Clash(flag: &'static str, value: String, other: &'static str, allowed: &'static str) {
+        Conflict(flag: &'static str, value: String, other: &'static str, allowed: &'static str) {
             display("--{} is '{}', which does not go with --{}: {}", flag, value, other, allowed)
         }
         /// A file that can't be read.
-        File(flag: &'static str, path: PathBuf, reason: std::io::Error) {
+        FileRead(flag: &'static str, path: PathBuf, reason: std::io::Error) {
             source(reason)
             display("--{} is '{}', which cannot be read: {}", flag, path.display(), reason)
         }
         /// A line of the key file that is no key. The line itself is never shown.
-        Key(path: PathBuf, line: usize) {
+        InvalidKey(path: PathBuf, line: usize) {
             display(
                 "--key-file is '{}', whose line {} is no key: allowed are one or two lines of 64 hexadecimal digits",
                 path.display(), line
--- a/components/settings/src/keys.rs
+++ b/components/settings/src/keys.rs
@@ -29,7 +29,7 @@
 
 /// Reads the key file. Errors when it can't be read or a line is no key.
 pub fn read_keys(path: &Path) -> Result<Vec<SharedKey>, SettingsError> {
-    let unreadable = |reason| SettingsError::File(FLAG, path.to_owned(), reason);
+    let unreadable = |reason| SettingsError::FileRead(FLAG, path.to_owned(), reason);
     let text = std::fs::read_to_string(path).map_err(unreadable)?;
     parse_keys(&text, path)
 }
@@ -37,7 +37,7 @@
 /// The keys in the text of a key file, one a line; the first signs. Empty lines and lines
 /// that begin with `#` are left out. Errors name the line.
 pub fn parse_keys(text: &str, path: &Path) -> Result<Vec<SharedKey>, SettingsError> {
-    let bad_line = |line: usize| SettingsError::Key(path.to_owned(), line);
+    let bad_line = |line: usize| SettingsError::InvalidKey(path.to_owned(), line);
     let mut keys = Vec::new();
     for (at, line) in text.lines().enumerate() {
         let line = line.trim();
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -11,7 +11,7 @@
 
 pub use agent::{AgentSettings, EndpointKind, Fencing, agent_command};
 pub use ceilings::Ceilings;
-pub use check::{address, addresses, milliseconds, required, text, word};
+pub use check::{address, addresses, choice, milliseconds, optional_text, required_text};
 pub use common::{CommonSettings, ENV_PREFIX, flag, name, optional_name};
 pub use entry::{EntrySettings, entry_command};
 pub use error::{EXIT_SETTINGS, SettingsError};
--- a/components/telemetry/src/budget.rs
+++ b/components/telemetry/src/budget.rs
@@ -7,14 +7,14 @@
 
 /// Whether a line may be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Line {
+pub enum LineDecision {
     /// It may, and so many were left out in the windows before and not reported yet.
-    Written {
+    Write {
         /// Lines left out.
-        left_out: u64,
+        suppressed: u64,
     },
     /// It is left out and counted.
-    LeftOut,
+    Suppress,
 }
 
 /// Lines of one process. Callers on several threads may race at the turn of a window, which
@@ -24,7 +24,7 @@
     lines_per_s: u64,
     window: AtomicU64,
     written: AtomicU64,
-    left_out: AtomicU64,
+    suppressed: AtomicU64,
 }
 
 impl LineBudget {
@@ -34,25 +34,25 @@
             lines_per_s,
             window: AtomicU64::new(0),
             written: AtomicU64::new(0),
-            left_out: AtomicU64::new(0),
+            suppressed: AtomicU64::new(0),
         }
     }
 
     /// Asks for a line at a time, in milliseconds of any clock that does not go back.
-    pub fn ask(&self, now_ms: u64) -> Line {
+    pub fn try_take(&self, now_ms: u64) -> LineDecision {
         let window = now_ms / WINDOW_MS;
         let turned = self.window.swap(window, Ordering::Relaxed) != window;
         if turned {
             self.written.store(0, Ordering::Relaxed);
         }
         if self.written.fetch_add(1, Ordering::Relaxed) < self.lines_per_s {
-            let left_out = match turned {
-                true => self.left_out.swap(0, Ordering::Relaxed),
+            let suppressed = match turned {
+                true => self.suppressed.swap(0, Ordering::Relaxed),
                 false => 0,
             };
-            return Line::Written { left_out };
+            return LineDecision::Write { suppressed };
         }
-        self.left_out.fetch_add(1, Ordering::Relaxed);
-        Line::LeftOut
+        self.suppressed.fetch_add(1, Ordering::Relaxed);
+        LineDecision::Suppress
     }
 }
--- a/components/telemetry/src/lib.rs
+++ b/components/telemetry/src/lib.rs
@@ -6,7 +6,7 @@
 mod metrics;
 mod table;
 
-pub use budget::{Line, LineBudget};
+pub use budget::{LineBudget, LineDecision};
 pub use logs::{LogGuard, LogLevel, LogsError, Output, start_logs, start_logs_to};
 pub use metrics::{Label, Metrics, MetricsError, MetricsSettings};
 pub use table::{Row, SERIES_MAX};
--- a/components/telemetry/src/logs.rs
+++ b/components/telemetry/src/logs.rs
@@ -14,7 +14,7 @@
 use logforth::{Diagnostic, Filter};
 use quick_error::quick_error;
 
-use crate::budget::{Line, LineBudget};
+use crate::budget::{LineBudget, LineDecision};
 
 /// Lines a second, at most. A front's busiest second on days of heavy load and trouble had
 /// 179; a process at the size to design for has some 100 a second, so that ten times that
@@ -29,7 +29,7 @@
     #[derive(Debug)]
     pub enum LogsError {
         /// A logger stands already.
-        Twice(reason: logforth::Error) {
+        AlreadyStarted(reason: logforth::Error) {
             display("the log cannot be set up: {}", reason)
         }
     }
@@ -50,7 +50,7 @@
 
 impl LogLevel {
     /// The words that settings allow.
-    pub const WORDS: [&'static str; 4] = ["error", "warn", "info", "debug"];
+    pub const NAMES: [&'static str; 4] = ["error", "warn", "info", "debug"];
 
     /// The level with this word.
     pub fn parse(text: &str) -> Option<LogLevel> {
@@ -60,7 +60,7 @@
             LogLevel::Info,
             LogLevel::Debug,
         ];
-        let at = Self::WORDS.iter().position(|word| *word == text)?;
+        let at = Self::NAMES.iter().position(|word| *word == text)?;
         levels.get(at).copied()
     }
 
@@ -91,12 +91,12 @@
             return FilterResult::Neutral;
         }
         let now_ms = self.started.elapsed().as_millis() as u64;
-        match self.budget.ask(now_ms) {
-            Line::LeftOut => FilterResult::Reject,
-            Line::Written { left_out } => {
+        match self.budget.try_take(now_ms) {
+            LineDecision::Suppress => FilterResult::Reject,
+            LineDecision::Write { suppressed } => {
                 // This line passes the filter too; its own count is zero, so it ends there.
-                if left_out > 0 {
-                    log::warn!(event = "lines-left-out", lines = left_out; "");
+                if suppressed > 0 {
+                    log::warn!(event = "lines-left-out", lines = suppressed; "");
                 }
                 FilterResult::Neutral
             }
@@ -144,7 +144,7 @@
     logforth::starter_log::builder()
         .dispatch(|dispatch| dispatch.filter(budgeted).append(queued))
         .try_apply()
-        .map_err(LogsError::Twice)?;
+        .map_err(LogsError::AlreadyStarted)?;
     // The filter stands here and not in the dispatch, so that a line below the level
     // costs its caller one load of an atomic.
     log::set_max_level(level.filter());
--- a/components/telemetry/src/metrics.rs
+++ b/components/telemetry/src/metrics.rs
@@ -85,7 +85,7 @@
 
 enum Message {
     Count(Series, u64),
-    Level(Series, u64),
+    Gauge(Series, u64),
     Record(Series, u64),
     Rows(oneshot::Sender<Vec<Row>>),
 }
@@ -117,8 +117,8 @@
     }
 
     /// Sets a level, such as a queue's length.
-    pub fn level(&self, name: &'static str, label: Label<'_>, value: u64) {
-        self.send(Message::Level(series(name, label), value));
+    pub fn set_gauge(&self, name: &'static str, label: Label<'_>, value: u64) {
+        self.send(Message::Gauge(series(name, label), value));
     }
 
     /// Records a value in a histogram; the name's suffix is its unit.
@@ -182,9 +182,9 @@
                 tag(client.count_with_tags(series.name, by), &series).send();
                 table.count(series, by);
             }
-            Message::Level(series, value) => {
+            Message::Gauge(series, value) => {
                 tag(client.gauge_with_tags(series.name, value), &series).send();
-                table.level(series, value);
+                table.set_gauge(series, value);
             }
             Message::Record(series, value) => {
                 tag(client.histogram_with_tags(series.name, value), &series).send();
--- a/components/telemetry/src/table.rs
+++ b/components/telemetry/src/table.rs
@@ -23,10 +23,10 @@
     pub(crate) class: &'static str,
 }
 
-enum Numbers {
+enum SeriesValue {
     Count(u64),
-    Level(u64),
-    Spread(Box<Histogram<u64>>),
+    Gauge(u64),
+    Histogram(Box<Histogram<u64>>),
 }
 
 /// One series as it stands.
@@ -53,29 +53,33 @@
 /// All series of a process. Owned by one thread.
 #[derive(Default)]
 pub(crate) struct Table {
-    rows: HashMap<Series, Numbers>,
+    rows: HashMap<Series, SeriesValue>,
 }
 
 impl Table {
     pub(crate) fn count(&mut self, series: Series, by: u64) {
-        if let Numbers::Count(sum) = self.numbers(series, || Numbers::Count(0)) {
+        if let SeriesValue::Count(sum) = self.value_mut(series, || SeriesValue::Count(0)) {
             *sum += by;
         }
     }
 
-    pub(crate) fn level(&mut self, series: Series, value: u64) {
-        if let Numbers::Level(last) = self.numbers(series, || Numbers::Level(0)) {
+    pub(crate) fn set_gauge(&mut self, series: Series, value: u64) {
+        if let SeriesValue::Gauge(last) = self.value_mut(series, || SeriesValue::Gauge(0)) {
             *last = value;
         }
     }
 
     pub(crate) fn record(&mut self, series: Series, value: u64) {
-        if let Numbers::Spread(histogram) = self.numbers(series, empty_spread) {
+        if let SeriesValue::Histogram(histogram) = self.value_mut(series, empty_histogram) {
             histogram.saturating_record(value);
         }
     }
 
-    fn numbers(&mut self, mut series: Series, fresh: impl FnOnce() -> Numbers) -> &mut Numbers {
+    fn value_mut(
+        &mut self,
+        mut series: Series,
+        fresh: impl FnOnce() -> SeriesValue,
+    ) -> &mut SeriesValue {
         let known = self.rows.contains_key(&series);
         if !known && self.rows.len() >= SERIES_MAX {
             // Names and classes are few and fixed, so only customers can fill the
@@ -90,19 +94,21 @@
         sorted.sort_by_key(|(series, _)| *series);
         sorted
             .into_iter()
-            .map(|(series, numbers)| row(series, numbers))
+            .map(|(series, value)| row(series, value))
             .collect()
     }
 }
 
-fn empty_spread() -> Numbers {
+fn empty_histogram() -> SeriesValue {
     // The bounds are constants that the library allows; a plain count stands in, so
     // that no branch of this can end the process.
     Histogram::new_with_bounds(1, VALUE_MAX, SIGNIFICANT_DIGITS)
-        .map_or(Numbers::Count(0), |empty| Numbers::Spread(Box::new(empty)))
+        .map_or(SeriesValue::Count(0), |empty| {
+            SeriesValue::Histogram(Box::new(empty))
+        })
 }
 
-fn row(series: &Series, numbers: &Numbers) -> Row {
+fn row(series: &Series, value: &SeriesValue) -> Row {
     let mut row = Row {
         name: series.name,
         customer: series.customer.clone(),
@@ -113,9 +119,9 @@
         p999: 0,
         max: 0,
     };
-    match numbers {
-        Numbers::Count(value) | Numbers::Level(value) => row.count = *value,
-        Numbers::Spread(histogram) => {
+    match value {
+        SeriesValue::Count(value) | SeriesValue::Gauge(value) => row.count = *value,
+        SeriesValue::Histogram(histogram) => {
             row.count = histogram.len();
             row.p50 = histogram.value_at_quantile(0.5);
             row.p99 = histogram.value_at_quantile(0.99);
--- a/components/telemetry/tests/budget.rs
+++ b/components/telemetry/tests/budget.rs
@@ -1,12 +1,12 @@
 //! The budget of log lines.
 
-use telemetry::{Line, LineBudget};
+use telemetry::{LineBudget, LineDecision};
 
 const LINES_PER_S: u64 = 5;
 
 fn written(budget: &LineBudget, lines: u64, now_ms: u64) -> u64 {
-    let asked = (0..lines).map(|_| budget.ask(now_ms));
-    asked.filter(|line| *line != Line::LeftOut).count() as u64
+    let asked = (0..lines).map(|_| budget.try_take(now_ms));
+    asked.filter(|line| *line != LineDecision::Suppress).count() as u64
 }
 
 #[test]
@@ -16,8 +16,14 @@
     let budget = LineBudget::new(LINES_PER_S);
     assert_eq!(written(&budget, 1_000, 10_000), LINES_PER_S);
     assert_eq!(written(&budget, 10, 10_999), 0);
-    assert_eq!(budget.ask(11_000), Line::Written { left_out: 1_005 });
-    assert_eq!(budget.ask(11_001), Line::Written { left_out: 0 });
+    assert_eq!(
+        budget.try_take(11_000),
+        LineDecision::Write { suppressed: 1_005 }
+    );
+    assert_eq!(
+        budget.try_take(11_001),
+        LineDecision::Write { suppressed: 0 }
+    );
 }
 
 #[test]
@@ -26,5 +32,8 @@
     for second in 0..100 {
         assert_eq!(written(&budget, LINES_PER_S, second * 1_000), LINES_PER_S);
     }
-    assert_eq!(budget.ask(100_000), Line::Written { left_out: 0 });
+    assert_eq!(
+        budget.try_take(100_000),
+        LineDecision::Write { suppressed: 0 }
+    );
 }
--- a/components/types/src/name.rs
+++ b/components/types/src/name.rs
@@ -23,7 +23,7 @@
             display("the name has {} bytes, at most {} are allowed", bytes, NAME_BYTES_MAX)
         }
         /// A character outside `a-z`, `0-9`, `-`, or a first one that is no letter.
-        BadCharacter(position: usize) {
+        InvalidCharacter(position: usize) {
             display("character {} of the name is not allowed: use a-z, 0-9 and '-', a letter first", position + 1)
         }
     }
@@ -42,7 +42,7 @@
         !(letter || inner)
     };
     match text.chars().enumerate().find(|&at| allowed(at)) {
-        Some((position, _)) => Err(NameError::BadCharacter(position)),
+        Some((position, _)) => Err(NameError::InvalidCharacter(position)),
         None => Ok(()),
     }
 }
--- a/dev/bench/src/entry.rs
+++ b/dev/bench/src/entry.rs
@@ -4,7 +4,7 @@
 use gateway::{Entry, Tuning};
 use node::process;
 use routing::{Policy, Settings};
-use settings::{EntrySettings, entry_command, flag, text};
+use settings::{EntrySettings, entry_command, flag, optional_text};
 
 use crate::error::BenchError;
 
@@ -30,7 +30,7 @@
 /// Runs the entry until it is told to end.
 pub fn run(matches: &ArgMatches) -> Result<(), BenchError> {
     let settings = EntrySettings::from_matches(matches)?;
-    let word = text(matches, "policy").unwrap_or_default();
+    let word = optional_text(matches, "policy").unwrap_or_default();
     let tuning = Tuning {
         routing: Settings {
             policy: policy(word, "policy")?,
