--- a/components/types/src/class.rs
+++ b/components/types/src/class.rs
@@ -1,25 +1,26 @@
-//! Classes of requests and roles of token holders.
+//! Priority classes of requests and roles of token holders.
 
 use std::fmt;
 
 use derive::wire_key;
 
-/// Class of a request; the order is the order of admission, first served first.
+/// Priority class of a request. The variants are ordered by admission: waiting requests of an
+/// earlier class are admitted first.
 #[wire_key]
 pub enum Class {
-    /// Somebody waits: a clerk, a portal, a bid lookup.
+    /// A person or an online system waits for the answer: a clerk, a portal, a bid lookup.
     Interactive,
-    /// A service works through a backlog: prior-sanction checks, stock sync.
+    /// A service processes a backlog: prior-sanction checks, stock sync.
     Background,
-    /// Samples for a trainer.
+    /// Generates samples for a trainer.
     Sampling,
 }
 
 impl Class {
-    /// Every class, in the order of admission.
+    /// All classes, in the order of admission.
     pub const ALL: [Class; 3] = [Class::Interactive, Class::Background, Class::Sampling];
 
-    /// The class as it stands in a header, metric or log line.
+    /// Name of the class in headers, metrics and log lines.
     pub fn as_str(self) -> &'static str {
         match self {
             Class::Interactive => "interactive",
@@ -28,7 +29,7 @@
         }
     }
 
-    /// The class with this word, if there is one.
+    /// The class with this name, or `None` if no class has it.
     pub fn parse(text: &str) -> Option<Class> {
         Class::ALL.into_iter().find(|class| class.as_str() == text)
     }
@@ -40,22 +41,22 @@
     }
 }
 
-/// What the holder of a token may do.
+/// Permissions of the holder of a bearer token.
 #[wire_key]
 pub enum Role {
-    /// Call services.
+    /// May call services.
     Caller,
-    /// Post steps, fetch samples and announce weight versions.
+    /// May post steps, fetch samples and announce weight versions.
     Trainer,
-    /// Publish configuration, drain, roll back and read status.
+    /// May publish configuration, drain processes, roll back weights and read status.
     Operator,
 }
 
 impl Role {
-    /// Every role.
+    /// All roles, in no particular order.
     pub const ALL: [Role; 3] = [Role::Caller, Role::Trainer, Role::Operator];
 
-    /// The role as it stands in the configuration.
+    /// Name of the role in the configuration.
     pub fn as_str(self) -> &'static str {
         match self {
             Role::Caller => "caller",
@@ -64,7 +65,7 @@
         }
     }
 
-    /// The role with this word, if there is one.
+    /// The role with this name, or `None` if no role has it.
     pub fn parse(text: &str) -> Option<Role> {
         Role::ALL.into_iter().find(|role| role.as_str() == text)
     }
--- a/components/types/src/id.rs
+++ b/components/types/src/id.rs
@@ -1,4 +1,4 @@
-//! Identities of processes and calls.
+//! Identifiers of processes and calls.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,21 +8,22 @@
 use serde::ser::SerializeTuple;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Orders the lives of processes at one address; a later life has the higher number.
+/// Orders the successive processes at one address: a later process has the higher number.
 ///
-/// Taken from the wall clock at start. A process that hears a number for its own
-/// address that is not below its own takes that number plus one, so a VM whose clock
-/// runs behind still ends up above its predecessor.
+/// A process takes the number from the wall clock when it starts. A process that receives an
+/// incarnation of its own address that is not lower than its own raises its own to the received
+/// number plus one. A VM whose clock runs behind therefore still ends up above its predecessor.
 #[wire_key]
 pub struct Incarnation(pub u64);
 
-/// One life of one process.
+/// Identifies one process from its start to its end. A process that is restarted at the same
+/// address has another id.
 #[wire]
 #[derive(Copy, Hash, PartialOrd, Ord)]
 pub struct NodeId {
-    /// Address of the process for inner traffic, TCP and UDP alike.
+    /// Address for traffic between the system's own processes, both TCP and UDP.
     pub address: SocketAddr,
-    /// Which life of the process at that address.
+    /// Distinguishes the successive processes at this address.
     pub incarnation: Incarnation,
 }
 
@@ -32,13 +33,13 @@
     }
 }
 
-/// Identity of a call, unique across restarts of the caller. Stands in every frame, so it
-/// is serialised by hand, with the bytes of the derived form.
+/// Identifies a call; unique across restarts of the calling process. The serialization is written
+/// by hand because every frame carries a call id; the bytes are those of the derived one.
 #[key]
 pub struct CallId {
-    /// Random number drawn by the calling process at its start.
+    /// Random number that the calling process draws when it starts.
     pub boot: u64,
-    /// Counter within that process.
+    /// Number of the call within that process.
     pub counter: u64,
 }
 
@@ -69,13 +70,13 @@
     type Value = CallId;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the identity of a call")
+        f.write_str("a call id of two numbers")
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<CallId, A::Error> {
         let mut number = || {
             let next = seq.next_element()?;
-            next.ok_or_else(|| A::Error::custom("a number of the identity is missing"))
+            next.ok_or_else(|| A::Error::custom("call id has fewer than two numbers"))
         };
         Ok(CallId {
             boot: number()?,
--- a/components/types/src/lib.rs
+++ b/components/types/src/lib.rs
@@ -1,5 +1,5 @@
-//! Words that every package of hornbeamrock shares: names, versions, classes and
-//! the outcome of a request. No I/O, no clock, no policy.
+//! Types that all packages of hornbeamrock share: names, weight versions, request classes and
+//! outcomes of requests. The package does no I/O, reads no clock and contains no policy.
 
 mod class;
 mod id;
--- a/components/types/src/name.rs
+++ b/components/types/src/name.rs
@@ -1,5 +1,5 @@
-//! Checked names. A name is 1 to 63 characters of `a-z`, `0-9` and `-`, and begins
-//! with a letter, so that it can stand in a URL path, a metric and a log line as it is.
+//! Validated names. A name has 1 to 63 characters of `a-z`, `0-9` and `-` and begins with a
+//! letter, so that it can appear unescaped in a URL path, a metric and a log line.
 
 use std::fmt;
 use std::sync::Arc;
@@ -7,22 +7,23 @@
 use quick_error::quick_error;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Longest name, in bytes.
+/// Maximum length of a name.
 pub const NAME_BYTES_MAX: usize = 63;
 
 quick_error! {
-    /// Why a text is not a name.
+    /// Reason why a text is not a valid name.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum NameError {
-        /// No character at all.
+        /// The text is empty.
         Empty {
             display("the name is empty")
         }
-        /// Longer than [`NAME_BYTES_MAX`].
+        /// The text has more than [`NAME_BYTES_MAX`] bytes; the field is its length.
         TooLong(bytes: usize) {
             display("the name has {} bytes, at most {} are allowed", bytes, NAME_BYTES_MAX)
         }
-        /// A character outside `a-z`, `0-9`, `-`, or a first one that is no letter.
+        /// The character at this position, counted from 0, is not one of `a-z`, `0-9` and `-`, or
+        /// the first character is not a letter.
         InvalidCharacter(position: usize) {
             display("character {} of the name is not allowed: use a-z, 0-9 and '-', a letter first", position + 1)
         }
@@ -36,12 +37,12 @@
     if text.len() > NAME_BYTES_MAX {
         return Err(NameError::TooLong(text.len()));
     }
-    let allowed = |(position, c): (usize, char)| {
-        let letter = c.is_ascii_lowercase();
-        let inner = position > 0 && (c.is_ascii_digit() || c == '-');
-        !(letter || inner)
+    let is_invalid = |(position, c): (usize, char)| {
+        let is_letter = c.is_ascii_lowercase();
+        let is_inner = position > 0 && (c.is_ascii_digit() || c == '-');
+        !(is_letter || is_inner)
     };
-    match text.chars().enumerate().find(|&at| allowed(at)) {
+    match text.chars().enumerate().find(|&at| is_invalid(at)) {
         Some((position, _)) => Err(NameError::InvalidCharacter(position)),
         None => Ok(()),
     }
@@ -54,13 +55,13 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Checks `text` and stores it; the error says what is wrong with it.
+            /// Creates a name from `text`. Returns an error if `text` is not a valid name.
             pub fn new(text: &str) -> Result<Self, NameError> {
                 check(text)?;
                 Ok(Self(Arc::from(text)))
             }
 
-            /// The name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -102,14 +103,14 @@
 }
 
 names! {
-    /// A customer of the system; owns services and tokens.
+    /// Name of a customer, who owns services and tokens.
     CustomerName,
-    /// A service of one customer: a model or a plain service.
+    /// Name of a customer's service: a model or a plain service.
     ServiceName,
-    /// A pool of endpoints, as in an agent's settings.
+    /// Name of a pool of endpoints, set by the `--pool` flag of the agents.
     PoolName,
-    /// A failure domain, as in a VM's settings.
+    /// Name of a failure domain, set by the `--failure-domain` flag of the processes on a VM.
     FailureDomain,
-    /// A region: several failure domains near one another.
+    /// Name of a region: several failure domains that are close to each other.
     Region,
 }
--- a/components/types/src/outcome.rs
+++ b/components/types/src/outcome.rs
@@ -1,8 +1,8 @@
-//! What became of a request that did not end with its whole answer.
+//! Outcome of a request that did not end with a complete answer.
 //!
-//! One type goes from the agent to the caller's reply. The rule of the whole system is
-//! that [`RunState::NotRun`] is only said where the call provably never reached an
-//! endpoint; every doubt is [`RunState::Unknown`].
+//! The same type is passed from the agent to the reply that the caller receives. In the whole
+//! system, [`RunState::NotRun`] is reported only if the call provably never reached an endpoint;
+//! in every case of doubt [`RunState::Unknown`] is reported.
 
 use std::fmt;
 
@@ -11,16 +11,16 @@
 /// Whether the request ran.
 #[wire_key]
 pub enum RunState {
-    /// It provably never reached an endpoint; sending it again is safe.
+    /// The request provably never reached an endpoint, so a retry is safe.
     NotRun,
-    /// It may have run; the system never sends a non-idempotent one again.
+    /// The request may have run. The system never retries it unless it is idempotent.
     Unknown,
-    /// It ran, or began to, and failed.
+    /// The request started to run and failed.
     Failed,
 }
 
 impl RunState {
-    /// The word in a problem document and a log line.
+    /// Name of the state in problem documents and log lines.
     pub fn as_str(self) -> &'static str {
         match self {
             RunState::NotRun => "not-run",
@@ -36,59 +36,62 @@
     }
 }
 
-/// Why a request did not end with its whole answer.
+/// Reason why a request did not end with a complete answer.
 #[wire_key]
 pub enum Cause {
-    /// The request itself is not well formed.
+    /// The request is malformed.
     Malformed,
-    /// A body or a frame over its limit.
+    /// A body or a frame exceeds its size limit.
     TooLarge,
-    /// No token, or one that nobody holds.
+    /// The request has no token, or a token that is not configured.
     Unauthenticated,
-    /// The token's holder may not do this.
+    /// The token's holder does not have the permission.
     Forbidden,
-    /// No service of this name for this customer.
+    /// The customer has no service of this name.
     UnknownService,
-    /// The customer's own limit.
+    /// The customer has reached one of its limits.
     CustomerLimit,
-    /// The queue of this class is full.
+    /// The queue of the request's class is full.
     QueueFull,
-    /// The time that the caller gave is over.
+    /// The deadline that the caller set has passed.
     DeadlinePassed,
-    /// The process or the endpoint is leaving.
+    /// The process or the endpoint is draining and accepts no new calls.
     Leaving,
-    /// The endpoint does not host the service now.
+    /// The endpoint does not currently host the service.
     NotHosted,
-    /// No endpoint can take the call now.
+    /// No endpoint can currently accept the call.
     NoEndpoint,
-    /// The connection to the process before the endpoint was lost for good.
+    /// The connection to the process that handles the call, such as the agent beside the endpoint,
+    /// was lost and not restored in time.
     LinkLost,
-    /// The endpoint died or cut the connection.
+    /// The endpoint crashed or closed the connection.
     EndpointLost,
-    /// The endpoint's answer ended before its stated end.
+    /// The endpoint's answer ended before its declared end.
     Truncated,
-    /// The endpoint answered with something that is not an answer.
+    /// The endpoint's answer is invalid.
     EndpointError,
-    /// The request has crashed endpoints and is not tried again.
+    /// The request has crashed endpoints and is not retried.
     Quarantined,
-    /// The platform's log cannot take the claim now.
+    /// The claim on the idempotency key cannot currently be written to the platform's log or read
+    /// from it.
     ClaimUnavailable,
-    /// Another submission of the same idempotency key holds the claim.
+    /// Another submission with the same idempotency key holds the claim.
     ClaimTaken,
-    /// The same idempotency key came with another request.
+    /// The idempotency key was used before with a different request.
     KeyReused,
-    /// The caller went away or cancelled.
+    /// The caller cancelled the request or closed its connection.
     Cancelled,
-    /// The retry budget of the customer is used up.
+    /// The customer's retry budget is exhausted.
     BudgetSpent,
-    /// The wanted weight version is not to be had, or the sample would be too old.
+    /// The requested weight version is not available, or the sample would exceed its staleness
+    /// bound.
     Stale,
-    /// A fault of the system itself.
+    /// An internal error of the system.
     Internal,
 }
 
 impl Cause {
-    /// The word in a problem document, a metric and a log line.
+    /// Name of the cause in problem documents, metrics and log lines.
     pub fn as_str(self) -> &'static str {
         match self {
             Cause::Malformed => "malformed",
@@ -124,20 +127,20 @@
     }
 }
 
-/// Final answer to a request that has no whole answer.
+/// Final reply to a request that did not end with a complete answer.
 #[wire]
 #[derive(Copy)]
 pub struct Failure {
-    /// Whether it ran.
+    /// Whether the request ran.
     pub run: RunState,
-    /// Why.
+    /// Why the request failed.
     pub cause: Cause,
-    /// When the caller may come back, where that helps.
+    /// Time after which the caller may retry; `None` if waiting does not help.
     pub retry_after_ms: Option<u32>,
 }
 
 impl Failure {
-    /// A failure with no time to come back.
+    /// A failure without a retry time.
     pub fn new(run: RunState, cause: Cause) -> Self {
         Self {
             run,
@@ -146,12 +149,12 @@
         }
     }
 
-    /// Not run, for this cause.
+    /// A failure of a request that did not run.
     pub fn not_run(cause: Cause) -> Self {
         Self::new(RunState::NotRun, cause)
     }
 
-    /// The same failure with a time to come back.
+    /// Sets the time after which the caller may retry.
     pub fn retry_after(self, retry_after_ms: u32) -> Self {
         Self {
             retry_after_ms: Some(retry_after_ms),
--- a/components/types/src/weight.rs
+++ b/components/types/src/weight.rs
@@ -7,32 +7,34 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why a text is not a weight version.
+    /// Reason why a text is not a valid weight version.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum VersionError {
-        /// Not of the form `EPOCH.VERSION`.
+        /// The text does not have the form `EPOCH.VERSION`.
         Malformed(text: String) {
             display("'{}' is not a weight version: write EPOCH.VERSION, such as 1.7", text)
         }
     }
 }
 
-/// Version of a model's weights. The trainer counts `version`; an operator's roll-back
-/// raises `epoch`, so that nothing announced before it can come back.
+/// Version of a model's weights. The trainer increments `version`. A rollback by an operator
+/// increments `epoch`, so that a version announced before the rollback can never become active
+/// again: versions compare by epoch first.
 #[wire_key]
 #[derive(Default)]
 pub struct WeightVersion {
-    /// Raised by each roll-back.
+    /// Incremented by each rollback.
     pub epoch: u32,
-    /// Raised by the trainer with each new set of weights.
+    /// Incremented by the trainer for each new set of weights.
     pub version: u64,
 }
 
 impl WeightVersion {
-    /// Bits of the fencing number that hold the version.
+    /// Number of low bits of the fencing number that hold the version; the epoch is above them.
     const VERSION_BITS: u32 = 40;
 
-    /// The fencing number for orders to engines: grows with (epoch, version).
+    /// Fencing number of an order to an engine for this version; grows with (epoch, version). An
+    /// engine that checks fencing numbers refuses an order with a lower number than it has seen.
     pub fn fencing_number(self) -> u64 {
         let version = self.version & ((1 << Self::VERSION_BITS) - 1);
         (u64::from(self.epoch) << Self::VERSION_BITS) | version
