--- a/components/settings/src/agent.rs
+++ b/components/settings/src/agent.rs
@@ -7,74 +7,76 @@
 
 use crate::SettingsError;
 use crate::check::{address, choice, milliseconds, names};
-use crate::common::{CommonSettings, flag, optional_name, with_common};
+use crate::common::{CommonSettings, flag, optional_name, with_common_flags};
 
-const KIND: &str = "model or plain";
-const LOAD_WINDOW: &str = "0 to 600000 milliseconds";
+const ENDPOINT_KIND_EXPECTED: &str = "model or plain";
+const LOAD_WINDOW_EXPECTED: &str = "0 to 600000 milliseconds";
 const LOAD_WINDOW_MS_MAX: u64 = 600_000;
-const FENCING: &str = "checked or ignored";
-const CUSTOMERS: &str = "names of a-z, 0-9 and '-' with commas between, such as office,collective";
-const POOL: &str = "a name of a-z, 0-9 and '-'";
+const FENCING_EXPECTED: &str = "checked or ignored";
+const CUSTOMERS_EXPECTED: &str =
+    "names of a-z, 0-9 and '-' separated by commas, such as office,collective";
+const POOL_EXPECTED: &str = "a name of a-z, 0-9 and '-'";
 
-/// Entries are told at once that an agent leaves, and what it refuses goes elsewhere.
-const SETTLE_MS: &str = "0";
+/// An agent needs no settle time: it notifies the entries immediately that it drains, and they send
+/// the calls that it refuses to other agents.
+const DEFAULT_SETTLE_MS: &str = "0";
 
-/// What the endpoint beside the agent is.
+/// Kind of the endpoint beside the agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointKind {
-    /// A model engine.
+    /// An engine that serves a model and takes orders to load and switch weights.
     Model,
-    /// A plain service.
+    /// A plain service, which takes no orders.
     Plain,
 }
 
 /// Whether the engine checks the fencing number of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fencing {
-    /// It refuses an order with an old number.
+    /// The engine refuses an order whose fencing number is lower than one it has seen.
     Checked,
-    /// It takes every order.
+    /// The engine carries out every order.
     Ignored,
 }
 
-/// Checked settings of an agent.
+/// Validated settings of an agent.
 #[derive(Clone, Debug)]
 pub struct AgentSettings {
-    /// What entry and agent share.
+    /// Settings that an agent has in common with an entry.
     pub common: CommonSettings,
     /// Address of the endpoint beside the agent.
     pub endpoint: SocketAddr,
-    /// What the endpoint is.
+    /// Kind of that endpoint.
     pub endpoint_kind: EndpointKind,
-    /// Pool that the endpoint belongs to; services of that pool are hosted here.
+    /// Pool that the endpoint belongs to. The endpoint hosts only services of this pool.
     pub pool: PoolName,
-    /// Customers whose services this endpoint may host, at least one, each once. A customer
-    /// writes its own text and could name any pool there, so the endpoint's own settings
-    /// decide.
+    /// Customers whose services this endpoint may host: sorted, without duplicates, at least one.
+    /// A customer writes its own configuration and could name any pool there, so the settings of
+    /// the endpoint's agent decide.
     pub customers: Vec<CustomerName>,
     /// Whether the engine checks fencing numbers.
     pub fencing: Fencing,
-    /// Time over which the replicas of a model spread their loads of a version that its
-    /// trainer names ahead of time, in milliseconds.
+    /// Time over which the replicas of a model spread their preloads, that is the loads of a version
+    /// that the trainer announces ahead of time.
     pub load_window_ms: u64,
 }
 
-/// The command line of an agent.
+/// Definition of the command line of an agent.
 pub fn agent_command() -> Command {
     let command = Command::new("hornbeamrock-agent")
         .version(env!("CARGO_PKG_VERSION"))
-        .about("Stands beside one endpoint: takes calls from entries and drives the endpoint")
+        .about("Runs beside one endpoint: accepts calls from entries and forwards them to the endpoint")
         .arg(flag(
             "endpoint",
             "IP:PORT",
             "Address of the endpoint beside this agent",
         ))
-        .arg(flag("endpoint-kind", "KIND", "model or plain").default_value("model"))
+        .arg(flag("endpoint-kind", "KIND", "Kind of the endpoint: model or plain").default_value("model"))
         .arg(flag("pool", "NAME", "Pool that the endpoint belongs to"))
         .arg(flag(
             "customers",
             "NAME,…",
-            "Customers whose services the endpoint may host, with commas between",
+            "Customers whose services the endpoint may host, separated by commas",
         ))
         .arg(
             flag(
@@ -88,18 +90,18 @@
             flag(
                 "load-window-ms",
                 "MS",
-                "Time over which replicas spread their loads of weights named ahead of time",
+                "Time over which replicas spread their loads of weights announced ahead of time",
             )
             .default_value("60000"),
         );
-    with_common(command, SETTLE_MS)
+    with_common_flags(command, DEFAULT_SETTLE_MS)
 }
 
 impl AgentSettings {
-    /// Checks all settings. The error names the flag, its value and what is allowed.
+    /// Reads and validates all settings.
     pub fn from_matches(matches: &ArgMatches) -> Result<Self, SettingsError> {
-        let endpoint_kind = choice(matches, "endpoint-kind", KIND, parse_kind)?;
-        let fencing = choice(matches, "fencing", FENCING, parse_fencing)?;
+        let endpoint_kind = choice(matches, "endpoint-kind", ENDPOINT_KIND_EXPECTED, parse_kind)?;
+        let fencing = choice(matches, "fencing", FENCING_EXPECTED, parse_fencing)?;
         if endpoint_kind == EndpointKind::Plain && fencing == Fencing::Checked {
             let value = "checked".to_owned();
             return Err(SettingsError::Conflict(
@@ -114,25 +116,25 @@
             common: CommonSettings::from_matches(matches)?,
             endpoint: address(matches, "endpoint")?,
             endpoint_kind,
-            pool: pool.ok_or(SettingsError::Missing("pool", POOL))?,
+            pool: pool.ok_or(SettingsError::Missing("pool", POOL_EXPECTED))?,
             customers: customers(matches)?,
             fencing,
             load_window_ms: milliseconds(
                 matches,
                 "load-window-ms",
                 0..=LOAD_WINDOW_MS_MAX,
-                LOAD_WINDOW,
+                LOAD_WINDOW_EXPECTED,
             )?,
         })
     }
 }
 
 fn customers(matches: &ArgMatches) -> Result<Vec<CustomerName>, SettingsError> {
-    let mut customers = names(matches, "customers", CUSTOMERS)?;
+    let mut customers = names(matches, "customers", CUSTOMERS_EXPECTED)?;
     customers.sort();
     customers.dedup();
     if customers.is_empty() {
-        return Err(SettingsError::Missing("customers", CUSTOMERS));
+        return Err(SettingsError::Missing("customers", CUSTOMERS_EXPECTED));
     }
     Ok(customers)
 }
--- a/components/settings/src/common.rs
+++ b/components/settings/src/common.rs
@@ -1,4 +1,4 @@
-//! Settings that entry and agent share.
+//! Settings that entries and agents have in common.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -10,46 +10,48 @@
 use crate::check::{address, choice, milliseconds, optional_address, optional_text, required_text};
 use crate::{SettingsError, SharedKey, read_keys};
 
-/// Every environment variable is this and the flag in capitals.
+/// Prefix of all environment variables. The rest of a variable's name is the flag in capitals with
+/// underscores.
 pub const ENV_PREFIX: &str = "HORNBEAMROCK_";
 
-const NAME: &str = "a name of a-z, 0-9 and '-'";
-const KEY_FILE: &str = "a file of one or two lines of 64 hexadecimal digits";
-const LOG_LEVEL: &str = "error, warn, info or debug";
-const LEAVE: &str = "0 to 600000 milliseconds";
-const DRAIN: &str = "1000 to 3600000 milliseconds";
+const NAME_EXPECTED: &str = "a name of a-z, 0-9 and '-'";
+const KEY_FILE_EXPECTED: &str = "a file of one or two lines of 64 hexadecimal digits";
+const LOG_LEVEL_EXPECTED: &str = "error, warn, info or debug";
+const SETTLE_EXPECTED: &str = "0 to 600000 milliseconds";
+const DRAIN_EXPECTED: &str = "1000 to 3600000 milliseconds";
 
-const LEAVE_MS_MAX: u64 = 600_000;
+const SETTLE_MS_MAX: u64 = 600_000;
 const DRAIN_MS_MIN: u64 = 1_000;
 const DRAIN_MS_MAX: u64 = 3_600_000;
-/// Below this a version could be forgotten between two appends by slow processes.
+/// With a shorter retention, the log could remove an accepted version before slow processes append
+/// it again.
 const RETENTION_MS_MIN: u64 = 60_000;
 const RETENTION_MS_MAX: u64 = 31 * 24 * 3_600_000;
-const RETENTION: &str = "60000 to 2678400000 milliseconds";
+const RETENTION_EXPECTED: &str = "60000 to 2678400000 milliseconds";
 
-/// The environment variable that stands for a flag.
-pub(crate) fn variable(flag: &str) -> String {
+/// Name of the environment variable that sets a flag.
+pub(crate) fn variable_name(flag: &str) -> String {
     let capitals = flag.to_ascii_uppercase().replace('-', "_");
     format!("{ENV_PREFIX}{capitals}")
 }
 
-/// A flag with its environment variable. Values are kept as text and checked by
-/// [`SettingsError`]'s own rules, so that every complaint has one form.
+/// Defines a flag and its environment variable. Clap keeps the value as text; the functions of this
+/// package parse it, so that every invalid value is reported as a [`SettingsError`].
 pub fn flag(name: &'static str, value_name: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .value_name(value_name)
-        .env(variable(name))
+        .env(variable_name(name))
         .action(ArgAction::Set)
         .help(help)
 }
 
-/// Settings that every process in front of or beside an endpoint has.
+/// Validated settings that entries and agents have in common.
 #[derive(Clone, Debug)]
 pub struct CommonSettings {
-    /// Address for the system's own processes, TCP and UDP.
+    /// Address on which the process accepts traffic of the system's own processes, TCP and UDP.
     pub inner_listen: SocketAddr,
-    /// Address for the balancer's checks and operators.
+    /// Address on which the process answers the balancer's checks and operators.
     pub admin_listen: SocketAddr,
     /// Address of the platform's log.
     pub log: SocketAddr,
@@ -59,23 +61,25 @@
     pub failure_domain: FailureDomain,
     /// Region of this VM.
     pub region: Region,
-    /// Shared keys; the first signs.
+    /// Shared keys, at least one; the first signs.
     pub keys: Vec<SharedKey>,
-    /// Statsd listener.
+    /// Address of the statsd listener; `None` sends no metrics.
     pub metrics: Option<SocketAddr>,
-    /// Least severe level of log lines.
+    /// Least severe level of the log lines that are written.
     pub log_level: LogLevel,
-    /// How long new work is still taken after readiness has gone, in milliseconds.
+    /// Time for which a draining process still accepts new work after it reports that it is not
+    /// ready.
     pub settle_ms: u64,
-    /// How long work in progress may take to finish when leaving, in milliseconds.
+    /// Maximum time for work in progress to finish when the process drains.
     pub drain_ms: u64,
-    /// How long the platform's log keeps a record, in milliseconds.
+    /// Time for which the platform's log keeps a record.
     pub log_retention_ms: u64,
 }
 
-/// Adds the common flags to a command. `settle_ms` is the default of that flag: an entry
-/// covers the balancer's lag, an agent's callers ask again elsewhere when it refuses.
-pub(crate) fn with_common(command: Command, settle_ms: &'static str) -> Command {
+/// Adds the common flags to a command. `settle_ms` is the default of the flag `--settle-ms`. An
+/// entry has to cover the time until the balancer notices that it drains; an agent does not,
+/// because its callers retry refused calls at other agents.
+pub(crate) fn with_common_flags(command: Command, settle_ms: &'static str) -> Command {
     command
         .arg(flag(
             "inner-listen",
@@ -98,15 +102,27 @@
         .arg(flag(
             "key-file",
             "FILE",
-            "Shared keys: one or two lines of 64 hexadecimal digits, the first signs",
+            "File with the shared keys: one or two lines of 64 hexadecimal digits, the first signs",
         ))
-        .arg(flag("metrics", "IP:PORT", "Statsd listener (optional)"))
-        .arg(flag("log-level", "LEVEL", "error, warn, info or debug").default_value("info"))
+        .arg(flag(
+            "metrics",
+            "IP:PORT",
+            "Address of the statsd listener (optional)",
+        ))
+        .arg(
+            flag(
+                "log-level",
+                "LEVEL",
+                "Least severe level that is logged: error, warn, info or debug",
+            )
+            .default_value("info"),
+        )
         .arg(
             flag(
                 "settle-ms",
                 "MS",
-                "How long new work is taken after readiness has gone: the balancer's lag",
+                "How long new work is accepted after the process reports that it is not ready: \
+                 the time that the balancer takes to notice",
             )
             .default_value(settle_ms),
         )
@@ -114,7 +130,7 @@
             flag(
                 "drain-ms",
                 "MS",
-                "How long work in progress may take to finish when leaving",
+                "How long work in progress may take to finish when the process drains",
             )
             .default_value("600000"),
         )
@@ -129,15 +145,15 @@
 }
 
 impl CommonSettings {
-    /// Checks the common flags. The error names the flag, its value and what is allowed.
+    /// Reads and validates the common flags.
     pub(crate) fn from_matches(matches: &ArgMatches) -> Result<Self, SettingsError> {
         let inner_listen = address(matches, "inner-listen")?;
         let admin_listen = address(matches, "admin-listen")?;
-        differ(
+        require_distinct(
             ("inner-listen", inner_listen),
             ("admin-listen", admin_listen),
         )?;
-        let key_file = PathBuf::from(required_text(matches, "key-file", KEY_FILE)?);
+        let key_file = PathBuf::from(required_text(matches, "key-file", KEY_FILE_EXPECTED)?);
         Ok(Self {
             inner_listen,
             admin_listen,
@@ -147,30 +163,36 @@
             region: name(matches, "region")?,
             keys: read_keys(Path::new(&key_file))?,
             metrics: optional_address(matches, "metrics")?,
-            log_level: choice(matches, "log-level", LOG_LEVEL, LogLevel::parse)?,
-            settle_ms: milliseconds(matches, "settle-ms", 0..=LEAVE_MS_MAX, LEAVE)?,
-            drain_ms: milliseconds(matches, "drain-ms", DRAIN_MS_MIN..=DRAIN_MS_MAX, DRAIN)?,
+            log_level: choice(matches, "log-level", LOG_LEVEL_EXPECTED, LogLevel::parse)?,
+            settle_ms: milliseconds(matches, "settle-ms", 0..=SETTLE_MS_MAX, SETTLE_EXPECTED)?,
+            drain_ms: milliseconds(
+                matches,
+                "drain-ms",
+                DRAIN_MS_MIN..=DRAIN_MS_MAX,
+                DRAIN_EXPECTED,
+            )?,
             log_retention_ms: milliseconds(
                 matches,
                 "log-retention-ms",
                 RETENTION_MS_MIN..=RETENTION_MS_MAX,
-                RETENTION,
+                RETENTION_EXPECTED,
             )?,
         })
     }
 }
 
-/// A checked name that must be set. Errors when it is missing or no name.
+/// Parses the value of a flag as a name. Returns an error if the flag is not set or the name is
+/// invalid.
 pub fn name<T: std::str::FromStr>(
     matches: &ArgMatches,
     flag: &'static str,
 ) -> Result<T, SettingsError> {
-    let value = required_text(matches, flag, NAME)?;
-    let bad = |_| SettingsError::InvalidValue(flag, value.to_owned(), NAME);
-    value.parse().map_err(bad)
+    let value = required_text(matches, flag, NAME_EXPECTED)?;
+    let invalid = |_| SettingsError::InvalidValue(flag, value.to_owned(), NAME_EXPECTED);
+    value.parse().map_err(invalid)
 }
 
-/// A checked name that need not be set. Errors when it is no name.
+/// Like [`name`], but returns `None` if the flag is not set.
 pub fn optional_name<T: std::str::FromStr>(
     matches: &ArgMatches,
     flag: &'static str,
@@ -181,8 +203,9 @@
     }
 }
 
-/// Errors when two listening addresses are the same.
-pub(crate) fn differ(
+/// Returns an error if two listening addresses are the same, unless their port is 0: the operating
+/// system then picks a free port for each.
+pub(crate) fn require_distinct(
     (flag, value): (&'static str, SocketAddr),
     (other, other_value): (&'static str, SocketAddr),
 ) -> Result<(), SettingsError> {
@@ -192,7 +215,7 @@
             flag,
             value,
             other,
-            "each listens on its own port",
+            "the two listeners need different ports",
         ));
     }
     Ok(())
--- a/components/settings/src/entry.rs
+++ b/components/settings/src/entry.rs
@@ -5,44 +5,46 @@
 use clap::{ArgMatches, Command};
 
 use crate::SettingsError;
-use crate::ceilings::{Ceilings, with_ceilings};
+use crate::ceilings::{Ceilings, with_ceiling_flags};
 use crate::check::address;
-use crate::common::{CommonSettings, differ, flag, with_common};
+use crate::common::{CommonSettings, flag, require_distinct, with_common_flags};
 
-/// The balancer looks at the readiness of an entry now and then.
-const SETTLE_MS: &str = "3000";
+/// The balancer polls the readiness of an entry, so a draining entry has to accept requests until
+/// the balancer has noticed.
+const DEFAULT_SETTLE_MS: &str = "3000";
 
-/// Checked settings of an entry.
+/// Validated settings of an entry.
 #[derive(Clone, Debug)]
 pub struct EntrySettings {
-    /// What entry and agent share.
+    /// Settings that an entry has in common with an agent.
     pub common: CommonSettings,
-    /// Address for callers, trainers and operators, behind the balancer.
+    /// Address on which the entry accepts requests of callers, trainers and operators, which the
+    /// balancer forwards.
     pub listen: SocketAddr,
-    /// Ceilings of customers' limits.
+    /// Upper bounds of the limits that customers configure.
     pub ceilings: Ceilings,
 }
 
-/// The command line of an entry.
+/// Definition of the command line of an entry.
 pub fn entry_command() -> Command {
     let command = Command::new("hornbeamrock-entry")
         .version(env!("CARGO_PKG_VERSION"))
-        .about("Takes requests behind the platform's balancer and sends each to an endpoint")
+        .about("Accepts requests from the platform's balancer and sends each to an endpoint")
         .arg(flag(
             "listen",
             "IP:PORT",
             "Address for callers, trainers and operators",
         ));
-    with_common(with_ceilings(command), SETTLE_MS)
+    with_common_flags(with_ceiling_flags(command), DEFAULT_SETTLE_MS)
 }
 
 impl EntrySettings {
-    /// Checks all settings. The error names the flag, its value and what is allowed.
+    /// Reads and validates all settings.
     pub fn from_matches(matches: &ArgMatches) -> Result<Self, SettingsError> {
         let common = CommonSettings::from_matches(matches)?;
         let listen = address(matches, "listen")?;
-        differ(("listen", listen), ("inner-listen", common.inner_listen))?;
-        differ(("listen", listen), ("admin-listen", common.admin_listen))?;
+        require_distinct(("listen", listen), ("inner-listen", common.inner_listen))?;
+        require_distinct(("listen", listen), ("admin-listen", common.admin_listen))?;
         Ok(Self {
             common,
             listen,
--- a/components/settings/src/error.rs
+++ b/components/settings/src/error.rs
@@ -1,37 +1,39 @@
-//! The one error of wrong settings: it names the flag, the value and what is allowed.
+//! The error for invalid settings. The message names the flag, its value and the allowed values.
 
 use std::path::PathBuf;
 
 use quick_error::quick_error;
 
-/// Exit code of a process whose settings are wrong.
+/// Exit code of a process that does not start because its settings are invalid.
 pub const EXIT_SETTINGS: u8 = 2;
 
 quick_error! {
-    /// Why a process does not start with these settings.
+    /// Reason why the settings are invalid.
     #[derive(Debug)]
     pub enum SettingsError {
-        /// A flag has no value, neither on the command line nor in the environment.
-        Missing(flag: &'static str, allowed: &'static str) {
-            display("--{} is missing: set it or {}, {}", flag, crate::common::variable(flag), allowed)
+        /// The flag is set neither on the command line nor in the environment.
+        Missing(flag: &'static str, expected: &'static str) {
+            display("--{} is missing: set the flag or the variable {} to {}", flag, crate::common::variable_name(flag), expected)
         }
-        /// A value that is not allowed.
-        InvalidValue(flag: &'static str, value: String, allowed: &'static str) {
-            display("--{} is '{}': allowed is {}", flag, value, allowed)
+        /// The value of a flag is malformed or out of range.
+        InvalidValue(flag: &'static str, value: String, expected: &'static str) {
+            display("invalid value '{}' for --{}: expected {}", value, flag, expected)
         }
-        /// Two values that exclude each other.
-        Conflict(flag: &'static str, value: String, other: &'static str, allowed: &'static str) {
-            display("--{} is '{}', which does not go with --{}: {}", flag, value, other, allowed)
+        /// The values of two flags exclude each other.
+        Conflict(flag: &'static str, value: String, other: &'static str, reason: &'static str) {
+            display("value '{}' of --{} conflicts with --{}: {}", value, flag, other, reason)
         }
-        /// A file that can't be read.
+        /// The file that a flag names could not be read.
         FileRead(flag: &'static str, path: PathBuf, reason: std::io::Error) {
             source(reason)
-            display("--{} is '{}', which cannot be read: {}", flag, path.display(), reason)
+            display("cannot read the file '{}' of --{}: {}", path.display(), flag, reason)
         }
-        /// A line of the key file that is no key. The line itself is never shown.
+        /// The line of the key file with this number, counted from 1, is not a key or is one key
+        /// too many; 1 if the file has no key. The message never shows the line itself, because it
+        /// may hold a secret.
         InvalidKey(path: PathBuf, line: usize) {
             display(
-                "--key-file is '{}', whose line {} is no key: allowed are one or two lines of 64 hexadecimal digits",
+                "invalid key in the file '{}' of --key-file, line {}: expected one or two lines of 64 hexadecimal digits",
                 path.display(), line
             )
         }
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Settings of the binaries: flags and environment variables, all checked before a
-//! process does anything else.
+//! Settings of the programs, given by flags or environment variables. All of them are validated
+//! before a process does anything else.
 
 mod agent;
 mod ceilings;
--- a/components/settings/tests/settings.rs
+++ b/components/settings/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Every wrong setting ends in one error that names the flag, the value and what is allowed.
+//! Parsing and validation of settings. The error for an invalid setting names the flag, its value
+//! and the allowed values.
 
 #![allow(clippy::unwrap_used, clippy::panic)]
 
@@ -33,59 +34,59 @@
     name: &'static str,
     flag: &'static str,
     value: Option<&'static str>,
-    says: &'static str,
+    message: &'static str,
 }
 
 #[test]
-fn errors_when_a_setting_of_an_entry_is_wrong() {
+fn errors_when_a_setting_of_an_entry_is_invalid() {
     let cases = [
         Case {
             name: "a missing address",
             flag: "--log",
             value: None,
-            says: "--log is missing: set it or HORNBEAMROCK_LOG, an IP number with a port, such as 127.0.0.1:7100",
+            message: "--log is missing: set the flag or the variable HORNBEAMROCK_LOG to an IP address with a port, such as 127.0.0.1:7100",
         },
         Case {
             name: "a host name",
             flag: "--vm-list",
             value: Some("localhost:7002"),
-            says: "--vm-list is 'localhost:7002': allowed is an IP number with a port, such as 127.0.0.1:7100",
+            message: "invalid value 'localhost:7002' for --vm-list: expected an IP address with a port, such as 127.0.0.1:7100",
         },
         Case {
             name: "a failure domain with a capital",
             flag: "--failure-domain",
             value: Some("Rennes"),
-            says: "--failure-domain is 'Rennes': allowed is a name of a-z, 0-9 and '-'",
+            message: "invalid value 'Rennes' for --failure-domain: expected a name of a-z, 0-9 and '-'",
         },
         Case {
-            name: "two listeners on one port",
+            name: "the same port for two listeners",
             flag: "--admin-listen",
             value: Some("127.0.0.1:7101"),
-            says: "--inner-listen is '127.0.0.1:7101', which does not go with --admin-listen: each listens on its own port",
+            message: "value '127.0.0.1:7101' of --inner-listen conflicts with --admin-listen: the two listeners need different ports",
         },
         Case {
-            name: "a key file that is not there",
+            name: "a key file that does not exist",
             flag: "--key-file",
             value: Some("/nowhere/keys"),
-            says: "--key-file is '/nowhere/keys', which cannot be read: No such file or directory (os error 2)",
+            message: "cannot read the file '/nowhere/keys' of --key-file: No such file or directory (os error 2)",
         },
         Case {
-            name: "an unknown level",
+            name: "an unknown log level",
             flag: "--log-level",
             value: Some("loud"),
-            says: "--log-level is 'loud': allowed is error, warn, info or debug",
+            message: "invalid value 'loud' for --log-level: expected error, warn, info or debug",
         },
         Case {
-            name: "a ceiling that would shut every customer out",
+            name: "a ceiling of 0, which would refuse every request",
             flag: "--customer-in-progress-max",
             value: Some("0"),
-            says: "--customer-in-progress-max is '0': allowed is 1 to 4294967295",
+            message: "invalid value '0' for --customer-in-progress-max: expected 1 to 4294967295",
         },
         Case {
-            name: "a drain time below its bound",
+            name: "a drain time below its minimum",
             flag: "--drain-ms",
             value: Some("1"),
-            says: "--drain-ms is '1': allowed is 1000 to 3600000 milliseconds",
+            message: "invalid value '1' for --drain-ms: expected 1000 to 3600000 milliseconds",
         },
     ];
     let key_file = key_file("entry");
@@ -99,7 +100,7 @@
             .try_get_matches_from(std::iter::once("hornbeamrock-entry").chain(line))
             .unwrap();
         let error = EntrySettings::from_matches(&matches).unwrap_err();
-        assert_eq!(error.to_string(), case.says, "{}", case.name);
+        assert_eq!(error.to_string(), case.message, "{}", case.name);
     }
 }
 
@@ -128,28 +129,29 @@
     assert_eq!(settings.common.log_retention_ms, 3_600_000);
 }
 
-// An agent that hosted whatever a text names would let any customer in to any endpoint.
+// If an agent without a list of customers hosted every service that names its pool, any customer
+// could run its services at any endpoint by naming that pool in its own configuration.
 #[test]
-fn errors_when_an_agent_is_not_told_whose_services_it_hosts() {
+fn errors_when_an_agent_has_no_valid_list_of_customers() {
     let key_file = key_file("customers");
     let cases = [
         (
             None,
-            "--customers is missing: set it or HORNBEAMROCK_CUSTOMERS, names of a-z, 0-9 and '-' \
-             with commas between, such as office,collective",
+            "--customers is missing: set the flag or the variable HORNBEAMROCK_CUSTOMERS to names \
+             of a-z, 0-9 and '-' separated by commas, such as office,collective",
         ),
         (
             Some(" , "),
-            "--customers is missing: set it or HORNBEAMROCK_CUSTOMERS, names of a-z, 0-9 and '-' \
-             with commas between, such as office,collective",
+            "--customers is missing: set the flag or the variable HORNBEAMROCK_CUSTOMERS to names \
+             of a-z, 0-9 and '-' separated by commas, such as office,collective",
         ),
         (
             Some("office,Evil"),
-            "--customers is 'office,Evil': allowed is names of a-z, 0-9 and '-' with commas \
-             between, such as office,collective",
+            "invalid value 'office,Evil' for --customers: expected names of a-z, 0-9 and '-' \
+             separated by commas, such as office,collective",
         ),
     ];
-    for (customers, says) in cases {
+    for (customers, message) in cases {
         let mut flags = common(&key_file);
         flags.push(("--endpoint", "127.0.0.1:7200"));
         flags.push(("--pool", "guichet"));
@@ -159,12 +161,12 @@
             .try_get_matches_from(std::iter::once("hornbeamrock-agent").chain(line))
             .unwrap();
         let error = AgentSettings::from_matches(&matches).unwrap_err();
-        assert_eq!(error.to_string(), says);
+        assert_eq!(error.to_string(), message);
     }
 }
 
 #[test]
-fn errors_when_a_line_of_the_key_file_is_no_key() {
+fn errors_when_a_line_of_the_key_file_is_not_a_key() {
     struct KeyCase {
         name: &'static str,
         text: String,
@@ -182,22 +184,22 @@
             line: None,
         },
         KeyCase {
-            name: "a remark between two keys",
+            name: "a comment and an empty line beside two keys",
             text: format!("# new key first\n{KEY}\n\n{KEY}\n"),
             line: None,
         },
         KeyCase {
-            name: "a line that is not counted",
+            name: "a line number that counts comments",
             text: format!("# new key first\n{KEY}\n0101\n"),
             line: Some(3),
         },
         KeyCase {
-            name: "remarks alone",
+            name: "only comments",
             text: "# none yet\n".to_owned(),
             line: Some(1),
         },
         KeyCase {
-            name: "no key",
+            name: "an empty file",
             text: String::new(),
             line: Some(1),
         },
@@ -212,18 +214,24 @@
             line: Some(2),
         },
         KeyCase {
-            name: "a sign among the digits",
+            name: "a plus sign among the digits",
             text: KEY.replacen("00", "+0", 1),
             line: Some(1),
         },
     ];
     for case in &cases {
         let result = parse_keys(&case.text, Path::new("keys"));
-        let says = case.line.map(|line| format!("whose line {line} is no key"));
-        match (result, says) {
+        let message = case.line.map(|line| {
+            format!("invalid key in the file 'keys' of --key-file, line {line}: expected")
+        });
+        match (result, message) {
             (Ok(_), None) => {}
-            (Err(error), Some(says)) => {
-                assert!(error.to_string().contains(&says), "{}: {error}", case.name);
+            (Err(error), Some(message)) => {
+                assert!(
+                    error.to_string().contains(&message),
+                    "{}: {error}",
+                    case.name
+                );
             }
             (result, _) => panic!("{}: {result:?}", case.name),
         }
