--- a/components/settings/src/agent.rs
+++ b/components/settings/src/agent.rs
@@ -65,13 +65,15 @@
 pub fn agent_command() -> Command {
     let command = Command::new("hornbeamrock-agent")
         .version(env!("CARGO_PKG_VERSION"))
-        .about("Runs beside one endpoint: accepts calls from entries and forwards them to the endpoint")
+        .about("Runs beside one endpoint: accepts calls from entries and controls the endpoint")
         .arg(flag(
             "endpoint",
             "IP:PORT",
             "Address of the endpoint beside this agent",
         ))
-        .arg(flag("endpoint-kind", "KIND", "Kind of the endpoint: model or plain").default_value("model"))
+        .arg(
+            flag("endpoint-kind", "KIND", "Endpoint's kind: model or plain").default_value("model"),
+        )
         .arg(flag("pool", "NAME", "Pool that the endpoint belongs to"))
         .arg(flag(
             "customers",
--- a/components/telemetry/src/budget.rs
+++ b/components/telemetry/src/budget.rs
@@ -1,24 +1,25 @@
-//! Budget of log lines: so many a second, the rest counted.
+//! Rate limit of log lines: a fixed number per second is written, the others are only counted.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Length of a window, in milliseconds.
+/// Length of the windows in which lines are counted.
 const WINDOW_MS: u64 = 1_000;
 
-/// Whether a line may be written.
+/// Decision of the rate limit about one line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LineDecision {
-    /// It may, and so many were left out in the windows before and not reported yet.
+    /// The line is written.
     Write {
-        /// Lines left out.
+        /// Lines suppressed in earlier windows and not yet reported. Above 0 only for the first
+        /// line of a window, which reports them.
         suppressed: u64,
     },
-    /// It is left out and counted.
+    /// The line is not written, only counted.
     Suppress,
 }
 
-/// Lines of one process. Callers on several threads may race at the turn of a window, which
-/// lets a few lines more through or counts a few in the next one.
+/// Rate limit of the log lines of one process. Threads may race when a window starts; a few lines
+/// more may then be written, or a few lines may be counted in the next window.
 #[derive(Debug)]
 pub struct LineBudget {
     lines_per_s: u64,
@@ -28,7 +29,7 @@
 }
 
 impl LineBudget {
-    /// So many lines a second.
+    /// Creates a budget of `lines_per_s` lines per second.
     pub fn new(lines_per_s: u64) -> Self {
         Self {
             lines_per_s,
@@ -38,15 +39,15 @@
         }
     }
 
-    /// Asks for a line at a time, in milliseconds of any clock that does not go back.
+    /// Decides whether a line may be written. `now_ms` is the time of any monotonic clock.
     pub fn try_take(&self, now_ms: u64) -> LineDecision {
         let window = now_ms / WINDOW_MS;
-        let turned = self.window.swap(window, Ordering::Relaxed) != window;
-        if turned {
+        let is_new_window = self.window.swap(window, Ordering::Relaxed) != window;
+        if is_new_window {
             self.written.store(0, Ordering::Relaxed);
         }
         if self.written.fetch_add(1, Ordering::Relaxed) < self.lines_per_s {
-            let suppressed = match turned {
+            let suppressed = match is_new_window {
                 true => self.suppressed.swap(0, Ordering::Relaxed),
                 false => 0,
             };
--- a/components/telemetry/src/lib.rs
+++ b/components/telemetry/src/lib.rs
@@ -1,5 +1,5 @@
-//! What a process tells its operators: one logfmt line an event, counters and
-//! histograms by customer and class.
+//! Logs and metrics of a process: one logfmt line per event, and counters, gauges and histograms by
+//! customer and request class.
 
 mod budget;
 mod logs;
--- a/components/telemetry/src/logs.rs
+++ b/components/telemetry/src/logs.rs
@@ -1,8 +1,8 @@
-//! Log lines: logfmt on standard error, written by a thread of their own.
+//! Log lines in logfmt, written to standard error or standard output by a dedicated thread.
 //!
-//! A full queue drops lines and never holds up a request: whoever reads standard error
-//! may stall for any length of time. Beyond a budget a second lines are left out and counted,
-//! but for errors.
+//! If the queue to that thread is full, lines are dropped, so that logging never blocks a request
+//! even if the reader of the output stalls. Lines beyond a budget per second are suppressed and
+//! counted, except errors.
 
 use std::time::Instant;
 
@@ -16,43 +16,44 @@
 
 use crate::budget::{LineBudget, LineDecision};
 
-/// Lines a second, at most. A front's busiest second on days of heavy load and trouble had
-/// 179; a process at the size to design for has some 100 a second, so that ten times that
-/// is a fault, and twenty times that still costs below a hundredth of a core.
+/// Maximum number of lines per second, not counting errors. A process of the design size writes
+/// about 100 lines per second, and a front wrote up to 179 in a second under heavy load with
+/// failures. Ten times 100 lines indicate a fault, and 20 times 100 lines still cost less than 1 %
+/// of a core.
 const LINES_PER_S: u64 = 2_000;
 
-/// Lines that wait for the writing thread at most.
+/// Maximum number of lines in the queue to the writing thread.
 const BUFFERED_LINES_MAX: usize = 8_192;
 
 quick_error! {
-    /// Why the log can't be set up.
+    /// Reason why logging could not be started.
     #[derive(Debug)]
     pub enum LogsError {
-        /// A logger stands already.
+        /// The process already has a logger.
         AlreadyStarted(reason: logforth::Error) {
-            display("the log cannot be set up: {}", reason)
+            display("cannot start logging: {}", reason)
         }
     }
 }
 
-/// Least severe level that is written.
+/// Least severe level of the lines that are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogLevel {
-    /// Faults only.
+    /// Only failures.
     Error,
-    /// Faults and what may become one.
+    /// Also conditions that may lead to a failure.
     Warn,
-    /// One line for every request and change of state.
+    /// Also a line for every request and every change of state.
     Info,
-    /// Everything.
+    /// All lines.
     Debug,
 }
 
 impl LogLevel {
-    /// The words that settings allow.
+    /// Names of the levels in settings, most severe first.
     pub const NAMES: [&'static str; 4] = ["error", "warn", "info", "debug"];
 
-    /// The level with this word.
+    /// The level with this name, or `None` if no level has it.
     pub fn parse(text: &str) -> Option<LogLevel> {
         let levels = [
             LogLevel::Error,
@@ -60,8 +61,8 @@
             LogLevel::Info,
             LogLevel::Debug,
         ];
-        let at = Self::NAMES.iter().position(|word| *word == text)?;
-        levels.get(at).copied()
+        let index = Self::NAMES.iter().position(|name| *name == text)?;
+        levels.get(index).copied()
     }
 
     fn filter(self) -> log::LevelFilter {
@@ -74,14 +75,14 @@
     }
 }
 
-/// Leaves out lines beyond the budget.
+/// Suppresses lines beyond the budget, except errors.
 #[derive(Debug)]
-struct Budgeted {
+struct BudgetFilter {
     budget: LineBudget,
     started: Instant,
 }
 
-impl Filter for Budgeted {
+impl Filter for BudgetFilter {
     fn enabled(&self, _: &FilterCriteria, _: &[Box<dyn Diagnostic>]) -> FilterResult {
         FilterResult::Neutral
     }
@@ -94,7 +95,8 @@
         match self.budget.try_take(now_ms) {
             LineDecision::Suppress => FilterResult::Reject,
             LineDecision::Write { suppressed } => {
-                // This line passes the filter too; its own count is zero, so it ends there.
+                // The warning passes through this filter again. Its own count of suppressed lines
+                // is 0 because it is not the first line of the window, so the recursion ends.
                 if suppressed > 0 {
                     log::warn!(event = "lines-left-out", lines = suppressed; "");
                 }
@@ -104,7 +106,7 @@
     }
 }
 
-/// Writes out what is buffered when it goes.
+/// Flushes the buffered lines when dropped.
 pub struct LogGuard(());
 
 impl Drop for LogGuard {
@@ -113,7 +115,7 @@
     }
 }
 
-/// Where lines go.
+/// Stream to which the lines are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Standard error.
@@ -122,12 +124,12 @@
     Stdout,
 }
 
-/// Sets up the process's log on standard error. Errors when one stands already.
+/// Starts logging to standard error. Returns an error if the process already has a logger.
 pub fn start_logs(level: LogLevel) -> Result<LogGuard, LogsError> {
     start_logs_to(level, Output::Stderr)
 }
 
-/// Sets up the process's log. Errors when one stands already.
+/// Starts logging to `output`. Returns an error if the process already has a logger.
 pub fn start_logs_to(level: LogLevel, output: Output) -> Result<LogGuard, LogsError> {
     let queue = AsyncBuilder::new("log")
         .buffered_lines_limit(Some(BUFFERED_LINES_MAX))
@@ -137,16 +139,16 @@
         Output::Stdout => queue.append(Stdout::default().with_layout(LogfmtLayout::default())),
     }
     .build();
-    let budgeted = Budgeted {
+    let budget_filter = BudgetFilter {
         budget: LineBudget::new(LINES_PER_S),
         started: Instant::now(),
     };
     logforth::starter_log::builder()
-        .dispatch(|dispatch| dispatch.filter(budgeted).append(queued))
+        .dispatch(|dispatch| dispatch.filter(budget_filter).append(queued))
         .try_apply()
         .map_err(LogsError::AlreadyStarted)?;
-    // The filter stands here and not in the dispatch, so that a line below the level
-    // costs its caller one load of an atomic.
+    // The level is set here and not in the dispatch, so that a line below the level costs its
+    // caller only one load of an atomic.
     log::set_max_level(level.filter());
     Ok(LogGuard(()))
 }
--- a/components/telemetry/src/metrics.rs
+++ b/components/telemetry/src/metrics.rs
@@ -1,9 +1,9 @@
-//! Metrics of a process: sent as statsd datagrams where an address is set, and kept as
-//! histograms for the admin address in any case.
+//! Metrics of a process. They are aggregated in a table for the admin address, and also sent as
+//! statsd datagrams if a statsd address is set.
 //!
-//! A request only puts a small message into a bounded queue; one thread owns the table
-//! and the socket. A full queue drops the message and counts it, so that metrics never
-//! hold up a request.
+//! Code that records a metric only puts a small message into a bounded queue; one thread owns the
+//! table and the socket. If the queue is full, the message is dropped and counted, so that metrics
+//! never block a request.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -19,38 +19,40 @@
 
 use crate::table::{Row, Series, Table};
 
-/// Messages that wait for the owning thread at most, where nothing else is set. The queue's
-/// memory is taken at the start: some 5 MB.
-const QUEUED_MAX: usize = 65_536;
+/// Default length of the queue to the metrics thread. The memory of the queue, about 5 MB, is
+/// allocated at the start.
+const DEFAULT_QUEUED_MAX: usize = 65_536;
 
-/// Name of the counter of messages that found the queue full.
-const DROPPED: &str = "metrics_dropped_total";
+/// Counter of the messages that were dropped because the queue was full.
+const DROPPED_COUNTER: &str = "metrics_dropped_total";
 
 quick_error! {
-    /// Why metrics can't be set up.
+    /// Reason why the metrics could not be started.
     #[derive(Debug)]
     pub enum MetricsError {
-        /// No socket or thread for them.
+        /// The socket or the thread could not be created.
         Start(reason: std::io::Error) {
             source(reason)
-            display("metrics cannot be started: {}", reason)
+            display("cannot start the metrics thread or its socket: {}", reason)
         }
-        /// The address does not take datagrams.
+        /// The statsd client could not be created for the address.
         Sink(reason: cadence::MetricError) {
             source(reason)
-            display("metrics cannot be sent: {}", reason)
+            display("cannot create the statsd client for metrics: {}", reason)
         }
     }
 }
 
-/// Where metrics go.
+/// Settings of the metrics.
 #[derive(Clone, Debug)]
 pub struct MetricsSettings {
-    /// Statsd listener; none is needed for the admin address.
+    /// Address of the statsd listener; with `None` the metrics are only available at the admin
+    /// address.
     pub statsd: Option<SocketAddr>,
-    /// First part of every metric's name, such as `hornbeamrock.entry`.
+    /// Prefix of the names of all metrics sent to statsd, such as `hornbeamrock.entry`.
     pub prefix: String,
-    /// Messages that wait for the owning thread at most; later ones are dropped and counted.
+    /// Maximum number of messages in the queue to the metrics thread; further messages are dropped
+    /// and counted.
     pub queued_max: usize,
 }
 
@@ -59,22 +61,22 @@
         Self {
             statsd: None,
             prefix: String::new(),
-            queued_max: QUEUED_MAX,
+            queued_max: DEFAULT_QUEUED_MAX,
         }
     }
 }
 
-/// Whose number it is.
+/// Labels of a metric besides its name.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Label<'a> {
-    /// Customer, where there is one.
+    /// Customer, or `None` if the metric does not belong to a customer.
     pub customer: Option<&'a CustomerName>,
-    /// Class, where there is one.
+    /// Request class, or `None` if the metric does not belong to a class.
     pub class: Option<Class>,
 }
 
 impl<'a> Label<'a> {
-    /// A label with both parts.
+    /// Creates the labels of a metric that belongs to a customer and a class.
     pub fn of(customer: &'a CustomerName, class: Class) -> Self {
         Self {
             customer: Some(customer),
@@ -90,7 +92,7 @@
     Rows(oneshot::Sender<Vec<Row>>),
 }
 
-/// Handle to the process's metrics; clones share one table.
+/// Handle to the metrics of the process; clones share one table.
 #[derive(Clone)]
 pub struct Metrics {
     queue: SyncSender<Message>,
@@ -98,38 +100,39 @@
 }
 
 impl Metrics {
-    /// Starts the owning thread. Errors when it or its socket can't be had.
+    /// Starts the metrics thread. Returns an error if the thread or its socket cannot be created.
     pub fn start(settings: &MetricsSettings) -> Result<Metrics, MetricsError> {
-        let client = client(settings)?;
+        let client = statsd_client(settings)?;
         let (queue, messages) = sync_channel(settings.queued_max);
         let dropped = Arc::new(AtomicU64::new(0));
-        let counted = Arc::clone(&dropped);
+        let thread_dropped = Arc::clone(&dropped);
         thread::Builder::new()
             .name("metrics".to_owned())
-            .spawn(move || own(&messages, &client, &counted))
+            .spawn(move || process_messages(&messages, &client, &thread_dropped))
             .map_err(MetricsError::Start)?;
         Ok(Metrics { queue, dropped })
     }
 
-    /// Adds `by` to a counter.
+    /// Increases a counter by `by`.
     pub fn count(&self, name: &'static str, label: Label<'_>, by: u64) {
         self.send(Message::Count(series(name, label), by));
     }
 
-    /// Sets a level, such as a queue's length.
+    /// Sets a gauge, such as the length of a queue.
     pub fn set_gauge(&self, name: &'static str, label: Label<'_>, value: u64) {
         self.send(Message::Gauge(series(name, label), value));
     }
 
-    /// Records a value in a histogram; the name's suffix is its unit.
+    /// Records a value in a histogram. The suffix of `name` states the unit, such as `_ms`.
     pub fn record(&self, name: &'static str, label: Label<'_>, value: u64) {
         self.send(Message::Record(series(name, label), value));
     }
 
-    /// All series as they stand, sorted; empty when the owning thread is gone.
+    /// Returns the current values of all series, sorted by name, customer and class. Empty if the
+    /// request is dropped because the queue is full, or if the metrics thread has ended.
     pub async fn rows(&self) -> Vec<Row> {
-        let (answer, rows) = oneshot::channel();
-        self.send(Message::Rows(answer));
+        let (reply, rows) = oneshot::channel();
+        self.send(Message::Rows(reply));
         rows.await.unwrap_or_default()
     }
 
@@ -150,7 +153,7 @@
     }
 }
 
-fn client(settings: &MetricsSettings) -> Result<StatsdClient, MetricsError> {
+fn statsd_client(settings: &MetricsSettings) -> Result<StatsdClient, MetricsError> {
     let Some(address) = settings.statsd else {
         return Ok(StatsdClient::from_sink(&settings.prefix, NopMetricSink));
     };
@@ -158,14 +161,14 @@
     let local = if address.ip().is_loopback() {
         any_port
     } else {
-        unspecified(address)
+        unspecified_address(address)
     };
     let socket = UdpSocket::bind(local).map_err(MetricsError::Start)?;
     let sink = BufferedUdpMetricSink::from(address, socket).map_err(MetricsError::Sink)?;
     Ok(StatsdClient::from_sink(&settings.prefix, sink))
 }
 
-fn unspecified(address: SocketAddr) -> SocketAddr {
+fn unspecified_address(address: SocketAddr) -> SocketAddr {
     let any: std::net::IpAddr = if address.is_ipv4() {
         std::net::Ipv4Addr::UNSPECIFIED.into()
     } else {
@@ -174,33 +177,33 @@
     SocketAddr::new(any, 0)
 }
 
-fn own(messages: &Receiver<Message>, client: &StatsdClient, dropped: &AtomicU64) {
+fn process_messages(messages: &Receiver<Message>, client: &StatsdClient, dropped: &AtomicU64) {
     let mut table = Table::default();
     while let Ok(message) = messages.recv() {
         match message {
             Message::Count(series, by) => {
-                tag(client.count_with_tags(series.name, by), &series).send();
+                with_tags(client.count_with_tags(series.name, by), &series).send();
                 table.count(series, by);
             }
             Message::Gauge(series, value) => {
-                tag(client.gauge_with_tags(series.name, value), &series).send();
+                with_tags(client.gauge_with_tags(series.name, value), &series).send();
                 table.set_gauge(series, value);
             }
             Message::Record(series, value) => {
-                tag(client.histogram_with_tags(series.name, value), &series).send();
+                with_tags(client.histogram_with_tags(series.name, value), &series).send();
                 table.record(series, value);
             }
-            Message::Rows(answer) => {
-                let lost = dropped.swap(0, Ordering::Relaxed);
-                table.count(series(DROPPED, Label::default()), lost);
-                // The one who asked may have gone; then nobody wants the rows.
-                let _ = answer.send(table.rows());
+            Message::Rows(reply) => {
+                let dropped_messages = dropped.swap(0, Ordering::Relaxed);
+                table.count(series(DROPPED_COUNTER, Label::default()), dropped_messages);
+                // The receiver may have been dropped; then the rows are not needed.
+                let _ = reply.send(table.rows());
             }
         }
     }
 }
 
-fn tag<'m, 'c, T>(
+fn with_tags<'m, 'c, T>(
     mut metric: MetricBuilder<'m, 'c, T>,
     series: &'m Series,
 ) -> MetricBuilder<'m, 'c, T>
--- a/components/telemetry/src/table.rs
+++ b/components/telemetry/src/table.rs
@@ -1,21 +1,24 @@
-//! Series of numbers by name, customer and class, bounded in their count.
+//! Table of metric series by name, customer and class. The number of series is bounded, so that
+//! many customers cannot exhaust the memory.
 
 use std::collections::HashMap;
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Series that one process keeps at most; later ones are counted under customer `other`.
+/// Maximum number of series of one process. Once it is reached, new series are aggregated under the
+/// customer `other`.
 pub const SERIES_MAX: usize = 2_048;
 
-/// Name under which the series of customers beyond [`SERIES_MAX`] are added up.
-const OTHER: &str = "other";
+/// Customer under which series beyond [`SERIES_MAX`] are aggregated.
+const OTHER_CUSTOMERS: &str = "other";
 
-/// Greatest value that a histogram tells apart; a greater one counts as this.
+/// Greatest value that a histogram stores; greater values are recorded as this value. For
+/// milliseconds this is an hour.
 const VALUE_MAX: u64 = 3_600_000;
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// What identifies a series.
+/// Identifies a series. `customer` and `class` are empty if the metric does not belong to one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct Series {
     pub(crate) name: &'static str,
@@ -29,28 +32,28 @@
     Histogram(Box<Histogram<u64>>),
 }
 
-/// One series as it stands.
+/// Current values of one series.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Row {
-    /// Name of the metric; its unit is its suffix.
+    /// Name of the metric; its suffix states the unit.
     pub name: &'static str,
-    /// Customer, or empty.
+    /// Customer, or empty if the metric does not belong to a customer.
     pub customer: String,
-    /// Class, or empty.
+    /// Request class, or empty if the metric does not belong to a class.
     pub class: &'static str,
-    /// Count of events, last level, or count of recorded values.
+    /// Sum of a counter, last value of a gauge, or number of values in a histogram.
     pub count: u64,
-    /// Median of recorded values; 0 for counts and levels.
+    /// Median of the values in a histogram; 0 for counters and gauges.
     pub p50: u64,
-    /// 99th percentile.
+    /// 99th percentile of the values in a histogram; 0 for counters and gauges.
     pub p99: u64,
-    /// 99.9th percentile.
+    /// 99.9th percentile of the values in a histogram; 0 for counters and gauges.
     pub p999: u64,
-    /// Greatest recorded value.
+    /// Greatest value in a histogram; 0 for counters and gauges.
     pub max: u64,
 }
 
-/// All series of a process. Owned by one thread.
+/// All series of a process, owned by the metrics thread.
 #[derive(Default)]
 pub(crate) struct Table {
     rows: HashMap<Series, SeriesValue>,
@@ -80,11 +83,11 @@
         mut series: Series,
         fresh: impl FnOnce() -> SeriesValue,
     ) -> &mut SeriesValue {
-        let known = self.rows.contains_key(&series);
-        if !known && self.rows.len() >= SERIES_MAX {
-            // Names and classes are few and fixed, so only customers can fill the
-            // table; the rows named `other` are as many as names times classes.
-            series.customer = OTHER.to_owned();
+        let is_known = self.rows.contains_key(&series);
+        if !is_known && self.rows.len() >= SERIES_MAX {
+            // There are few metric names and classes and their number is fixed, so only customers
+            // can fill the table. At most one series per name and class has the customer `other`.
+            series.customer = OTHER_CUSTOMERS.to_owned();
         }
         self.rows.entry(series).or_insert_with(fresh)
     }
@@ -94,21 +97,21 @@
         sorted.sort_by_key(|(series, _)| *series);
         sorted
             .into_iter()
-            .map(|(series, value)| row(series, value))
+            .map(|(series, value)| to_row(series, value))
             .collect()
     }
 }
 
 fn empty_histogram() -> SeriesValue {
-    // The bounds are constants that the library allows; a plain count stands in, so
-    // that no branch of this can end the process.
+    // The library accepts these constant bounds. If it refused them, a counter would be used
+    // instead, because metrics must not end the process.
     Histogram::new_with_bounds(1, VALUE_MAX, SIGNIFICANT_DIGITS)
         .map_or(SeriesValue::Count(0), |empty| {
             SeriesValue::Histogram(Box::new(empty))
         })
 }
 
-fn row(series: &Series, value: &SeriesValue) -> Row {
+fn to_row(series: &Series, value: &SeriesValue) -> Row {
     let mut row = Row {
         name: series.name,
         customer: series.customer.clone(),
