--- a/components/derive/src/lib.rs
+++ b/components/derive/src/lib.rs
@@ -1,8 +1,7 @@
-//! The project's common sets of derives, one attribute a set.
+//! Attributes for the sets of derives that the project uses.
 //!
-//! An attribute only puts a `#[derive(...)]` line before the item it stands on, so
-//! that every plain value of the project has the same traits and a reader sees at
-//! the type which kind of value it is.
+//! Each attribute only adds a `#[derive(...)]` line to its item. All types of the same kind then
+//! implement the same traits, and the attribute shows the kind of a type where it is defined.
 
 use proc_macro::TokenStream;
 
@@ -13,34 +12,34 @@
 const WIRE_KEY: &str = "#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, \
                         ::serde::Serialize, ::serde::Deserialize)]";
 
-/// A plain value: cloned, compared and printed.
+/// Derives for a plain value: it can be cloned, compared for equality and printed with `Debug`.
 #[proc_macro_attribute]
-pub fn value(_settings: TokenStream, item: TokenStream) -> TokenStream {
-    derived(VALUE, item)
+pub fn value(_arguments: TokenStream, item: TokenStream) -> TokenStream {
+    with_derives(VALUE, item)
 }
 
-/// A small copyable value that orders and hashes.
+/// Derives for a small `Copy` value that can also be ordered and hashed, such as a map key.
 #[proc_macro_attribute]
-pub fn key(_settings: TokenStream, item: TokenStream) -> TokenStream {
-    derived(KEY, item)
+pub fn key(_arguments: TokenStream, item: TokenStream) -> TokenStream {
+    with_derives(KEY, item)
 }
 
-/// A plain value that also goes over the wire through `serde`.
+/// Derives for a plain value that is also serialized with `serde`.
 #[proc_macro_attribute]
-pub fn wire(_settings: TokenStream, item: TokenStream) -> TokenStream {
-    derived(WIRE, item)
+pub fn wire(_arguments: TokenStream, item: TokenStream) -> TokenStream {
+    with_derives(WIRE, item)
 }
 
-/// A small copyable value that orders, hashes and goes over the wire.
+/// Derives for a small `Copy` value that can be ordered, hashed and serialized with `serde`.
 #[proc_macro_attribute]
-pub fn wire_key(_settings: TokenStream, item: TokenStream) -> TokenStream {
-    derived(WIRE_KEY, item)
+pub fn wire_key(_arguments: TokenStream, item: TokenStream) -> TokenStream {
+    with_derives(WIRE_KEY, item)
 }
 
-fn derived(set: &str, item: TokenStream) -> TokenStream {
-    // The sets above are constants of this crate, so the parse cannot fail; an
-    // empty stream would only leave the derives out and the compiler would say so.
-    let mut out: TokenStream = set.parse().unwrap_or_default();
+fn with_derives(derives: &str, item: TokenStream) -> TokenStream {
+    // `derives` is always one of the constants above, so parsing cannot fail. If it did, the
+    // derives would be missing, and code that uses the traits would not compile.
+    let mut out: TokenStream = derives.parse().unwrap_or_default();
     out.extend(item);
     out
 }
--- a/components/loglines/src/lib.rs
+++ b/components/loglines/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the logs of many fronts say together. Decides nothing and reads no file: lines in, rows
-//! out. A line that is no event of a front is passed over.
+//! Analysis of the log lines of many fronts. The package does no I/O: it takes lines and returns
+//! rows for printing. Lines that are not events of a front are ignored.
 
 mod line;
 mod spread;
--- a/components/loglines/src/line.rs
+++ b/components/loglines/src/line.rs
@@ -1,25 +1,26 @@
-//! One line of a front's log.
+//! Parsing of the log lines that a collector gathers from the fronts.
 
-/// A line: when, of which front, which event, and its fields.
+/// A log line with its time, its front, its event and its fields.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogLine<'a> {
-    /// When, in milliseconds of the collector's clock.
+    /// Time in milliseconds of the collector's clock.
     pub at_ms: f64,
-    /// The front, as the collector names it.
+    /// Name that the collector gives to the front.
     pub front: &'a str,
-    /// The event.
+    /// Value of the line's field `event`.
     pub event: &'a str,
     fields: &'a str,
 }
 
 impl<'a> LogLine<'a> {
-    /// The value of a field.
+    /// Returns the value of a field, or `None` if the line does not have the field.
     pub fn field(&self, name: &str) -> Option<&'a str> {
-        value_of(self.fields, name)
+        field_value(self.fields, name)
     }
 }
 
-/// Reads a line as a collector writes it: seconds, the front, then the front's own line.
+/// Parses a line as the collector writes it: the time in seconds, the name of the front, and the
+/// logfmt line of the front. Returns `None` for any other text.
 pub fn parse_line(text: &str) -> Option<LogLine<'_>> {
     let (seconds, rest) = text.trim_start().split_once(' ')?;
     let seconds: f64 = seconds.parse().ok()?;
@@ -27,14 +28,14 @@
     Some(LogLine {
         at_ms: seconds * 1e3,
         front,
-        event: value_of(fields, "event")?,
+        event: field_value(fields, "event")?,
         fields,
     })
 }
 
-fn value_of<'a>(fields: &'a str, name: &str) -> Option<&'a str> {
+fn field_value<'a>(fields: &'a str, name: &str) -> Option<&'a str> {
     let fields = fields.split_ascii_whitespace();
     let mut pairs = fields.filter_map(|field| field.split_once('='));
-    let found = pairs.find(|(known, _)| *known == name);
-    found.map(|(_, value)| value)
+    let pair = pairs.find(|(key, _)| *key == name);
+    pair.map(|(_, value)| value)
 }
--- a/components/loglines/src/spread.rs
+++ b/components/loglines/src/spread.rs
@@ -1,4 +1,4 @@
-//! How long a change takes from the first front that knows it to the last.
+//! Propagation times: how long a change takes from the first front that receives it to the last.
 
 use std::collections::BTreeMap;
 
@@ -7,23 +7,23 @@
 
 use crate::LogLine;
 
-/// Kinds of changes that fronts log when they learn of them.
+/// Kinds of changes that every front logs when it receives them.
 #[key]
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ChangeKind {
-    /// A version of the configuration.
+    /// A new version of the configuration.
     Configuration,
-    /// A replica that drains.
+    /// A replica started to drain.
     Draining,
-    /// A replica whose record is gone.
+    /// The record of a replica was removed.
     Gone,
-    /// A version of weights that a trainer named.
+    /// A trainer announced a version of a model's weights.
     Weights,
 }
 
 impl ChangeKind {
-    /// The kind in one word, for tables.
+    /// Name of the kind in tables.
     pub fn as_str(self) -> &'static str {
         match self {
             ChangeKind::Configuration => "configuration",
@@ -34,56 +34,57 @@
     }
 }
 
-/// All changes of one kind.
+/// Propagation times of all changes of one kind. Changes that only one front received are left out,
+/// because they have no propagation time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ChangeRow {
-    /// The kind.
+    /// Kind of the changes.
     pub kind: ChangeKind,
-    /// Changes that two fronts or more learnt of.
+    /// Number of changes that at least two fronts received.
     pub changes: usize,
-    /// Time until half of the fronts knew, in the middle change, in milliseconds.
+    /// Median over the changes of the time until half of the fronts had received the change.
     pub half_ms: f64,
-    /// Time until the last front knew, in the middle change, in milliseconds.
+    /// Median over the changes of the time until the last front had received the change.
     pub last_ms: f64,
-    /// The same in the slowest change, in milliseconds.
+    /// Maximum over the changes of the time until the last front had received the change.
     pub slowest_ms: f64,
-    /// Most fronts that learnt of one change.
+    /// Maximum number of fronts that received the same change.
     pub fronts: usize,
 }
 
-/// When each front learnt of each change.
+/// Times at which each front received each change.
 #[derive(Debug, Default)]
 pub struct PropagationTimes {
-    known_ms: BTreeMap<(ChangeKind, String), BTreeMap<String, f64>>,
+    received_ms: BTreeMap<(ChangeKind, String), BTreeMap<String, f64>>,
 }
 
 impl PropagationTimes {
-    /// Takes a line in. A front that starts later, or again, learns of a change late by itself; its
-    /// first word counts.
+    /// Records a log line; lines that report no change are ignored. If a front logs a change several
+    /// times, for example after a restart, only its first line counts.
     pub fn record(&mut self, line: &LogLine<'_>) {
         let Some((kind, change)) = change_of(line) else {
             return;
         };
-        let fronts = self.known_ms.entry((kind, change)).or_default();
+        let fronts = self.received_ms.entry((kind, change)).or_default();
         fronts.entry(line.front.to_owned()).or_insert(line.at_ms);
     }
 
-    /// One row a kind. Of each change the fronts that knew it within `within_ms` of the first count:
-    /// the others were away.
+    /// Returns one row per kind of change. A front that receives a change more than `within_ms`
+    /// after the first front is not counted for that change, because it was not running before.
     pub fn rows(&self, within_ms: f64) -> Vec<ChangeRow> {
         let mut by_kind: BTreeMap<ChangeKind, Vec<Vec<f64>>> = BTreeMap::new();
-        for ((kind, _), fronts) in &self.known_ms {
+        for ((kind, _), fronts) in &self.received_ms {
             let first_ms = fronts.values().copied().fold(f64::INFINITY, f64::min);
-            let after = fronts.values().map(|at_ms| at_ms - first_ms);
-            let mut after: Vec<f64> = after.filter(|after_ms| *after_ms <= within_ms).collect();
-            after.sort_by(f64::total_cmp);
-            if after.len() > 1 {
-                by_kind.entry(*kind).or_default().push(after);
+            let delays = fronts.values().map(|at_ms| at_ms - first_ms);
+            let mut delays: Vec<f64> = delays.filter(|delay_ms| *delay_ms <= within_ms).collect();
+            delays.sort_by(f64::total_cmp);
+            if delays.len() > 1 {
+                by_kind.entry(*kind).or_default().push(delays);
             }
         }
         by_kind
             .into_iter()
-            .map(|(kind, changes)| row(kind, &changes))
+            .map(|(kind, changes)| summarize(kind, &changes))
             .collect()
     }
 }
@@ -102,21 +103,22 @@
     }
 }
 
-fn row(kind: ChangeKind, changes: &[Vec<f64>]) -> ChangeRow {
-    let half = |after: &Vec<f64>| after[after.len() / 2];
-    let last = |after: &Vec<f64>| after[after.len() - 1];
+/// Summarizes the changes of a kind; each has the sorted delays of its fronts.
+fn summarize(kind: ChangeKind, changes: &[Vec<f64>]) -> ChangeRow {
+    let half = |delays: &Vec<f64>| delays[delays.len() / 2];
+    let last = |delays: &Vec<f64>| delays[delays.len() - 1];
     ChangeRow {
         kind,
         changes: changes.len(),
-        half_ms: middle(changes.iter().map(half)),
-        last_ms: middle(changes.iter().map(last)),
+        half_ms: median(changes.iter().map(half)),
+        last_ms: median(changes.iter().map(last)),
         slowest_ms: changes.iter().map(last).fold(0.0, f64::max),
         fronts: changes.iter().map(Vec::len).max().unwrap_or(0),
     }
 }
 
-fn middle(figures: impl Iterator<Item = f64>) -> f64 {
-    let mut figures: Vec<f64> = figures.collect();
-    figures.sort_by(f64::total_cmp);
-    figures.get(figures.len() / 2).copied().unwrap_or(0.0)
+fn median(values: impl Iterator<Item = f64>) -> f64 {
+    let mut values: Vec<f64> = values.collect();
+    values.sort_by(f64::total_cmp);
+    values.get(values.len() / 2).copied().unwrap_or(0.0)
 }
--- a/components/loglines/tests/spread.rs
+++ b/components/loglines/tests/spread.rs
@@ -1,17 +1,17 @@
-//! Changes and the fronts that learn of them, from the lines of a collector.
+//! Propagation times of changes, computed from the lines of a collector.
 
 use loglines::{ChangeKind, PropagationTimes, parse_line};
 
 struct Case {
     name: &'static str,
     lines: &'static [&'static str],
-    /// Kind, changes, half, last and slowest in milliseconds, fronts.
+    /// Kind, number of changes, `half_ms`, `last_ms`, `slowest_ms`, number of fronts.
     rows: &'static [(ChangeKind, usize, f64, f64, f64, usize)],
 }
 
 const CASES: [Case; 4] = [
     Case {
-        name: "a version of the configuration at three fronts",
+        name: "a version of the configuration that three fronts receive",
         lines: &[
             "   1.000 a timestamp=x level=INFO message= event=routes-in-force version=3 customers=0",
             "   1.250 b timestamp=x level=INFO message= event=routes-in-force version=3 customers=0",
@@ -20,7 +20,7 @@
         rows: &[(ChangeKind::Configuration, 1, 250.0, 500.0, 500.0, 3)],
     },
     Case {
-        name: "a front that was away does not count, a repeated word neither",
+        name: "a front that was not running and a repeated line do not count",
         lines: &[
             "1 a event=replica-draining replica=r1",
             "2 a event=replica-draining replica=r1",
@@ -40,7 +40,7 @@
         rows: &[(ChangeKind::Weights, 2, 1_000.0, 1_000.0, 1_000.0, 2)],
     },
     Case {
-        name: "lines that are no events of fronts, and a change that one front knows",
+        name: "lines that are not events of fronts, and a change that only one front receives",
         lines: &[
             "",
             "day own/srv score",
@@ -54,7 +54,7 @@
 ];
 
 #[test]
-fn can_tell_how_long_a_change_takes_to_the_last_front() {
+fn can_measure_how_long_a_change_takes_to_reach_the_last_front() {
     for case in CASES {
         let mut propagation = PropagationTimes::default();
         for line in case.lines.iter().filter_map(|line| parse_line(line)) {
