--- a/components/inspect/src/lib.rs
+++ b/components/inspect/src/lib.rs
@@ -1,5 +1,5 @@
-//! What stands in the platform's store, for operators: read-only, and without a front.
-//! Decides nothing; records that can't be read are named and passed over, as at a front.
+//! Shows operators the contents of the platform's store. It only reads, and needs no running front.
+//! Malformed records are logged and skipped, as in a front.
 
 mod read;
 mod rows;
--- a/components/inspect/src/read.rs
+++ b/components/inspect/src/read.rs
@@ -1,4 +1,4 @@
-//! Reading of the store.
+//! Reads the records of the store and converts them to rows.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,22 +21,23 @@
     customer_rows,
 };
 
-/// Longest time of one call, in milliseconds: an operator waits, and a slow store takes 240.
-const CALL_MS: u64 = 3_000;
-/// Kibibytes of one read of the index.
+/// Timeout of one call to the store. An operator waits for the result; a slow store answers within
+/// 240 ms.
+const CALL_TIMEOUT_MS: u64 = 3_000;
+/// Maximum size of one read of a log, in KiB.
 const READ_KB: u32 = 1_024;
 
 quick_error! {
-    /// Why nothing can be shown.
+    /// Reason why the contents of the store cannot be shown.
     #[derive(Debug)]
     pub enum InspectError {
-        /// The store does not give it.
+        /// A call to the store failed.
         Store(reason: StoreError) {
             source(reason)
             from()
             display("cannot read the store: {}", reason)
         }
-        /// The configuration's record can't be read.
+        /// The record of the configuration or of a named version is malformed.
         Record(reason: RecordError) {
             source(reason)
             from()
@@ -45,37 +46,38 @@
     }
 }
 
-/// Reads a store.
+/// Reads one store.
 pub struct Inspector {
     store: Store,
 }
 
 impl Inspector {
-    /// Reads the store at `address`.
+    /// Creates an inspector for the store at `address`; connects at the first read.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             store: Store::new(address),
         }
     }
 
-    /// The configuration in force: its version and its routes, by host and prefix.
+    /// Reads the active configuration: its version, and its routes sorted by host and prefix.
+    /// Returns version 0 without routes if the store has no configuration.
     pub async fn routes(&self) -> Result<(u64, Vec<RouteRow>), InspectError> {
-        let (newest, _) = self.store.newest(OPERATOR_TOPIC, within()).await?;
-        let mut found = (0, Vec::new());
+        let (newest, _) = self.store.newest(OPERATOR_TOPIC, call_timeout()).await?;
+        let mut configuration = (0, Vec::new());
         for record in newest {
             if let OperatorRecord::Routes(routes) =
                 parse_operator_record(&record.key, &record.value)?
             {
                 let rows = routes.sorted().into_iter().map(RouteRow::from);
-                found = (routes.version, rows.collect());
+                configuration = (routes.version, rows.collect());
             }
         }
-        Ok(found)
+        Ok(configuration)
     }
 
-    /// Customers in force, by name.
+    /// Reads the customers of the active configuration, sorted by name.
     pub async fn customers(&self) -> Result<Vec<CustomerRow>, InspectError> {
-        let (newest, _) = self.store.newest(OPERATOR_TOPIC, within()).await?;
+        let (newest, _) = self.store.newest(OPERATOR_TOPIC, call_timeout()).await?;
         let mut rows = Vec::new();
         for record in newest {
             if let OperatorRecord::Routes(routes) =
@@ -87,13 +89,14 @@
         let index = self.index().await?;
         for row in &mut rows {
             let steps = index.ledger.steps();
-            let own = steps.filter(|step| step.head.customer.as_deref() == Some(&row.customer));
-            row.steps = own.count();
+            let submitted =
+                steps.filter(|step| step.head.customer.as_deref() == Some(&row.customer));
+            row.steps = submitted.count();
         }
         Ok(rows)
     }
 
-    /// Windows of usage that the index still has, oldest first.
+    /// Reads the windows of usage that the store still has, oldest first.
     pub async fn usage(&self) -> Result<Vec<UsageRow>, InspectError> {
         let usage = self.usage_ledger().await?;
         let rows = usage.windows().map(|window| UsageRow {
@@ -113,26 +116,26 @@
         Ok(rows.collect())
     }
 
-    /// Duties towards the platform, and who does them.
+    /// Reads the duties towards the platform and the VMs that perform them.
     pub async fn duties(&self) -> Result<Vec<DutyRow>, InspectError> {
         let index = self.index().await?;
         let (holder, fence) = index.lease.holder().unzip();
         let usage = self.usage_ledger().await?;
         let reported = usage.windows().filter(|window| window.reported);
-        let waiting = usage.windows();
-        let waiting = waiting.filter(|window| window.sealed && !window.reported);
+        let unreported = usage.windows();
+        let unreported = unreported.filter(|window| window.sealed && !window.reported);
         Ok(vec![DutyRow {
             duty: "usage",
             holder: holder.flatten().map(str::to_owned),
             fence,
             reported: reported.map(|window| window.window.0).max(),
-            waiting: waiting.map(|window| window.window.0).collect(),
+            waiting: unreported.map(|window| window.window.0).collect(),
         }])
     }
 
-    /// Newest named versions, by model.
+    /// Reads the newest named version of each model, sorted by model.
     pub async fn versions(&self) -> Result<Vec<VersionRow>, InspectError> {
-        let (newest, _) = self.store.newest(OPERATOR_TOPIC, within()).await?;
+        let (newest, _) = self.store.newest(OPERATOR_TOPIC, call_timeout()).await?;
         let mut named: BTreeMap<String, u64> = BTreeMap::new();
         for record in newest {
             if let OperatorRecord::VersionNamed { model, version } =
@@ -144,7 +147,7 @@
         let replicas = self.replica_records().await?;
         let holds = |replica: &Replica, model: &str, version| {
             let mut models = replica.models.iter();
-            models.any(|(held, at)| **held == *model && *at == version)
+            models.any(|(name, held)| **name == *model && *held == version)
         };
         let row = |(model, version): (String, u64)| VersionRow {
             replicas: replicas
@@ -157,30 +160,31 @@
         Ok(named.into_iter().map(row).collect())
     }
 
-    /// Replicas by their own records.
+    /// Reads the records that the replicas write about themselves.
     pub async fn replicas(&self) -> Result<Vec<ReplicaRow>, InspectError> {
         let replicas = self.replica_records().await?;
         Ok(replicas.iter().map(ReplicaRow::from).collect())
     }
 
-    /// Steps that the index still has, oldest first.
+    /// Reads the steps that the index still has, oldest first.
     pub async fn steps(&self) -> Result<Vec<StepRow>, InspectError> {
         let index = self.index().await?;
         Ok(index.ledger.steps().map(StepRow::from).collect())
     }
 
-    /// Shards that have items to run, and the fronts that run them.
+    /// Reads the shards of open steps and the fronts that run them.
     pub async fn shards(&self) -> Result<Vec<ShardRow>, InspectError> {
         let index = self.index().await?;
-        let owners = self.store.owners(RUNNER_GROUP, within()).await?;
+        let owners = self.store.owners(RUNNER_GROUP, call_timeout()).await?;
         let owners: BTreeMap<u32, String> = owners.into_iter().collect();
-        // Every partition has an owner as long as there is a member.
+        // Every partition has an owner as long as the group has a member, so the highest partition
+        // with an owner gives the number of partitions.
         let partitions = owners.keys().next_back().map_or(1, |last| last + 1);
-        let mut open: BTreeMap<(String, u16), usize> = BTreeMap::new();
+        let mut open_items: BTreeMap<(String, u16), usize> = BTreeMap::new();
         for step in index.ledger.steps().filter(|step| step.is_open()) {
             for (item, progress) in (0..).zip(&step.progress) {
                 let shard = (step.head.pool.clone(), step.shard(item));
-                *open.entry(shard).or_default() += usize::from(!progress.listed);
+                *open_items.entry(shard).or_default() += usize::from(!progress.listed);
             }
         }
         let row = |((pool, shard), items_open): ((String, u16), usize)| {
@@ -192,10 +196,10 @@
                 items_open,
             }
         };
-        Ok(open.into_iter().map(row).collect())
+        Ok(open_items.into_iter().map(row).collect())
     }
 
-    /// Who gives orders to replicas.
+    /// Reads the holder of the lease for orders to replicas.
     pub async fn lease(&self) -> Result<LeaseRow, InspectError> {
         let index = self.index().await?;
         let (holder, fence) = index.lease.holder().unzip();
@@ -205,11 +209,11 @@
         })
     }
 
-    /// The log of usage, as far as the store still has it.
+    /// Reads the usage log, as far as the store still has it.
     async fn usage_ledger(&self) -> Result<UsageLedger, InspectError> {
         let mut usage = UsageLedger::default();
-        self.read_whole(USAGE_TOPIC, |read| {
-            let Read::Records(from, records) = read else {
+        self.read_log(USAGE_TOPIC, |page| {
+            let LogPage::Records(from, records) = page else {
                 return;
             };
             for (offset, record) in (from..).zip(records) {
@@ -226,7 +230,7 @@
     }
 
     async fn replica_records(&self) -> Result<Vec<Replica>, InspectError> {
-        let (newest, _) = self.store.newest(REPLICA_TOPIC, within()).await?;
+        let (newest, _) = self.store.newest(REPLICA_TOPIC, call_timeout()).await?;
         let mut replicas = Vec::with_capacity(newest.len());
         for record in newest {
             match records::parse_replica_record(&record.key, &record.value) {
@@ -239,44 +243,45 @@
         Ok(replicas)
     }
 
-    /// The whole index, as far as the store still has it.
+    /// Reads the whole index, as far as the store still has it.
     async fn index(&self) -> Result<Index, InspectError> {
-        // Nobody waits for this reader to give orders; the pause plays no part.
+        // This process never acquires the lease or gives orders, so the pause between the orders of
+        // two holders is irrelevant.
         let mut index = Index::new(Lease::new("", 0, LeaseSettings::with_pause(0)));
-        self.read_whole(INDEX_TOPIC, |read| match read {
-            Read::Records(from, records) => {
+        self.read_log(INDEX_TOPIC, |page| match page {
+            LogPage::Records(from, records) => {
                 index.apply(from, records, 0, |offset, error| {
                     log::warn!(event = "record-malformed", topic = INDEX_TOPIC, offset, error:% = error; "");
                 });
             }
-            Read::Gone => index.mark_gap(0),
+            LogPage::Trimmed => index.mark_gap(0),
         })
         .await?;
         Ok(index)
     }
 
-    /// Reads the one partition of a log to its end.
-    async fn read_whole(
+    /// Reads the only partition of a log to its end and passes every page to `handle`.
+    async fn read_log(
         &self,
         topic: &str,
-        mut take: impl FnMut(Read<'_>),
+        mut handle: impl FnMut(LogPage<'_>),
     ) -> Result<(), InspectError> {
         let mut next = 0;
         loop {
             let page = self
                 .store
-                .read(topic, INDEX_PARTITION, next, READ_KB, 0, within())
+                .read(topic, INDEX_PARTITION, next, READ_KB, 0, call_timeout())
                 .await;
             match page {
                 Ok(page) => {
-                    take(Read::Records(next, &page.records));
+                    handle(LogPage::Records(next, &page.records));
                     next += page.records.len() as u64;
                     if next >= page.end || page.records.is_empty() {
                         return Ok(());
                     }
                 }
                 Err(StoreError::Gone(first)) => {
-                    take(Read::Gone);
+                    handle(LogPage::Trimmed);
                     next = first;
                 }
                 Err(error) => return Err(error.into()),
@@ -285,14 +290,15 @@
     }
 }
 
-/// What a read of a log brought.
-enum Read<'a> {
-    /// Records from an offset on.
+/// Result of one read of a log.
+enum LogPage<'a> {
+    /// Offset of the first record, and the records.
     Records(u64, &'a [Bytes]),
-    /// Earlier records are gone.
-    Gone,
+    /// The store has removed the records at the requested offset; the next page starts at the
+    /// oldest record that is left.
+    Trimmed,
 }
 
-fn within() -> Duration {
-    Duration::from_millis(CALL_MS)
+fn call_timeout() -> Duration {
+    Duration::from_millis(CALL_TIMEOUT_MS)
 }
--- a/components/inspect/src/rows.rs
+++ b/components/inspect/src/rows.rs
@@ -1,4 +1,4 @@
-//! Rows that are printed.
+//! Rows of the tables for operators. `hornbeamrockctl` prints them as tables or as JSON.
 
 use std::collections::HashSet;
 
@@ -7,144 +7,148 @@
 use serde::Serialize;
 use steps::{ResultState, Step};
 
-/// A route in force.
+/// A route of the active configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RouteRow {
-    /// Its name.
+    /// Name of the route.
     pub route: String,
-    /// Its host.
+    /// Host of the requests that the route matches.
     pub host: String,
-    /// Prefix of its paths.
+    /// Prefix of the paths that the route matches.
     pub prefix: String,
-    /// What its requests are.
+    /// How often a request on the route may run: the name of a [`dispatch::RouteKind`] in lower
+    /// case.
     pub kind: String,
-    /// Services with their weights.
+    /// Services of the route with the weights by which requests are divided among them.
     pub services: Vec<(String, u32)>,
-    /// Longest time of a request, in milliseconds.
+    /// Timeout of a request.
     pub timeout_ms: u64,
-    /// Replicas that one request may be sent to.
+    /// Maximum number of replicas that one request is sent to.
     pub attempts_max: u32,
 }
 
 /// The newest named version of a model.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct VersionRow {
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// The version.
+    /// Version that the trainer named last.
     pub version: u64,
-    /// Replicas that hold it, by their own records.
+    /// Number of replicas that have loaded this version, according to their own records.
     pub replicas: usize,
 }
 
-/// A replica by its own record.
+/// State of a replica according to the record that it writes about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ReplicaRow {
-    /// Its id.
+    /// Id of the replica, unique to one incarnation.
     pub replica: String,
-    /// Its service.
+    /// Service that the replica belongs to.
     pub service: String,
-    /// Where it listens.
+    /// Address that the replica listens on.
     pub address: String,
-    /// Its failure domain.
+    /// Failure domain that the replica is in.
     pub failure_domain: String,
-    /// Whether it takes nothing new.
+    /// Whether the replica accepts no new work because it is about to stop.
     pub draining: bool,
-    /// Models with the versions that it holds.
+    /// Models with the versions of their weights that the replica has loaded.
     pub models: Vec<(String, u64)>,
 }
 
-/// A shard of the work of a pool of model replicas.
+/// A shard of the items that wait for the model replicas of a pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ShardRow {
-    /// Services of the replicas.
+    /// Name of the pool, made of the names of its services.
     pub pool: String,
-    /// Number of the shard.
+    /// Number of the shard within the pool.
     pub shard: u16,
-    /// The front that runs it; none where nobody does.
+    /// Front that runs the shard; `None` if no front owns its partition.
     pub front: Option<String>,
-    /// Items of steps in progress that are not listed.
+    /// Number of items of open steps that have no result yet.
     pub items_open: usize,
 }
 
-/// An accepted step.
+/// Progress of an accepted step.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct StepRow {
-    /// The trainer's id.
+    /// Id that the trainer gave the step.
     pub step: String,
-    /// Its model.
+    /// Model that is trained.
     pub model: String,
-    /// Its number.
+    /// Step number in the trainer's own count.
     pub number: u64,
-    /// Oldest version that may make a token.
+    /// Oldest version of the weights that may generate tokens for this step.
     pub min_version: u64,
-    /// Items.
+    /// Number of items of the step.
     pub items: usize,
-    /// Items with a text.
+    /// Number of items that have a text.
     pub succeeded: usize,
-    /// Items that ended without one.
+    /// Number of items that ended without a text.
     pub errored: usize,
-    /// Items of which a part is saved.
+    /// Number of items for which a part of the text is saved.
     pub saved: usize,
-    /// Groups of which every item has a text.
+    /// Number of groups in which every item has a text.
     pub groups_whole: usize,
-    /// Groups that the trainer waits for.
+    /// Number of complete groups that the trainer waits for.
     pub groups_wanted: u32,
-    /// `open`, `complete` or `ended`.
+    /// `ended` if the trainer ended the step, `complete` if every item has a result, else `open`.
     pub state: &'static str,
 }
 
-/// A customer in force.
+/// A customer of the active configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct CustomerRow {
-    /// Its name.
+    /// Name of the customer.
     pub customer: String,
-    /// Its rank, 0 the highest.
+    /// Rank of the customer's requests, 0 is the highest; `None` leaves the rank to the route.
     pub rank: Option<u8>,
-    /// Number of its keys; no key is shown.
+    /// Number of API keys. The keys themselves are secret and never shown.
     pub keys: usize,
-    /// Steps of it that the index still has.
+    /// Number of the customer's steps that the index still has.
     pub steps: usize,
 }
 
-/// Usage of a window.
+/// Usage of all customers in one window of time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct UsageRow {
     /// Number of the window.
     pub window: u64,
-    /// `open`, `sealed` or `reported`.
+    /// `reported` if the platform accepted the window's report, `sealed` if the counts are final
+    /// but not reported, else `open`.
     pub state: &'static str,
-    /// Requests of all customers that its report has, or would have now.
+    /// Number of requests of all customers; final once the window is sealed.
     pub requests: u64,
-    /// Requests by customer.
+    /// Number of requests by customer.
     pub customers: Vec<(String, u64)>,
 }
 
-/// A duty towards the platform.
+/// A duty: a task that the system has to perform for the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct DutyRow {
-    /// The duty.
+    /// Name of the duty.
     pub duty: &'static str,
-    /// VM that does it; none where nobody is known to.
+    /// VM that performs the duty, which is the holder of the lease; `None` if it is unknown.
     pub holder: Option<String>,
-    /// Its fencing number.
+    /// Fencing token of the holder; `None` if the lease was released or the log has no record of it.
     pub fence: Option<u64>,
-    /// Newest window whose report was taken.
+    /// Newest window whose report the platform accepted.
     pub reported: Option<u64>,
-    /// Sealed windows whose report was not taken yet.
+    /// Sealed windows whose reports the platform has not accepted yet.
     pub waiting: Vec<u64>,
 }
 
-/// The lease on orders to replicas.
+/// The lease for orders to replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct LeaseRow {
-    /// VM that holds it; none if it was given up or its record is gone.
+    /// VM that holds the lease; `None` if the lease was released or the record of its acquisition
+    /// is no longer in the log.
     pub holder: Option<String>,
-    /// Fencing number of the newest holder.
+    /// Fencing token of the holder; `None` if the lease was released or the log has no record of it.
     pub fence: Option<u64>,
 }
 
-/// Rows of the customers of a configuration, by name.
+/// Returns a row for each customer of a configuration, sorted by name. The number of steps is 0;
+/// the caller fills it in from the index.
 pub fn customer_rows(customers: &Customers) -> Vec<CustomerRow> {
     let mut rows: Vec<CustomerRow> = customers
         .iter()
@@ -155,7 +159,7 @@
             steps: 0,
         })
         .collect();
-    rows.sort_by(|one, other| one.customer.cmp(&other.customer));
+    rows.sort_by(|left, right| left.customer.cmp(&right.customer));
     rows
 }
 
@@ -195,9 +199,9 @@
 impl From<&Step> for StepRow {
     fn from(step: &Step) -> Self {
         let results = step.results.iter();
-        let is_text = |state: &ResultState| matches!(state, ResultState::Succeeded { .. });
-        let texts: HashSet<u32> = results
-            .filter(|result| is_text(&result.state))
+        let has_text = |state: &ResultState| matches!(state, ResultState::Succeeded { .. });
+        let items_with_text: HashSet<u32> = results
+            .filter(|result| has_text(&result.state))
             .map(|result| result.item)
             .collect();
         Self {
@@ -206,10 +210,10 @@
             number: step.head.number,
             min_version: step.head.min_version,
             items: step.head.items.len(),
-            succeeded: texts.len(),
-            errored: step.results.len() - texts.len(),
+            succeeded: items_with_text.len(),
+            errored: step.results.len() - items_with_text.len(),
             saved: step.saved.len(),
-            groups_whole: groups_whole(step, &texts),
+            groups_whole: count_complete_groups(step, &items_with_text),
             groups_wanted: step.head.groups_wanted,
             state: match (step.ended, step.is_complete()) {
                 (true, _) => "ended",
@@ -220,12 +224,12 @@
     }
 }
 
-fn groups_whole(step: &Step, texts: &HashSet<u32>) -> usize {
+fn count_complete_groups(step: &Step, items_with_text: &HashSet<u32>) -> usize {
     let groups: HashSet<u16> = step.head.items.iter().map(|item| item.group).collect();
-    let broken: HashSet<u16> = (0..)
+    let incomplete: HashSet<u16> = (0..)
         .zip(&step.head.items)
-        .filter(|(at, _)| !texts.contains(at))
+        .filter(|(number, _)| !items_with_text.contains(number))
         .map(|(_, item)| item.group)
         .collect();
-    groups.len() - broken.len()
+    groups.len() - incomplete.len()
 }
--- a/components/inspect/tests/inspect.rs
+++ b/components/inspect/tests/inspect.rs
@@ -1,4 +1,4 @@
-//! What an operator sees of a store.
+//! The rows that an operator sees for the contents of a store.
 
 use index::{INDEX_TOPIC, LogRecord, USAGE_TOPIC, encode, encode_usage};
 use inspect::{Inspector, LeaseRow};
@@ -9,9 +9,9 @@
 use usage::{CustomerCount, UsageRecord, Window, WindowCounts};
 
 fn head(id: &str) -> StepHead {
-    let item = |at: u16| ItemHead {
-        id: format!("item-{at}"),
-        group: at / 2,
+    let item = |number: u16| ItemHead {
+        id: format!("item-{number}"),
+        group: number / 2,
         tokens: 300,
         hint_tokens: 0,
     };
@@ -36,7 +36,7 @@
     }
 }
 
-fn listed(item: u32, state: ResultState) -> LogRecord {
+fn listed_result(item: u32, state: ResultState) -> LogRecord {
     LogRecord::Step(StepRecord::Listed {
         step: StepId(0),
         item,
@@ -44,7 +44,7 @@
     })
 }
 
-fn text() -> ResultState {
+fn succeeded() -> ResultState {
     ResultState::Succeeded {
         versions: vec![2],
         score: "s".to_owned(),
@@ -57,24 +57,28 @@
 }
 
 async fn inspector(store: &Store) -> (standins::Handle, Inspector) {
-    let door = store
+    let listener = store
         .open(([127, 0, 0, 1], 0).into())
         .await
-        .expect("a port");
-    let inspector = Inspector::new(door.address);
-    (door, inspector)
+        .expect("the store listens on a free port");
+    let inspector = Inspector::new(listener.address);
+    (listener, inspector)
 }
 
 fn write_usage(store: &Store, record: &UsageRecord) {
     store.add(
         USAGE_TOPIC,
         0,
-        vec![encode_usage(record).expect("a record")],
+        vec![encode_usage(record).expect("the usage record is encoded")],
     );
 }
 
-fn write(store: &Store, record: &LogRecord) {
-    store.add(INDEX_TOPIC, 0, vec![encode(record).expect("a record")]);
+fn write_index(store: &Store, record: &LogRecord) {
+    store.add(
+        INDEX_TOPIC,
+        0,
+        vec![encode(record).expect("the index record is encoded")],
+    );
 }
 
 #[tokio::test]
@@ -86,29 +90,30 @@
         &format!("version/{}", records::MODEL),
         Some(&records::version(5)),
     );
-    let at = |port| ([10, 0, 0, 1], port).into();
-    let beat = |service, state, version| records::replica(service, at(7_000), state, version);
+    let address = |port| ([10, 0, 0, 1], port).into();
+    let heartbeat =
+        |service, state, version| records::replica(service, address(7_000), state, version);
     store.put(
         "keyed.servers",
         "e-1",
-        Some(&beat(records::ENGINES, "ready", 5)),
+        Some(&heartbeat(records::ENGINES, "ready", 5)),
     );
     store.put(
         "keyed.servers",
         "e-2",
-        Some(&beat(records::ENGINES, "draining", 4)),
+        Some(&heartbeat(records::ENGINES, "draining", 4)),
     );
-    store.put("keyed.servers", "odd", Some("{"));
-    let (_door, inspector) = inspector(&store).await;
-    let (version, routes) = inspector.routes().await.expect("routes");
+    store.put("keyed.servers", "malformed", Some("{"));
+    let (_listener, inspector) = inspector(&store).await;
+    let (version, routes) = inspector.routes().await.expect("the routes are read");
     let prefixes: Vec<_> = routes.iter().map(|route| route.prefix.as_str()).collect();
     assert_eq!(
         (version, prefixes),
         (3, vec!["/bids/", "/calls/", "/scores/", "/steps/"])
     );
-    let versions = inspector.versions().await.expect("versions");
+    let versions = inspector.versions().await.expect("the versions are read");
     assert_eq!((versions[0].version, versions[0].replicas), (5, 1));
-    let replicas = inspector.replicas().await.expect("replicas");
+    let replicas = inspector.replicas().await.expect("the replicas are read");
     let states: Vec<_> = replicas
         .iter()
         .map(|row| (row.replica.as_str(), row.draining))
@@ -116,71 +121,74 @@
     assert_eq!(
         states,
         [("e-1", false), ("e-2", true)],
-        "odd records are passed over"
+        "the malformed record of a replica is skipped"
     );
 }
 
 #[tokio::test]
-async fn can_show_the_progress_of_steps_and_who_gives_orders() {
+async fn can_show_the_progress_of_steps_and_the_holder_of_the_lease() {
     let store = Store::default();
     let accepted = StepRecord::Accepted(Box::new(head("step-3")));
-    write(&store, &LogRecord::Step(accepted));
-    write(&store, &listed(0, text()));
-    write(&store, &listed(1, text()));
-    write(&store, &listed(2, ResultState::Errored(ErrorCause::Runs)));
-    let take = LeaseRecord::Acquire {
+    write_index(&store, &LogRecord::Step(accepted));
+    write_index(&store, &listed_result(0, succeeded()));
+    write_index(&store, &listed_result(1, succeeded()));
+    write_index(
+        &store,
+        &listed_result(2, ResultState::Errored(ErrorCause::Runs)),
+    );
+    let acquisition = LeaseRecord::Acquire {
         holder: "front-1".to_owned(),
         attempt: 1,
         after: None,
     };
-    write(&store, &LogRecord::Lease(take));
-    let (_door, inspector) = inspector(&store).await;
-    let steps = inspector.steps().await.expect("steps");
+    write_index(&store, &LogRecord::Lease(acquisition));
+    let (_listener, inspector) = inspector(&store).await;
+    let steps = inspector.steps().await.expect("the steps are read");
     let [step] = &steps[..] else {
-        panic!("one step");
+        panic!("expected exactly one step");
     };
     assert_eq!((step.items, step.succeeded, step.errored), (4, 2, 1));
     assert_eq!(
         (step.groups_whole, step.groups_wanted, step.state),
         (1, 2, "open")
     );
-    let lease = inspector.lease().await.expect("the lease");
+    let lease = inspector.lease().await.expect("the lease is read");
     assert_eq!(lease.holder.as_deref(), Some("front-1"));
     let release = LeaseRecord::Release {
-        fence: lease.fence.expect("held"),
+        fence: lease.fence.expect("the lease is held"),
     };
-    write(&store, &LogRecord::Lease(release));
+    write_index(&store, &LogRecord::Lease(release));
     let none = LeaseRow {
         holder: None,
         fence: None,
     };
-    assert_eq!(inspector.lease().await.expect("the lease"), none);
+    assert_eq!(inspector.lease().await.expect("the lease is read"), none);
 }
 
 #[tokio::test]
-async fn can_show_what_is_left_of_a_shortened_index() {
-    // The store has dropped the records of a step, and keeps the later ones.
+async fn can_show_the_steps_that_are_left_after_the_store_trimmed_the_index() {
+    // The store has removed the records of the first step and still has those of the second.
     let store = Store::default();
-    write(
+    write_index(
         &store,
         &LogRecord::Step(StepRecord::Accepted(Box::new(head("gone")))),
     );
     store.forget(INDEX_TOPIC, 0);
-    write(
+    write_index(
         &store,
         &LogRecord::Step(StepRecord::Accepted(Box::new(head("kept")))),
     );
-    let (_door, inspector) = inspector(&store).await;
-    let steps = inspector.steps().await.expect("steps");
+    let (_listener, inspector) = inspector(&store).await;
+    let steps = inspector.steps().await.expect("the steps are read");
     let names: Vec<_> = steps.iter().map(|step| step.step.as_str()).collect();
     assert_eq!(names, ["kept"]);
 }
 
 #[tokio::test]
 async fn errors_when_the_store_does_not_answer() {
-    let (door, inspector) = inspector(&Store::default()).await;
-    drop(door);
-    let error = inspector.steps().await.expect_err("no store");
+    let (listener, inspector) = inspector(&Store::default()).await;
+    drop(listener);
+    let error = inspector.steps().await.expect_err("the store is stopped");
     assert!(
         error.to_string().starts_with("cannot read the store"),
         "{error}"
@@ -197,7 +205,7 @@
         ..head("step-3")
     };
     let accepted = StepRecord::Accepted(Box::new(step));
-    write(&store, &LogRecord::Step(accepted));
+    write_index(&store, &LogRecord::Step(accepted));
     let counted = UsageRecord::Counted {
         writer: 1,
         number: 1,
@@ -211,17 +219,17 @@
     };
     write_usage(&store, &counted);
     write_usage(&store, &UsageRecord::Sealed { window: Window(7) });
-    let (_door, inspector) = inspector(&store).await;
-    let customers = inspector.customers().await.expect("customers");
-    let shown: Vec<_> = customers
+    let (_listener, inspector) = inspector(&store).await;
+    let customers = inspector.customers().await.expect("the customers are read");
+    let summaries: Vec<_> = customers
         .iter()
         .map(|row| (row.customer.as_str(), row.keys, row.steps))
         .collect();
-    assert_eq!(shown, [("anna", 2, 1), ("bert", 0, 0)]);
+    assert_eq!(summaries, [("anna", 2, 1), ("bert", 0, 0)]);
     assert!(!format!("{customers:?}").contains("key-1"));
-    let usage = inspector.usage().await.expect("usage");
+    let usage = inspector.usage().await.expect("the usage is read");
     assert_eq!((usage[0].state, usage[0].requests), ("sealed", 3));
-    let duties = inspector.duties().await.expect("duties");
+    let duties = inspector.duties().await.expect("the duties are read");
     assert_eq!(
         (duties[0].reported, &duties[0].waiting[..]),
         (None, &[7][..])
--- a/components/loglines/src/spread.rs
+++ b/components/loglines/src/spread.rs
@@ -70,7 +70,8 @@
     }
 
     /// Returns one row per kind of change. A front that receives a change more than `within_ms`
-    /// after the first front is not counted for that change, because it was not running before.
+    /// after the first front is not counted for that change, because it is assumed to have been
+    /// stopped or disconnected.
     pub fn rows(&self, within_ms: f64) -> Vec<ChangeRow> {
         let mut by_kind: BTreeMap<ChangeKind, Vec<Vec<f64>>> = BTreeMap::new();
         for ((kind, _), fronts) in &self.received_ms {
