--- a/bin/agent/src/cli.rs
+++ b/bin/agent/src/cli.rs
@@ -1,9 +1,9 @@
-//! Command line of the agent: read and checked before anything else happens.
+//! Command line of the agent, validated before the agent does anything else.
 
 use settings::{AgentSettings, SettingsError, agent_command};
 
-/// The checked settings. Ends the process itself for `--help`, `--version` and flags
-/// that don't exist.
-pub fn settings() -> Result<AgentSettings, SettingsError> {
+/// Parses and validates the settings. For `--help`, `--version` and unknown flags, prints a text and
+/// exits the process.
+pub fn read_settings() -> Result<AgentSettings, SettingsError> {
     AgentSettings::from_matches(&agent_command().get_matches())
 }
--- a/bin/agent/src/main.rs
+++ b/bin/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! `hornbeamrock-agent`: stands in the slot beside one endpoint.
+//! `hornbeamrock-agent`: sidecar process that runs on the VM of one endpoint.
 
 mod cli;
 
@@ -8,11 +8,12 @@
 use settings::{AgentSettings, EXIT_SETTINGS};
 use sidecar::{Sidecar, Tuning};
 
-/// Threads for all tasks. The agent mostly waits, and the VM belongs to the endpoint.
-const THREADS: usize = 2;
+/// Worker threads of the async runtime. Few, because the agent mostly waits for I/O and the VM's
+/// CPUs are for the endpoint.
+const WORKER_THREADS: usize = 2;
 
 fn main() -> ExitCode {
-    let settings = match cli::settings() {
+    let settings = match cli::read_settings() {
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("hornbeamrock-agent: {error}");
@@ -29,7 +30,7 @@
 }
 
 fn run(settings: AgentSettings) -> Result<(), NodeError> {
-    process::run(settings.common.log_level, THREADS, |stop| async {
+    process::run(settings.common.log_level, WORKER_THREADS, |stop| async {
         let sidecar = Sidecar::bind(settings, Tuning::default()).await?;
         sidecar.run(stop).await
     })
--- a/bin/ctl/src/cli.rs
+++ b/bin/ctl/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Definition of the command line.
 
 use std::path::PathBuf;
 
@@ -6,44 +6,45 @@
 use clap_complete::Shell;
 use settings::flag;
 
-const AFTER_HELP: &str = "Exit codes: 0 done, 1 another fault, 2 wrong flags or files, \
-3 the text does not pass the check, 4 another publish came first, 5 accepted but not seen \
-in force everywhere in time, 6 the platform or a process did not answer.\n\
-Every flag can also be set in the environment as HORNBEAMROCK_ and its name in capitals.";
+const AFTER_HELP: &str = "Exit codes: 0 success, 1 other failure, 2 invalid flags or files, \
+3 invalid configuration text, 4 another publish with the same base came first, 5 accepted but \
+not active at every process in time, 6 no answer from the platform or a process.\n\
+Every flag can also be set by an environment variable: HORNBEAMROCK_ and the name of the flag in \
+capitals with underscores.";
 
-/// The whole command line.
+/// Command line with all subcommands.
 pub fn command() -> Command {
     Command::new("hornbeamrockctl")
         .version(env!("CARGO_PKG_VERSION"))
-        .about("Publishes the configuration of a customer and looks after processes")
+        .about("Publishes the configuration of customers and controls processes")
         .after_help(AFTER_HELP)
         .subcommand_required(true)
         .arg_required_else_help(true)
         .arg(output().global(true))
         .subcommands([
             Command::new("check")
-                .about("Checks a text; with --log, also against the other customers' texts")
+                .about("Checks a configuration text; with --log, also against the other customers' texts")
                 .arg(file())
                 .arg(log()),
             publish(),
             Command::new("show")
-                .about("Prints a customer's text as accepted")
+                .about("Prints a customer's accepted configuration text")
                 .arg(customer())
                 .arg(log()),
             Command::new("diff")
-                .about("Shows how a file differs from its customer's accepted text")
+                .about("Shows the differences between a file and its customer's accepted text")
                 .arg(file())
                 .arg(log()),
             Command::new("history")
-                .about("Lists the publishes that the log still keeps, with their verdicts")
+                .about("Lists the publishes that the log still has, with their verdicts")
                 .arg(customer())
                 .arg(log()),
             Command::new("status")
-                .about("Shows versions, weights and who is leaving, process by process")
-                .arg(admin("Admin addresses of the processes to ask")),
+                .about("Shows the state, configuration versions and weight versions of processes")
+                .arg(admin("Admin addresses of the processes to query")),
             Command::new("drain")
-                .about("Tells processes to leave: they finish what is in progress, then end")
-                .arg(admin("Admin addresses of the processes that are to leave")),
+                .about("Drains processes: they finish the work in progress and then exit")
+                .arg(admin("Admin addresses of the processes to drain")),
             rollback(),
             store(),
             spread(),
@@ -53,30 +54,33 @@
 
 fn publish() -> Command {
     Command::new("publish")
-        .about("Publishes a text and waits until it is in force")
+        .about("Publishes a configuration text and waits until it is active")
         .arg(file())
         .arg(log())
         .arg(admin(
-            "Admin addresses of the processes that must show it in force",
+            "Admin addresses of the processes at which the text has to become active",
         ))
         .arg(flag(
             "base",
             "VERSION",
-            "Version that the text was made on (default: the current one)",
+            "Version that the text is based on (default: the current version)",
         ))
         .arg(flag(
             "id",
             "ID",
-            "Id of this publish (default: a random one)",
+            "Id of this publish (default: a random id)",
         ))
-        .arg(flag("wait-ms", "MS", "How long to wait until it is in force").default_value("10000"))
+        .arg(
+            flag("wait-ms", "MS", "How long to wait until the text is active")
+                .default_value("10000"),
+        )
 }
 
 fn rollback() -> Command {
     Command::new("rollback")
-        .about("Rolls a model back to a version, under a new epoch")
+        .about("Rolls a model back to a weight version and starts a new epoch")
         .arg(flag("entry", "IP:PORT", "Public address of any entry"))
-        .arg(flag("service", "NAME", "The model"))
+        .arg(flag("service", "NAME", "Name of the model"))
         .arg(flag(
             "weights",
             "EPOCH.VERSION",
@@ -88,31 +92,37 @@
 fn store() -> Command {
     let kind = |name, about| Command::new(name).about(about).arg(store_address());
     Command::new("store")
-        .about("Shows what stands in the platform's store, without a front")
+        .about("Shows the contents of the platform's store; needs no running front")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommands([
-            kind("routes", "The configuration in force, route by route"),
+            kind("routes", "Routes of the active configuration"),
             kind(
                 "versions",
-                "Newest named versions and how many replicas hold them",
+                "Newest named versions and the number of replicas that have loaded them",
             ),
             kind(
                 "replicas",
-                "Replicas with state and versions, by their own records",
+                "State and versions of the replicas, according to their own records",
             ),
             kind("steps", "Accepted steps with their progress"),
             kind(
                 "shards",
-                "Shards with items to run, and the fronts that run them",
+                "Shards of open steps and the fronts that run them",
+            ),
+            kind("lease", "Holder of the lease for orders to replicas"),
+            kind(
+                "customers",
+                "Customers of the active configuration, without their keys",
             ),
-            kind("lease", "Who gives orders to replicas"),
-            kind("customers", "Customers in force, without their keys"),
             kind(
                 "usage",
-                "Requests of customers by windows, and which were reported",
+                "Requests of customers by window, and whether they were reported",
+            ),
+            kind(
+                "duties",
+                "Duties towards the platform and the VMs that perform them",
             ),
-            kind("duties", "Duties towards the platform, and who does them"),
         ])
 }
 
@@ -122,15 +132,15 @@
 
 fn spread() -> Command {
     Command::new("spread")
-        .about("Shows how long changes take from the first front that knows them to the last")
-        .after_help("Each line begins with the seconds and the front that the collector adds.")
+        .about("Shows how long changes take from the first front that receives them to the last")
+        .after_help("Each line of the files begins with the time in seconds and the name of the front, which the log collector adds.")
         .arg(
             Arg::new("logs")
                 .value_name("FILE")
                 .required(true)
                 .num_args(1..)
                 .value_parser(clap::value_parser!(PathBuf))
-                .help("Logs of the fronts"),
+                .help("Files with the collected logs of the fronts"),
         )
 }
 
@@ -145,14 +155,14 @@
 }
 
 fn output() -> Arg {
-    flag("output", "FORM", "table or json").default_value("table")
+    flag("output", "FORM", "Format of the output: table or json").default_value("table")
 }
 
 fn file() -> Arg {
     Arg::new("file")
         .value_name("FILE")
         .required(true)
-        .help("The configuration text")
+        .help("File with the configuration text")
 }
 
 fn log() -> Arg {
@@ -160,7 +170,7 @@
 }
 
 fn customer() -> Arg {
-    flag("customer", "NAME", "The customer")
+    flag("customer", "NAME", "Name of the customer")
 }
 
 fn admin(help: &'static str) -> Arg {
--- a/bin/ctl/src/cmd/check.rs
+++ b/bin/ctl/src/cmd/check.rs
@@ -1,13 +1,13 @@
-//! `check`: is this text good?
+//! `check`: checks a configuration text without publishing it.
 
 use clap::ArgMatches;
 use control::{check_file, read_history};
 
-use super::failure::Failure;
+use super::error::CommandError;
 use super::{file, log};
 
-/// Checks the file alone, or with `--log` against the other customers' texts too.
-pub async fn run(flags: &ArgMatches) -> Result<(), Failure> {
+/// Checks the file by itself; with `--log` also against the accepted texts of the other customers.
+pub async fn run(flags: &ArgMatches) -> Result<(), CommandError> {
     let history = match settings::optional_text(flags, "log") {
         Some(_) => Some(read_history(&log(flags)?).await?),
         None => None,
@@ -18,7 +18,7 @@
         eprintln!("{warning}");
     }
     println!(
-        "good: customer {}, {} services, {} tokens",
+        "valid: customer {}, {} services, {} tokens",
         checked.config.customer,
         checked.config.services.len(),
         checked.config.tokens.len()
--- a/bin/ctl/src/cmd/completions.rs
+++ b/bin/ctl/src/cmd/completions.rs
@@ -1,13 +1,13 @@
-//! `completions`: for the operator's shell.
+//! `completions`: prints the completions for the operator's shell.
 
 use clap::ArgMatches;
 use clap_complete::{Shell, generate};
 
-use super::failure::Failure;
+use super::error::CommandError;
 use crate::cli;
 
-/// Prints the completions of a shell.
-pub fn run(flags: &ArgMatches) -> Result<(), Failure> {
+/// Prints the completion script for the shell that the command line names.
+pub fn run(flags: &ArgMatches) -> Result<(), CommandError> {
     if let Some(shell) = flags.get_one::<Shell>("shell") {
         let mut command = cli::command();
         generate(
--- a/bin/ctl/src/cmd/diff.rs
+++ b/bin/ctl/src/cmd/diff.rs
@@ -1,14 +1,15 @@
-//! `diff`: what would a publish of this file change?
+//! `diff`: shows what a publish of a file would change.
 
 use clap::ArgMatches;
 use config::{line_diff, summarize};
 use control::{check_file, read_history};
 
-use super::failure::Failure;
+use super::error::CommandError;
 use super::{file, log};
 
-/// Compares the file with its customer's accepted text.
-pub async fn run(flags: &ArgMatches) -> Result<(), Failure> {
+/// Prints the changed lines and a summary of the changes between the customer's accepted text and
+/// the file.
+pub async fn run(flags: &ArgMatches) -> Result<(), CommandError> {
     let history = read_history(&log(flags)?).await?;
     let path = file(flags)?;
     let checked = check_file(path, Some(&history.ledger))?;
--- a/bin/ctl/src/cmd/drain.rs
+++ b/bin/ctl/src/cmd/drain.rs
@@ -1,17 +1,18 @@
-//! `drain`: processes are to leave.
+//! `drain`: orders processes to drain and exit.
 
 use clap::ArgMatches;
 use settings::addresses;
 
-use super::failure::Failure;
-use super::status::ADMIN;
+use super::error::CommandError;
+use super::status::ADMIN_EXPECTED;
 
-/// Tells each process; the first that does not answer ends the command.
-pub async fn run(flags: &ArgMatches) -> Result<(), Failure> {
-    settings::required_text(flags, "admin", ADMIN)?;
+/// Drains the processes one after the other. Stops at the first process that does not answer; the
+/// processes after it are not drained.
+pub async fn run(flags: &ArgMatches) -> Result<(), CommandError> {
+    settings::required_text(flags, "admin", ADMIN_EXPECTED)?;
     for address in addresses(flags, "admin")? {
         control::drain(address).await?;
-        println!("{address} is leaving");
+        println!("{address} is draining");
     }
     Ok(())
 }
--- a/bin/ctl/src/cmd/mod.rs
+++ b/bin/ctl/src/cmd/mod.rs
@@ -1,10 +1,10 @@
-//! One module a command.
+//! The commands, one module per command.
 
 mod check;
 mod completions;
 mod diff;
 mod drain;
-mod failure;
+mod error;
 mod history;
 mod publish;
 mod rollback;
@@ -20,12 +20,12 @@
 use clap::ArgMatches;
 use settings::{SettingsError, address, required_text};
 
-use failure::Failure;
+use error::CommandError;
 
-const FILE: &str = "a file with a configuration text";
+const FILE_EXPECTED: &str = "a file with a configuration text";
 
-/// Runs the command that the line names.
-pub fn run(matches: &ArgMatches) -> Result<(), Failure> {
+/// Runs the command that is named on the command line.
+pub fn run(matches: &ArgMatches) -> Result<(), CommandError> {
     match matches.subcommand() {
         Some(("check", flags)) => block_on(check::run(flags)),
         Some(("publish", flags)) => block_on(publish::run(flags)),
@@ -42,11 +42,11 @@
     }
 }
 
-fn block_on(command: impl Future<Output = Result<(), Failure>>) -> Result<(), Failure> {
+fn block_on(command: impl Future<Output = Result<(), CommandError>>) -> Result<(), CommandError> {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(Failure::Runtime)?
+        .map_err(CommandError::Runtime)?
         .block_on(command)
 }
 
@@ -58,5 +58,5 @@
 }
 
 fn file(flags: &ArgMatches) -> Result<&Path, SettingsError> {
-    required_text(flags, "file", FILE).map(Path::new)
+    required_text(flags, "file", FILE_EXPECTED).map(Path::new)
 }
--- a/bin/ctl/src/cmd/publish.rs
+++ b/bin/ctl/src/cmd/publish.rs
@@ -1,4 +1,5 @@
-//! `publish`: append, read back, follow into force.
+//! `publish`: appends a configuration text to the log, reads the verdict back, and waits until the
+//! accepted version is active at the processes.
 
 use clap::ArgMatches;
 use control::{
@@ -7,50 +8,50 @@
 };
 use settings::{SettingsError, addresses, milliseconds, optional_text};
 
-use super::failure::Failure;
+use super::error::CommandError;
 use super::{file, log};
-use crate::output::{Form, print_json};
+use crate::output::{OutputFormat, print_json};
 
-const WAIT: &str = "0 to 600000 milliseconds";
+const WAIT_EXPECTED: &str = "0 to 600000 milliseconds";
 const WAIT_MS_MAX: u64 = 600_000;
-const BASE: &str = "a version number, 0 for none";
+const BASE_EXPECTED: &str = "a version number, 0 for none";
 
-/// Publishes the file; progress goes to standard error.
-pub async fn run(flags: &ArgMatches) -> Result<(), Failure> {
-    let form = Form::of(flags)?;
+/// Publishes the file. Warnings and progress are printed to standard error.
+pub async fn run(flags: &ArgMatches) -> Result<(), CommandError> {
+    let format = OutputFormat::from_flags(flags)?;
     let log = log(flags)?;
     let processes = addresses(flags, "admin")?;
-    let wait_ms = milliseconds(flags, "wait-ms", 0..=WAIT_MS_MAX, WAIT)?;
+    let wait_ms = milliseconds(flags, "wait-ms", 0..=WAIT_MS_MAX, WAIT_EXPECTED)?;
     let settings = publish_settings(flags)?;
     let mut history = read_history(&log).await?;
     let checked = check_file(file(flags)?, Some(&history.ledger))?;
     for warning in &checked.warnings.0 {
         eprintln!("{warning}");
     }
-    let published = publish(&log, &mut history, &checked, &settings, show).await?;
-    wait_until_active(&processes, &published, wait_ms, show).await?;
-    match form {
-        Form::Json => print_json(&published),
-        Form::Table => println!("{}", sentence(&published, processes.len())),
+    let published = publish(&log, &mut history, &checked, &settings, print_progress).await?;
+    wait_until_active(&processes, &published, wait_ms, print_progress).await?;
+    match format {
+        OutputFormat::Json => print_json(&published),
+        OutputFormat::Table => println!("{}", summary(&published, processes.len())),
     }
     Ok(())
 }
 
-fn sentence(published: &Published, processes: usize) -> String {
+fn summary(published: &Published, processes: usize) -> String {
     let accepted = format!(
         "version {} of {} is accepted",
         published.version, published.customer
     );
     match processes {
-        0 => format!("{accepted}; name processes with --admin to wait until it is in force"),
-        _ => format!("{accepted} and in force at {processes} processes"),
+        0 => format!("{accepted}; pass --admin to wait until it is active at processes"),
+        _ => format!("{accepted} and active at {processes} processes"),
     }
 }
 
 fn publish_settings(flags: &ArgMatches) -> Result<PublishSettings, SettingsError> {
     let base = optional_text(flags, "base").map(|value| {
-        let bad = |_| SettingsError::InvalidValue("base", value.to_owned(), BASE);
-        value.parse().map_err(bad)
+        let invalid = |_| SettingsError::InvalidValue("base", value.to_owned(), BASE_EXPECTED);
+        value.parse().map_err(invalid)
     });
     Ok(PublishSettings {
         base: base.transpose()?,
@@ -58,14 +59,16 @@
     })
 }
 
-fn show(progress: PublishProgress) {
+fn print_progress(progress: PublishProgress) {
     match progress {
-        PublishProgress::AppendRetried(tries) => {
-            eprintln!("no answer from the log, try {tries}; again with the same id")
+        PublishProgress::AppendRetried(attempts) => {
+            eprintln!(
+                "the log did not confirm the append, attempt {attempts}; retrying with the same id"
+            )
         }
         PublishProgress::Accepted(version) => eprintln!("accepted as version {version}"),
         PublishProgress::Active(reached, all) => {
-            eprintln!("in force at {reached} of {all} processes")
+            eprintln!("active at {reached} of {all} processes")
         }
     }
 }
--- a/bin/ctl/src/cmd/show.rs
+++ b/bin/ctl/src/cmd/show.rs
@@ -1,4 +1,4 @@
-//! `show`: the accepted text.
+//! `show`: prints the accepted configuration text of a customer.
 
 use clap::ArgMatches;
 use control::{ControlError, read_history};
@@ -6,28 +6,28 @@
 use settings::name;
 use types::CustomerName;
 
-use super::failure::Failure;
+use super::error::CommandError;
 use super::log;
-use crate::output::{Form, print_json};
+use crate::output::{OutputFormat, print_json};
 
 #[derive(Serialize)]
-struct Shown<'a> {
+struct AcceptedText<'a> {
     customer: &'a str,
     version: u64,
     id: &'a str,
     text: &'a str,
 }
 
-/// Prints a customer's accepted text.
-pub async fn run(flags: &ArgMatches) -> Result<(), Failure> {
-    let form = Form::of(flags)?;
+/// Prints the text itself, or a JSON object that also has its version and the id of its publish.
+pub async fn run(flags: &ArgMatches) -> Result<(), CommandError> {
+    let format = OutputFormat::from_flags(flags)?;
     let customer: CustomerName = name(flags, "customer")?;
     let history = read_history(&log(flags)?).await?;
     let accepted = history.ledger.current(&customer);
     let accepted = accepted.ok_or_else(|| ControlError::NoAcceptedVersion(customer.to_string()))?;
-    match form {
-        Form::Table => print!("{}", accepted.source),
-        Form::Json => print_json(&Shown {
+    match format {
+        OutputFormat::Table => print!("{}", accepted.source),
+        OutputFormat::Json => print_json(&AcceptedText {
             customer: customer.as_str(),
             version: accepted.version,
             id: &accepted.id,
--- a/bin/ctl/src/cmd/spread.rs
+++ b/bin/ctl/src/cmd/spread.rs
@@ -1,4 +1,5 @@
-//! `spread`: how long changes take to the last front, from the fronts' logs.
+//! `spread`: shows how long changes take to reach the last front, computed from the logs of the
+//! fronts.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
@@ -7,23 +8,25 @@
 use clap::ArgMatches;
 use loglines::{ChangeRow, PropagationTimes, parse_line};
 
-use super::failure::Failure;
-use crate::output::{Form, print_json, print_table};
+use super::error::CommandError;
+use crate::output::{OutputFormat, print_json, print_table};
 
-/// A front that learns of a change later than this was away.
-const WITHIN_MS: f64 = 10_000.0;
+/// A front that receives a change later than this after the first front is not counted, because it
+/// is assumed to have been stopped or disconnected.
+const PROPAGATION_MS_MAX: f64 = 10_000.0;
 
-/// Reads the logs and prints a row a kind of change.
-pub fn run(flags: &ArgMatches) -> Result<(), Failure> {
-    let form = Form::of(flags)?;
+/// Reads the log files and prints one row per kind of change.
+pub fn run(flags: &ArgMatches) -> Result<(), CommandError> {
+    let format = OutputFormat::from_flags(flags)?;
     let mut propagation = PropagationTimes::default();
     for path in flags.get_many::<PathBuf>("logs").into_iter().flatten() {
-        read_log(path, &mut propagation).map_err(|reason| Failure::Logs(path.clone(), reason))?;
+        read_log(path, &mut propagation)
+            .map_err(|reason| CommandError::LogFile(path.clone(), reason))?;
     }
-    let rows = propagation.rows(WITHIN_MS);
-    match form {
-        Form::Json => print_json(&rows),
-        Form::Table => table(&rows),
+    let rows = propagation.rows(PROPAGATION_MS_MAX);
+    match format {
+        OutputFormat::Json => print_json(&rows),
+        OutputFormat::Table => print_rows(&rows),
     }
     Ok(())
 }
@@ -38,7 +41,7 @@
     Ok(())
 }
 
-fn table(rows: &[ChangeRow]) {
+fn print_rows(rows: &[ChangeRow]) {
     let row = |row: &ChangeRow| {
         [
             row.kind.as_str().to_owned(),
--- a/bin/ctl/src/cmd/status.rs
+++ b/bin/ctl/src/cmd/status.rs
@@ -1,16 +1,16 @@
-//! `status`: process by process.
+//! `status`: shows the status of processes.
 
 use clap::ArgMatches;
 use control::{ControlError, NodeStatus, StatusReply, statuses};
 use serde::Serialize;
 use settings::{addresses, required_text};
 
-use super::failure::Failure;
-use crate::output::{Form, print_json, print_table};
+use super::error::CommandError;
+use crate::output::{OutputFormat, print_json, print_table};
 
-/// What `--admin` may be.
-pub const ADMIN: &str =
-    "admin addresses with commas between them, such as 127.0.0.1:7102,127.0.0.1:7112";
+/// Allowed values of `--admin`, as error messages state them.
+pub const ADMIN_EXPECTED: &str =
+    "admin addresses separated by commas, such as 127.0.0.1:7102,127.0.0.1:7112";
 
 #[derive(Serialize)]
 struct Row<'a> {
@@ -19,15 +19,15 @@
     error: Option<String>,
 }
 
-/// Asks every process; one that does not answer has a row too, and ends the command with
-/// its error after the table.
-pub async fn run(flags: &ArgMatches) -> Result<(), Failure> {
-    let form = Form::of(flags)?;
-    required_text(flags, "admin", ADMIN)?;
+/// Queries all processes and prints a row for each, also for those that do not answer. If a process
+/// did not answer, the command then fails with the error of the first such process.
+pub async fn run(flags: &ArgMatches) -> Result<(), CommandError> {
+    let format = OutputFormat::from_flags(flags)?;
+    required_text(flags, "admin", ADMIN_EXPECTED)?;
     let replies = statuses(&addresses(flags, "admin")?).await;
-    match form {
-        Form::Json => print_json(&replies.iter().map(json_row).collect::<Vec<_>>()),
-        Form::Table => {
+    match format {
+        OutputFormat::Json => print_json(&replies.iter().map(json_row).collect::<Vec<_>>()),
+        OutputFormat::Table => {
             let rows: Vec<_> = replies.iter().map(row).collect();
             print_table(
                 [
--- a/bin/ctl/src/cmd/store.rs
+++ b/bin/ctl/src/cmd/store.rs
@@ -1,4 +1,4 @@
-//! `store`: what stands in the platform's store.
+//! `store`: shows the contents of the platform's inspector.
 
 use clap::ArgMatches;
 use inspect::{
@@ -8,62 +8,71 @@
 use serde::Serialize;
 use settings::address;
 
-use super::failure::Failure;
-use crate::output::{Form, print_json, print_table};
+use super::error::CommandError;
+use crate::output::{OutputFormat, print_json, print_table};
 
+/// Version and routes of the active configuration.
 #[derive(Serialize)]
-struct Routes {
+struct Configuration {
     version: u64,
     routes: Vec<RouteRow>,
 }
 
-/// Reads one kind of record and prints it.
-pub async fn run(flags: &ArgMatches) -> Result<(), Failure> {
+/// Reads the kind of contents that the subcommand names and prints it.
+pub async fn run(flags: &ArgMatches) -> Result<(), CommandError> {
     let Some((kind, flags)) = flags.subcommand() else {
         return Ok(());
     };
-    let form = Form::of(flags)?;
-    let store = Inspector::new(address(flags, "store")?);
+    let format = OutputFormat::from_flags(flags)?;
+    let inspector = Inspector::new(address(flags, "store")?);
     match kind {
         "routes" => {
-            let (version, routes) = store.routes().await?;
-            print(form, &Routes { version, routes }, routes_table);
+            let (version, routes) = inspector.routes().await?;
+            print(format, &Configuration { version, routes }, print_routes);
         }
-        "versions" => print(form, &store.versions().await?, |rows| versions_table(rows)),
-        "replicas" => print(form, &store.replicas().await?, |rows| replicas_table(rows)),
-        "steps" => print(form, &store.steps().await?, |rows| steps_table(rows)),
-        "shards" => print(form, &store.shards().await?, |rows| shards_table(rows)),
-        "customers" => print(form, &store.customers().await?, |rows| {
-            customers_table(rows)
+        "versions" => print(format, &inspector.versions().await?, |rows| {
+            print_versions(rows)
         }),
-        "usage" => print(form, &store.usage().await?, |rows| usage_table(rows)),
-        "duties" => print(form, &store.duties().await?, |rows| duties_table(rows)),
-        _ => print(form, &store.lease().await?, lease_table),
+        "replicas" => print(format, &inspector.replicas().await?, |rows| {
+            print_replicas(rows)
+        }),
+        "steps" => print(format, &inspector.steps().await?, |rows| print_steps(rows)),
+        "shards" => print(format, &inspector.shards().await?, |rows| {
+            print_shards(rows)
+        }),
+        "customers" => print(format, &inspector.customers().await?, |rows| {
+            print_customers(rows)
+        }),
+        "usage" => print(format, &inspector.usage().await?, |rows| print_usage(rows)),
+        "duties" => print(format, &inspector.duties().await?, |rows| {
+            print_duties(rows)
+        }),
+        _ => print(format, &inspector.lease().await?, print_lease),
     }
     Ok(())
 }
 
-fn print<T: Serialize>(form: Form, value: &T, table: impl Fn(&T)) {
-    match form {
-        Form::Json => print_json(value),
-        Form::Table => table(value),
+fn print<T: Serialize>(format: OutputFormat, value: &T, print_as_table: impl Fn(&T)) {
+    match format {
+        OutputFormat::Json => print_json(value),
+        OutputFormat::Table => print_as_table(value),
     }
 }
 
-fn routes_table(found: &Routes) {
-    println!("configuration {}", found.version);
+fn print_routes(configuration: &Configuration) {
+    println!("configuration {}", configuration.version);
     let row = |route: &RouteRow| {
         [
             route.route.clone(),
             route.host.clone(),
             route.prefix.clone(),
             route.kind.clone(),
-            pairs(&route.services),
+            join_pairs(&route.services),
             route.timeout_ms.to_string(),
             route.attempts_max.to_string(),
         ]
     };
-    let rows: Vec<_> = found.routes.iter().map(row).collect();
+    let rows: Vec<_> = configuration.routes.iter().map(row).collect();
     let titles = [
         "route",
         "host",
@@ -76,7 +85,7 @@
     print_table(titles, &rows);
 }
 
-fn versions_table(rows: &[VersionRow]) {
+fn print_versions(rows: &[VersionRow]) {
     let row = |row: &VersionRow| {
         let numbers = [row.version.to_string(), row.replicas.to_string()];
         let [version, replicas] = numbers;
@@ -86,7 +95,7 @@
     print_table(["model", "version", "replicas"], &rows);
 }
 
-fn replicas_table(rows: &[ReplicaRow]) {
+fn print_replicas(rows: &[ReplicaRow]) {
     let row = |row: &ReplicaRow| {
         [
             row.replica.clone(),
@@ -94,7 +103,7 @@
             row.address.clone(),
             row.failure_domain.clone(),
             if row.draining { "draining" } else { "ready" }.to_owned(),
-            pairs(&row.models),
+            join_pairs(&row.models),
         ]
     };
     let rows: Vec<_> = rows.iter().map(row).collect();
@@ -109,7 +118,7 @@
     print_table(titles, &rows);
 }
 
-fn steps_table(rows: &[StepRow]) {
+fn print_steps(rows: &[StepRow]) {
     let row = |row: &StepRow| {
         [
             row.step.clone(),
@@ -136,7 +145,7 @@
     print_table(titles, &rows);
 }
 
-fn shards_table(rows: &[ShardRow]) {
+fn print_shards(rows: &[ShardRow]) {
     let row = |row: &ShardRow| {
         let front = row.front.clone().unwrap_or_else(|| "-".to_owned());
         let numbers = [row.shard.to_string(), row.items_open.to_string()];
@@ -147,14 +156,14 @@
     print_table(["pool", "shard", "front", "items open"], &rows);
 }
 
-fn lease_table(lease: &LeaseRow) {
+fn print_lease(lease: &LeaseRow) {
     let dash = || "-".to_owned();
     let holder = lease.holder.clone().unwrap_or_else(dash);
     let fence = lease.fence.map_or_else(dash, |fence| fence.to_string());
     print_table(["holder of orders", "fence"], &[[holder, fence]]);
 }
 
-fn customers_table(rows: &[CustomerRow]) {
+fn print_customers(rows: &[CustomerRow]) {
     let row = |row: &CustomerRow| {
         let rank = row
             .rank
@@ -167,7 +176,7 @@
     print_table(["customer", "rank", "keys", "steps"], &rows);
 }
 
-fn usage_table(rows: &[UsageRow]) {
+fn print_usage(rows: &[UsageRow]) {
     let row = |row: &UsageRow| {
         let numbers = [row.window.to_string(), row.requests.to_string()];
         let [window, requests] = numbers;
@@ -175,14 +184,14 @@
             window,
             row.state.to_owned(),
             requests,
-            pairs(&row.customers),
+            join_pairs(&row.customers),
         ]
     };
     let rows: Vec<_> = rows.iter().map(row).collect();
     print_table(["window", "state", "requests", "customers"], &rows);
 }
 
-fn duties_table(rows: &[DutyRow]) {
+fn print_duties(rows: &[DutyRow]) {
     let dash = || "-".to_owned();
     let row = |row: &DutyRow| {
         let waiting: Vec<String> = row.waiting.iter().map(u64::to_string).collect();
@@ -198,9 +207,9 @@
     print_table(["duty", "holder", "fence", "reported", "waiting"], &rows);
 }
 
-fn pairs<T: ToString>(pairs: &[(String, T)]) -> String {
-    let shown = pairs
+fn join_pairs<T: ToString>(pairs: &[(String, T)]) -> String {
+    let texts = pairs
         .iter()
         .map(|(name, value)| format!("{name}={}", value.to_string()));
-    shown.collect::<Vec<_>>().join(" ")
+    texts.collect::<Vec<_>>().join(" ")
 }
--- a/bin/ctl/src/main.rs
+++ b/bin/ctl/src/main.rs
@@ -1,4 +1,5 @@
-//! `hornbeamrockctl`: what operators do from their own workstation.
+//! `hornbeamrockctl`: command-line tool with which operators publish configuration and inspect and
+//! control processes.
 
 mod cli;
 mod cmd;
@@ -10,9 +11,9 @@
     let matches = cli::command().get_matches();
     match cmd::run(&matches) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(failure) => {
-            eprintln!("hornbeamrockctl: {failure}");
-            ExitCode::from(failure.exit_code())
+        Err(error) => {
+            eprintln!("hornbeamrockctl: {error}");
+            ExitCode::from(error.exit_code())
         }
     }
 }
--- a/bin/ctl/src/output.rs
+++ b/bin/ctl/src/output.rs
@@ -1,33 +1,34 @@
-//! Printing: tables for people, JSON for programs.
+//! Output of the commands: tables for operators, JSON for programs.
 
 use clap::ArgMatches;
 use serde::Serialize;
 use settings::{SettingsError, choice};
 
-const FORMS: &str = "table or json";
-const GAP: &str = "  ";
+const OUTPUT_EXPECTED: &str = "table or json";
+/// Text between two columns.
+const COLUMN_GAP: &str = "  ";
 
-/// How a command prints.
+/// Format in which a command prints its result.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Form {
-    /// Columns.
+pub enum OutputFormat {
+    /// Aligned columns below their titles.
     Table,
-    /// One JSON text.
+    /// One JSON document.
     Json,
 }
 
-impl Form {
-    /// The form that the flags ask for. Errors when it is none.
-    pub fn of(matches: &ArgMatches) -> Result<Form, SettingsError> {
-        choice(matches, "output", FORMS, |text| match text {
-            "table" => Some(Form::Table),
-            "json" => Some(Form::Json),
+impl OutputFormat {
+    /// Reads the flag `--output`. Returns an error if its value is not a known format.
+    pub fn from_flags(matches: &ArgMatches) -> Result<OutputFormat, SettingsError> {
+        choice(matches, "output", OUTPUT_EXPECTED, |text| match text {
+            "table" => Some(OutputFormat::Table),
+            "json" => Some(OutputFormat::Json),
             _ => None,
         })
     }
 }
 
-/// Prints rows below their titles, each column as wide as its widest cell.
+/// Prints rows below the titles of the columns; each column is as wide as its widest cell.
 pub fn print_table<const N: usize>(titles: [&str; N], rows: &[[String; N]]) {
     let width = |column: usize| {
         let cells = rows.iter().map(|row| row[column].chars().count());
@@ -46,12 +47,12 @@
         .zip(widths)
         .map(|(cell, width)| format!("{cell:width$}"))
         .collect();
-    println!("{}", padded.join(GAP).trim_end());
+    println!("{}", padded.join(COLUMN_GAP).trim_end());
 }
 
 /// Prints a value as JSON.
 pub fn print_json(value: &impl Serialize) {
-    // Plain rows of strings and numbers always serialise.
+    // The values consist of strings, numbers and lists of them, which always serialize.
     println!(
         "{}",
         serde_json::to_string_pretty(value).unwrap_or_default()
--- a/bin/entry/src/cli.rs
+++ b/bin/entry/src/cli.rs
@@ -1,9 +1,9 @@
-//! Command line of the entry: read and checked before anything else happens.
+//! Command line of the entry, validated before the entry does anything else.
 
 use settings::{EntrySettings, SettingsError, entry_command};
 
-/// The checked settings. Ends the process itself for `--help`, `--version` and flags
-/// that don't exist.
-pub fn settings() -> Result<EntrySettings, SettingsError> {
+/// Parses and validates the settings. For `--help`, `--version` and unknown flags, prints a text and
+/// exits the process.
+pub fn read_settings() -> Result<EntrySettings, SettingsError> {
     EntrySettings::from_matches(&entry_command().get_matches())
 }
--- a/bin/entry/src/main.rs
+++ b/bin/entry/src/main.rs
@@ -1,4 +1,5 @@
-//! `hornbeamrock-entry`: takes requests behind the platform's balancer.
+//! `hornbeamrock-entry`: accepts requests from the platform's balancer and sends each to an
+//! endpoint.
 
 mod cli;
 
@@ -8,11 +9,11 @@
 use node::process;
 use settings::{EXIT_SETTINGS, EntrySettings};
 
-/// Threads for all tasks. An entry VM is thin and has nothing else to do.
-const THREADS: usize = 4;
+/// Worker threads of the async runtime. The entry's VM is small and runs nothing else.
+const WORKER_THREADS: usize = 4;
 
 fn main() -> ExitCode {
-    let settings = match cli::settings() {
+    let settings = match cli::read_settings() {
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("hornbeamrock-entry: {error}");
@@ -32,7 +33,7 @@
 }
 
 fn run(settings: EntrySettings) -> Result<(), EntryError> {
-    process::run(settings.common.log_level, THREADS, |stop| async {
+    process::run(settings.common.log_level, WORKER_THREADS, |stop| async {
         let entry = Entry::bind(settings, Tuning::default()).await?;
         entry.run(stop).await
     })
