--- a/bin/ctl/src/cli.rs
+++ b/bin/ctl/src/cli.rs
@@ -23,7 +23,7 @@
         .arg(output().global(true))
         .subcommands([
             Command::new("check")
-                .about("Checks a configuration text; with --log, also against the other customers' texts")
+                .about("Checks a text; with --log, also against the texts of other customers")
                 .arg(file())
                 .arg(log()),
             publish(),
@@ -133,7 +133,10 @@
 fn spread() -> Command {
     Command::new("spread")
         .about("Shows how long changes take from the first front that receives them to the last")
-        .after_help("Each line of the files begins with the time in seconds and the name of the front, which the log collector adds.")
+        .after_help(
+            "Each line of the files begins with the time in seconds and the name of the front, \
+             which the log collector adds.",
+        )
         .arg(
             Arg::new("logs")
                 .value_name("FILE")
--- a/bin/ctl/src/cmd/error.rs
+++ b/bin/ctl/src/cmd/error.rs
@@ -16,7 +16,8 @@
             from()
             display("{}", reason)
         }
-        /// The platform's log or a process could not be used as the command requires.
+        /// The operation itself failed, for example because the text is invalid, or because the
+        /// platform's log or a process did not answer.
         Control(reason: ControlError) {
             from()
             display("{}", reason)
--- a/components/inspect/src/rows.rs
+++ b/components/inspect/src/rows.rs
@@ -129,7 +129,8 @@
     pub duty: &'static str,
     /// VM that performs the duty, which is the holder of the lease; `None` if it is unknown.
     pub holder: Option<String>,
-    /// Fencing token of the holder; `None` if the lease was released or the log has no record of it.
+    /// Fencing token of the holder; `None` if the lease was released or the log has no record of
+    /// the lease.
     pub fence: Option<u64>,
     /// Newest window whose report the platform accepted.
     pub reported: Option<u64>,
@@ -143,7 +144,8 @@
     /// VM that holds the lease; `None` if the lease was released or the record of its acquisition
     /// is no longer in the log.
     pub holder: Option<String>,
-    /// Fencing token of the holder; `None` if the lease was released or the log has no record of it.
+    /// Fencing token of the holder; `None` if the lease was released or the log has no record of
+    /// the lease.
     pub fence: Option<u64>,
 }
 
--- a/components/loglines/src/spread.rs
+++ b/components/loglines/src/spread.rs
@@ -59,8 +59,8 @@
 }
 
 impl PropagationTimes {
-    /// Records a log line; lines that report no change are ignored. If a front logs a change several
-    /// times, for example after a restart, only its first line counts.
+    /// Records a log line; lines that report no change are ignored. If a front logs a change
+    /// several times, for example after a restart, only its first line counts.
     pub fn record(&mut self, line: &LogLine<'_>) {
         let Some((kind, change)) = change_of(line) else {
             return;
--- a/components/settings/src/agent.rs
+++ b/components/settings/src/agent.rs
@@ -56,8 +56,8 @@
     pub customers: Vec<CustomerName>,
     /// Whether the engine checks fencing numbers.
     pub fencing: Fencing,
-    /// Time over which the replicas of a model spread their preloads, that is the loads of a version
-    /// that the trainer announces ahead of time.
+    /// Time over which the replicas of a model spread their preloads, that is the loads of a
+    /// version that the trainer announces ahead of time.
     pub load_window_ms: u64,
 }
 
