--- a/components/types/src/class.rs
+++ b/components/types/src/class.rs
@@ -4,8 +4,8 @@
 
 use derive::wire_key;
 
-/// Priority class of a request. The variants are ordered by admission: waiting requests of an
-/// earlier class are admitted first.
+/// Priority class of a request. The variants are in the order of admission: an earlier class has
+/// priority over a later one.
 #[wire_key]
 pub enum Class {
     /// A person or an online system waits for the answer: a clerk, a portal, a bid lookup.
