--- a/components/settings/src/error.rs
+++ b/components/settings/src/error.rs
@@ -26,7 +26,7 @@
         /// The file that a flag names could not be read.
         FileRead(flag: &'static str, path: PathBuf, reason: std::io::Error) {
             source(reason)
-            display("cannot read the file '{}' of --{}: {}", path.display(), flag, reason)
+            display("cannot read the file of --{}, '{}': {}", flag, path.display(), reason)
         }
         /// The line of the key file with this number, counted from 1, is not a key or is one key
         /// too many; 1 if the file has no key. The message never shows the line itself, because it
--- a/components/settings/tests/settings.rs
+++ b/components/settings/tests/settings.rs
@@ -68,7 +68,7 @@
             name: "a key file that does not exist",
             flag: "--key-file",
             value: Some("/nowhere/keys"),
-            message: "cannot read the file '/nowhere/keys' of --key-file: No such file or directory (os error 2)",
+            message: "cannot read the file of --key-file, '/nowhere/keys': No such file or directory (os error 2)",
         },
         Case {
             name: "an unknown log level",
