--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Settings of the binaries: flags and environment variables, all checked before a
-//! process does anything else.
+//! Settings of the programs, given by flags or environment variables. All of them are validated
+//! before a process does anything else.
 
 mod agent;
 mod ceilings;
@@ -11,7 +11,7 @@
 
 pub use agent::{AgentSettings, EndpointKind, Fencing, agent_command};
 pub use ceilings::Ceilings;
-pub use check::{address, addresses, milliseconds, required, text, word};
+pub use check::{address, addresses, choice, milliseconds, optional_text, required_text};
 pub use common::{CommonSettings, ENV_PREFIX, flag, name, optional_name};
 pub use entry::{EntrySettings, entry_command};
 pub use error::{EXIT_SETTINGS, SettingsError};
