--- a/dev/sim/src/cli.rs
+++ b/dev/sim/src/cli.rs
@@ -1,49 +1,49 @@
-//! The command line.
+//! Command line of `hornbeamrock-sim`.
 
 use std::path::PathBuf;
 
 use clap::{Arg, ArgAction, Command, value_parser};
 
-/// The whole command line.
+/// Builds the command line parser.
 pub fn command() -> Command {
     Command::new("hornbeamrock-sim")
         .version(env!("CARGO_PKG_VERSION"))
-        .about("Simulates fleets of fronts before one store: calls, bytes and times by size")
+        .about("Simulates fleets of fronts that share one store; reports calls, bytes and latencies")
         .arg(
             Arg::new("fronts")
                 .long("fronts")
                 .value_name("COUNT,…")
-                .help("Sizes of the fleet")
+                .help("Numbers of fronts to simulate, one run each")
                 .value_delimiter(',')
                 .value_parser(value_parser!(u64).range(1..=10_000))
                 .default_value("300,635,1270"),
         )
-        .arg(number("appends", "Appends to the index a second", "200"))
+        .arg(number("appends", "Appends to the index per second", "200"))
         .arg(number(
             "reads-per-s",
-            "Reads a second that the store allows",
+            "Reads per second that the store serves before it throttles",
             "16000",
         ))
-        .arg(number("partitions", "Partitions of the group", "48"))
-        .arg(number("seed", "Seed of all draws", "1"))
+        .arg(number("partitions", "Partitions of the fronts' group", "48"))
+        .arg(number("seed", "Seed of the random numbers", "1"))
         .arg(
             Arg::new("fault")
                 .long("fault")
-                .help("What is lost from 12 to 18 s: a third of the fronts, the holder, an owner")
+                .help("Fault from 12 to 18 s: hits a third of the fronts, the lease holder and an owner")
                 .value_parser(["none", "killed", "frozen", "turned-away"])
                 .default_value("none"),
         )
         .arg(
             Arg::new("json")
                 .long("json")
-                .help("One line of JSON a size")
+                .help("Prints one line of JSON per fleet size")
                 .action(ArgAction::SetTrue),
         )
         .arg(
             Arg::new("plot")
                 .long("plot")
                 .value_name("FILE")
-                .help("Draws calls by size; SVG")
+                .help("Plots calls per second by fleet size into an SVG file")
                 .value_parser(value_parser!(PathBuf)),
         )
 }
--- a/dev/sim/src/error.rs
+++ b/dev/sim/src/error.rs
@@ -1,26 +1,26 @@
-//! Errors.
+//! Errors of the simulation and of its plot.
 
 use std::path::PathBuf;
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why nothing was simulated or drawn.
+    /// Why a simulation did not run or its reports were not written.
     #[derive(Debug)]
     pub enum SimError {
-        /// A setting makes no fleet.
-        Setting(name: &'static str, why: &'static str) {
-            display("the setting {} {}", name, why)
+        /// A setting has a value with which no fleet can be simulated.
+        InvalidSetting(name: &'static str, reason: &'static str) {
+            display("invalid setting: {} {}", name, reason)
         }
-        /// A picture can't be drawn.
-        Picture(path: PathBuf, why: String) {
-            display("cannot draw {}: {}", path.display(), why)
+        /// The plot could not be drawn or written.
+        Plot(path: PathBuf, reason: String) {
+            display("cannot plot the reports into {}: {}", path.display(), reason)
         }
-        /// A report can't be encoded.
+        /// A report could not be encoded as JSON.
         Encode(reason: serde_json::Error) {
             source(reason)
             from()
-            display("cannot encode a report: {}", reason)
+            display("cannot encode a report as JSON: {}", reason)
         }
     }
 }
--- a/dev/sim/src/fleet/mod.rs
+++ b/dev/sim/src/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! The event loop: fronts, the store, what is written and what is lost.
+//! Event loop of the simulation: fronts, the store, the workload and faults.
 
-mod losses;
+mod fault_impact;
 mod membership;
 mod outcome;
 mod reading;
@@ -13,104 +13,104 @@
 use pacing::ReadOutcome;
 
 use crate::SimError;
-use crate::draws::Draws;
 use crate::front::Front;
 use crate::log::{Body, Record};
-use crate::report::{Report, Spread};
+use crate::report::{Propagation, Report};
+use crate::rng::SplitMix64;
 use crate::settings::{Fault, FaultKind, SimSettings};
 use crate::store::{INDEX, OPERATOR, REPLICAS, Store, TOPICS};
 
-/// One way between a front and the store.
+/// Network latency between a front and the store in one direction.
 const ONE_WAY_MS: u64 = 2;
-/// Fronts start within this time of each other.
-const START_MS: u64 = 300;
-/// Pause between two looks of a front that stands by.
-const STANDBY_MS: u64 = 1_000;
-/// How often a front considers the lease.
-const LEADER_MS: u64 = 100;
-/// How old the knowledge of the index may be for taking part in the lease.
+/// Each front starts at a random time within this window.
+const START_WINDOW_MS: u64 = 300;
+/// Interval at which a front on standby checks who owns partitions.
+const STANDBY_INTERVAL_MS: u64 = 1_000;
+/// Interval at which a front checks whether to acquire or renew the lease.
+const LEASE_CHECK_INTERVAL_MS: u64 = 100;
+/// A front whose last read to the end of the index is older does not write lease records.
 const INDEX_AGE_MS_MAX: u64 = 1_000;
-/// Most bytes of one read.
+/// Upper bound of the bytes that one read returns.
 const PAGE_BYTES: u64 = 64 * 1024;
-/// Calls are counted from here on, when all fronts have started.
-const COUNTED_FROM_MS: u64 = 5_000;
-/// When the changes are made whose way is timed.
-const MARKS_AT_MS: [u64; 3] = [6_000, 7_000, 8_000];
-/// Lengths of small records.
-const SMALL_BYTES: u64 = 40;
+/// Calls are counted from this time on, when all fronts have started.
+const COUNTING_STARTS_MS: u64 = 5_000;
+/// Times at which the changes are appended whose propagation is measured.
+const TIMED_CHANGES_AT_MS: [u64; 3] = [6_000, 7_000, 8_000];
+/// Length of lease, version and configuration records.
+const SMALL_RECORD_BYTES: u64 = 40;
 
-/// Index of the timed changes.
+/// Indexes into [`TIMED_CHANGES_AT_MS`].
 const CONFIGURATION: usize = 0;
 const DRAINING: usize = 1;
 const ACCEPTED: usize = 2;
 
 #[derive(Debug)]
-enum Event {
+enum FrontEvent {
     ReadDue {
         topic: usize,
         read: u64,
     },
-    WaitOver {
+    WaitTimedOut {
         topic: usize,
         read: u64,
     },
-    Answered {
+    ReadAnswered {
         topic: usize,
         end: ReadOutcome,
         next: usize,
     },
     Join,
-    Joined {
+    JoinAnswered {
         sent_ms: u64,
         generation: u64,
         partitions: Vec<u32>,
     },
-    Lead,
+    CheckLease,
 }
 
 #[derive(Debug)]
-enum Happening {
-    /// At one incarnation of a front.
+enum SimEvent {
+    /// Ignored when the front has another incarnation or is not running.
     Front {
         front: usize,
         incarnation: u64,
-        event: Event,
+        event: FrontEvent,
     },
     Appended {
         topic: usize,
         record: Record,
     },
-    ReplicaRecord,
-    Work,
-    Version,
-    Mark(usize),
+    ReplicaAppend,
+    IndexAppend,
+    VersionAppend,
+    TimedAppend(usize),
     FaultBegins(usize),
     FaultEnds(usize),
 }
 
-/// Orders events by time, then by the order in which they were made.
+/// Events are ordered by time, then by the order in which they were scheduled.
 #[derive(Debug)]
-struct Scheduled {
+struct ScheduledEvent {
     at_ms: u64,
     number: u64,
-    what: Happening,
+    event: SimEvent,
 }
 
-impl PartialEq for Scheduled {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
         (self.at_ms, self.number) == (other.at_ms, other.number)
     }
 }
 
-impl Eq for Scheduled {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Scheduled {
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Scheduled {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.at_ms, self.number).cmp(&(other.at_ms, other.number))
     }
@@ -128,9 +128,10 @@
     double_orders: u64,
 }
 
-/// What a fault did to the holder and to the owner of the first shard.
+/// Lease holder and owner of the first shard that the last fault hit, with the time of the loss
+/// until a successor is found, and the times until then.
 #[derive(Debug, Default)]
-struct Losses {
+struct FaultImpact {
     holder: Option<(usize, u64)>,
     owner: Option<(usize, u64)>,
     holder_gap_ms: u64,
@@ -139,26 +140,26 @@
 
 struct Fleet<'a> {
     settings: &'a SimSettings,
-    draws: Draws,
+    rng: SplitMix64,
     now_ms: u64,
-    events: BinaryHeap<Reverse<Scheduled>>,
+    events: BinaryHeap<Reverse<ScheduledEvent>>,
     scheduled: u64,
     store: Store,
     fronts: Vec<Front>,
-    settling_until_ms: Vec<u64>,
+    rebalancing_until_ms: Vec<u64>,
     waiting: [Vec<(usize, u64)>; TOPICS.len()],
     counts: Counts,
-    /// When each front knew each timed change.
-    known_ms: Vec<[Option<u64>; MARKS_AT_MS.len()]>,
-    appended_ms: [u64; MARKS_AT_MS.len()],
-    /// Fronts that a fault met.
-    met: BTreeSet<usize>,
-    met_by: Vec<Vec<usize>>,
-    losses: Losses,
-    orderers: BTreeSet<usize>,
+    /// Time at which each front read each timed change.
+    known_at_ms: Vec<[Option<u64>; TIMED_CHANGES_AT_MS.len()]>,
+    appended_at_ms: [u64; TIMED_CHANGES_AT_MS.len()],
+    /// Fronts that any fault has affected.
+    affected: BTreeSet<usize>,
+    affected_by: Vec<Vec<usize>>,
+    fault_impact: FaultImpact,
+    lease_holders: BTreeSet<usize>,
 }
 
-/// Plays one day.
+/// Runs a simulation; the same settings always give the same report.
 pub fn simulate(settings: &SimSettings) -> Result<Report, SimError> {
     settings.check()?;
     let mut fleet = Fleet::new(settings);
@@ -168,7 +169,7 @@
             break;
         }
         fleet.now_ms = next.at_ms;
-        fleet.happen(next.what);
+        fleet.handle(next.event);
     }
     Ok(fleet.report())
 }
@@ -178,65 +179,65 @@
         let fronts = (0..settings.fronts).map(|front| Front::new(front, settings, 0, 0));
         Self {
             settings,
-            draws: Draws::new(settings.seed),
+            rng: SplitMix64::new(settings.seed),
             now_ms: 0,
             events: BinaryHeap::new(),
             scheduled: 0,
             store: Store::new(settings.partitions, settings.reads_per_s),
             fronts: fronts.collect(),
-            settling_until_ms: vec![0; settings.fronts],
+            rebalancing_until_ms: vec![0; settings.fronts],
             waiting: Default::default(),
             counts: Counts::default(),
-            known_ms: vec![[None; MARKS_AT_MS.len()]; settings.fronts],
-            appended_ms: [0; MARKS_AT_MS.len()],
-            met: BTreeSet::new(),
-            met_by: vec![Vec::new(); settings.faults.len()],
-            losses: Losses::default(),
-            orderers: BTreeSet::new(),
+            known_at_ms: vec![[None; TIMED_CHANGES_AT_MS.len()]; settings.fronts],
+            appended_at_ms: [0; TIMED_CHANGES_AT_MS.len()],
+            affected: BTreeSet::new(),
+            affected_by: vec![Vec::new(); settings.faults.len()],
+            fault_impact: FaultImpact::default(),
+            lease_holders: BTreeSet::new(),
         }
     }
 
     fn start(&mut self) {
         for front in 0..self.fronts.len() {
-            let after_ms = self.draws.below(START_MS);
+            let after_ms = self.rng.below(START_WINDOW_MS);
             self.start_front(front, after_ms);
         }
-        self.schedule(1, Happening::ReplicaRecord);
-        self.schedule(1, Happening::Work);
-        self.schedule(1, Happening::Version);
-        for (mark, at_ms) in MARKS_AT_MS.into_iter().enumerate() {
-            self.schedule(at_ms, Happening::Mark(mark));
+        self.schedule(1, SimEvent::ReplicaAppend);
+        self.schedule(1, SimEvent::IndexAppend);
+        self.schedule(1, SimEvent::VersionAppend);
+        for (change, at_ms) in TIMED_CHANGES_AT_MS.into_iter().enumerate() {
+            self.schedule(at_ms, SimEvent::TimedAppend(change));
         }
         for (number, fault) in self.settings.faults.iter().enumerate() {
-            self.schedule(fault.at_ms, Happening::FaultBegins(number));
-            self.schedule(fault.at_ms + fault.for_ms, Happening::FaultEnds(number));
+            self.schedule(fault.at_ms, SimEvent::FaultBegins(number));
+            self.schedule(fault.at_ms + fault.duration_ms, SimEvent::FaultEnds(number));
         }
     }
 
     fn start_front(&mut self, front: usize, after_ms: u64) {
         for topic in 0..TOPICS.len() {
-            self.fronts[front].followers[topic].pauses = true;
-            self.read_after(front, topic, after_ms);
+            self.fronts[front].followers[topic].is_pausing = true;
+            self.schedule_read(front, topic, after_ms);
         }
-        self.at_front(front, after_ms, Event::Join);
-        self.at_front(front, after_ms, Event::Lead);
+        self.schedule_at_front(front, after_ms, FrontEvent::Join);
+        self.schedule_at_front(front, after_ms, FrontEvent::CheckLease);
     }
 
-    /// Schedules at a time from now.
-    fn schedule(&mut self, after_ms: u64, what: Happening) {
+    /// Schedules an event `after_ms` from now.
+    fn schedule(&mut self, after_ms: u64, event: SimEvent) {
         self.scheduled += 1;
-        self.events.push(Reverse(Scheduled {
+        self.events.push(Reverse(ScheduledEvent {
             at_ms: self.now_ms + after_ms,
             number: self.scheduled,
-            what,
+            event,
         }));
     }
 
-    fn at_front(&mut self, front: usize, after_ms: u64, event: Event) {
+    fn schedule_at_front(&mut self, front: usize, after_ms: u64, event: FrontEvent) {
         let incarnation = self.fronts[front].incarnation;
         self.schedule(
             after_ms,
-            Happening::Front {
+            SimEvent::Front {
                 front,
                 incarnation,
                 event,
@@ -244,68 +245,74 @@
         );
     }
 
-    fn happen(&mut self, what: Happening) {
-        match what {
-            Happening::Front {
+    fn handle(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Front {
                 front,
                 incarnation,
                 event,
             } => {
                 let state = &self.fronts[front];
-                if state.runs && state.incarnation == incarnation {
-                    self.at(front, event);
+                if state.is_running && state.incarnation == incarnation {
+                    self.handle_front_event(front, event);
                 }
             }
-            Happening::Appended { topic, record } => self.appended(topic, record),
-            Happening::ReplicaRecord => {
+            SimEvent::Appended { topic, record } => self.handle_append(topic, record),
+            SimEvent::ReplicaAppend => {
                 let workload = &self.settings.workload;
                 let interval_ms = (workload.replica_record_ms / workload.replicas.max(1)).max(1);
                 let bytes = workload.replica_record_bytes;
                 self.append(REPLICAS, bytes, Body::Replica);
-                self.schedule(interval_ms, Happening::ReplicaRecord);
+                self.schedule(interval_ms, SimEvent::ReplicaAppend);
             }
-            Happening::Work => {
+            SimEvent::IndexAppend => {
                 let workload = &self.settings.workload;
                 let interval_ms = (1_000 / workload.appends_per_s.max(1)).max(1);
                 let bytes = workload.append_bytes;
                 self.append(INDEX, bytes, Body::Step);
-                self.schedule(interval_ms, Happening::Work);
+                self.schedule(interval_ms, SimEvent::IndexAppend);
             }
-            Happening::Version => {
-                self.append(OPERATOR, SMALL_BYTES, Body::Step);
-                self.schedule(self.settings.workload.version_ms, Happening::Version);
+            SimEvent::VersionAppend => {
+                self.append(OPERATOR, SMALL_RECORD_BYTES, Body::Step);
+                self.schedule(self.settings.workload.version_ms, SimEvent::VersionAppend);
             }
-            Happening::Mark(mark) => {
-                let topic = [OPERATOR, REPLICAS, INDEX][mark];
-                self.append(topic, SMALL_BYTES, Body::Marked(mark));
+            SimEvent::TimedAppend(change) => {
+                let topic = [OPERATOR, REPLICAS, INDEX][change];
+                self.append(topic, SMALL_RECORD_BYTES, Body::Timed(change));
             }
-            Happening::FaultBegins(number) => self.fault_begins(number),
-            Happening::FaultEnds(number) => self.fault_ends(number),
+            SimEvent::FaultBegins(number) => self.begin_fault(number),
+            SimEvent::FaultEnds(number) => self.end_fault(number),
         }
     }
 
-    fn at(&mut self, front: usize, event: Event) {
+    fn handle_front_event(&mut self, front: usize, event: FrontEvent) {
         match event {
-            Event::ReadDue { topic, read } => self.read(front, topic, read),
-            Event::WaitOver { topic, read } => {
+            FrontEvent::ReadDue { topic, read } => self.start_read(front, topic, read),
+            FrontEvent::WaitTimedOut { topic, read } => {
                 let follower = &mut self.fronts[front].followers[topic];
-                if follower.waits && follower.read == read {
-                    follower.waits = false;
+                if follower.is_waiting && follower.read == read {
+                    follower.is_waiting = false;
                     let next = follower.next;
                     let end = ReadOutcome::Empty;
-                    self.at_front(front, ONE_WAY_MS, Event::Answered { topic, end, next });
+                    self.schedule_at_front(
+                        front,
+                        ONE_WAY_MS,
+                        FrontEvent::ReadAnswered { topic, end, next },
+                    );
                 }
             }
-            Event::Answered { topic, end, next } => self.answered(front, topic, end, next),
-            Event::Join => self.join(front),
-            Event::Joined {
+            FrontEvent::ReadAnswered { topic, end, next } => {
+                self.handle_answer(front, topic, end, next)
+            }
+            FrontEvent::Join => self.join(front),
+            FrontEvent::JoinAnswered {
                 sent_ms,
                 generation,
                 partitions,
-            } => self.joined(front, sent_ms, generation, partitions),
-            Event::Lead => {
-                self.lead(front);
-                self.at_front(front, LEADER_MS, Event::Lead);
+            } => self.handle_joined(front, sent_ms, generation, partitions),
+            FrontEvent::CheckLease => {
+                self.check_lease(front);
+                self.schedule_at_front(front, LEASE_CHECK_INTERVAL_MS, FrontEvent::CheckLease);
             }
         }
     }
--- a/dev/sim/src/fleet/outcome.rs
+++ b/dev/sim/src/fleet/outcome.rs
@@ -1,21 +1,21 @@
-//! What the day shows.
+//! Evaluation of a run.
 
 use super::*;
 
 impl Fleet<'_> {
     pub(super) fn count(&mut self, add: impl FnOnce(&mut Counts)) {
-        if self.now_ms >= COUNTED_FROM_MS {
+        if self.now_ms >= COUNTING_STARTS_MS {
             add(&mut self.counts);
         }
     }
 
-    pub(super) fn spread(&self, mark: usize) -> Spread {
-        let steady = (0..self.fronts.len()).filter(|front| !self.met.contains(front));
-        let known = steady.map(|front| self.known_ms[front][mark]);
+    pub(super) fn propagation(&self, change: usize) -> Propagation {
+        let steady = (0..self.fronts.len()).filter(|front| !self.affected.contains(front));
+        let known = steady.map(|front| self.known_at_ms[front][change]);
         let mut times: Vec<u64> = known.clone().flatten().collect();
         times.sort_unstable();
-        let since = |at: Option<&u64>| at.map_or(0, |at_ms| at_ms - self.appended_ms[mark]);
-        Spread {
+        let since = |at: Option<&u64>| at.map_or(0, |at_ms| at_ms - self.appended_at_ms[change]);
+        Propagation {
             p50_ms: since(times.get(times.len() / 2)),
             last_ms: since(times.last()),
             missing: known.filter(Option::is_none).count() as u64,
@@ -23,7 +23,7 @@
     }
 
     pub(super) fn report(self) -> Report {
-        let seconds = (self.settings.day_ms - COUNTED_FROM_MS) as f64 / 1e3;
+        let seconds = (self.settings.day_ms - COUNTING_STARTS_MS) as f64 / 1e3;
         let per_s = |count: u64| count as f64 / seconds;
         let counts = &self.counts;
         let reads: u64 = counts.served.iter().chain(&counts.refused).sum();
@@ -31,9 +31,9 @@
         let appends: u64 = counts.appends.iter().sum();
         let refused: u64 = counts.refused.iter().sum();
         let accepted_ms = self
-            .find(|front| front.owns(self.first_partition(), self.now_ms))
-            .and_then(|owner| self.known_ms[owner][ACCEPTED])
-            .map_or(0, |at_ms| at_ms - self.appended_ms[ACCEPTED]);
+            .find_running(|front| front.owns(self.first_partition(), self.now_ms))
+            .and_then(|owner| self.known_at_ms[owner][ACCEPTED])
+            .map_or(0, |at_ms| at_ms - self.appended_at_ms[ACCEPTED]);
         Report {
             fronts: self.fronts.len(),
             topics: std::array::from_fn(|topic| crate::TopicReport {
@@ -45,11 +45,11 @@
             group_per_s: per_s(counts.group),
             calls_per_s: per_s(reads + appends) + per_s(counts.group) / 10.0,
             refused_hundredths: refused as f64 * 100.0 / reads.max(1) as f64,
-            configuration: self.spread(CONFIGURATION),
-            draining: self.spread(DRAINING),
+            configuration: self.propagation(CONFIGURATION),
+            draining: self.propagation(DRAINING),
             accepted_ms,
-            holder_gap_ms: self.losses.holder_gap_ms,
-            owner_gap_ms: self.losses.owner_gap_ms,
+            holder_gap_ms: self.fault_impact.holder_gap_ms,
+            owner_gap_ms: self.fault_impact.owner_gap_ms,
             takes: counts.takes,
             double_orders: counts.double_orders,
         }
--- a/dev/sim/src/fleet/reading.rs
+++ b/dev/sim/src/fleet/reading.rs
@@ -1,43 +1,52 @@
-//! Reads of the fronts, and what is appended.
+//! Reads of the fronts and appends to the logs.
 
 use super::*;
 
 impl Fleet<'_> {
-    /// Schedules the next read; whichever of several comes first voids the others.
-    pub(super) fn read_after(&mut self, front: usize, topic: usize, after_ms: u64) {
+    /// Schedules the next read. Of several scheduled reads the earliest starts and the others are
+    /// ignored.
+    pub(super) fn schedule_read(&mut self, front: usize, topic: usize, after_ms: u64) {
         let read = self.fronts[front].followers[topic].read;
-        self.at_front(front, after_ms, Event::ReadDue { topic, read });
+        self.schedule_at_front(front, after_ms, FrontEvent::ReadDue { topic, read });
     }
 
-    pub(super) fn read(&mut self, front: usize, topic: usize, read: u64) {
+    pub(super) fn start_read(&mut self, front: usize, topic: usize, read: u64) {
         let follower = &mut self.fronts[front].followers[topic];
-        if follower.read != read || !std::mem::take(&mut follower.pauses) {
+        if follower.read != read || !std::mem::take(&mut follower.is_pausing) {
             return;
         }
         follower.read += 1;
-        let turned_away = self.fronts[front].turned_away;
-        if turned_away || !self.store.take_read(self.now_ms) {
+        let is_refused = self.fronts[front].is_refused;
+        if is_refused || !self.store.try_read(self.now_ms) {
             self.count(|counts| counts.refused[topic] += 1);
             let next = self.fronts[front].followers[topic].next;
             let end = ReadOutcome::Throttled;
-            self.at_front(front, 2 * ONE_WAY_MS, Event::Answered { topic, end, next });
+            self.schedule_at_front(
+                front,
+                2 * ONE_WAY_MS,
+                FrontEvent::ReadAnswered { topic, end, next },
+            );
             return;
         }
         self.count(|counts| counts.served[topic] += 1);
         if self.fronts[front].followers[topic].next < self.store.logs[topic].end() {
-            self.answer(front, topic, 2 * ONE_WAY_MS);
+            self.send_records(front, topic, 2 * ONE_WAY_MS);
             return;
         }
         let urgency = self.fronts[front].demand.urgency();
         let follower = &mut self.fronts[front].followers[topic];
-        follower.waits = true;
+        follower.is_waiting = true;
         let (read, wait_ms) = (follower.read, follower.pacer.wait_ms(urgency));
         self.waiting[topic].push((front, read));
-        self.at_front(front, ONE_WAY_MS + wait_ms, Event::WaitOver { topic, read });
+        self.schedule_at_front(
+            front,
+            ONE_WAY_MS + wait_ms,
+            FrontEvent::WaitTimedOut { topic, read },
+        );
     }
 
-    /// Answers a read with what is there.
-    pub(super) fn answer(&mut self, front: usize, topic: usize, after_ms: u64) {
+    /// Answers a read with the records that the log has from the follower's offset on.
+    pub(super) fn send_records(&mut self, front: usize, topic: usize, after_ms: u64) {
         let from = self.fronts[front].followers[topic].next;
         let log = &self.store.logs[topic];
         let page = log.page(from, PAGE_BYTES);
@@ -48,10 +57,20 @@
             false => ReadOutcome::Records,
         };
         self.count(|counts| counts.bytes[topic] += bytes);
-        self.at_front(front, after_ms, Event::Answered { topic, end, next });
+        self.schedule_at_front(
+            front,
+            after_ms,
+            FrontEvent::ReadAnswered { topic, end, next },
+        );
     }
 
-    pub(super) fn answered(&mut self, front: usize, topic: usize, end: ReadOutcome, next: usize) {
+    pub(super) fn handle_answer(
+        &mut self,
+        front: usize,
+        topic: usize,
+        end: ReadOutcome,
+        next: usize,
+    ) {
         let (now_ms, from) = (self.now_ms, self.fronts[front].followers[topic].next);
         for offset in from..next {
             let record = &self.store.logs[topic].page(offset, 0)[0];
@@ -62,8 +81,8 @@
                         .lease
                         .apply(offset as u64, &record, now_ms);
                 }
-                Body::Marked(mark) => {
-                    self.known_ms[front][*mark].get_or_insert(now_ms);
+                Body::Timed(change) => {
+                    self.known_at_ms[front][*change].get_or_insert(now_ms);
                 }
                 Body::Replica | Body::Step => {}
             }
@@ -75,32 +94,32 @@
         }
         state.followers[topic].pacer.record_outcome(end);
         if topic == INDEX && next > from {
-            self.lead(front);
+            self.check_lease(front);
         }
-        self.note_demand(front);
-        let draw = self.draws.next();
+        self.update_demand(front);
+        let draw = self.rng.next();
         let state = &mut self.fronts[front];
         let urgency = state.demand.urgency();
         let follower = &mut state.followers[topic];
         let interval_ms = follower.pacer.interval_ms(end, urgency, draw);
-        follower.pauses = true;
-        self.read_after(front, topic, interval_ms);
+        follower.is_pausing = true;
+        self.schedule_read(front, topic, interval_ms);
     }
 
-    /// Reads at once where the urgency rose within an interval.
-    pub(super) fn note_demand(&mut self, front: usize) {
+    /// Updates a front's urgency, and starts reads at once if the urgency rose during an interval.
+    pub(super) fn update_demand(&mut self, front: usize) {
         let state = &self.fronts[front];
         let before = state.demand.urgency();
-        state.note_demand(self.settings.shards, self.settings.partitions, self.now_ms);
+        state.update_demand(self.settings.shards, self.settings.partitions, self.now_ms);
         if state.demand.urgency() > before {
-            self.read_at_once(front);
+            self.read_immediately(front);
         }
     }
 
-    pub(super) fn read_at_once(&mut self, front: usize) {
+    pub(super) fn read_immediately(&mut self, front: usize) {
         for topic in 0..TOPICS.len() {
-            if self.fronts[front].followers[topic].pauses {
-                self.read_after(front, topic, 0);
+            if self.fronts[front].followers[topic].is_pausing {
+                self.schedule_read(front, topic, 0);
             }
         }
     }
@@ -108,20 +127,20 @@
     pub(super) fn append(&mut self, topic: usize, bytes: u64, body: Body) {
         let done_ms = self.store.logs[topic].schedule(self.now_ms + ONE_WAY_MS);
         let record = Record { bytes, body };
-        self.schedule(done_ms - self.now_ms, Happening::Appended { topic, record });
+        self.schedule(done_ms - self.now_ms, SimEvent::Appended { topic, record });
     }
 
-    pub(super) fn appended(&mut self, topic: usize, record: Record) {
-        if let Body::Marked(mark) = record.body {
-            self.appended_ms[mark] = self.now_ms;
+    pub(super) fn handle_append(&mut self, topic: usize, record: Record) {
+        if let Body::Timed(change) = record.body {
+            self.appended_at_ms[change] = self.now_ms;
         }
         self.count(|counts| counts.appends[topic] += 1);
         self.store.logs[topic].push(record);
         for (front, read) in std::mem::take(&mut self.waiting[topic]) {
             let follower = &mut self.fronts[front].followers[topic];
-            if follower.waits && follower.read == read {
-                follower.waits = false;
-                self.answer(front, topic, ONE_WAY_MS);
+            if follower.is_waiting && follower.read == read {
+                follower.is_waiting = false;
+                self.send_records(front, topic, ONE_WAY_MS);
             }
         }
     }
--- a/dev/sim/src/lib.rs
+++ b/dev/sim/src/lib.rs
@@ -1,11 +1,11 @@
-//! Discrete-event simulation of a fleet of fronts before one store with a budget of calls.
+//! Discrete-event simulation of a fleet of fronts that share one store with limited capacity.
 //!
-//! What decides is the product's own code: [`pacing`] says when a front reads, [`ownership`]
-//! whether it may run a shard, [`lease`] who gives orders. The store, its groups, the network and
-//! the losses are models of a few lines each. It answers what no machine can be hired for: calls,
-//! bytes and times at the next sizes of a fleet. Runs of one seed are the same every time.
+//! The decisions are made by the production code: [`pacing`] decides when a front reads,
+//! [`ownership`] whether it may run a shard, [`lease`] which front gives orders. The store, its
+//! group, the network and the faults are simple models. The simulation estimates calls, bytes
+//! and latencies for fleets that are too large to test on real VMs. Runs with the same seed give
+//! the same results.
 
-mod draws;
 mod error;
 mod fleet;
 mod front;
@@ -13,11 +13,12 @@
 mod log;
 mod plot;
 mod report;
+mod rng;
 mod settings;
 mod store;
 
 pub use error::SimError;
 pub use fleet::simulate;
 pub use plot::plot;
-pub use report::{Report, Spread, TopicReport};
+pub use report::{Propagation, Report, TopicReport};
 pub use settings::{Fault, FaultKind, SimSettings, Workload};
--- a/dev/sim/src/log.rs
+++ b/dev/sim/src/log.rs
@@ -1,45 +1,44 @@
-//! One partition of the store's log.
+//! A log of the store with a single partition.
 
 use lease::LeaseRecord;
 
-/// What a record means to the simulation.
+/// The part of a record that matters to the simulation.
 #[derive(Clone, Debug)]
 pub enum Body {
-    /// Something of a replica.
+    /// Any record about a replica; only its length matters.
     Replica,
-    /// A change whose way to all fronts is timed.
-    Marked(usize),
-    /// Something of a step.
+    /// Change whose propagation to all fronts is timed; the index into `TIMED_CHANGES_AT_MS`.
+    Timed(usize),
+    /// Any record about a step or a version; only its length matters.
     Step,
-    /// About the lease.
+    /// Record about the lease that decides which front gives orders.
     Lease(LeaseRecord),
 }
 
-/// A record.
+/// A record of the log.
 #[derive(Clone, Debug)]
 pub struct Record {
-    /// Its length.
+    /// Length of the encoded record.
     pub bytes: u64,
-    /// What it means.
     pub body: Body,
 }
 
-/// One partition.
+/// The records, and the time until which earlier appends keep the partition busy.
 #[derive(Debug, Default)]
 pub struct Log {
     records: Vec<Record>,
-    /// When the partition has finished the appends that it was given.
-    free_ms: u64,
+    /// Time at which all scheduled appends are done.
+    idle_from_ms: u64,
 }
 
-/// Time that the partition takes for one append.
+/// Duration of one append.
 const APPEND_MS: u64 = 1;
 
 impl Log {
-    /// When an append that arrives now is done; appends are made one after the other.
+    /// Returns when an append that arrives now is done. Appends run one after the other.
     pub fn schedule(&mut self, now_ms: u64) -> u64 {
-        self.free_ms = self.free_ms.max(now_ms) + APPEND_MS;
-        self.free_ms
+        self.idle_from_ms = self.idle_from_ms.max(now_ms) + APPEND_MS;
+        self.idle_from_ms
     }
 
     /// Adds a record at the end.
@@ -47,12 +46,12 @@
         self.records.push(record);
     }
 
-    /// Offset behind the last record.
+    /// Offset after the last record.
     pub fn end(&self) -> usize {
         self.records.len()
     }
 
-    /// Records from an offset on, of this length together at most, but one at least.
+    /// Returns records from offset `from`, up to `bytes_max` bytes in total but at least one record.
     pub fn page(&self, from: usize, bytes_max: u64) -> &[Record] {
         let rest = &self.records[from.min(self.records.len())..];
         let mut bytes = 0;
--- a/dev/sim/src/main.rs
+++ b/dev/sim/src/main.rs
@@ -1,4 +1,4 @@
-//! `hornbeamrock-sim`: what a fleet asks of its store at the next size.
+//! `hornbeamrock-sim`: estimates the load of a fleet of fronts on its store, by fleet size.
 
 mod cli;
 
@@ -8,10 +8,10 @@
 use clap::ArgMatches;
 use hornbeamrock_sim::{Fault, FaultKind, Report, SimError, SimSettings, plot, simulate};
 
-/// When a fault begins, how long it lasts and how much of the fleet it meets.
+/// Start, duration and extent of the fault that `--fault` selects.
 const FAULT_AT_MS: u64 = 12_000;
-const FAULT_FOR_MS: u64 = 6_000;
-const FAULT_SHARE_HUNDREDTHS: u64 = 33;
+const FAULT_DURATION_MS: u64 = 6_000;
+const FAULT_SHARE_PERCENT: u64 = 33;
 
 fn main() -> ExitCode {
     match run(&cli::command().get_matches()) {
@@ -26,7 +26,7 @@
 fn run(matches: &ArgMatches) -> Result<(), SimError> {
     let json = matches.get_flag("json");
     if !json {
-        println!("{}", Report::HEAD);
+        println!("{}", Report::HEADER);
     }
     let mut reports = Vec::new();
     for fronts in matches.get_many::<u64>("fronts").into_iter().flatten() {
@@ -53,15 +53,15 @@
     let kind = match matches.get_one::<String>("fault").map(String::as_str) {
         Some("killed") => Some(FaultKind::Killed),
         Some("frozen") => Some(FaultKind::Frozen),
-        Some("turned-away") => Some(FaultKind::TurnedAway),
+        Some("turned-away") => Some(FaultKind::Refused),
         _ => None,
     };
     settings.faults = kind
         .map(|kind| Fault {
             kind,
             at_ms: FAULT_AT_MS,
-            for_ms: FAULT_FOR_MS,
-            share_hundredths: FAULT_SHARE_HUNDREDTHS,
+            duration_ms: FAULT_DURATION_MS,
+            share_percent: FAULT_SHARE_PERCENT,
         })
         .into_iter()
         .collect();
--- a/dev/sim/src/report.rs
+++ b/dev/sim/src/report.rs
@@ -1,64 +1,66 @@
-//! What a run shows.
+//! Results of a simulation run.
 
 use serde::Serialize;
 
 use crate::store::TOPICS;
 
-/// Counts of one topic.
+/// Rates of one topic, averaged over the counted part of the run.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct TopicReport {
-    /// Reads that the store served, a second.
+    /// Reads per second that the store served.
     pub reads_per_s: f64,
-    /// Reads that it refused, a second.
+    /// Reads per second that the store refused.
     pub refused_per_s: f64,
-    /// Bytes that it handed out, a second.
+    /// Bytes per second that the store returned.
     pub bytes_per_s: f64,
-    /// Appends a second.
+    /// Appends per second.
     pub appends_per_s: f64,
 }
 
-/// When a change was known, counted from its append.
+/// Time from the append of a change until fronts read it. Fronts hit by a fault are left out.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Spread {
-    /// At half of the fronts.
+pub struct Propagation {
+    /// Median over the fronts that read the change.
     pub p50_ms: u64,
-    /// At the last front that ran all the while and was not turned away.
+    /// Maximum over the fronts that read the change.
     pub last_ms: u64,
-    /// Fronts that never knew it.
+    /// Number of fronts that never read the change.
     pub missing: u64,
 }
 
-/// What a run shows.
+/// Results of a simulation run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
-    /// Fronts.
+    /// Number of fronts.
     pub fronts: usize,
-    /// By topic: index, operator, replicas.
+    /// Rates of the topics index, operator and replicas, in this order.
     pub topics: [TopicReport; TOPICS.len()],
-    /// Calls to the group, a second; each counts as a tenth of a call.
+    /// Group calls per second. The store counts each as a tenth of a call.
     pub group_per_s: f64,
-    /// All calls, as the store prices them.
+    /// All calls per second, with a group call counted as a tenth of a call.
     pub calls_per_s: f64,
-    /// Part of the calls that was refused, in hundredths.
+    /// Percentage of reads that the store refused.
     pub refused_hundredths: f64,
-    /// A configuration, from its append.
-    pub configuration: Spread,
-    /// A replica that drains, from its append.
-    pub draining: Spread,
-    /// A step's acceptance at the front that runs it.
+    /// Propagation of a configuration change.
+    pub configuration: Propagation,
+    /// Propagation of the record that a replica is draining.
+    pub draining: Propagation,
+    /// Time from the append of a step's acceptance until the owner of the first shard reads it.
     pub accepted_ms: u64,
-    /// From the loss of the holder to the next one's first order; 0 without a fault.
+    /// Time from the loss of the lease holder until the next holder may give orders; 0 without a
+    /// fault.
     pub holder_gap_ms: u64,
-    /// From the loss of the first shard's owner until another front may run it; 0 without a fault.
+    /// Time from the loss of the first shard's owner until another front may run the shard; 0
+    /// without a fault.
     pub owner_gap_ms: u64,
-    /// Records that fronts wrote to take the lease.
+    /// Number of records that fronts wrote to acquire the lease.
     pub takes: u64,
-    /// Most moments in which two fronts could give orders; must be 0.
+    /// Number of times that two fronts were found able to give orders at once; must be 0.
     pub double_orders: u64,
 }
 
 impl Report {
-    /// One row of a table; see [`Report::HEAD`].
+    /// Formats the report as a table row; see [`Report::HEADER`].
     pub fn row(&self) -> String {
         let reads = self.topics.map(|topic| topic.reads_per_s);
         format!(
@@ -83,7 +85,7 @@
         )
     }
 
-    /// Head of the table: calls and reads a second, refused in hundredths, MB a second, times in
-    /// milliseconds.
-    pub const HEAD: &str = "fronts   calls  index   oper   repl  group refused    MB/s config  drain accept holder  owner";
+    /// Table header. Units: calls and reads per second, refused reads in per cent, MB per second,
+    /// times in milliseconds.
+    pub const HEADER: &str = "fronts   calls  index   oper   repl  group refused    MB/s config  drain accept holder  owner";
 }
--- a/dev/sim/src/draws.rs
+++ b/dev/sim/src/rng.rs
@@ -1,16 +1,15 @@
-//! Pseudo-random numbers (splitmix64), the same for one seed at every release.
+//! SplitMix64 generator: the same seed gives the same numbers in every release.
 
-/// A sequence of draws.
+/// State of the generator.
 #[derive(Clone, Debug)]
-pub struct Draws(u64);
+pub struct SplitMix64(u64);
 
-impl Draws {
-    /// The sequence of a seed.
+impl SplitMix64 {
     pub fn new(seed: u64) -> Self {
         Self(seed)
     }
 
-    /// The next draw.
+    /// Returns the next number and advances the state.
     pub fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
@@ -19,7 +18,7 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// A draw below a bound.
+    /// Returns a number in `0..bound`; 0 when `bound` is 0.
     pub fn below(&mut self, bound: u64) -> u64 {
         self.next() % bound.max(1)
     }
--- a/dev/sim/src/settings.rs
+++ b/dev/sim/src/settings.rs
@@ -1,92 +1,92 @@
-//! What is simulated.
+//! Settings of a simulation run.
 
 use derive::value;
 use pacing::{LOG_PACE, REPLICA_PACE, TopicPace};
 
 use crate::SimError;
 
-/// What the fleet's callers and replicas write.
+/// Records that customers, operators and replicas cause to be written.
 #[derive(Clone, Debug)]
 pub struct Workload {
-    /// Model replicas and plain replicas together.
+    /// Number of model replicas and plain replicas together.
     pub replicas: u64,
-    /// Interval between two records of one replica in the log; most heartbeats change nothing and
-    /// do not stand there.
+    /// Mean interval between two records of a replica in the log. Longer than the heartbeat
+    /// interval, because a heartbeat that changes nothing is not logged.
     pub replica_record_ms: u64,
-    /// Appends to the index by the fronts that run items, a second in all.
+    /// Appends to the index per second, by all fronts that run items together.
     pub appends_per_s: u64,
-    /// Length of the record of one append.
+    /// Length of a record in the index.
     pub append_bytes: u64,
-    /// Length of the record of one replica.
+    /// Length of a record about a replica.
     pub replica_record_bytes: u64,
-    /// Interval between two named versions, of all models together.
+    /// Interval between two announced weight versions, over all models.
     pub version_ms: u64,
-    /// Trainers, whose reads keep one front each at work.
+    /// Number of trainers. Each reads results at one front for the whole run.
     pub trainers: usize,
 }
 
-/// How a part of the fleet is lost.
+/// How a fault affects fronts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// The processes are gone.
+    /// The processes end; new ones start when the fault ends.
     Killed,
-    /// The processes stand still, and go on behind the fault.
+    /// The processes are paused and continue with their old state when the fault ends.
     Frozen,
-    /// The store refuses them.
-    TurnedAway,
+    /// The store refuses all calls of the fronts.
+    Refused,
 }
 
-/// A loss.
+/// A fault that affects a part of the fleet for a limited time.
 #[value]
 #[derive(Copy)]
 pub struct Fault {
-    /// How.
+    /// How the affected fronts fail.
     pub kind: FaultKind,
-    /// When it begins.
+    /// Simulated time of the start.
     pub at_ms: u64,
-    /// How long it lasts.
-    pub for_ms: u64,
-    /// How much of the fleet it meets, in hundredths. The holder of the lease is always met, and the
-    /// owner of the first shard.
-    pub share_hundredths: u64,
+    /// Time after which the affected fronts recover.
+    pub duration_ms: u64,
+    /// Probability that a front is affected, in per cent. The lease holder and the owner of the
+    /// first shard are always affected.
+    pub share_percent: u64,
 }
 
-/// What is simulated.
+/// Settings of a simulation run.
 #[derive(Clone, Debug)]
 pub struct SimSettings {
-    /// Fronts.
+    /// Number of fronts.
     pub fronts: usize,
-    /// How many of them are large enough to be members of the group, in hundredths; the others stand
-    /// by for them.
-    pub large_hundredths: usize,
-    /// Fronts that run items.
+    /// Percentage of fronts that are large enough to be always members of the group. The others
+    /// join only when no large front owns a partition.
+    pub large_percent: usize,
+    /// Number of shards that run items.
     pub shards: u32,
-    /// Partitions of the group.
+    /// Number of partitions that the group distributes.
     pub partitions: u32,
-    /// Reads a second that the store allows all fronts together.
+    /// Reads per second that the store serves for all fronts together.
     pub reads_per_s: u64,
-    /// What is written.
+    /// Records that are written during the run.
     pub workload: Workload,
-    /// What is lost.
+    /// Faults that are injected during the run.
     pub faults: Vec<Fault>,
-    /// Pace of the index and of the operator's records.
+    /// Read intervals of the index topic and the operator topic.
     pub log_pace: TopicPace,
-    /// Pace of the replicas' records.
+    /// Read intervals of the replicas topic.
     pub replica_pace: TopicPace,
-    /// Whether owners of partitions go first for the lease.
+    /// Whether only fronts that own a partition try to acquire the lease.
     pub owners_first: bool,
-    /// Simulated time.
+    /// Simulated duration of the run.
     pub day_ms: u64,
-    /// Seed of all draws.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
 impl SimSettings {
-    /// A fleet of this size on a calm day, with the paces of the product.
+    /// Settings without faults for a number of fronts, with the production read intervals.
     pub fn new(fronts: usize) -> Self {
         Self {
             fronts,
-            large_hundredths: 45,
+            large_percent: 45,
             shards: 8,
             partitions: 48,
             reads_per_s: 16_000,
@@ -108,14 +108,14 @@
         }
     }
 
-    /// Number of the large fronts; they come first.
-    pub fn large(&self) -> usize {
-        (self.fronts * self.large_hundredths / 100).max(1)
+    /// Number of large fronts, which have the lowest front numbers.
+    pub fn large_count(&self) -> usize {
+        (self.fronts * self.large_percent / 100).max(1)
     }
 
-    /// Refuses settings that make no fleet.
+    /// Errors if no fleet can be simulated with these settings.
     pub fn check(&self) -> Result<(), SimError> {
-        let wrong = |name, why| Err(SimError::Setting(name, why));
+        let wrong = |name, reason| Err(SimError::InvalidSetting(name, reason));
         match self {
             Self { fronts: 0, .. } => wrong("fronts", "is 0"),
             Self { partitions: 0, .. } => wrong("partitions", "is 0"),
--- a/dev/sim/tests/fleet.rs
+++ b/dev/sim/tests/fleet.rs
@@ -1,23 +1,24 @@
-//! Fleets before one store: what they ask of it, and how soon they know.
+//! Load of simulated fleets on the store, and how fast they notice changes and replace losses.
 
 use hornbeamrock_sim::{Fault, FaultKind, Report, SimSettings, simulate};
 use pacing::TopicPace;
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
 
-/// Twice the size of the largest fleet in service.
+/// Twice the size of the largest deployed fleet.
 const FLEET_MAX: usize = 1_270;
-/// Bounds of the strictest deployment.
+/// Bounds of the deployment with the strictest requirements.
 const CONFIGURATION_MS: u64 = 2_000;
 const DRAINING_MS: u64 = 2_000;
-/// A step's items must not wait for their acceptance longer than a trainer's pause between reads.
+/// The owner must read a step's acceptance within a trainer's pause between two reads.
 const ACCEPTED_MS: u64 = 500;
-/// A holder's silence, the pause between two holders' orders, and a slow store.
+/// Covers the silence after which a holder counts as lost, the pause between the orders of two
+/// holders, and a slow store.
 const HOLDER_GAP_MS: u64 = 8_000;
-/// No item may wait longer for a front that runs it, whoever is lost.
+/// Longest time that an item may wait for a new owner of its shard.
 const OWNER_GAP_MS: u64 = 5_000;
 
-fn play(settings: &SimSettings) -> Report {
-    simulate(settings).expect("settings of a fleet")
+fn run_simulation(settings: &SimSettings) -> Report {
+    simulate(settings).expect("valid settings")
 }
 
 fn short(fronts: usize) -> SimSettings {
@@ -28,10 +29,10 @@
 }
 
 #[test]
-fn can_know_changes_in_time_at_each_size_with_calls_that_grow_no_faster_than_fronts() {
+fn can_propagate_changes_in_time_at_each_size_with_calls_growing_no_faster_than_fronts() {
     let mut calls_each_before = f64::MAX;
     for fronts in [8, 64, 640, FLEET_MAX] {
-        let report = play(&short(fronts));
+        let report = run_simulation(&short(fronts));
         let shown = format!("{fronts} fronts: {}", report.row());
         assert_eq!(report.refused_hundredths, 0.0, "{shown}");
         assert_eq!(
@@ -49,20 +50,23 @@
 }
 
 #[test]
-fn can_play_one_seed_the_same_each_time() {
-    let rows = [play(&short(64)).row(), play(&short(64)).row()];
+fn can_repeat_a_run_from_its_seed() {
+    let rows = [
+        run_simulation(&short(64)).row(),
+        run_simulation(&short(64)).row(),
+    ];
     assert_eq!(rows[0], rows[1]);
     let other = SimSettings {
         seed: 2,
         ..short(64)
     };
-    assert_ne!(play(&other).row(), rows[0]);
+    assert_ne!(run_simulation(&other).row(), rows[0]);
 }
 
-/// Guards against a simulation that shows every pace as good: fronts that read each record as it is
-/// written spend the budget of the store and are refused.
+/// Guards against a simulation that accepts any read interval: fronts that read without a pause
+/// must exceed the store's limit and be refused.
 #[test]
-fn can_tell_fronts_that_follow_every_record() {
+fn can_show_refused_reads_of_fronts_that_read_without_pause() {
     let every_record = TopicPace {
         idle_ms: 0,
         waiting_ms: 0,
@@ -72,41 +76,44 @@
         log_pace: every_record,
         ..short(640)
     };
-    let report = play(&settings);
+    let report = run_simulation(&settings);
     assert!(report.refused_hundredths > 10.0, "{}", report.row());
 }
 
-/// Guards against a herd at the moment at which the holder of the lease falls silent: hundreds of
-/// takes in the one partition through which every result goes.
+/// Guards against a thundering herd when the lease holder fails: hundreds of fronts would write
+/// acquire records into the one partition through which every result goes.
 #[test]
-fn can_tell_a_fleet_whose_fronts_all_take_the_lease() {
+fn can_show_fewer_lease_acquisitions_when_partition_owners_go_first() {
     let killed = |owners_first| SimSettings {
         owners_first,
         day_ms: 16_000,
         faults: vec![Fault {
             kind: FaultKind::Killed,
             at_ms: 9_000,
-            for_ms: 5_000,
-            share_hundredths: 10,
+            duration_ms: 5_000,
+            share_percent: 10,
         }],
         ..SimSettings::new(640)
     };
-    let (all, owners) = (play(&killed(false)), play(&killed(true)));
+    let (all, owners) = (
+        run_simulation(&killed(false)),
+        run_simulation(&killed(true)),
+    );
     assert!(all.takes > 100, "{} takes", all.takes);
     assert!(owners.takes <= 48, "{} takes", owners.takes);
     assert!(owners.holder_gap_ms < HOLDER_GAP_MS, "{}", owners.row());
 }
 
 #[derive(Clone, Debug)]
-struct Day {
+struct Scenario {
     fronts: usize,
     seed: u64,
     fault: Fault,
 }
 
-impl Arbitrary for Day {
+impl Arbitrary for Scenario {
     fn arbitrary(g: &mut Gen) -> Self {
-        let kinds = [FaultKind::Killed, FaultKind::Frozen, FaultKind::TurnedAway];
+        let kinds = [FaultKind::Killed, FaultKind::Frozen, FaultKind::Refused];
         let draw = |g: &mut Gen, bound: u64| u64::arbitrary(g) % bound;
         Self {
             fronts: *g.choose(&[12, 48, 130]).unwrap_or(&12),
@@ -114,34 +121,34 @@
             fault: Fault {
                 kind: *g.choose(&kinds).unwrap_or(&FaultKind::Killed),
                 at_ms: 9_000 + draw(g, 2_000),
-                for_ms: 500 + draw(g, 9_000),
-                share_hundredths: draw(g, 60),
+                duration_ms: 500 + draw(g, 9_000),
+                share_percent: draw(g, 60),
             },
         }
     }
 }
 
-/// Guards against two fronts that give orders at once, and against a fleet that stands still: whatever
-/// part is lost, a third of it or more, somebody runs its shards and gives orders soon.
+/// Guards against two fronts that give orders at once, and against shards and orders that stop:
+/// when any part of the fleet fails, even more than a third, other fronts must take over in time.
 #[test]
-fn can_lose_any_part_of_a_fleet() {
-    fn holds(day: Day) -> TestResult {
-        let report = play(&SimSettings {
+fn can_recover_from_the_loss_of_any_part_of_a_fleet() {
+    fn is_within_bounds(scenario: Scenario) -> TestResult {
+        let report = run_simulation(&SimSettings {
             day_ms: 26_000,
-            seed: day.seed,
-            faults: vec![day.fault],
-            ..SimSettings::new(day.fronts)
+            seed: scenario.seed,
+            faults: vec![scenario.fault],
+            ..SimSettings::new(scenario.fronts)
         });
-        let holds = report.double_orders == 0
+        let is_within_bounds = report.double_orders == 0
             && report.holder_gap_ms < HOLDER_GAP_MS
             && report.owner_gap_ms < OWNER_GAP_MS
             && report.configuration.missing == 0;
-        match holds {
+        match is_within_bounds {
             true => TestResult::passed(),
-            false => TestResult::error(format!("{day:?}: {report:?}")),
+            false => TestResult::error(format!("{scenario:?}: {report:?}")),
         }
     }
     QuickCheck::new()
         .tests(40)
-        .quickcheck(holds as fn(Day) -> TestResult);
+        .quickcheck(is_within_bounds as fn(Scenario) -> TestResult);
 }
