--- a/dev/ablate/src/cmd.rs
+++ b/dev/ablate/src/cmd.rs
@@ -1,33 +1,33 @@
-//! Plays the rows of the table and prints each as it is done.
+//! Runs the bench for each mechanism and prints its table rows when they are done.
 
 use std::path::{Path, PathBuf};
 
 use clap::ArgMatches;
 use hornbeamrock_ablate::{
-    AblateError, Bench, Game, Mechanism, Outcome, Played, Scratch, compare, play_all,
-    read_mechanisms,
+    AblateError, Bench, BenchRun, Mechanism, Outcome, Outcomes, ScratchClone, compare,
+    read_mechanisms, run_all,
 };
 
-/// Runs the command.
+/// Runs the program with the parsed command line.
 pub fn run(matches: &ArgMatches) -> Result<(), AblateError> {
-    let scratch: PathBuf = absolute(given(matches, "scratch"))?;
+    let scratch: PathBuf = absolute(path_arg(matches, "scratch"))?;
     let bench = Bench {
-        program: absolute(given(matches, "bench"))?,
-        jobs: number(matches, "jobs") as usize,
+        program: absolute(path_arg(matches, "bench"))?,
+        jobs: number_arg(matches, "jobs") as usize,
     };
-    let games = games(matches)?;
-    let sources: &PathBuf = given(matches, "sources");
-    let kept = Scratch::new(sources, scratch.join("kept"))?;
-    let changed = Scratch::new(sources, scratch.join("changed"))?;
+    let bench_runs = bench_runs(matches)?;
+    let sources: &PathBuf = path_arg(matches, "sources");
+    let unchanged = ScratchClone::new(sources, scratch.join("kept"))?;
+    let changed = ScratchClone::new(sources, scratch.join("changed"))?;
     println!(
         "| Off | Site | Pairs | With | Without | Spread | Difference | Verdict | Rules broken without |"
     );
     println!("|---|---|---|---|---|---|---|---|---|");
-    for mechanism in wanted(matches)? {
+    for mechanism in selected_mechanisms(matches)? {
         changed.switch_off(&mechanism)?;
-        let roots = [kept.root(), changed.root()];
-        let played = play_all(&bench, &roots, &games)?;
-        for row in rows(&mechanism, &games, roots, &played) {
+        let roots = [unchanged.root(), changed.root()];
+        let outcomes = run_all(&bench, &roots, &bench_runs)?;
+        for row in rows(&mechanism, &bench_runs, roots, &outcomes) {
             println!("{row}");
         }
     }
@@ -36,34 +36,36 @@
 
 fn rows(
     mechanism: &Mechanism,
-    games: &[Game],
-    [kept, changed]: [&Path; 2],
-    played: &Played,
+    bench_runs: &[BenchRun],
+    [unchanged, changed]: [&Path; 2],
+    outcomes: &Outcomes,
 ) -> Vec<String> {
-    let mut sites: Vec<&PathBuf> = games.iter().map(|game| &game.site).collect();
+    let mut sites: Vec<&PathBuf> = bench_runs.iter().map(|bench_run| &bench_run.site).collect();
     sites.dedup();
-    let outcomes = |root: &Path, site: &PathBuf| -> Vec<&Outcome> {
-        let games = games.iter().filter(|game| game.site == *site);
-        games
-            .filter_map(|game| played.get(&(root.to_owned(), game.clone())))
+    let site_outcomes = |root: &Path, site: &PathBuf| -> Vec<&Outcome> {
+        let bench_runs = bench_runs
+            .iter()
+            .filter(|bench_run| bench_run.site == *site);
+        bench_runs
+            .filter_map(|bench_run| outcomes.get(&(root.to_owned(), bench_run.clone())))
             .collect()
     };
     let row = |site: &PathBuf| {
         row(
             mechanism,
             site,
-            &outcomes(kept, site),
-            &outcomes(changed, site),
+            &site_outcomes(unchanged, site),
+            &site_outcomes(changed, site),
         )
     };
     sites.into_iter().map(row).collect()
 }
 
 fn row(mechanism: &Mechanism, site: &Path, on: &[&Outcome], off: &[&Outcome]) -> String {
-    let worths = |outcomes: &[&Outcome]| -> Vec<f64> {
+    let worth_values = |outcomes: &[&Outcome]| -> Vec<f64> {
         outcomes.iter().map(|outcome| outcome.worth).collect()
     };
-    let found = compare(&worths(on), &worths(off));
+    let difference = compare(&worth_values(on), &worth_values(off));
     let mut broken: Vec<&str> = off
         .iter()
         .flat_map(|outcome| outcome.broken.iter().map(String::as_str))
@@ -77,18 +79,18 @@
         "| {} | {} | {} | {:.3} | {:.3} | {:.3} | {:+.3} ± {:.3} | {} | {broken} |",
         mechanism.name,
         site.file_stem().unwrap_or_default().to_string_lossy(),
-        found.pairs,
-        found.on,
-        found.off,
-        found.spread,
-        found.mean(),
-        found.error,
-        found.verdict(),
+        difference.pairs,
+        difference.on,
+        difference.off,
+        difference.deviation,
+        difference.mean(),
+        difference.standard_error,
+        difference.verdict(),
     )
 }
 
-fn wanted(matches: &ArgMatches) -> Result<Vec<Mechanism>, AblateError> {
-    let table: &PathBuf = given(matches, "mechanisms");
+fn selected_mechanisms(matches: &ArgMatches) -> Result<Vec<Mechanism>, AblateError> {
+    let table: &PathBuf = path_arg(matches, "mechanisms");
     let mut all = vec![Mechanism::control()];
     all.extend(read_mechanisms(table)?);
     let Some(names) = matches.get_many::<String>("only") else {
@@ -99,19 +101,19 @@
             let known = all.iter().find(|mechanism| mechanism.name == *name);
             known
                 .cloned()
-                .ok_or_else(|| AblateError::Unknown(name.clone()))
+                .ok_or_else(|| AblateError::UnknownMechanism(name.clone()))
         })
         .collect()
 }
 
-fn games(matches: &ArgMatches) -> Result<Vec<Game>, AblateError> {
-    let first = number(matches, "first-seed");
-    let mut games = Vec::new();
+fn bench_runs(matches: &ArgMatches) -> Result<Vec<BenchRun>, AblateError> {
+    let first = number_arg(matches, "first-seed");
+    let mut bench_runs = Vec::new();
     for site in matches.get_many::<PathBuf>("site").unwrap_or_default() {
         let site = absolute(site)?;
-        for seed in first..first + number(matches, "seeds") {
+        for seed in first..first + number_arg(matches, "seeds") {
             for day in matches.get_many::<String>("days").unwrap_or_default() {
-                games.push(Game {
+                bench_runs.push(BenchRun {
                     site: site.clone(),
                     day: day.clone(),
                     seed,
@@ -119,17 +121,19 @@
             }
         }
     }
-    Ok(games)
+    Ok(bench_runs)
 }
 
-fn given<'a>(matches: &'a ArgMatches, name: &str) -> &'a PathBuf {
+fn path_arg<'a>(matches: &'a ArgMatches, name: &str) -> &'a PathBuf {
     matches
         .get_one(name)
-        .expect("required or with a default value")
+        .expect("the argument is required or has a default value")
 }
 
-fn number(matches: &ArgMatches, name: &str) -> u64 {
-    *matches.get_one(name).expect("has a default value")
+fn number_arg(matches: &ArgMatches, name: &str) -> u64 {
+    *matches
+        .get_one(name)
+        .expect("the argument has a default value")
 }
 
 fn absolute(path: &Path) -> Result<PathBuf, AblateError> {
--- a/dev/ablate/src/main.rs
+++ b/dev/ablate/src/main.rs
@@ -1,4 +1,4 @@
-//! `hornbeamrock-ablate`: what each mechanism is worth.
+//! `hornbeamrock-ablate`: measures the effect of each mechanism on the bench's result.
 
 mod cli;
 mod cmd;
--- a/dev/ablate/src/mechanism.rs
+++ b/dev/ablate/src/mechanism.rs
@@ -1,4 +1,4 @@
-//! The table of mechanisms and how one is switched off.
+//! The table of mechanisms, and switching one off in the sources.
 
 use std::path::Path;
 
@@ -6,25 +6,25 @@
 
 use crate::AblateError;
 
-/// A text to replace.
+/// Replacement of a text in a source file.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Change {
-    /// File, from the root of the sources.
+    /// Path of the file, relative to the root of the sources.
     pub file: String,
-    /// Text that stands there exactly once.
+    /// Text to replace; must occur exactly once in the file.
     pub from: String,
-    /// What takes its place.
+    /// Replacement text.
     pub to: String,
 }
 
-/// Something that can be switched off.
+/// Mechanism of the product that can be switched off.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Mechanism {
-    /// Its name in tables.
+    /// Name for `--only` and for the printed table.
     pub name: String,
-    /// What it protects or buys.
+    /// Benefit of the mechanism or the failure that it prevents; documentation only.
     pub protects: String,
-    /// What switches it off; nothing for a control.
+    /// Replacements that switch the mechanism off; empty for the control.
     #[serde(default)]
     pub change: Vec<Change>,
 }
@@ -43,7 +43,8 @@
 }
 
 impl Mechanism {
-    /// The row that switches nothing off: what it shows is the spread of the days themselves.
+    /// The control, which switches nothing off: its differences show the variation between runs of
+    /// equal programs.
     pub fn control() -> Self {
         Self {
             name: "(nothing)".to_owned(),
@@ -52,14 +53,15 @@
         }
     }
 
-    /// Switches the mechanism off in the sources below `root`.
+    /// Applies the replacements to the sources in `root`. Errors if a text does not occur exactly
+    /// once; earlier replacements stay applied.
     pub fn switch_off(&self, root: &Path) -> Result<(), AblateError> {
         for change in &self.change {
             let path = root.join(&change.file);
             let text = read(&path)?;
             let count = text.matches(&change.from).count();
             if count != 1 {
-                return Err(AblateError::Text(self.name.clone(), path, count));
+                return Err(AblateError::TextCount(self.name.clone(), path, count));
             }
             let text = text.replace(&change.from, &change.to);
             std::fs::write(&path, text).map_err(|reason| AblateError::File(path, reason))?;
--- a/dev/ablate/src/scratch.rs
+++ b/dev/ablate/src/scratch.rs
@@ -1,17 +1,17 @@
-//! Scratch clones in which versions are built and played.
+//! Scratch clones of the sources, in which the variants are built and run.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
 use crate::{AblateError, Mechanism};
 
-/// A clone of the sources.
-pub struct Scratch {
+/// A git clone of the sources.
+pub struct ScratchClone {
     root: PathBuf,
 }
 
-impl Scratch {
-    /// Clones `sources` to `root`, or takes the clone that stands there as it is.
+impl ScratchClone {
+    /// Clones `sources` to `root`. An existing folder `root` is used without any check or update.
     pub fn new(sources: &Path, root: PathBuf) -> Result<Self, AblateError> {
         if !root.exists() {
             let mut clone = Command::new("git");
@@ -21,12 +21,12 @@
         Ok(Self { root })
     }
 
-    /// Where it stands.
+    /// Root folder of the clone.
     pub fn root(&self) -> &Path {
         &self.root
     }
 
-    /// Brings the sources back to what was cloned and switches one mechanism off.
+    /// Restores the cloned sources, then switches one mechanism off.
     pub fn switch_off(&self, mechanism: &Mechanism) -> Result<(), AblateError> {
         let mut checkout = Command::new("git");
         checkout
@@ -37,14 +37,16 @@
     }
 }
 
-/// Runs a program to its end; its standard error goes into the error.
-pub(crate) fn run(command: &mut Command, what: &str) -> Result<(), AblateError> {
-    let failed = |why: String| AblateError::Program(what.to_owned(), why);
+/// Runs a program and waits for it. On failure the error has the program's standard error.
+pub(crate) fn run(command: &mut Command, label: &str) -> Result<(), AblateError> {
+    let program_error = |reason: String| AblateError::Program(label.to_owned(), reason);
     let output = command
         .output()
-        .map_err(|error| failed(error.to_string()))?;
+        .map_err(|error| program_error(error.to_string()))?;
     match output.status.success() {
         true => Ok(()),
-        false => Err(failed(String::from_utf8_lossy(&output.stderr).into_owned())),
+        false => Err(program_error(
+            String::from_utf8_lossy(&output.stderr).into_owned(),
+        )),
     }
 }
--- a/dev/ablate/src/stats.rs
+++ b/dev/ablate/src/stats.rs
@@ -1,77 +1,77 @@
-//! Differences between pairs of plays.
+//! Statistics of paired runs with and without a mechanism.
 
 use std::fmt;
 
-/// Standard errors that a difference must exceed to count.
-const ERRORS: f64 = 2.0;
-/// Worth below which a difference is none to speak of: a hundredth of a day.
-const NOTHING: f64 = 0.01;
+/// A difference is significant if it exceeds this many standard errors.
+const STANDARD_ERRORS_MIN: f64 = 2.0;
+/// Differences of worth below a hundredth of a day are negligible.
+const NEGLIGIBLE_WORTH: f64 = 0.01;
 
-/// What a mechanism is worth.
+/// Effect of a mechanism on the worth of days.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Days are worth more with it.
-    Worth,
-    /// Days are worth the same with and without it.
-    Nothing,
-    /// Days are worth less with it.
-    Harms,
-    /// So many pairs don't tell.
-    Open,
+    /// Worth is significantly higher with the mechanism.
+    Useful,
+    /// The difference is negligible, including its margin of error.
+    NoEffect,
+    /// Worth is significantly lower with the mechanism.
+    Harmful,
+    /// The runs do not show whether there is a difference.
+    Inconclusive,
 }
 
 impl fmt::Display for Verdict {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         to.write_str(match self {
-            Verdict::Worth => "worth",
-            Verdict::Nothing => "worth nothing",
-            Verdict::Harms => "harms",
-            Verdict::Open => "can't tell",
+            Verdict::Useful => "worth",
+            Verdict::NoEffect => "worth nothing",
+            Verdict::Harmful => "harms",
+            Verdict::Inconclusive => "can't tell",
         })
     }
 }
 
-/// Paired plays with a mechanism and without it.
+/// Comparison of paired runs with and without a mechanism.
 #[derive(Clone, Copy, Debug)]
 pub struct Difference {
-    /// Pairs.
+    /// Number of pairs.
     pub pairs: usize,
-    /// Mean worth with it.
+    /// Mean worth with the mechanism.
     pub on: f64,
-    /// Mean worth without it.
+    /// Mean worth without the mechanism.
     pub off: f64,
-    /// Standard deviation of the worth with it.
-    pub spread: f64,
+    /// Standard deviation of the worth with the mechanism.
+    pub deviation: f64,
     /// Standard error of the mean difference.
-    pub error: f64,
+    pub standard_error: f64,
 }
 
 impl Difference {
-    /// Worth without the mechanism beyond the worth with it.
+    /// Mean worth without the mechanism minus mean worth with it.
     pub fn mean(&self) -> f64 {
         self.off - self.on
     }
 
-    /// What that says of the mechanism.
+    /// Effect of the mechanism that the difference shows.
     pub fn verdict(&self) -> Verdict {
-        let (mean, margin) = (self.mean(), ERRORS * self.error);
+        let (mean, margin) = (self.mean(), STANDARD_ERRORS_MIN * self.standard_error);
         if self.pairs < 2 {
-            return Verdict::Open;
+            return Verdict::Inconclusive;
         }
         if mean + margin < 0.0 {
-            return Verdict::Worth;
+            return Verdict::Useful;
         }
         if mean - margin > 0.0 {
-            return Verdict::Harms;
+            return Verdict::Harmful;
         }
-        match mean.abs() + margin < NOTHING {
-            true => Verdict::Nothing,
-            false => Verdict::Open,
+        match mean.abs() + margin < NEGLIGIBLE_WORTH {
+            true => Verdict::NoEffect,
+            false => Verdict::Inconclusive,
         }
     }
 }
 
-/// Compares plays of the same days and seeds, given in the same order.
+/// Compares the worth of runs of the same days and seeds, given in the same order.
 pub fn compare(on: &[f64], off: &[f64]) -> Difference {
     let differences: Vec<f64> = on.iter().zip(off).map(|(on, off)| off - on).collect();
     let pairs = differences.len();
@@ -79,8 +79,8 @@
         pairs,
         on: mean(&on[..pairs]),
         off: mean(&off[..pairs]),
-        spread: deviation(&on[..pairs]),
-        error: deviation(&differences) / (pairs.max(1) as f64).sqrt(),
+        deviation: standard_deviation(&on[..pairs]),
+        standard_error: standard_deviation(&differences) / (pairs.max(1) as f64).sqrt(),
     }
 }
 
@@ -88,7 +88,7 @@
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
 
-fn deviation(values: &[f64]) -> f64 {
+fn standard_deviation(values: &[f64]) -> f64 {
     let mean = mean(values);
     let squares: f64 = values.iter().map(|value| (value - mean).powi(2)).sum();
     (squares / values.len().saturating_sub(1).max(1) as f64).sqrt()
--- a/dev/sim/src/settings.rs
+++ b/dev/sim/src/settings.rs
@@ -57,7 +57,7 @@
     /// Number of fronts.
     pub fronts: usize,
     /// Percentage of fronts that are large enough to be always members of the group. The others
-    /// join only when no large front owns a partition.
+    /// join only after no large front has owned a partition for some time.
     pub large_percent: usize,
     /// Number of shards that run items.
     pub shards: u32,
