--- a/dev/proof/src/caller.rs
+++ b/dev/proof/src/caller.rs
@@ -8,7 +8,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-use crate::{Ask, ProofError};
+use crate::{ProofError, TestRequest};
 
 /// Longest exchange; only a request that hangs for good takes it.
 const DEADLINE_MS: u64 = 40_000;
@@ -18,7 +18,7 @@
 #[key]
 pub enum Ending {
     /// A whole answer.
-    Whole,
+    Complete,
     /// A refusal that says that it did not run.
     NotRun,
     /// An answer that says that it may have run.
@@ -26,9 +26,9 @@
     /// An answer that says that it ran and failed.
     Failed,
     /// An answer that began and visibly broke off.
-    Broken,
+    Interrupted,
     /// An answer that ends as if it were over, and is not whole or another's.
-    Short,
+    Truncated,
     /// A connection that ended without a word.
     Lost,
 }
@@ -54,7 +54,7 @@
     /// Cause that the system stated.
     pub cause: String,
     /// Whether a time to come back was stated.
-    pub comes_back: bool,
+    pub has_retry_after: bool,
     /// The body as far as it came.
     pub body: Vec<u8>,
 }
@@ -75,13 +75,13 @@
 
 impl Pending {
     /// Waits until so many bytes of the answer's body have come, or its end.
-    pub async fn streams(&mut self, bytes: usize) {
+    pub async fn wait_for_bytes(&mut self, bytes: usize) {
         // The sender is gone when the answer has ended.
         let _ = self.bytes.wait_for(|got| *got >= bytes).await;
     }
 
     /// Whether the answer has not ended.
-    pub fn is_open(&self) -> bool {
+    pub fn is_pending(&self) -> bool {
         !self.task.is_finished()
     }
 
@@ -108,53 +108,62 @@
     }
 
     /// Sends a request; `text` is the text that a whole completion must have.
-    pub fn begin(&self, ask: Ask, text: String) -> Pending {
-        let (seen, bytes) = watch::channel(0);
+    pub fn send(&self, test_request: TestRequest, text: String) -> Pending {
+        let (progress, bytes) = watch::channel(0);
         let endpoint = Endpoint::new(self.0, EndpointSettings::default());
         let task = tokio::spawn(async move {
             let mut body = Vec::new();
             let mut head = None;
-            let ended = exchange(&endpoint, &ask, &mut head, &mut body, &seen).await;
-            judge(&ask, &text, head, body, ended.is_ok())
+            let result =
+                receive_answer(&endpoint, &test_request, &mut head, &mut body, &progress).await;
+            classify(&test_request, &text, head, body, result.is_ok())
         });
         Pending { task, bytes }
     }
 }
 
-async fn exchange(
+async fn receive_answer(
     endpoint: &Endpoint,
-    ask: &Ask,
+    test_request: &TestRequest,
     head: &mut Option<AnswerHead>,
     body: &mut Vec<u8>,
-    seen: &watch::Sender<usize>,
+    progress: &watch::Sender<usize>,
 ) -> Result<(), PlatformError> {
-    let mut response = endpoint.send(ask.request(), DEADLINE_MS).await?;
+    let mut response = endpoint.send(test_request.request(), DEADLINE_MS).await?;
     *head = Some(response.head);
     while let Some(bytes) = response.body.next().await? {
         body.extend_from_slice(&bytes);
-        seen.send_replace(body.len());
+        progress.send_replace(body.len());
     }
     Ok(())
 }
 
-fn judge(ask: &Ask, text: &str, head: Option<AnswerHead>, body: Vec<u8>, ended: bool) -> Answer {
+fn classify(
+    test_request: &TestRequest,
+    text: &str,
+    head: Option<AnswerHead>,
+    body: Vec<u8>,
+    is_ended: bool,
+) -> Answer {
     let mut answer = Answer {
         ending: Ending::Lost,
         status: 0,
         cause: String::new(),
-        comes_back: false,
+        has_retry_after: false,
         body,
     };
     let Some(head) = head else {
         return answer;
     };
     answer.status = head.status;
-    answer.comes_back = head.header("retry-after").is_some();
-    answer.ending = match ended {
-        true if head.status == OK && ask.is_whole(&answer.body, text) => return whole(answer),
+    answer.has_retry_after = head.header("retry-after").is_some();
+    answer.ending = match is_ended {
+        true if head.status == OK && test_request.is_complete_answer(&answer.body, text) => {
+            return complete(answer);
+        }
         // A short answer with a clean end is the worst: its caller takes it for whole.
-        true => Ending::Short,
-        false => Ending::Broken,
+        true => Ending::Truncated,
+        false => Ending::Interrupted,
     };
     if let Some(problem) = problem(&answer.body) {
         answer.ending = Ending::of(&problem.outcome);
@@ -163,9 +172,9 @@
     answer
 }
 
-fn whole(answer: Answer) -> Answer {
+fn complete(answer: Answer) -> Answer {
     Answer {
-        ending: Ending::Whole,
+        ending: Ending::Complete,
         ..answer
     }
 }
--- a/dev/proof/src/child.rs
+++ b/dev/proof/src/child.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitStatus, Stdio};
 
-use crate::{ProofError, until};
+use crate::{ProofError, wait_until};
 
 /// A running process.
 pub struct Child {
@@ -36,12 +36,12 @@
     }
 
     /// Stops it where it stands; its sockets stay open.
-    pub fn freeze(&self) -> Result<(), ProofError> {
+    pub fn pause(&self) -> Result<(), ProofError> {
         self.signal("-STOP")
     }
 
     /// Lets a frozen process run on.
-    pub fn thaw(&self) -> Result<(), ProofError> {
+    pub fn resume(&self) -> Result<(), ProofError> {
         self.signal("-CONT")
     }
 
@@ -51,14 +51,14 @@
     }
 
     /// Whether it still runs.
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         matches!(self.process.try_wait(), Ok(None))
     }
 
     /// Waits for its end.
-    pub async fn ended(&mut self) -> Result<ExitStatus, ProofError> {
+    pub async fn wait_until_ended(&mut self) -> Result<ExitStatus, ProofError> {
         let what = format!("the end of {}", self.name);
-        until(&what, async || self.process.try_wait().ok().flatten()).await
+        wait_until(&what, async || self.process.try_wait().ok().flatten()).await
     }
 
     fn signal(&self, signal: &str) -> Result<(), ProofError> {
@@ -82,7 +82,7 @@
 fn program(name: &str) -> Result<PathBuf, ProofError> {
     let test = std::env::current_exe()?;
     let folder = test.parent().and_then(Path::parent);
-    let missing = || ProofError::NotSeen(format!("{name}: cargo build --workspace --bins"));
+    let missing = || ProofError::TimedOut(format!("{name}: cargo build --workspace --bins"));
     let program = folder.ok_or_else(missing)?.join(name);
     match program.exists() {
         true => Ok(program),
--- a/dev/proof/src/error.rs
+++ b/dev/proof/src/error.rs
@@ -13,7 +13,7 @@
     #[derive(Debug)]
     pub enum ProofError {
         /// A process, file or socket.
-        System(err: io::Error) {
+        Io(err: io::Error) {
             display("{}", err)
             from()
             source(err)
@@ -25,7 +25,7 @@
             source(err)
         }
         /// An exchange with a process or stand-in.
-        Exchange(err: PlatformError) {
+        Request(err: PlatformError) {
             display("{}", err)
             from()
             source(err)
@@ -51,11 +51,11 @@
             display("{} ended", what)
         }
         /// An event did not come in the tries that were given it.
-        NotSeen(what: String) {
+        TimedOut(what: String) {
             display("not seen: {}", what)
         }
         /// A promise is broken.
-        Broken(case: String, how: String) {
+        Violation(case: String, how: String) {
             display("{}: {}", case, how)
         }
     }
--- a/dev/proof/src/fault.rs
+++ b/dev/proof/src/fault.rs
@@ -9,17 +9,20 @@
 use standins::{Fault as StandinFault, FaultKind};
 use types::CustomerName;
 
-use crate::{Answer, Ask, Ending, Kind, Pending, ProofError, Site, SiteSettings, Way, page, until};
+use crate::{
+    Answer, BreakMode, Ending, Pending, ProofError, RequestKind, Site, SiteSettings, TestRequest,
+    status_page, wait_until,
+};
 
 /// Time that a plain call runs, long enough for a fault in its middle.
 const SERVICE_MS: u64 = 900;
 /// Time scale of engines, so that an opinion takes about a second.
 const SCALE_PERMILLE: u32 = 4_000;
 /// A freeze outlives the deadline of a ping, so that the links count as silent.
-const FREEZE: Duration = Duration::from_millis(1_800);
-const RETURN: Duration = Duration::from_millis(250);
-const RETURNS_MAX: u32 = 120;
-const STREAMED_BYTES: usize = 400;
+const PAUSE_DURATION: Duration = Duration::from_millis(1_800);
+const REPEAT_INTERVAL: Duration = Duration::from_millis(250);
+const REPEATS_MAX: u32 = 120;
+const STREAMED_BYTES_MIN: usize = 400;
 const DOWN_MS: u64 = 400;
 
 /// What goes wrong. "The agent" and "the endpoint" are those that carry the request.
@@ -34,9 +37,9 @@
     /// The other entry dies.
     KillOtherEntry,
     /// The agent is paused and wakes again.
-    FreezeAgent,
+    PauseAgent,
     /// The entry that the caller talks to is paused and wakes again.
-    FreezeEntry,
+    PauseEntry,
     /// One answer of an endpoint is cut in its middle.
     CutAnswer,
     /// One answer of an endpoint ends too early, as if it were over.
@@ -54,7 +57,7 @@
     /// The endpoint's open connections go silent for good; it takes new ones.
     SilenceEndpoint,
     /// The caller goes away.
-    CallerLeaves,
+    CallerDisconnects,
 }
 
 impl Fault {
@@ -65,7 +68,7 @@
 
 /// When it goes wrong.
 #[key]
-pub enum Step {
+pub enum Phase {
     /// Before the request is sent.
     Before,
     /// While the endpoint runs it.
@@ -73,7 +76,7 @@
     /// While its answer is streamed.
     Streaming,
     /// While the entry, paused, has it only in its socket; it wakes later.
-    Asleep,
+    EntryPaused,
     /// When it is answered and the entry, paused, has not taken the answer.
     Answered,
 }
@@ -97,17 +100,17 @@
     /// What happens.
     pub name: &'static str,
     /// What is asked.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// What goes wrong, in this order.
     pub faults: &'static [Fault],
     /// When.
-    pub at: Step,
+    pub phase: Phase,
     /// How the request may end.
-    pub ends: &'static [Ending],
+    pub allowed_endings: &'static [Ending],
     /// When the caller repeats it.
     pub repeat: Repeat,
     /// How the last of the repeats may end.
-    pub repeat_ends: &'static [Ending],
+    pub allowed_repeat_endings: &'static [Ending],
 }
 
 /// Runs all cases, several at a time; gives the failures.
@@ -119,13 +122,13 @@
 /// Runs one case. Errors when the request ends otherwise than it may, or not honestly.
 pub async fn run_case(case: Case) -> Result<(), ProofError> {
     let mut run = Run::start(case).await?;
-    let answers = run.answers().await?;
-    run.judge(&answers).await
+    let answers = run.run_requests().await?;
+    run.check_promises(&answers).await
 }
 
 struct Run {
     case: Case,
-    ask: Ask,
+    test_request: TestRequest,
     text: String,
     site: Site,
 }
@@ -137,60 +140,60 @@
 
 impl Run {
     async fn start(case: Case) -> Result<Run, ProofError> {
-        let model = case.kind.is_model();
+        let model = case.kind.is_completion();
         let settings = SiteSettings {
             services: if model { 0 } else { 2 },
             engines: if model { 2 } else { 0 },
             service_ms: SERVICE_MS,
             scale_permille: SCALE_PERMILLE,
-            relayed: case.faults.iter().any(|fault| fault.needs_relay()),
+            has_relays: case.faults.iter().any(|fault| fault.needs_relay()),
             ..SiteSettings::default()
         };
-        let ask = Ask::new(case.kind, "file-17");
+        let test_request = TestRequest::new(case.kind, "file-17");
         let site = Site::start(settings).await?;
-        let text = site.text(&ask).await?;
+        let text = site.expected_text(&test_request).await?;
         Ok(Run {
             case,
-            ask,
+            test_request,
             text,
             site,
         })
     }
 
-    async fn answers(&mut self) -> Result<Answers, ProofError> {
-        self.prepare();
-        if self.case.at == Step::Before {
-            self.strike(0).await?;
+    async fn run_requests(&mut self) -> Result<Answers, ProofError> {
+        self.inject_endpoint_faults();
+        if self.case.phase == Phase::Before {
+            self.inject_faults(0).await?;
         }
-        if self.case.at == Step::Asleep {
-            self.site.entries[0].child.freeze()?;
+        if self.case.phase == Phase::EntryPaused {
+            self.site.entries[0].child.pause()?;
         }
-        let mut pending = self.begin(0);
+        let mut pending = self.send(0);
         let mut repeats = match self.case.repeat {
-            Repeat::AtOnce => vec![self.begin(1).answer().await?],
+            Repeat::AtOnce => vec![self.send(1).answer().await?],
             _ => Vec::new(),
         };
-        if self.case.at == Step::Asleep {
-            tokio::time::sleep(FREEZE).await;
-            self.site.entries[0].child.thaw()?;
-        } else if self.case.at != Step::Before && repeats.is_empty() {
-            let carrier = self.carrier().await?;
-            if self.case.at == Step::Streaming {
-                pending.streams(STREAMED_BYTES).await;
+        if self.case.phase == Phase::EntryPaused {
+            tokio::time::sleep(PAUSE_DURATION).await;
+            self.site.entries[0].child.resume()?;
+        } else if self.case.phase != Phase::Before && repeats.is_empty() {
+            let carrying_agent = self.carrying_agent().await?;
+            if self.case.phase == Phase::Streaming {
+                pending.wait_for_bytes(STREAMED_BYTES_MIN).await;
             }
-            if self.case.at == Step::Answered {
-                self.site.entries[0].child.freeze()?;
-                tokio::time::sleep(FREEZE).await;
+            if self.case.phase == Phase::Answered {
+                self.site.entries[0].child.pause()?;
+                tokio::time::sleep(PAUSE_DURATION).await;
             }
-            self.strike(carrier).await?;
-            if self.case.at == Step::Answered && !self.case.faults.contains(&Fault::KillEntry) {
-                self.site.entries[0].child.thaw()?;
+            self.inject_faults(carrying_agent).await?;
+            if self.case.phase == Phase::Answered && !self.case.faults.contains(&Fault::KillEntry) {
+                self.site.entries[0].child.resume()?;
             }
         }
         if self.case.repeat == Repeat::During {
-            repeats.push(self.begin(1).answer().await?);
+            repeats.push(self.send(1).answer().await?);
         }
-        let first = match self.case.faults.contains(&Fault::CallerLeaves) {
+        let first = match self.case.faults.contains(&Fault::CallerDisconnects) {
             true => {
                 pending.abandon();
                 None
@@ -198,30 +201,30 @@
             false => Some(pending.answer().await?),
         };
         if self.case.repeat != Repeat::Never {
-            self.return_until_final(&mut repeats).await?;
+            self.repeat_until_final(&mut repeats).await?;
         }
         Ok(Answers { first, repeats })
     }
 
-    fn begin(&self, entry: usize) -> Pending {
-        self.site.begin(entry, &self.ask, &self.text)
+    fn send(&self, entry: usize) -> Pending {
+        self.site.send(entry, &self.test_request, &self.text)
     }
 
     /// The caller comes back as long as it is told that its key is taken.
-    async fn return_until_final(&self, repeats: &mut Vec<Answer>) -> Result<(), ProofError> {
-        for _ in 0..RETURNS_MAX {
+    async fn repeat_until_final(&self, repeats: &mut Vec<Answer>) -> Result<(), ProofError> {
+        for _ in 0..REPEATS_MAX {
             if repeats.last().is_some_and(is_final) {
                 return Ok(());
             }
-            tokio::time::sleep(RETURN).await;
-            repeats.push(self.begin(1).answer().await?);
+            tokio::time::sleep(REPEAT_INTERVAL).await;
+            repeats.push(self.send(1).answer().await?);
         }
-        Err(self.broken(format!("no final answer, last {:?}", repeats.last())))
+        Err(self.violation(format!("no final answer, last {:?}", repeats.last())))
     }
 
     /// Faults that wait for their request.
-    fn prepare(&self) {
-        let once = |kind| StandinFault::new(kind).times(1).on(self.path());
+    fn inject_endpoint_faults(&self) {
+        let once = |kind| StandinFault::new(kind).times(1).on(self.endpoint_path());
         for fault in self.case.faults {
             let kind = match fault {
                 Fault::CutAnswer => FaultKind::Cut,
@@ -239,25 +242,25 @@
         }
     }
 
-    fn path(&self) -> &'static str {
+    fn endpoint_path(&self) -> &'static str {
         match self.case.kind {
-            Kind::Consult => "/applicants",
-            Kind::Sanction | Kind::Keyed => "/sanctions",
-            Kind::Stream | Kind::Opinion => "/v1/completions",
+            RequestKind::Consultation => "/applicants",
+            RequestKind::SanctionCheck | RequestKind::KeyedCheck => "/sanctions",
+            RequestKind::Stream | RequestKind::Opinion => "/v1/completions",
         }
     }
 
     /// The agent that has the request in progress.
-    async fn carrier(&self) -> Result<usize, ProofError> {
-        let plain = !self.case.kind.is_model();
-        until("an agent with the request", async || {
-            if plain && self.site.runs(&self.ask.tag).await.ok()? == 0 {
+    async fn carrying_agent(&self) -> Result<usize, ProofError> {
+        let plain = !self.case.kind.is_completion();
+        wait_until("an agent with the request", async || {
+            if plain && self.site.run_count(&self.test_request.tag).await.ok()? == 0 {
                 return None;
             }
-            for (at, agent) in self.site.agents.iter().enumerate() {
-                let page = page(agent.admin).await.ok()?;
+            for (index, agent) in self.site.agents.iter().enumerate() {
+                let page = status_page(agent.admin).await.ok()?;
                 if page["in_progress"].as_u64()? > 0 {
-                    return Some(at);
+                    return Some(index);
                 }
             }
             None
@@ -265,98 +268,101 @@
         .await
     }
 
-    async fn strike(&mut self, carrier: usize) -> Result<(), ProofError> {
+    async fn inject_faults(&mut self, carrying_agent: usize) -> Result<(), ProofError> {
         let claim_path = self.claim_path()?;
         for fault in self.case.faults {
             let site = &mut self.site;
             match fault {
                 Fault::KillEndpoint => {
                     let endpoints: Vec<_> = site.services.iter().chain(&site.engines).collect();
-                    endpoints[carrier].crash(DOWN_MS);
+                    endpoints[carrying_agent].crash(DOWN_MS);
                 }
-                Fault::KillAgent => site.agents[carrier].child.kill()?,
+                Fault::KillAgent => site.agents[carrying_agent].child.kill()?,
                 Fault::KillEntry => site.entries[0].child.kill()?,
                 Fault::KillOtherEntry => site.entries[1].child.kill()?,
-                Fault::FreezeAgent => pause(&site.agents[carrier].child).await?,
-                Fault::FreezeEntry => pause(&site.entries[0].child).await?,
+                Fault::PauseAgent => pause_for_a_while(&site.agents[carrying_agent].child).await?,
+                Fault::PauseEntry => pause_for_a_while(&site.entries[0].child).await?,
                 Fault::LogOutage => site.log.fault(StandinFault::new(FaultKind::Outage)),
                 Fault::LogSilent => site.log.fault(StandinFault::new(FaultKind::Silent)),
                 Fault::LoseAppendAnswer => {
                     let lost = StandinFault::new(FaultKind::AnswerLost).times(1);
                     site.log.fault(lost.on(claim_path.clone()));
                 }
-                Fault::CutEndpoint => break_all(site, Way::Cut),
-                Fault::SilenceEndpoint => break_all(site, Way::Silent),
+                Fault::CutEndpoint => break_connections(site, BreakMode::Cut),
+                Fault::SilenceEndpoint => break_connections(site, BreakMode::Silent),
                 Fault::CutAnswer | Fault::TruncateAnswer | Fault::LoseAnswer => {}
-                Fault::CallerLeaves => {}
+                Fault::CallerDisconnects => {}
             }
         }
         Ok(())
     }
 
     fn claim_path(&self) -> Result<String, ProofError> {
-        let bad = |_| ProofError::NotSeen("the customer's name".to_owned());
-        let office = CustomerName::new("office").map_err(bad)?;
-        let key = KeyDigest::of(&office, &self.ask.tag);
+        let invalid = |_| ProofError::TimedOut("the customer's name".to_owned());
+        let office = CustomerName::new("office").map_err(invalid)?;
+        let key = KeyDigest::of(&office, &self.test_request.tag);
         let shard = shard_of(key, ClaimSettings::default().shards);
         Ok(format!("/streams/{}/records", stream_name(shard)))
     }
 
-    async fn judge(&self, answers: &Answers) -> Result<(), ProofError> {
-        let runs = match self.case.kind.is_model() {
+    async fn check_promises(&self, answers: &Answers) -> Result<(), ProofError> {
+        let runs = match self.case.kind.is_completion() {
             true => 1,
-            false => self.site.runs(&self.ask.tag).await?,
+            false => self.site.run_count(&self.test_request.tag).await?,
         };
-        let seen = format!("{runs} runs, {}", shown(answers));
-        if self.case.kind.is_once() && runs > 1 {
-            return Err(self.broken(format!("ran more than once: {seen}")));
+        let summary = format!("{runs} runs, {}", describe(answers));
+        if self.case.kind.is_at_most_once() && runs > 1 {
+            return Err(self.violation(format!("ran more than once: {summary}")));
         }
-        let ends = |ends: &[Ending], answer: Option<&Answer>| {
-            answer.is_none_or(|a| ends.contains(&a.ending))
+        let is_allowed = |allowed_endings: &[Ending], answer: Option<&Answer>| {
+            answer.is_none_or(|a| allowed_endings.contains(&a.ending))
         };
-        if !ends(self.case.ends, answers.first.as_ref()) {
-            return Err(self.broken(format!("ends otherwise than it may: {seen}")));
+        if !is_allowed(self.case.allowed_endings, answers.first.as_ref()) {
+            return Err(self.violation(format!("ends otherwise than it may: {summary}")));
         }
-        if self.case.repeat != Repeat::Never && !ends(self.case.repeat_ends, answers.repeats.last())
+        if self.case.repeat != Repeat::Never
+            && !is_allowed(self.case.allowed_repeat_endings, answers.repeats.last())
         {
-            return Err(self.broken(format!("the repeat ends otherwise than it may: {seen}")));
+            return Err(self.violation(format!("the repeat ends otherwise than it may: {summary}")));
         }
         let all: Vec<&Answer> = answers.first.iter().chain(&answers.repeats).collect();
-        let said_not_run = all.iter().any(|answer| answer.ending == Ending::NotRun);
-        let said_otherwise = all.iter().any(|answer| answer.ending != Ending::NotRun);
-        if said_not_run && !said_otherwise && runs > 0 && !self.case.kind.is_model() {
-            return Err(self.broken(format!("\"not run\" for a call that ran: {seen}")));
+        let any_not_run = all.iter().any(|answer| answer.ending == Ending::NotRun);
+        let any_other = all.iter().any(|answer| answer.ending != Ending::NotRun);
+        if any_not_run && !any_other && runs > 0 && !self.case.kind.is_completion() {
+            return Err(self.violation(format!("\"not run\" for a call that ran: {summary}")));
         }
-        if all.iter().any(|answer| answer.ending == Ending::Whole) && runs == 0 {
-            return Err(self.broken(format!("an answer that no endpoint gave: {seen}")));
+        if all.iter().any(|answer| answer.ending == Ending::Complete) && runs == 0 {
+            return Err(self.violation(format!("an answer that no endpoint gave: {summary}")));
         }
         Ok(())
     }
 
-    fn broken(&self, how: String) -> ProofError {
-        ProofError::Broken(self.case.name.to_owned(), how)
+    fn violation(&self, reason: String) -> ProofError {
+        ProofError::Violation(self.case.name.to_owned(), reason)
     }
 }
 
-fn break_all(site: &Site, way: Way) {
-    site.relays.iter().for_each(|relay| relay.break_open(way));
+fn break_connections(site: &Site, break_mode: BreakMode) {
+    site.relays
+        .iter()
+        .for_each(|relay| relay.break_open(break_mode));
 }
 
-async fn pause(child: &crate::Child) -> Result<(), ProofError> {
-    child.freeze()?;
-    tokio::time::sleep(FREEZE).await;
-    child.thaw()
+async fn pause_for_a_while(child: &crate::Child) -> Result<(), ProofError> {
+    child.pause()?;
+    tokio::time::sleep(PAUSE_DURATION).await;
+    child.resume()
 }
 
 fn is_final(answer: &Answer) -> bool {
     match answer.ending {
-        Ending::Whole | Ending::Failed | Ending::Short => true,
-        Ending::Unknown => !answer.comes_back,
-        Ending::NotRun | Ending::Lost | Ending::Broken => false,
+        Ending::Complete | Ending::Failed | Ending::Truncated => true,
+        Ending::Unknown => !answer.has_retry_after,
+        Ending::NotRun | Ending::Lost | Ending::Interrupted => false,
     }
 }
 
-fn shown(answers: &Answers) -> String {
+fn describe(answers: &Answers) -> String {
     let all = answers.first.iter().chain(&answers.repeats);
     let words = all.map(|answer| format!("{:?} {} {}", answer.ending, answer.status, answer.cause));
     words.collect::<Vec<_>>().join("; ")
--- a/dev/proof/src/lib.rs
+++ b/dev/proof/src/lib.rs
@@ -1,24 +1,24 @@
 //! A site of real processes on loopback, with stand-ins for the outside systems, and the
 //! driver of the fault matrix. Never shipped.
 
-mod ask;
 mod caller;
 mod child;
 mod error;
 mod fault;
+mod polling;
 mod ports;
 mod relay;
 mod site;
 mod status;
-mod wait;
+mod test_request;
 
-pub use ask::{Ask, Kind};
 pub use caller::{Answer, Caller, Ending, Pending};
 pub use child::Child;
 pub use error::ProofError;
-pub use fault::{Case, Fault, Repeat, Step, run_case, run_cases};
+pub use fault::{Case, Fault, Phase, Repeat, run_case, run_cases};
+pub use polling::{POLLS_MAX, wait_until};
 pub use ports::free_port;
-pub use relay::{Relay, Way};
-pub use site::{Process, Site, SiteSettings, office};
-pub use status::{exchange, page, replicas};
-pub use wait::{TRIES_MAX, until};
+pub use relay::{BreakMode, Relay};
+pub use site::{Process, Site, SiteSettings, office_config};
+pub use status::{active_replicas, exchange, status_page};
+pub use test_request::{RequestKind, TestRequest};
--- a/dev/proof/src/ports.rs
+++ b/dev/proof/src/ports.rs
@@ -8,20 +8,20 @@
 
 use crate::ProofError;
 
-const TRIES: u32 = 64;
-static GIVEN: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
+const ATTEMPTS_MAX: u32 = 64;
+static RESERVED: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
 
 /// An address on loopback whose port was free for TCP and UDP a moment ago.
 pub fn free_port() -> Result<SocketAddr, ProofError> {
-    for _ in 0..TRIES {
+    for _ in 0..ATTEMPTS_MAX {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
-        let mut given = GIVEN.lock().unwrap_or_else(PoisonError::into_inner);
-        if UdpSocket::bind(address).is_ok() && given.insert(address.port()) {
+        let mut reserved = RESERVED.lock().unwrap_or_else(PoisonError::into_inner);
+        if UdpSocket::bind(address).is_ok() && reserved.insert(address.port()) {
             return Ok(address);
         }
     }
-    Err(ProofError::NotSeen(
+    Err(ProofError::TimedOut(
         "a port free for TCP and UDP".to_owned(),
     ))
 }
--- a/dev/proof/src/relay.rs
+++ b/dev/proof/src/relay.rs
@@ -13,7 +13,7 @@
 
 /// What becomes of the open connections.
 #[key]
-pub enum Way {
+pub enum BreakMode {
     /// They are closed at both ends.
     Cut,
     /// They stay open and carry nothing any more.
@@ -24,7 +24,7 @@
 pub struct Relay {
     /// Where it listens.
     pub address: SocketAddr,
-    change: watch::Sender<Option<Way>>,
+    change: watch::Sender<Option<BreakMode>>,
     task: JoinHandle<()>,
 }
 
@@ -43,8 +43,8 @@
     }
 
     /// Breaks all open connections.
-    pub fn break_open(&self, way: Way) {
-        self.change.send_replace(Some(way));
+    pub fn break_open(&self, break_mode: BreakMode) {
+        self.change.send_replace(Some(break_mode));
     }
 }
 
@@ -54,26 +54,34 @@
     }
 }
 
-async fn accept(listener: TcpListener, to: SocketAddr, changes: watch::Receiver<Option<Way>>) {
+async fn accept(
+    listener: TcpListener,
+    to: SocketAddr,
+    changes: watch::Receiver<Option<BreakMode>>,
+) {
     let mut connections = JoinSet::new();
-    while let Ok((near, _)) = listener.accept().await {
+    while let Ok((client, _)) = listener.accept().await {
         let mut changes = changes.clone();
         changes.mark_unchanged();
-        connections.spawn(pass(near, to, changes));
+        connections.spawn(forward(client, to, changes));
     }
 }
 
-async fn pass(mut near: TcpStream, to: SocketAddr, mut changes: watch::Receiver<Option<Way>>) {
-    let Ok(mut far) = TcpStream::connect(to).await else {
+async fn forward(
+    mut client: TcpStream,
+    to: SocketAddr,
+    mut changes: watch::Receiver<Option<BreakMode>>,
+) {
+    let Ok(mut server) = TcpStream::connect(to).await else {
         return;
     };
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
+    let _ = client.set_nodelay(true);
+    let _ = server.set_nodelay(true);
     tokio::select! {
-        _ = copy_bidirectional(&mut near, &mut far) => return,
+        _ = copy_bidirectional(&mut client, &mut server) => return,
         _ = changes.changed() => {}
     }
-    if *changes.borrow() == Some(Way::Silent) {
+    if *changes.borrow() == Some(BreakMode::Silent) {
         std::future::pending::<()>().await;
     }
 }
--- a/dev/proof/src/site.rs
+++ b/dev/proof/src/site.rs
@@ -23,9 +23,9 @@
 use tokio::sync::{Semaphore, SemaphorePermit};
 use types::{FailureDomain, Region};
 
-use crate::ask::document_text;
-use crate::status::{exchange, page, replicas};
-use crate::{Ask, Caller, Child, Pending, ProofError, Relay, free_port, until};
+use crate::status::{active_replicas, exchange, status_page};
+use crate::test_request::document_text;
+use crate::{Caller, Child, Pending, ProofError, Relay, TestRequest, free_port, wait_until};
 
 const ENTRY: &str = "hornbeamrock-entry";
 const AGENT: &str = "hornbeamrock-agent";
@@ -50,11 +50,11 @@
     /// Whether the engines check fencing numbers.
     pub fencing: bool,
     /// Whether there is a scorer.
-    pub scored: bool,
+    pub has_scorer: bool,
     /// How long a leaving entry or agent takes new work.
     pub settle_ms: u64,
     /// Whether relays stand between agents and endpoints.
-    pub relayed: bool,
+    pub has_relays: bool,
     /// Log level of the processes.
     pub log_level: &'static str,
 }
@@ -67,9 +67,9 @@
             engines: 0,
             scale_permille: 300,
             fencing: true,
-            scored: false,
+            has_scorer: false,
             settle_ms: 300,
-            relayed: false,
+            has_relays: false,
             log_level: "info",
         }
     }
@@ -115,31 +115,31 @@
     _permit: SemaphorePermit<'static>,
 }
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
 /// The text of the Office, as the examples have it.
-pub fn office() -> PathBuf {
+pub fn office_config() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../examples/office.toml")
 }
 
 impl Site {
     /// Starts a site with the Office's text in force and every replica known.
     pub async fn start(settings: SiteSettings) -> Result<Site, ProofError> {
-        let mut site = Site::bare(settings).await?;
+        let mut site = Site::start_standins(settings).await?;
         for _ in 0..2 {
             site.add_entry().await?;
         }
         site.add_agents().await?;
-        let published = site.publish(&office()).await?;
-        site.in_force(&published).await?;
-        site.knows_replicas().await?;
+        let published = site.publish(&office_config()).await?;
+        site.wait_until_active(&published).await?;
+        site.wait_until_replicas_known().await?;
         Ok(site)
     }
 
     /// The stand-ins alone.
-    async fn bare(settings: SiteSettings) -> Result<Site, ProofError> {
+    async fn start_standins(settings: SiteSettings) -> Result<Site, ProofError> {
         let permit = SITES.acquire().await;
         let permit = permit.map_err(|_| ProofError::Ended("the count of sites".to_owned()))?;
         let number = SITE_NUMBER.fetch_add(1, Ordering::Relaxed);
@@ -147,12 +147,12 @@
         let folder = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&folder)?;
         std::fs::write(folder.join("key"), "5a".repeat(32))?;
-        let store = store::start(StoreSettings::new(any())).await?;
+        let store = store::start(StoreSettings::new(any_port())).await?;
         let mut services = Vec::new();
         for _ in 0..settings.services {
             let service_settings = ServiceSettings {
                 service_ms: settings.service_ms,
-                ..ServiceSettings::new(any(), "guichet")
+                ..ServiceSettings::new(any_port(), "guichet")
             };
             services.push(service::start(service_settings).await?);
         }
@@ -161,9 +161,9 @@
             engines.push(engine::start(engine_settings(&settings, store.address)).await?);
         }
         Ok(Site {
-            log: log::start(LogSettings::new(any())).await?,
-            vms: vms::start(VmsSettings::new(any())).await?,
-            scorer: scorer::start(ScorerSettings::new(any())).await?,
+            log: log::start(LogSettings::new(any_port())).await?,
+            vms: vms::start(VmsSettings::new(any_port())).await?,
+            scorer: scorer::start(ScorerSettings::new(any_port())).await?,
             store,
             services,
             engines,
@@ -178,9 +178,9 @@
 
     /// Starts one more entry.
     pub async fn add_entry(&mut self) -> Result<(), ProofError> {
-        let at = self.entries.len();
+        let index = self.entries.len();
         let entry = self
-            .process(ENTRY, at, |address| ("--listen", address, Vec::new()))
+            .process(ENTRY, index, |address| ("--listen", address, Vec::new()))
             .await?;
         self.entries.push(entry);
         Ok(())
@@ -190,13 +190,13 @@
         let plain = self
             .services
             .iter()
-            .map(|own| (own.address, "plain", "guichet"));
+            .map(|service| (service.address, "plain", "guichet"));
         let models = self
             .engines
             .iter()
-            .map(|own| (own.address, "model", "redacteurs"));
+            .map(|engine| (engine.address, "model", "redacteurs"));
         let mut endpoints: Vec<_> = plain.chain(models).collect();
-        if self.settings.relayed {
+        if self.settings.has_relays {
             for (address, ..) in &mut endpoints {
                 let relay = Relay::start(*address).await?;
                 *address = relay.address;
@@ -204,9 +204,9 @@
             }
         }
         let scorer = (self.scorer.address, "plain", "notation");
-        endpoints.extend(self.settings.scored.then_some(scorer));
-        for (at, endpoint) in endpoints.into_iter().enumerate() {
-            let agent = self.agent(at, endpoint).await?;
+        endpoints.extend(self.settings.has_scorer.then_some(scorer));
+        for (index, endpoint) in endpoints.into_iter().enumerate() {
+            let agent = self.agent(index, endpoint).await?;
             self.agents.push(agent);
         }
         Ok(())
@@ -214,12 +214,12 @@
 
     async fn agent(
         &self,
-        at: usize,
+        index: usize,
         (endpoint, kind, pool): (SocketAddr, &str, &str),
     ) -> Result<Process, ProofError> {
         let checked = self.settings.fencing && kind == "model";
         let fencing = if checked { "checked" } else { "ignored" };
-        let own = [
+        let own_args = [
             "--endpoint-kind",
             kind,
             "--pool",
@@ -229,26 +229,27 @@
             "--fencing",
             fencing,
         ];
-        let own: Vec<String> = own.iter().map(ToString::to_string).collect();
-        self.process(AGENT, at, |_| ("--endpoint", endpoint, own.clone()))
+        let own_args: Vec<String> = own_args.iter().map(ToString::to_string).collect();
+        self.process(AGENT, index, |_| ("--endpoint", endpoint, own_args.clone()))
             .await
     }
 
     async fn process(
         &self,
         name: &'static str,
-        at: usize,
-        own: impl Fn(SocketAddr) -> (&'static str, SocketAddr, Vec<String>),
+        index: usize,
+        own_args: impl Fn(SocketAddr) -> (&'static str, SocketAddr, Vec<String>),
     ) -> Result<Process, ProofError> {
         for _ in 0..STARTS_MAX {
             let (inner, admin) = (free_port()?, free_port()?);
-            let (flag, address, more) = own(free_port()?);
-            let domain = DOMAINS[at % DOMAINS.len()];
+            let (flag, address, extra_args) = own_args(free_port()?);
+            let domain = DOMAINS[index % DOMAINS.len()];
             let mut args = self.common_args(inner, admin, domain);
             args.extend([flag.to_owned(), address.to_string()]);
-            args.extend(more);
-            let mut child = Child::start(name, &args, &self.folder.join(format!("{name}-{at}")))?;
-            if lives(&mut child, admin).await {
+            args.extend(extra_args);
+            let mut child =
+                Child::start(name, &args, &self.folder.join(format!("{name}-{index}")))?;
+            if wait_until_live(&mut child, admin).await {
                 let role = if name == ENTRY {
                     VmRole::Entry
                 } else {
@@ -264,11 +265,11 @@
                     args,
                     vm,
                 };
-                self.list(&process, VmState::Live).await?;
+                self.set_vm_state(&process, VmState::Live).await?;
                 return Ok(process);
             }
         }
-        let log = std::fs::read_to_string(self.folder.join(format!("{name}-{at}")))?;
+        let log = std::fs::read_to_string(self.folder.join(format!("{name}-{index}")))?;
         let last = log.lines().last().unwrap_or_default();
         Err(ProofError::Ended(format!(
             "{name}, right after its start: {last}"
@@ -294,21 +295,21 @@
     }
 
     /// Starts a process again at its addresses, as a VM that was replaced.
-    pub async fn replace(
+    pub async fn restart(
         &mut self,
         which: impl Fn(&mut Site) -> &mut Process,
     ) -> Result<(), ProofError> {
         let folder = self.folder.clone();
         let process = which(self);
         process.child = Child::start(process.name, &process.args, &folder.join("replaced"))?;
-        match lives(&mut process.child, process.admin).await {
+        match wait_until_live(&mut process.child, process.admin).await {
             true => Ok(()),
             false => Err(ProofError::Ended(process.name.to_owned())),
         }
     }
 
     /// Puts a process on the VM list.
-    pub async fn list(&self, process: &Process, state: VmState) -> Result<(), ProofError> {
+    pub async fn set_vm_state(&self, process: &Process, state: VmState) -> Result<(), ProofError> {
         let change = VmsChange {
             set: vec![Vm {
                 state,
@@ -329,7 +330,7 @@
     }
 
     /// Admin addresses of all processes.
-    pub fn admins(&self) -> Vec<SocketAddr> {
+    pub fn admin_addresses(&self) -> Vec<SocketAddr> {
         self.entries
             .iter()
             .chain(&self.agents)
@@ -356,36 +357,37 @@
 
     /// A copy of the Office's text, changed.
     pub fn changed_text(&self, name: &str, from: &str, to: &str) -> Result<PathBuf, ProofError> {
-        let text = std::fs::read_to_string(office())?;
+        let text = std::fs::read_to_string(office_config())?;
         let path = self.folder.join(name);
         std::fs::write(&path, text.replacen(from, to, 1))?;
         Ok(path)
     }
 
     /// Waits until a version is in force at every process.
-    pub async fn in_force(&self, published: &Published) -> Result<(), ProofError> {
-        let admins = self.admins();
-        until("the text in force everywhere", async || {
+    pub async fn wait_until_active(&self, published: &Published) -> Result<(), ProofError> {
+        let admins = self.admin_addresses();
+        wait_until("the text in force everywhere", async || {
             let replies = statuses(&admins).await;
-            let behind = |reply| !is_active(reply, &published.customer, published.version);
-            (!replies.iter().any(behind)).then_some(())
+            let is_behind = |reply| !is_active(reply, &published.customer, published.version);
+            (!replies.iter().any(is_behind)).then_some(())
         })
         .await
     }
 
     /// Waits until every entry has every endpoint as a replica.
-    pub async fn knows_replicas(&self) -> Result<(), ProofError> {
+    pub async fn wait_until_replicas_known(&self) -> Result<(), ProofError> {
         let mut wanted = vec![
             ("guichet", self.services.len()),
             ("redacteurs", self.engines.len()),
         ];
-        wanted.push(("notation", usize::from(self.settings.scored)));
+        wanted.push(("notation", usize::from(self.settings.has_scorer)));
         for entry in &self.entries {
             for (service, count) in &wanted {
                 let what = format!("{count} replicas of {service}");
-                until(&what, async || {
-                    let known = replicas(&page(entry.admin).await.ok()?, service).len();
-                    (known >= *count).then_some(())
+                wait_until(&what, async || {
+                    let known_count =
+                        active_replicas(&status_page(entry.admin).await.ok()?, service).len();
+                    (known_count >= *count).then_some(())
                 })
                 .await?;
             }
@@ -394,36 +396,36 @@
     }
 
     /// Sends a request through an entry; `text` is that of a whole completion.
-    pub fn begin(&self, entry: usize, ask: &Ask, text: &str) -> Pending {
-        Caller::new(self.entries[entry].address).begin(ask.clone(), text.to_owned())
+    pub fn send(&self, entry: usize, test_request: &TestRequest, text: &str) -> Pending {
+        Caller::new(self.entries[entry].address).send(test_request.clone(), text.to_owned())
     }
 
     /// What an engine that is asked directly says; nothing for a plain call.
-    pub async fn text(&self, ask: &Ask) -> Result<String, ProofError> {
-        if !ask.kind.is_model() {
+    pub async fn expected_text(&self, test_request: &TestRequest) -> Result<String, ProofError> {
+        if !test_request.kind.is_completion() {
             return Ok(String::new());
         }
-        let direct = Ask::new(crate::Kind::Opinion, ask.tag.clone());
+        let direct = TestRequest::new(crate::RequestKind::Opinion, test_request.tag.clone());
         let request = Request {
             body: direct.body(),
             ..Request::new("POST", "/v1/completions")
         };
         // It may be down from a crash.
-        let body = until("the text of an engine", async || {
+        let body = wait_until("the text of an engine", async || {
             exchange(self.engines[0].address, request.clone())
                 .await
                 .ok()
         })
         .await?;
-        document_text(&body).ok_or_else(|| ProofError::NotSeen("the text of an engine".to_owned()))
+        document_text(&body).ok_or_else(|| ProofError::TimedOut("the text of an engine".to_owned()))
     }
 
     /// How often the endpoints ran the request with this tag.
-    pub async fn runs(&self, tag: &str) -> Result<u64, ProofError> {
+    pub async fn run_count(&self, tag: &str) -> Result<u64, ProofError> {
         let mut runs = 0;
         for service in &self.services {
             // It may be down for a moment; it keeps its count.
-            let body = until("the runs of a service", async || {
+            let body = wait_until("the runs of a service", async || {
                 let request = Request::new("GET", "/standin/runs");
                 exchange(service.address, request).await.ok()
             })
@@ -459,30 +461,30 @@
             ..Speeds::default()
         },
         tokens_min: 24,
-        ..EngineSettings::new(any(), "redacteurs")
+        ..EngineSettings::new(any_port(), "redacteurs")
     }
 }
 
 fn vm(address: SocketAddr, role: VmRole, domain: &str) -> Result<Vm, ProofError> {
-    let bad = |_| ProofError::NotSeen(format!("a name in {domain}"));
+    let invalid = |_| ProofError::TimedOut(format!("a name in {domain}"));
     Ok(Vm {
         address,
         role,
-        failure_domain: FailureDomain::new(domain).map_err(bad)?,
-        region: Region::new(REGION).map_err(bad)?,
+        failure_domain: FailureDomain::new(domain).map_err(invalid)?,
+        region: Region::new(REGION).map_err(invalid)?,
         state: VmState::Live,
     })
 }
 
 /// Waits until a process answers; false when it ended instead.
-async fn lives(child: &mut Child, admin: SocketAddr) -> bool {
-    let answered = until("a process that lives", async || {
-        if !child.runs() {
+async fn wait_until_live(child: &mut Child, admin: SocketAddr) -> bool {
+    let answered = wait_until("a process that lives", async || {
+        if !child.is_running() {
             return Some(false);
         }
         let answered = exchange(admin, Request::new("GET", "/livez")).await;
         // The answer may have come from another process that took the port first.
-        answered.is_ok().then(|| child.runs())
+        answered.is_ok().then(|| child.is_running())
     });
     answered.await.unwrap_or(false)
 }
--- a/dev/proof/src/status.rs
+++ b/dev/proof/src/status.rs
@@ -11,13 +11,13 @@
 const DEADLINE_MS: u64 = 5_000;
 
 /// The status page of a process.
-pub async fn page(admin: SocketAddr) -> Result<Value, ProofError> {
+pub async fn status_page(admin: SocketAddr) -> Result<Value, ProofError> {
     let body = exchange(admin, Request::new("GET", "/status")).await?;
     Ok(serde_json::from_slice(&body)?)
 }
 
 /// Replicas of a service on an entry's page that are not leaving.
-pub fn replicas(page: &Value, service: &str) -> Vec<Value> {
+pub fn active_replicas(page: &Value, service: &str) -> Vec<Value> {
     let services = page["services"].as_array().into_iter().flatten();
     let own = services.filter(|row| row["service"] == service);
     let all = own.flat_map(|row| row["replicas"].as_array().into_iter().flatten());
--- a/dev/proof/src/ask.rs
+++ b/dev/proof/src/test_request.rs
@@ -14,65 +14,65 @@
 
 /// Kind of a request.
 #[key]
-pub enum Kind {
+pub enum RequestKind {
     /// A clerk's consultation; may run again.
-    Consult,
+    Consultation,
     /// A check of sanctions without a key; may run once.
-    Sanction,
+    SanctionCheck,
     /// A check of sanctions with an idempotency key.
-    Keyed,
+    KeyedCheck,
     /// A streamed opinion.
     Stream,
     /// An opinion in one piece.
     Opinion,
 }
 
-impl Kind {
+impl RequestKind {
     /// Whether it may run once only.
-    pub fn is_once(self) -> bool {
-        matches!(self, Kind::Sanction | Kind::Keyed)
+    pub fn is_at_most_once(self) -> bool {
+        matches!(self, RequestKind::SanctionCheck | RequestKind::KeyedCheck)
     }
 
     /// Whether a model answers it.
-    pub fn is_model(self) -> bool {
-        matches!(self, Kind::Stream | Kind::Opinion)
+    pub fn is_completion(self) -> bool {
+        matches!(self, RequestKind::Stream | RequestKind::Opinion)
     }
 }
 
 /// A request with a name of its own, by which its runs are counted.
 #[value]
-pub struct Ask {
+pub struct TestRequest {
     /// Its kind.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// Its name.
     pub tag: String,
 }
 
-impl Ask {
+impl TestRequest {
     /// A request of this kind.
-    pub fn new(kind: Kind, tag: impl Into<String>) -> Ask {
+    pub fn new(kind: RequestKind, tag: impl Into<String>) -> TestRequest {
         let tag = tag.into();
-        Ask { kind, tag }
+        TestRequest { kind, tag }
     }
 
     /// The request for an entry.
     pub fn request(&self) -> Request {
         let request = match self.kind {
-            Kind::Consult => Request::new(
+            RequestKind::Consultation => Request::new(
                 "GET",
                 format!("/v1/services/guichet/applicants/{}", self.tag),
             ),
-            Kind::Sanction | Kind::Keyed => Request::new(
+            RequestKind::SanctionCheck | RequestKind::KeyedCheck => Request::new(
                 "POST",
                 format!("/v1/services/guichet/sanctions/{}", self.tag),
             ),
-            Kind::Stream | Kind::Opinion => Request::new("POST", "/v1/completions"),
+            RequestKind::Stream | RequestKind::Opinion => Request::new("POST", "/v1/completions"),
         };
         let mut headers = vec![
             ("authorization".to_owned(), format!("Bearer {CLERK}")),
             ("x-request-tag".to_owned(), self.tag.clone()),
         ];
-        if self.kind == Kind::Keyed {
+        if self.kind == RequestKind::KeyedCheck {
             headers.push(("idempotency-key".to_owned(), self.tag.clone()));
         }
         Request {
@@ -90,31 +90,31 @@
 
     /// The body, for an entry or for an engine asked directly.
     pub fn body(&self) -> Bytes {
-        if !self.kind.is_model() {
+        if !self.kind.is_completion() {
             return Bytes::new();
         }
         let body = json!({
             "model": "redacteurs",
             "prompt": self.prompt(),
             "max_tokens": TOKENS_MAX,
-            "stream": self.kind == Kind::Stream,
+            "stream": self.kind == RequestKind::Stream,
         });
         Bytes::from(body.to_string())
     }
 
     /// Whether this is the whole answer to this very request; `text` is what an engine
     /// asked directly says.
-    pub fn is_whole(&self, body: &[u8], text: &str) -> bool {
+    pub fn is_complete_answer(&self, body: &[u8], text: &str) -> bool {
         match self.kind {
-            Kind::Stream => streamed_text(body).is_some_and(|got| got == text),
-            Kind::Opinion => document_text(body).is_some_and(|got| got == text),
-            Kind::Consult => {
+            RequestKind::Stream => streamed_text(body).is_some_and(|got| got == text),
+            RequestKind::Opinion => document_text(body).is_some_and(|got| got == text),
+            RequestKind::Consultation => {
                 let prior_files = text_hash(&[&self.tag]) % 7;
-                let document = parsed(body);
+                let document = parse_json(body);
                 document["applicant"] == self.tag.as_str() && document["prior_files"] == prior_files
             }
-            Kind::Sanction | Kind::Keyed => {
-                let document = parsed(body);
+            RequestKind::SanctionCheck | RequestKind::KeyedCheck => {
+                let document = parse_json(body);
                 let path = document["path"].as_str();
                 path == Some(&format!("/sanctions/{}", self.tag))
                     && document["sanction"].is_string()
@@ -123,16 +123,16 @@
     }
 }
 
-fn parsed(body: &[u8]) -> Value {
+fn parse_json(body: &[u8]) -> Value {
     serde_json::from_slice(body).unwrap_or_default()
 }
 
 /// Text of a completion in one piece.
 pub(crate) fn document_text(body: &[u8]) -> Option<String> {
-    let text = parsed(body)["choices"][0]["text"]
+    let text = parse_json(body)["choices"][0]["text"]
         .as_str()
         .map(str::to_owned);
-    text.filter(|_| parsed(body)["choices"][0]["finish_reason"].is_string())
+    text.filter(|_| parse_json(body)["choices"][0]["finish_reason"].is_string())
 }
 
 /// Text of a stream with its finish reason and its end.
--- a/dev/proof/tests/agent_link.rs
+++ b/dev/proof/tests/agent_link.rs
@@ -4,33 +4,37 @@
 use bytes::Bytes;
 use futures_util::future::join_all;
 use link::{Call, CallEvent, LinkSettings, Links};
-use proof::{Relay, Site, SiteSettings, Way, until};
+use proof::{BreakMode, Relay, Site, SiteSettings, wait_until};
 use protocol::{Key, Keys, Open, ProcessRole};
 use types::{Class, CustomerName, FailureDomain, Incarnation, NodeId, ServiceName};
 
 const SERVICE_MS: u64 = 600;
 
 #[derive(Clone, Copy, Debug)]
-enum Step {
+enum Phase {
     /// The connection is open and idle.
     Idle,
     /// The endpoint runs the call.
     Running,
     /// The endpoint runs the call and the next connection breaks too.
-    Twice,
+    RunningTwice,
 }
 
 struct Case {
-    way: Way,
-    step: Step,
-    once: bool,
+    break_mode: BreakMode,
+    phase: Phase,
+    at_most_once: bool,
 }
 
 fn cases() -> Vec<Case> {
     let mut cases = Vec::new();
-    for way in [Way::Cut, Way::Silent] {
-        for step in [Step::Idle, Step::Running, Step::Twice] {
-            cases.extend([true, false].map(|once| Case { way, step, once }));
+    for break_mode in [BreakMode::Cut, BreakMode::Silent] {
+        for phase in [Phase::Idle, Phase::Running, Phase::RunningTwice] {
+            cases.extend([true, false].map(|at_most_once| Case {
+                break_mode,
+                phase,
+                at_most_once,
+            }));
         }
     }
     cases
@@ -46,9 +50,9 @@
     Links::new(LinkSettings::new(node, ProcessRole::Entry, domain, keys))
 }
 
-fn open(links: &Links, tag: &str, once: bool) -> Open {
+fn open(links: &Links, tag: &str, at_most_once: bool) -> Open {
     let office = CustomerName::new("office").unwrap();
-    let (method, path) = if once {
+    let (method, path) = if at_most_once {
         ("POST", "sanctions")
     } else {
         ("GET", "applicants")
@@ -60,7 +64,7 @@
         owner: office,
         service: ServiceName::new("guichet").unwrap(),
         class: Class::Interactive,
-        idempotent: !once,
+        idempotent: !at_most_once,
         deadline_left_ms: 10_000,
         method: method.to_owned(),
         path: format!("/{path}/{tag}"),
@@ -69,7 +73,7 @@
     }
 }
 
-async fn whole(call: &mut Call) -> Option<Vec<u8>> {
+async fn read_answer(call: &mut Call) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     loop {
         match call.next().await {
@@ -82,36 +86,42 @@
 }
 
 async fn run(site: &Site, case: Case) {
-    let Case { way, step, once } = case;
-    let name = format!("{way:?}-{step:?}-{once}");
+    let Case {
+        break_mode,
+        phase,
+        at_most_once,
+    } = case;
+    let name = format!("{break_mode:?}-{phase:?}-{at_most_once}");
     let relay = Relay::start(site.agents[0].inner).await.unwrap();
     let links = links(site);
-    let first = open(&links, &format!("{name}-first"), once);
+    let first = open(&links, &format!("{name}-first"), at_most_once);
     assert!(
-        whole(&mut links.call(relay.address, first)).await.is_some(),
+        read_answer(&mut links.call(relay.address, first))
+            .await
+            .is_some(),
         "{name}"
     );
-    if matches!(step, Step::Idle) {
-        relay.break_open(way);
+    if matches!(phase, Phase::Idle) {
+        relay.break_open(break_mode);
     }
-    let mut call = links.call(relay.address, open(&links, &name, once));
-    if !matches!(step, Step::Idle) {
-        until("the call at the endpoint", async || {
-            (site.runs(&name).await.ok()? > 0).then_some(())
+    let mut call = links.call(relay.address, open(&links, &name, at_most_once));
+    if !matches!(phase, Phase::Idle) {
+        wait_until("the call at the endpoint", async || {
+            (site.run_count(&name).await.ok()? > 0).then_some(())
         })
         .await
         .unwrap();
-        relay.break_open(way);
+        relay.break_open(break_mode);
     }
-    if matches!(step, Step::Twice) {
+    if matches!(phase, Phase::RunningTwice) {
         // Long enough for the next connection to be there.
         tokio::time::sleep(std::time::Duration::from_millis(SERVICE_MS / 4)).await;
-        relay.break_open(way);
+        relay.break_open(break_mode);
     }
-    let body = whole(&mut call).await;
+    let body = read_answer(&mut call).await;
     let body = String::from_utf8(body.unwrap_or_default()).unwrap();
     assert!(body.contains(&name), "{name}: {body}");
-    assert_eq!(site.runs(&name).await.unwrap(), 1, "{name}");
+    assert_eq!(site.run_count(&name).await.unwrap(), 1, "{name}");
 }
 
 // The caller has its whole answer from one run, though the connection to the agent was cut,
--- a/dev/proof/tests/completions.rs
+++ b/dev/proof/tests/completions.rs
@@ -1,69 +1,81 @@
 //! Opinions under kills, freezes and broken streams. A whole one has exactly the text that
 //! an engine gives that is asked directly.
 
-use proof::{Case, Ending, Fault, Kind, Repeat, Step, run_cases};
+use proof::{Case, Ending, Fault, Phase, Repeat, RequestKind, run_cases};
 
-use Ending::{Lost, Whole};
+use Ending::{Complete, Lost};
 use Fault::{
-    CutAnswer, CutEndpoint, FreezeAgent, FreezeEntry, KillAgent, KillEndpoint, KillEntry,
-    KillOtherEntry, LoseAnswer, TruncateAnswer,
+    CutAnswer, CutEndpoint, KillAgent, KillEndpoint, KillEntry, KillOtherEntry, LoseAnswer,
+    PauseAgent, PauseEntry, TruncateAnswer,
 };
-use Step::{Before, Running, Streaming};
+use Phase::{Before, Running, Streaming};
 
 const fn case(
     name: &'static str,
-    kind: Kind,
+    kind: RequestKind,
     faults: &'static [Fault],
-    at: Step,
-    ends: &'static [Ending],
+    phase: Phase,
+    allowed_endings: &'static [Ending],
 ) -> Case {
     Case {
         name,
         kind,
         faults,
-        at,
-        ends,
+        phase,
+        allowed_endings,
         repeat: Repeat::Never,
-        repeat_ends: &[],
+        allowed_repeat_endings: &[],
     }
 }
 
-const WHOLE: &[Ending] = &[Whole];
+const COMPLETE: &[Ending] = &[Complete];
 
 // The clerk sees one whole opinion, token for token, though its engine or agent died in the
 // middle: the tokens that he has go to another engine, which goes on from them. A stream
 // that ends without its finish reason is never taken for a whole one.
 #[tokio::test(flavor = "multi_thread")]
 async fn can_stream_a_whole_opinion_under_every_fault() {
-    let stream = |name, faults, at, ends| case(name, Kind::Stream, faults, at, ends);
+    let stream = |name, faults, phase, allowed_endings| {
+        case(name, RequestKind::Stream, faults, phase, allowed_endings)
+    };
     let failures = run_cases(&[
-        stream("no fault", &[], Streaming, WHOLE),
-        stream("engine dies before", &[KillEndpoint], Before, WHOLE),
+        stream("no fault", &[], Streaming, COMPLETE),
+        stream("engine dies before", &[KillEndpoint], Before, COMPLETE),
         stream(
             "engine dies in the stream",
             &[KillEndpoint],
             Streaming,
-            WHOLE,
+            COMPLETE,
         ),
-        stream("agent dies before", &[KillAgent], Before, WHOLE),
-        stream("agent dies in the stream", &[KillAgent], Streaming, WHOLE),
-        stream("agent wakes late", &[FreezeAgent], Streaming, WHOLE),
-        stream("entry wakes late", &[FreezeEntry], Streaming, WHOLE),
+        stream("agent dies before", &[KillAgent], Before, COMPLETE),
+        stream(
+            "agent dies in the stream",
+            &[KillAgent],
+            Streaming,
+            COMPLETE,
+        ),
+        stream("agent wakes late", &[PauseAgent], Streaming, COMPLETE),
+        stream("entry wakes late", &[PauseEntry], Streaming, COMPLETE),
         stream(
             "entry dies",
             &[KillEntry],
             Streaming,
-            &[Lost, Ending::Broken],
+            &[Lost, Ending::Interrupted],
+        ),
+        stream("other entry dies", &[KillOtherEntry], Streaming, COMPLETE),
+        stream("connections cut", &[CutEndpoint], Streaming, COMPLETE),
+        stream("stream is cut", &[CutAnswer], Streaming, COMPLETE),
+        stream(
+            "stream is truncated",
+            &[TruncateAnswer],
+            Streaming,
+            COMPLETE,
         ),
-        stream("other entry dies", &[KillOtherEntry], Streaming, WHOLE),
-        stream("connections cut", &[CutEndpoint], Streaming, WHOLE),
-        stream("stream is cut", &[CutAnswer], Streaming, WHOLE),
-        stream("stream is truncated", &[TruncateAnswer], Streaming, WHOLE),
         stream(
             "truncated, agent wakes late",
-            &[TruncateAnswer, FreezeAgent],
+            &[TruncateAnswer, PauseAgent],
             Streaming,
-            WHOLE,
+            COMPLETE,
         ),
     ])
     .await;
@@ -74,15 +86,17 @@
 // first dies, and a part of one is never given for the whole.
 #[tokio::test(flavor = "multi_thread")]
 async fn can_give_a_whole_opinion_under_every_fault() {
-    let opinion = |name, faults, at, ends| case(name, Kind::Opinion, faults, at, ends);
+    let opinion = |name, faults, phase, allowed_endings| {
+        case(name, RequestKind::Opinion, faults, phase, allowed_endings)
+    };
     let failures = run_cases(&[
-        opinion("engine dies under it", &[KillEndpoint], Running, WHOLE),
-        opinion("agent dies under it", &[KillAgent], Running, WHOLE),
-        opinion("agent wakes late", &[FreezeAgent], Running, WHOLE),
+        opinion("engine dies under it", &[KillEndpoint], Running, COMPLETE),
+        opinion("agent dies under it", &[KillAgent], Running, COMPLETE),
+        opinion("agent wakes late", &[PauseAgent], Running, COMPLETE),
         opinion("entry dies", &[KillEntry], Running, &[Lost]),
-        opinion("answer is cut", &[CutAnswer], Running, WHOLE),
-        opinion("answer is truncated", &[TruncateAnswer], Running, WHOLE),
-        opinion("answer is lost", &[LoseAnswer], Running, WHOLE),
+        opinion("answer is cut", &[CutAnswer], Running, COMPLETE),
+        opinion("answer is truncated", &[TruncateAnswer], Running, COMPLETE),
+        opinion("answer is lost", &[LoseAnswer], Running, COMPLETE),
     ])
     .await;
     assert!(failures.is_empty(), "{failures:#?}");
--- a/dev/proof/tests/configuration.rs
+++ b/dev/proof/tests/configuration.rs
@@ -7,19 +7,21 @@
     ControlError, PublishProgress, PublishSettings, Published, check_file, publish, read_history,
     status,
 };
-use proof::{Ask, Ending, Kind, ProofError, Site, SiteSettings, exchange, until};
+use proof::{
+    Ending, ProofError, RequestKind, Site, SiteSettings, TestRequest, exchange, wait_until,
+};
 use standins::{Fault, FaultKind};
 
 const APPENDS: &str = "/streams/config";
 
-async fn site() -> Site {
+async fn start_site() -> Site {
     Site::start(SiteSettings::default()).await.unwrap()
 }
 
 /// Versions of the Office at all processes.
 async fn versions(site: &Site) -> Vec<u64> {
     let mut versions = Vec::new();
-    for admin in site.admins() {
+    for admin in site.admin_addresses() {
         let status = status(admin).await.unwrap();
         let row = status.config.iter().find(|row| row.customer == "office");
         versions.push(row.map_or(0, |row| row.version));
@@ -28,7 +30,7 @@
 }
 
 /// Publishes as an operator who read the log before the others had published.
-async fn race(site: &Site, operator: u64) -> Result<Published, ControlError> {
+async fn publish_on_base(site: &Site, operator: u64) -> Result<Published, ControlError> {
     let from = "requests_per_s = 500";
     let to = format!("requests_per_s = {}", 500 + operator);
     let path = site
@@ -48,13 +50,13 @@
 // the race and learn what the winner changed, and nothing of theirs is applied anywhere.
 #[tokio::test(flavor = "multi_thread")]
 async fn can_accept_one_of_several_racing_operators() {
-    let site = site().await;
+    let site = start_site().await;
     let all = tokio::join!(
-        race(&site, 1),
-        race(&site, 2),
-        race(&site, 3),
-        race(&site, 4),
-        race(&site, 5)
+        publish_on_base(&site, 1),
+        publish_on_base(&site, 2),
+        publish_on_base(&site, 3),
+        publish_on_base(&site, 4),
+        publish_on_base(&site, 5)
     );
     let all = [all.0, all.1, all.2, all.3, all.4];
     let accepted: Vec<&Published> = all.iter().flatten().collect();
@@ -62,7 +64,7 @@
     let lost =
         |ended: &&Result<Published, ControlError>| matches!(ended, Err(ControlError::LostRace(..)));
     assert_eq!(all.iter().filter(lost).count(), 4, "{all:?}");
-    site.in_force(accepted[0]).await.unwrap();
+    site.wait_until_active(accepted[0]).await.unwrap();
     assert!(versions(&site).await.iter().all(|version| *version == 2));
 }
 
@@ -70,7 +72,7 @@
 // with the same id, and the log's readers count it once.
 #[tokio::test(flavor = "multi_thread")]
 async fn can_count_a_publish_once_whose_answer_was_lost() {
-    let site = site().await;
+    let site = start_site().await;
     let log = site.log_client();
     let mut history = read_history(&log).await.unwrap();
     let path = site
@@ -91,7 +93,7 @@
         .unwrap();
     assert!(appended_again > 0);
     assert_eq!(published.version, 2);
-    site.in_force(&published).await.unwrap();
+    site.wait_until_active(&published).await.unwrap();
     assert!(versions(&site).await.iter().all(|version| *version == 2));
 }
 
@@ -100,23 +102,23 @@
 // when the log is there again.
 #[tokio::test(flavor = "multi_thread")]
 async fn can_start_from_peers_in_an_outage_and_never_go_back() {
-    let mut site = site().await;
+    let mut site = start_site().await;
     let path = site
         .changed_text("second", "weight = 1", "weight = 2")
         .unwrap();
     let published = site.publish(&path).await.unwrap();
-    site.in_force(&published).await.unwrap();
+    site.wait_until_active(&published).await.unwrap();
     site.log.fault(Fault::new(FaultKind::Outage));
     site.add_entry().await.unwrap();
-    site.in_force(&published).await.unwrap();
-    site.knows_replicas().await.unwrap();
-    let ask = Ask::new(Kind::Consult, "in-the-outage");
-    let answer = site.begin(2, &ask, "").answer().await.unwrap();
-    assert_eq!(answer.ending, Ending::Whole, "{answer:?}");
+    site.wait_until_active(&published).await.unwrap();
+    site.wait_until_replicas_known().await.unwrap();
+    let test_request = TestRequest::new(RequestKind::Consultation, "in-the-outage");
+    let answer = site.send(2, &test_request, "").answer().await.unwrap();
+    assert_eq!(answer.ending, Ending::Complete, "{answer:?}");
     site.log.clear_faults();
     site.entries[0].child.kill().unwrap();
-    site.replace(|site| &mut site.entries[0]).await.unwrap();
-    site.in_force(&published).await.unwrap();
+    site.restart(|site| &mut site.entries[0]).await.unwrap();
+    site.wait_until_active(&published).await.unwrap();
     assert!(versions(&site).await.iter().all(|version| *version == 2));
 }
 
@@ -125,7 +127,7 @@
 // version.
 #[tokio::test(flavor = "multi_thread")]
 async fn can_come_back_at_the_same_version_after_all_died() {
-    let mut site = site().await;
+    let mut site = start_site().await;
     let published = site
         .publish(
             &site
@@ -134,15 +136,15 @@
         )
         .await
         .unwrap();
-    site.in_force(&published).await.unwrap();
+    site.wait_until_active(&published).await.unwrap();
     site.log.fault(Fault::new(FaultKind::Outage));
-    for at in 0..2 {
-        site.entries[at].child.kill().unwrap();
-        site.agents[at].child.kill().unwrap();
+    for index in 0..2 {
+        site.entries[index].child.kill().unwrap();
+        site.agents[index].child.kill().unwrap();
     }
-    for at in 0..2 {
-        site.replace(|site| &mut site.entries[at]).await.unwrap();
-        site.replace(|site| &mut site.agents[at]).await.unwrap();
+    for index in 0..2 {
+        site.restart(|site| &mut site.entries[index]).await.unwrap();
+        site.restart(|site| &mut site.agents[index]).await.unwrap();
     }
     for entry in &site.entries {
         let ready = exchange(entry.admin, adapters::Request::new("GET", "/readyz")).await;
@@ -152,7 +154,7 @@
         );
     }
     site.log.clear_faults();
-    site.in_force(&published).await.unwrap();
+    site.wait_until_active(&published).await.unwrap();
     assert!(versions(&site).await.iter().all(|version| *version == 2));
 }
 
@@ -160,24 +162,24 @@
 // the newest and never shows one that is older than what it showed.
 #[tokio::test(flavor = "multi_thread")]
 async fn can_catch_up_after_a_pause() {
-    let site = site().await;
-    site.entries[1].child.freeze().unwrap();
+    let site = start_site().await;
+    site.entries[1].child.pause().unwrap();
     for (name, to) in [("second", "weight = 2"), ("third", "weight = 3")] {
         let path = site.changed_text(name, "weight = 1", to).unwrap();
         site.publish(&path).await.unwrap();
     }
-    site.entries[1].child.thaw().unwrap();
-    let mut shown = 0;
-    until("the newest text", async || {
+    site.entries[1].child.resume().unwrap();
+    let mut shown_version = 0;
+    wait_until("the newest text", async || {
         let status = status(site.entries[1].admin).await.ok()?;
         let row = status.config.iter().find(|row| row.customer == "office")?;
         assert!(
-            row.version >= shown,
+            row.version >= shown_version,
             "went back from {shown} to {}",
             row.version
         );
-        shown = row.version;
-        (shown == 3).then_some(())
+        shown_version = row.version;
+        (shown_version == 3).then_some(())
     })
     .await
     .unwrap();
@@ -186,17 +188,17 @@
 // The time from the append until the last process shows it, ten times; printed, not judged.
 #[tokio::test(flavor = "multi_thread")]
 async fn can_put_a_text_in_force_everywhere() {
-    let site = site().await;
+    let site = start_site().await;
     let mut times_ms = Vec::new();
     for round in 0..10 {
         let to = format!("requests_per_s = {}", 600 + round);
         let path = site
             .changed_text("next", "requests_per_s = 500", &to)
             .unwrap();
-        let began = Instant::now();
+        let started = Instant::now();
         let published = site.publish(&path).await.unwrap();
-        site.in_force(&published).await.unwrap();
-        times_ms.push(began.elapsed().as_millis());
+        site.wait_until_active(&published).await.unwrap();
+        times_ms.push(started.elapsed().as_millis());
     }
     println!("in force everywhere after {times_ms:?} ms");
 }
--- a/dev/proof/tests/crashing/mod.rs
+++ b/dev/proof/tests/crashing/mod.rs
@@ -3,31 +3,31 @@
 
 use adapters::Request;
 use futures_util::future::join_all;
-use proof::{Ask, Ending, Kind, Site, SiteSettings, exchange, until};
+use proof::{Ending, RequestKind, Site, SiteSettings, TestRequest, exchange, wait_until};
 use standins::{Fault, FaultKind};
 
 pub const ENGINES: usize = 6;
 /// Two crashes condemn a call at an entry, and there are two entries.
-pub const LOST_MAX: u64 = 4;
+pub const CRASHES_MAX: u64 = 4;
 
 /// Lives that the engines have lost, as they say themselves.
-pub async fn lost(site: &Site) -> u64 {
-    let mut lost = 0;
+pub async fn crash_count(site: &Site) -> u64 {
+    let mut crashes = 0;
     for engine in &site.engines {
         // It may be down from the last crash.
-        let state = until("an engine's state", async || {
+        let state = wait_until("an engine's state", async || {
             let request = Request::new("GET", "/engine/state");
             exchange(engine.address, request).await.ok()
         })
         .await
         .unwrap();
         let state: serde_json::Value = serde_json::from_slice(&state).unwrap();
-        lost += state["life"].as_u64().unwrap() - 1;
+        crashes += state["life"].as_u64().unwrap() - 1;
     }
-    lost
+    crashes
 }
 
-pub async fn engines() -> Site {
+pub async fn start_site() -> Site {
     let site = Site::start(SiteSettings {
         services: 0,
         engines: ENGINES,
@@ -43,22 +43,28 @@
 }
 
 /// Opinions that others ask for meanwhile.
-pub async fn bystanders(site: &Site) -> Vec<proof::Pending> {
-    let asks: Vec<Ask> = (0..8)
-        .map(|number| Ask::new(Kind::Stream, format!("bystander-{number}")))
+pub async fn send_bystander_requests(site: &Site) -> Vec<proof::Pending> {
+    let test_requests: Vec<TestRequest> = (0..8)
+        .map(|number| TestRequest::new(RequestKind::Stream, format!("bystander-{number}")))
         .collect();
-    let texts = join_all(asks.iter().map(|ask| site.text(ask))).await;
-    let both = asks.iter().zip(texts).enumerate();
-    both.map(|(at, (ask, text))| site.begin(at % 2, ask, &text.unwrap()))
+    let texts = join_all(
+        test_requests
+            .iter()
+            .map(|test_request| site.expected_text(test_request)),
+    )
+    .await;
+    let numbered = test_requests.iter().zip(texts).enumerate();
+    numbered
+        .map(|(index, (test_request, text))| site.send(index % 2, test_request, &text.unwrap()))
         .collect()
 }
 
-pub async fn all_whole(pending: Vec<proof::Pending>) {
+pub async fn expect_all_complete(pending: Vec<proof::Pending>) {
     for answer in join_all(pending.into_iter().map(proof::Pending::answer)).await {
         let answer = answer.unwrap();
         assert_eq!(
             answer.ending,
-            Ending::Whole,
+            Ending::Complete,
             "{} {}",
             answer.status,
             answer.cause
--- a/dev/proof/tests/isolation.rs
+++ b/dev/proof/tests/isolation.rs
@@ -4,18 +4,18 @@
 use adapters::{Endpoint, EndpointSettings, Request};
 use bytes::Bytes;
 use futures_util::future::join_all;
-use proof::{Ask, Ending, Kind, Site, SiteSettings};
+use proof::{Ending, RequestKind, Site, SiteSettings, TestRequest};
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpStream, UdpSocket};
 
 const DEADLINE_MS: u64 = 10_000;
 
-async fn all_whole(pending: Vec<proof::Pending>) {
+async fn expect_all_complete(pending: Vec<proof::Pending>) {
     for answer in join_all(pending.into_iter().map(proof::Pending::answer)).await {
         let answer = answer.unwrap();
         assert_eq!(
             answer.ending,
-            Ending::Whole,
+            Ending::Complete,
             "{} {}",
             answer.status,
             answer.cause
@@ -23,7 +23,7 @@
     }
 }
 
-struct Bad {
+struct BadRequest {
     name: &'static str,
     method: &'static str,
     path: &'static str,
@@ -33,8 +33,8 @@
     status: u16,
 }
 
-fn bad_requests() -> Vec<Bad> {
-    let plain = || Bad {
+fn bad_requests() -> Vec<BadRequest> {
+    let plain = || BadRequest {
         name: "",
         method: "GET",
         path: "/v1/services/guichet/applicants/1",
@@ -43,58 +43,58 @@
         body_bytes: 0,
         status: 400,
     };
-    let completion = || Bad {
+    let completion = || BadRequest {
         method: "POST",
         path: "/v1/completions",
         ..plain()
     };
     vec![
-        Bad {
+        BadRequest {
             name: "no such token",
             token: "nobody",
             status: 401,
             ..plain()
         },
-        Bad {
+        BadRequest {
             name: "not this token's service",
             path: "/v1/services/notation/x",
             token: "office-portal-example",
             status: 403,
             ..plain()
         },
-        Bad {
+        BadRequest {
             name: "no such service",
             path: "/v1/services/nothing/x",
             status: 404,
             ..plain()
         },
-        Bad {
+        BadRequest {
             name: "no such path",
             path: "/v2",
             status: 404,
             ..plain()
         },
-        Bad {
+        BadRequest {
             name: "a class that is none",
             header: ("x-hornbeamrock-class", "best"),
             ..plain()
         },
-        Bad {
+        BadRequest {
             name: "a deadline that is none",
             header: ("x-hornbeamrock-deadline-ms", "soon"),
             ..plain()
         },
-        Bad {
+        BadRequest {
             name: "a key too long",
             header: ("idempotency-key", LONG),
             ..plain()
         },
-        Bad {
+        BadRequest {
             name: "a body that is no JSON",
             body_bytes: 10,
             ..completion()
         },
-        Bad {
+        BadRequest {
             name: "a body too large",
             body_bytes: 5 << 20,
             status: 413,
@@ -106,20 +106,26 @@
 const LONG: &str = "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\
                     aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa";
 
-async fn send(entry: std::net::SocketAddr, bad: &Bad) -> u16 {
-    let mut request = Request::new(bad.method, bad.path);
+async fn send(entry: std::net::SocketAddr, bad_request: &BadRequest) -> u16 {
+    let mut request = Request::new(bad_request.method, bad_request.path);
     request.headers = vec![
-        ("authorization".to_owned(), format!("Bearer {}", bad.token)),
-        (bad.header.0.to_owned(), bad.header.1.to_owned()),
+        (
+            "authorization".to_owned(),
+            format!("Bearer {}", bad_request.token),
+        ),
+        (
+            bad_request.header.0.to_owned(),
+            bad_request.header.1.to_owned(),
+        ),
     ];
-    request.body = Bytes::from(vec![b'{'; bad.body_bytes]);
+    request.body = Bytes::from(vec![b'{'; bad_request.body_bytes]);
     let endpoint = Endpoint::new(entry, EndpointSettings::default());
     let response = endpoint.send(request, DEADLINE_MS).await;
     response.map_or(0, |response| response.head.status)
 }
 
 /// Bytes that are no frames, a frame that breaks off, and datagrams that are none.
-async fn disturb(inner: std::net::SocketAddr) {
+async fn send_garbage(inner: std::net::SocketAddr) {
     for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], &[0xff; 4_096], &[0, 0, 1]] {
         let mut stream = TcpStream::connect(inner).await.unwrap();
         // The process may close the connection at the first byte.
@@ -139,29 +145,30 @@
         ..SiteSettings::default()
     };
     let mut site = Site::start(settings).await.unwrap();
-    let ask = |number: usize| Ask::new(Kind::Consult, format!("clerk-{number}"));
+    let test_request =
+        |number: usize| TestRequest::new(RequestKind::Consultation, format!("clerk-{number}"));
     let others = (0..8)
-        .map(|number| site.begin(number % 2, &ask(number), ""))
+        .map(|number| site.send(number % 2, &test_request(number), ""))
         .collect();
-    for bad in bad_requests() {
+    for bad_request in bad_requests() {
         assert_eq!(
-            send(site.entries[0].address, &bad).await,
-            bad.status,
+            send(site.entries[0].address, &bad_request).await,
+            bad_request.status,
             "{}",
-            bad.name
+            bad_request.name
         );
     }
     for process in site.entries.iter().chain(&site.agents) {
-        disturb(process.inner).await;
+        send_garbage(process.inner).await;
     }
-    all_whole(others).await;
-    all_whole(
+    expect_all_complete(others).await;
+    expect_all_complete(
         (8..16)
-            .map(|number| site.begin(number % 2, &ask(number), ""))
+            .map(|number| site.send(number % 2, &test_request(number), ""))
             .collect(),
     )
     .await;
     for process in site.entries.iter_mut().chain(&mut site.agents) {
-        assert!(process.child.runs());
+        assert!(process.child.is_running());
     }
 }
--- a/dev/proof/tests/keyed_calls.rs
+++ b/dev/proof/tests/keyed_calls.rs
@@ -1,37 +1,37 @@
 //! Calls with an idempotency key, which their caller sends again through the other entry.
 
-use proof::{Case, Ending, Fault, Kind, Repeat, Step, run_cases};
+use proof::{Case, Ending, Fault, Phase, Repeat, RequestKind, run_cases};
 
-use Ending::{Broken, Failed, Lost, NotRun, Unknown, Whole};
+use Ending::{Complete, Failed, Interrupted, Lost, NotRun, Unknown};
 use Fault::{
-    CallerLeaves, CutAnswer, FreezeAgent, FreezeEntry, KillAgent, KillEndpoint, KillEntry,
-    KillOtherEntry, LogOutage, LoseAnswer, LoseAppendAnswer,
+    CallerDisconnects, CutAnswer, KillAgent, KillEndpoint, KillEntry, KillOtherEntry, LogOutage,
+    LoseAnswer, LoseAppendAnswer, PauseAgent, PauseEntry,
 };
+use Phase::{Answered, Before, EntryPaused, Running};
 use Repeat::{After, AtOnce, During};
-use Step::{Answered, Asleep, Before, Running};
 
 const fn keyed(
     name: &'static str,
     faults: &'static [Fault],
-    at: Step,
-    ends: &'static [Ending],
+    phase: Phase,
+    allowed_endings: &'static [Ending],
     repeat: Repeat,
-    repeat_ends: &'static [Ending],
+    allowed_repeat_endings: &'static [Ending],
 ) -> Case {
     Case {
         name,
-        kind: Kind::Keyed,
+        kind: RequestKind::KeyedCheck,
         faults,
-        at,
-        ends,
+        phase,
+        allowed_endings,
         repeat,
-        repeat_ends,
+        allowed_repeat_endings,
     }
 }
 
-const WHOLE: &[Ending] = &[Whole];
+const COMPLETE: &[Ending] = &[Complete];
 /// What a caller may be told of a call that ran and has no answer.
-const TRUE: &[Ending] = &[Unknown, Failed];
+const MAY_HAVE_RUN: &[Ending] = &[Unknown, Failed];
 
 // The verifier sends the same check with the same key through both entries, together,
 // while the first runs, and after it. Whatever dies in between, the check runs once; the
@@ -44,91 +44,112 @@
             "repeat together",
             &[],
             Running,
-            &[Whole, Unknown],
+            &[Complete, Unknown],
             AtOnce,
-            WHOLE,
+            COMPLETE,
         ),
-        keyed("repeat while it runs", &[], Running, WHOLE, During, WHOLE),
-        keyed("repeat after", &[], Running, WHOLE, After, WHOLE),
+        keyed(
+            "repeat while it runs",
+            &[],
+            Running,
+            COMPLETE,
+            During,
+            COMPLETE,
+        ),
+        keyed("repeat after", &[], Running, COMPLETE, After, COMPLETE),
         keyed(
             "endpoint dies",
             &[KillEndpoint],
             Running,
-            TRUE,
+            MAY_HAVE_RUN,
             During,
-            TRUE,
+            MAY_HAVE_RUN,
         ),
         keyed(
             "endpoint dies, repeat after",
             &[KillEndpoint],
             Running,
-            TRUE,
+            MAY_HAVE_RUN,
             After,
-            TRUE,
+            MAY_HAVE_RUN,
+        ),
+        keyed(
+            "agent dies",
+            &[KillAgent],
+            Running,
+            MAY_HAVE_RUN,
+            During,
+            MAY_HAVE_RUN,
         ),
-        keyed("agent dies", &[KillAgent], Running, TRUE, During, TRUE),
         keyed(
             "agent wakes late",
-            &[FreezeAgent],
+            &[PauseAgent],
             Running,
-            WHOLE,
+            COMPLETE,
             During,
-            WHOLE,
+            COMPLETE,
         ),
         keyed(
             "entry wakes late",
-            &[FreezeEntry],
+            &[PauseEntry],
             Running,
-            WHOLE,
+            COMPLETE,
             After,
-            WHOLE,
+            COMPLETE,
         ),
         keyed(
             "entry sleeps, repeat at once",
             &[],
-            Asleep,
-            &[Whole, Unknown],
+            EntryPaused,
+            &[Complete, Unknown],
             AtOnce,
-            WHOLE,
+            COMPLETE,
         ),
         keyed(
             "entry sleeps, repeat after",
             &[],
-            Asleep,
-            WHOLE,
+            EntryPaused,
+            COMPLETE,
             After,
-            WHOLE,
+            COMPLETE,
         ),
         keyed(
             "answered to a paused entry",
             &[],
             Answered,
-            WHOLE,
+            COMPLETE,
             After,
-            WHOLE,
+            COMPLETE,
         ),
         keyed(
             "answer is cut",
             &[CutAnswer],
             Running,
-            &[Broken, Unknown, Failed],
+            &[Interrupted, Unknown, Failed],
             After,
-            TRUE,
+            MAY_HAVE_RUN,
+        ),
+        keyed(
+            "answer is lost",
+            &[LoseAnswer],
+            Running,
+            MAY_HAVE_RUN,
+            After,
+            MAY_HAVE_RUN,
         ),
-        keyed("answer is lost", &[LoseAnswer], Running, TRUE, After, TRUE),
         keyed(
             "caller leaves",
-            &[CallerLeaves],
+            &[CallerDisconnects],
             Running,
-            WHOLE,
+            COMPLETE,
             During,
-            WHOLE,
+            COMPLETE,
         ),
         keyed(
             "other entry dies",
             &[KillOtherEntry],
             Running,
-            WHOLE,
+            COMPLETE,
             Repeat::Never,
             &[],
         ),
@@ -143,14 +164,21 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn can_keep_a_key_whose_entry_died() {
     let failures = run_cases(&[
-        keyed("entry dies", &[KillEntry], Running, &[Lost], During, TRUE),
+        keyed(
+            "entry dies",
+            &[KillEntry],
+            Running,
+            &[Lost],
+            During,
+            MAY_HAVE_RUN,
+        ),
         keyed(
             "entry and agent die",
             &[KillEntry, KillAgent],
             Running,
             &[Lost],
             During,
-            TRUE,
+            MAY_HAVE_RUN,
         ),
         keyed(
             "entry dies, answered",
@@ -158,7 +186,7 @@
             Answered,
             &[Lost],
             During,
-            TRUE,
+            MAY_HAVE_RUN,
         ),
     ])
     .await;
@@ -183,7 +211,7 @@
             "log is out while it runs",
             &[LogOutage],
             Running,
-            WHOLE,
+            COMPLETE,
             Repeat::Never,
             &[],
         ),
@@ -191,25 +219,25 @@
             "claim's answer is lost",
             &[LoseAppendAnswer],
             Before,
-            WHOLE,
+            COMPLETE,
             After,
-            WHOLE,
+            COMPLETE,
         ),
         keyed(
             "end's answer is lost",
             &[LoseAppendAnswer],
             Running,
-            WHOLE,
+            COMPLETE,
             After,
-            WHOLE,
+            COMPLETE,
         ),
         keyed(
             "lost answers, agent wakes",
-            &[LoseAppendAnswer, FreezeAgent],
+            &[LoseAppendAnswer, PauseAgent],
             Running,
-            WHOLE,
+            COMPLETE,
             During,
-            WHOLE,
+            COMPLETE,
         ),
     ])
     .await;
--- a/dev/proof/tests/keyed_silent_log.rs
+++ b/dev/proof/tests/keyed_silent_log.rs
@@ -1,6 +1,6 @@
 //! A log that takes connections and says nothing.
 
-use proof::{Case, Ending, Fault, Kind, Repeat, Step, run_cases};
+use proof::{Case, Ending, Fault, Phase, Repeat, RequestKind, run_cases};
 
 // The verifier sees "not run" and a time to come back within the time of its request. The
 // claim's append is neither refused nor answered, so no claim can be read back, and what
@@ -9,12 +9,12 @@
 async fn errors_at_once_when_the_log_is_silent() {
     let case = Case {
         name: "log is silent",
-        kind: Kind::Keyed,
+        kind: RequestKind::KeyedCheck,
         faults: &[Fault::LogSilent],
-        at: Step::Before,
-        ends: &[Ending::NotRun],
+        phase: Phase::Before,
+        allowed_endings: &[Ending::NotRun],
         repeat: Repeat::Never,
-        repeat_ends: &[],
+        allowed_repeat_endings: &[],
     };
     let failures = run_cases(&[case]).await;
     assert!(failures.is_empty(), "{failures:#?}");
--- a/dev/proof/tests/plain_calls.rs
+++ b/dev/proof/tests/plain_calls.rs
@@ -1,37 +1,37 @@
 //! Plain calls under kills, freezes, lost and broken answers.
 
-use proof::{Case, Ending, Fault, Kind, Repeat, Step, run_cases};
+use proof::{Case, Ending, Fault, Phase, Repeat, RequestKind, run_cases};
 
-use Ending::{Broken, Failed, Lost, NotRun, Unknown, Whole};
+use Ending::{Complete, Failed, Interrupted, Lost, NotRun, Unknown};
 use Fault::{
-    CutAnswer, CutEndpoint, FreezeAgent, FreezeEntry, KillAgent, KillEndpoint, KillEntry,
-    KillOtherEntry, LoseAnswer, SilenceEndpoint, TruncateAnswer,
+    CutAnswer, CutEndpoint, KillAgent, KillEndpoint, KillEntry, KillOtherEntry, LoseAnswer,
+    PauseAgent, PauseEntry, SilenceEndpoint, TruncateAnswer,
 };
-use Step::{Answered, Asleep, Before, Running};
+use Phase::{Answered, Before, EntryPaused, Running};
 
 const fn case(
     name: &'static str,
-    kind: Kind,
+    kind: RequestKind,
     faults: &'static [Fault],
-    at: Step,
-    ends: &'static [Ending],
+    phase: Phase,
+    allowed_endings: &'static [Ending],
 ) -> Case {
     Case {
         name,
         kind,
         faults,
-        at,
-        ends,
+        phase,
+        allowed_endings,
         repeat: Repeat::Never,
-        repeat_ends: &[],
+        allowed_repeat_endings: &[],
     }
 }
 
-const WHOLE: &[Ending] = &[Whole];
+const COMPLETE: &[Ending] = &[Complete];
 /// An answer that has begun can only break off, and does so visibly.
-const BROKEN: &[Ending] = &[Broken, Unknown, Failed];
+const INTERRUPTED: &[Ending] = &[Interrupted, Unknown, Failed];
 /// What a caller may be told of a call that ran and may not run again.
-const TRUE: &[Ending] = &[Whole, Unknown, Failed];
+const MAY_HAVE_RUN: &[Ending] = &[Complete, Unknown, Failed];
 
 // The clerk sees the whole answer to his consultation whatever dies on the way, unless it
 // is the entry he talks to: a consultation may run again, so the entry sends it to another
@@ -39,28 +39,36 @@
 // up by its id.
 #[tokio::test(flavor = "multi_thread")]
 async fn can_answer_a_consultation_under_every_fault() {
-    let consult = |name, faults, at, ends| case(name, Kind::Consult, faults, at, ends);
+    let consult = |name, faults, phase, allowed_endings| {
+        case(
+            name,
+            RequestKind::Consultation,
+            faults,
+            phase,
+            allowed_endings,
+        )
+    };
     let failures = run_cases(&[
-        consult("no fault", &[], Running, WHOLE),
-        consult("endpoint dies before", &[KillEndpoint], Before, WHOLE),
-        consult("endpoint dies under it", &[KillEndpoint], Running, WHOLE),
-        consult("agent dies before", &[KillAgent], Before, WHOLE),
-        consult("agent dies under it", &[KillAgent], Running, WHOLE),
-        consult("agent wakes late before", &[FreezeAgent], Before, WHOLE),
-        consult("agent wakes late", &[FreezeAgent], Running, WHOLE),
-        consult("entry wakes late", &[FreezeEntry], Running, WHOLE),
+        consult("no fault", &[], Running, COMPLETE),
+        consult("endpoint dies before", &[KillEndpoint], Before, COMPLETE),
+        consult("endpoint dies under it", &[KillEndpoint], Running, COMPLETE),
+        consult("agent dies before", &[KillAgent], Before, COMPLETE),
+        consult("agent dies under it", &[KillAgent], Running, COMPLETE),
+        consult("agent wakes late before", &[PauseAgent], Before, COMPLETE),
+        consult("agent wakes late", &[PauseAgent], Running, COMPLETE),
+        consult("entry wakes late", &[PauseEntry], Running, COMPLETE),
         consult("entry dies under it", &[KillEntry], Running, &[Lost]),
-        consult("other entry dies", &[KillOtherEntry], Running, WHOLE),
-        consult("answered to a paused entry", &[], Answered, WHOLE),
-        consult("agent dies once answered", &[KillAgent], Answered, WHOLE),
-        consult("answer is cut", &[CutAnswer], Running, WHOLE),
-        consult("answer is truncated", &[TruncateAnswer], Running, WHOLE),
-        consult("answer is lost", &[LoseAnswer], Running, WHOLE),
+        consult("other entry dies", &[KillOtherEntry], Running, COMPLETE),
+        consult("answered to a paused entry", &[], Answered, COMPLETE),
+        consult("agent dies once answered", &[KillAgent], Answered, COMPLETE),
+        consult("answer is cut", &[CutAnswer], Running, COMPLETE),
+        consult("answer is truncated", &[TruncateAnswer], Running, COMPLETE),
+        consult("answer is lost", &[LoseAnswer], Running, COMPLETE),
         consult(
             "agent wakes, its endpoint dead",
-            &[KillEndpoint, FreezeAgent],
+            &[KillEndpoint, PauseAgent],
             Running,
-            WHOLE,
+            COMPLETE,
         ),
     ])
     .await;
@@ -72,14 +80,22 @@
 // answer is whole.
 #[tokio::test(flavor = "multi_thread")]
 async fn can_run_a_sanction_check_once_under_every_fault() {
-    let check = |name, faults, at, ends| case(name, Kind::Sanction, faults, at, ends);
+    let check = |name, faults, phase, allowed_endings| {
+        case(
+            name,
+            RequestKind::SanctionCheck,
+            faults,
+            phase,
+            allowed_endings,
+        )
+    };
     let failures = run_cases(&[
-        check("no fault", &[], Running, WHOLE),
+        check("no fault", &[], Running, COMPLETE),
         check(
             "endpoint dies before",
             &[KillEndpoint],
             Before,
-            &[Whole, NotRun],
+            &[Complete, NotRun],
         ),
         check(
             "endpoint dies under it",
@@ -87,22 +103,37 @@
             Running,
             &[Unknown, Failed],
         ),
-        check("agent dies before", &[KillAgent], Before, &[Whole, NotRun]),
+        check(
+            "agent dies before",
+            &[KillAgent],
+            Before,
+            &[Complete, NotRun],
+        ),
         check("agent dies under it", &[KillAgent], Running, &[Unknown]),
-        check("agent wakes late before", &[FreezeAgent], Before, WHOLE),
-        check("agent wakes late", &[FreezeAgent], Running, WHOLE),
-        check("entry wakes late", &[FreezeEntry], Running, WHOLE),
-        check("entry sleeps when it comes", &[], Asleep, WHOLE),
+        check("agent wakes late before", &[PauseAgent], Before, COMPLETE),
+        check("agent wakes late", &[PauseAgent], Running, COMPLETE),
+        check("entry wakes late", &[PauseEntry], Running, COMPLETE),
+        check("entry sleeps when it comes", &[], EntryPaused, COMPLETE),
         check("entry dies under it", &[KillEntry], Running, &[Lost]),
-        check("other entry dies", &[KillOtherEntry], Running, WHOLE),
-        check("answered to a paused entry", &[], Answered, WHOLE),
-        check("agent dies once answered", &[KillAgent], Answered, TRUE),
-        check("answer is cut", &[CutAnswer], Running, BROKEN),
-        check("answer is truncated", &[TruncateAnswer], Running, BROKEN),
+        check("other entry dies", &[KillOtherEntry], Running, COMPLETE),
+        check("answered to a paused entry", &[], Answered, COMPLETE),
+        check(
+            "agent dies once answered",
+            &[KillAgent],
+            Answered,
+            MAY_HAVE_RUN,
+        ),
+        check("answer is cut", &[CutAnswer], Running, INTERRUPTED),
+        check(
+            "answer is truncated",
+            &[TruncateAnswer],
+            Running,
+            INTERRUPTED,
+        ),
         check("answer is lost", &[LoseAnswer], Running, &[Unknown, Failed]),
         check(
             "agent wakes, its endpoint dead",
-            &[KillEndpoint, FreezeAgent],
+            &[KillEndpoint, PauseAgent],
             Running,
             &[Unknown, Failed],
         ),
@@ -116,20 +147,36 @@
 // is told in the time that he gave. A sanction check is never sent again.
 #[tokio::test(flavor = "multi_thread")]
 async fn can_tell_the_truth_over_broken_connections_to_endpoints() {
-    let consult = |name, faults, at, ends| case(name, Kind::Consult, faults, at, ends);
-    let check = |name, faults, at, ends| case(name, Kind::Sanction, faults, at, ends);
+    let consult = |name, faults, phase, allowed_endings| {
+        case(
+            name,
+            RequestKind::Consultation,
+            faults,
+            phase,
+            allowed_endings,
+        )
+    };
+    let check = |name, faults, phase, allowed_endings| {
+        case(
+            name,
+            RequestKind::SanctionCheck,
+            faults,
+            phase,
+            allowed_endings,
+        )
+    };
     let failures = run_cases(&[
-        consult("idle ones cut", &[CutEndpoint], Before, WHOLE),
-        consult("cut under it", &[CutEndpoint], Running, WHOLE),
+        consult("idle ones cut", &[CutEndpoint], Before, COMPLETE),
+        consult("cut under it", &[CutEndpoint], Running, COMPLETE),
         consult(
             "silent under it",
             &[SilenceEndpoint],
             Running,
-            &[Whole, Unknown],
+            &[Complete, Unknown],
         ),
-        check("idle ones cut", &[CutEndpoint], Before, WHOLE),
+        check("idle ones cut", &[CutEndpoint], Before, COMPLETE),
         check("cut under it", &[CutEndpoint], Running, &[Unknown, Failed]),
-        check("idle ones silent", &[SilenceEndpoint], Before, WHOLE),
+        check("idle ones silent", &[SilenceEndpoint], Before, COMPLETE),
         check("silent under it", &[SilenceEndpoint], Running, &[Unknown]),
     ])
     .await;
--- a/dev/proof/tests/traces.rs
+++ b/dev/proof/tests/traces.rs
@@ -99,8 +99,8 @@
             let current = ledger
                 .current(&CustomerName::new(words[0]).unwrap())
                 .unwrap();
-            let shown = format!("{} {} {}", words[0], current.version, current.id);
-            assert_eq!(shown, line, "{}", trace.name);
+            let current_line = format!("{} {} {}", words[0], current.version, current.id);
+            assert_eq!(current_line, line, "{}", trace.name);
         }
         for start in 0..records.len() {
             let mut later = Ledger::starting_at(records[start].0);
@@ -161,7 +161,7 @@
 
 fn call_event(words: &[&str]) -> AttemptEvent {
     let id = ID;
-    let number = |at: usize| words[at].parse::<u32>().unwrap();
+    let number = |index: usize| words[index].parse::<u32>().unwrap();
     let frame = match words[0] {
         "connected" => {
             return AttemptEvent::Connected {
--- a/dev/proof/tests/training.rs
+++ b/dev/proof/tests/training.rs
@@ -2,7 +2,7 @@
 //! promises: each slot once, the versions that its text tells, none older than the bound.
 
 use futures_util::future::join_all;
-use proof::{ProofError, Site, SiteSettings, exchange, page, until};
+use proof::{ProofError, Site, SiteSettings, exchange, status_page, wait_until};
 use standins::trainer::{self, TrainerReport, TrainerSettings};
 use standins::{Fault, FaultKind};
 use std::time::Duration;
@@ -11,13 +11,13 @@
 const STEPS: u64 = 3;
 const GROUPS: u32 = 3;
 const SAMPLES: u32 = 3;
-const FREEZE: Duration = Duration::from_millis(1_500);
+const PAUSE_DURATION: Duration = Duration::from_millis(1_500);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Trouble {
+enum Disruption {
     None,
     KillEntry(usize),
-    FreezeEntry(usize),
+    PauseEntry(usize),
     ReplaceBothEntries,
     KillAgent,
     CrashEngine,
@@ -35,15 +35,15 @@
 
 struct Case {
     name: &'static str,
-    trouble: Trouble,
+    disruption: Disruption,
     fencing: bool,
 }
 
-fn case(name: &'static str, trouble: Trouble) -> Case {
-    let fencing = trouble != Trouble::LateOldOrder;
+fn case(name: &'static str, disruption: Disruption) -> Case {
+    let fencing = disruption != Disruption::LateOldOrder;
     Case {
         name,
-        trouble,
+        disruption,
         fencing,
     }
 }
@@ -63,11 +63,11 @@
     }
 }
 
-async fn site(fencing: bool) -> Result<Site, ProofError> {
+async fn start_site(fencing: bool) -> Result<Site, ProofError> {
     Site::start(SiteSettings {
         services: 0,
         engines: 2,
-        scored: true,
+        has_scorer: true,
         fencing,
         ..SiteSettings::default()
     })
@@ -75,10 +75,10 @@
 }
 
 /// Waits until some engine runs a sample.
-async fn in_mid_step(site: &Site) -> Result<(), ProofError> {
-    until("a sample in progress", async || {
+async fn wait_until_sample_in_progress(site: &Site) -> Result<(), ProofError> {
+    wait_until("a sample in progress", async || {
         for agent in &site.agents[..site.engines.len()] {
-            let page = page(agent.admin).await.ok()?;
+            let page = status_page(agent.admin).await.ok()?;
             if page["in_progress"].as_u64()? > 0 {
                 return Some(());
             }
@@ -89,30 +89,33 @@
 }
 
 /// Faults that are there from the start.
-fn prepare(site: &Site, trouble: Trouble) {
+fn inject_initial_faults(site: &Site, disruption: Disruption) {
     let on_engines = |fault: &Fault| {
         site.engines
             .iter()
             .for_each(|engine| engine.fault(fault.clone()))
     };
-    match trouble {
-        Trouble::SwapFails => on_engines(&Fault::new(FaultKind::SwapFails).times(2)),
-        Trouble::SwapAnswerLost => {
+    match disruption {
+        Disruption::SwapFails => on_engines(&Fault::new(FaultKind::SwapFails).times(2)),
+        Disruption::SwapAnswerLost => {
             on_engines(
                 &Fault::new(FaultKind::AnswerLost)
                     .on("/engine/switch")
                     .times(2),
             );
         }
-        Trouble::CutAnswers => {
+        Disruption::CutAnswers => {
             let cut = Fault::new(FaultKind::Cut).on("/v1/completions").times(4);
-            on_engines(&Fault { after: 3, ..cut });
+            on_engines(&Fault {
+                second_report: 3,
+                ..cut
+            });
         }
-        Trouble::StoreBusy => site.store.fault(Fault::new(FaultKind::StoreRate).times(6)),
-        Trouble::ScorerFails => site
+        Disruption::StoreBusy => site.store.fault(Fault::new(FaultKind::StoreRate).times(6)),
+        Disruption::ScorerFails => site
             .scorer
             .fault(Fault::new(FaultKind::Outage).on("/score").times(8)),
-        Trouble::ScorerLate => {
+        Disruption::ScorerLate => {
             let slow = Fault::new(FaultKind::Slow).on("/score").times(8);
             site.scorer.fault(slow.delayed(1_200));
         }
@@ -121,33 +124,33 @@
 }
 
 /// Faults in the middle of a step.
-async fn strike(site: &mut Site, trouble: Trouble) -> Result<(), ProofError> {
-    in_mid_step(site).await?;
-    match trouble {
-        Trouble::KillEntry(at) => site.entries[at].child.kill()?,
-        Trouble::FreezeEntry(at) => {
-            site.entries[at].child.freeze()?;
-            tokio::time::sleep(FREEZE).await;
-            site.entries[at].child.thaw()?;
+async fn inject_faults(site: &mut Site, disruption: Disruption) -> Result<(), ProofError> {
+    wait_until_sample_in_progress(site).await?;
+    match disruption {
+        Disruption::KillEntry(index) => site.entries[index].child.kill()?,
+        Disruption::PauseEntry(index) => {
+            site.entries[index].child.pause()?;
+            tokio::time::sleep(PAUSE_DURATION).await;
+            site.entries[index].child.resume()?;
         }
-        Trouble::ReplaceBothEntries => {
-            for at in 0..2 {
-                site.entries[at].child.kill()?;
+        Disruption::ReplaceBothEntries => {
+            for index in 0..2 {
+                site.entries[index].child.kill()?;
             }
-            for at in 0..2 {
-                site.replace(|site| &mut site.entries[at]).await?;
+            for index in 0..2 {
+                site.restart(|site| &mut site.entries[index]).await?;
             }
         }
-        Trouble::KillAgent => site.agents[0].child.kill()?,
-        Trouble::CrashEngine => site.engines[0].crash(300),
-        Trouble::CrashEngineTwice => {
+        Disruption::KillAgent => site.agents[0].child.kill()?,
+        Disruption::CrashEngine => site.engines[0].crash(300),
+        Disruption::CrashEngineTwice => {
             site.engines[0].crash(300);
-            tokio::time::sleep(FREEZE / 3).await;
+            tokio::time::sleep(PAUSE_DURATION / 3).await;
             site.engines[1].crash(300);
         }
-        Trouble::LateOldOrder => order_old_version(site).await?,
-        Trouble::LogOutage => site.log.fault(Fault::new(FaultKind::Outage)),
-        Trouble::KillEntryInLogOutage => {
+        Disruption::LateOldOrder => send_outdated_order(site).await?,
+        Disruption::LogOutage => site.log.fault(Fault::new(FaultKind::Outage)),
+        Disruption::KillEntryInLogOutage => {
             site.log.fault(Fault::new(FaultKind::Outage));
             site.entries[0].child.kill()?;
         }
@@ -157,7 +160,7 @@
 }
 
 /// An order of an agent that was paused since the first version, arriving now.
-async fn order_old_version(site: &Site) -> Result<(), ProofError> {
+async fn send_outdated_order(site: &Site) -> Result<(), ProofError> {
     let order = serde_json::json!({"model": "redacteurs", "version": "0.0", "fence": 0});
     for engine in &site.engines {
         for path in ["/engine/load", "/engine/switch"] {
@@ -171,21 +174,22 @@
     Ok(())
 }
 
-async fn run(case: Case) -> Result<(), ProofError> {
-    let mut site = site(case.fencing).await?;
-    prepare(&site, case.trouble);
+async fn run_case(case: Case) -> Result<(), ProofError> {
+    let mut site = start_site(case.fencing).await?;
+    inject_initial_faults(&site, case.disruption);
     let settings = trainer(&site, 1, WeightVersion::default());
     let training = tokio::spawn(trainer::run(settings));
-    strike(&mut site, case.trouble).await?;
-    let broken = |how: String| ProofError::Broken(case.name.to_owned(), how);
-    let ended = training.await.map_err(|error| broken(error.to_string()))?;
-    judge(ended.map_err(|error| broken(error.to_string()))?).map_err(broken)
+    inject_faults(&mut site, case.disruption).await?;
+    let broken = |reason: String| ProofError::Violation(case.name.to_owned(), reason);
+    let outcome = training.await.map_err(|error| broken(error.to_string()))?;
+    check_report(outcome.map_err(|error| broken(error.to_string()))?).map_err(broken)
 }
 
-fn judge(report: TrainerReport) -> Result<(), String> {
-    let wanted = STEPS * u64::from(GROUPS * SAMPLES);
-    let whole = report.steps == STEPS && report.samples == wanted && report.faults.is_empty();
-    whole.then_some(()).ok_or_else(|| report.to_string())
+fn check_report(report: TrainerReport) -> Result<(), String> {
+    let expected_samples = STEPS * u64::from(GROUPS * SAMPLES);
+    let is_complete =
+        report.steps == STEPS && report.samples == expected_samples && report.faults.is_empty();
+    is_complete.then_some(()).ok_or_else(|| report.to_string())
 }
 
 // The trainer sees every step whole: each slot once, within the bound, with the versions
@@ -193,31 +197,31 @@
 // lost the step makes only what the cursor lacks.
 #[tokio::test(flavor = "multi_thread")]
 async fn can_deliver_whole_steps_under_every_fault() {
-    let ended = join_all([
-        run(case("no fault", Trouble::None)),
-        run(case("first entry dies", Trouble::KillEntry(0))),
-        run(case("second entry dies", Trouble::KillEntry(1))),
-        run(case("first entry wakes late", Trouble::FreezeEntry(0))),
-        run(case("second entry wakes late", Trouble::FreezeEntry(1))),
-        run(case(
+    let outcome = join_all([
+        run_case(case("no fault", Disruption::None)),
+        run_case(case("first entry dies", Disruption::KillEntry(0))),
+        run_case(case("second entry dies", Disruption::KillEntry(1))),
+        run_case(case("first entry wakes late", Disruption::PauseEntry(0))),
+        run_case(case("second entry wakes late", Disruption::PauseEntry(1))),
+        run_case(case(
             "both entries are replaced",
-            Trouble::ReplaceBothEntries,
+            Disruption::ReplaceBothEntries,
         )),
-        run(case("an agent dies", Trouble::KillAgent)),
-        run(case("an engine crashes", Trouble::CrashEngine)),
-        run(case(
+        run_case(case("an agent dies", Disruption::KillAgent)),
+        run_case(case("an engine crashes", Disruption::CrashEngine)),
+        run_case(case(
             "both engines crash in turn",
-            Trouble::CrashEngineTwice,
+            Disruption::CrashEngineTwice,
         )),
-        run(case("streams are cut", Trouble::CutAnswers)),
-        run(case("the log is out", Trouble::LogOutage)),
-        run(case(
+        run_case(case("streams are cut", Disruption::CutAnswers)),
+        run_case(case("the log is out", Disruption::LogOutage)),
+        run_case(case(
             "entry dies in a log outage",
-            Trouble::KillEntryInLogOutage,
+            Disruption::KillEntryInLogOutage,
         )),
     ])
     .await;
-    let failures: Vec<_> = ended.into_iter().filter_map(Result::err).collect();
+    let failures: Vec<_> = outcome.into_iter().filter_map(Result::err).collect();
     assert!(failures.is_empty(), "{failures:#?}");
 }
 
@@ -226,16 +230,19 @@
 // though the scorer fails or is late. The agent reads the version back after each order.
 #[tokio::test(flavor = "multi_thread")]
 async fn can_name_the_versions_through_failing_swaps_and_scorers() {
-    let ended = join_all([
-        run(case("swaps fail", Trouble::SwapFails)),
-        run(case("answers of swaps are lost", Trouble::SwapAnswerLost)),
-        run(case("old order, no fencing", Trouble::LateOldOrder)),
-        run(case("the store is busy", Trouble::StoreBusy)),
-        run(case("the scorer fails", Trouble::ScorerFails)),
-        run(case("the scorer is late", Trouble::ScorerLate)),
+    let outcome = join_all([
+        run_case(case("swaps fail", Disruption::SwapFails)),
+        run_case(case(
+            "answers of swaps are lost",
+            Disruption::SwapAnswerLost,
+        )),
+        run_case(case("old order, no fencing", Disruption::LateOldOrder)),
+        run_case(case("the store is busy", Disruption::StoreBusy)),
+        run_case(case("the scorer fails", Disruption::ScorerFails)),
+        run_case(case("the scorer is late", Disruption::ScorerLate)),
     ])
     .await;
-    let failures: Vec<_> = ended.into_iter().filter_map(Result::err).collect();
+    let failures: Vec<_> = outcome.into_iter().filter_map(Result::err).collect();
     assert!(failures.is_empty(), "{failures:#?}");
 }
 
@@ -243,9 +250,9 @@
 // version that he gave: no sample of the time before the roll-back comes any more.
 #[tokio::test(flavor = "multi_thread")]
 async fn can_go_on_after_a_roll_back() {
-    let site = site(true).await.unwrap();
-    let before = trainer::run(trainer(&site, 1, WeightVersion::default())).await;
-    judge(before.unwrap()).unwrap();
+    let site = start_site(true).await.unwrap();
+    let first_report = trainer::run(trainer(&site, 1, WeightVersion::default())).await;
+    check_report(first_report.unwrap()).unwrap();
     let request = control::Rollback {
         entry: site.entries[1].address,
         token: "office-operator-example",
@@ -256,6 +263,6 @@
     let answer: serde_json::Value = serde_json::from_str(&answer).unwrap();
     let version: WeightVersion = answer["version"].as_str().unwrap().parse().unwrap();
     assert_eq!((version.epoch, version.version), (1, 1));
-    let after = trainer::run(trainer(&site, STEPS + 1, version)).await;
-    judge(after.unwrap()).unwrap();
+    let second_report = trainer::run(trainer(&site, STEPS + 1, version)).await;
+    check_report(second_report.unwrap()).unwrap();
 }
