--- a/dev/checks/src/lib.rs
+++ b/dev/checks/src/lib.rs
@@ -1,34 +1,35 @@
-//! Generated tests that give the same verdict every time.
+//! Reproducible property-based tests.
 //!
-//! Cases come from a fixed seed, so that a run in CI never fails for a case that nobody
-//! else can see. Fresh cases are had by hand with another seed in [`SEED_VARIABLE`]; the
-//! seed is printed, and the test runner shows it where a test fails.
+//! Cases are generated from a fixed seed, so that a failure in CI can be reproduced anywhere.
+//! [`SEED_VARIABLE`] sets another seed to try other cases. Each test prints its seed, which the
+//! test runner shows if the test fails.
 
 use quickcheck::{Gen, QuickCheck, Testable};
 
-/// Environment variable with another seed, a number; for use by hand.
+/// Environment variable that overrides the seed with another number.
 pub const SEED_VARIABLE: &str = "HORNBEAMROCK_CHECK_SEED";
-/// Seed where none is set.
-const SEED: u64 = 7;
-/// Size of generated values; what `quickcheck` takes by itself.
+/// Seed if [`SEED_VARIABLE`] is unset or not a number.
+const DEFAULT_SEED: u64 = 7;
+/// Bound of the size of generated values; the default of `quickcheck`.
 const SIZE: usize = 100;
 
-/// The seed of this run.
+/// Seed of this run.
 pub fn seed() -> u64 {
     let set = std::env::var(SEED_VARIABLE).ok();
-    set.and_then(|text| text.parse().ok()).unwrap_or(SEED)
+    set.and_then(|text| text.parse().ok())
+        .unwrap_or(DEFAULT_SEED)
 }
 
-/// Checks a property with cases from the seed.
+/// Checks a property with cases generated from [`seed`]; panics if a case fails.
 pub fn check(property: impl Testable) {
     let seed = seed();
-    println!("cases come from {SEED_VARIABLE}={seed}");
+    println!("cases are generated with {SEED_VARIABLE}={seed}");
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(SIZE, seed))
         .quickcheck(property);
 }
 
-/// Makes a test of each property in it, as `quickcheck!` does, with cases from the seed.
+/// Defines a test for each property, like `quickcheck!`, with cases generated from [`seed`].
 #[macro_export]
 macro_rules! seeded {
     ($($(#[$meta:meta])* fn $name:ident($($arg:ident: $ty:ty),* $(,)?) -> $ret:ty $body:block)*) => {
--- a/dev/proof/src/caller.rs
+++ b/dev/proof/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller. It sends every request once, on a connection of its own.
+//! Client of an entry. It sends each request once, on a new connection.
 
 use std::net::SocketAddr;
 
@@ -10,26 +10,26 @@
 
 use crate::{ProofError, TestRequest};
 
-/// Longest exchange; only a request that hangs for good takes it.
+/// Time limit of a request; reached only by a request that hangs.
 const DEADLINE_MS: u64 = 40_000;
 const OK: u16 = 200;
 
-/// How a request ended, as its caller sees it.
+/// How a request ended from the caller's point of view.
 #[key]
 pub enum Ending {
-    /// A whole answer.
+    /// A complete answer.
     Complete,
-    /// A refusal that says that it did not run.
+    /// A problem document stating that the request did not run.
     NotRun,
-    /// An answer that says that it may have run.
+    /// A problem document stating that the request may have run.
     Unknown,
-    /// An answer that says that it ran and failed.
+    /// A problem document stating that the request ran and failed.
     Failed,
-    /// An answer that began and visibly broke off.
+    /// An answer that started and ended with a detectable error.
     Interrupted,
-    /// An answer that ends as if it were over, and is not whole or another's.
+    /// An answer that ended regularly but is incomplete or belongs to another request.
     Truncated,
-    /// A connection that ended without a word.
+    /// No answer, or a problem document without a known outcome.
     Lost,
 }
 
@@ -44,18 +44,18 @@
     }
 }
 
-/// What a caller got.
+/// Answer to a request, as far as the caller received it.
 #[value]
 pub struct Answer {
-    /// How it ended.
+    /// Classification of the answer.
     pub ending: Ending,
     /// HTTP status; 0 without an answer.
     pub status: u16,
-    /// Cause that the system stated.
+    /// `cause` of the problem document; empty without one.
     pub cause: String,
-    /// Whether a time to come back was stated.
+    /// Whether the answer has a `retry-after` header.
     pub has_retry_after: bool,
-    /// The body as far as it came.
+    /// The body as far as it was received.
     pub body: Vec<u8>,
 }
 
@@ -67,47 +67,47 @@
     cause: String,
 }
 
-/// A request under way.
+/// A request in progress.
 pub struct Pending {
     task: JoinHandle<Answer>,
     bytes: watch::Receiver<usize>,
 }
 
 impl Pending {
-    /// Waits until so many bytes of the answer's body have come, or its end.
+    /// Waits until at least `bytes` bytes of the answer's body were received, or the answer ended.
     pub async fn wait_for_bytes(&mut self, bytes: usize) {
-        // The sender is gone when the answer has ended.
+        // An error means that the sender was dropped because the answer has ended.
         let _ = self.bytes.wait_for(|got| *got >= bytes).await;
     }
 
-    /// Whether the answer has not ended.
+    /// Whether the answer is still being received.
     pub fn is_pending(&self) -> bool {
         !self.task.is_finished()
     }
 
-    /// Goes away: closes the connection.
+    /// Closes the connection without waiting for the answer.
     pub fn abandon(self) {
         self.task.abort();
     }
 
-    /// Waits for the end.
+    /// Waits until the answer has ended.
     pub async fn answer(self) -> Result<Answer, ProofError> {
         self.task
             .await
-            .map_err(|_| ProofError::Ended("the caller".to_owned()))
+            .map_err(|_| ProofError::Ended("the caller's task".to_owned()))
     }
 }
 
-/// A caller of one entry.
+/// A client of one entry.
 pub struct Caller(SocketAddr);
 
 impl Caller {
-    /// A caller of the entry at this public address.
+    /// Creates a client of the entry at this public address.
     pub fn new(entry: SocketAddr) -> Caller {
         Caller(entry)
     }
 
-    /// Sends a request; `text` is the text that a whole completion must have.
+    /// Sends a request; `text` is the text that a complete completion must have.
     pub fn send(&self, test_request: TestRequest, text: String) -> Pending {
         let (progress, bytes) = watch::channel(0);
         let endpoint = Endpoint::new(self.0, EndpointSettings::default());
@@ -161,7 +161,7 @@
         true if head.status == OK && test_request.is_complete_answer(&answer.body, text) => {
             return complete(answer);
         }
-        // A short answer with a clean end is the worst: its caller takes it for whole.
+        // The worst failure: the caller takes a truncated answer with a regular end for complete.
         true => Ending::Truncated,
         false => Ending::Interrupted,
     };
@@ -179,7 +179,7 @@
     }
 }
 
-/// The problem document that is the body, or the last event of a stream.
+/// Parses the problem document in the body or in the `error` event at the end of a stream.
 fn problem(body: &[u8]) -> Option<Problem> {
     let text = String::from_utf8_lossy(body);
     let document = match text.split_once("event: error\ndata: ") {
--- a/dev/proof/src/child.rs
+++ b/dev/proof/src/child.rs
@@ -1,19 +1,19 @@
-//! A real process of the system; killed and waited for when it is dropped.
+//! A child process that runs one of the product's programs; killed when dropped.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitStatus, Stdio};
 
 use crate::{ProofError, wait_until};
 
-/// A running process.
+/// Handle of a child process; dropping the handle kills the process and waits for its end.
 pub struct Child {
     name: &'static str,
     process: std::process::Child,
 }
 
 impl Child {
-    /// Starts a program that stands beside the test executable's folder. Its log lines go
-    /// to `log`.
+    /// Starts a program from the target folder of the test executable. Its output is appended to
+    /// the file `log`.
     pub fn start(name: &'static str, args: &[String], log: &Path) -> Result<Child, ProofError> {
         let lines = std::fs::OpenOptions::new()
             .create(true)
@@ -28,34 +28,34 @@
         Ok(Child { name, process })
     }
 
-    /// Ends it at once, without a chance to say anything.
+    /// Kills the process without a graceful shutdown.
     pub fn kill(&mut self) -> Result<(), ProofError> {
         self.process.kill()?;
         self.process.wait()?;
         Ok(())
     }
 
-    /// Stops it where it stands; its sockets stay open.
+    /// Pauses the process; its sockets stay open.
     pub fn pause(&self) -> Result<(), ProofError> {
         self.signal("-STOP")
     }
 
-    /// Lets a frozen process run on.
+    /// Resumes a paused process.
     pub fn resume(&self) -> Result<(), ProofError> {
         self.signal("-CONT")
     }
 
-    /// Asks it to leave.
+    /// Requests a graceful shutdown.
     pub fn terminate(&self) -> Result<(), ProofError> {
         self.signal("-TERM")
     }
 
-    /// Whether it still runs.
+    /// Whether the process has not ended; a paused process counts as running.
     pub fn is_running(&mut self) -> bool {
         matches!(self.process.try_wait(), Ok(None))
     }
 
-    /// Waits for its end.
+    /// Waits until the process ends and returns its exit status.
     pub async fn wait_until_ended(&mut self) -> Result<ExitStatus, ProofError> {
         let what = format!("the end of {}", self.name);
         wait_until(&what, async || self.process.try_wait().ok().flatten()).await
@@ -73,7 +73,7 @@
 
 impl Drop for Child {
     fn drop(&mut self) {
-        // It may have ended already; then there is nothing left to end.
+        // Both calls fail harmlessly if the process has already ended.
         let _ = self.process.kill();
         let _ = self.process.wait();
     }
@@ -82,7 +82,11 @@
 fn program(name: &str) -> Result<PathBuf, ProofError> {
     let test = std::env::current_exe()?;
     let folder = test.parent().and_then(Path::parent);
-    let missing = || ProofError::TimedOut(format!("{name}: cargo build --workspace --bins"));
+    let missing = || {
+        ProofError::NotFound(format!(
+            "the program {name}; run cargo build --workspace --bins"
+        ))
+    };
     let program = folder.ok_or_else(missing)?.join(name);
     match program.exists() {
         true => Ok(program),
--- a/dev/proof/src/error.rs
+++ b/dev/proof/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a proof could not be run, or what it found.
+//! Errors of the end-to-end tests.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,52 +9,52 @@
 use standins::StandinError;
 
 quick_error! {
-    /// Why a proof could not be run, or what it found.
+    /// Why a test could not run, or which promise of the product it found violated.
     #[derive(Debug)]
     pub enum ProofError {
-        /// A process, file or socket.
+        /// An operation on a process, file or socket failed.
         Io(err: io::Error) {
             display("{}", err)
             from()
             source(err)
         }
-        /// A stand-in does not start.
+        /// A stand-in did not start.
         Standin(err: StandinError) {
             display("{}", err)
             from()
             source(err)
         }
-        /// An exchange with a process or stand-in.
+        /// A request to a process or stand-in failed.
         Request(err: PlatformError) {
             display("{}", err)
             from()
             source(err)
         }
-        /// A command of an operator.
+        /// An operator's command failed.
         Control(err: ControlError) {
             display("{}", err)
             from()
             source(err)
         }
-        /// An answer that is not the JSON it must be.
+        /// An answer is not the expected JSON.
         Json(err: serde_json::Error) {
-            display("not JSON: {}", err)
+            display("cannot parse an answer as JSON: {}", err)
             from()
             source(err)
         }
-        /// An address answers with another status than it must.
+        /// An address answered with a status other than 2xx.
         Status(address: SocketAddr, status: u16) {
-            display("{} answers with status {}", address, status)
+            display("{} answered with status {}, expected 2xx", address, status)
         }
-        /// A process ended that has to run.
+        /// A process or task ended that should still run.
         Ended(what: String) {
-            display("{} ended", what)
+            display("{} ended unexpectedly", what)
         }
-        /// An event did not come in the tries that were given it.
-        TimedOut(what: String) {
-            display("not seen: {}", what)
+        /// An expected object was not found, or an expected event did not occur in time.
+        NotFound(what: String) {
+            display("not found in time: {}", what)
         }
-        /// A promise is broken.
+        /// The product violated a promise in a case.
         Violation(case: String, how: String) {
             display("{}: {}", case, how)
         }
--- a/dev/proof/src/fault.rs
+++ b/dev/proof/src/fault.rs
@@ -1,5 +1,5 @@
-//! The fault matrix: one driver that puts faults at a step of a request and holds what
-//! came of it against the endpoints' own count of runs.
+//! The fault matrix: a driver that injects faults at a phase of a request and compares the
+//! caller's answers with the number of runs that the endpoints counted.
 
 use std::time::Duration;
 
@@ -14,49 +14,49 @@
     status_page, wait_until,
 };
 
-/// Time that a plain call runs, long enough for a fault in its middle.
+/// Duration of a plain call, long enough to inject a fault while the call runs.
 const SERVICE_MS: u64 = 900;
-/// Time scale of engines, so that an opinion takes about a second.
+/// Time scale of the engines, with which a completion takes about a second.
 const SCALE_PERMILLE: u32 = 4_000;
-/// A freeze outlives the deadline of a ping, so that the links count as silent.
+/// Longer than the timeout of a ping, so that peers consider the links of a paused process lost.
 const PAUSE_DURATION: Duration = Duration::from_millis(1_800);
 const REPEAT_INTERVAL: Duration = Duration::from_millis(250);
 const REPEATS_MAX: u32 = 120;
 const STREAMED_BYTES_MIN: usize = 400;
 const DOWN_MS: u64 = 400;
 
-/// What goes wrong. "The agent" and "the endpoint" are those that carry the request.
+/// An injected fault. "The agent" and "the endpoint" are those that handle the request.
 #[key]
 pub enum Fault {
-    /// The endpoint's connections are cut and it is away for a moment.
+    /// The endpoint crashes: its connections are closed and it refuses new ones for a short time.
     KillEndpoint,
-    /// The agent dies.
+    /// The agent is killed.
     KillAgent,
-    /// The entry that the caller talks to dies.
+    /// The entry that has the caller's connection is killed.
     KillEntry,
-    /// The other entry dies.
+    /// The other entry is killed.
     KillOtherEntry,
-    /// The agent is paused and wakes again.
+    /// The agent is paused and resumed.
     PauseAgent,
-    /// The entry that the caller talks to is paused and wakes again.
+    /// The entry that has the caller's connection is paused and resumed.
     PauseEntry,
-    /// One answer of an endpoint is cut in its middle.
+    /// The connection is closed in the middle of one answer of an endpoint.
     CutAnswer,
-    /// One answer of an endpoint ends too early, as if it were over.
+    /// One answer of an endpoint ends early, with a regular end.
     TruncateAnswer,
-    /// One answer of an endpoint is lost after the work was done.
+    /// One answer of an endpoint is lost after the endpoint ran the request.
     LoseAnswer,
-    /// The log answers 503.
+    /// The log answers each request with status 503.
     LogOutage,
-    /// The log takes connections and says nothing.
+    /// The log accepts connections and never answers.
     LogSilent,
-    /// The log takes the claim, and its answer is lost.
+    /// The log appends a record of the claim's shard, and its answer is lost.
     LoseAppendAnswer,
-    /// The endpoint's open connections are cut; it lives and takes new ones.
+    /// The open connections between agents and endpoints are closed; new ones work.
     CutEndpoint,
-    /// The endpoint's open connections go silent for good; it takes new ones.
+    /// The open connections between agents and endpoints carry no more data; new ones work.
     SilenceEndpoint,
-    /// The caller goes away.
+    /// The caller closes its connection.
     CallerDisconnects,
 }
 
@@ -66,60 +66,63 @@
     }
 }
 
-/// When it goes wrong.
+/// When the faults are injected.
 #[key]
 pub enum Phase {
     /// Before the request is sent.
     Before,
-    /// While the endpoint runs it.
+    /// While the endpoint runs the request.
     Running,
-    /// While its answer is streamed.
+    /// While the answer is streamed, after its first bytes reached the caller.
     Streaming,
-    /// While the entry, paused, has it only in its socket; it wakes later.
+    /// The entry is paused before the request is sent and resumed later, so that the request waits
+    /// in the entry's socket.
     EntryPaused,
-    /// When it is answered and the entry, paused, has not taken the answer.
+    /// The entry is paused while the endpoint runs the request and answers; the faults follow
+    /// before the entry reads the answer.
     Answered,
 }
 
-/// When the caller sends it again through the other entry.
+/// When the caller repeats the request through the other entry.
 #[key]
 pub enum Repeat {
-    /// Not at all.
+    /// The caller does not repeat the request.
     Never,
-    /// Together with the first.
+    /// Right after the first request was sent.
     AtOnce,
-    /// While the first one runs.
+    /// After the faults, without waiting for the first answer.
     During,
-    /// When the first one has ended.
+    /// After the first answer has ended.
     After,
 }
 
-/// One case of the matrix.
+/// A case of the fault matrix.
 #[value]
 pub struct Case {
-    /// What happens.
+    /// Description for failure messages.
     pub name: &'static str,
-    /// What is asked.
+    /// Kind of the request that is sent.
     pub kind: RequestKind,
-    /// What goes wrong, in this order.
+    /// Faults to inject, in this order.
     pub faults: &'static [Fault],
-    /// When.
+    /// When the faults are injected.
     pub phase: Phase,
-    /// How the request may end.
+    /// Endings that the first request may have.
     pub allowed_endings: &'static [Ending],
-    /// When the caller repeats it.
+    /// When the request is repeated.
     pub repeat: Repeat,
-    /// How the last of the repeats may end.
+    /// Endings that the last repeat may have.
     pub allowed_repeat_endings: &'static [Ending],
 }
 
-/// Runs all cases, several at a time; gives the failures.
+/// Runs all cases, several at the same time, and returns the failures.
 pub async fn run_cases(cases: &[Case]) -> Vec<ProofError> {
     let ended = join_all(cases.iter().cloned().map(run_case)).await;
     ended.into_iter().filter_map(Result::err).collect()
 }
 
-/// Runs one case. Errors when the request ends otherwise than it may, or not honestly.
+/// Runs a case. Errors if the request has an ending that is not allowed, ran more often than
+/// allowed, or got an answer that contradicts the number of its runs.
 pub async fn run_case(case: Case) -> Result<(), ProofError> {
     let mut run = Run::start(case).await?;
     let answers = run.run_requests().await?;
@@ -210,7 +213,7 @@
         self.site.send(entry, &self.test_request, &self.text)
     }
 
-    /// The caller comes back as long as it is told that its key is taken.
+    /// Repeats the request until an answer is final, as a caller does while its key is in use.
     async fn repeat_until_final(&self, repeats: &mut Vec<Answer>) -> Result<(), ProofError> {
         for _ in 0..REPEATS_MAX {
             if repeats.last().is_some_and(is_final) {
@@ -222,7 +225,7 @@
         Err(self.violation(format!("no final answer, last {:?}", repeats.last())))
     }
 
-    /// Faults that wait for their request.
+    /// Injects the faults that endpoints apply to an answer of theirs.
     fn inject_endpoint_faults(&self) {
         let once = |kind| StandinFault::new(kind).times(1).on(self.endpoint_path());
         for fault in self.case.faults {
@@ -232,7 +235,8 @@
                 Fault::LoseAnswer => FaultKind::AnswerLost,
                 _ => continue,
             };
-            // Either endpoint may get the request, and a second one must not fail again.
+            // Either endpoint may get the request. Each applies the fault once, so that a second
+            // request there succeeds.
             for endpoint in self.site.services.iter().chain(&self.site.engines) {
                 endpoint.fault(StandinFault {
                     after: 4,
@@ -250,7 +254,7 @@
         }
     }
 
-    /// The agent that has the request in progress.
+    /// Waits until an agent has the request in progress and returns the agent's index.
     async fn carrying_agent(&self) -> Result<usize, ProofError> {
         let plain = !self.case.kind.is_completion();
         wait_until("an agent with the request", async || {
@@ -298,7 +302,7 @@
     }
 
     fn claim_path(&self) -> Result<String, ProofError> {
-        let invalid = |_| ProofError::TimedOut("the customer's name".to_owned());
+        let invalid = |_| ProofError::NotFound("a valid name of the customer".to_owned());
         let office = CustomerName::new("office").map_err(invalid)?;
         let key = KeyDigest::of(&office, &self.test_request.tag);
         let shard = shard_of(key, ClaimSettings::default().shards);
@@ -318,21 +322,29 @@
             answer.is_none_or(|a| allowed_endings.contains(&a.ending))
         };
         if !is_allowed(self.case.allowed_endings, answers.first.as_ref()) {
-            return Err(self.violation(format!("ends otherwise than it may: {summary}")));
+            return Err(self.violation(format!(
+                "the request has an ending that is not allowed: {summary}"
+            )));
         }
         if self.case.repeat != Repeat::Never
             && !is_allowed(self.case.allowed_repeat_endings, answers.repeats.last())
         {
-            return Err(self.violation(format!("the repeat ends otherwise than it may: {summary}")));
+            return Err(self.violation(format!(
+                "the repeat has an ending that is not allowed: {summary}"
+            )));
         }
         let all: Vec<&Answer> = answers.first.iter().chain(&answers.repeats).collect();
         let any_not_run = all.iter().any(|answer| answer.ending == Ending::NotRun);
         let any_other = all.iter().any(|answer| answer.ending != Ending::NotRun);
         if any_not_run && !any_other && runs > 0 && !self.case.kind.is_completion() {
-            return Err(self.violation(format!("\"not run\" for a call that ran: {summary}")));
+            return Err(self.violation(format!(
+                "answered \"not run\" for a call that ran: {summary}"
+            )));
         }
         if all.iter().any(|answer| answer.ending == Ending::Complete) && runs == 0 {
-            return Err(self.violation(format!("an answer that no endpoint gave: {summary}")));
+            return Err(self.violation(format!(
+                "complete answer to a call that no endpoint ran: {summary}"
+            )));
         }
         Ok(())
     }
--- a/dev/proof/src/lib.rs
+++ b/dev/proof/src/lib.rs
@@ -1,5 +1,5 @@
-//! A site of real processes on loopback, with stand-ins for the outside systems, and the
-//! driver of the fault matrix. Never shipped.
+//! End-to-end tests: a site of real processes on loopback, with stand-ins for the external
+//! systems, and the driver of the fault matrix. Not part of a release.
 
 mod caller;
 mod child;
--- a/dev/proof/src/polling.rs
+++ b/dev/proof/src/polling.rs
@@ -1,14 +1,14 @@
-//! Waiting for an event by looking for it, a bounded number of times.
+//! Waiting for a condition by polling a bounded number of times.
 
 use std::time::Duration;
 
 use crate::ProofError;
 
-/// Looks until an event counts as missing.
+/// Number of polls after which [`wait_until`] gives an error.
 pub const POLLS_MAX: u32 = 1_200;
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Looks until there is something to see. Errors with `what` when there never is.
+/// Polls until `poll` returns a value. Errors with `what` after [`POLLS_MAX`] polls without one.
 pub async fn wait_until<T>(
     what: &str,
     mut poll: impl AsyncFnMut() -> Option<T>,
@@ -19,5 +19,5 @@
         }
         tokio::time::sleep(POLL_INTERVAL).await;
     }
-    Err(ProofError::TimedOut(what.to_owned()))
+    Err(ProofError::NotFound(what.to_owned()))
 }
--- a/dev/proof/src/ports.rs
+++ b/dev/proof/src/ports.rs
@@ -1,6 +1,6 @@
-//! Free ports, found by binding port 0. Another process may take one before its user
-//! binds it, so whoever uses them tries again. None is given twice: two sites that start
-//! together would each take the other's process for its own.
+//! Free ports, found by binding port 0. Another process may bind a port before it is used, so
+//! callers must retry with another one. A port is never returned twice: otherwise two sites that
+//! start at the same time could each mistake the other's process for their own.
 
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, UdpSocket};
@@ -11,7 +11,7 @@
 const ATTEMPTS_MAX: u32 = 64;
 static RESERVED: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
 
-/// An address on loopback whose port was free for TCP and UDP a moment ago.
+/// Returns a loopback address whose port was free for TCP and UDP when it was checked.
 pub fn free_port() -> Result<SocketAddr, ProofError> {
     for _ in 0..ATTEMPTS_MAX {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
@@ -21,7 +21,7 @@
             return Ok(address);
         }
     }
-    Err(ProofError::TimedOut(
+    Err(ProofError::NotFound(
         "a port free for TCP and UDP".to_owned(),
     ))
 }
--- a/dev/proof/src/relay.rs
+++ b/dev/proof/src/relay.rs
@@ -1,5 +1,5 @@
-//! A relay for TCP connections, whose open ones can be cut or go silent while new ones
-//! work, as when something on the way has lost track of them.
+//! TCP relay that can close or silence its open connections while new ones work, as when a
+//! network device between two processes loses the state of its connections.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -11,25 +11,25 @@
 
 use crate::ProofError;
 
-/// What becomes of the open connections.
+/// How open connections are broken.
 #[key]
 pub enum BreakMode {
-    /// They are closed at both ends.
+    /// Both ends are closed.
     Cut,
-    /// They stay open and carry nothing any more.
+    /// Both ends stay open, but no more data is forwarded.
     Silent,
 }
 
-/// A running relay; dropped, it closes everything.
+/// A running relay; dropping it closes its listener and all its connections.
 pub struct Relay {
-    /// Where it listens.
+    /// Address on which the relay listens.
     pub address: SocketAddr,
     change: watch::Sender<Option<BreakMode>>,
     task: JoinHandle<()>,
 }
 
 impl Relay {
-    /// Passes everything on to `to`.
+    /// Starts a relay that forwards each connection to `to`.
     pub async fn start(to: SocketAddr) -> Result<Relay, ProofError> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
--- a/dev/proof/src/site.rs
+++ b/dev/proof/src/site.rs
@@ -1,5 +1,5 @@
-//! A site: stand-ins in this process, two entries and one agent beside each endpoint as
-//! processes of their own.
+//! A site for tests: stand-ins run in the test's process, two entries and one agent per endpoint
+//! as separate processes.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -32,28 +32,28 @@
 const DOMAINS: [&str; 3] = ["rennes-a", "brest-b", "vannes-c"];
 const REGION: &str = "bretagne";
 const STARTS_MAX: u32 = 5;
-/// Sites at a time, so that a table of cases starts no crowd of processes.
+/// Limits the sites that run at the same time, as each case of a table starts several processes.
 static SITES: Semaphore = Semaphore::const_new(6);
 static SITE_NUMBER: AtomicU64 = AtomicU64::new(0);
 
-/// What a site consists of.
+/// Number and behaviour of the parts of a site.
 #[value]
 pub struct SiteSettings {
-    /// Plain services of the pool `guichet`.
+    /// Number of plain services in the pool `guichet`.
     pub services: usize,
-    /// Time of one of their calls.
+    /// Duration of a call at a plain service.
     pub service_ms: u64,
-    /// Engines of the pool `redacteurs`.
+    /// Number of engines in the pool `redacteurs`.
     pub engines: usize,
-    /// Time scale of the engines.
+    /// Factor on the engines' durations, in thousandths; larger is slower.
     pub scale_permille: u32,
-    /// Whether the engines check fencing numbers.
+    /// Whether the engines check fencing tokens.
     pub fencing: bool,
-    /// Whether there is a scorer.
+    /// Whether an agent for the scorer is started.
     pub has_scorer: bool,
-    /// How long a leaving entry or agent takes new work.
+    /// How long an entry or agent that leaves still accepts new work.
     pub settle_ms: u64,
-    /// Whether relays stand between agents and endpoints.
+    /// Whether agents reach their endpoints through relays, whose connections tests can break.
     pub has_relays: bool,
     /// Log level of the processes.
     pub log_level: &'static str,
@@ -75,40 +75,40 @@
     }
 }
 
-/// An entry or an agent with its addresses.
+/// An entry or agent process with its addresses.
 pub struct Process {
-    /// The process; `None` once it was killed for good.
+    /// Handle of the process, which may have been killed.
     pub child: Child,
-    /// Address for callers; that of the endpoint for an agent.
+    /// Public address of an entry; for an agent the address at which it reaches its endpoint.
     pub address: SocketAddr,
-    /// Address for the system's own processes.
+    /// Address for entries and agents.
     pub inner: SocketAddr,
-    /// Address for operators.
+    /// Address of the admin interface.
     pub admin: SocketAddr,
     name: &'static str,
     args: Vec<String>,
     vm: Vm,
 }
 
-/// A running site.
+/// A running site; dropping it ends its processes and stand-ins.
 pub struct Site {
-    /// The log.
+    /// Stand-in of the log service.
     pub log: Handle,
-    /// The VM list.
+    /// Stand-in of the platform's VM list.
     pub vms: Handle,
-    /// The weight store.
+    /// Stand-in of the weight store.
     pub store: Handle,
-    /// The scorer.
+    /// Stand-in of the scorer, which always runs but has an agent only with `has_scorer`.
     pub scorer: Handle,
-    /// The plain services.
+    /// Stand-ins of plain services.
     pub services: Vec<Handle>,
-    /// The engines.
+    /// Stand-ins of engines.
     pub engines: Vec<Handle>,
-    /// Relays in front of the services and engines, if there are any.
+    /// Relays in front of the services, then of the engines; empty without `has_relays`.
     pub relays: Vec<Relay>,
-    /// The entries.
+    /// Two entries, and those started with [`Site::add_entry`].
     pub entries: Vec<Process>,
-    /// The agents: those of the plain services, of the engines, of the scorer.
+    /// Agents of the plain services, then of the engines, then of the scorer.
     pub agents: Vec<Process>,
     settings: SiteSettings,
     folder: PathBuf,
@@ -119,13 +119,14 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
-/// The text of the Office, as the examples have it.
+/// Path of the example configuration of the customer `office`.
 pub fn office_config() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../examples/office.toml")
 }
 
 impl Site {
-    /// Starts a site with the Office's text in force and every replica known.
+    /// Starts a site and waits until the example configuration is active in all processes and the
+    /// entries know every replica.
     pub async fn start(settings: SiteSettings) -> Result<Site, ProofError> {
         let mut site = Site::start_standins(settings).await?;
         for _ in 0..2 {
@@ -138,10 +139,10 @@
         Ok(site)
     }
 
-    /// The stand-ins alone.
+    /// Starts the stand-ins of a site without any entry or agent.
     async fn start_standins(settings: SiteSettings) -> Result<Site, ProofError> {
         let permit = SITES.acquire().await;
-        let permit = permit.map_err(|_| ProofError::Ended("the count of sites".to_owned()))?;
+        let permit = permit.map_err(|_| ProofError::Ended("the semaphore of sites".to_owned()))?;
         let number = SITE_NUMBER.fetch_add(1, Ordering::Relaxed);
         let name = format!("hornbeamrock-proof-{}-{number}", std::process::id());
         let folder = std::env::temp_dir().join(name);
@@ -272,7 +273,7 @@
         let log = std::fs::read_to_string(self.folder.join(format!("{name}-{index}")))?;
         let last = log.lines().last().unwrap_or_default();
         Err(ProofError::Ended(format!(
-            "{name}, right after its start: {last}"
+            "{name} at its start, last log line {last:?},"
         )))
     }
 
@@ -294,7 +295,7 @@
             .collect()
     }
 
-    /// Starts a process again at its addresses, as a VM that was replaced.
+    /// Starts a new process with the arguments of one that ended, as when a VM is replaced.
     pub async fn restart(
         &mut self,
         which: impl Fn(&mut Site) -> &mut Process,
@@ -308,7 +309,7 @@
         }
     }
 
-    /// Puts a process on the VM list.
+    /// Adds the VM of a process to the VM list, or changes its state there.
     pub async fn set_vm_state(&self, process: &Process, state: VmState) -> Result<(), ProofError> {
         let change = VmsChange {
             set: vec![Vm {
@@ -329,7 +330,7 @@
         Ok(())
     }
 
-    /// Admin addresses of all processes.
+    /// Admin addresses of all entries, then of all agents.
     pub fn admin_addresses(&self) -> Vec<SocketAddr> {
         self.entries
             .iter()
@@ -338,12 +339,12 @@
             .collect()
     }
 
-    /// A client of the log.
+    /// Creates a client of the log.
     pub fn log_client(&self) -> LogClient {
         LogClient::new(self.log.address, &ClientSettings::default())
     }
 
-    /// Publishes a text as an operator does.
+    /// Publishes a configuration file in the way of the operator's tool.
     pub async fn publish(&self, path: &std::path::Path) -> Result<Published, ProofError> {
         let log = self.log_client();
         let mut history = read_history(&log).await?;
@@ -355,7 +356,8 @@
         Ok(publish(&log, &mut history, &checked, &settings, |_| {}).await?)
     }
 
-    /// A copy of the Office's text, changed.
+    /// Writes a copy of the example configuration in which the first `from` is replaced by `to`,
+    /// and returns its path.
     pub fn changed_text(&self, name: &str, from: &str, to: &str) -> Result<PathBuf, ProofError> {
         let text = std::fs::read_to_string(office_config())?;
         let path = self.folder.join(name);
@@ -363,10 +365,10 @@
         Ok(path)
     }
 
-    /// Waits until a version is in force at every process.
+    /// Waits until a published version is active in every process.
     pub async fn wait_until_active(&self, published: &Published) -> Result<(), ProofError> {
         let admins = self.admin_addresses();
-        wait_until("the text in force everywhere", async || {
+        wait_until("the configuration active in every process", async || {
             let replies = statuses(&admins).await;
             let is_behind = |reply| !is_active(reply, &published.customer, published.version);
             (!replies.iter().any(is_behind)).then_some(())
@@ -374,7 +376,7 @@
         .await
     }
 
-    /// Waits until every entry has every endpoint as a replica.
+    /// Waits until every entry lists every endpoint as a replica.
     pub async fn wait_until_replicas_known(&self) -> Result<(), ProofError> {
         let mut wanted = vec![
             ("guichet", self.services.len()),
@@ -395,12 +397,13 @@
         Ok(())
     }
 
-    /// Sends a request through an entry; `text` is that of a whole completion.
+    /// Sends a request to an entry; `text` is the text that a complete completion must have.
     pub fn send(&self, entry: usize, test_request: &TestRequest, text: &str) -> Pending {
         Caller::new(self.entries[entry].address).send(test_request.clone(), text.to_owned())
     }
 
-    /// What an engine that is asked directly says; nothing for a plain call.
+    /// Text that an engine generates for a request when it is called directly; empty for a plain
+    /// call.
     pub async fn expected_text(&self, test_request: &TestRequest) -> Result<String, ProofError> {
         if !test_request.kind.is_completion() {
             return Ok(String::new());
@@ -410,21 +413,21 @@
             body: direct.body(),
             ..Request::new("POST", "/v1/completions")
         };
-        // It may be down from a crash.
+        // The engine may be down after an injected crash.
         let body = wait_until("the text of an engine", async || {
             exchange(self.engines[0].address, request.clone())
                 .await
                 .ok()
         })
         .await?;
-        document_text(&body).ok_or_else(|| ProofError::TimedOut("the text of an engine".to_owned()))
+        document_text(&body).ok_or_else(|| ProofError::NotFound("the text of an engine".to_owned()))
     }
 
-    /// How often the endpoints ran the request with this tag.
+    /// Number of times that plain services ran the request with this tag.
     pub async fn run_count(&self, tag: &str) -> Result<u64, ProofError> {
         let mut runs = 0;
         for service in &self.services {
-            // It may be down for a moment; it keeps its count.
+            // The service may be down after an injected crash, but keeps its counts.
             let body = wait_until("the runs of a service", async || {
                 let request = Request::new("GET", "/standin/runs");
                 exchange(service.address, request).await.ok()
@@ -441,7 +444,7 @@
     fn drop(&mut self) {
         self.entries.clear();
         self.agents.clear();
-        // Kept when a test fails, so that its log lines can be read.
+        // The folder stays if the test failed, so that the processes' logs can be read.
         if !std::thread::panicking() {
             let _ = std::fs::remove_dir_all(&self.folder);
         }
@@ -466,7 +469,7 @@
 }
 
 fn vm(address: SocketAddr, role: VmRole, domain: &str) -> Result<Vm, ProofError> {
-    let invalid = |_| ProofError::TimedOut(format!("a name in {domain}"));
+    let invalid = |_| ProofError::NotFound(format!("a name in {domain}"));
     Ok(Vm {
         address,
         role,
@@ -476,14 +479,14 @@
     })
 }
 
-/// Waits until a process answers; false when it ended instead.
+/// Waits until a process answers; false if it ended before.
 async fn wait_until_live(child: &mut Child, admin: SocketAddr) -> bool {
     let answered = wait_until("a process that lives", async || {
         if !child.is_running() {
             return Some(false);
         }
         let answered = exchange(admin, Request::new("GET", "/livez")).await;
-        // The answer may have come from another process that took the port first.
+        // The answer may be from another process that bound the port before this one.
         answered.is_ok().then(|| child.is_running())
     });
     answered.await.unwrap_or(false)
--- a/dev/proof/src/status.rs
+++ b/dev/proof/src/status.rs
@@ -1,4 +1,4 @@
-//! What processes and stand-ins say when they are asked.
+//! Requests to the admin addresses of processes and to stand-ins.
 
 use std::net::SocketAddr;
 
@@ -10,13 +10,13 @@
 
 const DEADLINE_MS: u64 = 5_000;
 
-/// The status page of a process.
+/// Fetches the status page of a process.
 pub async fn status_page(admin: SocketAddr) -> Result<Value, ProofError> {
     let body = exchange(admin, Request::new("GET", "/status")).await?;
     Ok(serde_json::from_slice(&body)?)
 }
 
-/// Replicas of a service on an entry's page that are not leaving.
+/// Replicas of a service that an entry's status page lists and that are not leaving.
 pub fn active_replicas(page: &Value, service: &str) -> Vec<Value> {
     let services = page["services"].as_array().into_iter().flatten();
     let own = services.filter(|row| row["service"] == service);
@@ -26,7 +26,7 @@
         .collect()
 }
 
-/// One exchange that must end with a 2xx status.
+/// Sends a request and returns the answer's body; errors unless the status is 2xx.
 pub async fn exchange(address: SocketAddr, request: Request) -> Result<Bytes, ProofError> {
     let endpoint = Endpoint::new(address, EndpointSettings::default());
     let response = endpoint.send(request, DEADLINE_MS).await?;
--- a/dev/proof/src/test_request.rs
+++ b/dev/proof/src/test_request.rs
@@ -1,4 +1,4 @@
-//! What callers ask, and what the whole answer to each must be.
+//! Requests of the tests, and checks that an answer is the complete answer to its request.
 
 use adapters::Request;
 use adapters::sse::{Parser, Transcript};
@@ -12,50 +12,50 @@
 const TEXT_BYTES_MAX: usize = 1 << 20;
 const TOKENS_MAX: u32 = 400;
 
-/// Kind of a request.
+/// Service that a request calls, and how.
 #[key]
 pub enum RequestKind {
-    /// A clerk's consultation; may run again.
+    /// Plain idempotent call (`GET`), which may be retried.
     Consultation,
-    /// A check of sanctions without a key; may run once.
+    /// Plain call (`POST`) without an idempotency key, which may run at most once.
     SanctionCheck,
-    /// A check of sanctions with an idempotency key.
+    /// Plain call (`POST`) with an idempotency key, which may be sent repeatedly but run once.
     KeyedCheck,
-    /// A streamed opinion.
+    /// Completion that is streamed.
     Stream,
-    /// An opinion in one piece.
+    /// Completion that is returned as a single document.
     Opinion,
 }
 
 impl RequestKind {
-    /// Whether it may run once only.
+    /// Whether the endpoints may run the request at most once.
     pub fn is_at_most_once(self) -> bool {
         matches!(self, RequestKind::SanctionCheck | RequestKind::KeyedCheck)
     }
 
-    /// Whether a model answers it.
+    /// Whether a model generates the answer.
     pub fn is_completion(self) -> bool {
         matches!(self, RequestKind::Stream | RequestKind::Opinion)
     }
 }
 
-/// A request with a name of its own, by which its runs are counted.
+/// A request with a unique tag, by which the endpoints count its runs.
 #[value]
 pub struct TestRequest {
-    /// Its kind.
+    /// Determines method, path, headers and body.
     pub kind: RequestKind,
-    /// Its name.
+    /// Sent as `x-request-tag`, as part of the path or prompt, and as the idempotency key.
     pub tag: String,
 }
 
 impl TestRequest {
-    /// A request of this kind.
+    /// Creates a request; `tag` must be unique within a site.
     pub fn new(kind: RequestKind, tag: impl Into<String>) -> TestRequest {
         let tag = tag.into();
         TestRequest { kind, tag }
     }
 
-    /// The request for an entry.
+    /// HTTP request to send to an entry.
     pub fn request(&self) -> Request {
         let request = match self.kind {
             RequestKind::Consultation => Request::new(
@@ -83,12 +83,12 @@
         }
     }
 
-    /// The prompt of an opinion.
+    /// Prompt of a completion.
     pub fn prompt(&self) -> String {
         format!("Opinion on the premises of file {}", self.tag)
     }
 
-    /// The body, for an entry or for an engine asked directly.
+    /// Body to send to an entry or directly to an engine; empty for plain calls.
     pub fn body(&self) -> Bytes {
         if !self.kind.is_completion() {
             return Bytes::new();
@@ -102,8 +102,8 @@
         Bytes::from(body.to_string())
     }
 
-    /// Whether this is the whole answer to this very request; `text` is what an engine
-    /// asked directly says.
+    /// Whether `body` is the complete answer to this request. `text` is the text that an engine
+    /// generates for the request when it is called directly.
     pub fn is_complete_answer(&self, body: &[u8], text: &str) -> bool {
         match self.kind {
             RequestKind::Stream => streamed_text(body).is_some_and(|got| got == text),
@@ -127,7 +127,7 @@
     serde_json::from_slice(body).unwrap_or_default()
 }
 
-/// Text of a completion in one piece.
+/// Text of a completion document; `None` without a finish reason.
 pub(crate) fn document_text(body: &[u8]) -> Option<String> {
     let text = parse_json(body)["choices"][0]["text"]
         .as_str()
@@ -135,7 +135,7 @@
     text.filter(|_| parse_json(body)["choices"][0]["finish_reason"].is_string())
 }
 
-/// Text of a stream with its finish reason and its end.
+/// Text of a stream; `None` if the stream is incomplete.
 fn streamed_text(body: &[u8]) -> Option<String> {
     let mut parser = Parser::new(LINE_BYTES_MAX);
     let mut transcript = Transcript::default();
--- a/dev/proof/tests/agent_link.rs
+++ b/dev/proof/tests/agent_link.rs
@@ -1,5 +1,5 @@
-//! The connection to an agent breaks under a call, between two real processes.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+//! Calls to an agent process whose connection breaks before or during the call.
+#![allow(clippy::unwrap_used)] // clippy.toml exempts test functions, but not their helpers.
 
 use bytes::Bytes;
 use futures_util::future::join_all;
@@ -12,11 +12,11 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Phase {
-    /// The connection is open and idle.
+    /// Break the connection while it is idle, before the call.
     Idle,
-    /// The endpoint runs the call.
+    /// Break the connection while the endpoint runs the call.
     Running,
-    /// The endpoint runs the call and the next connection breaks too.
+    /// Break the connection while the endpoint runs the call, then also the next connection.
     RunningTwice,
 }
 
@@ -106,7 +106,7 @@
     }
     let mut call = links.call(relay.address, open(&links, &name, at_most_once));
     if !matches!(phase, Phase::Idle) {
-        wait_until("the call at the endpoint", async || {
+        wait_until("a run of the call at the endpoint", async || {
             (site.run_count(&name).await.ok()? > 0).then_some(())
         })
         .await
@@ -114,7 +114,7 @@
         relay.break_open(break_mode);
     }
     if matches!(phase, Phase::RunningTwice) {
-        // Long enough for the next connection to be there.
+        // Long enough for the next connection to be established.
         tokio::time::sleep(std::time::Duration::from_millis(SERVICE_MS / 4)).await;
         relay.break_open(break_mode);
     }
@@ -124,9 +124,9 @@
     assert_eq!(site.run_count(&name).await.unwrap(), 1, "{name}");
 }
 
-// The caller has its whole answer from one run, though the connection to the agent was cut,
-// or went silent for good while new ones work, before the call, while it ran, or twice. The
-// call is taken up by its id on the next connection.
+// Guards against lost answers and second runs when the connection to the agent is closed or goes
+// silent before the call, while the call runs, or twice. The call must be resumed by its id on the
+// next connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn can_answer_over_a_cut_or_silent_connection_to_an_agent() {
     let settings = SiteSettings {
--- a/dev/proof/tests/completions.rs
+++ b/dev/proof/tests/completions.rs
@@ -1,5 +1,5 @@
-//! Opinions under kills, freezes and broken streams. A whole one has exactly the text that
-//! an engine gives that is asked directly.
+//! Completions while processes are killed or paused and streams break. A complete answer has
+//! exactly the text that an engine generates when it is called directly.
 
 use proof::{Case, Ending, Fault, Phase, Repeat, RequestKind, run_cases};
 
@@ -30,39 +30,54 @@
 
 const COMPLETE: &[Ending] = &[Complete];
 
-// The clerk sees one whole opinion, token for token, though its engine or agent died in the
-// middle: the tokens that he has go to another engine, which goes on from them. A stream
-// that ends without its finish reason is never taken for a whole one.
+// Guards against missing or repeated tokens when an engine or agent fails during a stream: another
+// engine must continue after the tokens that the client already has. A stream that ends without
+// its finish reason must not count as complete.
 #[tokio::test(flavor = "multi_thread")]
-async fn can_stream_a_whole_opinion_under_every_fault() {
+async fn can_stream_a_complete_text_under_every_fault() {
     let stream = |name, faults, phase, allowed_endings| {
         case(name, RequestKind::Stream, faults, phase, allowed_endings)
     };
     let failures = run_cases(&[
         stream("no fault", &[], Streaming, COMPLETE),
-        stream("engine dies before", &[KillEndpoint], Before, COMPLETE),
         stream(
-            "engine dies in the stream",
+            "engine is killed before the call",
+            &[KillEndpoint],
+            Before,
+            COMPLETE,
+        ),
+        stream(
+            "engine is killed during the stream",
             &[KillEndpoint],
             Streaming,
             COMPLETE,
         ),
-        stream("agent dies before", &[KillAgent], Before, COMPLETE),
         stream(
-            "agent dies in the stream",
+            "agent is killed before the call",
+            &[KillAgent],
+            Before,
+            COMPLETE,
+        ),
+        stream(
+            "agent is killed during the stream",
             &[KillAgent],
             Streaming,
             COMPLETE,
         ),
-        stream("agent wakes late", &[PauseAgent], Streaming, COMPLETE),
-        stream("entry wakes late", &[PauseEntry], Streaming, COMPLETE),
+        stream("agent is paused", &[PauseAgent], Streaming, COMPLETE),
+        stream("entry is paused", &[PauseEntry], Streaming, COMPLETE),
         stream(
-            "entry dies",
+            "entry is killed",
             &[KillEntry],
             Streaming,
             &[Lost, Ending::Interrupted],
         ),
-        stream("other entry dies", &[KillOtherEntry], Streaming, COMPLETE),
+        stream(
+            "other entry is killed",
+            &[KillOtherEntry],
+            Streaming,
+            COMPLETE,
+        ),
         stream("connections cut", &[CutEndpoint], Streaming, COMPLETE),
         stream("stream is cut", &[CutAnswer], Streaming, COMPLETE),
         stream(
@@ -72,7 +87,7 @@
             COMPLETE,
         ),
         stream(
-            "truncated, agent wakes late",
+            "truncated, agent is paused",
             &[TruncateAnswer, PauseAgent],
             Streaming,
             COMPLETE,
@@ -82,18 +97,28 @@
     assert!(failures.is_empty(), "{failures:#?}");
 }
 
-// The clerk sees one whole opinion: it may run again, so another engine makes it when the
-// first dies, and a part of one is never given for the whole.
+// Guards against partial answers when an engine or agent fails: a completion is idempotent, so
+// another engine must generate it again.
 #[tokio::test(flavor = "multi_thread")]
-async fn can_give_a_whole_opinion_under_every_fault() {
+async fn can_return_a_complete_document_under_every_fault() {
     let opinion = |name, faults, phase, allowed_endings| {
         case(name, RequestKind::Opinion, faults, phase, allowed_endings)
     };
     let failures = run_cases(&[
-        opinion("engine dies under it", &[KillEndpoint], Running, COMPLETE),
-        opinion("agent dies under it", &[KillAgent], Running, COMPLETE),
-        opinion("agent wakes late", &[PauseAgent], Running, COMPLETE),
-        opinion("entry dies", &[KillEntry], Running, &[Lost]),
+        opinion(
+            "engine is killed during the call",
+            &[KillEndpoint],
+            Running,
+            COMPLETE,
+        ),
+        opinion(
+            "agent is killed during the call",
+            &[KillAgent],
+            Running,
+            COMPLETE,
+        ),
+        opinion("agent is paused", &[PauseAgent], Running, COMPLETE),
+        opinion("entry is killed", &[KillEntry], Running, &[Lost]),
         opinion("answer is cut", &[CutAnswer], Running, COMPLETE),
         opinion("answer is truncated", &[TruncateAnswer], Running, COMPLETE),
         opinion("answer is lost", &[LoseAnswer], Running, COMPLETE),
--- a/dev/proof/tests/configuration.rs
+++ b/dev/proof/tests/configuration.rs
@@ -1,5 +1,5 @@
-//! The configuration at real processes: races, lost answers, outages, late starts.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+//! Configuration changes with real processes: races, lost answers, log outages, late starts.
+#![allow(clippy::unwrap_used)] // clippy.toml exempts test functions, but not their helpers.
 
 use std::time::Instant;
 
@@ -12,13 +12,13 @@
 };
 use standins::{Fault, FaultKind};
 
-const APPENDS: &str = "/streams/config";
+const CONFIG_STREAM: &str = "/streams/config";
 
 async fn start_site() -> Site {
     Site::start(SiteSettings::default()).await.unwrap()
 }
 
-/// Versions of the Office at all processes.
+/// Active configuration version of the customer `office` in each process; 0 if there is none.
 async fn versions(site: &Site) -> Vec<u64> {
     let mut versions = Vec::new();
     for admin in site.admin_addresses() {
@@ -29,7 +29,7 @@
     versions
 }
 
-/// Publishes as an operator who read the log before the others had published.
+/// Publishes a change of version 1, as an operator who read the log before any other published.
 async fn publish_on_base(site: &Site, operator: u64) -> Result<Published, ControlError> {
     let from = "requests_per_s = 500";
     let to = format!("requests_per_s = {}", 500 + operator);
@@ -46,10 +46,10 @@
     publish(&log, &mut history, &checked, &settings, |_| {}).await
 }
 
-// Five operators publish on the same base at once. One is told "accepted"; the others lose
-// the race and learn what the winner changed, and nothing of theirs is applied anywhere.
+// Guards against lost updates when five operators publish changes of the same base version at
+// once: one is accepted, the others get an error about the race and no process applies theirs.
 #[tokio::test(flavor = "multi_thread")]
-async fn can_accept_one_of_several_racing_operators() {
+async fn can_accept_one_of_several_concurrent_publishers() {
     let site = start_site().await;
     let all = tokio::join!(
         publish_on_base(&site, 1),
@@ -68,8 +68,8 @@
     assert!(versions(&site).await.iter().all(|version| *version == 2));
 }
 
-// The operator's append takes effect and its answer is lost, twice. His tool appends again
-// with the same id, and the log's readers count it once.
+// Guards against a change that is applied twice: the append succeeds, its answer is lost twice,
+// and the tool appends again with the same id. Readers of the log must count the change once.
 #[tokio::test(flavor = "multi_thread")]
 async fn can_count_a_publish_once_whose_answer_was_lost() {
     let site = start_site().await;
@@ -84,7 +84,7 @@
         id: None,
     };
     site.log
-        .fault(Fault::new(FaultKind::AnswerLost).on(APPENDS).times(2));
+        .fault(Fault::new(FaultKind::AnswerLost).on(CONFIG_STREAM).times(2));
     let mut appended_again = 0;
     let count =
         |step| appended_again += u32::from(matches!(step, PublishProgress::AppendRetried(_)));
@@ -97,11 +97,11 @@
     assert!(versions(&site).await.iter().all(|version| *version == 2));
 }
 
-// The log is out, the text stays in force and calls are answered. An entry that starts in
-// the outage has the text from its peers, becomes ready and answers; no process goes back
-// when the log is there again.
+// Guards against a dependency on the log: in an outage the configuration stays active, and an entry
+// that starts gets it from its peers, becomes ready and answers. No process may go back to an older
+// version when the log is available again.
 #[tokio::test(flavor = "multi_thread")]
-async fn can_start_from_peers_in_an_outage_and_never_go_back() {
+async fn can_start_from_peers_in_a_log_outage_and_never_revert_the_version() {
     let mut site = start_site().await;
     let path = site
         .changed_text("second", "weight = 1", "weight = 2")
@@ -122,11 +122,10 @@
     assert!(versions(&site).await.iter().all(|version| *version == 2));
 }
 
-// Every process dies and comes back in an outage of the log: nobody has the text, and no
-// process claims to be ready. With the log back, the text is in force again at the same
-// version.
+// Guards against readiness without a configuration: all processes restart in an outage of the log,
+// so none has a configuration or may be ready. After the outage the same version must be active.
 #[tokio::test(flavor = "multi_thread")]
-async fn can_come_back_at_the_same_version_after_all_died() {
+async fn can_restore_the_same_version_after_all_processes_restarted() {
     let mut site = start_site().await;
     let published = site
         .publish(
@@ -150,7 +149,7 @@
         let ready = exchange(entry.admin, adapters::Request::new("GET", "/readyz")).await;
         assert!(
             matches!(ready, Err(ProofError::Status(..))),
-            "ready without a text"
+            "ready without a configuration"
         );
     }
     site.log.clear_faults();
@@ -158,8 +157,8 @@
     assert!(versions(&site).await.iter().all(|version| *version == 2));
 }
 
-// A process is paused while the text is published twice. It wakes with the old one, takes
-// the newest and never shows one that is older than what it showed.
+// Guards against a paused process that stays behind: two versions are published during its pause.
+// After the pause it must reach the newest version, and its version must never decrease.
 #[tokio::test(flavor = "multi_thread")]
 async fn can_catch_up_after_a_pause() {
     let site = start_site().await;
@@ -170,12 +169,12 @@
     }
     site.entries[1].child.resume().unwrap();
     let mut shown_version = 0;
-    wait_until("the newest text", async || {
+    wait_until("the newest configuration", async || {
         let status = status(site.entries[1].admin).await.ok()?;
         let row = status.config.iter().find(|row| row.customer == "office")?;
         assert!(
             row.version >= shown_version,
-            "went back from {shown} to {}",
+            "version went back from {shown_version} to {}",
             row.version
         );
         shown_version = row.version;
@@ -185,9 +184,10 @@
     .unwrap();
 }
 
-// The time from the append until the last process shows it, ten times; printed, not judged.
+// Measures, ten times, how long a configuration takes from its append until it is active in every
+// process. The times are only printed.
 #[tokio::test(flavor = "multi_thread")]
-async fn can_put_a_text_in_force_everywhere() {
+async fn can_activate_a_configuration_in_every_process() {
     let site = start_site().await;
     let mut times_ms = Vec::new();
     for round in 0..10 {
@@ -200,5 +200,5 @@
         site.wait_until_active(&published).await.unwrap();
         times_ms.push(started.elapsed().as_millis());
     }
-    println!("in force everywhere after {times_ms:?} ms");
+    println!("active in every process after {times_ms:?} ms");
 }
--- a/dev/proof/tests/crashing/mod.rs
+++ b/dev/proof/tests/crashing/mod.rs
@@ -1,5 +1,5 @@
-//! Engines that a prompt crashes, and the opinions that others ask for meanwhile.
-#![allow(dead_code, clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+//! Helpers: a site whose engines crash on a certain prompt, and completions of other callers.
+#![allow(dead_code, clippy::unwrap_used)] // clippy.toml exempts test functions, but not their helpers.
 
 use adapters::Request;
 use futures_util::future::join_all;
@@ -7,14 +7,14 @@
 use standins::{Fault, FaultKind};
 
 pub const ENGINES: usize = 6;
-/// Two crashes condemn a call at an entry, and there are two entries.
+/// Each of the two entries refuses a call after two crashes that it causes.
 pub const CRASHES_MAX: u64 = 4;
 
-/// Lives that the engines have lost, as they say themselves.
+/// Number of crashes of all engines, from the number of lives that each engine reports.
 pub async fn crash_count(site: &Site) -> u64 {
     let mut crashes = 0;
     for engine in &site.engines {
-        // It may be down from the last crash.
+        // The engine may still be down after a crash.
         let state = wait_until("an engine's state", async || {
             let request = Request::new("GET", "/engine/state");
             exchange(engine.address, request).await.ok()
@@ -42,7 +42,7 @@
     site
 }
 
-/// Opinions that others ask for meanwhile.
+/// Sends eight streamed completions of other callers.
 pub async fn send_bystander_requests(site: &Site) -> Vec<proof::Pending> {
     let test_requests: Vec<TestRequest> = (0..8)
         .map(|number| TestRequest::new(RequestKind::Stream, format!("bystander-{number}")))
--- a/dev/proof/tests/crashing_prompts.rs
+++ b/dev/proof/tests/crashing_prompts.rs
@@ -1,4 +1,4 @@
-//! A prompt that crashes every engine that runs it.
+//! A prompt that crashes each engine that runs it, sent repeatedly.
 
 mod crashing;
 
@@ -7,11 +7,11 @@
 };
 use proof::{Ending, RequestKind, TestRequest};
 
-// A dealer's prompt crashes every engine that runs it, and its caller sends it again and
-// again through both entries. The engines lost to it are few and bounded, the repeats have
-// a final answer, and afterwards everybody's opinions come whole.
+// Guards against a prompt that crashes engine after engine when its caller repeats it through both
+// entries. The number of crashes is bounded, each repeat gets a final answer, and completions of
+// other callers succeed afterwards.
 #[tokio::test(flavor = "multi_thread")]
-async fn can_bound_the_engines_lost_to_a_repeated_prompt() {
+async fn can_bound_the_crashes_by_a_repeated_prompt() {
     let site = start_site().await;
     let poison = TestRequest::new(RequestKind::Opinion, "POISON");
     for submission in 0..10 {
@@ -24,15 +24,15 @@
         assert_ne!(answer.ending, Ending::Lost, "no final answer");
     }
     let crashes = crash_count(&site).await;
-    println!("engines lost to one call repeated through two entries: {crashes}");
+    println!("engine crashes by one call repeated through two entries: {crashes}");
     assert!((1..=CRASHES_MAX).contains(&crashes), "{crashes}");
     expect_all_complete(send_bystander_requests(&site).await).await;
 }
 
-// Opinions that are streamed meanwhile share batches with the prompt. They resume at other
-// engines and come whole; none is taken for the cause.
+// Guards against harm to completions in the same batches as the prompt that crashes their engines:
+// they must resume at other engines, complete, and not be blamed for the crashes.
 #[tokio::test(flavor = "multi_thread")]
-async fn can_answer_the_bystanders_of_a_crashing_prompt() {
+async fn can_complete_other_callers_streams_beside_a_crashing_prompt() {
     let site = start_site().await;
     let others = send_bystander_requests(&site).await;
     let poison = TestRequest::new(RequestKind::Opinion, "POISON");
--- a/dev/proof/tests/crashing_prompts_at_once.rs
+++ b/dev/proof/tests/crashing_prompts_at_once.rs
@@ -1,4 +1,4 @@
-//! A prompt that crashes every engine that runs it, submitted several times at once.
+//! A prompt that crashes each engine that runs it, submitted several times at once.
 
 mod crashing;
 
@@ -8,11 +8,10 @@
 use futures_util::future::join_all;
 use proof::{Ending, RequestKind, TestRequest};
 
-// A caller submits a prompt that crashes engines six times at once through both entries.
-// Each copy is with its own engine before the first crash is known, so neither entry has
-// heard of the other's. The engines lost must stay within the bound of the repeats.
+// Guards against more crashes when a caller submits the prompt six times at once: each copy reaches
+// its own engine before any entry knows of a crash. The bound must be the same as for repeats.
 #[tokio::test(flavor = "multi_thread")]
-async fn can_bound_the_engines_lost_to_submissions_at_once() {
+async fn can_bound_the_crashes_by_concurrent_submissions_of_a_prompt() {
     let site = start_site().await;
     let poison = TestRequest::new(RequestKind::Opinion, "POISON");
     let pending = (0..6).map(|submission| site.send(submission % 2, &poison, ""));
@@ -21,7 +20,7 @@
         assert_ne!(answer.unwrap().ending, Ending::Lost, "no final answer");
     }
     let crashes = crash_count(&site).await;
-    println!("engines lost to one call submitted six times at once: {crashes}");
+    println!("engine crashes by one call submitted six times at once: {crashes}");
     assert!((1..=CRASHES_MAX).contains(&crashes), "{crashes}");
     expect_all_complete(send_bystander_requests(&site).await).await;
 }
--- a/dev/proof/tests/isolation.rs
+++ b/dev/proof/tests/isolation.rs
@@ -1,5 +1,5 @@
-//! No customer's mistakes harm another.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+//! Invalid input of one sender does not affect the requests of others.
+#![allow(clippy::unwrap_used)] // clippy.toml exempts test functions, but not their helpers.
 
 use adapters::{Endpoint, EndpointSettings, Request};
 use bytes::Bytes;
@@ -50,52 +50,52 @@
     };
     vec![
         BadRequest {
-            name: "no such token",
+            name: "unknown token",
             token: "nobody",
             status: 401,
             ..plain()
         },
         BadRequest {
-            name: "not this token's service",
+            name: "service not allowed for this token",
             path: "/v1/services/notation/x",
             token: "office-portal-example",
             status: 403,
             ..plain()
         },
         BadRequest {
-            name: "no such service",
+            name: "unknown service",
             path: "/v1/services/nothing/x",
             status: 404,
             ..plain()
         },
         BadRequest {
-            name: "no such path",
+            name: "unknown path",
             path: "/v2",
             status: 404,
             ..plain()
         },
         BadRequest {
-            name: "a class that is none",
+            name: "invalid class",
             header: ("x-hornbeamrock-class", "best"),
             ..plain()
         },
         BadRequest {
-            name: "a deadline that is none",
+            name: "invalid deadline",
             header: ("x-hornbeamrock-deadline-ms", "soon"),
             ..plain()
         },
         BadRequest {
-            name: "a key too long",
+            name: "idempotency key too long",
             header: ("idempotency-key", LONG),
             ..plain()
         },
         BadRequest {
-            name: "a body that is no JSON",
+            name: "body is not JSON",
             body_bytes: 10,
             ..completion()
         },
         BadRequest {
-            name: "a body too large",
+            name: "body too large",
             body_bytes: 5 << 20,
             status: 413,
             ..completion()
@@ -124,7 +124,7 @@
     response.map_or(0, |response| response.head.status)
 }
 
-/// Bytes that are no frames, a frame that breaks off, and datagrams that are none.
+/// Sends bytes that are not frames, an incomplete frame, and invalid datagrams.
 async fn send_garbage(inner: std::net::SocketAddr) {
     for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], &[0xff; 4_096], &[0, 0, 1]] {
         let mut stream = TcpStream::connect(inner).await.unwrap();
@@ -135,11 +135,11 @@
     }
 }
 
-// Whoever sends a bad request has a typed refusal; bytes that are no frames and datagrams
-// that are none reach every process. Nobody else notices: calls under way and calls after
-// are answered, and no process has ended.
+// Guards against invalid input that affects other callers: bad requests must get the right status,
+// and invalid frames and datagrams reach every process. Calls in progress and later calls must
+// still be answered, and no process may end.
 #[tokio::test(flavor = "multi_thread")]
-async fn errors_on_bad_input_and_nobody_else_notices() {
+async fn errors_on_invalid_input_without_affecting_other_callers() {
     let settings = SiteSettings {
         service_ms: 300,
         ..SiteSettings::default()
--- a/dev/proof/tests/keyed_calls.rs
+++ b/dev/proof/tests/keyed_calls.rs
@@ -1,4 +1,4 @@
-//! Calls with an idempotency key, which their caller sends again through the other entry.
+//! Calls with an idempotency key that the caller repeats through the other entry.
 
 use proof::{Case, Ending, Fault, Phase, Repeat, RequestKind, run_cases};
 
@@ -30,18 +30,17 @@
 }
 
 const COMPLETE: &[Ending] = &[Complete];
-/// What a caller may be told of a call that ran and has no answer.
+/// Endings of a call that ran, or may have run, and whose answer is not available.
 const MAY_HAVE_RUN: &[Ending] = &[Unknown, Failed];
 
-// The verifier sends the same check with the same key through both entries, together,
-// while the first runs, and after it. Whatever dies in between, the check runs once; the
-// one whose claim is first in the log runs, the others get its answer or are told that it
-// may have run.
+// Guards against a second run when the same check is sent with the same key through both entries,
+// at once, while the first runs, or after it. Only the request whose claim is first in the log may
+// run; the others get its answer or an error that the check may have run.
 #[tokio::test(flavor = "multi_thread")]
 async fn can_run_a_keyed_check_once_through_two_entries() {
     let failures = run_cases(&[
         keyed(
-            "repeat together",
+            "repeat at once",
             &[],
             Running,
             &[Complete, Unknown],
@@ -58,7 +57,7 @@
         ),
         keyed("repeat after", &[], Running, COMPLETE, After, COMPLETE),
         keyed(
-            "endpoint dies",
+            "endpoint is killed",
             &[KillEndpoint],
             Running,
             MAY_HAVE_RUN,
@@ -66,7 +65,7 @@
             MAY_HAVE_RUN,
         ),
         keyed(
-            "endpoint dies, repeat after",
+            "endpoint is killed, repeat after",
             &[KillEndpoint],
             Running,
             MAY_HAVE_RUN,
@@ -74,7 +73,7 @@
             MAY_HAVE_RUN,
         ),
         keyed(
-            "agent dies",
+            "agent is killed",
             &[KillAgent],
             Running,
             MAY_HAVE_RUN,
@@ -82,7 +81,7 @@
             MAY_HAVE_RUN,
         ),
         keyed(
-            "agent wakes late",
+            "agent is paused",
             &[PauseAgent],
             Running,
             COMPLETE,
@@ -90,7 +89,7 @@
             COMPLETE,
         ),
         keyed(
-            "entry wakes late",
+            "entry is paused",
             &[PauseEntry],
             Running,
             COMPLETE,
@@ -98,7 +97,7 @@
             COMPLETE,
         ),
         keyed(
-            "entry sleeps, repeat at once",
+            "entry is paused at arrival, repeat at once",
             &[],
             EntryPaused,
             &[Complete, Unknown],
@@ -106,7 +105,7 @@
             COMPLETE,
         ),
         keyed(
-            "entry sleeps, repeat after",
+            "entry is paused at arrival, repeat after",
             &[],
             EntryPaused,
             COMPLETE,
@@ -114,7 +113,7 @@
             COMPLETE,
         ),
         keyed(
-            "answered to a paused entry",
+            "entry is paused at the answer",
             &[],
             Answered,
             COMPLETE,
@@ -138,7 +137,7 @@
             MAY_HAVE_RUN,
         ),
         keyed(
-            "caller leaves",
+            "caller disconnects",
             &[CallerDisconnects],
             Running,
             COMPLETE,
@@ -146,7 +145,7 @@
             COMPLETE,
         ),
         keyed(
-            "other entry dies",
+            "other entry is killed",
             &[KillOtherEntry],
             Running,
             COMPLETE,
@@ -158,14 +157,14 @@
     assert!(failures.is_empty(), "{failures:#?}");
 }
 
-// The entry that holds the claim dies while the check runs, or after it was answered. Its
-// caller sends it again through the other entry: the claim is in the log, so it is not run
-// again, and nobody can say what came of it.
+// Guards against a second run when the entry with the claim is killed during or after the run and
+// the caller repeats the check through the other entry. The claim is in the log, so the check must
+// not run again, and its outcome is unknown.
 #[tokio::test(flavor = "multi_thread")]
-async fn can_keep_a_key_whose_entry_died() {
+async fn can_keep_a_claim_whose_entry_was_killed() {
     let failures = run_cases(&[
         keyed(
-            "entry dies",
+            "entry is killed",
             &[KillEntry],
             Running,
             &[Lost],
@@ -173,7 +172,7 @@
             MAY_HAVE_RUN,
         ),
         keyed(
-            "entry and agent die",
+            "entry and agent are killed",
             &[KillEntry, KillAgent],
             Running,
             &[Lost],
@@ -181,7 +180,7 @@
             MAY_HAVE_RUN,
         ),
         keyed(
-            "entry dies, answered",
+            "entry is killed after the answer",
             &[KillEntry],
             Answered,
             &[Lost],
@@ -193,14 +192,14 @@
     assert!(failures.is_empty(), "{failures:#?}");
 }
 
-// The log is out, or its answer to the claim is lost. Without a claim that was read
-// back nothing runs, and the caller is told so at once with a time to come back; with one,
-// the check goes on.
+// Guards against a run without a claim when the log is unavailable or its answer is lost. Unless
+// the claim was read back from the log, the caller must get "not run" at once; otherwise the check
+// continues.
 #[tokio::test(flavor = "multi_thread")]
 async fn can_refuse_or_run_a_keyed_check_while_the_log_fails() {
     let failures = run_cases(&[
         keyed(
-            "log is out",
+            "log is unavailable",
             &[LogOutage],
             Before,
             &[NotRun],
@@ -208,7 +207,7 @@
             &[],
         ),
         keyed(
-            "log is out while it runs",
+            "log is unavailable while it runs",
             &[LogOutage],
             Running,
             COMPLETE,
@@ -216,7 +215,7 @@
             &[],
         ),
         keyed(
-            "claim's answer is lost",
+            "answer to the claim is lost",
             &[LoseAppendAnswer],
             Before,
             COMPLETE,
@@ -224,7 +223,7 @@
             COMPLETE,
         ),
         keyed(
-            "end's answer is lost",
+            "answer to the end record is lost",
             &[LoseAppendAnswer],
             Running,
             COMPLETE,
@@ -232,7 +231,7 @@
             COMPLETE,
         ),
         keyed(
-            "lost answers, agent wakes",
+            "lost append answer, agent is paused",
             &[LoseAppendAnswer, PauseAgent],
             Running,
             COMPLETE,
--- a/dev/proof/tests/keyed_silent_log.rs
+++ b/dev/proof/tests/keyed_silent_log.rs
@@ -1,12 +1,12 @@
-//! A log that takes connections and says nothing.
+//! Calls with an idempotency key while the log accepts connections and never answers.
 
 use proof::{Case, Ending, Fault, Phase, Repeat, RequestKind, run_cases};
 
-// The verifier sees "not run" and a time to come back within the time of its request. The
-// claim's append is neither refused nor answered, so no claim can be read back, and what
-// takes the claim back later must not hold up the answer.
+// Guards against a request that hangs: the log neither refuses nor answers the claim's append, so
+// the claim cannot be read back. The caller must get "not run" before the request's deadline, and
+// the later withdrawal of the claim must not delay this answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn errors_at_once_when_the_log_is_silent() {
+async fn errors_before_the_deadline_when_the_log_is_silent() {
     let case = Case {
         name: "log is silent",
         kind: RequestKind::KeyedCheck,
--- a/dev/proof/tests/leaving.rs
+++ b/dev/proof/tests/leaving.rs
@@ -1,5 +1,5 @@
-//! Processes that leave: by a signal, by the platform's list, or replaced.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+//! Processes that leave on a signal or by the platform's VM list, or whose VM is replaced.
+#![allow(clippy::unwrap_used)] // clippy.toml exempts test functions, but not their helpers.
 
 use std::time::Duration;
 
@@ -39,9 +39,9 @@
     answers.into_iter().map(Result::unwrap).collect()
 }
 
-/// Waits until the endpoints run all calls of this name.
+/// Waits until the endpoints run all calls whose tags start with `name`.
 async fn wait_until_running(site: &Site, name: &str) {
-    wait_until("all calls running", async || {
+    wait_until("all calls running at endpoints", async || {
         for number in 0..CALLS {
             if site.run_count(&format!("{name}-{number}")).await.ok()? == 0 {
                 return None;
@@ -61,18 +61,18 @@
     assert!(broken.is_empty(), "{broken:#?}");
 }
 
-// Callers see whole answers: the entry is told to end while it serves them. It says "not
-// ready" first, goes on taking work while the balancer has not seen that, finishes what is
-// in progress, and only then ends.
+// Guards against interrupted answers when an entry gets a signal to end under load. The entry must
+// first report that it is not ready, still accept requests until the load balancer notices, finish
+// the requests in progress, and then end.
 #[tokio::test(flavor = "multi_thread")]
-async fn can_end_an_entry_under_load_without_a_cut() {
+async fn can_end_an_entry_under_load_without_interrupting_answers() {
     let mut site = start_site().await;
     let calls: Vec<_> = (0..CALLS)
         .map(|number| send(&site, 0, "load", number))
         .collect();
     wait_until_running(&site, "load").await;
     site.entries[0].child.terminate().unwrap();
-    wait_until("an entry that is not ready", async || {
+    wait_until("an entry that is leaving", async || {
         status_page(site.entries[0].admin)
             .await
             .ok()
@@ -89,10 +89,10 @@
     assert_eq!(after.ending, Ending::Complete);
 }
 
-// Callers see whole answers: an agent is told to end while its endpoint runs calls. New
-// ones go to the other endpoint; those in progress finish, and then it ends.
+// Guards against interrupted answers when an agent gets a signal to end while its endpoint runs
+// calls. New calls must go to the other endpoint; the agent ends after the calls in progress.
 #[tokio::test(flavor = "multi_thread")]
-async fn can_end_an_agent_under_load_without_a_cut() {
+async fn can_end_an_agent_under_load_without_interrupting_answers() {
     let mut site = start_site().await;
     let calls: Vec<_> = (0..CALLS)
         .map(|number| send(&site, number % 2, "load", number))
@@ -108,11 +108,11 @@
     assert!(status.success(), "{status}");
 }
 
-// The platform lists a VM as leaving. Its agent still takes work for a long while, so it
-// is the entries that drop the endpoint; of all calls made after the last entry knows, none
-// runs there, and each has a whole answer.
+// Guards against new calls to an endpoint whose VM the platform lists as leaving. Its agent still
+// accepts work for 60 s, so the entries must exclude the endpoint. Once each entry has done so,
+// no call may run there.
 #[tokio::test(flavor = "multi_thread")]
-async fn can_keep_new_work_from_a_leaving_endpoint() {
+async fn can_exclude_a_leaving_endpoint_from_new_work() {
     let settings = SiteSettings {
         settle_ms: 60_000,
         ..SiteSettings::default()
@@ -122,7 +122,7 @@
     site.set_vm_state(leaving, VmState::Leaving).await.unwrap();
     let address = leaving.inner.to_string();
     for entry in &site.entries {
-        wait_until("an entry that knows", async || {
+        wait_until("an entry that excludes the leaving endpoint", async || {
             let listed = active_replicas(&status_page(entry.admin).await.ok()?, "guichet");
             let has_address =
                 |replica: &serde_json::Value| replica["agent"].to_string().contains(&address);
@@ -139,15 +139,15 @@
     assert_eq!(
         total_runs(&site, 0).await,
         before,
-        "new work for a leaving endpoint"
+        "a leaving endpoint got new work"
     );
     assert!(
         site.agents[0].child.is_running(),
-        "an agent that still takes work"
+        "the agent ended before its time to accept work was over"
     );
 }
 
-/// Calls that an endpoint ran.
+/// Number of calls that a plain service has run.
 async fn total_runs(site: &Site, service: usize) -> u64 {
     let request = adapters::Request::new("GET", "/standin/total");
     let body = proof::exchange(site.services[service].address, request)
@@ -156,9 +156,9 @@
     serde_json::from_slice(&body).unwrap()
 }
 
-// A VM dies and another takes its address at once. The entries know the new life by its
-// incarnation, and both endpoints have work again; an answer meant for the old life never
-// reaches a caller of the new one.
+// Guards against confusion of a VM with its replacement at the same address: the entries must
+// recognize the new process by its incarnation and send work to both endpoints again. An answer of
+// the old process must not reach a call to the new one.
 #[tokio::test(flavor = "multi_thread")]
 async fn can_use_a_vm_that_was_replaced_at_the_same_address() {
     let mut site = start_site().await;
@@ -170,7 +170,7 @@
     site.restart(|site| &mut site.agents[0]).await.unwrap();
     expect_all_complete(&answers(old).await);
     let before = total_runs(&site, 0).await;
-    wait_until("work for the new life", async || {
+    wait_until("work at the endpoint of the new process", async || {
         let calls = (0..CALLS).map(|number| send(&site, number % 2, "new", number * 3));
         expect_all_complete(&answers(calls.collect()).await);
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -180,7 +180,7 @@
     .unwrap();
 }
 
-/// Waits until both endpoints run some of the consultations.
+/// Waits until both endpoints have run at least one call.
 async fn wait_until_both_run(site: &Site) {
     wait_until("calls at both endpoints", async || {
         let both = total_runs(site, 0).await > 0 && total_runs(site, 1).await > 0;
--- a/dev/proof/tests/plain_calls.rs
+++ b/dev/proof/tests/plain_calls.rs
@@ -1,4 +1,4 @@
-//! Plain calls under kills, freezes, lost and broken answers.
+//! Plain calls while processes are killed or paused and answers are lost or broken.
 
 use proof::{Case, Ending, Fault, Phase, Repeat, RequestKind, run_cases};
 
@@ -28,15 +28,14 @@
 }
 
 const COMPLETE: &[Ending] = &[Complete];
-/// An answer that has begun can only break off, and does so visibly.
+/// Endings of a call whose answer was interrupted; none of them looks complete.
 const INTERRUPTED: &[Ending] = &[Interrupted, Unknown, Failed];
-/// What a caller may be told of a call that ran and may not run again.
+/// Endings of a call that ran and may not be retried.
 const MAY_HAVE_RUN: &[Ending] = &[Complete, Unknown, Failed];
 
-// The clerk sees the whole answer to his consultation whatever dies on the way, unless it
-// is the entry he talks to: a consultation may run again, so the entry sends it to another
-// endpoint. Where the endpoint stays and only the connection was lost, the call is taken
-// up by its id.
+// Guards against failed answers to an idempotent call when any process but the caller's entry
+// fails: the entry must retry at another endpoint. If only a connection was lost and the endpoint
+// still runs the call, the call must be resumed by its id.
 #[tokio::test(flavor = "multi_thread")]
 async fn can_answer_a_consultation_under_every_fault() {
     let consult = |name, faults, phase, allowed_endings| {
@@ -50,22 +49,62 @@
     };
     let failures = run_cases(&[
         consult("no fault", &[], Running, COMPLETE),
-        consult("endpoint dies before", &[KillEndpoint], Before, COMPLETE),
-        consult("endpoint dies under it", &[KillEndpoint], Running, COMPLETE),
-        consult("agent dies before", &[KillAgent], Before, COMPLETE),
-        consult("agent dies under it", &[KillAgent], Running, COMPLETE),
-        consult("agent wakes late before", &[PauseAgent], Before, COMPLETE),
-        consult("agent wakes late", &[PauseAgent], Running, COMPLETE),
-        consult("entry wakes late", &[PauseEntry], Running, COMPLETE),
-        consult("entry dies under it", &[KillEntry], Running, &[Lost]),
-        consult("other entry dies", &[KillOtherEntry], Running, COMPLETE),
-        consult("answered to a paused entry", &[], Answered, COMPLETE),
-        consult("agent dies once answered", &[KillAgent], Answered, COMPLETE),
+        consult(
+            "endpoint is killed before the call",
+            &[KillEndpoint],
+            Before,
+            COMPLETE,
+        ),
+        consult(
+            "endpoint is killed during the call",
+            &[KillEndpoint],
+            Running,
+            COMPLETE,
+        ),
+        consult(
+            "agent is killed before the call",
+            &[KillAgent],
+            Before,
+            COMPLETE,
+        ),
+        consult(
+            "agent is killed during the call",
+            &[KillAgent],
+            Running,
+            COMPLETE,
+        ),
+        consult(
+            "agent is paused before the call",
+            &[PauseAgent],
+            Before,
+            COMPLETE,
+        ),
+        consult("agent is paused", &[PauseAgent], Running, COMPLETE),
+        consult("entry is paused", &[PauseEntry], Running, COMPLETE),
+        consult(
+            "entry is killed during the call",
+            &[KillEntry],
+            Running,
+            &[Lost],
+        ),
+        consult(
+            "other entry is killed",
+            &[KillOtherEntry],
+            Running,
+            COMPLETE,
+        ),
+        consult("entry is paused at the answer", &[], Answered, COMPLETE),
+        consult(
+            "agent is killed after the answer",
+            &[KillAgent],
+            Answered,
+            COMPLETE,
+        ),
         consult("answer is cut", &[CutAnswer], Running, COMPLETE),
         consult("answer is truncated", &[TruncateAnswer], Running, COMPLETE),
         consult("answer is lost", &[LoseAnswer], Running, COMPLETE),
         consult(
-            "agent wakes, its endpoint dead",
+            "agent is paused, its endpoint crashes",
             &[KillEndpoint, PauseAgent],
             Running,
             COMPLETE,
@@ -75,9 +114,9 @@
     assert!(failures.is_empty(), "{failures:#?}");
 }
 
-// The verifier sees a whole answer, or is told that the check may have run; never that it
-// did not, and never a second run. Where only a connection or a pause was in the way, the
-// answer is whole.
+// Guards against a second run of a call that may run at most once, and against "not run" for a call
+// that may have run. If only a connection was lost or a process paused, the answer must be
+// complete.
 #[tokio::test(flavor = "multi_thread")]
 async fn can_run_a_sanction_check_once_under_every_fault() {
     let check = |name, faults, phase, allowed_endings| {
@@ -92,33 +131,53 @@
     let failures = run_cases(&[
         check("no fault", &[], Running, COMPLETE),
         check(
-            "endpoint dies before",
+            "endpoint is killed before the call",
             &[KillEndpoint],
             Before,
             &[Complete, NotRun],
         ),
         check(
-            "endpoint dies under it",
+            "endpoint is killed during the call",
             &[KillEndpoint],
             Running,
             &[Unknown, Failed],
         ),
         check(
-            "agent dies before",
+            "agent is killed before the call",
             &[KillAgent],
             Before,
             &[Complete, NotRun],
         ),
-        check("agent dies under it", &[KillAgent], Running, &[Unknown]),
-        check("agent wakes late before", &[PauseAgent], Before, COMPLETE),
-        check("agent wakes late", &[PauseAgent], Running, COMPLETE),
-        check("entry wakes late", &[PauseEntry], Running, COMPLETE),
-        check("entry sleeps when it comes", &[], EntryPaused, COMPLETE),
-        check("entry dies under it", &[KillEntry], Running, &[Lost]),
-        check("other entry dies", &[KillOtherEntry], Running, COMPLETE),
-        check("answered to a paused entry", &[], Answered, COMPLETE),
         check(
-            "agent dies once answered",
+            "agent is killed during the call",
+            &[KillAgent],
+            Running,
+            &[Unknown],
+        ),
+        check(
+            "agent is paused before the call",
+            &[PauseAgent],
+            Before,
+            COMPLETE,
+        ),
+        check("agent is paused", &[PauseAgent], Running, COMPLETE),
+        check("entry is paused", &[PauseEntry], Running, COMPLETE),
+        check("entry is paused at arrival", &[], EntryPaused, COMPLETE),
+        check(
+            "entry is killed during the call",
+            &[KillEntry],
+            Running,
+            &[Lost],
+        ),
+        check(
+            "other entry is killed",
+            &[KillOtherEntry],
+            Running,
+            COMPLETE,
+        ),
+        check("entry is paused at the answer", &[], Answered, COMPLETE),
+        check(
+            "agent is killed after the answer",
             &[KillAgent],
             Answered,
             MAY_HAVE_RUN,
@@ -132,7 +191,7 @@
         ),
         check("answer is lost", &[LoseAnswer], Running, &[Unknown, Failed]),
         check(
-            "agent wakes, its endpoint dead",
+            "agent is paused, its endpoint crashes",
             &[KillEndpoint, PauseAgent],
             Running,
             &[Unknown, Failed],
@@ -142,11 +201,11 @@
     assert!(failures.is_empty(), "{failures:#?}");
 }
 
-// The connections between agents and endpoints are cut or go silent, and the endpoints live
-// on. A consultation is sent again when its connection is cut; on a silent one its caller
-// is told in the time that he gave. A sanction check is never sent again.
+// Guards against wrong answers when connections between agents and endpoints are closed or go
+// silent. An idempotent call must be retried after a close, and on a silent connection it must end
+// by its deadline. A call that may run at most once must never be sent again.
 #[tokio::test(flavor = "multi_thread")]
-async fn can_tell_the_truth_over_broken_connections_to_endpoints() {
+async fn can_report_true_outcomes_over_broken_connections_to_endpoints() {
     let consult = |name, faults, phase, allowed_endings| {
         case(
             name,
@@ -166,18 +225,38 @@
         )
     };
     let failures = run_cases(&[
-        consult("idle ones cut", &[CutEndpoint], Before, COMPLETE),
-        consult("cut under it", &[CutEndpoint], Running, COMPLETE),
+        consult("idle connections are cut", &[CutEndpoint], Before, COMPLETE),
         consult(
-            "silent under it",
+            "connections are cut during the call",
+            &[CutEndpoint],
+            Running,
+            COMPLETE,
+        ),
+        consult(
+            "connections are silent during the call",
             &[SilenceEndpoint],
             Running,
             &[Complete, Unknown],
         ),
-        check("idle ones cut", &[CutEndpoint], Before, COMPLETE),
-        check("cut under it", &[CutEndpoint], Running, &[Unknown, Failed]),
-        check("idle ones silent", &[SilenceEndpoint], Before, COMPLETE),
-        check("silent under it", &[SilenceEndpoint], Running, &[Unknown]),
+        check("idle connections are cut", &[CutEndpoint], Before, COMPLETE),
+        check(
+            "connections are cut during the call",
+            &[CutEndpoint],
+            Running,
+            &[Unknown, Failed],
+        ),
+        check(
+            "idle connections are silent",
+            &[SilenceEndpoint],
+            Before,
+            COMPLETE,
+        ),
+        check(
+            "connections are silent during the call",
+            &[SilenceEndpoint],
+            Running,
+            &[Unknown],
+        ),
     ])
     .await;
     assert!(failures.is_empty(), "{failures:#?}");
--- a/dev/proof/tests/silent_endpoint.rs
+++ b/dev/proof/tests/silent_endpoint.rs
@@ -1,13 +1,13 @@
-//! Idle connections to an endpoint that have gone silent.
+//! Calls to an endpoint whose idle connections have gone silent.
 
 use proof::{Case, Ending, Fault, Phase, Repeat, RequestKind, run_cases};
 
-// The clerk sees his consultation answered: the connection that the agent kept from an
-// earlier call carries nothing any more, and new ones work.
+// Guards against a call that hangs on a dead pooled connection: the agent's idle connection from
+// an earlier call carries no more data, while new connections work.
 #[tokio::test(flavor = "multi_thread")]
 async fn can_answer_when_idle_connections_are_silent() {
     let case = Case {
-        name: "idle ones silent",
+        name: "idle connections are silent",
         kind: RequestKind::Consultation,
         faults: &[Fault::SilenceEndpoint],
         phase: Phase::Before,
--- a/dev/proof/tests/traces.rs
+++ b/dev/proof/tests/traces.rs
@@ -1,7 +1,8 @@
-//! Recorded traces, replayed over the machines that decide, against stated outcomes.
+//! Replays recorded traces through the state machines and compares the outcomes with those stated
+//! in the traces.
 //!
-//! A trace is a text of one event a line; `traces/README.md` has the words.
-#![allow(clippy::unwrap_used, clippy::panic)] // The exemption of clippy.toml ends at helpers of tests.
+//! A trace is a text file with one event per line; `traces/README.md` describes the events.
+#![allow(clippy::unwrap_used, clippy::panic)] // clippy.toml exempts tests, but not helpers.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -24,7 +25,7 @@
 }
 
 impl Trace {
-    /// What follows each line that begins with this word.
+    /// Remainders of all lines whose first word is `word`.
     fn all<'a>(&'a self, word: &'a str) -> impl Iterator<Item = &'a str> {
         let lines = self.lines.iter();
         lines.filter_map(move |line| line.strip_prefix(word)?.strip_prefix(' '))
@@ -66,15 +67,16 @@
     (number.parse().unwrap(), rest)
 }
 
-/// First word of a value as `Debug` prints it, in lower case.
+/// Name of an enum's variant, from its `Debug` output, in lower case.
 fn word(value: &impl std::fmt::Debug) -> String {
     let text = format!("{value:?}").to_ascii_lowercase();
     let end = text.find(|c: char| !c.is_ascii_alphanumeric());
     text[..end.unwrap_or(text.len())].to_owned()
 }
 
-// Every reader comes to the stated verdicts. One that begins in the middle, because the log
-// has forgotten the rest, never holds another text for a version.
+// Guards against readers of the log that disagree: each must reach the stated verdicts. A reader
+// that starts in the middle, because the log removed older records, must not have another
+// configuration for a version.
 #[test]
 fn can_replay_traces_of_the_configuration() {
     for trace in traces("configuration") {
@@ -115,8 +117,8 @@
     }
 }
 
-// The first claim of a key in the log wins at every reader, and a repeat is told the stated
-// verdict at the stated time.
+// Guards against readers that accept different claims of a key: the first claim in the log must win
+// at each reader, and a repeat must get the stated verdict at the stated time.
 #[test]
 fn can_replay_traces_of_claims() {
     for trace in traces("claims") {
@@ -191,12 +193,12 @@
             parts: number(1),
             body_bytes: u64::from(number(2)),
         },
-        other => panic!("no event is called {other}"),
+        other => panic!("unknown event {other} in a trace"),
     };
     AttemptEvent::Frame(frame)
 }
 
-// A call ends as stated, and with one final event.
+// Guards against a call with a wrong ending or with more than one final event.
 #[test]
 fn can_replay_traces_of_calls() {
     for trace in traces("call") {
--- a/dev/proof/tests/training.rs
+++ b/dev/proof/tests/training.rs
@@ -1,5 +1,5 @@
-//! Training steps under faults. The stand-in trainer holds every sample against its
-//! promises: each slot once, the versions that its text tells, none older than the bound.
+//! Training steps under faults. The stand-in trainer checks each sample: one per slot, the weight
+//! versions that its text shows, and no version older than the staleness bound.
 
 use futures_util::future::join_all;
 use proof::{ProofError, Site, SiteSettings, exchange, status_page, wait_until};
@@ -74,7 +74,7 @@
     .await
 }
 
-/// Waits until some engine runs a sample.
+/// Waits until an engine generates a sample.
 async fn wait_until_sample_in_progress(site: &Site) -> Result<(), ProofError> {
     wait_until("a sample in progress", async || {
         for agent in &site.agents[..site.engines.len()] {
@@ -88,7 +88,7 @@
     .await
 }
 
-/// Faults that are there from the start.
+/// Injects the faults that exist from the start of the training.
 fn inject_initial_faults(site: &Site, disruption: Disruption) {
     let on_engines = |fault: &Fault| {
         site.engines
@@ -106,10 +106,7 @@
         }
         Disruption::CutAnswers => {
             let cut = Fault::new(FaultKind::Cut).on("/v1/completions").times(4);
-            on_engines(&Fault {
-                second_report: 3,
-                ..cut
-            });
+            on_engines(&Fault { after: 3, ..cut });
         }
         Disruption::StoreBusy => site.store.fault(Fault::new(FaultKind::StoreRate).times(6)),
         Disruption::ScorerFails => site
@@ -123,7 +120,7 @@
     }
 }
 
-/// Faults in the middle of a step.
+/// Injects the faults that occur while a step is in progress.
 async fn inject_faults(site: &mut Site, disruption: Disruption) -> Result<(), ProofError> {
     wait_until_sample_in_progress(site).await?;
     match disruption {
@@ -159,7 +156,7 @@
     Ok(())
 }
 
-/// An order of an agent that was paused since the first version, arriving now.
+/// Sends the engines an order of version 0.0, as an agent does that was paused since that version.
 async fn send_outdated_order(site: &Site) -> Result<(), ProofError> {
     let order = serde_json::json!({"model": "redacteurs", "version": "0.0", "fence": 0});
     for engine in &site.engines {
@@ -192,31 +189,31 @@
     is_complete.then_some(()).ok_or_else(|| report.to_string())
 }
 
-// The trainer sees every step whole: each slot once, within the bound, with the versions
-// that made it, whatever dies in the middle of a step. It carries the cursor; an entry that
-// lost the step makes only what the cursor lacks.
+// Guards against missing or repeated samples, wrong versions and stale samples when a process fails
+// during a step. The trainer carries the cursor, so an entry that lost the step generates only the
+// samples that the cursor lacks.
 #[tokio::test(flavor = "multi_thread")]
-async fn can_deliver_whole_steps_under_every_fault() {
+async fn can_deliver_complete_steps_under_every_fault() {
     let outcome = join_all([
         run_case(case("no fault", Disruption::None)),
-        run_case(case("first entry dies", Disruption::KillEntry(0))),
-        run_case(case("second entry dies", Disruption::KillEntry(1))),
-        run_case(case("first entry wakes late", Disruption::PauseEntry(0))),
-        run_case(case("second entry wakes late", Disruption::PauseEntry(1))),
+        run_case(case("first entry is killed", Disruption::KillEntry(0))),
+        run_case(case("second entry is killed", Disruption::KillEntry(1))),
+        run_case(case("first entry is paused", Disruption::PauseEntry(0))),
+        run_case(case("second entry is paused", Disruption::PauseEntry(1))),
         run_case(case(
             "both entries are replaced",
             Disruption::ReplaceBothEntries,
         )),
-        run_case(case("an agent dies", Disruption::KillAgent)),
+        run_case(case("an agent is killed", Disruption::KillAgent)),
         run_case(case("an engine crashes", Disruption::CrashEngine)),
         run_case(case(
             "both engines crash in turn",
             Disruption::CrashEngineTwice,
         )),
         run_case(case("streams are cut", Disruption::CutAnswers)),
-        run_case(case("the log is out", Disruption::LogOutage)),
+        run_case(case("the log is unavailable", Disruption::LogOutage)),
         run_case(case(
-            "entry dies in a log outage",
+            "entry is killed in a log outage",
             Disruption::KillEntryInLogOutage,
         )),
     ])
@@ -225,31 +222,34 @@
     assert!(failures.is_empty(), "{failures:#?}");
 }
 
-// The trainer sees true versions though a swap fails, its answer is lost, an old order
-// comes late to an engine that does not check, or the store refuses; and scored samples
-// though the scorer fails or is late. The agent reads the version back after each order.
+// Guards against samples with wrong versions when a swap fails, its answer is lost, an outdated
+// order reaches an engine without fencing, or the store refuses; and against missing scores when
+// the scorer fails or is slow. The agent reads the version back after each order.
 #[tokio::test(flavor = "multi_thread")]
-async fn can_name_the_versions_through_failing_swaps_and_scorers() {
+async fn can_report_the_true_versions_when_swaps_and_scorers_fail() {
     let outcome = join_all([
         run_case(case("swaps fail", Disruption::SwapFails)),
         run_case(case(
             "answers of swaps are lost",
             Disruption::SwapAnswerLost,
         )),
-        run_case(case("old order, no fencing", Disruption::LateOldOrder)),
+        run_case(case(
+            "outdated order without fencing",
+            Disruption::LateOldOrder,
+        )),
         run_case(case("the store is busy", Disruption::StoreBusy)),
         run_case(case("the scorer fails", Disruption::ScorerFails)),
-        run_case(case("the scorer is late", Disruption::ScorerLate)),
+        run_case(case("the scorer is slow", Disruption::ScorerLate)),
     ])
     .await;
     let failures: Vec<_> = outcome.into_iter().filter_map(Result::err).collect();
     assert!(failures.is_empty(), "{failures:#?}");
 }
 
-// The operator rolls the model back between two runs of the trainer, which goes on from the
-// version that he gave: no sample of the time before the roll-back comes any more.
+// Guards against samples from before a rollback: the operator rolls the model back between two runs
+// of the trainer, which continues from the version that the rollback returned.
 #[tokio::test(flavor = "multi_thread")]
-async fn can_go_on_after_a_roll_back() {
+async fn can_continue_after_a_rollback() {
     let site = start_site(true).await.unwrap();
     let first_report = trainer::run(trainer(&site, 1, WeightVersion::default())).await;
     check_report(first_report.unwrap()).unwrap();
