--- a/dev/sim/src/cli.rs
+++ b/dev/sim/src/cli.rs
@@ -8,7 +8,7 @@
 pub fn command() -> Command {
     Command::new("hornbeamrock-sim")
         .version(env!("CARGO_PKG_VERSION"))
-        .about("Simulates fleets of fronts that share one store; reports calls, bytes and latencies")
+        .about("Simulates fleets of fronts on one store; reports calls, bytes and latencies")
         .arg(
             Arg::new("fronts")
                 .long("fronts")
@@ -24,12 +24,18 @@
             "Reads per second that the store serves before it throttles",
             "16000",
         ))
-        .arg(number("partitions", "Partitions of the fronts' group", "48"))
+        .arg(number(
+            "partitions",
+            "Partitions of the fronts' group",
+            "48",
+        ))
         .arg(number("seed", "Seed of the random numbers", "1"))
         .arg(
             Arg::new("fault")
                 .long("fault")
-                .help("Fault from 12 to 18 s: hits a third of the fronts, the lease holder and an owner")
+                .help(
+                    "Fault from 12 to 18 s at a third of the fronts, the lease holder and an owner",
+                )
                 .value_parser(["none", "killed", "frozen", "turned-away"])
                 .default_value("none"),
         )
--- a/dev/sim/src/log.rs
+++ b/dev/sim/src/log.rs
@@ -51,7 +51,8 @@
         self.records.len()
     }
 
-    /// Returns records from offset `from`, up to `bytes_max` bytes in total but at least one record.
+    /// Returns records from offset `from`, at most `bytes_max` bytes in total but at least one
+    /// record if there is one.
     pub fn page(&self, from: usize, bytes_max: u64) -> &[Record] {
         let rest = &self.records[from.min(self.records.len())..];
         let mut bytes = 0;
