--- a/dev/sim/src/fleet/mod.rs
+++ b/dev/sim/src/fleet/mod.rs
@@ -128,8 +128,8 @@
     double_orders: u64,
 }
 
-/// Lease holder and owner of the first shard that the last fault hit, with the time of the loss
-/// until a successor is found, and the times until then.
+/// Effect of the last fault on the lease holder and on the owner of the first shard. `holder` and
+/// `owner` have the lost front and the time of its loss until another front takes over.
 #[derive(Debug, Default)]
 struct FaultImpact {
     holder: Option<(usize, u64)>,
@@ -147,6 +147,7 @@
     store: Store,
     fronts: Vec<Front>,
     rebalancing_until_ms: Vec<u64>,
+    /// Front and number of each read that waits for a new record, by topic.
     waiting: [Vec<(usize, u64)>; TOPICS.len()],
     counts: Counts,
     /// Time at which each front read each timed change.
@@ -154,8 +155,10 @@
     appended_at_ms: [u64; TIMED_CHANGES_AT_MS.len()],
     /// Fronts that any fault has affected.
     affected: BTreeSet<usize>,
+    /// Fronts that each fault affects while it lasts, by index of the fault.
     affected_by: Vec<Vec<usize>>,
     fault_impact: FaultImpact,
+    /// Fronts that may give orders, as of their last check of the lease.
     lease_holders: BTreeSet<usize>,
 }
 
--- a/dev/sim/src/report.rs
+++ b/dev/sim/src/report.rs
@@ -47,11 +47,11 @@
     pub draining: Propagation,
     /// Time from the append of a step's acceptance until the owner of the first shard reads it.
     pub accepted_ms: u64,
-    /// Time from the loss of the lease holder until the next holder may give orders; 0 without a
-    /// fault.
+    /// Time from the loss of the lease holder until another front may give orders; 0 without a
+    /// fault or if no other front acquired the lease.
     pub holder_gap_ms: u64,
     /// Time from the loss of the first shard's owner until another front may run the shard; 0
-    /// without a fault.
+    /// without a fault or if no other front got the shard.
     pub owner_gap_ms: u64,
     /// Number of records that fronts wrote to acquire the lease.
     pub takes: u64,
--- a/dev/sim/src/settings.rs
+++ b/dev/sim/src/settings.rs
@@ -73,7 +73,8 @@
     pub log_pace: TopicPace,
     /// Read intervals of the replicas topic.
     pub replica_pace: TopicPace,
-    /// Whether only fronts that own a partition try to acquire the lease.
+    /// Whether fronts that own a partition acquire a free lease earlier than other fronts. If false,
+    /// all fronts try to acquire it at the same time.
     pub owners_first: bool,
     /// Simulated duration of the run.
     pub day_ms: u64,
