--- a/dev/proof/src/child.rs
+++ b/dev/proof/src/child.rs
@@ -57,8 +57,11 @@
 
     /// Waits until the process ends and returns its exit status.
     pub async fn wait_until_ended(&mut self) -> Result<ExitStatus, ProofError> {
-        let what = format!("the end of {}", self.name);
-        wait_until(&what, async || self.process.try_wait().ok().flatten()).await
+        let expected_event = format!("the end of {}", self.name);
+        wait_until(&expected_event, async || {
+            self.process.try_wait().ok().flatten()
+        })
+        .await
     }
 
     fn signal(&self, signal: &str) -> Result<(), ProofError> {
--- a/dev/proof/src/error.rs
+++ b/dev/proof/src/error.rs
@@ -47,16 +47,16 @@
             display("{} answered with status {}, expected 2xx", address, status)
         }
         /// A process or task ended that should still run.
-        Ended(what: String) {
-            display("{} ended unexpectedly", what)
+        Ended(subject: String) {
+            display("{} ended unexpectedly", subject)
         }
         /// An expected object was not found, or an expected event did not occur in time.
-        NotFound(what: String) {
-            display("not found in time: {}", what)
+        NotFound(subject: String) {
+            display("not found in time: {}", subject)
         }
         /// The product violated a promise in a case.
-        Violation(case: String, how: String) {
-            display("{}: {}", case, how)
+        Violation(case: String, reason: String) {
+            display("{}: {}", case, reason)
         }
     }
 }
--- a/dev/proof/src/site.rs
+++ b/dev/proof/src/site.rs
@@ -385,8 +385,8 @@
         wanted.push(("notation", usize::from(self.settings.has_scorer)));
         for entry in &self.entries {
             for (service, count) in &wanted {
-                let what = format!("{count} replicas of {service}");
-                wait_until(&what, async || {
+                let expected_event = format!("{count} replicas of {service}");
+                wait_until(&expected_event, async || {
                     let known_count =
                         active_replicas(&status_page(entry.admin).await.ok()?, service).len();
                     (known_count >= *count).then_some(())
--- a/dev/proof/src/status.rs
+++ b/dev/proof/src/status.rs
@@ -19,9 +19,10 @@
 /// Replicas of a service that an entry's status page lists and that are not leaving.
 pub fn active_replicas(page: &Value, service: &str) -> Vec<Value> {
     let services = page["services"].as_array().into_iter().flatten();
-    let own = services.filter(|row| row["service"] == service);
-    let all = own.flat_map(|row| row["replicas"].as_array().into_iter().flatten());
-    all.filter(|replica| replica["leaving"] != true)
+    let rows = services.filter(|row| row["service"] == service);
+    let replicas = rows.flat_map(|row| row["replicas"].as_array().into_iter().flatten());
+    replicas
+        .filter(|replica| replica["leaving"] != true)
         .cloned()
         .collect()
 }
--- a/dev/proof/tests/crashing_prompts.rs
+++ b/dev/proof/tests/crashing_prompts.rs
@@ -13,10 +13,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn can_bound_the_crashes_by_a_repeated_prompt() {
     let site = start_site().await;
-    let poison = TestRequest::new(RequestKind::Opinion, "POISON");
+    let crashing_request = TestRequest::new(RequestKind::Opinion, "POISON");
     for submission in 0..10 {
         let answer = site
-            .send(submission % 2, &poison, "")
+            .send(submission % 2, &crashing_request, "")
             .answer()
             .await
             .unwrap();
@@ -35,10 +35,10 @@
 async fn can_complete_other_callers_streams_beside_a_crashing_prompt() {
     let site = start_site().await;
     let others = send_bystander_requests(&site).await;
-    let poison = TestRequest::new(RequestKind::Opinion, "POISON");
+    let crashing_request = TestRequest::new(RequestKind::Opinion, "POISON");
     for submission in 0..10 {
         let answer = site
-            .send(submission % 2, &poison, "")
+            .send(submission % 2, &crashing_request, "")
             .answer()
             .await
             .unwrap();
--- a/dev/proof/tests/crashing_prompts_at_once.rs
+++ b/dev/proof/tests/crashing_prompts_at_once.rs
@@ -13,8 +13,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn can_bound_the_crashes_by_concurrent_submissions_of_a_prompt() {
     let site = start_site().await;
-    let poison = TestRequest::new(RequestKind::Opinion, "POISON");
-    let pending = (0..6).map(|submission| site.send(submission % 2, &poison, ""));
+    let crashing_request = TestRequest::new(RequestKind::Opinion, "POISON");
+    let pending = (0..6).map(|submission| site.send(submission % 2, &crashing_request, ""));
     let pending: Vec<_> = pending.collect();
     for answer in join_all(pending.into_iter().map(proof::Pending::answer)).await {
         assert_ne!(answer.unwrap().ending, Ending::Lost, "no final answer");
--- a/dev/proof/tests/traces.rs
+++ b/dev/proof/tests/traces.rs
@@ -26,14 +26,14 @@
 
 impl Trace {
     /// Remainders of all lines whose first word is `word`.
-    fn all<'a>(&'a self, word: &'a str) -> impl Iterator<Item = &'a str> {
+    fn values<'a>(&'a self, word: &'a str) -> impl Iterator<Item = &'a str> {
         let lines = self.lines.iter();
         lines.filter_map(move |line| line.strip_prefix(word)?.strip_prefix(' '))
     }
 
-    fn one<'a>(&'a self, word: &'a str) -> &'a str {
+    fn first_value<'a>(&'a self, word: &'a str) -> &'a str {
         let missing = || panic!("{}: no line '{word}'", self.name);
-        self.all(word).next().unwrap_or_else(missing)
+        self.values(word).next().unwrap_or_else(missing)
     }
 }
 
@@ -54,7 +54,7 @@
             name: path.file_name().unwrap().to_string_lossy().into_owned(),
             lines: lines.map(str::to_owned).collect(),
         };
-        if trace.one("machine") == machine {
+        if trace.first_value("machine") == machine {
             traces.push(trace);
         }
     }
@@ -62,13 +62,13 @@
     traces
 }
 
-fn numbered(line: &str) -> (u64, &str) {
+fn split_number(line: &str) -> (u64, &str) {
     let (number, rest) = line.split_once(' ').unwrap();
     (number.parse().unwrap(), rest)
 }
 
 /// Name of an enum's variant, from its `Debug` output, in lower case.
-fn word(value: &impl std::fmt::Debug) -> String {
+fn variant_name(value: &impl std::fmt::Debug) -> String {
     let text = format!("{value:?}").to_ascii_lowercase();
     let end = text.find(|c: char| !c.is_ascii_alphanumeric());
     text[..end.unwrap_or(text.len())].to_owned()
@@ -80,7 +80,7 @@
 #[test]
 fn can_replay_traces_of_the_configuration() {
     for trace in traces("configuration") {
-        let records: Vec<(u64, &str)> = trace.all("record").map(numbered).collect();
+        let records: Vec<(u64, &str)> = trace.values("record").map(split_number).collect();
         let mut ledger = Ledger::starting_at(0);
         let mut ids = BTreeMap::new();
         for (offset, data) in &records {
@@ -90,13 +90,13 @@
                 .map(|held| ((held.customer.clone(), held.version), held.id.clone()));
             ids.extend(held);
         }
-        for line in trace.all("verdict") {
+        for line in trace.values("verdict") {
             let words: Vec<&str> = line.split(' ').collect();
             let customer = CustomerName::new(words[0]).unwrap();
             let verdict = ledger.verdict(&customer, words[1]).unwrap();
-            assert_eq!(word(verdict), words[2], "{}: {line}", trace.name);
+            assert_eq!(variant_name(verdict), words[2], "{}: {line}", trace.name);
         }
-        for line in trace.all("current") {
+        for line in trace.values("current") {
             let words: Vec<&str> = line.split(' ').collect();
             let current = ledger
                 .current(&CustomerName::new(words[0]).unwrap())
@@ -131,29 +131,34 @@
             match event {
                 "at" => now_ms = rest.parse().unwrap(),
                 "record" => {
-                    let (offset, data) = numbered(rest);
+                    let (offset, data) = split_number(rest);
                     for record in Line::parse(data).unwrap().records {
                         if let Record::Claim(claim) = record {
                             first.get_or_insert(claim);
                         }
                     }
-                    for one in shard.apply(offset, data, now_ms).unwrap() {
+                    for placement in shard.apply(offset, data, now_ms).unwrap() {
                         placed.insert(
-                            format!("{} {}", one.claim.boot, one.claim.counter),
-                            word(&one.verdict),
+                            format!("{} {}", placement.claim.boot, placement.claim.counter),
+                            variant_name(&placement.verdict),
                         );
                     }
                 }
                 "repeat" => {
                     let claim = first.unwrap();
                     let verdict = shard.peek(claim.key, claim.request, now_ms);
-                    assert_eq!(word(&verdict.unwrap()), rest, "{} at {now_ms}", trace.name);
+                    assert_eq!(
+                        variant_name(&verdict.unwrap()),
+                        rest,
+                        "{} at {now_ms}",
+                        trace.name
+                    );
                 }
                 _ => {}
             }
         }
         let stated: BTreeMap<String, String> = trace
-            .all("placed")
+            .values("placed")
             .map(|line| line.rsplit_once(' ').unwrap())
             .map(|(claim, verdict)| (claim.to_owned(), verdict.to_owned()))
             .collect();
@@ -202,12 +207,12 @@
 #[test]
 fn can_replay_traces_of_calls() {
     for trace in traces("call") {
-        let deadline_ms = trace.one("deadline").parse().unwrap();
-        let reattach_ms = trace.one("reattach").parse().unwrap();
+        let deadline_ms = trace.first_value("deadline").parse().unwrap();
+        let reattach_ms = trace.first_value("reattach").parse().unwrap();
         let mut call = Attempt::new(ID, 0, deadline_ms, reattach_ms);
         let mut actions = Vec::new();
-        for line in trace.all("at") {
-            let (now_ms, rest) = numbered(line);
+        for line in trace.values("at") {
+            let (now_ms, rest) = split_number(line);
             let words: Vec<&str> = rest.split(' ').collect();
             call.handle(call_event(&words), now_ms, &mut actions);
         }
@@ -221,6 +226,11 @@
                 _ => None,
             })
             .collect();
-        assert_eq!(ends, vec![trace.one("ends").to_owned()], "{}", trace.name);
+        assert_eq!(
+            ends,
+            vec![trace.first_value("ends").to_owned()],
+            "{}",
+            trace.name
+        );
     }
 }
--- a/dev/proof/tests/training.rs
+++ b/dev/proof/tests/training.rs
@@ -177,9 +177,11 @@
     let settings = trainer(&site, 1, WeightVersion::default());
     let training = tokio::spawn(trainer::run(settings));
     inject_faults(&mut site, case.disruption).await?;
-    let broken = |reason: String| ProofError::Violation(case.name.to_owned(), reason);
-    let outcome = training.await.map_err(|error| broken(error.to_string()))?;
-    check_report(outcome.map_err(|error| broken(error.to_string()))?).map_err(broken)
+    let violation = |reason: String| ProofError::Violation(case.name.to_owned(), reason);
+    let outcome = training
+        .await
+        .map_err(|error| violation(error.to_string()))?;
+    check_report(outcome.map_err(|error| violation(error.to_string()))?).map_err(violation)
 }
 
 fn check_report(report: TrainerReport) -> Result<(), String> {
