--- a/dev/proof/src/relay.rs
+++ b/dev/proof/src/relay.rs
@@ -1,5 +1,5 @@
-//! A relay for TCP connections, whose open ones can be cut or go silent while new ones
-//! work, as when something on the way has lost track of them.
+//! TCP relay that can close or silence its open connections while new ones work, as when a
+//! network device between two processes loses the state of its connections.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -11,25 +11,25 @@
 
 use crate::ProofError;
 
-/// What becomes of the open connections.
+/// How open connections are broken.
 #[key]
-pub enum Way {
-    /// They are closed at both ends.
+pub enum BreakMode {
+    /// Both ends are closed.
     Cut,
-    /// They stay open and carry nothing any more.
+    /// Both ends stay open, but no more data is forwarded.
     Silent,
 }
 
-/// A running relay; dropped, it closes everything.
+/// A running relay; dropping it closes its listener and all its connections.
 pub struct Relay {
-    /// Where it listens.
+    /// Address on which the relay listens.
     pub address: SocketAddr,
-    change: watch::Sender<Option<Way>>,
+    change: watch::Sender<Option<BreakMode>>,
     task: JoinHandle<()>,
 }
 
 impl Relay {
-    /// Passes everything on to `to`.
+    /// Starts a relay that forwards each connection to `to`.
     pub async fn start(to: SocketAddr) -> Result<Relay, ProofError> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
@@ -43,8 +43,8 @@
     }
 
     /// Breaks all open connections.
-    pub fn break_open(&self, way: Way) {
-        self.change.send_replace(Some(way));
+    pub fn break_open(&self, break_mode: BreakMode) {
+        self.change.send_replace(Some(break_mode));
     }
 }
 
@@ -54,26 +54,34 @@
     }
 }
 
-async fn accept(listener: TcpListener, to: SocketAddr, changes: watch::Receiver<Option<Way>>) {
+async fn accept(
+    listener: TcpListener,
+    to: SocketAddr,
+    changes: watch::Receiver<Option<BreakMode>>,
+) {
     let mut connections = JoinSet::new();
-    while let Ok((near, _)) = listener.accept().await {
+    while let Ok((client, _)) = listener.accept().await {
         let mut changes = changes.clone();
         changes.mark_unchanged();
-        connections.spawn(pass(near, to, changes));
+        connections.spawn(forward(client, to, changes));
     }
 }
 
-async fn pass(mut near: TcpStream, to: SocketAddr, mut changes: watch::Receiver<Option<Way>>) {
-    let Ok(mut far) = TcpStream::connect(to).await else {
+async fn forward(
+    mut client: TcpStream,
+    to: SocketAddr,
+    mut changes: watch::Receiver<Option<BreakMode>>,
+) {
+    let Ok(mut server) = TcpStream::connect(to).await else {
         return;
     };
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
+    let _ = client.set_nodelay(true);
+    let _ = server.set_nodelay(true);
     tokio::select! {
-        _ = copy_bidirectional(&mut near, &mut far) => return,
+        _ = copy_bidirectional(&mut client, &mut server) => return,
         _ = changes.changed() => {}
     }
-    if *changes.borrow() == Some(Way::Silent) {
+    if *changes.borrow() == Some(BreakMode::Silent) {
         std::future::pending::<()>().await;
     }
 }
--- a/dev/proof/src/wait.rs
+++ b/dev/proof/src/wait.rs
@@ -1,23 +1,23 @@
-//! Waiting for an event by looking for it, a bounded number of times.
+//! Waiting for a condition by polling a bounded number of times.
 
 use std::time::Duration;
 
 use crate::ProofError;
 
-/// Looks until an event counts as missing.
-pub const TRIES_MAX: u32 = 1_200;
-const PAUSE: Duration = Duration::from_millis(25);
+/// Number of polls after which [`wait_until`] gives an error.
+pub const POLLS_MAX: u32 = 1_200;
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Looks until there is something to see. Errors with `what` when there never is.
-pub async fn until<T>(
-    what: &str,
-    mut look: impl AsyncFnMut() -> Option<T>,
+/// Polls until `poll` returns a value. Errors with `expected_event` after [`POLLS_MAX`] polls without one.
+pub async fn wait_until<T>(
+    expected_event: &str,
+    mut poll: impl AsyncFnMut() -> Option<T>,
 ) -> Result<T, ProofError> {
-    for _ in 0..TRIES_MAX {
-        if let Some(seen) = look().await {
-            return Ok(seen);
+    for _ in 0..POLLS_MAX {
+        if let Some(value) = poll().await {
+            return Ok(value);
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    Err(ProofError::NotSeen(what.to_owned()))
+    Err(ProofError::NotFound(expected_event.to_owned()))
 }
--- a/dev/proof/tests/completions.rs
+++ b/dev/proof/tests/completions.rs
@@ -1,88 +1,127 @@
-//! Opinions under kills, freezes and broken streams. A whole one has exactly the text that
-//! an engine gives that is asked directly.
+//! Completions while processes are killed or paused and streams break. A complete answer has
+//! exactly the text that an engine generates when it is called directly.
 
-use proof::{Case, Ending, Fault, Kind, Repeat, Step, run_cases};
+use proof::{Case, Ending, Fault, Phase, Repeat, RequestKind, run_cases};
 
-use Ending::{Lost, Whole};
+use Ending::{Complete, Lost};
 use Fault::{
-    CutAnswer, CutEndpoint, FreezeAgent, FreezeEntry, KillAgent, KillEndpoint, KillEntry,
-    KillOtherEntry, LoseAnswer, TruncateAnswer,
+    CutAnswer, CutEndpoint, KillAgent, KillEndpoint, KillEntry, KillOtherEntry, LoseAnswer,
+    PauseAgent, PauseEntry, TruncateAnswer,
 };
-use Step::{Before, Running, Streaming};
+use Phase::{Before, Running, Streaming};
 
 const fn case(
     name: &'static str,
-    kind: Kind,
+    kind: RequestKind,
     faults: &'static [Fault],
-    at: Step,
-    ends: &'static [Ending],
+    phase: Phase,
+    allowed_endings: &'static [Ending],
 ) -> Case {
     Case {
         name,
         kind,
         faults,
-        at,
-        ends,
+        phase,
+        allowed_endings,
         repeat: Repeat::Never,
-        repeat_ends: &[],
+        allowed_repeat_endings: &[],
     }
 }
 
-const WHOLE: &[Ending] = &[Whole];
+const COMPLETE: &[Ending] = &[Complete];
 
-// The clerk sees one whole opinion, token for token, though its engine or agent died in the
-// middle: the tokens that he has go to another engine, which goes on from them. A stream
-// that ends without its finish reason is never taken for a whole one.
+// Guards against missing or repeated tokens when an engine or agent fails during a stream: another
+// engine must continue after the tokens that the client already has. A stream that ends without
+// its finish reason must not count as complete.
 #[tokio::test(flavor = "multi_thread")]
-async fn can_stream_a_whole_opinion_under_every_fault() {
-    let stream = |name, faults, at, ends| case(name, Kind::Stream, faults, at, ends);
+async fn can_stream_a_complete_text_under_every_fault() {
+    let stream = |name, faults, phase, allowed_endings| {
+        case(name, RequestKind::Stream, faults, phase, allowed_endings)
+    };
     let failures = run_cases(&[
-        stream("no fault", &[], Streaming, WHOLE),
-        stream("engine dies before", &[KillEndpoint], Before, WHOLE),
+        stream("no fault", &[], Streaming, COMPLETE),
         stream(
-            "engine dies in the stream",
+            "engine is killed before the call",
+            &[KillEndpoint],
+            Before,
+            COMPLETE,
+        ),
+        stream(
+            "engine is killed during the stream",
             &[KillEndpoint],
             Streaming,
-            WHOLE,
+            COMPLETE,
+        ),
+        stream(
+            "agent is killed before the call",
+            &[KillAgent],
+            Before,
+            COMPLETE,
         ),
-        stream("agent dies before", &[KillAgent], Before, WHOLE),
-        stream("agent dies in the stream", &[KillAgent], Streaming, WHOLE),
-        stream("agent wakes late", &[FreezeAgent], Streaming, WHOLE),
-        stream("entry wakes late", &[FreezeEntry], Streaming, WHOLE),
         stream(
-            "entry dies",
+            "agent is killed during the stream",
+            &[KillAgent],
+            Streaming,
+            COMPLETE,
+        ),
+        stream("agent is paused", &[PauseAgent], Streaming, COMPLETE),
+        stream("entry is paused", &[PauseEntry], Streaming, COMPLETE),
+        stream(
+            "entry is killed",
             &[KillEntry],
             Streaming,
-            &[Lost, Ending::Broken],
+            &[Lost, Ending::Interrupted],
         ),
-        stream("other entry dies", &[KillOtherEntry], Streaming, WHOLE),
-        stream("connections cut", &[CutEndpoint], Streaming, WHOLE),
-        stream("stream is cut", &[CutAnswer], Streaming, WHOLE),
-        stream("stream is truncated", &[TruncateAnswer], Streaming, WHOLE),
         stream(
-            "truncated, agent wakes late",
-            &[TruncateAnswer, FreezeAgent],
+            "other entry is killed",
+            &[KillOtherEntry],
             Streaming,
-            WHOLE,
+            COMPLETE,
+        ),
+        stream("connections cut", &[CutEndpoint], Streaming, COMPLETE),
+        stream("stream is cut", &[CutAnswer], Streaming, COMPLETE),
+        stream(
+            "stream is truncated",
+            &[TruncateAnswer],
+            Streaming,
+            COMPLETE,
+        ),
+        stream(
+            "truncated, agent is paused",
+            &[TruncateAnswer, PauseAgent],
+            Streaming,
+            COMPLETE,
         ),
     ])
     .await;
     assert!(failures.is_empty(), "{failures:#?}");
 }
 
-// The clerk sees one whole opinion: it may run again, so another engine makes it when the
-// first dies, and a part of one is never given for the whole.
+// Guards against partial answers when an engine or agent fails: a completion is idempotent, so
+// another engine must generate it again.
 #[tokio::test(flavor = "multi_thread")]
-async fn can_give_a_whole_opinion_under_every_fault() {
-    let opinion = |name, faults, at, ends| case(name, Kind::Opinion, faults, at, ends);
+async fn can_return_a_complete_document_under_every_fault() {
+    let opinion = |name, faults, phase, allowed_endings| {
+        case(name, RequestKind::Opinion, faults, phase, allowed_endings)
+    };
     let failures = run_cases(&[
-        opinion("engine dies under it", &[KillEndpoint], Running, WHOLE),
-        opinion("agent dies under it", &[KillAgent], Running, WHOLE),
-        opinion("agent wakes late", &[FreezeAgent], Running, WHOLE),
-        opinion("entry dies", &[KillEntry], Running, &[Lost]),
-        opinion("answer is cut", &[CutAnswer], Running, WHOLE),
-        opinion("answer is truncated", &[TruncateAnswer], Running, WHOLE),
-        opinion("answer is lost", &[LoseAnswer], Running, WHOLE),
+        opinion(
+            "engine is killed during the call",
+            &[KillEndpoint],
+            Running,
+            COMPLETE,
+        ),
+        opinion(
+            "agent is killed during the call",
+            &[KillAgent],
+            Running,
+            COMPLETE,
+        ),
+        opinion("agent is paused", &[PauseAgent], Running, COMPLETE),
+        opinion("entry is killed", &[KillEntry], Running, &[Lost]),
+        opinion("answer is cut", &[CutAnswer], Running, COMPLETE),
+        opinion("answer is truncated", &[TruncateAnswer], Running, COMPLETE),
+        opinion("answer is lost", &[LoseAnswer], Running, COMPLETE),
     ])
     .await;
     assert!(failures.is_empty(), "{failures:#?}");
--- a/dev/proof/tests/keyed_calls.rs
+++ b/dev/proof/tests/keyed_calls.rs
@@ -1,134 +1,154 @@
-//! Calls with an idempotency key, which their caller sends again through the other entry.
+//! Calls with an idempotency key that the caller repeats through the other entry.
 
-use proof::{Case, Ending, Fault, Kind, Repeat, Step, run_cases};
+use proof::{Case, Ending, Fault, Phase, Repeat, RequestKind, run_cases};
 
-use Ending::{Broken, Failed, Lost, NotRun, Unknown, Whole};
+use Ending::{Complete, Failed, Interrupted, Lost, NotRun, Unknown};
 use Fault::{
-    CallerLeaves, CutAnswer, FreezeAgent, FreezeEntry, KillAgent, KillEndpoint, KillEntry,
-    KillOtherEntry, LogOutage, LoseAnswer, LoseAppendAnswer,
+    CallerDisconnects, CutAnswer, KillAgent, KillEndpoint, KillEntry, KillOtherEntry, LogOutage,
+    LoseAnswer, LoseAppendAnswer, PauseAgent, PauseEntry,
 };
+use Phase::{Answered, Before, EntryPaused, Running};
 use Repeat::{After, AtOnce, During};
-use Step::{Answered, Asleep, Before, Running};
 
 const fn keyed(
     name: &'static str,
     faults: &'static [Fault],
-    at: Step,
-    ends: &'static [Ending],
+    phase: Phase,
+    allowed_endings: &'static [Ending],
     repeat: Repeat,
-    repeat_ends: &'static [Ending],
+    allowed_repeat_endings: &'static [Ending],
 ) -> Case {
     Case {
         name,
-        kind: Kind::Keyed,
+        kind: RequestKind::KeyedCheck,
         faults,
-        at,
-        ends,
+        phase,
+        allowed_endings,
         repeat,
-        repeat_ends,
+        allowed_repeat_endings,
     }
 }
 
-const WHOLE: &[Ending] = &[Whole];
-/// What a caller may be told of a call that ran and has no answer.
-const TRUE: &[Ending] = &[Unknown, Failed];
+const COMPLETE: &[Ending] = &[Complete];
+/// Endings of a call that ran, or may have run, and whose answer is not available.
+const MAY_HAVE_RUN: &[Ending] = &[Unknown, Failed];
 
-// The verifier sends the same check with the same key through both entries, together,
-// while the first runs, and after it. Whatever dies in between, the check runs once; the
-// one whose claim is first in the log runs, the others get its answer or are told that it
-// may have run.
+// Guards against a second run when the same check is sent with the same key through both entries,
+// at once, while the first runs, or after it. Only the request whose claim is first in the log may
+// run; the others get its answer or an error that the check may have run.
 #[tokio::test(flavor = "multi_thread")]
 async fn can_run_a_keyed_check_once_through_two_entries() {
     let failures = run_cases(&[
         keyed(
-            "repeat together",
+            "repeat at once",
             &[],
             Running,
-            &[Whole, Unknown],
+            &[Complete, Unknown],
             AtOnce,
-            WHOLE,
+            COMPLETE,
         ),
-        keyed("repeat while it runs", &[], Running, WHOLE, During, WHOLE),
-        keyed("repeat after", &[], Running, WHOLE, After, WHOLE),
         keyed(
-            "endpoint dies",
+            "repeat while it runs",
+            &[],
+            Running,
+            COMPLETE,
+            During,
+            COMPLETE,
+        ),
+        keyed("repeat after", &[], Running, COMPLETE, After, COMPLETE),
+        keyed(
+            "endpoint is killed",
             &[KillEndpoint],
             Running,
-            TRUE,
+            MAY_HAVE_RUN,
             During,
-            TRUE,
+            MAY_HAVE_RUN,
         ),
         keyed(
-            "endpoint dies, repeat after",
+            "endpoint is killed, repeat after",
             &[KillEndpoint],
             Running,
-            TRUE,
+            MAY_HAVE_RUN,
             After,
-            TRUE,
+            MAY_HAVE_RUN,
         ),
-        keyed("agent dies", &[KillAgent], Running, TRUE, During, TRUE),
         keyed(
-            "agent wakes late",
-            &[FreezeAgent],
+            "agent is killed",
+            &[KillAgent],
             Running,
-            WHOLE,
+            MAY_HAVE_RUN,
             During,
-            WHOLE,
+            MAY_HAVE_RUN,
         ),
         keyed(
-            "entry wakes late",
-            &[FreezeEntry],
+            "agent is paused",
+            &[PauseAgent],
             Running,
-            WHOLE,
+            COMPLETE,
+            During,
+            COMPLETE,
+        ),
+        keyed(
+            "entry is paused",
+            &[PauseEntry],
+            Running,
+            COMPLETE,
             After,
-            WHOLE,
+            COMPLETE,
         ),
         keyed(
-            "entry sleeps, repeat at once",
+            "entry is paused at arrival, repeat at once",
             &[],
-            Asleep,
-            &[Whole, Unknown],
+            EntryPaused,
+            &[Complete, Unknown],
             AtOnce,
-            WHOLE,
+            COMPLETE,
         ),
         keyed(
-            "entry sleeps, repeat after",
+            "entry is paused at arrival, repeat after",
             &[],
-            Asleep,
-            WHOLE,
+            EntryPaused,
+            COMPLETE,
             After,
-            WHOLE,
+            COMPLETE,
         ),
         keyed(
-            "answered to a paused entry",
+            "entry is paused at the answer",
             &[],
             Answered,
-            WHOLE,
+            COMPLETE,
             After,
-            WHOLE,
+            COMPLETE,
         ),
         keyed(
             "answer is cut",
             &[CutAnswer],
             Running,
-            &[Broken, Unknown, Failed],
+            &[Interrupted, Unknown, Failed],
             After,
-            TRUE,
+            MAY_HAVE_RUN,
         ),
-        keyed("answer is lost", &[LoseAnswer], Running, TRUE, After, TRUE),
         keyed(
-            "caller leaves",
-            &[CallerLeaves],
+            "answer is lost",
+            &[LoseAnswer],
             Running,
-            WHOLE,
+            MAY_HAVE_RUN,
+            After,
+            MAY_HAVE_RUN,
+        ),
+        keyed(
+            "caller disconnects",
+            &[CallerDisconnects],
+            Running,
+            COMPLETE,
             During,
-            WHOLE,
+            COMPLETE,
         ),
         keyed(
-            "other entry dies",
+            "other entry is killed",
             &[KillOtherEntry],
             Running,
-            WHOLE,
+            COMPLETE,
             Repeat::Never,
             &[],
         ),
@@ -137,42 +157,49 @@
     assert!(failures.is_empty(), "{failures:#?}");
 }
 
-// The entry that holds the claim dies while the check runs, or after it was answered. Its
-// caller sends it again through the other entry: the claim is in the log, so it is not run
-// again, and nobody can say what came of it.
+// Guards against a second run when the entry with the claim is killed during or after the run and
+// the caller repeats the check through the other entry. The claim is in the log, so the check must
+// not run again, and its outcome is unknown.
 #[tokio::test(flavor = "multi_thread")]
-async fn can_keep_a_key_whose_entry_died() {
+async fn can_keep_a_claim_whose_entry_was_killed() {
     let failures = run_cases(&[
-        keyed("entry dies", &[KillEntry], Running, &[Lost], During, TRUE),
         keyed(
-            "entry and agent die",
+            "entry is killed",
+            &[KillEntry],
+            Running,
+            &[Lost],
+            During,
+            MAY_HAVE_RUN,
+        ),
+        keyed(
+            "entry and agent are killed",
             &[KillEntry, KillAgent],
             Running,
             &[Lost],
             During,
-            TRUE,
+            MAY_HAVE_RUN,
         ),
         keyed(
-            "entry dies, answered",
+            "entry is killed after the answer",
             &[KillEntry],
             Answered,
             &[Lost],
             During,
-            TRUE,
+            MAY_HAVE_RUN,
         ),
     ])
     .await;
     assert!(failures.is_empty(), "{failures:#?}");
 }
 
-// The log is out, or its answer to the claim is lost. Without a claim that was read
-// back nothing runs, and the caller is told so at once with a time to come back; with one,
-// the check goes on.
+// Guards against a run without a claim when the log is unavailable or its answer is lost. Unless
+// the claim was read back from the log, the caller must get "not run" at once; otherwise the check
+// continues.
 #[tokio::test(flavor = "multi_thread")]
 async fn can_refuse_or_run_a_keyed_check_while_the_log_fails() {
     let failures = run_cases(&[
         keyed(
-            "log is out",
+            "log is unavailable",
             &[LogOutage],
             Before,
             &[NotRun],
@@ -180,36 +207,36 @@
             &[],
         ),
         keyed(
-            "log is out while it runs",
+            "log is unavailable while it runs",
             &[LogOutage],
             Running,
-            WHOLE,
+            COMPLETE,
             Repeat::Never,
             &[],
         ),
         keyed(
-            "claim's answer is lost",
+            "answer to the claim is lost",
             &[LoseAppendAnswer],
             Before,
-            WHOLE,
+            COMPLETE,
             After,
-            WHOLE,
+            COMPLETE,
         ),
         keyed(
-            "end's answer is lost",
+            "answer to the end record is lost",
             &[LoseAppendAnswer],
             Running,
-            WHOLE,
+            COMPLETE,
             After,
-            WHOLE,
+            COMPLETE,
         ),
         keyed(
-            "lost answers, agent wakes",
-            &[LoseAppendAnswer, FreezeAgent],
+            "lost append answer, agent is paused",
+            &[LoseAppendAnswer, PauseAgent],
             Running,
-            WHOLE,
+            COMPLETE,
             During,
-            WHOLE,
+            COMPLETE,
         ),
     ])
     .await;
