--- a/components/dispatch/src/routes.rs
+++ b/components/dispatch/src/routes.rs
@@ -12,7 +12,7 @@
     /// A request may run more than once.
     Idempotent,
     /// A request runs at most once.
-    AtMostOnce,
+    Once,
     /// The answer is a stream of events. The request runs at most once, unless the stream can be
     /// resumed.
     Stream,
