--- a/components/gateway/tests/hedging.rs
+++ b/components/gateway/tests/hedging.rs
@@ -25,48 +25,48 @@
         hedging,
         ..Tuning::default()
     };
-    let plan = SiteSettings {
+    let settings = SiteSettings {
         entries: 1,
         services: 3,
         service_ms: 10,
         tuning,
         ..SiteSettings::default()
     };
-    Site::start(plan).await
+    Site::start(settings).await
 }
 
 /// Sends calls one after another until all callers together have sent `calls`; returns the latency
 /// of each call.
 async fn run_caller(
     site: &Site,
-    ask: &TestRequest,
+    request: &TestRequest,
     sent_count: &AtomicUsize,
     calls: usize,
 ) -> Vec<u128> {
     let mut latencies_ms = Vec::new();
     while sent_count.fetch_add(1, Ordering::Relaxed) < calls {
         let sent = Instant::now();
-        assert_eq!(site.send(0, ask).await.status, 200);
+        assert_eq!(site.send(0, request).await.status, 200);
         latencies_ms.push(sent.elapsed().as_millis());
     }
     latencies_ms
 }
 
-async fn run_calls(site: &Site, ask: &TestRequest, calls: usize) -> Vec<u128> {
+async fn run_calls(site: &Site, request: &TestRequest, calls: usize) -> Vec<u128> {
     let sent_count = AtomicUsize::new(0);
-    let callers = (0..CALLERS).map(|_| run_caller(site, ask, &sent_count, calls));
+    let callers = (0..CALLERS).map(|_| run_caller(site, request, &sent_count, calls));
     let mut latencies_ms = join_all(callers).await.concat();
     latencies_ms.sort_unstable();
     latencies_ms
 }
 
 /// Makes one replica slow after the warm-up and returns the sorted latencies of the later calls.
-async fn measure_with_slow_replica(site: &Site, ask: &TestRequest) -> Vec<u128> {
-    run_calls(site, ask, WARM_UP_CALLS).await;
+async fn measure_with_slow_replica(site: &Site, request: &TestRequest) -> Vec<u128> {
+    run_calls(site, request, WARM_UP_CALLS).await;
     let fault = json!({ "kind": "slow", "delay_ms": SLOW_DELAY_MS }).to_string();
     let fault = TestRequest::post("/standin/fault", fault);
     assert_eq!(fault.send(site.services[0].address).await.status, 200);
-    run_calls(site, ask, CALLS - WARM_UP_CALLS).await
+    run_calls(site, request, CALLS - WARM_UP_CALLS).await
 }
 
 fn print_latencies(name: &str, latencies_ms: &[u128], runs: u64) {
@@ -79,9 +79,9 @@
 // ejected. A second copy at an idle replica must answer, and the first copy is then cancelled.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_answer_from_a_hedge_when_the_first_replica_is_slow() {
-    let ask = TestRequest::get("/v1/services/guichet/records/1").with_header(TAG, "hedged");
+    let request = TestRequest::get("/v1/services/guichet/records/1").with_header(TAG, "hedged");
     let hedged = start_site(HedgeSettings::default()).await;
-    let latencies = measure_with_slow_replica(&hedged, &ask).await;
+    let latencies = measure_with_slow_replica(&hedged, &request).await;
     let runs = hedged.run_count("hedged").await;
     print_latencies("hedging enabled", &latencies, runs);
     assert!(runs > CALLS as u64, "no call was hedged");
@@ -95,7 +95,7 @@
         ..HedgeSettings::default()
     };
     let unhedged = start_site(disabled).await;
-    let latencies = measure_with_slow_replica(&unhedged, &ask).await;
+    let latencies = measure_with_slow_replica(&unhedged, &request).await;
     let runs = unhedged.run_count("hedged").await;
     print_latencies("hedging disabled", &latencies, runs);
     assert_eq!(runs, CALLS as u64);
@@ -104,8 +104,9 @@
 // Guards against a second run of a call that must run only once, however slow its replica is.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_leave_non_idempotent_calls_unhedged() {
-    let ask = TestRequest::post("/v1/services/guichet/sanctions", "{}").with_header(TAG, "once");
+    let request =
+        TestRequest::post("/v1/services/guichet/sanctions", "{}").with_header(TAG, "once");
     let site = start_site(HedgeSettings::default()).await;
-    measure_with_slow_replica(&site, &ask).await;
+    measure_with_slow_replica(&site, &request).await;
     assert_eq!(site.run_count("once").await, CALLS as u64);
 }
--- a/components/gateway/tests/requests.rs
+++ b/components/gateway/tests/requests.rs
@@ -17,7 +17,7 @@
 async fn errors_when_a_request_is_invalid_without_affecting_others() {
     struct Case {
         name: &'static str,
-        ask: TestRequest,
+        request: TestRequest,
         problem: (u16, &'static str),
     }
     let site = Site::start(SiteSettings {
@@ -34,93 +34,93 @@
     let cases = [
         Case {
             name: "no token",
-            ask: no_token,
+            request: no_token,
             problem: (401, "unauthenticated"),
         },
         Case {
             name: "a token that is not configured",
-            ask: TestRequest::get(CONSULT).with_token("nobody"),
+            request: TestRequest::get(CONSULT).with_token("nobody"),
             problem: (401, "unauthenticated"),
         },
         Case {
             name: "a trainer's token on a call",
-            ask: TestRequest::get(CONSULT).with_token(TRAINER),
+            request: TestRequest::get(CONSULT).with_token(TRAINER),
             problem: (403, "forbidden"),
         },
         Case {
             name: "a caller's token on a step",
-            ask: TestRequest::post("/v1/training/redacteurs/steps", "{}"),
+            request: TestRequest::post("/v1/training/redacteurs/steps", "{}"),
             problem: (403, "forbidden"),
         },
         Case {
             name: "a trainer's token on a rollback",
-            ask: TestRequest::post("/v1/training/redacteurs/rollback", r#"{"version":"2.0"}"#)
+            request: TestRequest::post("/v1/training/redacteurs/rollback", r#"{"version":"2.0"}"#)
                 .with_token(TRAINER),
             problem: (403, "forbidden"),
         },
         Case {
             name: "an unknown service",
-            ask: TestRequest::get("/v1/services/archives/x"),
+            request: TestRequest::get("/v1/services/archives/x"),
             problem: (404, "unknown-service"),
         },
         Case {
             name: "an invalid service name",
-            ask: TestRequest::get("/v1/services/Archives/x"),
+            request: TestRequest::get("/v1/services/Archives/x"),
             problem: (404, "unknown-service"),
         },
         Case {
             name: "another customer's service",
-            ask: TestRequest::get("/v1/services/collective.price-llm/x"),
+            request: TestRequest::get("/v1/services/collective.price-llm/x"),
             problem: (403, "forbidden"),
         },
         Case {
             name: "a model on the path of plain services",
-            ask: TestRequest::get("/v1/services/redacteurs/v1/models"),
+            request: TestRequest::get("/v1/services/redacteurs/v1/models"),
             problem: (400, "malformed"),
         },
         Case {
             name: "an unknown path",
-            ask: TestRequest::get("/v2/completions"),
+            request: TestRequest::get("/v2/completions"),
             problem: (404, "malformed"),
         },
         Case {
             name: "an unsupported method",
-            ask: delete,
+            request: delete,
             problem: (405, "malformed"),
         },
         Case {
             name: "a body that is not JSON",
-            ask: TestRequest::post(COMPLETIONS, "{\"model\":"),
+            request: TestRequest::post(COMPLETIONS, "{\"model\":"),
             problem: (400, "malformed"),
         },
         Case {
             name: "a completion without a prompt",
-            ask: TestRequest::post(COMPLETIONS, r#"{"model":"redacteurs"}"#),
+            request: TestRequest::post(COMPLETIONS, r#"{"model":"redacteurs"}"#),
             problem: (400, "malformed"),
         },
         Case {
             name: "a body over the limit",
-            ask: TestRequest::post(SANCTION, "x".repeat((4 << 20) + 1)),
+            request: TestRequest::post(SANCTION, "x".repeat((4 << 20) + 1)),
             problem: (413, "too-large"),
         },
         Case {
             name: "an invalid class",
-            ask: TestRequest::get(CONSULT).with_header("x-hornbeamrock-class", "urgent"),
+            request: TestRequest::get(CONSULT).with_header("x-hornbeamrock-class", "urgent"),
             problem: (400, "malformed"),
         },
         Case {
             name: "an invalid deadline",
-            ask: TestRequest::get(CONSULT).with_header("x-hornbeamrock-deadline-ms", "0"),
+            request: TestRequest::get(CONSULT).with_header("x-hornbeamrock-deadline-ms", "0"),
             problem: (400, "malformed"),
         },
         Case {
             name: "a malformed step",
-            ask: TestRequest::post("/v1/training/redacteurs/steps", "[1]").with_token(TRAINER),
+            request: TestRequest::post("/v1/training/redacteurs/steps", "[1]").with_token(TRAINER),
             problem: (400, "malformed"),
         },
         Case {
             name: "a fetch of an unknown step",
-            ask: TestRequest::post(
+            request: TestRequest::post(
                 "/v1/training/redacteurs/steps/9/fetch",
                 r#"{"cursor":"x","trainer_version":"1.1","max":4}"#,
             )
@@ -129,7 +129,7 @@
         },
     ];
     for case in cases {
-        let answer = site.send(0, &case.ask).await;
+        let answer = site.send(0, &case.request).await;
         let (status, outcome, cause) = answer.problem();
         let reported = (status, cause.as_str());
         assert_eq!(reported, case.problem, "{}", case.name);
@@ -142,9 +142,9 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_forward_method_path_query_body_and_request_id() {
     let site = Site::start(SiteSettings::default()).await;
-    let ask = TestRequest::post("/v1/services/guichet/dossiers/7?page=2", "four")
+    let request = TestRequest::post("/v1/services/guichet/dossiers/7?page=2", "four")
         .with_header("x-request-id", "portal-42");
-    let answer = site.send(1, &ask).await;
+    let answer = site.send(1, &request).await;
     assert_eq!(answer.status, 200);
     assert!(answer.is_complete);
     assert_eq!(answer.header("x-request-id"), "portal-42");
@@ -197,14 +197,14 @@
         ..SiteSettings::default()
     })
     .await;
-    let ask = TestRequest::post(COMPLETIONS, completion("terrace until two", 12, true));
-    let uninterrupted = site.send(0, &ask).await;
+    let request = TestRequest::post(COMPLETIONS, completion("terrace until two", 12, true));
+    let uninterrupted = site.send(0, &request).await;
     for engine in &site.engines {
         let mut cut = Fault::new(FaultKind::Cut).times(1).on(COMPLETIONS);
         cut.after = 3;
         engine.fault(cut);
     }
-    let resumed = site.send(0, &ask).await;
+    let resumed = site.send(0, &request).await;
     assert!(resumed.is_complete, "{}", resumed.text());
     assert_eq!(resumed.texts(), uninterrupted.texts());
     assert_eq!(
@@ -230,8 +230,8 @@
         cut.after = 2;
         engine.fault(cut);
     }
-    let ask = TestRequest::post(COMPLETIONS, completion("a long opinion", 64, true));
-    let answer = site.send(0, &ask).await;
+    let request = TestRequest::post(COMPLETIONS, completion("a long opinion", 64, true));
+    let answer = site.send(0, &request).await;
     assert_eq!(answer.status, 200);
     assert!(!answer.is_complete);
     assert!(answer.text().contains("event: error"), "{}", answer.text());
@@ -322,11 +322,11 @@
                 .delayed(60_000),
         );
     }
-    let ask = TestRequest::post(COMPLETIONS, completion("poison", 8, false));
-    let (status, outcome, cause) = site.send(0, &ask).await.problem();
+    let request = TestRequest::post(COMPLETIONS, completion("poison", 8, false));
+    let (status, outcome, cause) = site.send(0, &request).await.problem();
     assert_eq!((status, cause.as_str()), (422, "quarantined"));
     assert_ne!(outcome, "not-run");
-    let (status, outcome, cause) = site.send(0, &ask).await.problem();
+    let (status, outcome, cause) = site.send(0, &request).await.problem();
     assert_eq!(
         (status, outcome.as_str(), cause.as_str()),
         (422, "not-run", "quarantined")
@@ -386,9 +386,9 @@
     .await;
 }
 
-async fn assert_refusals_above_the_limit(plan: SiteSettings) {
+async fn assert_refusals_above_the_limit(settings: SiteSettings) {
     const CALLS: u64 = 20;
-    let site = Site::start(plan).await;
+    let site = Site::start(settings).await;
     let mut answered = 0;
     for _ in 0..CALLS {
         let answer = site
