--- a/components/gateway/src/answer_interrupted.rs
+++ b/components/gateway/src/answer_interrupted.rs
@@ -10,7 +10,7 @@
     pub enum AnswerInterrupted {
         /// The call failed after part of its answer was sent.
         CallFailed(failure: Failure) {
-            display("the answer was cut: {}", failure)
+            display("answer interrupted: {}", failure)
         }
     }
 }
--- a/components/gateway/src/body_budget.rs
+++ b/components/gateway/src/body_budget.rs
@@ -27,11 +27,11 @@
     pub enum OverBudget {
         /// The customer's limit is exceeded.
         Customer {
-            display("the customer's bodies in flight are at their limit")
+            display("request bodies of the customer exceed the customer's byte limit")
         }
         /// The limit of the process is exceeded.
         Process {
-            display("the process's bodies in flight are at their limit")
+            display("request bodies of all customers exceed the byte limit of the process")
         }
     }
 }
