--- a/components/gateway/tests/hedging.rs
+++ b/components/gateway/tests/hedging.rs
@@ -75,8 +75,9 @@
     println!("{name}: p50 {p50} ms, p95 {p95} ms, p99 {p99} ms, {runs} runs of {CALLS} calls");
 }
 
-// Guards against late answers while one of three replicas is slow. It still answers, so it is not
-// ejected. A second copy at an idle replica must answer, and the first copy is then cancelled.
+// Guards against late answers while one of three replicas is slow. The slow replica still answers,
+// so it is not ejected. A hedge at an idle replica must answer, and the first copy is then
+// cancelled.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn can_answer_from_a_hedge_when_the_first_replica_is_slow() {
     let request = TestRequest::get("/v1/services/guichet/records/1").with_header(TAG, "hedged");
--- a/components/gateway/tests/requests.rs
+++ b/components/gateway/tests/requests.rs
@@ -304,8 +304,8 @@
 }
 
 // Guards against a prompt that crashes one engine after another. The entry must condemn the prompt
-// after two crashes and refuse its repetition. It can miss the report of one crash on a busy
-// machine, so one more engine serves the harmless prompt.
+// after two crashes and refuse its repetition. The entry can miss one crash report on a busy host,
+// so one more engine serves the harmless prompt.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn errors_when_a_prompt_has_crashed_two_engines() {
     let site = Site::start(SiteSettings {
