--- a/components/gateway/src/keyed/relay.rs
+++ b/components/gateway/src/keyed/relay.rs
@@ -186,8 +186,8 @@
             ..
         } = self;
         trace.transfer();
-        let answering = match ActiveRequest::admit(&gateway, job, arrived_ms).await {
-            Ok(answering) => answering,
+        let active_request = match ActiveRequest::admit(&gateway, job, arrived_ms).await {
+            Ok(active_request) => active_request,
             Err(failure) => {
                 let _ = first.send(FirstReply::Failed(failure));
                 holder.abandon();
@@ -196,14 +196,14 @@
         };
         let mut keyed_call = KeyedCall {
             gateway,
-            answering,
+            active_request,
             body,
         };
         match start_holder(&mut holder, &first) {
             Ok(()) => keyed_call.call(&mut holder, first).await,
             Err(failure) => {
-                keyed_call.answering.admitted.refund_unused(0);
-                keyed_call.answering.trace.record_failure(failure);
+                keyed_call.active_request.admitted.refund_unused(0);
+                keyed_call.active_request.trace.record_failure(failure);
                 let _ = first.send(FirstReply::Failed(failure));
                 holder.release()
             }
@@ -225,7 +225,7 @@
 /// A call whose claim has won.
 struct KeyedCall {
     gateway: Arc<Gateway>,
-    answering: ActiveRequest,
+    active_request: ActiveRequest,
     body: Bytes,
 }
 
@@ -236,10 +236,10 @@
         holder: &mut ClaimHolder,
         first: oneshot::Sender<FirstReply>,
     ) -> Option<claims::Record> {
-        let (head, attempt) = match self.answering.retried_call.send(&self.body).await {
+        let (head, attempt) = match self.active_request.retried_call.send(&self.body).await {
             Ok(answered) => answered,
             Err(failure) => {
-                self.answering.trace.record_failure(failure);
+                self.active_request.trace.record_failure(failure);
                 let _ = first.send(FirstReply::Failed(failure));
                 return record_failure(holder, failure);
             }
@@ -248,8 +248,8 @@
         let _ = first.send(FirstReply::Answer(head.clone(), received));
         match self.relay(attempt, parts).await {
             Ok(body) => {
-                self.answering.trace.record_answer(head.status);
-                self.answering.refund_unused_tokens(&body);
+                self.active_request.trace.record_answer(head.status);
+                self.active_request.refund_unused_tokens(&body);
                 let settings = &self.gateway.claims.settings;
                 holder.done(Outcome::answered(
                     head.status,
@@ -259,7 +259,7 @@
                 ))
             }
             Err(failure) => {
-                self.answering.trace.record_failure(failure);
+                self.active_request.trace.record_failure(failure);
                 record_failure(holder, failure)
             }
         }
@@ -278,7 +278,7 @@
             match attempt.next().await {
                 CallEvent::Accepted | CallEvent::Started | CallEvent::Head(_) => {}
                 CallEvent::Chunk(bytes) => {
-                    self.answering.trace.record_first_byte();
+                    self.active_request.trace.record_first_byte();
                     if buffered.len() <= buffered_bytes_max {
                         buffered.extend_from_slice(&bytes);
                     }
--- a/components/gateway/src/training/run.rs
+++ b/components/gateway/src/training/run.rs
@@ -64,8 +64,8 @@
         let (job, body) = self.job();
         let refused = |failure| (run_fault(failure), self.start.resume.clone());
         let mut admitted = admit_in_turn(gateway, &job).await.map_err(refused)?;
-        let only_replica = only_replica(gateway, &job, self.start.to);
-        let attempt = Attempt::start(gateway, &job, body, &only_replica).await;
+        let constraints = only_replica(gateway, &job, self.start.to);
+        let attempt = Attempt::start(gateway, &job, body, &constraints).await;
         let attempt = match attempt {
             Ok(attempt) if attempt.address() == self.start.to => attempt,
             // The replica has become unavailable since the ledger chose it.
