--- a/components/gateway/src/training/coordinator_act.rs
+++ b/components/gateway/src/training/coordinator_act.rs
@@ -75,7 +75,8 @@
         }
     }
 
-    /// Dispatches the active steps of which this entry is the first home or which it has taken over.
+    /// Dispatches the active steps of which this entry is the first home, and those that it has
+    /// taken over.
     fn dispatch(&mut self) -> Vec<StepActions> {
         let now_ms = now_ms();
         let tables = self.active_tables();
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -1,5 +1,6 @@
 //! Entries and agents on loopback, with stand-ins for the platform.
-#![allow(dead_code, clippy::unwrap_used)] // The exemption in clippy.toml does not cover helper functions.
+// The exemption in clippy.toml does not cover helper functions.
+#![allow(dead_code, clippy::unwrap_used)]
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
