--- a/dev/bench/src/arrivals.rs
+++ b/dev/bench/src/arrivals.rs
@@ -1,7 +1,8 @@
-//! When requests arrive: a Poisson process whose rate rises in bursts, from a seed.
+//! Arrival times of requests: a Poisson process whose rate rises in bursts, drawn from a seeded
+//! random generator.
 //!
-//! Open loop: an arrival does not wait for the answers to earlier ones, as callers do
-//! not wait for each other.
+//! The load is open-loop: an arrival does not wait for the answers to earlier requests, because
+//! real callers do not wait for each other.
 
 use std::time::Duration;
 
@@ -9,28 +10,29 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// How a rate rises now and then. The mean rate stays the one that is asked for.
+/// Bursts, in which the rate is a multiple of the rate outside them. The mean rate over time
+/// remains the requested one.
 #[value]
 #[derive(Copy)]
 pub struct Bursts {
-    /// Rate inside a burst, in thousandths of the rate outside.
+    /// Rate inside a burst, in thousandths of the rate outside bursts.
     pub factor_permille: u32,
-    /// Share of the time that is inside bursts, in thousandths.
+    /// Share of the time that is spent in bursts, in thousandths; 0 for no bursts.
     pub share_permille: u32,
-    /// Mean length of a burst.
+    /// Mean duration of a burst.
     pub mean_ms: u32,
 }
 
 impl Bursts {
-    /// No bursts at all.
+    /// A plain Poisson process without bursts.
     pub const NONE: Bursts = Bursts {
         factor_permille: 1_000,
         share_permille: 0,
         mean_ms: 1_000,
     };
 
-    /// Three times the rate for a fifth of the time, half a second at a time.
-    pub const USUAL: Bursts = Bursts {
+    /// Three times the rate during a fifth of the time, in bursts of 500 ms on average.
+    pub const TYPICAL: Bursts = Bursts {
         factor_permille: 3_000,
         share_permille: 200,
         mean_ms: 500,
@@ -44,83 +46,84 @@
         f64::from(self.share_permille) / 1_000.0
     }
 
-    /// Mean length of the time between bursts, in seconds.
-    fn calm_s(self) -> f64 {
-        self.burst_s() * (1.0 - self.share()) / self.share()
+    /// Mean time between two bursts, in seconds.
+    fn mean_gap_s(self) -> f64 {
+        self.mean_burst_s() * (1.0 - self.share()) / self.share()
     }
 
-    fn burst_s(self) -> f64 {
+    fn mean_burst_s(self) -> f64 {
         f64::from(self.mean_ms) / 1_000.0
     }
 }
 
-/// Arrivals of one stream, without end.
+/// The endless sequence of arrival times of one stream.
 pub struct Arrivals {
     random: StdRng,
-    calm_per_s: f64,
+    base_per_s: f64,
     bursts: Bursts,
     in_burst: bool,
-    turn_at_s: f64,
+    phase_end_s: f64,
     now_s: f64,
 }
 
 impl Arrivals {
-    /// Arrivals at `per_s` on average. A rate of 0 or less gives none.
+    /// Arrivals at `per_s` on average. A rate of 0 or less yields no arrivals.
     pub fn new(per_s: f64, bursts: Bursts, seed: u64) -> Arrivals {
         let share = bursts.share();
         let mut arrivals = Arrivals {
             random: StdRng::seed_from_u64(seed),
-            calm_per_s: per_s / (1.0 - share + share * bursts.factor()),
+            base_per_s: per_s / (1.0 - share + share * bursts.factor()),
             bursts,
             in_burst: false,
-            turn_at_s: f64::INFINITY,
+            phase_end_s: f64::INFINITY,
             now_s: 0.0,
         };
         if share > 0.0 {
-            arrivals.turn_at_s = arrivals.exponential(bursts.calm_s());
+            arrivals.phase_end_s = arrivals.sample_exponential(bursts.mean_gap_s());
         }
         arrivals
     }
 
-    fn per_s(&self) -> f64 {
+    fn current_rate(&self) -> f64 {
         match self.in_burst {
-            true => self.calm_per_s * self.bursts.factor(),
-            false => self.calm_per_s,
+            true => self.base_per_s * self.bursts.factor(),
+            false => self.base_per_s,
         }
     }
 
-    fn exponential(&mut self, mean: f64) -> f64 {
+    fn sample_exponential(&mut self, mean: f64) -> f64 {
         let uniform: f64 = self.random.random();
         -mean * (1.0 - uniform).ln()
     }
 
-    fn turn(&mut self) {
-        self.now_s = self.turn_at_s;
+    fn switch_phase(&mut self) {
+        self.now_s = self.phase_end_s;
         self.in_burst = !self.in_burst;
         let mean_s = match self.in_burst {
-            true => self.bursts.burst_s(),
-            false => self.bursts.calm_s(),
+            true => self.bursts.mean_burst_s(),
+            false => self.bursts.mean_gap_s(),
         };
-        self.turn_at_s = self.now_s + self.exponential(mean_s);
+        self.phase_end_s = self.now_s + self.sample_exponential(mean_s);
     }
 }
 
 impl Iterator for Arrivals {
     type Item = Duration;
 
-    /// Time of the next arrival, from the start.
+    /// Time of the next arrival since the start of the stream.
     fn next(&mut self) -> Option<Duration> {
-        if self.calm_per_s <= 0.0 {
+        if self.base_per_s <= 0.0 {
             return None;
         }
         loop {
-            let gap_s = self.exponential(1.0 / self.per_s());
-            // The process has no memory: past a turn it starts anew with the other rate.
-            if self.now_s + gap_s < self.turn_at_s {
+            let gap_s = self.sample_exponential(1.0 / self.current_rate());
+            // The exponential distribution is memoryless: a gap that would cross the end of the
+            // phase is discarded and drawn again at the rate of the next phase.
+            if self.now_s + gap_s < self.phase_end_s {
                 self.now_s += gap_s;
                 return Some(Duration::from_secs_f64(self.now_s));
             }
-            self.turn();
+            self.switch_phase();
         }
     }
 }
--- a/dev/bench/src/cli.rs
+++ b/dev/bench/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Flags and subcommands of `hornbeamrock-bench`.
 
 use std::net::SocketAddr;
 
@@ -7,13 +7,13 @@
 use hornbeamrock_bench::entry;
 use hornbeamrock_bench::site::SiteName;
 
-/// Largest number of processes or customers of a fleet.
+/// Largest number of agents, or of further customers, that `slopes` accepts.
 const SIZE_MAX: u64 = 2_000;
 
-/// The whole command line.
+/// The program with all subcommands.
 pub fn command() -> Command {
     Command::new("hornbeamrock-bench")
-        .about("Shows and measures what a site of stand-ins does; never shipped")
+        .about("Checks and measures a site that is made of stand-ins; not shipped")
         .subcommand_required(true)
         .subcommand(visit())
         .subcommand(ports())
@@ -26,74 +26,89 @@
 
 fn load() -> Command {
     Command::new("run")
-        .about("Runs a site under load and faults, one policy or two in turns, and prints tables")
+        .about("Runs a site under load and faults with one or two policies and prints tables")
         .after_help(
             "A policy is NAME[:no-limits], NAME one of as-shipped, random, least-outstanding, \
-             two-choices, two-choices-report and compute-memory. Without limits every customer \
-             may do what it likes.",
+             two-choices, two-choices-report and compute-memory. With no-limits the limits of all \
+             customers are as high as a configuration allows.",
         )
         .arg(site())
-        .arg(word("policy", "as-shipped", "Policy of the entries"))
+        .arg(text(
+            "policy",
+            "as-shipped",
+            "Routing policy of the entries",
+        ))
         .arg(
             Arg::new("baseline")
                 .long("baseline")
                 .value_name("POLICY")
-                .help("Second policy, which takes turns with the first; prints ratios"),
+                .help("Second policy, alternating with the first; prints the ratios"),
         )
-        .arg(number("entries", "3", "Entries of each policy"))
-        .arg(number("slice-ms", "8000", "Length of a slice"))
+        .arg(number("entries", "3", "Number of entries for each policy"))
+        .arg(number(
+            "slice-ms",
+            "8000",
+            "Measured time of a slice in milliseconds",
+        ))
         .arg(number(
             "warm-up-ms",
             "3000",
-            "Part before each slice that is not counted",
+            "Time before each slice with load that is not measured, in milliseconds",
         ))
-        .arg(number("repeat", "3", "Slices of each policy"))
+        .arg(number("repeat", "3", "Number of slices for each policy"))
         .arg(number(
             "load-permille",
             "1000",
-            "Load in thousandths of the profile's",
+            "Load in thousandths of the site's profile",
         ))
         .arg(number(
             "neighbours",
             "0",
-            "Further customers that share the services",
+            "Number of further customers that share the services",
         ))
         .arg(number(
             "greedy",
             "1",
-            "Factor on the first neighbour's load",
+            "Factor by which the load of the first neighbour is multiplied",
         ))
         .arg(number(
             "neighbour-requests-per-s",
             "50",
-            "Limit of each neighbour",
+            "Limit of requests per second for each neighbour",
         ))
         .arg(number(
             "neighbour-in-progress",
             "50",
-            "Limit of each neighbour",
+            "Limit of requests in progress for each neighbour",
         ))
         .arg(number(
             "neighbour-tokens-per-s",
             "20000",
-            "Limit of each neighbour",
+            "Limit of tokens per second for each neighbour",
         ))
         .arg(number(
             "report-lag-ms",
             "200",
-            "Age of the engines' load reports",
+            "Age of the engines' load reports in milliseconds",
+        ))
+        .arg(number(
+            "seed",
+            "1",
+            "Seed of the arrival times and the choice of ports",
         ))
-        .arg(number("seed", "1", "Seed of the arrivals"))
-        .arg(switch("calm", "No bursts"))
-        .arg(switch("no-trainer", "No trainer beside the callers"))
-        .arg(switch("json", "Prints JSON in place of tables"))
+        .arg(switch(
+            "calm",
+            "Keeps the rate of arrivals constant, without bursts",
+        ))
+        .arg(switch("no-trainer", "Runs no trainer during the load"))
+        .arg(switch("json", "Prints JSON instead of tables"))
         .arg(
             Arg::new("fault")
                 .long("fault")
                 .action(ArgAction::Append)
                 .value_name("AT_MS:KIND[:NUMBER[:FOR_MS]]")
                 .help(
-                    "A fault of every slice: agent-kill, agent-stop, entry-kill, entry-stop, \
+                    "Fault of every slice: agent-kill, agent-stop, entry-kill, entry-stop, \
                      engine-crash, log-outage, log-answer-lost, store-outage, swap-fails",
                 ),
         )
@@ -101,39 +116,47 @@
 
 fn path() -> Command {
     Command::new("path")
-        .about("Measures what entry and agent add to an endpoint asked directly, in turns")
+        .about("Measures the latency and processor time that entry and agent add to a direct call")
         .arg(site())
         .arg(number(
             "requests",
             "500",
-            "Requests of a round, one after the other, each way",
+            "Sequential requests in a round, directly and through the system each",
         ))
         .arg(number(
             "load-ms",
             "2000",
-            "Length of a round under load, each way",
+            "Time of a round under load in milliseconds, directly and through the system each",
         ))
         .arg(number(
             "under-way",
             "32",
-            "Requests under way at a time under load",
+            "Requests in progress at a time under load",
         ))
         .arg(number("rounds", "5", "Rounds"))
-        .arg(number("seed", "1", "Chooses the ports"))
+        .arg(number("seed", "1", "Seed of the choice of ports"))
 }
 
 fn slopes() -> Command {
     Command::new("slopes")
-        .about("Measures memory and processor time of idle entries and agents at growing sizes")
+        .about("Measures memory and processor time of idle entries and agents by size of the fleet")
         .arg(site())
-        .arg(sizes("agents", "8,32,96", "Numbers of agents"))
+        .arg(sizes(
+            "agents",
+            "8,32,96",
+            "Numbers of agents to measure, comma-separated",
+        ))
         .arg(sizes(
             "customers",
             "10,100,300",
-            "Numbers of further customers",
+            "Numbers of further customers to measure, comma-separated",
+        ))
+        .arg(number(
+            "watch-ms",
+            "10000",
+            "Time over which each size is measured, in milliseconds",
         ))
-        .arg(number("watch-ms", "10000", "How long each size is watched"))
-        .arg(number("seed", "1", "Chooses the ports"))
+        .arg(number("seed", "1", "Seed of the choice of ports"))
 }
 
 fn sizes(name: &'static str, default: &'static str, help: &'static str) -> Arg {
@@ -152,36 +175,47 @@
         .help(help)
 }
 
-fn word(name: &'static str, default: &'static str, help: &'static str) -> Arg {
+fn text(name: &'static str, default: &'static str, help: &'static str) -> Arg {
     Arg::new(name).long(name).default_value(default).help(help)
 }
 
 fn visit() -> Command {
     Command::new("visit")
-        .about("Makes each kind of call of a running site and says whether its promises hold")
+        .about("Makes each kind of call at a running site and checks the guarantees")
         .arg(site())
         .arg(addresses(
             "entry",
-            "Public address of an entry; two at least",
+            "Public address of an entry; at least two are needed",
         ))
         .arg(addresses("admin", "Admin address of an entry"))
-        .arg(addresses("service", "Plain service that counts its runs"))
+        .arg(addresses(
+            "service",
+            "Address of a plain service that counts its runs",
+        ))
         .arg(number(
             "replicas",
             "1",
-            "Replicas that each entry must see first",
+            "Number of replicas that each entry must see before the visit starts",
+        ))
+        .arg(number(
+            "wait-ms",
+            "15000",
+            "Longest wait for the replicas in milliseconds",
+        ))
+        .arg(number(
+            "seed",
+            "1",
+            "Seed of the names of the calls; two visits need different ones",
         ))
-        .arg(number("wait-ms", "15000", "Longest wait for them"))
-        .arg(number("seed", "1", "Names the calls"))
 }
 
 fn lines() -> Command {
     Command::new("lines")
-        .about("Prints lines to try at a running site")
+        .about("Prints shell commands to try at a running site")
         .arg(site())
         .arg(addresses(
             "entry",
-            "Public address of an entry; two at least",
+            "Public address of an entry; at least two are needed",
         ))
         .arg(addresses("admin", "Admin address of a process"))
         .arg(addresses("log", "Address of the log"))
@@ -189,23 +223,27 @@
             Arg::new("ctl")
                 .long("ctl")
                 .default_value("hornbeamrockctl")
-                .help("Where hornbeamrockctl is"),
+                .help("Path of hornbeamrockctl"),
         )
 }
 
 fn ports() -> Command {
     Command::new("ports")
-        .about("Prints the first of so many free ports one after the other")
+        .about("Prints the first port of a range of consecutive free ports")
         .arg(number("count", "64", "Ports"))
-        .arg(number("seed", "1", "Chooses where the search begins"))
+        .arg(number(
+            "seed",
+            "1",
+            "Seed of the port at which the search starts",
+        ))
 }
 
 fn site() -> Arg {
     Arg::new("site")
         .long("site")
         .default_value("office")
-        .value_parser(PossibleValuesParser::new(SiteName::WORDS))
-        .help("Site of the examples")
+        .value_parser(PossibleValuesParser::new(SiteName::NAMES))
+        .help("Site of the examples folder")
 }
 
 fn addresses(name: &'static str, help: &'static str) -> Arg {
--- a/dev/bench/src/cost/fit.rs
+++ b/dev/bench/src/cost/fit.rs
@@ -1,33 +1,37 @@
-//! Straight lines through measured points.
+//! Linear regression through measured points.
 
-/// `value = base + slope × size`, by least squares.
+/// The line `value = base + slope × size`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
-    /// Value at size 0.
+    /// Value of the line at size 0.
     pub base: f64,
-    /// Growth for each unit of size.
+    /// Growth of the value per unit of size.
     pub slope: f64,
 }
 
 impl Line {
-    /// The line through points of size and value; `None` for fewer than two sizes.
-    pub fn through(points: &[(f64, f64)]) -> Option<Line> {
+    /// Fits a line to points `(size, value)` by least squares; `None` if there are fewer than two
+    /// different sizes.
+    pub fn fit(points: &[(f64, f64)]) -> Option<Line> {
         let count = points.len() as f64;
         let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / count;
-        let (size, value) = (mean(|point| point.0), mean(|point| point.1));
-        let spread: f64 = points.iter().map(|point| (point.0 - size).powi(2)).sum();
-        let both = points
+        let (mean_size, mean_value) = (mean(|point| point.0), mean(|point| point.1));
+        let size_variance: f64 = points
             .iter()
-            .map(|point| (point.0 - size) * (point.1 - value));
-        let both: f64 = both.sum();
-        (spread > 0.0).then(|| Line {
-            base: value - both / spread * size,
-            slope: both / spread,
+            .map(|point| (point.0 - mean_size).powi(2))
+            .sum();
+        let covariance = points
+            .iter()
+            .map(|point| (point.0 - mean_size) * (point.1 - mean_value));
+        let covariance: f64 = covariance.sum();
+        (size_variance > 0.0).then(|| Line {
+            base: mean_value - covariance / size_variance * mean_size,
+            slope: covariance / size_variance,
         })
     }
 
-    /// Value at a size.
-    pub fn at(&self, size: f64) -> f64 {
+    /// Value of the line at a size.
+    pub fn value_at(&self, size: f64) -> f64 {
         self.base + self.slope * size
     }
 }
--- a/dev/bench/src/cost/mod.rs
+++ b/dev/bench/src/cost/mod.rs
@@ -1,4 +1,5 @@
-//! What the system costs: the path of a request, and the control plane as it grows.
+//! The cost of the system: latency and processor time per request, and memory and processor time of
+//! the idle processes by the size of the fleet.
 
 pub mod fit;
 pub mod path;
--- a/dev/bench/src/cost/path.rs
+++ b/dev/bench/src/cost/path.rs
@@ -1,8 +1,8 @@
-//! What the path through entry and agent adds to the endpoint asked directly.
+//! Measures what the path through entry and agent adds to a direct call of the endpoint.
 //!
-//! One entry and one agent before each of one plain service and one engine. Requests go
-//! to the endpoint and through the system in turns, so that whatever else the machine
-//! does falls on both; the figures that count are their ratios and the processor time.
+//! The fleet has one entry, one plain service and one engine, each with an agent in front. Direct
+//! requests and requests through the system alternate, so that other activity on the VM affects
+//! both alike. The meaningful results are therefore the ratios and the processor time.
 
 use std::time::{Duration, Instant};
 
@@ -11,60 +11,62 @@
 use tokio::task::JoinSet;
 
 use super::usage;
-use crate::ask::{self, Opinion};
-use crate::caller::{Ask, Caller};
+use crate::caller::{Caller, OutgoingRequest};
 use crate::error::BenchError;
 use crate::fleet::texts::{self, Limits};
 use crate::fleet::{Fleet, FleetSettings, Publisher};
 use crate::latencies::Latencies;
 use crate::load::ratio::Ratios;
 use crate::reply::Ending;
+use crate::requests::{self, CompletionCall};
 use crate::site::Site;
 use crate::table::Table;
 
 const DEADLINE: Duration = Duration::from_secs(10);
 const BODY_BYTES: usize = 1_024;
-const MAX_TOKENS: u32 = 32;
-const WARM_UP: u64 = 50;
+const COMPLETION_TOKENS_MAX: u32 = 32;
+/// Requests each way before the first round, which are not counted.
+const WARM_UP_REQUESTS: u64 = 50;
 
-/// Settings.
+/// Settings of the measurement.
 #[value]
 pub struct PathSettings {
-    /// Whose configuration.
+    /// Site whose configuration the fleet runs.
     pub site: Site,
-    /// Requests of a round, one after the other, each way.
+    /// Sequential requests in a round, directly and through the system each.
     pub requests: u64,
-    /// Length of a round under load, each way.
+    /// Time of a round under load, directly and through the system each.
     pub load_ms: u64,
-    /// Requests under way at a time under load.
-    pub under_way: usize,
-    /// Rounds.
+    /// Requests in progress at a time under load.
+    pub in_progress: usize,
+    /// Number of rounds for each kind of call.
     pub rounds: u64,
-    /// Seed.
+    /// Seed of the choice of ports.
     pub seed: u64,
 }
 
-/// Kind of call.
+/// MeasuredCall of measured call.
 #[key]
-enum Kind {
-    /// A body of 1 KB for a plain service that takes no time.
+enum MeasuredCall {
+    /// A request with a body of 1 KB to a plain service that answers without delay.
     Unary,
-    /// A streamed completion of 32 tokens at most from an engine that takes no time.
+    /// A streamed completion of at most 32 tokens by an engine that generates without delay.
     Stream,
 }
 
-impl Kind {
-    const ALL: [Kind; 2] = [Kind::Unary, Kind::Stream];
+impl MeasuredCall {
+    const ALL: [MeasuredCall; 2] = [MeasuredCall::Unary, MeasuredCall::Stream];
 
     fn as_str(self) -> &'static str {
         match self {
-            Kind::Unary => "unary, 1 KB",
-            Kind::Stream => "stream of events",
+            MeasuredCall::Unary => "unary, 1 KB",
+            MeasuredCall::Stream => "stream of events",
         }
     }
 }
 
-struct Path<'a> {
+/// The fleet with a caller for each way.
+struct PathBench<'a> {
     settings: &'a PathSettings,
     fleet: &'a Fleet,
     through: Caller,
@@ -72,7 +74,7 @@
     engine: Caller,
 }
 
-/// What the rounds of one kind gave.
+/// Measurements of all rounds of one kind of call.
 #[derive(Default)]
 struct Rounds {
     p50: Ratios,
@@ -83,10 +85,10 @@
     through_per_s: Vec<f64>,
     entry_per_core_s: Vec<f64>,
     agent_per_core_s: Vec<f64>,
-    not_whole: u64,
+    incomplete: u64,
 }
 
-/// Measures and gives the tables as text.
+/// Measures all kinds of calls and returns the tables as text.
 pub async fn run(settings: &PathSettings) -> Result<String, BenchError> {
     let fleet = Fleet::start(&FleetSettings {
         site: settings.site.clone(),
@@ -102,7 +104,7 @@
     })
     .await?;
     publish(settings, &fleet).await?;
-    let path = Path {
+    let bench = PathBench {
         settings,
         fleet: &fleet,
         through: Caller::new(fleet.entries[0].address),
@@ -127,15 +129,15 @@
         "of the agent",
         "not whole",
     ]);
-    for kind in Kind::ALL {
-        let rounds = path.measure(kind).await?;
-        rounds.add_to(kind, &mut latencies, &mut rates);
+    for kind in MeasuredCall::ALL {
+        let rounds = bench.measure(kind).await?;
+        rounds.add_rows(kind, &mut latencies, &mut rates);
     }
     Ok(format!(
-        "{}\n{} requests under way at a time:\n{}",
-        latencies.text(),
-        settings.under_way,
-        rates.text()
+        "{}\n{} requests in progress at a time:\n{}",
+        latencies.render(),
+        settings.in_progress,
+        rates.render()
     ))
 }
 
@@ -143,90 +145,93 @@
     let site = &settings.site;
     let source = std::fs::read_to_string(site.file)?;
     let mut publisher = Publisher::new(fleet.standins.log.address);
-    let text = texts::site(&source, site, 0, Limits::NONE);
+    let text = texts::owner_text(&source, site, 0, Limits::UNLIMITED);
     publisher.publish(site.customer, &text).await?;
-    publisher.in_force(&fleet.admins()).await?;
-    fleet.complete().await
+    publisher.wait_until_active(&fleet.admins()).await?;
+    fleet.wait_for_replicas().await
 }
 
-impl Path<'_> {
-    async fn measure(&self, kind: Kind) -> Result<Rounds, BenchError> {
+impl PathBench<'_> {
+    async fn measure(&self, kind: MeasuredCall) -> Result<Rounds, BenchError> {
         let mut rounds = Rounds::default();
-        for number in 0..WARM_UP {
-            self.direct(kind).ask(self.ask(kind, number, true)).await;
-            self.through.ask(self.ask(kind, number, false)).await;
+        for number in 0..WARM_UP_REQUESTS {
+            self.direct(kind)
+                .send(self.request(kind, number, true))
+                .await;
+            self.through.send(self.request(kind, number, false)).await;
         }
         for round in 0..self.settings.rounds {
-            self.one_by_one(kind, round, &mut rounds).await;
-            self.under_load(kind, round, &mut rounds).await?;
+            self.measure_sequential(kind, round, &mut rounds).await;
+            self.measure_under_load(kind, round, &mut rounds).await?;
         }
         Ok(rounds)
     }
 
-    async fn one_by_one(&self, kind: Kind, round: u64, rounds: &mut Rounds) {
+    async fn measure_sequential(&self, kind: MeasuredCall, round: u64, rounds: &mut Rounds) {
         let (mut direct, mut through) = (Latencies::default(), Latencies::default());
         for number in 0..self.settings.requests {
             let name = (round + 1) * 1_000_000 + number;
-            let one = self.direct(kind).ask(self.ask(kind, name, true)).await;
-            let other = self.through.ask(self.ask(kind, name, false)).await;
-            direct.record(one.latency);
-            through.record(other.latency);
-            for reply in [one, other] {
-                rounds.not_whole += u64::from(reply.ending != Ending::Whole);
+            let direct_reply = self.direct(kind).send(self.request(kind, name, true)).await;
+            let through_reply = self.through.send(self.request(kind, name, false)).await;
+            direct.record(direct_reply.latency);
+            through.record(through_reply.latency);
+            for reply in [direct_reply, through_reply] {
+                rounds.incomplete += u64::from(reply.ending != Ending::Whole);
             }
         }
         rounds
             .p50
-            .add(through.quantile_ms(0.5), direct.quantile_ms(0.5));
+            .add_pair(through.quantile_ms(0.5), direct.quantile_ms(0.5));
         rounds
             .p99
-            .add(through.quantile_ms(0.99), direct.quantile_ms(0.99));
-        rounds.direct.add(&direct);
-        rounds.through.add(&through);
+            .add_pair(through.quantile_ms(0.99), direct.quantile_ms(0.99));
+        rounds.direct.merge(&direct);
+        rounds.through.merge(&through);
     }
 
-    async fn under_load(
+    async fn measure_under_load(
         &self,
-        kind: Kind,
+        kind: MeasuredCall,
         round: u64,
         rounds: &mut Rounds,
     ) -> Result<(), BenchError> {
         let (direct, _) = self.closed_loop(kind, round, true).await;
-        let entry = usage::mark(&self.fleet.entries)?;
-        let agent = usage::mark(&self.fleet.agents)?;
-        let (through, not_whole) = self.closed_loop(kind, round, false).await;
+        let entry = usage::start_interval(&self.fleet.entries)?;
+        let agent = usage::start_interval(&self.fleet.agents)?;
+        let (through, incomplete) = self.closed_loop(kind, round, false).await;
         let entry_s = entry.cpu_since(&self.fleet.entries)?.as_secs_f64();
         let agent_s = agent.cpu_since(&self.fleet.agents)?.as_secs_f64();
         let seconds = self.settings.load_ms as f64 / 1_000.0;
-        rounds.rate.add(through as f64, direct as f64);
+        rounds.rate.add_pair(through as f64, direct as f64);
         rounds.through_per_s.push(through as f64 / seconds);
         rounds.entry_per_core_s.push(through as f64 / entry_s);
         rounds.agent_per_core_s.push(through as f64 / agent_s);
-        rounds.not_whole += not_whole;
+        rounds.incomplete += incomplete;
         Ok(())
     }
 
-    /// Requests with a whole answer, and the others.
-    async fn closed_loop(&self, kind: Kind, round: u64, direct: bool) -> (u64, u64) {
+    /// Keeps a constant number of requests in progress for a round. Returns the number of requests
+    /// with a complete answer and that of all others.
+    async fn closed_loop(&self, kind: MeasuredCall, round: u64, direct: bool) -> (u64, u64) {
         let end = Instant::now() + Duration::from_millis(self.settings.load_ms);
         let mut callers = JoinSet::new();
-        for number in 0..self.settings.under_way {
+        for number in 0..self.settings.in_progress {
             let caller = match direct {
                 true => self.direct(kind).clone(),
                 false => self.through.clone(),
             };
             let first = ((round + 1) << 40) + ((number as u64) << 24);
-            let asks = self.ask(kind, first, direct);
+            let request = self.request(kind, first, direct);
             callers.spawn(async move {
-                let (mut whole, mut other) = (0, 0);
+                let (mut complete, mut other) = (0, 0);
                 while Instant::now() < end {
-                    let reply = caller.ask(asks.clone()).await;
+                    let reply = caller.send(request.clone()).await;
                     match reply.ending {
-                        Ending::Whole => whole += 1,
+                        Ending::Whole => complete += 1,
                         _ => other += 1,
                     }
                 }
-                (whole, other)
+                (complete, other)
             });
         }
         let counts = callers.join_all().await;
@@ -234,77 +239,80 @@
         (sum(|count| count.0), sum(|count| count.1))
     }
 
-    fn direct(&self, kind: Kind) -> &Caller {
+    fn direct(&self, kind: MeasuredCall) -> &Caller {
         match kind {
-            Kind::Unary => &self.service,
-            Kind::Stream => &self.engine,
+            MeasuredCall::Unary => &self.service,
+            MeasuredCall::Stream => &self.engine,
         }
     }
 
-    fn ask(&self, kind: Kind, name: u64, direct: bool) -> Ask {
+    fn request(&self, kind: MeasuredCall, name: u64, direct: bool) -> OutgoingRequest {
         let site = &self.settings.site;
         match kind {
-            Kind::Unary => {
-                // The stand-in answers any other path after a timer's tick.
+            MeasuredCall::Unary => {
+                // The only path without a timer: for any other one the stand-in waits at least a
+                // timer tick, which would hide the cost of the system.
                 let path = format!("/healthz?{name}");
-                Ask {
+                OutgoingRequest {
                     method: "PUT",
                     path: match direct {
                         true => path,
-                        false => format!("/v1/services/{}{path}", site.desk),
+                        false => format!("/v1/services/{}{path}", site.plain_service),
                     },
-                    headers: ask::headers(site.acts[0].token, DEADLINE),
+                    headers: requests::headers(site.call_kinds[0].token, DEADLINE),
                     body: Bytes::from(vec![b'x'; BODY_BYTES]),
                     deadline_ms: DEADLINE.as_millis() as u64,
                 }
             }
-            Kind::Stream => {
-                let opinion = Opinion {
+            MeasuredCall::Stream => {
+                let call = CompletionCall {
                     model: site.model,
                     token: site.model_token,
                     prompt: &format!("{} {name}", site.prompt),
-                    max_tokens: MAX_TOKENS,
+                    max_tokens: COMPLETION_TOKENS_MAX,
                     stream: true,
                 };
-                ask::opinion(&opinion, DEADLINE)
+                requests::completion_request(&call, DEADLINE)
             }
         }
     }
 }
 
 impl Rounds {
-    fn add_to(&self, kind: Kind, latencies: &mut Table, rates: &mut Table) {
+    fn add_rows(&self, kind: MeasuredCall, latencies: &mut Table, rates: &mut Table) {
         let quantile = |of: &Latencies, quantile| format!("{:.3}", of.quantile_ms(quantile));
         let added = self.through.quantile_ms(0.5) - self.direct.quantile_ms(0.5);
-        latencies.add([
+        latencies.add_row([
             kind.as_str().to_owned(),
             quantile(&self.direct, 0.5),
             quantile(&self.direct, 0.99),
             quantile(&self.through, 0.5),
             quantile(&self.through, 0.99),
             format!("{added:.3}"),
-            self.p50.text(),
-            self.p99.text(),
+            self.p50.render(),
+            self.p99.render(),
         ]);
-        rates.add([
+        rates.add_row([
             kind.as_str().to_owned(),
-            format!("{:.0}", middle(&self.through_per_s)),
-            self.rate.text(),
-            spread(&self.entry_per_core_s),
-            spread(&self.agent_per_core_s),
-            self.not_whole.to_string(),
+            format!("{:.0}", median(&self.through_per_s)),
+            self.rate.render(),
+            median_and_range(&self.entry_per_core_s),
+            median_and_range(&self.agent_per_core_s),
+            self.incomplete.to_string(),
         ]);
     }
 }
 
-fn middle(values: &[f64]) -> f64 {
+/// Median; for an even number the upper of the two middle values, and 0 without values.
+fn median(values: &[f64]) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
     sorted.get(sorted.len() / 2).copied().unwrap_or(0.0)
 }
 
-fn spread(values: &[f64]) -> String {
+/// Formats as `median (smallest-largest)`.
+fn median_and_range(values: &[f64]) -> String {
     let least = values.iter().copied().fold(f64::INFINITY, f64::min);
     let most = values.iter().copied().fold(0.0, f64::max);
-    format!("{:.0} ({least:.0}-{most:.0})", middle(values))
+    format!("{:.0} ({least:.0}-{most:.0})", median(values))
 }
--- a/dev/bench/src/cost/slopes.rs
+++ b/dev/bench/src/cost/slopes.rs
@@ -1,4 +1,5 @@
-//! How the cost of the idle control plane grows with the processes and the customers.
+//! Measures how memory and processor time of the idle control plane grow with the number of agents
+//! and of customers, and fits a line to each.
 
 use std::time::Duration;
 
@@ -13,87 +14,88 @@
 use crate::site::Site;
 use crate::table::Table;
 
-const ENTRIES: usize = 3;
-const SETTLE: Duration = Duration::from_secs(3);
-/// Customers that a service is shared with at most.
-const SHARED_MAX: usize = 500;
-const LIMITS: Limits = Limits {
+const ENTRY_COUNT: usize = 3;
+/// Time between the activation of the configuration and the measurement.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// Most customers in the `shared_with` list of a service, as the configuration's check allows.
+const SHARED_WITH_MAX: usize = 500;
+const NEIGHBOUR_LIMITS: Limits = Limits {
     requests_per_s: 50,
     in_progress: 50,
     tokens_per_s: 20_000,
 };
 
-/// Settings.
+/// Settings of the measurement.
 #[value]
 pub struct SlopesSettings {
-    /// Whose configuration.
+    /// Site whose configuration the fleet runs.
     pub site: Site,
-    /// Numbers of agents.
+    /// Numbers of agents to measure, without further customers.
     pub agents: Vec<usize>,
-    /// Numbers of further customers, with the smallest number of agents.
+    /// Numbers of further customers to measure, with the smallest number of agents.
     pub customers: Vec<usize>,
-    /// How long each size is watched.
+    /// Time over which each size is measured.
     pub watch_ms: u64,
-    /// Seed.
+    /// Seed of the choice of ports.
     pub seed: u64,
 }
 
-/// One measured size.
-struct Point {
+/// Measurement of one size.
+struct Measurement {
     size: f64,
     entry: Usage,
     agent: Usage,
-    in_force: Duration,
+    activation: Duration,
 }
 
-/// Measures and gives the tables as text.
+/// Measures all sizes and returns the tables as text.
 pub async fn run(settings: &SlopesSettings) -> Result<String, BenchError> {
     let mut points = Vec::new();
     for &agents in &settings.agents {
         eprintln!("{agents} agents");
-        points.push(point(settings, agents, 0, agents).await?);
+        points.push(measure(settings, agents, 0, agents).await?);
     }
-    let mut text = told("agents", &points);
+    let mut text = render("agents", &points);
     let fewest = settings.agents.iter().copied().min().unwrap_or(1);
     let mut points = Vec::new();
     for &customers in &settings.customers {
         eprintln!("{customers} customers");
-        points.push(point(settings, fewest, customers, customers).await?);
+        points.push(measure(settings, fewest, customers, customers).await?);
     }
     text.push('\n');
-    text.push_str(&told("customers", &points));
+    text.push_str(&render("customers", &points));
     Ok(text)
 }
 
-async fn point(
+async fn measure(
     settings: &SlopesSettings,
     agents: usize,
     customers: usize,
     size: usize,
-) -> Result<Point, BenchError> {
-    let fleet = Fleet::start(&fleet(settings, agents)).await?;
-    let in_force = publish(settings, &fleet, customers).await?;
-    fleet.complete().await?;
-    sleep(SETTLE).await;
-    let entries = usage::mark(&fleet.entries)?;
-    let agents = usage::mark(&fleet.agents)?;
+) -> Result<Measurement, BenchError> {
+    let fleet = Fleet::start(&fleet_settings(settings, agents)).await?;
+    let activation = publish(settings, &fleet, customers).await?;
+    fleet.wait_for_replicas().await?;
+    sleep(SETTLE_TIME).await;
+    let entries = usage::start_interval(&fleet.entries)?;
+    let agents = usage::start_interval(&fleet.agents)?;
     sleep(Duration::from_millis(settings.watch_ms)).await;
-    Ok(Point {
+    Ok(Measurement {
         size: size as f64,
         entry: entries.usage(&fleet.entries)?,
         agent: agents.usage(&fleet.agents)?,
-        in_force,
+        activation,
     })
 }
 
-/// Half of the agents beside engines, half beside plain services.
-fn fleet(settings: &SlopesSettings, agents: usize) -> FleetSettings {
+/// One half of the agents is in front of engines, the other in front of plain services.
+fn fleet_settings(settings: &SlopesSettings, agents: usize) -> FleetSettings {
     FleetSettings {
         site: settings.site.clone(),
         engines: agents / 2,
         services: agents - agents / 2,
         scorers: 0,
-        entries: vec![None; ENTRIES],
+        entries: vec![None; ENTRY_COUNT],
         service_ms: 0,
         scale_permille: 1_000,
         report_lag_ms: 200,
@@ -102,7 +104,8 @@
     }
 }
 
-/// Publishes the texts; gives the time from the last append until all are in force.
+/// Publishes the configuration texts and returns the time from the last append until all texts are
+/// active at all processes.
 async fn publish(
     settings: &SlopesSettings,
     fleet: &Fleet,
@@ -111,23 +114,25 @@
     let site = &settings.site;
     let source = std::fs::read_to_string(site.file)?;
     let mut publisher = Publisher::new(fleet.standins.log.address);
-    let own = texts::limits(&source)?;
-    // A service is shared with 500 customers at most; the others depend on nothing.
-    let text = texts::site(&source, site, customers.min(SHARED_MAX), own);
+    let own = texts::parse_limits(&source)?;
+    // Customers beyond the bound of `shared_with` are published, but may not call the services.
+    let text = texts::owner_text(&source, site, customers.min(SHARED_WITH_MAX), own);
     publisher.publish(site.customer, &text).await?;
     for number in 0..customers {
-        let text = texts::neighbours(number, site, LIMITS);
-        publisher.publish(&texts::neighbour(number), &text).await?;
+        let text = texts::neighbour_text(number, site, NEIGHBOUR_LIMITS);
+        publisher
+            .publish(&texts::neighbour_name(number), &text)
+            .await?;
     }
-    publisher.in_force(&fleet.admins()).await
+    publisher.wait_until_active(&fleet.admins()).await
 }
 
-/// One number of a point.
-type Reading = fn(&Point) -> f64;
+/// Extracts one value of a measurement.
+type Value = fn(&Measurement) -> f64;
 
-fn told(what: &str, points: &[Point]) -> String {
+fn render(size_title: &str, points: &[Measurement]) -> String {
     let mut table = Table::new([
-        what,
+        size_title,
         "entry MiB",
         "entry % core",
         "agent MiB",
@@ -135,17 +140,17 @@
         "in force ms",
     ]);
     for point in points {
-        table.add([
+        table.add_row([
             format!("{:.0}", point.size),
             format!("{:.2}", point.entry.memory_mib),
             format!("{:.3}", point.entry.cpu_permille / 10.0),
             format!("{:.2}", point.agent.memory_mib),
             format!("{:.3}", point.agent.cpu_permille / 10.0),
-            point.in_force.as_millis().to_string(),
+            point.activation.as_millis().to_string(),
         ]);
     }
-    let mut text = table.text();
-    let lines: [(&str, Reading); 4] = [
+    let mut text = table.render();
+    let lines: [(&str, Value); 4] = [
         ("entry MiB", |point| point.entry.memory_mib),
         ("entry % core", |point| point.entry.cpu_permille / 10.0),
         ("agent MiB", |point| point.agent.memory_mib),
@@ -153,9 +158,9 @@
     ];
     for (name, value) in lines {
         let points: Vec<(f64, f64)> = points.iter().map(|p| (p.size, value(p))).collect();
-        if let Some(line) = Line::through(&points) {
+        if let Some(line) = Line::fit(&points) {
             text.push_str(&format!(
-                "{name} = {:.4} + {:.6} x {what}\n",
+                "{name} = {:.4} + {:.6} x {size_title}\n",
                 line.base, line.slope
             ));
         }
--- a/dev/bench/src/cost/usage.rs
+++ b/dev/bench/src/cost/usage.rs
@@ -1,60 +1,61 @@
-//! Use of processor and memory by members of a fleet over a while.
+//! Processor time and memory that processes of a fleet use during an interval.
 
 use std::time::{Duration, Instant};
 
 use crate::error::BenchError;
-use crate::fleet::Member;
+use crate::fleet::FleetProcess;
 use crate::proc;
 
-/// Where the processes stood.
-pub(super) struct Mark {
+/// Start of a measured interval: the time, and the processor time used until then.
+pub(super) struct IntervalStart {
     at: Instant,
     cpu: Duration,
-    members: usize,
+    processes: usize,
 }
 
-/// What one process used on average.
+/// Mean use of one process.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Usage {
-    /// Processor time in a second, in thousandths of a core.
+    /// Processor time per second, in thousandths of a core.
     pub(super) cpu_permille: f64,
-    /// Memory of its own, in MiB.
+    /// Resident anonymous memory at the end of the interval, in MiB.
     pub(super) memory_mib: f64,
 }
 
-pub(super) fn mark(members: &[Member]) -> Result<Mark, BenchError> {
-    Ok(Mark {
+/// Starts an interval for these processes.
+pub(super) fn start_interval(processes: &[FleetProcess]) -> Result<IntervalStart, BenchError> {
+    Ok(IntervalStart {
         at: Instant::now(),
-        cpu: cpu(members)?,
-        members: members.len(),
+        cpu: total_cpu_time(processes)?,
+        processes: processes.len(),
     })
 }
 
-impl Mark {
-    /// Processor time of all since then.
-    pub(super) fn cpu_since(&self, members: &[Member]) -> Result<Duration, BenchError> {
-        Ok(cpu(members)?.saturating_sub(self.cpu))
+impl IntervalStart {
+    /// Processor time of all processes together since the start.
+    pub(super) fn cpu_since(&self, processes: &[FleetProcess]) -> Result<Duration, BenchError> {
+        Ok(total_cpu_time(processes)?.saturating_sub(self.cpu))
     }
 
-    /// Means since then.
-    pub(super) fn usage(&self, members: &[Member]) -> Result<Usage, BenchError> {
-        let used_s = self.cpu_since(members)?.as_secs_f64();
-        let process_s = self.at.elapsed().as_secs_f64() * self.members as f64;
+    /// Mean use per process since the start.
+    pub(super) fn usage(&self, processes: &[FleetProcess]) -> Result<Usage, BenchError> {
+        let used_s = self.cpu_since(processes)?.as_secs_f64();
+        let process_s = self.at.elapsed().as_secs_f64() * self.processes as f64;
         let mut bytes = 0;
-        for member in members {
-            bytes += proc::memory(member.process().id())?;
+        for process in processes {
+            bytes += proc::anonymous_bytes(process.lock().id())?;
         }
         Ok(Usage {
             cpu_permille: used_s / process_s * 1_000.0,
-            memory_mib: bytes as f64 / self.members as f64 / f64::from(1 << 20),
+            memory_mib: bytes as f64 / self.processes as f64 / f64::from(1 << 20),
         })
     }
 }
 
-fn cpu(members: &[Member]) -> Result<Duration, BenchError> {
+fn total_cpu_time(processes: &[FleetProcess]) -> Result<Duration, BenchError> {
     let mut sum = Duration::ZERO;
-    for member in members {
-        sum += proc::cpu(member.process().id())?;
+    for process in processes {
+        sum += proc::cpu_time(process.lock().id())?;
     }
     Ok(sum)
 }
--- a/dev/bench/src/entry.rs
+++ b/dev/bench/src/entry.rs
@@ -1,4 +1,5 @@
-//! An entry with another routing policy than the shipped one, as a process of its own.
+//! The `entry` subcommand: an entry with a selectable routing policy, run as a separate process
+//! so that policies can be compared with the shipped one.
 
 use clap::{ArgMatches, Command};
 use gateway::{Entry, Tuning};
@@ -8,38 +9,39 @@
 
 use crate::error::BenchError;
 
-const ALLOWED: &str =
+const ALLOWED_POLICIES: &str =
     "random, least-outstanding, two-choices, two-choices-report or compute-memory";
 
-/// Threads for all tasks, as in the shipped program.
-const THREADS: usize = 4;
+/// Worker threads of the runtime, as many as the shipped entry has.
+const WORKER_THREADS: usize = 4;
 
-/// The command line: an entry's own and the policy.
+/// The flags of the shipped entry, and `--policy`.
 pub fn command() -> Command {
     entry_command()
         .name("entry")
         .about("Runs an entry with a routing policy of choice")
-        .arg(flag("policy", "POLICY", ALLOWED).default_value("compute-memory"))
+        .arg(flag("policy", "POLICY", ALLOWED_POLICIES).default_value("compute-memory"))
 }
 
-/// The policy with this name. Errors when there is none.
-pub fn policy(word: &str, flag: &'static str) -> Result<Policy, BenchError> {
-    Policy::parse(word).ok_or_else(|| BenchError::Flag(flag, word.to_owned(), ALLOWED))
+/// Parses a policy name given with `--flag`. Errors if no policy has this name.
+pub fn policy(name: &str, flag: &'static str) -> Result<Policy, BenchError> {
+    Policy::parse(name)
+        .ok_or_else(|| BenchError::InvalidFlag(flag, name.to_owned(), ALLOWED_POLICIES))
 }
 
-/// Runs the entry until it is told to end.
+/// Runs the entry until the process receives a signal to stop.
 pub fn run(matches: &ArgMatches) -> Result<(), BenchError> {
     let settings = EntrySettings::from_matches(matches)?;
-    let word = optional_text(matches, "policy").unwrap_or_default();
+    let name = optional_text(matches, "policy").unwrap_or_default();
     let tuning = Tuning {
         routing: Settings {
-            policy: policy(word, "policy")?,
+            policy: policy(name, "policy")?,
             ..Settings::default()
         },
         ..Tuning::default()
     };
     let level = settings.common.log_level;
-    process::run(level, THREADS, |stop| async {
+    process::run(level, WORKER_THREADS, |stop| async {
         let entry = Entry::bind(settings, tuning).await?;
         entry.run(stop).await
     })?;
--- a/dev/bench/src/error.rs
+++ b/dev/bench/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a tool ends without its result.
+//! The error type of the tools.
 
 use std::net::SocketAddr;
 
@@ -8,71 +8,71 @@
 use standins::trainer::TrainerError;
 
 quick_error! {
-    /// Why a tool ends without its result.
+    /// Reason why a tool ended without a result.
     #[derive(Debug)]
     pub enum BenchError {
-        /// No runtime, process, file or socket.
-        System(err: std::io::Error) {
+        /// The operating system refused a runtime, process, file or socket.
+        Io(err: std::io::Error) {
             display("{}", err)
             from()
             source(err)
         }
-        /// A stand-in does not start.
+        /// A stand-in could not be started.
         Standin(err: StandinError) {
             display("{}", err)
             from()
             source(err)
         }
-        /// The trainer gives up.
+        /// The trainer abandoned its run.
         Trainer(err: TrainerError) {
-            display("trainer: {}", err)
+            display("trainer run failed: {}", err)
             from()
             source(err)
         }
-        /// An address does not answer.
+        /// A request to a process or stand-in got no answer.
         NoAnswer(address: SocketAddr, err: PlatformError) {
-            display("{} does not answer: {}", address, err)
+            display("no answer from {}: {}", address, err)
             source(err)
         }
-        /// An address answers with something else.
-        Answer(address: SocketAddr, status: u16) {
-            display("{} answers with status {}", address, status)
+        /// An answer had another status than 200.
+        UnexpectedStatus(address: SocketAddr, status: u16) {
+            display("unexpected status {1} from {0}, expected 200", address, status)
         }
-        /// A message that is not JSON.
+        /// A message could not be parsed or written as JSON.
         Json(err: serde_json::Error) {
-            display("not JSON: {}", err)
+            display("invalid JSON: {}", err)
             from()
             source(err)
         }
-        /// A configuration text that is generated wrongly.
-        Text(err: config::Complaints) {
-            display("generated text: {}", err)
+        /// A configuration text, generated or from an example, does not pass the check.
+        ConfigText(err: config::Complaints) {
+            display("invalid configuration text: {}", err)
         }
-        /// A name that is generated wrongly.
-        Name(text: String) {
-            display("'{}' is no name", text)
+        /// A generated customer name is not valid.
+        InvalidName(text: String) {
+            display("invalid customer name '{}'", text)
         }
-        /// Settings of an entry under test.
+        /// The settings of the entry under test are not valid.
         Settings(err: settings::SettingsError) {
             display("{}", err)
             from()
         }
-        /// An entry under test.
+        /// The entry under test could not be started, or failed.
         Entry(err: gateway::EntryError) {
             display("{}", err)
             from()
         }
-        /// A value of the command line.
-        Flag(flag: &'static str, value: String, allowed: &'static str) {
-            display("--{} '{}': {}", flag, value, allowed)
+        /// A flag of the command line has a value that is not allowed.
+        InvalidFlag(flag: &'static str, value: String, allowed: &'static str) {
+            display("invalid value '{1}' for --{0}, expected {2}", flag, value, allowed)
         }
-        /// No free ports one after the other.
+        /// Not enough consecutive ports are free.
         NoPorts(count: u16) {
-            display("no {} free ports one after the other", count)
+            display("found no {} consecutive free ports", count)
         }
-        /// A site does not come up in time.
-        NotUp(what: String, wait_ms: u64) {
-            display("{} within {} ms", what, wait_ms)
+        /// A site did not reach the awaited state in time.
+        Timeout(state: String, wait_ms: u64) {
+            display("timed out after {1} ms: {0}", state, wait_ms)
         }
     }
 }
--- a/dev/bench/src/fleet/directory.rs
+++ b/dev/bench/src/fleet/directory.rs
@@ -1,17 +1,17 @@
-//! A directory for one fleet's files, removed when it is dropped.
+//! A temporary directory for the files of one fleet.
 
 use std::path::{Path, PathBuf};
 
 use crate::error::BenchError;
 
-/// The directory.
-pub struct Directory {
+/// A directory with a random name, removed with its files on drop.
+pub struct TempDirectory {
     path: PathBuf,
 }
 
-impl Directory {
-    /// A new one.
-    pub fn new() -> Result<Directory, BenchError> {
+impl TempDirectory {
+    /// Creates the directory below the system's directory for temporary files.
+    pub fn new() -> Result<TempDirectory, BenchError> {
         let name = format!(
             "hornbeamrock-bench.{}.{:08x}",
             std::process::id(),
@@ -19,16 +19,16 @@
         );
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir(&path)?;
-        Ok(Directory { path })
+        Ok(TempDirectory { path })
     }
 
-    /// Where it is.
+    /// Path of the directory.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Writes a file of random bytes in hexadecimal digits.
-    pub fn key_file(&self) -> Result<PathBuf, BenchError> {
+    /// Writes a key file: 32 random bytes in hexadecimal.
+    pub fn write_key_file(&self) -> Result<PathBuf, BenchError> {
         let key: [u8; 32] = rand::random();
         let digits: String = key.iter().map(|byte| format!("{byte:02x}")).collect();
         let path = self.path.join("key");
@@ -37,9 +37,9 @@
     }
 }
 
-impl Drop for Directory {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
-        // What is left lies in the directory for temporary files.
+        // A failure leaves files only in the system's directory for temporary files.
         let _ = std::fs::remove_dir_all(&self.path);
     }
 }
--- a/dev/bench/src/fleet/mod.rs
+++ b/dev/bench/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A site under test: stand-ins in this process, entries and agents as processes of their
-//! own. Everything ends when the fleet is dropped.
+//! A site under test. The stand-ins run in this process, the entries and agents as child processes.
+//! All of them end when the fleet is dropped.
 
 mod directory;
 mod plan;
@@ -23,93 +23,94 @@
 use crate::error::BenchError;
 use crate::site::Site;
 use crate::status;
-use directory::Directory;
+use directory::TempDirectory;
 use plan::Plan;
 
-const REPLICAS_WAIT_MS: u64 = 30_000;
+const REPLICAS_TIMEOUT_MS: u64 = 30_000;
 
 /// Settings of a fleet.
 #[value]
 pub struct FleetSettings {
-    /// Whose.
+    /// Site with its names, failure domains and region.
     pub site: Site,
-    /// Model engines.
+    /// Number of model engines.
     pub engines: usize,
-    /// Plain services.
+    /// Number of replicas of the plain service.
     pub services: usize,
-    /// Scorers.
+    /// Number of scorers.
     pub scorers: usize,
-    /// Routing policy of each entry; `None` runs the shipped program as it is.
+    /// Routing policy of each entry; `None` runs the shipped program unchanged.
     pub entries: Vec<Option<Policy>>,
-    /// Time that one call of a plain service takes.
+    /// Time that a plain service takes for a call.
     pub service_ms: u64,
-    /// Time scale of the engines.
+    /// Factor on the time that the engines take, in thousandths; 0 for engines without delay.
     pub scale_permille: u32,
-    /// Age of the engines' load reports.
+    /// Age of the load that the engines report.
     pub report_lag_ms: u64,
-    /// Time that one append to the log takes.
+    /// Time that the log takes for an append.
     pub append_ms: u64,
-    /// Chooses the ports.
+    /// Seed of the choice of ports.
     pub seed: u64,
 }
 
-/// A running process of the fleet.
-pub struct Member {
-    /// Its failure domain.
+/// A running entry or agent.
+pub struct FleetProcess {
+    /// Failure domain that the VM list states for the process.
     pub failure_domain: &'static str,
-    /// Address for callers; an agent's is its inner one.
+    /// An entry's public address, or an agent's inner address.
     pub address: SocketAddr,
     process: Mutex<Process>,
 }
 
-impl Member {
-    /// The process.
-    pub fn process(&self) -> MutexGuard<'_, Process> {
+impl FleetProcess {
+    /// Locks the child process.
+    pub fn lock(&self) -> MutexGuard<'_, Process> {
         self.process.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Its admin address.
+    /// Admin address of the process.
     pub fn admin(&self) -> SocketAddr {
-        self.process().admin()
+        self.lock().admin()
     }
 }
 
-/// A running fleet. The processes end before the stand-ins and the directory.
+/// A running fleet. Fields drop in their order, so the processes end before the stand-ins stop and
+/// the directory is removed.
 pub struct Fleet {
-    /// The entries, in the order of the settings.
-    pub entries: Vec<Member>,
-    /// The agents: of engines, of plain services, of scorers.
-    pub agents: Vec<Member>,
-    /// The stand-ins.
+    /// Entries in the order of `FleetSettings::entries`.
+    pub entries: Vec<FleetProcess>,
+    /// Agents of the engines, then of the plain services, then of the scorers.
+    pub agents: Vec<FleetProcess>,
+    /// Stand-ins of the log, the VM list, the weight store and the endpoints.
     pub standins: Standins,
-    _directory: Directory,
+    _directory: TempDirectory,
 }
 
 impl Fleet {
-    /// Starts it and waits until every process answers at its admin address.
+    /// Starts a fleet and waits until every process answers at its admin address.
     pub async fn start(settings: &FleetSettings) -> Result<Fleet, BenchError> {
-        let directory = Directory::new()?;
+        let directory = TempDirectory::new()?;
         let plan = Plan::new(settings)?;
         let standins = Standins::start(settings, plan.vms()).await?;
-        let programs = programs()?;
-        let common = plan::Common {
+        let programs = locate_programs()?;
+        let common = plan::SharedSettings {
             log: standins.log.address,
             vm_list: standins.vms.address,
             customer: settings.site.customer,
             region: settings.site.region,
-            key_file: directory.key_file()?,
+            key_file: directory.write_key_file()?,
             directory: directory.path().to_owned(),
         };
         let endpoints = standins.endpoints();
         let mut agents = Vec::new();
-        for (place, endpoint) in plan.agents.iter().zip(&endpoints) {
-            let program = plan::agent(&programs, &common, place, endpoint);
-            agents.push(start(place, place.inner, program)?);
+        for (process_plan, endpoint) in plan.agents.iter().zip(&endpoints) {
+            let program = plan::agent_program(&programs, &common, process_plan, endpoint);
+            agents.push(start_process(process_plan, process_plan.inner, program)?);
         }
         let mut entries = Vec::new();
-        for (place, policy) in plan.entries.iter().zip(&settings.entries) {
-            let program = plan::entry(&programs, &common, place, *policy);
-            entries.push(start(place, place.public, program)?);
+        for (process_plan, policy) in plan.entries.iter().zip(&settings.entries) {
+            let program = plan::entry_program(&programs, &common, process_plan, *policy);
+            entries.push(start_process(process_plan, process_plan.public, program)?);
         }
         let fleet = Fleet {
             entries,
@@ -117,59 +118,59 @@
             standins,
             _directory: directory,
         };
-        for member in fleet.members() {
-            up(member).await?;
+        for process in fleet.processes() {
+            wait_until_live(process).await?;
         }
         Ok(fleet)
     }
 
-    /// All processes.
-    pub fn members(&self) -> impl Iterator<Item = &Member> {
+    /// All entries and agents.
+    pub fn processes(&self) -> impl Iterator<Item = &FleetProcess> {
         self.entries.iter().chain(&self.agents)
     }
 
     /// Admin addresses of all processes.
     pub fn admins(&self) -> Vec<SocketAddr> {
-        self.members().map(Member::admin).collect()
+        self.processes().map(FleetProcess::admin).collect()
     }
 
-    /// Waits until every entry sees its subset of each service's replicas.
-    pub async fn complete(&self) -> Result<(), BenchError> {
-        let admins: Vec<SocketAddr> = self.entries.iter().map(Member::admin).collect();
+    /// Waits until every entry sees its full subset of the replicas of each service.
+    pub async fn wait_for_replicas(&self) -> Result<(), BenchError> {
+        let admins: Vec<SocketAddr> = self.entries.iter().map(FleetProcess::admin).collect();
         let subset = MemberSettings::default().subset_size;
         let standins = &self.standins;
         let pools = [&standins.engines, &standins.services, &standins.scorers];
         let replicas = pools.iter().map(|pool| pool.len().min(subset)).sum();
-        status::await_replicas(&admins, replicas, REPLICAS_WAIT_MS).await
+        status::wait_for_replicas(&admins, replicas, REPLICAS_TIMEOUT_MS).await
     }
 }
 
-fn start(
-    place: &plan::Place,
+fn start_process(
+    process_plan: &plan::ProcessPlan,
     address: SocketAddr,
     program: process::Program,
-) -> Result<Member, BenchError> {
-    Ok(Member {
-        failure_domain: place.failure_domain,
+) -> Result<FleetProcess, BenchError> {
+    Ok(FleetProcess {
+        failure_domain: process_plan.failure_domain,
         address,
         process: Mutex::new(Process::start(program)?),
     })
 }
 
-async fn up(member: &Member) -> Result<(), BenchError> {
-    let admin = member.admin();
-    process::up(admin).await
+async fn wait_until_live(process: &FleetProcess) -> Result<(), BenchError> {
+    let admin = process.admin();
+    process::wait_until_live(admin).await
 }
 
-/// The programs that a fleet is made of.
+/// Paths of the programs that a fleet runs.
 struct Programs {
     bench: PathBuf,
     entry: PathBuf,
     agent: PathBuf,
 }
 
-/// They lie beside this one.
-fn programs() -> Result<Programs, BenchError> {
+/// Paths of the programs, which are built into the same folder as this program.
+fn locate_programs() -> Result<Programs, BenchError> {
     let bench = std::env::current_exe()?;
     Ok(Programs {
         entry: bench.with_file_name("hornbeamrock-entry"),
--- a/dev/bench/src/fleet/plan.rs
+++ b/dev/bench/src/fleet/plan.rs
@@ -1,4 +1,5 @@
-//! Where the processes of a fleet listen and with which settings they run.
+//! Assigns addresses and failure domains to the processes of a fleet and builds their command
+//! lines.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -15,26 +16,26 @@
 const PORTS_PER_ENTRY: usize = 3;
 const PORTS_PER_AGENT: usize = 2;
 
-/// Place of one process.
-pub(super) struct Place {
+/// Address, failure domain and role of one process.
+pub(super) struct ProcessPlan {
     pub(super) failure_domain: &'static str,
     pub(super) inner: SocketAddr,
     pub(super) admin: SocketAddr,
-    /// An entry's address for callers; unused for agents.
+    /// An entry's address for callers; equal to `inner` for agents.
     pub(super) public: SocketAddr,
     name: String,
     role: VmRole,
 }
 
-/// Places of all processes.
+/// Plans of all processes.
 pub(super) struct Plan {
-    pub(super) entries: Vec<Place>,
-    pub(super) agents: Vec<Place>,
+    pub(super) entries: Vec<ProcessPlan>,
+    pub(super) agents: Vec<ProcessPlan>,
     region: &'static str,
 }
 
-/// Settings that all processes share.
-pub(super) struct Common {
+/// Settings that are the same for all processes.
+pub(super) struct SharedSettings {
     pub(super) log: SocketAddr,
     pub(super) vm_list: SocketAddr,
     pub(super) customer: &'static str,
@@ -49,26 +50,30 @@
         let count = settings.entries.len() * PORTS_PER_ENTRY + agents * PORTS_PER_AGENT;
         let count = u16::try_from(count).map_err(|_| BenchError::NoPorts(u16::MAX))?;
         let seed = settings.seed.wrapping_add(u64::from(std::process::id()));
-        let mut next = ports::free(count, seed)?;
+        let mut next = ports::find_free(count, seed)?;
         let domains = settings.site.failure_domains;
-        let mut take = || {
+        let mut next_address = || {
             next += 1;
             SocketAddr::from((Ipv4Addr::LOCALHOST, next - 1))
         };
-        let mut place = |number: usize, role: VmRole, what: &str| {
-            let (inner, admin) = (take(), take());
-            let public = if role == VmRole::Entry { take() } else { inner };
-            Place {
+        let mut plan_process = |number: usize, role: VmRole, kind: &str| {
+            let (inner, admin) = (next_address(), next_address());
+            let public = if role == VmRole::Entry {
+                next_address()
+            } else {
+                inner
+            };
+            ProcessPlan {
                 failure_domain: domains[number % domains.len()],
                 inner,
                 admin,
                 public,
-                name: format!("{what}-{number}"),
+                name: format!("{kind}-{number}"),
                 role,
             }
         };
         let entries = (0..settings.entries.len())
-            .map(|number| place(number, VmRole::Entry, "entry"))
+            .map(|number| plan_process(number, VmRole::Entry, "entry"))
             .collect();
         let pools = [
             ("engine", settings.engines),
@@ -76,8 +81,8 @@
             ("scorer", settings.scorers),
         ];
         let mut agents = Vec::new();
-        for (what, count) in pools {
-            agents.extend((0..count).map(|number| place(number, VmRole::Agent, what)));
+        for (kind, count) in pools {
+            agents.extend((0..count).map(|number| plan_process(number, VmRole::Agent, kind)));
         }
         Ok(Plan {
             entries,
@@ -86,13 +91,13 @@
         })
     }
 
-    /// The VM list of the fleet.
+    /// Entries of the VM list, one for each process.
     pub(super) fn vms(&self) -> Vec<Vm> {
-        let vm = |place: &Place| {
+        let vm = |process: &ProcessPlan| {
             Some(Vm {
-                address: place.inner,
-                role: place.role,
-                failure_domain: place.failure_domain.parse().ok()?,
+                address: process.inner,
+                role: process.role,
+                failure_domain: process.failure_domain.parse().ok()?,
                 region: self.region.parse().ok()?,
                 state: VmState::Live,
             })
@@ -105,55 +110,55 @@
     }
 }
 
-/// How an agent is started.
-pub(super) fn agent(
+/// Command line of an agent.
+pub(super) fn agent_program(
     programs: &Programs,
-    common: &Common,
-    place: &Place,
+    common: &SharedSettings,
+    process: &ProcessPlan,
     endpoint: &Endpoint,
 ) -> Program {
     let (kind, fencing) = match endpoint.kind {
         EndpointKind::Engine => ("model", "checked"),
         EndpointKind::Plain => ("plain", "ignored"),
     };
-    let mut line = vec![programs.agent.to_string_lossy().into_owned()];
-    line.extend(shared(common, place));
-    line.extend(flag("endpoint", endpoint.address));
-    line.extend(flag("endpoint-kind", kind));
-    line.extend(flag("pool", endpoint.pool));
-    line.extend(flag("customers", common.customer));
-    line.extend(flag("fencing", fencing));
-    program(line, common, place)
+    let mut command_line = vec![programs.agent.to_string_lossy().into_owned()];
+    command_line.extend(shared_flags(common, process));
+    command_line.extend(flag("endpoint", endpoint.address));
+    command_line.extend(flag("endpoint-kind", kind));
+    command_line.extend(flag("pool", endpoint.pool));
+    command_line.extend(flag("customers", common.customer));
+    command_line.extend(flag("fencing", fencing));
+    program(command_line, common, process)
 }
 
-/// How an entry is started.
-pub(super) fn entry(
+/// Command line of an entry.
+pub(super) fn entry_program(
     programs: &Programs,
-    common: &Common,
-    place: &Place,
+    common: &SharedSettings,
+    process: &ProcessPlan,
     policy: Option<Policy>,
 ) -> Program {
-    let mut line = match policy {
+    let mut command_line = match policy {
         None => vec![programs.entry.to_string_lossy().into_owned()],
         Some(policy) => {
             let bench = programs.bench.to_string_lossy().into_owned();
-            let mut line = vec![bench, "entry".to_owned()];
-            line.extend(flag("policy", policy.as_str()));
-            line
+            let mut command_line = vec![bench, "entry".to_owned()];
+            command_line.extend(flag("policy", policy.as_str()));
+            command_line
         }
     };
-    line.extend(shared(common, place));
-    line.extend(flag("listen", place.public));
-    program(line, common, place)
+    command_line.extend(shared_flags(common, process));
+    command_line.extend(flag("listen", process.public));
+    program(command_line, common, process)
 }
 
-fn shared(common: &Common, place: &Place) -> Vec<String> {
+fn shared_flags(common: &SharedSettings, process: &ProcessPlan) -> Vec<String> {
     let flags = [
-        flag("inner-listen", place.inner),
-        flag("admin-listen", place.admin),
+        flag("inner-listen", process.inner),
+        flag("admin-listen", process.admin),
         flag("log", common.log),
         flag("vm-list", common.vm_list),
-        flag("failure-domain", place.failure_domain),
+        flag("failure-domain", process.failure_domain),
         flag("region", common.region),
         flag("key-file", common.key_file.display()),
     ];
@@ -164,10 +169,10 @@
     vec![format!("--{name}"), value.to_string()]
 }
 
-fn program(line: Vec<String>, common: &Common, place: &Place) -> Program {
+fn program(command_line: Vec<String>, common: &SharedSettings, process: &ProcessPlan) -> Program {
     Program {
-        line,
-        admin: place.admin,
-        log_file: common.directory.join(format!("{}.log", place.name)),
+        command_line,
+        admin: process.admin,
+        log_file: common.directory.join(format!("{}.log", process.name)),
     }
 }
--- a/dev/bench/src/fleet/process.rs
+++ b/dev/bench/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! One process of the system under test, ended when its guard is dropped.
+//! A child process of the system under test, killed on drop.
 
 use std::fs::File;
 use std::net::SocketAddr;
@@ -11,51 +11,51 @@
 use crate::error::BenchError;
 use crate::status;
 
-const UP_WAIT: Duration = Duration::from_secs(10);
-const POLL: Duration = Duration::from_millis(20);
+const LIVE_TIMEOUT: Duration = Duration::from_secs(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How a process is started.
+/// Command line and files of a process, kept for a restart.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// The program and its arguments.
-    pub line: Vec<String>,
-    /// Its admin address.
+    /// Path of the program, then its arguments.
+    pub command_line: Vec<String>,
+    /// Admin address that the arguments set.
     pub admin: SocketAddr,
-    /// File of its log lines.
+    /// File to which standard output and standard error are appended.
     pub log_file: std::path::PathBuf,
 }
 
-/// A running process.
+/// A child process; killed on drop.
 pub struct Process {
     program: Program,
     child: Child,
 }
 
 impl Process {
-    /// Starts it.
+    /// Starts the program without waiting until it answers.
     pub fn start(program: Program) -> Result<Process, BenchError> {
         let child = spawn(&program)?;
         Ok(Process { program, child })
     }
 
-    /// Its process id.
+    /// Process id; a restart changes it.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Its admin address.
+    /// Admin address of the process.
     pub fn admin(&self) -> SocketAddr {
         self.program.admin
     }
 
-    /// Ends it at once and waits for its end.
+    /// Kills the process and waits until it has ended.
     pub fn kill(&mut self) {
-        // Fails only when it has ended already.
+        // Fails only if the process has already ended.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Starts it again at the same addresses.
+    /// Kills the process and starts it again with the same command line.
     pub fn restart(&mut self) -> Result<(), BenchError> {
         self.kill();
         self.child = spawn(&self.program)?;
@@ -64,23 +64,23 @@
 
     /// Sends a signal by its name, such as `STOP` or `CONT`.
     pub fn signal(&self, name: &str) -> Result<(), BenchError> {
-        let line = format!("kill -{name} {}", self.id());
-        Command::new("sh").arg("-c").arg(line).status()?;
+        let command = format!("kill -{name} {}", self.id());
+        Command::new("sh").arg("-c").arg(command).status()?;
         Ok(())
     }
 }
 
-/// Waits until an admin address answers.
-pub async fn up(admin: SocketAddr) -> Result<(), BenchError> {
-    let began = Instant::now();
+/// Waits until a process answers at its admin address.
+pub async fn wait_until_live(admin: SocketAddr) -> Result<(), BenchError> {
+    let started = Instant::now();
     loop {
         let Err(error) = status::get(admin, "/livez").await else {
             return Ok(());
         };
-        if began.elapsed() > UP_WAIT {
+        if started.elapsed() > LIVE_TIMEOUT {
             return Err(error);
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -91,19 +91,19 @@
 }
 
 fn spawn(program: &Program) -> Result<Child, BenchError> {
-    let log = open(&program.log_file)?;
-    let errors = log.try_clone()?;
-    let mut words = program.line.iter();
-    let mut command = Command::new(words.next().map(String::as_str).unwrap_or_default());
-    command.args(words);
+    let log = open_for_append(&program.log_file)?;
+    let error_log = log.try_clone()?;
+    let mut parts = program.command_line.iter();
+    let mut command = Command::new(parts.next().map(String::as_str).unwrap_or_default());
+    command.args(parts);
     let child = command
         .stdin(Stdio::null())
         .stdout(log)
-        .stderr(errors)
+        .stderr(error_log)
         .spawn()?;
     Ok(child)
 }
 
-fn open(path: &Path) -> Result<File, BenchError> {
+fn open_for_append(path: &Path) -> Result<File, BenchError> {
     Ok(File::options().create(true).append(true).open(path)?)
 }
--- a/dev/bench/src/fleet/publisher.rs
+++ b/dev/bench/src/fleet/publisher.rs
@@ -1,4 +1,4 @@
-//! Publishes texts and waits until they are in force.
+//! Publishes configuration texts and waits until all processes have activated them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,11 +13,12 @@
 use crate::error::BenchError;
 use crate::status;
 
-const STREAM: &str = "config";
-const WAIT: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(50);
+const CONFIG_STREAM: &str = "config";
+const ACTIVATION_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The only publisher of a fleet; so it knows each customer's version.
+/// Publishes texts to the log of a fleet. It must be the log's only publisher, because it counts
+/// the versions of each customer itself instead of reading the log.
 pub struct Publisher {
     log: LogClient,
     address: SocketAddr,
@@ -25,18 +26,18 @@
 }
 
 #[derive(Deserialize)]
-struct Page {
-    config: Vec<Row>,
+struct StatusPage {
+    config: Vec<ConfigRow>,
 }
 
 #[derive(Deserialize)]
-struct Row {
+struct ConfigRow {
     customer: String,
     version: u64,
 }
 
 impl Publisher {
-    /// A publisher on an empty log.
+    /// Creates a publisher for a log that has no configuration records yet.
     pub fn new(log: SocketAddr) -> Publisher {
         Publisher {
             log: LogClient::new(log, &ClientSettings::default()),
@@ -45,14 +46,14 @@
         }
     }
 
-    /// Publishes a text.
+    /// Checks a text and appends it to the log as the customer's next version.
     pub async fn publish(&mut self, customer: &str, text: &str) -> Result<(), BenchError> {
-        config::parse(text, customer).map_err(BenchError::Text)?;
+        config::parse(text, customer).map_err(BenchError::ConfigText)?;
         let base = self.versions.get(customer).copied().unwrap_or(0);
         let id = |version: u64| format!("{customer}-{version}");
         let name: Result<CustomerName, _> = customer.parse();
         let publish = Publish {
-            customer: name.map_err(|_| BenchError::Name(customer.to_owned()))?,
+            customer: name.map_err(|_| BenchError::InvalidName(customer.to_owned()))?,
             base,
             base_id: (base > 0).then(|| id(base)),
             id: id(base + 1),
@@ -60,42 +61,49 @@
             text: text.to_owned(),
         };
         let json = Record::Publish(publish).to_json();
-        let json = json.map_err(|_| BenchError::Name(customer.to_owned()))?;
-        let appended = self.log.append(STREAM, &json).await;
+        let json = json.map_err(|_| BenchError::InvalidName(customer.to_owned()))?;
+        let appended = self.log.append(CONFIG_STREAM, &json).await;
         appended.map_err(|err| BenchError::NoAnswer(self.address, err))?;
         self.versions.insert(customer.to_owned(), base + 1);
         Ok(())
     }
 
-    /// Waits until all published versions are in force at these processes.
-    pub async fn in_force(&self, admins: &[SocketAddr]) -> Result<Duration, BenchError> {
-        let began = Instant::now();
+    /// Waits until the last published version of every customer is active at these processes, and
+    /// returns the time waited.
+    pub async fn wait_until_active(&self, admins: &[SocketAddr]) -> Result<Duration, BenchError> {
+        let started = Instant::now();
         for &admin in admins {
             loop {
-                let behind = self.behind(admin).await;
-                if behind == 0 {
+                let outdated = self.outdated_customers(admin).await;
+                if outdated == 0 {
                     break;
                 }
-                if began.elapsed() > WAIT {
+                if started.elapsed() > ACTIVATION_TIMEOUT {
                     let all = self.versions.len();
-                    let what = format!("{behind} of {all} customers are not in force at {admin}");
-                    return Err(BenchError::NotUp(what, WAIT.as_millis() as u64));
+                    let state =
+                        format!("{outdated} of {all} configurations not yet active at {admin}");
+                    return Err(BenchError::Timeout(
+                        state,
+                        ACTIVATION_TIMEOUT.as_millis() as u64,
+                    ));
                 }
-                sleep(POLL).await;
+                sleep(POLL_INTERVAL).await;
             }
         }
-        Ok(began.elapsed())
+        Ok(started.elapsed())
     }
 
-    /// Customers whose last version is not in force at a process.
-    async fn behind(&self, admin: SocketAddr) -> usize {
-        let Ok(page) = status::json::<Page>(admin, "/status").await else {
+    /// Number of customers whose last version is not active at a process; the number of all
+    /// customers if the process does not answer.
+    async fn outdated_customers(&self, admin: SocketAddr) -> usize {
+        let Ok(page) = status::get_json::<StatusPage>(admin, "/status").await else {
             return self.versions.len();
         };
         let rows = page.config.into_iter();
-        let seen: BTreeMap<String, u64> = rows.map(|row| (row.customer, row.version)).collect();
+        let active: BTreeMap<String, u64> = rows.map(|row| (row.customer, row.version)).collect();
         let versions = self.versions.iter();
-        let behind = versions.filter(|(customer, version)| seen.get(*customer) < Some(*version));
-        behind.count()
+        let outdated =
+            versions.filter(|(customer, version)| active.get(*customer) < Some(*version));
+        outdated.count()
     }
 }
--- a/dev/bench/src/fleet/standins.rs
+++ b/dev/bench/src/fleet/standins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins of a fleet, in this process.
+//! The stand-ins of a fleet, which run in this process.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -14,7 +14,7 @@
 use super::FleetSettings;
 use crate::error::BenchError;
 
-/// What stands beside an agent.
+/// Kind of endpoint behind an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EndpointKind {
     /// A model engine.
@@ -23,26 +23,26 @@
     Plain,
 }
 
-/// An endpoint and its pool.
+/// An endpoint and the pool that its agent joins.
 pub(super) struct Endpoint {
     pub(super) kind: EndpointKind,
     pub(super) pool: &'static str,
     pub(super) address: SocketAddr,
 }
 
-/// Running stand-ins.
+/// The running stand-ins; they stop on drop.
 pub struct Standins {
-    /// The log.
+    /// Stand-in of the shared log.
     pub log: Handle,
-    /// The VM list.
+    /// Stand-in of the platform's VM list.
     pub vms: Handle,
-    /// The weight store.
+    /// Stand-in of the weight store, from which the engines load.
     pub store: Handle,
-    /// The engines.
+    /// Model engines.
     pub engines: Vec<Handle>,
-    /// The plain services.
+    /// Replicas of the plain service.
     pub services: Vec<Handle>,
-    /// The scorers.
+    /// Scorers of training samples.
     pub scorers: Vec<Handle>,
     pools: [&'static str; 3],
 }
@@ -52,18 +52,18 @@
         settings: &FleetSettings,
         vms: Vec<Vm>,
     ) -> Result<Standins, BenchError> {
-        let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+        let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let site = &settings.site;
         let log = log::start(LogSettings {
             append_ms: settings.append_ms,
-            ..LogSettings::new(any)
+            ..LogSettings::new(any_port)
         });
         let vms = vms::start(VmsSettings {
             vms,
-            ..VmsSettings::new(any)
+            ..VmsSettings::new(any_port)
         });
         let (log, vms) = (log.await?, vms.await?);
-        let store = store::start(StoreSettings::new(any)).await?;
+        let store = store::start(StoreSettings::new(any_port)).await?;
         let mut standins = Standins {
             log,
             vms,
@@ -71,7 +71,7 @@
             engines: Vec::new(),
             services: Vec::new(),
             scorers: Vec::new(),
-            pools: [site.model, site.desk, site.scorer],
+            pools: [site.model, site.plain_service, site.scorer],
         };
         for _ in 0..settings.engines {
             let engine = engine::start(EngineSettings {
@@ -81,28 +81,28 @@
                     scale_permille: settings.scale_permille,
                     ..Speeds::default()
                 },
-                ..EngineSettings::new(any, site.model)
+                ..EngineSettings::new(any_port, site.model)
             });
             standins.engines.push(engine.await?);
         }
         for _ in 0..settings.services {
             let service = service::start(ServiceSettings {
                 service_ms: settings.service_ms,
-                ..ServiceSettings::new(any, site.desk)
+                ..ServiceSettings::new(any_port, site.plain_service)
             });
             standins.services.push(service.await?);
         }
         for _ in 0..settings.scorers {
-            let scorer = scorer::start(ScorerSettings::new(any));
+            let scorer = scorer::start(ScorerSettings::new(any_port));
             standins.scorers.push(scorer.await?);
         }
         Ok(standins)
     }
 
-    /// The endpoints in the order of the agents.
+    /// All endpoints, in the order of the agents.
     pub(super) fn endpoints(&self) -> Vec<Endpoint> {
-        let [model, desk, scorer] = self.pools;
-        let of = |handles: &[Handle], kind: EndpointKind, pool: &'static str| {
+        let [model, plain_service, scorer] = self.pools;
+        let endpoints_of = |handles: &[Handle], kind: EndpointKind, pool: &'static str| {
             let endpoint = move |handle: &Handle| Endpoint {
                 kind,
                 pool,
@@ -110,13 +110,17 @@
             };
             handles.iter().map(endpoint).collect::<Vec<_>>()
         };
-        let mut all = of(&self.engines, EndpointKind::Engine, model);
-        all.extend(of(&self.services, EndpointKind::Plain, desk));
-        all.extend(of(&self.scorers, EndpointKind::Plain, scorer));
+        let mut all = endpoints_of(&self.engines, EndpointKind::Engine, model);
+        all.extend(endpoints_of(
+            &self.services,
+            EndpointKind::Plain,
+            plain_service,
+        ));
+        all.extend(endpoints_of(&self.scorers, EndpointKind::Plain, scorer));
         all
     }
 
-    /// Addresses of the plain services, where runs are counted.
+    /// Addresses of the plain services, which count the runs of each call.
     pub fn service_addresses(&self) -> Vec<SocketAddr> {
         self.services.iter().map(|handle| handle.address).collect()
     }
--- a/dev/bench/src/lib.rs
+++ b/dev/bench/src/lib.rs
@@ -1,8 +1,8 @@
-//! Development tools over the stand-ins: a visit that shows what a site does, and
-//! measurements under load and faults. Never shipped; stays on loopback.
+//! Development tools that run against the stand-ins: a visit that checks each kind of call of a
+//! site, and measurements under load and faults. They are not shipped and listen only on the
+//! loopback address.
 
 pub mod arrivals;
-pub mod ask;
 pub mod caller;
 pub mod cost;
 pub mod entry;
@@ -14,6 +14,7 @@
 pub mod ports;
 pub mod proc;
 pub mod reply;
+pub mod requests;
 pub mod site;
 pub mod status;
 pub mod table;
--- a/dev/bench/src/lines.rs
+++ b/dev/bench/src/lines.rs
@@ -1,4 +1,4 @@
-//! Lines to try by hand at a site that was left running.
+//! Shell commands to try by hand against a site that was left addresses.
 
 use std::net::SocketAddr;
 
@@ -6,42 +6,42 @@
 
 use crate::site::Site;
 
-/// Where a running site is reached.
+/// Addresses of a running site.
 #[value]
-pub struct Running {
+pub struct SiteAddresses {
     /// Public addresses of the entries.
     pub entries: Vec<SocketAddr>,
-    /// Admin addresses.
+    /// Admin addresses of the processes.
     pub admins: Vec<SocketAddr>,
-    /// Address of the log.
+    /// Addresses of the log.
     pub logs: Vec<SocketAddr>,
-    /// Where `hornbeamrockctl` is.
+    /// Path of the program `hornbeamrockctl`.
     pub ctl: String,
 }
 
-/// The lines.
-pub fn text(site: &Site, running: &Running) -> String {
+/// The commands, a line each: the calls of the site, then status and configuration.
+pub fn commands(site: &Site, addresses: &SiteAddresses) -> String {
     let mut lines = vec!["# lines to try".to_owned()];
-    if let Some(first) = running.entries.first() {
-        let other = running.entries.last().unwrap_or(first);
-        for act in &site.acts {
-            lines.push(call(site, first, act));
-            if act.once {
+    if let Some(first) = addresses.entries.first() {
+        let other = addresses.entries.last().unwrap_or(first);
+        for kind in &site.call_kinds {
+            lines.push(call(site, first, kind));
+            if kind.at_most_once {
                 lines.push(format!(
                     "{}   # again: not run again",
-                    call(site, other, act)
+                    call(site, other, kind)
                 ));
             }
         }
         lines.push(completion(site, first));
     }
-    for admin in &running.admins {
+    for admin in &addresses.admins {
         lines.push(format!("curl -s http://{admin}/status"));
-        lines.push(format!("{} status --admin {admin}", running.ctl));
+        lines.push(format!("{} status --admin {admin}", addresses.ctl));
     }
-    for log in &running.logs {
+    for log in &addresses.logs {
         let customer = site.customer;
-        let ctl = &running.ctl;
+        let ctl = &addresses.ctl;
         lines.push(format!("{ctl} show --customer {customer} --log {log}"));
         lines.push(format!("{ctl} history --customer {customer} --log {log}"));
     }
@@ -50,15 +50,15 @@
     text
 }
 
-fn call(site: &Site, entry: &SocketAddr, act: &crate::site::Act) -> String {
-    let key = if act.once {
+fn call(site: &Site, entry: &SocketAddr, kind: &crate::site::CallKind) -> String {
+    let key = if kind.at_most_once {
         " -H 'Idempotency-Key: try-1'"
     } else {
         ""
     };
     format!(
         "curl -s -X {} -H 'Authorization: Bearer {}'{key} 'http://{entry}/v1/services/{}{}try-1{}'",
-        act.method, act.token, site.desk, act.path, act.query
+        kind.method, kind.token, site.plain_service, kind.path, kind.query
     )
 }
 
--- a/dev/bench/src/load/faults.rs
+++ b/dev/bench/src/load/faults.rs
@@ -1,4 +1,4 @@
-//! A schedule of faults, the same in every slice.
+//! A schedule of faults that is injected in the same way in every slice.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -11,133 +11,150 @@
 use crate::error::BenchError;
 use crate::fleet::Fleet;
 
-const FLAG: &str = "fault";
-const ALLOWED: &str = "AT_MS:KIND[:NUMBER[:FOR_MS]], KIND one of agent-kill, agent-stop, \
+const FAULT_FLAG: &str = "fault";
+const ALLOWED_FAULTS: &str = "AT_MS:KIND[:NUMBER[:FOR_MS]], KIND one of agent-kill, agent-stop, \
                        entry-kill, entry-stop, engine-crash, log-outage, log-answer-lost, \
                        store-outage, swap-fails";
-const FOR_MS: u64 = 2_000;
+const DEFAULT_DURATION_MS: u64 = 2_000;
 
-/// What fails.
+/// ScheduledFaultKind of a scheduled fault.
 #[key]
-pub enum Kind {
-    /// An agent dies and starts again.
+pub enum ScheduledFaultKind {
+    /// An agent is killed and restarted when the fault ends.
     AgentKill,
-    /// An agent is frozen and goes on.
+    /// An agent is suspended by SIGSTOP until the fault ends.
     AgentStop,
-    /// An entry dies and starts again.
+    /// An entry is killed and restarted when the fault ends.
     EntryKill,
-    /// An entry is frozen and goes on.
+    /// An entry is suspended by SIGSTOP until the fault ends.
     EntryStop,
-    /// An engine crashes and starts again.
+    /// An engine crashes and starts again when the fault ends.
     EngineCrash,
-    /// The log answers 503.
+    /// The log answers every request with status 503.
     LogOutage,
-    /// The log appends and its answer is lost.
+    /// The log appends records, but its answers are lost.
     LogAnswerLost,
-    /// The weight store answers 503.
+    /// The weight store answers every request with status 503.
     StoreOutage,
-    /// Switches of an engine fail.
+    /// An engine fails to switch to other weights.
     SwapFails,
 }
 
-impl Kind {
-    fn parse(word: &str) -> Option<Kind> {
-        Some(match word {
-            "agent-kill" => Kind::AgentKill,
-            "agent-stop" => Kind::AgentStop,
-            "entry-kill" => Kind::EntryKill,
-            "entry-stop" => Kind::EntryStop,
-            "engine-crash" => Kind::EngineCrash,
-            "log-outage" => Kind::LogOutage,
-            "log-answer-lost" => Kind::LogAnswerLost,
-            "store-outage" => Kind::StoreOutage,
-            "swap-fails" => Kind::SwapFails,
+impl ScheduledFaultKind {
+    fn parse(name: &str) -> Option<ScheduledFaultKind> {
+        Some(match name {
+            "agent-kill" => ScheduledFaultKind::AgentKill,
+            "agent-stop" => ScheduledFaultKind::AgentStop,
+            "entry-kill" => ScheduledFaultKind::EntryKill,
+            "entry-stop" => ScheduledFaultKind::EntryStop,
+            "engine-crash" => ScheduledFaultKind::EngineCrash,
+            "log-outage" => ScheduledFaultKind::LogOutage,
+            "log-answer-lost" => ScheduledFaultKind::LogAnswerLost,
+            "store-outage" => ScheduledFaultKind::StoreOutage,
+            "swap-fails" => ScheduledFaultKind::SwapFails,
             _ => return None,
         })
     }
 }
 
-/// One fault of the schedule.
+/// A fault of the schedule.
 #[value]
 #[derive(Copy)]
-pub struct Planned {
-    /// When, from the start of the slice.
+pub struct ScheduledFault {
+    /// Start of the fault, from the start of the slice.
     pub at_ms: u64,
-    /// What.
-    pub kind: Kind,
-    /// Which one of the processes or endpoints of that kind.
+    /// ScheduledFaultKind of the fault.
+    pub kind: ScheduledFaultKind,
+    /// Index of the process or endpoint that fails, modulo the number of them.
     pub number: usize,
-    /// For how long.
-    pub for_ms: u64,
+    /// Duration of the fault.
+    pub duration_ms: u64,
 }
 
-impl FromStr for Planned {
+impl FromStr for ScheduledFault {
     type Err = BenchError;
 
-    fn from_str(text: &str) -> Result<Planned, BenchError> {
-        parse(text).ok_or_else(|| BenchError::Flag(FLAG, text.to_owned(), ALLOWED))
+    fn from_str(text: &str) -> Result<ScheduledFault, BenchError> {
+        parse_fault(text)
+            .ok_or_else(|| BenchError::InvalidFlag(FAULT_FLAG, text.to_owned(), ALLOWED_FAULTS))
     }
 }
 
-fn parse(text: &str) -> Option<Planned> {
+fn parse_fault(text: &str) -> Option<ScheduledFault> {
     let mut parts = text.split(':');
-    let planned = Planned {
+    let fault = ScheduledFault {
         at_ms: parts.next()?.parse().ok()?,
-        kind: Kind::parse(parts.next()?)?,
+        kind: ScheduledFaultKind::parse(parts.next()?)?,
         number: parts.next().map_or(Some(0), |part| part.parse().ok())?,
-        for_ms: parts
+        duration_ms: parts
             .next()
-            .map_or(Some(FOR_MS), |part| part.parse().ok())?,
+            .map_or(Some(DEFAULT_DURATION_MS), |part| part.parse().ok())?,
     };
-    parts.next().is_none().then_some(planned)
+    parts.next().is_none().then_some(fault)
 }
 
-/// Runs a schedule against the entries of a slice and the rest of the fleet.
-pub async fn run(fleet: &Fleet, entries: &[usize], schedule: &[Planned]) -> Result<(), BenchError> {
-    // The faults overlap; each is two points of time.
-    let mut points = JoinSet::new();
-    for &planned in schedule {
-        let begin_ms = planned.at_ms;
-        let end_ms = planned.at_ms + planned.for_ms;
-        points.spawn(async move {
-            sleep(Duration::from_millis(begin_ms)).await;
-            (planned, true)
+/// Injects the faults of a schedule. Faults in entries affect the given entries of the slice's
+/// variant only.
+pub async fn run(
+    fleet: &Fleet,
+    entries: &[usize],
+    schedule: &[ScheduledFault],
+) -> Result<(), BenchError> {
+    // Faults may overlap, so the start and the end of each fault are events of their own.
+    let mut events = JoinSet::new();
+    for &fault in schedule {
+        let start_ms = fault.at_ms;
+        let end_ms = fault.at_ms + fault.duration_ms;
+        events.spawn(async move {
+            sleep(Duration::from_millis(start_ms)).await;
+            (fault, true)
         });
-        points.spawn(async move {
+        events.spawn(async move {
             sleep(Duration::from_millis(end_ms)).await;
-            (planned, false)
+            (fault, false)
         });
     }
-    while let Some(Ok((planned, begins))) = points.join_next().await {
-        let entry = entries[planned.number % entries.len()];
-        apply(fleet, entry, planned, begins)?;
+    while let Some(Ok((fault, starts))) = events.join_next().await {
+        let entry = entries[fault.number % entries.len()];
+        apply(fleet, entry, fault, starts)?;
     }
     Ok(())
 }
 
-fn apply(fleet: &Fleet, entry: usize, planned: Planned, begins: bool) -> Result<(), BenchError> {
-    let agent = &fleet.agents[planned.number % fleet.agents.len()];
+fn apply(
+    fleet: &Fleet,
+    entry: usize,
+    fault: ScheduledFault,
+    starts: bool,
+) -> Result<(), BenchError> {
+    let agent = &fleet.agents[fault.number % fleet.agents.len()];
     let entry = &fleet.entries[entry];
     let standins = &fleet.standins;
-    let engine = &standins.engines[planned.number % standins.engines.len()];
-    let lasting = |kind| Fault {
-        for_ms: Some(planned.for_ms),
+    let engine = &standins.engines[fault.number % standins.engines.len()];
+    let standin_fault = |kind| Fault {
+        for_ms: Some(fault.duration_ms),
         ..Fault::new(kind)
     };
-    match (planned.kind, begins) {
-        (Kind::AgentKill, true) => agent.process().kill(),
-        (Kind::AgentKill, false) => agent.process().restart()?,
-        (Kind::AgentStop, true) => agent.process().signal("STOP")?,
-        (Kind::AgentStop, false) => agent.process().signal("CONT")?,
-        (Kind::EntryKill, true) => entry.process().kill(),
-        (Kind::EntryKill, false) => entry.process().restart()?,
-        (Kind::EntryStop, true) => entry.process().signal("STOP")?,
-        (Kind::EntryStop, false) => entry.process().signal("CONT")?,
-        (Kind::EngineCrash, true) => engine.crash(planned.for_ms),
-        (Kind::LogOutage, true) => standins.log.fault(lasting(FaultKind::Outage)),
-        (Kind::LogAnswerLost, true) => standins.log.fault(lasting(FaultKind::AnswerLost)),
-        (Kind::StoreOutage, true) => standins.store.fault(lasting(FaultKind::Outage)),
-        (Kind::SwapFails, true) => engine.fault(lasting(FaultKind::SwapFails)),
+    match (fault.kind, starts) {
+        (ScheduledFaultKind::AgentKill, true) => agent.lock().kill(),
+        (ScheduledFaultKind::AgentKill, false) => agent.lock().restart()?,
+        (ScheduledFaultKind::AgentStop, true) => agent.lock().signal("STOP")?,
+        (ScheduledFaultKind::AgentStop, false) => agent.lock().signal("CONT")?,
+        (ScheduledFaultKind::EntryKill, true) => entry.lock().kill(),
+        (ScheduledFaultKind::EntryKill, false) => entry.lock().restart()?,
+        (ScheduledFaultKind::EntryStop, true) => entry.lock().signal("STOP")?,
+        (ScheduledFaultKind::EntryStop, false) => entry.lock().signal("CONT")?,
+        (ScheduledFaultKind::EngineCrash, true) => engine.crash(fault.duration_ms),
+        (ScheduledFaultKind::LogOutage, true) => {
+            standins.log.fault(standin_fault(FaultKind::Outage))
+        }
+        (ScheduledFaultKind::LogAnswerLost, true) => {
+            standins.log.fault(standin_fault(FaultKind::AnswerLost))
+        }
+        (ScheduledFaultKind::StoreOutage, true) => {
+            standins.store.fault(standin_fault(FaultKind::Outage))
+        }
+        (ScheduledFaultKind::SwapFails, true) => engine.fault(standin_fault(FaultKind::SwapFails)),
         (_, false) => {}
     }
     Ok(())
--- a/dev/bench/src/load/mod.rs
+++ b/dev/bench/src/load/mod.rs
@@ -1,8 +1,8 @@
-//! Load on a site, with faults, and two policies against each other in one run.
+//! Puts load and faults on a site and can compare two routing policies within one run.
 //!
-//! A run is a sequence of slices. With a baseline there are two groups of entries over
-//! the same endpoints; the slices of the two take turns, with the same arrivals, so that
-//! whatever else the machine does falls on both.
+//! A run is a sequence of slices. With a baseline the fleet has two groups of entries in front of
+//! the same endpoints. The slices of the two variants alternate and have the same arrivals, so that
+//! other activity on the VM affects both variants alike.
 
 mod balancer;
 pub mod faults;
@@ -24,77 +24,78 @@
 use crate::error::BenchError;
 use crate::fleet::texts::{self, Limits};
 use crate::fleet::{Fleet, FleetSettings, Publisher};
-use faults::Planned;
+use faults::ScheduledFault;
 use profile::{Profile, Scale};
 use report::{Report, SliceResult};
 use slice::Slice;
-use training::Progress;
+use training::TrainingProgress;
 
-/// Pause between two slices, in which queues run empty.
-const PAUSE: Duration = Duration::from_secs(1);
-const WARM_UP: Duration = Duration::from_secs(2);
+/// Pause between two slices, in which the queues drain.
+const SLICE_PAUSE: Duration = Duration::from_secs(1);
+/// Time for which the fleet runs without load before the first slice.
+const FLEET_WARM_UP: Duration = Duration::from_secs(2);
 
-/// One of the policies that are held against each other.
+/// One of the policies that a run compares.
 #[value]
 pub struct Variant {
-    /// What it is called in tables.
+    /// Name in tables, as given on the command line.
     pub name: String,
-    /// Choice of replicas; `None` for the entry as it ships.
+    /// Routing policy of the entries; `None` runs the shipped entry unchanged.
     pub policy: Option<Policy>,
-    /// Limits of each neighbour; `None` for none at all, of the site either.
+    /// Limits of each neighbour; `None` lifts the limits of the neighbours and of the site's owner.
     pub limits: Option<Limits>,
 }
 
 /// Settings of a run.
 #[value]
 pub struct LoadSettings {
-    /// Sizes and rates.
+    /// Site with its number of endpoints and its rates.
     pub profile: Profile,
-    /// Changes of them.
+    /// Changes to the load of the profile.
     pub scale: Scale,
-    /// One variant, or two that take turns.
+    /// One variant, or two whose slices alternate.
     pub variants: Vec<Variant>,
-    /// Entries of each variant.
+    /// Number of entries of each variant.
     pub entries: usize,
-    /// Length of a slice.
+    /// Time of a slice that is measured.
     pub slice_ms: u64,
-    /// Requests at the beginning of a slice that are made and not counted, while the
-    /// entries learn the demand that has come to them.
+    /// Time at the start of a slice in which requests are sent but not counted, because the entries
+    /// must first adapt to the demand that they receive.
     pub warm_up_ms: u64,
-    /// Slices of each variant.
+    /// Number of slices of each variant.
     pub repeat: u64,
-    /// How the rates rise now and then.
+    /// Bursts of the arrivals.
     pub bursts: Bursts,
-    /// Faults of every slice.
-    pub faults: Vec<Planned>,
-    /// Whether a trainer works beside the callers.
+    /// Faults that are injected in every slice.
+    pub faults: Vec<ScheduledFault>,
+    /// Whether a trainer runs during the load.
     pub trainer: bool,
-    /// Age of the engines' load reports.
+    /// Age of the load that the engines report.
     pub report_lag_ms: u64,
-    /// Seed.
+    /// Seed of the arrival times and of the choice of ports.
     pub seed: u64,
 }
 
-/// Runs it.
+/// Starts a fleet, runs all slices and returns what they measured.
 pub async fn run(settings: &LoadSettings) -> Result<Report, BenchError> {
     let fleet = Fleet::start(&fleet_settings(settings)).await?;
     let mut publisher = Publisher::new(fleet.standins.log.address);
     let mut report = Report::default();
-    let mut progress = Progress::new();
-    let mut limits = None;
+    let mut progress = TrainingProgress::new();
+    let mut active_limits = None;
     for pair in 0..settings.repeat {
         for turn in 0..settings.variants.len() {
-            // Neither is always the first.
+            // The variants swap their order from pair to pair, so that neither is always first.
             let number = (turn + pair as usize) % settings.variants.len();
             let variant = &settings.variants[number];
-            if limits != Some(variant.limits) {
-                publish(settings, variant, &mut publisher).await?;
-                publisher.in_force(&fleet.admins()).await?;
-                fleet.complete().await?;
-                if limits.is_none() {
-                    sleep(WARM_UP).await;
+            if active_limits != Some(variant.limits) {
+                publish_configuration(settings, variant, &mut publisher).await?;
+                publisher.wait_until_active(&fleet.admins()).await?;
+                fleet.wait_for_replicas().await?;
+                if active_limits.is_none() {
+                    sleep(FLEET_WARM_UP).await;
                 }
-                limits = Some(variant.limits);
+                active_limits = Some(variant.limits);
             }
             let slice = Slice {
                 settings,
@@ -102,15 +103,15 @@
                 variant: number,
                 pair,
             };
-            let (tally, trained, promises) = slice.run(&mut progress).await?;
+            let (tally, training, guarantees) = slice.run(&mut progress).await?;
             report.slices.push(SliceResult {
                 variant: variant.name.clone(),
                 seconds: settings.slice_ms as f64 / 1_000.0,
                 sums: tally.sums,
-                trained,
-                promises,
+                training,
+                guarantees,
             });
-            sleep(PAUSE).await;
+            sleep(SLICE_PAUSE).await;
         }
     }
     Ok(report)
@@ -136,8 +137,8 @@
     }
 }
 
-/// Publishes the texts by which a variant runs.
-async fn publish(
+/// Publishes the configuration of the owner and of the neighbours for a variant.
+async fn publish_configuration(
     settings: &LoadSettings,
     variant: &Variant,
     publisher: &mut Publisher,
@@ -145,17 +146,19 @@
     let site = &settings.profile.site;
     let neighbours = settings.scale.neighbours;
     let source = std::fs::read_to_string(site.file)?;
-    let own = texts::limits(&source)?;
-    let in_force = |limits: Limits| match variant.limits {
+    let own = texts::parse_limits(&source)?;
+    let effective = |limits: Limits| match variant.limits {
         Some(_) => limits,
-        None => Limits::NONE,
+        None => Limits::UNLIMITED,
     };
-    let text = texts::site(&source, site, neighbours, in_force(own));
+    let text = texts::owner_text(&source, site, neighbours, effective(own));
     publisher.publish(site.customer, &text).await?;
     for number in 0..neighbours {
-        let limits = in_force(variant.limits.unwrap_or(Limits::NONE));
-        let text = texts::neighbours(number, site, limits);
-        publisher.publish(&texts::neighbour(number), &text).await?;
+        let limits = effective(variant.limits.unwrap_or(Limits::UNLIMITED));
+        let text = texts::neighbour_text(number, site, limits);
+        publisher
+            .publish(&texts::neighbour_name(number), &text)
+            .await?;
     }
     Ok(())
 }
--- a/dev/bench/src/load/stream.rs
+++ b/dev/bench/src/load/stream.rs
@@ -1,4 +1,4 @@
-//! One stream of requests: a customer, a kind of call, a rate.
+//! A stream of requests: one customer sends one kind of request at a given mean rate.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,168 +12,174 @@
 use super::balancer::Balancer;
 use super::tally::{Event, Label};
 use crate::arrivals::{Arrivals, Bursts};
-use crate::ask::{self, Opinion, Plain};
-use crate::caller::Ask;
+use crate::caller::OutgoingRequest;
 use crate::reply::{Ending, Reply};
-use crate::site::Act;
+use crate::requests::{self, CompletionCall, ServiceCall};
+use crate::site::CallKind;
 
-/// Requests of one stream that are under way at most; the rest is counted as not offered.
-const UNDER_WAY_MAX: usize = 4_000;
-/// Times that a caller sends a call with an idempotency key.
-const SENT_MAX: u32 = 4;
-const PAUSE: Duration = Duration::from_millis(300);
-/// How long after the end of a slice its requests may take.
-const GRACE: Duration = Duration::from_secs(5);
+/// Bound on the requests of one stream in progress; requests beyond it count as not offered.
+const IN_PROGRESS_MAX: usize = 4_000;
+/// Number of times that a caller sends a call with an idempotency key at most.
+const ATTEMPTS_MAX: u32 = 4;
+/// Delay before a retry if the answer has no `retry-after`.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Time beyond the deadline for which the end of a stream waits for its last requests.
+const DRAIN_GRACE: Duration = Duration::from_secs(5);
 
-/// What a stream asks for.
+/// Kind of requests that a stream sends.
 #[value]
-pub enum What {
+pub enum RequestKind {
     /// Calls of a plain service.
-    Act(Act),
-    /// Streamed completions of at most so many tokens.
+    Call(CallKind),
+    /// Streamed completions.
     Completion {
-        /// Beginning of the prompts.
+        /// Beginning of the prompts; the name of the request follows.
         prompt: &'static str,
-        /// Longest answer.
+        /// Upper bound of a completion's length in tokens.
         max_tokens: u32,
     },
 }
 
-/// A stream of requests.
+/// Definition of a stream of requests.
 #[value]
 pub struct Stream {
-    /// Customer that asks.
+    /// Customer that sends the requests.
     pub customer: String,
-    /// Class that its requests have.
+    /// Class that the configuration assigns to the requests.
     pub class: Class,
-    /// Bearer token.
+    /// Bearer token of the customer's callers.
     pub token: String,
-    /// The service, with its owner where that is another customer.
+    /// Name of the service, as `owner.service` if another customer owns it.
     pub service: String,
-    /// What it asks for.
-    pub what: What,
-    /// Mean requests in a thousand seconds.
-    pub per_ks: u64,
-    /// Time that a caller gives.
+    /// Kind of the requests.
+    pub kind: RequestKind,
+    /// Mean number of requests in 1,000 seconds.
+    pub rate_per_ks: u64,
+    /// Deadline that the callers state for each request.
     pub deadline_ms: u64,
 }
 
 impl Stream {
-    /// What it is called in tables.
+    /// Group in which the tables list the stream's requests.
     pub fn label(&self) -> Label {
         Label {
             customer: self.customer.clone(),
             class: self.class,
-            what: match &self.what {
-                What::Act(act) => act.title,
-                What::Completion { .. } => "completion",
+            kind: match &self.kind {
+                RequestKind::Call(kind) => kind.title,
+                RequestKind::Completion { .. } => "completion",
             },
         }
     }
 
-    fn ask(&self, name: &str) -> Ask {
+    fn request(&self, name: &str) -> OutgoingRequest {
         let deadline = Duration::from_millis(self.deadline_ms);
-        match &self.what {
-            What::Act(act) => {
-                let plain = Plain {
+        match &self.kind {
+            RequestKind::Call(kind) => {
+                let call = ServiceCall {
                     service: &self.service,
                     token: &self.token,
-                    act,
+                    kind,
                     name,
                 };
-                ask::plain(&plain, deadline)
+                requests::service_request(&call, deadline)
             }
-            What::Completion { prompt, max_tokens } => {
-                let opinion = Opinion {
+            RequestKind::Completion { prompt, max_tokens } => {
+                let call = CompletionCall {
                     model: &self.service,
                     token: &self.token,
                     prompt: &format!("{prompt} {name}"),
                     max_tokens: *max_tokens,
                     stream: true,
                 };
-                ask::opinion(&opinion, deadline)
+                requests::completion_request(&call, deadline)
             }
         }
     }
 
-    fn runs_once(&self) -> bool {
-        matches!(&self.what, What::Act(act) if act.once)
+    fn is_at_most_once(&self) -> bool {
+        matches!(&self.kind, RequestKind::Call(kind) if kind.at_most_once)
     }
 }
 
-/// When and how a stream runs.
-pub struct Drive {
-    /// Entries.
+/// Parameters of a stream's run within a slice.
+pub struct StreamRun {
+    /// Distributes the requests over the entries.
     pub balancer: Arc<Balancer>,
-    /// How the rate rises now and then.
+    /// Bursts of the arrivals.
     pub bursts: Bursts,
-    /// Length of the part at the beginning that is not counted.
+    /// Time at the start whose requests are not counted.
     pub warm_up: Duration,
-    /// Length with that part.
-    pub lasts: Duration,
-    /// Seed of the arrivals.
+    /// Time in which requests are sent, including the warm-up.
+    pub duration: Duration,
+    /// Seed of the arrival times.
     pub seed: u64,
-    /// Names the calls, apart from every other drive's.
+    /// Prefix of the names of the calls, unique among all runs.
     pub prefix: String,
-    /// Takes what became of each request.
+    /// Receives the outcome of each request.
     pub events: UnboundedSender<Event>,
 }
 
 /// Sends the stream's requests when they are due and waits for the last answers.
-pub async fn drive(stream: Stream, drive: Drive) {
+pub async fn run_stream(stream: Stream, run: StreamRun) {
     let stream = Arc::new(stream);
     let label = Arc::new(stream.label());
-    let began = Instant::now();
-    let per_s = stream.per_ks as f64 / 1_000.0;
-    let arrivals = Arrivals::new(per_s, drive.bursts, drive.seed);
-    let warm_up = drive.warm_up;
-    let mut under_way = JoinSet::new();
-    for (number, at) in arrivals.take_while(|at| *at < drive.lasts).enumerate() {
-        sleep_until(began + at).await;
-        while under_way.try_join_next().is_some() {}
-        if under_way.len() >= UNDER_WAY_MAX {
-            let _ = drive.events.send(Event::NotOffered(label.clone()));
+    let started = Instant::now();
+    let per_s = stream.rate_per_ks as f64 / 1_000.0;
+    let arrivals = Arrivals::new(per_s, run.bursts, run.seed);
+    let warm_up = run.warm_up;
+    let mut in_progress = JoinSet::new();
+    for (number, at) in arrivals.take_while(|at| *at < run.duration).enumerate() {
+        sleep_until(started + at).await;
+        while in_progress.try_join_next().is_some() {}
+        if in_progress.len() >= IN_PROGRESS_MAX {
+            let _ = run.events.send(Event::NotOffered(label.clone()));
             continue;
         }
-        let name = format!("{}-{number}", drive.prefix);
+        let name = format!("{}-{number}", run.prefix);
         let (stream, label) = (stream.clone(), label.clone());
-        let (balancer, events) = (drive.balancer.clone(), drive.events.clone());
-        under_way.spawn(async move {
-            let (reply, sent) = request(&stream, &balancer, &name).await;
+        let (balancer, events) = (run.balancer.clone(), run.events.clone());
+        in_progress.spawn(async move {
+            let (reply, attempts) = send_with_retries(&stream, &balancer, &name).await;
             if at < warm_up {
                 return;
             }
             let _ = events.send(Event::Ended {
                 label,
-                // From the moment when it was due: a generator that lags must not hide it.
-                took: (began + at).elapsed(),
-                in_time: (began + at).elapsed() <= Duration::from_millis(stream.deadline_ms),
-                tag: stream.runs_once().then_some(name),
-                sent,
+                // Measured from the moment when the request was due: otherwise a load generator
+                // that lags behind would hide part of the latency.
+                latency: (started + at).elapsed(),
+                within_deadline: (started + at).elapsed()
+                    <= Duration::from_millis(stream.deadline_ms),
+                tag: stream.is_at_most_once().then_some(name),
+                attempts,
                 reply,
             });
         });
     }
-    let _ = timeout(GRACE + Duration::from_millis(stream.deadline_ms), async {
-        while under_way.join_next().await.is_some() {}
-    })
+    let _ = timeout(
+        DRAIN_GRACE + Duration::from_millis(stream.deadline_ms),
+        async { while in_progress.join_next().await.is_some() {} },
+    )
     .await;
 }
 
-/// One request; a call with an idempotency key is sent again while its outcome is in
-/// doubt, as its caller may.
-async fn request(stream: &Stream, balancer: &Balancer, name: &str) -> (Reply, u32) {
-    let began = Instant::now();
-    let mut sent = 1;
+/// Sends one request. A call with an idempotency key is retried within its deadline while it is
+/// unknown whether it ran, as callers of the service may do.
+async fn send_with_retries(stream: &Stream, balancer: &Balancer, name: &str) -> (Reply, u32) {
+    let started = Instant::now();
+    let mut attempts = 1;
     loop {
-        let reply = balancer.ask(stream.ask(name)).await;
-        let in_doubt = matches!(reply.ending, Ending::Unknown | Ending::Lost);
-        let wait = reply.retry_after_s.map_or(PAUSE, Duration::from_secs);
-        let in_time = (began.elapsed() + wait).as_millis() < u128::from(stream.deadline_ms);
-        if !stream.runs_once() || !in_doubt || !in_time || sent == SENT_MAX {
-            return (reply, sent);
+        let reply = balancer.send(stream.request(name)).await;
+        let is_unknown = matches!(reply.ending, Ending::Unknown | Ending::Lost);
+        let wait = reply.retry_after_s.map_or(RETRY_DELAY, Duration::from_secs);
+        let within_deadline =
+            (started.elapsed() + wait).as_millis() < u128::from(stream.deadline_ms);
+        if !stream.is_at_most_once() || !is_unknown || !within_deadline || attempts == ATTEMPTS_MAX
+        {
+            return (reply, attempts);
         }
         tokio::time::sleep(wait).await;
-        sent += 1;
+        attempts += 1;
     }
 }
--- a/dev/bench/src/load/training.rs
+++ b/dev/bench/src/load/training.rs
@@ -1,4 +1,4 @@
-//! A trainer that works through a slice.
+//! A trainer that runs for the duration of a slice.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -8,56 +8,57 @@
 
 use crate::site::Site;
 
-/// Steps of one run of the trainer; a slice has several.
-const STEPS: u64 = 4;
-const GROUPS: u32 = 8;
-const SAMPLES: u32 = 8;
-const MAX_TOKENS: u32 = 64;
+/// Steps of one run of the trainer; a slice consists of several runs.
+const STEPS_PER_RUN: u64 = 4;
+const GROUPS_PER_STEP: u32 = 8;
+const SAMPLES_PER_GROUP: u32 = 8;
+const SAMPLE_TOKENS_MAX: u32 = 64;
 const TRAIN_MS: u64 = 800;
-const GIVE_UP_MS: u64 = 20_000;
+const ABANDON_AFTER_MS: u64 = 20_000;
 
-/// Where the training of a model stands, over all slices.
+/// TrainingProgress of a model's training, continued from slice to slice.
 #[derive(Clone, Copy, Debug)]
-pub struct Progress {
+pub struct TrainingProgress {
     next_step: u64,
     version: WeightVersion,
 }
 
-impl Progress {
-    /// Nothing trained yet.
-    pub fn new() -> Progress {
-        Progress {
+impl TrainingProgress {
+    /// State before the first step.
+    pub fn new() -> TrainingProgress {
+        TrainingProgress {
             next_step: 1,
             version: WeightVersion::default(),
         }
     }
 }
 
-impl Default for Progress {
+impl Default for TrainingProgress {
     fn default() -> Self {
-        Progress::new()
+        TrainingProgress::new()
     }
 }
 
-/// What the trainer of a slice saw.
+/// What the trainer measured in one or several slices.
 #[derive(Clone, Debug, Default)]
-pub struct Trained {
-    /// Sums over its runs.
+pub struct TrainingSummary {
+    /// Sums over the completed runs.
     pub report: TrainerReport,
-    /// Runs that it gave up, and why.
-    pub given_up: Vec<String>,
+    /// Error of each run that the trainer abandoned.
+    pub abandoned_runs: Vec<String>,
 }
 
-impl Trained {
-    /// Share of the time that it waited, in thousandths.
+impl TrainingSummary {
+    /// Share of the time in which the trainer waited for samples, in thousandths.
     pub fn idle_permille(&self) -> u64 {
         (self.report.idle_ms * 1_000)
             .checked_div(self.report.run_ms)
             .unwrap_or(0)
     }
 
-    /// Staleness below which this share of the samples lies, in thousandths.
-    pub fn staleness(&self, permille: u64) -> u64 {
+    /// Staleness, in weight versions, that this share of the samples (in thousandths) does not
+    /// exceed.
+    pub fn staleness_quantile(&self, permille: u64) -> u64 {
         let wanted = (self.report.samples * permille).div_ceil(1_000);
         let mut seen = 0;
         for (staleness, count) in self.report.by_staleness.iter().enumerate() {
@@ -69,14 +70,15 @@
         0
     }
 
-    /// Adds another slice's.
-    pub fn add(&mut self, other: &Trained) {
-        add(&mut self.report, &other.report);
-        self.given_up.extend(other.given_up.iter().cloned());
+    /// Adds the measurements of another slice.
+    pub fn add(&mut self, other: &TrainingSummary) {
+        add_report(&mut self.report, &other.report);
+        self.abandoned_runs
+            .extend(other.abandoned_runs.iter().cloned());
     }
 }
 
-fn add(sum: &mut TrainerReport, other: &TrainerReport) {
+fn add_report(sum: &mut TrainerReport, other: &TrainerReport) {
     sum.steps += other.steps;
     sum.samples += other.samples;
     sum.idle_ms += other.idle_ms;
@@ -92,37 +94,37 @@
     }
 }
 
-/// Trains until the slice is over.
+/// Runs the trainer again and again until `duration` has passed; the last run may end later.
 pub async fn train(
     site: &Site,
     entries: &[SocketAddr],
-    progress: &mut Progress,
-    lasts: Duration,
-) -> Trained {
-    let began = Instant::now();
-    let mut trained = Trained::default();
-    while began.elapsed() < lasts {
+    progress: &mut TrainingProgress,
+    duration: Duration,
+) -> TrainingSummary {
+    let started = Instant::now();
+    let mut summary = TrainingSummary::default();
+    while started.elapsed() < duration {
         let run = trainer::run(TrainerSettings {
             entries: entries.to_vec(),
             token: site.trainer_token.to_owned(),
             service: site.model.to_owned(),
-            steps: STEPS,
+            steps: STEPS_PER_RUN,
             first_step: progress.next_step,
-            groups: GROUPS,
-            samples: SAMPLES,
-            max_tokens: MAX_TOKENS,
+            groups: GROUPS_PER_STEP,
+            samples: SAMPLES_PER_GROUP,
+            max_tokens: SAMPLE_TOKENS_MAX,
             train_ms: TRAIN_MS,
             staleness_bound: site.staleness_bound,
-            give_up_ms: GIVE_UP_MS,
+            give_up_ms: ABANDON_AFTER_MS,
             version: progress.version,
             ..TrainerSettings::default()
         });
         match run.await {
-            Ok(report) => add(&mut trained.report, &report),
-            Err(error) => trained.given_up.push(error.to_string()),
+            Ok(report) => add_report(&mut summary.report, &report),
+            Err(error) => summary.abandoned_runs.push(error.to_string()),
         }
-        progress.next_step += STEPS;
-        progress.version.version += STEPS;
+        progress.next_step += STEPS_PER_RUN;
+        progress.version.version += STEPS_PER_RUN;
     }
-    trained
+    summary
 }
--- a/dev/bench/src/main.rs
+++ b/dev/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! `hornbeamrock-bench`: shows and measures what a site of stand-ins does.
+//! `hornbeamrock-bench`: checks and measures a site that is made of stand-ins.
 
 mod cli;
 mod run;
--- a/dev/bench/src/reply.rs
+++ b/dev/bench/src/reply.rs
@@ -1,4 +1,4 @@
-//! What a caller got.
+//! The answer to a request as its caller sees it, and the outcome that it tells.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,23 +8,23 @@
 use serde::Deserialize;
 use types::WeightVersion;
 
-/// How a request ended, as its caller can tell.
+/// How a request ended, as far as its caller can tell.
 #[key]
 pub enum Ending {
-    /// A whole answer.
+    /// The answer is complete.
     Whole,
-    /// A refusal that says that it did not run.
+    /// The answer is a refusal stating that the request was not run.
     NotRun,
-    /// An answer that says that it may have run.
+    /// The answer states that the request may have run.
     Unknown,
-    /// An answer that says that it ran and failed.
+    /// The answer states that the request ran and failed.
     Failed,
-    /// No answer, or one that broke without a word.
+    /// No answer arrived, or it was interrupted without a problem document.
     Lost,
 }
 
 impl Ending {
-    /// Every ending.
+    /// Every ending, in the order of the tables' columns.
     pub const ALL: [Ending; 5] = [
         Ending::Whole,
         Ending::NotRun,
@@ -33,7 +33,7 @@
         Ending::Lost,
     ];
 
-    /// The word in a table.
+    /// Name in tables and in JSON; equal to the `outcome` of a problem document.
     pub fn as_str(self) -> &'static str {
         match self {
             Ending::Whole => "whole",
@@ -44,57 +44,57 @@
         }
     }
 
-    /// The ending that a problem document's `outcome` names.
-    pub fn of_outcome(word: &str) -> Ending {
+    /// Parses the `outcome` of a problem document; an unknown one counts as `Lost`.
+    pub fn from_outcome(name: &str) -> Ending {
         let mut all = Ending::ALL.into_iter();
-        let stated = all.find(|ending| ending.as_str() == word);
-        stated.unwrap_or(Ending::Lost)
+        let known = all.find(|ending| ending.as_str() == name);
+        known.unwrap_or(Ending::Lost)
     }
 }
 
-/// What a caller got.
+/// The answer to a request, or what was received of it.
 #[value]
 pub struct Reply {
-    /// How it ended.
+    /// How the request ended.
     pub ending: Ending,
-    /// HTTP status; 0 without an answer.
+    /// HTTP status; 0 if no answer arrived.
     pub status: u16,
-    /// The system's cause, or the caller's own view of a loss; empty for a whole answer.
+    /// Cause from the problem document, else the caller's own error; empty for a complete answer.
     pub cause: String,
-    /// Time to come back, if one was given.
+    /// Value of the `retry-after` header in seconds.
     pub retry_after_s: Option<u64>,
-    /// The body as far as it came.
+    /// The body, or the part of it that was received.
     pub body: Bytes,
-    /// Versions stamped on a completion.
+    /// Weight versions that the answer names; empty except for completions.
     pub versions: BTreeSet<WeightVersion>,
-    /// Whether a byte of the request may have left.
-    pub sent: bool,
-    /// Whether it is the answer of an earlier submission.
+    /// Whether any byte of the request may have left the caller.
+    pub may_have_left: bool,
+    /// Whether the answer repeats that to an earlier request with the same idempotency key.
     pub replayed: bool,
-    /// Time until the first byte of the body.
+    /// Time from the sending until the first byte of the body; `latency` if there was none.
     pub first_byte: Duration,
-    /// Time until the end.
+    /// Time from the sending until the end of the answer.
     pub latency: Duration,
 }
 
-/// A problem document, as far as a caller acts on it.
+/// The members of a problem document that a caller evaluates.
 #[derive(Debug, Default, Deserialize)]
 pub struct Problem {
-    /// Whether it ran.
+    /// Whether the request was run; see [`Ending::from_outcome`].
     #[serde(default)]
     pub outcome: String,
-    /// Why.
+    /// Cause of the failure.
     #[serde(default)]
     pub cause: String,
 }
 
 impl Problem {
-    /// The problem in a body; an empty one where there is none.
+    /// Parses a body; all members are empty if the body is no problem document.
     pub fn parse(body: &[u8]) -> Problem {
         serde_json::from_slice(body).unwrap_or_default()
     }
 
-    /// The problem in the `error` event of a stream, if one came.
+    /// Parses the `error` event of a stream, if the stream has one.
     pub fn in_stream(body: &[u8]) -> Option<Problem> {
         const EVENT: &[u8] = b"event: error\ndata: ";
         let start = body.windows(EVENT.len()).position(|part| part == EVENT)?;
--- a/dev/bench/src/run/load.rs
+++ b/dev/bench/src/run/load.rs
@@ -1,4 +1,4 @@
-//! Runs load.
+//! The `run` subcommand: load and faults on a site.
 
 use std::process::ExitCode;
 
@@ -7,43 +7,43 @@
 use hornbeamrock_bench::entry;
 use hornbeamrock_bench::error::BenchError;
 use hornbeamrock_bench::fleet::texts::Limits;
-use hornbeamrock_bench::load::faults::Planned;
+use hornbeamrock_bench::load::faults::ScheduledFault;
 use hornbeamrock_bench::load::profile::{Profile, Scale};
 use hornbeamrock_bench::load::{self, LoadSettings, Variant};
 
-use super::{code, number, site_name};
+use super::{exit_code, number, site_name};
 
 const AS_SHIPPED: &str = "as-shipped";
 const NO_LIMITS: &str = "no-limits";
-const ALLOWED: &str = "NAME or NAME:no-limits";
-const RUN_MS_MAX: u64 = 3_600_000;
+const ALLOWED_POLICIES: &str = "NAME or NAME:no-limits";
+const TOTAL_MS_MAX: u64 = 3_600_000;
 
 pub(super) async fn run(args: &ArgMatches) -> Result<ExitCode, BenchError> {
     let settings = settings(args)?;
     let report = load::run(&settings).await?;
     if args.get_flag("json") {
-        println!("{}", serde_json::to_string_pretty(&report.json())?);
+        println!("{}", serde_json::to_string_pretty(&report.to_json())?);
     } else {
-        print!("{}", report.text());
+        print!("{}", report.render());
     }
-    Ok(code(report.holds()))
+    Ok(exit_code(report.holds()))
 }
 
 fn settings(args: &ArgMatches) -> Result<LoadSettings, BenchError> {
     let faults = args.get_many::<String>("fault").unwrap_or_default();
-    let faults = faults.map(|text| text.parse::<Planned>());
+    let faults = faults.map(|text| text.parse::<ScheduledFault>());
     let slice_ms = number(args, "slice-ms");
     let repeat = number(args, "repeat").max(1);
-    if slice_ms.saturating_mul(repeat) > RUN_MS_MAX {
+    if slice_ms.saturating_mul(repeat) > TOTAL_MS_MAX {
         let value = format!("{repeat}");
-        return Err(BenchError::Flag(
+        return Err(BenchError::InvalidFlag(
             "repeat",
             value,
-            "an hour of slices at most",
+            "at most an hour of slices",
         ));
     }
     Ok(LoadSettings {
-        profile: Profile::of(site_name(args)),
+        profile: Profile::for_site(site_name(args)),
         scale: Scale {
             load_permille: number(args, "load-permille"),
             neighbours: number(args, "neighbours") as usize,
@@ -57,7 +57,7 @@
         bursts: if args.get_flag("calm") {
             Bursts::NONE
         } else {
-            Bursts::USUAL
+            Bursts::TYPICAL
         },
         faults: faults.collect::<Result<_, _>>()?,
         trainer: !args.get_flag("no-trainer"),
@@ -68,21 +68,27 @@
 
 fn variants(args: &ArgMatches) -> Result<Vec<Variant>, BenchError> {
     let flags = ["policy", "baseline"];
-    let words = flags.into_iter().filter_map(|flag| {
-        let word = args.get_one::<String>(flag)?;
-        Some(variant(args, word, flag))
+    let variants = flags.into_iter().filter_map(|flag| {
+        let text = args.get_one::<String>(flag)?;
+        Some(variant(args, text, flag))
     });
-    words.collect()
+    variants.collect()
 }
 
-fn variant(args: &ArgMatches, word: &str, flag: &'static str) -> Result<Variant, BenchError> {
-    let (policy, limited) = match word.split_once(':') {
-        None => (word, true),
+fn variant(args: &ArgMatches, text: &str, flag: &'static str) -> Result<Variant, BenchError> {
+    let (policy, limited) = match text.split_once(':') {
+        None => (text, true),
         Some((policy, NO_LIMITS)) => (policy, false),
-        Some(_) => return Err(BenchError::Flag(flag, word.to_owned(), ALLOWED)),
+        Some(_) => {
+            return Err(BenchError::InvalidFlag(
+                flag,
+                text.to_owned(),
+                ALLOWED_POLICIES,
+            ));
+        }
     };
     Ok(Variant {
-        name: word.to_owned(),
+        name: text.to_owned(),
         policy: match policy {
             AS_SHIPPED => None,
             other => Some(entry::policy(other, flag)?),
--- a/dev/bench/src/run/mod.rs
+++ b/dev/bench/src/run/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the subcommand.
+//! Dispatches to the subcommands and converts their flags to settings.
 
 mod load;
 
@@ -10,28 +10,28 @@
 use hornbeamrock_bench::cost::slopes::{self, SlopesSettings};
 use hornbeamrock_bench::entry;
 use hornbeamrock_bench::error::BenchError;
-use hornbeamrock_bench::lines::{self, Running};
+use hornbeamrock_bench::lines::{self, SiteAddresses};
 use hornbeamrock_bench::ports;
 use hornbeamrock_bench::site::{Site, SiteName};
 use hornbeamrock_bench::visit::{self, VisitSettings};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Runs the subcommand.
+/// Runs the subcommand that the command line names.
 pub fn run(matches: &ArgMatches) -> Result<ExitCode, BenchError> {
     match matches.subcommand() {
-        Some(("visit", args)) => block_on(make_visit(args)),
+        Some(("visit", args)) => block_on(run_visit(args)),
         Some(("run", args)) => block_on(load::run(args)),
         Some(("path", args)) => block_on(measure_path(args)),
         Some(("slopes", args)) => block_on(measure_slopes(args)),
         Some(("entry", args)) => entry::run(args).map(|()| ExitCode::SUCCESS),
-        Some(("ports", args)) => free_ports(args),
+        Some(("ports", args)) => print_free_port(args),
         Some(("lines", args)) => Ok(print_lines(args)),
         _ => Ok(ExitCode::FAILURE),
     }
 }
 
-/// Runs a tool to its end, or until it is told to end: then what it started ends as its
-/// guards are dropped.
+/// Runs a tool until it ends or the process receives SIGTERM or SIGINT. In either case the tool's
+/// future is dropped, which ends the processes and stand-ins that it started.
 fn block_on(
     tool: impl Future<Output = Result<ExitCode, BenchError>>,
 ) -> Result<ExitCode, BenchError> {
@@ -41,14 +41,14 @@
     runtime.block_on(async {
         let mut terminate = signal(SignalKind::terminate())?;
         tokio::select! {
-            ended = tool => ended,
+            result = tool => result,
             _ = terminate.recv() => Ok(ExitCode::FAILURE),
             _ = tokio::signal::ctrl_c() => Ok(ExitCode::FAILURE),
         }
     })
 }
 
-async fn make_visit(args: &ArgMatches) -> Result<ExitCode, BenchError> {
+async fn run_visit(args: &ArgMatches) -> Result<ExitCode, BenchError> {
     let report = visit::run(VisitSettings {
         site: site(args),
         entries: addresses(args, "entry"),
@@ -59,8 +59,8 @@
         seed: number(args, "seed"),
     })
     .await?;
-    print!("{}", report.text());
-    Ok(code(report.holds()))
+    print!("{}", report.render());
+    Ok(exit_code(report.holds()))
 }
 
 async fn measure_path(args: &ArgMatches) -> Result<ExitCode, BenchError> {
@@ -68,7 +68,7 @@
         site: site(args),
         requests: number(args, "requests"),
         load_ms: number(args, "load-ms"),
-        under_way: number(args, "under-way") as usize,
+        in_progress: number(args, "under-way") as usize,
         rounds: number(args, "rounds"),
         seed: number(args, "seed"),
     })
@@ -90,25 +90,25 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn free_ports(args: &ArgMatches) -> Result<ExitCode, BenchError> {
+fn print_free_port(args: &ArgMatches) -> Result<ExitCode, BenchError> {
     let count = u16::try_from(number(args, "count")).unwrap_or(u16::MAX);
-    println!("{}", ports::free(count, number(args, "seed"))?);
+    println!("{}", ports::find_free(count, number(args, "seed"))?);
     Ok(ExitCode::SUCCESS)
 }
 
 fn print_lines(args: &ArgMatches) -> ExitCode {
     let ctl = args.get_one::<String>("ctl").cloned().unwrap_or_default();
-    let running = Running {
+    let site_addresses = SiteAddresses {
         entries: addresses(args, "entry"),
         admins: addresses(args, "admin"),
         logs: addresses(args, "log"),
         ctl,
     };
-    print!("{}", lines::text(&site(args), &running));
+    print!("{}", lines::commands(&site(args), &site_addresses));
     ExitCode::SUCCESS
 }
 
-fn code(holds: bool) -> ExitCode {
+fn exit_code(holds: bool) -> ExitCode {
     if holds {
         ExitCode::SUCCESS
     } else {
@@ -116,15 +116,15 @@
     }
 }
 
-// clap fills each of these in by a default or refuses the command line.
+// clap has parsed the flags and filled in their defaults, so the fallbacks below are never used.
 
 fn site(args: &ArgMatches) -> Site {
     site_name(args).site()
 }
 
 fn site_name(args: &ArgMatches) -> SiteName {
-    let word = args.get_one::<String>("site").map(String::as_str);
-    let name = word.and_then(SiteName::parse);
+    let text = args.get_one::<String>("site").map(String::as_str);
+    let name = text.and_then(SiteName::parse);
     name.unwrap_or(SiteName::Office)
 }
 
--- a/dev/bench/src/site.rs
+++ b/dev/bench/src/site.rs
@@ -1,80 +1,80 @@
-//! The two sites of the examples: what they call, with which tokens, and what their
-//! callers ask of it.
+//! The two sites of the `examples` folder: their services, failure domains and tokens, and the
+//! kinds of calls that their callers make.
 
 use derive::{key, value};
 use types::Class;
 
 /// One kind of call of a plain service.
 #[value]
-pub struct Act {
-    /// What the caller calls it.
+pub struct CallKind {
+    /// Name in reports and tables.
     pub title: &'static str,
-    /// Bearer token.
+    /// Bearer token of its callers, from the example configuration.
     pub token: &'static str,
-    /// Method.
+    /// HTTP method.
     pub method: &'static str,
-    /// Path before the call's own name.
+    /// Path, to which the name of each call is appended.
     pub path: &'static str,
-    /// Query, with its question mark.
+    /// Query including the question mark; empty for none.
     pub query: &'static str,
-    /// Class that the configuration gives the token.
+    /// Class that the example configuration assigns to the token.
     pub class: Class,
-    /// Whether it may run once only and so carries an idempotency key.
-    pub once: bool,
+    /// Whether a call may be run at most once, so that it carries an idempotency key.
+    pub at_most_once: bool,
 }
 
-/// A site of the examples.
+/// A site of the `examples` folder: one customer with its services.
 #[value]
 pub struct Site {
-    /// Customer.
+    /// Name of the customer that owns the services.
     pub customer: &'static str,
-    /// Failure domains.
+    /// Failure domains over which the VMs are spread.
     pub failure_domains: [&'static str; 3],
-    /// Region.
+    /// Region of all VMs.
     pub region: &'static str,
-    /// Model service.
+    /// Name of the model service and its pool.
     pub model: &'static str,
-    /// Plain service.
-    pub desk: &'static str,
-    /// Scorer service.
+    /// Name of the plain service and its pool.
+    pub plain_service: &'static str,
+    /// Name of the scorer service and its pool.
     pub scorer: &'static str,
-    /// Its configuration text, below the repository.
+    /// File of the configuration text, relative to the root of the repository.
     pub file: &'static str,
-    /// Versions that a sample may be behind.
+    /// Number of weight versions by which a training sample may lag behind the trainer.
     pub staleness_bound: u64,
-    /// Token of the trainer.
+    /// Bearer token of the trainer.
     pub trainer_token: &'static str,
-    /// Token that asks the model.
+    /// Bearer token for completions.
     pub model_token: &'static str,
-    /// Beginning of a prompt.
+    /// Beginning of each prompt; the name of the call follows.
     pub prompt: &'static str,
-    /// What the callers call, the one that somebody waits for first.
-    pub acts: Vec<Act>,
+    /// Kinds of calls of the plain service. The first one is interactive: a person waits for it.
+    pub call_kinds: Vec<CallKind>,
 }
 
 /// Name of a site on the command line.
 #[key]
 pub enum SiteName {
-    /// The Office.
+    /// The site of `examples/office.toml`.
     Office,
-    /// The Collective.
+    /// The site of `examples/collective.toml`.
     Collective,
 }
 
 impl SiteName {
-    /// Names on the command line.
-    pub const WORDS: [&'static str; 2] = ["office", "collective"];
+    /// Values of the flag `--site`.
+    pub const NAMES: [&'static str; 2] = ["office", "collective"];
 
-    /// The site with this name, if there is one.
-    pub fn parse(word: &str) -> Option<SiteName> {
-        match word {
+    /// Parses a value of the flag `--site`.
+    pub fn parse(name: &str) -> Option<SiteName> {
+        match name {
             "office" => Some(SiteName::Office),
             "collective" => Some(SiteName::Collective),
             _ => None,
         }
     }
 
-    /// The site.
+    /// Names, tokens and kinds of calls of the site.
     pub fn site(self) -> Site {
         match self {
             SiteName::Office => office(),
@@ -89,31 +89,31 @@
         failure_domains: ["rennes-a", "brest-b", "vannes-c"],
         region: "bretagne",
         model: "redacteurs",
-        desk: "guichet",
+        plain_service: "guichet",
         scorer: "notation",
         file: "examples/office.toml",
         staleness_bound: 1,
         trainer_token: "office-trainer-example",
         model_token: "office-clerk-example",
         prompt: "Opinion on the opening hours of premises near a school, file",
-        acts: vec![
-            Act {
+        call_kinds: vec![
+            CallKind {
                 title: "consultation",
                 token: "office-clerk-example",
                 method: "GET",
                 path: "/applicants/",
                 query: "",
                 class: Class::Interactive,
-                once: false,
+                at_most_once: false,
             },
-            Act {
+            CallKind {
                 title: "sanction check",
                 token: "office-verifier-example",
                 method: "POST",
                 path: "/sanctions/",
                 query: "",
                 class: Class::Background,
-                once: true,
+                at_most_once: true,
             },
         ],
     }
@@ -125,40 +125,40 @@
         failure_domains: ["kakkanad", "edappally", "aluva"],
         region: "kochi",
         model: "price-llm",
-        desk: "auction-desk",
+        plain_service: "auction-desk",
         scorer: "lot-scorer",
         file: "examples/collective.toml",
         staleness_bound: 2,
         trainer_token: "collective-trainer-example",
         model_token: "collective-kochi-example",
         prompt: "Price of a used car with one owner, lot",
-        acts: vec![
-            Act {
+        call_kinds: vec![
+            CallKind {
                 title: "valuation lookup",
                 token: "collective-kochi-example",
                 method: "GET",
                 path: "/valuations/",
                 query: "",
                 class: Class::Interactive,
-                once: false,
+                at_most_once: false,
             },
-            Act {
+            CallKind {
                 title: "bid",
                 token: "collective-thrissur-example",
                 method: "POST",
                 path: "/bids/",
                 query: "",
                 class: Class::Interactive,
-                once: true,
+                at_most_once: true,
             },
-            Act {
+            CallKind {
                 title: "stock sync",
                 token: "collective-stock-sync-example",
                 method: "PUT",
                 path: "/stock/",
                 query: "?items=200",
                 class: Class::Background,
-                once: false,
+                at_most_once: false,
             },
         ],
     }
--- a/dev/bench/src/table.rs
+++ b/dev/bench/src/table.rs
@@ -1,35 +1,35 @@
-//! Tables in plain text: words to the left, numbers to the right.
+//! Plain-text tables: text is aligned to the left, numbers to the right.
 
-const GAP: &str = "  ";
+const COLUMN_GAP: &str = "  ";
 
-/// A table under construction.
+/// A table; columns are as wide as their longest cell.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// A table with these titles.
+    /// A table with these column titles and no rows.
     pub fn new<'a>(titles: impl IntoIterator<Item = &'a str>) -> Table {
         let titles = titles.into_iter().map(str::to_owned).collect();
         Table { rows: vec![titles] }
     }
 
-    /// Adds a row.
-    pub fn add(&mut self, cells: impl IntoIterator<Item = String>) {
+    /// Adds a row below the others.
+    pub fn add_row(&mut self, cells: impl IntoIterator<Item = String>) {
         self.rows.push(cells.into_iter().collect());
     }
 
-    /// The table as text, each line with its end.
-    pub fn text(&self) -> String {
+    /// Renders titles, a rule and the rows; every line ends with a line feed.
+    pub fn render(&self) -> String {
         let widths = self.widths();
         let mut text = String::new();
         for (number, row) in self.rows.iter().enumerate() {
-            text.push_str(line(row, &widths).trim_end());
+            text.push_str(render_row(row, &widths).trim_end());
             text.push('\n');
             if number == 0 {
                 let rules: Vec<String> = widths.iter().map(|width| "-".repeat(*width)).collect();
-                text.push_str(&rules.join(GAP));
+                text.push_str(&rules.join(COLUMN_GAP));
                 text.push('\n');
             }
         }
@@ -46,7 +46,7 @@
     }
 }
 
-fn line(row: &[String], widths: &[usize]) -> String {
+fn render_row(row: &[String], widths: &[usize]) -> String {
     let cells = row.iter().zip(widths).map(|(cell, &width)| {
         if is_number(cell) {
             format!("{cell:>width$}")
@@ -54,7 +54,7 @@
             format!("{cell:<width$}")
         }
     });
-    cells.collect::<Vec<_>>().join(GAP)
+    cells.collect::<Vec<_>>().join(COLUMN_GAP)
 }
 
 fn is_number(cell: &str) -> bool {
--- a/dev/bench/src/visit/mod.rs
+++ b/dev/bench/src/visit/mod.rs
@@ -1,17 +1,17 @@
-//! A visit to a running site: each kind of call that its callers make, two training steps
-//! with new weights between them, and what must hold of all that.
+//! A visit to a running site: makes each kind of call, runs two training steps with new weights in
+//! between, and checks the guarantees that the service gives.
 
-mod acts;
-mod lot;
-mod opinions;
+mod calls;
+mod completions;
 mod report;
+mod scored_sample;
 mod training;
 
 use std::net::SocketAddr;
 
 use derive::value;
 
-pub use report::{Line, Report};
+pub use report::{Check, Report};
 
 use crate::caller::Caller;
 use crate::error::BenchError;
@@ -21,23 +21,24 @@
 /// Settings of a visit.
 #[value]
 pub struct VisitSettings {
-    /// Where.
+    /// Site that is running.
     pub site: Site,
-    /// Public addresses of the entries, two at least.
+    /// Public addresses of the entries, at least two.
     pub entries: Vec<SocketAddr>,
     /// Admin addresses of the entries.
     pub admins: Vec<SocketAddr>,
-    /// Plain services of the stand-ins, where runs are counted.
+    /// Addresses of the stand-in services, which count the runs of each call.
     pub services: Vec<SocketAddr>,
-    /// Replicas that each entry must see first.
+    /// Number of replicas that each entry must see before the visit starts.
     pub replicas: usize,
-    /// Longest wait for them.
+    /// Longest wait for these replicas.
     pub wait_ms: u64,
-    /// Names the calls, so that two visits don't use the same keys.
+    /// Part of the name of each call, so that two visits with different seeds never use the same
+    /// idempotency key.
     pub seed: u64,
 }
 
-/// What the parts of a visit share.
+/// State that the parts of a visit share.
 struct Visit {
     settings: VisitSettings,
     callers: Vec<Caller>,
@@ -45,28 +46,28 @@
 }
 
 impl Visit {
-    /// The caller of the entry whose turn it is.
+    /// Caller of an entry, selected in rotation.
     fn caller(&self, turn: usize) -> &Caller {
         &self.callers[turn % self.callers.len()]
     }
 
-    /// Name of a call.
+    /// Name of a call, unique in the visit if the number is.
     fn name(&self, number: u64) -> String {
         format!("v{}-{number}", self.settings.seed)
     }
 }
 
-/// Makes the visit.
+/// Makes the visit and reports all checks, also the failed ones.
 pub async fn run(settings: VisitSettings) -> Result<Report, BenchError> {
-    status::await_replicas(&settings.admins, settings.replicas, settings.wait_ms).await?;
+    status::wait_for_replicas(&settings.admins, settings.replicas, settings.wait_ms).await?;
     let mut visit = Visit {
         callers: settings.entries.iter().copied().map(Caller::new).collect(),
         report: Report::default(),
         settings,
     };
-    acts::run(&mut visit).await?;
-    opinions::run(&mut visit).await?;
+    calls::run(&mut visit).await?;
+    completions::run(&mut visit).await?;
     training::run(&mut visit).await?;
-    lot::run(&mut visit).await?;
+    scored_sample::run(&mut visit).await?;
     Ok(visit.report)
 }
--- a/dev/bench/src/visit/report.rs
+++ b/dev/bench/src/visit/report.rs
@@ -1,4 +1,4 @@
-//! What a visit saw, as a table and as a verdict.
+//! The report of a visit: its checks as a table, and the latencies by class.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,32 +9,32 @@
 
 const MICROS_PER_MS: f64 = 1_000.0;
 
-/// One thing that the visit did.
-pub struct Line {
-    /// What.
-    pub what: String,
-    /// How it ended.
+/// One action of the visit with the check of its result; a row of the table.
+pub struct Check {
+    /// Name of the action.
+    pub action: String,
+    /// Ending of the action, with the cause of a failure.
     pub outcome: String,
-    /// Time that it took.
+    /// Duration of the action.
     pub latency: Duration,
-    /// Versions that made it, if a model did.
+    /// Weight versions that generated the answer, separated by blanks; empty without a model.
     pub versions: String,
-    /// What must hold, and what was seen.
+    /// The required result and the observed one.
     pub note: String,
-    /// Whether it holds.
+    /// Whether the observed result is the required one.
     pub holds: bool,
 }
 
-impl Line {
-    /// A line about one reply.
-    pub fn of(what: impl Into<String>, reply: &Reply) -> Line {
+impl Check {
+    /// A row about one reply, without a requirement yet.
+    pub fn from_reply(action: impl Into<String>, reply: &Reply) -> Check {
         let outcome = match reply.cause.as_str() {
             "" => reply.ending.as_str().to_owned(),
             cause => format!("{} ({cause})", reply.ending.as_str()),
         };
         let versions: Vec<String> = reply.versions.iter().map(ToString::to_string).collect();
-        Line {
-            what: what.into(),
+        Check {
+            action: action.into(),
             outcome,
             latency: reply.latency,
             versions: versions.join(" "),
@@ -43,9 +43,9 @@
         }
     }
 
-    /// The same line with what must hold.
-    pub fn must(self, note: impl Into<String>, holds: bool) -> Line {
-        Line {
+    /// Sets the requirement and whether it is met.
+    pub fn with_result(self, note: impl Into<String>, holds: bool) -> Check {
+        Check {
             note: note.into(),
             holds,
             ..self
@@ -53,70 +53,70 @@
     }
 }
 
-/// All that a visit saw.
+/// Checks, latencies and figures of a visit.
 #[derive(Default)]
 pub struct Report {
-    lines: Vec<Line>,
-    classes: BTreeMap<String, Latencies>,
-    /// Further text, such as the trainer's figures.
+    checks: Vec<Check>,
+    latencies: BTreeMap<String, Latencies>,
+    /// Name and value of further results, such as the trainer's figures.
     pub figures: Vec<(String, String)>,
 }
 
 impl Report {
-    /// Adds a line.
-    pub fn add(&mut self, line: Line) {
-        self.lines.push(line);
+    /// Adds a row to the table.
+    pub fn add(&mut self, check: Check) {
+        self.checks.push(check);
     }
 
-    /// Counts the latency of a request of this class.
-    pub fn latency(&mut self, class: &str, latency: Duration) {
-        let class = self.classes.entry(class.to_owned()).or_default();
-        class.record(latency);
+    /// Records the latency of a request under the name of its class and kind.
+    pub fn record_latency(&mut self, class: &str, latency: Duration) {
+        let latencies = self.latencies.entry(class.to_owned()).or_default();
+        latencies.record(latency);
     }
 
-    /// Adds a figure.
-    pub fn figure(&mut self, name: &str, value: impl ToString) {
+    /// Adds a further result below the table.
+    pub fn add_figure(&mut self, name: &str, value: impl ToString) {
         self.figures.push((name.to_owned(), value.to_string()));
     }
 
-    /// Whether everything holds.
+    /// Whether there is at least one check and all checks passed.
     pub fn holds(&self) -> bool {
-        !self.lines.is_empty() && self.lines.iter().all(|line| line.holds)
+        !self.checks.is_empty() && self.checks.iter().all(|check| check.holds)
     }
 
-    /// The report as text.
-    pub fn text(&self) -> String {
-        let mut text = self.outcomes().text();
+    /// Renders the checks, the figures and the latencies.
+    pub fn render(&self) -> String {
+        let mut text = self.check_table().render();
         text.push('\n');
         for (name, value) in &self.figures {
             text.push_str(&format!("{name:<28}{value}\n"));
         }
         text.push('\n');
-        text.push_str(&self.latencies().text());
+        text.push_str(&self.latency_table().render());
         text
     }
 
-    fn outcomes(&self) -> Table {
+    fn check_table(&self) -> Table {
         let titles = ["", "what", "outcome", "ms", "versions", "must hold"];
         let mut table = Table::new(titles);
-        for line in &self.lines {
-            let verdict = if line.holds { "ok" } else { "FAILED" };
-            table.add([
+        for check in &self.checks {
+            let verdict = if check.holds { "ok" } else { "FAILED" };
+            table.add_row([
                 verdict.to_owned(),
-                line.what.clone(),
-                line.outcome.clone(),
-                format!("{:.1}", line.latency.as_micros() as f64 / MICROS_PER_MS),
-                line.versions.clone(),
-                line.note.clone(),
+                check.action.clone(),
+                check.outcome.clone(),
+                format!("{:.1}", check.latency.as_micros() as f64 / MICROS_PER_MS),
+                check.versions.clone(),
+                check.note.clone(),
             ]);
         }
         table
     }
 
-    fn latencies(&self) -> Table {
+    fn latency_table(&self) -> Table {
         let mut table = Table::new(["class", "requests", "p50 ms", "p99 ms", "max ms"]);
-        for (class, latencies) in &self.classes {
-            table.add([
+        for (class, latencies) in &self.latencies {
+            table.add_row([
                 class.clone(),
                 latencies.count().to_string(),
                 format!("{:.1}", latencies.quantile_ms(0.5)),
--- a/dev/bench/tests/reading.rs
+++ b/dev/bench/tests/answers.rs
@@ -1,6 +1,6 @@
-//! What a caller makes of the bodies that it gets.
+//! How a caller classifies the bodies of the answers that it receives.
 
-use hornbeamrock_bench::caller::transcript;
+use hornbeamrock_bench::caller::parse_complete_stream;
 use hornbeamrock_bench::reply::{Ending, Problem};
 
 const FIRST: &str = "data: {\"choices\":[{\"index\":0,\"text\":\" a\",\"finish_reason\":null}],\"weight_version\":\"0.1\"}\n\n";
@@ -9,54 +9,54 @@
 const DONE: &str = "data: [DONE]\n\n";
 
 #[test]
-fn can_tell_a_whole_stream_from_a_short_one() {
+fn a_complete_stream_is_told_apart_from_a_truncated_one() {
     struct Case {
         name: &'static str,
         events: &'static [&'static str],
-        whole: bool,
+        complete: bool,
     }
     let cases = [
         Case {
             name: "finish reason and terminator",
             events: &[FIRST, LAST, DONE],
-            whole: true,
+            complete: true,
         },
         Case {
             name: "no terminator",
             events: &[FIRST, LAST],
-            whole: false,
+            complete: false,
         },
         Case {
             name: "no finish reason",
             events: &[FIRST, DONE],
-            whole: false,
+            complete: false,
         },
         Case {
-            name: "nothing",
+            name: "no events",
             events: &[],
-            whole: false,
+            complete: false,
         },
     ];
     for case in cases {
-        let read = transcript(case.events.concat().as_bytes());
-        assert_eq!(read.is_some(), case.whole, "{}", case.name);
+        let transcript = parse_complete_stream(case.events.concat().as_bytes());
+        assert_eq!(transcript.is_some(), case.complete, "{}", case.name);
     }
 }
 
 #[test]
-fn can_read_the_problem_that_breaks_a_stream() {
+fn the_problem_that_ends_an_interrupted_stream_is_parsed() {
     let body = format!(
         "{FIRST}event: error\ndata: {{\"outcome\":\"failed\",\"cause\":\"endpoint-lost\"}}\n\n"
     );
     let problem = Problem::in_stream(body.as_bytes()).unwrap();
-    assert_eq!(Ending::of_outcome(&problem.outcome), Ending::Failed);
+    assert_eq!(Ending::from_outcome(&problem.outcome), Ending::Failed);
     assert_eq!(problem.cause, "endpoint-lost");
     assert!(Problem::in_stream(FIRST.as_bytes()).is_none());
 }
 
 #[test]
-fn an_outcome_without_a_known_word_counts_as_lost() {
-    for word in ["", "fine", "Not-run"] {
-        assert_eq!(Ending::of_outcome(word), Ending::Lost, "{word}");
+fn an_unknown_outcome_counts_as_lost() {
+    for outcome in ["", "fine", "Not-run"] {
+        assert_eq!(Ending::from_outcome(outcome), Ending::Lost, "{outcome}");
     }
 }
