--- a/dev/bench/src/cost/fit.rs
+++ b/dev/bench/src/cost/fit.rs
@@ -16,17 +16,17 @@
         let count = points.len() as f64;
         let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / count;
         let (mean_size, mean_value) = (mean(|point| point.0), mean(|point| point.1));
-        let size_variance: f64 = points
+        let sum_of_squares: f64 = points
             .iter()
             .map(|point| (point.0 - mean_size).powi(2))
             .sum();
-        let covariance = points
+        let sum_of_products = points
             .iter()
             .map(|point| (point.0 - mean_size) * (point.1 - mean_value));
-        let covariance: f64 = covariance.sum();
-        (size_variance > 0.0).then(|| Line {
-            base: mean_value - covariance / size_variance * mean_size,
-            slope: covariance / size_variance,
+        let sum_of_products: f64 = sum_of_products.sum();
+        (sum_of_squares > 0.0).then(|| Line {
+            base: mean_value - sum_of_products / sum_of_squares * mean_size,
+            slope: sum_of_products / sum_of_squares,
         })
     }
 
--- a/dev/bench/src/cost/path.rs
+++ b/dev/bench/src/cost/path.rs
@@ -45,7 +45,7 @@
     pub seed: u64,
 }
 
-/// MeasuredCall of measured call.
+/// Kind of call that is measured.
 #[key]
 enum MeasuredCall {
     /// A request with a body of 1 KB to a plain service that answers without delay.
--- a/dev/bench/src/cost/slopes.rs
+++ b/dev/bench/src/cost/slopes.rs
@@ -115,7 +115,7 @@
     let source = std::fs::read_to_string(site.file)?;
     let mut publisher = Publisher::new(fleet.standins.log.address);
     let own = texts::parse_limits(&source)?;
-    // Customers beyond the bound of `shared_with` are published, but may not call the services.
+    // A service can be shared with at most 500 customers; any others have no access to it.
     let text = texts::owner_text(&source, site, customers.min(SHARED_WITH_MAX), own);
     publisher.publish(site.customer, &text).await?;
     for number in 0..customers {
--- a/dev/bench/src/entry.rs
+++ b/dev/bench/src/entry.rs
@@ -23,7 +23,7 @@
         .arg(flag("policy", "POLICY", ALLOWED_POLICIES).default_value("compute-memory"))
 }
 
-/// Parses a policy name given with `--flag`. Errors if no policy has this name.
+/// Parses a policy name. Errors, naming `flag`, if no policy has this name.
 pub fn policy(name: &str, flag: &'static str) -> Result<Policy, BenchError> {
     Policy::parse(name)
         .ok_or_else(|| BenchError::InvalidFlag(flag, name.to_owned(), ALLOWED_POLICIES))
--- a/dev/bench/src/error.rs
+++ b/dev/bench/src/error.rs
@@ -34,7 +34,7 @@
             display("no answer from {}: {}", address, err)
             source(err)
         }
-        /// An answer had another status than 200.
+        /// An answer had a status other than 200.
         UnexpectedStatus(address: SocketAddr, status: u16) {
             display("unexpected status {1} from {0}, expected 200", address, status)
         }
@@ -68,7 +68,7 @@
         }
         /// Not enough consecutive ports are free.
         NoPorts(count: u16) {
-            display("found no {} consecutive free ports", count)
+            display("found no range of {} consecutive free ports", count)
         }
         /// A site did not reach the awaited state in time.
         Timeout(state: String, wait_ms: u64) {
--- a/dev/bench/src/lines.rs
+++ b/dev/bench/src/lines.rs
@@ -1,4 +1,4 @@
-//! Shell commands to try by hand against a site that was left addresses.
+//! Shell commands to try by hand against a site that was left running.
 
 use std::net::SocketAddr;
 
@@ -23,13 +23,13 @@
 pub fn commands(site: &Site, addresses: &SiteAddresses) -> String {
     let mut lines = vec!["# lines to try".to_owned()];
     if let Some(first) = addresses.entries.first() {
-        let other = addresses.entries.last().unwrap_or(first);
+        let last = addresses.entries.last().unwrap_or(first);
         for kind in &site.call_kinds {
             lines.push(call(site, first, kind));
             if kind.at_most_once {
                 lines.push(format!(
-                    "{}   # again: not run again",
-                    call(site, other, kind)
+                    "{}   # repeated: not run a second time",
+                    call(site, last, kind)
                 ));
             }
         }
--- a/dev/bench/src/load/faults.rs
+++ b/dev/bench/src/load/faults.rs
@@ -17,7 +17,7 @@
                        store-outage, swap-fails";
 const DEFAULT_DURATION_MS: u64 = 2_000;
 
-/// ScheduledFaultKind of a scheduled fault.
+/// Kind of a scheduled fault.
 #[key]
 pub enum ScheduledFaultKind {
     /// An agent is killed and restarted when the fault ends.
@@ -63,7 +63,7 @@
 pub struct ScheduledFault {
     /// Start of the fault, from the start of the slice.
     pub at_ms: u64,
-    /// ScheduledFaultKind of the fault.
+    /// Process or endpoint that fails, and how.
     pub kind: ScheduledFaultKind,
     /// Index of the process or endpoint that fails, modulo the number of them.
     pub number: usize,
--- a/dev/bench/src/load/stream.rs
+++ b/dev/bench/src/load/stream.rs
@@ -19,7 +19,7 @@
 
 /// Bound on the requests of one stream in progress; requests beyond it count as not offered.
 const IN_PROGRESS_MAX: usize = 4_000;
-/// Number of times that a caller sends a call with an idempotency key at most.
+/// Most attempts for a call with an idempotency key, including the first.
 const ATTEMPTS_MAX: u32 = 4;
 /// Delay before a retry if the answer has no `retry-after`.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
--- a/dev/bench/src/load/tally.rs
+++ b/dev/bench/src/load/tally.rs
@@ -29,7 +29,7 @@
     NotOffered(Arc<Label>),
     /// The request ended.
     Ended {
-        /// Group to which the request is counted.
+        /// Group in which the request is counted.
         label: Arc<Label>,
         /// Time from the moment when the request was due until its end.
         latency: Duration,
--- a/dev/bench/src/load/training.rs
+++ b/dev/bench/src/load/training.rs
@@ -16,7 +16,7 @@
 const TRAIN_MS: u64 = 800;
 const ABANDON_AFTER_MS: u64 = 20_000;
 
-/// TrainingProgress of a model's training, continued from slice to slice.
+/// State of a model's training, continued from slice to slice.
 #[derive(Clone, Copy, Debug)]
 pub struct TrainingProgress {
     next_step: u64,
@@ -94,7 +94,7 @@
     }
 }
 
-/// Runs the trainer again and again until `duration` has passed; the last run may end later.
+/// Runs the trainer repeatedly until `duration` has passed; the last run may end later.
 pub async fn train(
     site: &Site,
     entries: &[SocketAddr],
--- a/dev/bench/src/reply.rs
+++ b/dev/bench/src/reply.rs
@@ -1,4 +1,4 @@
-//! The answer to a request as its caller sees it, and the outcome that it tells.
+//! The answer to a request as its caller sees it, with the outcome that the caller concludes.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -69,7 +69,7 @@
     pub versions: BTreeSet<WeightVersion>,
     /// Whether any byte of the request may have left the caller.
     pub may_have_left: bool,
-    /// Whether the answer repeats that to an earlier request with the same idempotency key.
+    /// Whether the system repeated its answer to an earlier request with the same idempotency key.
     pub replayed: bool,
     /// Time from the sending until the first byte of the body; `latency` if there was none.
     pub first_byte: Duration,
--- a/dev/bench/src/visit/mod.rs
+++ b/dev/bench/src/visit/mod.rs
@@ -1,5 +1,5 @@
 //! A visit to a running site: makes each kind of call, runs two training steps with new weights in
-//! between, and checks the guarantees that the service gives.
+//! between, and checks the guarantees of the system.
 
 mod calls;
 mod completions;
