--- a/bin/ctl/src/cmd/store.rs
+++ b/bin/ctl/src/cmd/store.rs
@@ -1,4 +1,4 @@
-//! `store`: shows the contents of the platform's inspector.
+//! `store`: shows the contents of the store.
 
 use clap::ArgMatches;
 use inspect::{
