--- a/components/front/src/results.rs
+++ b/components/front/src/results.rs
@@ -36,7 +36,7 @@
 const READ_EXTRA_KB: u32 = 2;
 
 /// Outcome of a read of results or of an item's body.
-pub enum ReadOutcome {
+pub enum ReadResult {
     /// Body of the answer.
     Found(Bytes),
     /// The step or the item does not exist.
@@ -46,12 +46,12 @@
     Unavailable(&'static str),
 }
 
-impl ReadOutcome {
+impl ReadResult {
     pub fn status(&self) -> StatusCode {
         match self {
-            ReadOutcome::Found(_) => StatusCode::OK,
-            ReadOutcome::NotFound => StatusCode::NOT_FOUND,
-            ReadOutcome::Unavailable(_) => StatusCode::SERVICE_UNAVAILABLE,
+            ReadResult::Found(_) => StatusCode::OK,
+            ReadResult::NotFound => StatusCode::NOT_FOUND,
+            ReadResult::Unavailable(_) => StatusCode::SERVICE_UNAVAILABLE,
         }
     }
 }
@@ -63,10 +63,10 @@
     age_ms.is_some_and(|age_ms| age_ms + 100 < front.settings.bounds.settle_ms)
 }
 
-fn not_found(front: &Front) -> ReadOutcome {
+fn not_found(front: &Front) -> ReadResult {
     match is_index_fresh(front) {
-        true => ReadOutcome::NotFound,
-        false => ReadOutcome::Unavailable("the log was not read lately"),
+        true => ReadResult::NotFound,
+        false => ReadResult::Unavailable("the log was not read lately"),
     }
 }
 
@@ -112,9 +112,9 @@
     id: &str,
     after: usize,
     wait: Duration,
-) -> ReadOutcome {
+) -> ReadResult {
     if front.storage.silent_ms(now_ms()) >= SILENT_MS {
-        return ReadOutcome::Unavailable("the store is silent");
+        return ReadResult::Unavailable("the store is silent");
     }
     let _waiting = front.demand.begin_wait();
     let mut index_changes = front.index_changes.subscribe();
@@ -145,13 +145,13 @@
         }
     };
     if found.results.is_empty() && !is_index_fresh(front) {
-        return ReadOutcome::Unavailable("the log was not read lately");
+        return ReadResult::Unavailable("the log was not read lately");
     }
     match build_page(front, &found, after).await {
-        Ok(page) => ReadOutcome::Found(page.into()),
+        Ok(page) => ReadResult::Found(page.into()),
         Err(error) => {
             log::warn!(event = "texts-not-read", id, after, error:% = error; "");
-            ReadOutcome::Unavailable("the texts cannot be read now")
+            ReadResult::Unavailable("the texts cannot be read now")
         }
     }
 }
@@ -256,7 +256,7 @@
     customer: Option<&str>,
     id: &str,
     item: &str,
-) -> ReadOutcome {
+) -> ReadResult {
     let location = find_in_index(front, |index| {
         let step = index.ledger.find_visible(customer, id)?;
         step.head.data_location(step.item_number(item)?)
@@ -271,14 +271,14 @@
         .await;
     let body = record.map(|record| decode_item(&record).map(|data| data.body));
     match body {
-        Ok(Ok(body)) => ReadOutcome::Found(body.into()),
+        Ok(Ok(body)) => ReadResult::Found(body.into()),
         Ok(Err(error)) => {
             log::error!(event = "item-data-malformed", id, item, error:% = error; "");
-            ReadOutcome::Unavailable("the item cannot be read")
+            ReadResult::Unavailable("the item cannot be read")
         }
         Err(error) => {
             log::warn!(event = "item-not-read", id, item, error:% = error; "");
-            ReadOutcome::Unavailable("the item cannot be read now")
+            ReadResult::Unavailable("the item cannot be read now")
         }
     }
 }
--- a/components/front/src/serve.rs
+++ b/components/front/src/serve.rs
@@ -13,7 +13,7 @@
 use crate::access::Refused;
 use crate::calls::{self, CallOutcome, CallSpec};
 use crate::clock::now_ms;
-use crate::results::{self, ReadOutcome};
+use crate::results::{self, ReadResult};
 use crate::state::Front;
 use crate::{access, jobs, metrics, stream};
 
@@ -123,18 +123,14 @@
     customer.as_ref().map(|customer| &*customer.name)
 }
 
-fn read_response(
-    id: Option<&str>,
-    read: ReadOutcome,
-    content_type: &str,
-) -> Response<ResponseBody> {
+fn read_response(id: Option<&str>, read: ReadResult, content_type: &str) -> Response<ResponseBody> {
     let status = read.status();
     match read {
-        ReadOutcome::Found(body) => ingress::success_response(status, id, content_type, body),
-        ReadOutcome::NotFound => {
+        ReadResult::Found(body) => ingress::success_response(status, id, content_type, body),
+        ReadResult::NotFound => {
             ingress::status_response(status, id, None, "there is no such step or item")
         }
-        ReadOutcome::Unavailable(message) => {
+        ReadResult::Unavailable(message) => {
             ingress::status_response(status, id, Some(BUSY_RETRY_AFTER_MS), message)
         }
     }
