--- a/components/front/src/member.rs
+++ b/components/front/src/member.rs
@@ -139,7 +139,9 @@
                 );
             }
             let is_successor = lease::is_successor(ownership.partitions().iter());
-            front.demand.set_active(Activity::Standby, is_successor);
+            front
+                .demand
+                .set_active(Activity::LeaseSuccessor, is_successor);
             front.ownership.store(Arc::new(ownership.clone()));
             if changed {
                 front.partitions_moved.store(true, Ordering::Relaxed);
--- a/components/pacing/src/demand.rs
+++ b/components/pacing/src/demand.rs
@@ -16,7 +16,7 @@
     Orders = 2,
     /// The process is the first to take over giving orders, and must notice soon that no other
     /// process does.
-    Standby = 4,
+    LeaseSuccessor = 4,
 }
 
 /// Activities for which records are read as soon as they are written.
--- a/components/pacing/tests/pacer.rs
+++ b/components/pacing/tests/pacer.rs
@@ -145,8 +145,8 @@
             Urgency::Acting,
         ),
         (
-            "standby",
-            |demand| demand.set_active(Activity::Standby, true),
+            "lease successor",
+            |demand| demand.set_active(Activity::LeaseSuccessor, true),
             Urgency::Waiting,
         ),
         ("new partitions", Demand::refresh, Urgency::Idle),
--- a/dev/sim/src/front.rs
+++ b/dev/sim/src/front.rs
@@ -104,9 +104,9 @@
         self.demand
             .set_active(Activity::Orders, self.lease.is_held_here());
         let succeeds = lease::is_successor(self.ownership.partitions().iter());
-        // A trainer's reads have the same urgency as standing by for the lease.
+        // A trainer's reads have the same urgency as the successor to the lease.
         let active = succeeds || self.has_trainer;
-        self.demand.set_active(Activity::Standby, active);
+        self.demand.set_active(Activity::LeaseSuccessor, active);
     }
 
     /// Time since this front last read the index to its end; `None` before the first time.
