--- a/components/settings/src/agent.rs
+++ b/components/settings/src/agent.rs
@@ -30,10 +30,10 @@
     Plain,
 }
 
-/// Whether the engine checks the fencing number of an order.
+/// Whether the engine checks the fencing token of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fencing {
-    /// The engine refuses an order whose fencing number is lower than one it has seen.
+    /// The engine refuses an order whose fencing token is lower than one it has seen.
     Checked,
     /// The engine carries out every order.
     Ignored,
@@ -54,7 +54,7 @@
     /// A customer writes its own configuration and could name any pool there, so the settings of
     /// the endpoint's agent decide.
     pub customers: Vec<CustomerName>,
-    /// Whether the engine checks fencing numbers.
+    /// Whether the engine checks fencing tokens.
     pub fencing: Fencing,
     /// Time over which the replicas of a model spread their preloads, that is the loads of a
     /// version that the trainer announces ahead of time.
@@ -84,7 +84,7 @@
             flag(
                 "fencing",
                 "HOW",
-                "Whether the engine checks fencing numbers: checked or ignored",
+                "Whether the engine checks fencing tokens: checked or ignored",
             )
             .default_value("ignored"),
         )
--- a/components/types/src/weight.rs
+++ b/components/types/src/weight.rs
@@ -30,11 +30,11 @@
 }
 
 impl WeightVersion {
-    /// Number of low bits of the fencing number that hold the version; the epoch is above them.
+    /// Number of low bits of the fencing token that hold the version; the epoch is above them.
     const VERSION_BITS: u32 = 40;
 
-    /// Fencing number of an order to an engine for this version; grows with (epoch, version). An
-    /// engine that checks fencing numbers refuses an order with a lower number than it has seen.
+    /// Fencing token of an order to an engine for this version; grows with (epoch, version). An
+    /// engine that checks fencing tokens refuses an order whose token is lower than one it has seen.
     pub fn fencing_number(self) -> u64 {
         let version = self.version & ((1 << Self::VERSION_BITS) - 1);
         (u64::from(self.epoch) << Self::VERSION_BITS) | version
--- a/components/weights/src/order.rs
+++ b/components/weights/src/order.rs
@@ -55,7 +55,7 @@
     pub id: OrderId,
     /// Requested operation.
     pub kind: OrderKind,
-    /// Fencing number sent with a change.
+    /// Fencing token sent with a change.
     pub fence: u64,
     /// After this time the driver must not send the order, and reports
     /// [`OrderOutcome::Unknown`]. A process that was frozen between the decision and the send
@@ -70,7 +70,7 @@
     Done,
     /// Result of [`OrderKind::Read`].
     State(EngineState),
-    /// The engine refused the order, because it has seen a higher fencing number.
+    /// The engine refused the order, because it has seen a higher fencing token.
     OldFence,
     /// The weight store is at its rate limit.
     StoreBusy {
--- a/components/weights/src/reconcile.rs
+++ b/components/weights/src/reconcile.rs
@@ -2,10 +2,10 @@
 //!
 //! At most one order is in flight: first the load, then the switch. After each change the agent
 //! reads the engine's state, whatever the engine reported, and decides only on the state it
-//! read. A lost response, a failed switch, a refused fencing number, and an old order that is
-//! carried out late by an engine that ignores fencing numbers are therefore handled alike: the
+//! read. A lost response, a failed switch, a refused fencing token, and an old order that is
+//! carried out late by an engine that ignores fencing tokens are therefore handled alike: the
 //! state differs from the target, and the next order follows. No lease is needed, because no
-//! other process sends orders to this engine, and each order carries a fencing number that
+//! other process sends orders to this engine, and each order carries a fencing token that
 //! grows with (epoch, version).
 //!
 //! The engine serves its old version while it loads, so the service remains available even if
@@ -249,7 +249,7 @@
     /// Interval between reads of an engine whose state equals the target.
     ///
     /// An order without a response may be carried out late, after newer orders. An engine that
-    /// does not check fencing numbers then serves an old version again, and its samples are too
+    /// does not check fencing tokens then serves an old version again, and its samples are too
     /// old until the next read. While that is possible, the state is read more often.
     fn current_check_interval_ms(&self, now_ms: u64) -> u64 {
         if self
--- a/components/weights/src/settings.rs
+++ b/components/weights/src/settings.rs
@@ -11,7 +11,7 @@
     pub check_interval_ms: u64,
     /// The same interval while a delayed order may still take effect: an order whose outcome is
     /// unknown, or an order of an earlier process of the agent. An engine that does not check
-    /// fencing numbers would carry out such an order.
+    /// fencing tokens would carry out such an order.
     pub uncertain_check_interval_ms: u64,
     /// Maximum age of the engine state on which an order may be based, in milliseconds. An older
     /// state is read again first.
--- a/components/weights/tests/reconcile.rs
+++ b/components/weights/tests/reconcile.rs
@@ -12,7 +12,7 @@
     WeightVersion { epoch, version }
 }
 
-/// Engine that optionally ignores fencing numbers.
+/// Engine that optionally ignores fencing tokens.
 struct Engine {
     state: EngineState,
     fence: u64,
@@ -429,8 +429,8 @@
 
 #[test]
 fn can_switch_to_a_version_below_a_preloaded_one() {
-    // The engine checks fencing numbers and has preloaded version 4 when version 2 becomes active.
-    // If a load carried the fencing number of the loaded version, the engine would refuse
+    // The engine checks fencing tokens and has preloaded version 4 when version 2 becomes active.
+    // If a load carried the fencing token of the loaded version, the engine would refuse
     // version 2 until version 4 becomes active, and samples would be too old.
     let mut world = World::new(true);
     world.apply(&Event::Prepare { ahead: 3 });
@@ -445,7 +445,7 @@
 #[test]
 fn can_detect_soon_an_order_that_an_engine_carries_out_late() {
     // A switch gets no response, and the agent moves on to the next version. The engine ignores
-    // fencing numbers, carries out the old switch late, and serves the old version until the next
+    // fencing tokens, carries out the old switch late, and serves the old version until the next
     // read. The agent reads five times a second while that is possible, and once a second later.
     let mut world = World::new(false);
     (0..3).for_each(|_| world.exchange(&Event::CarriedOut));
