--- a/components/inspect/tests/inspect.rs
+++ b/components/inspect/tests/inspect.rs
@@ -125,6 +125,31 @@
     );
 }
 
+// The printed kind is the name of a variant in lower case, so a renamed variant would change what
+// operators' scripts read.
+#[tokio::test]
+async fn can_show_the_kind_of_each_route() {
+    // The first idempotent route of the configuration becomes a stream.
+    let config = records::config(3).replacen(r#""Kind":"safe""#, r#""Kind":"stream""#, 1);
+    let store = Store::default();
+    store.put("keyed.op", "config", Some(&config));
+    let (_listener, inspector) = inspector(&store).await;
+    let (_, routes) = inspector.routes().await.expect("the routes are read");
+    let kinds: Vec<_> = routes
+        .iter()
+        .map(|route| (route.prefix.as_str(), route.kind.as_str()))
+        .collect();
+    assert_eq!(
+        kinds,
+        [
+            ("/bids/", "once"),
+            ("/calls/", "stream"),
+            ("/scores/", "idempotent"),
+            ("/steps/", "rollout"),
+        ]
+    );
+}
+
 #[tokio::test]
 async fn can_show_the_progress_of_steps_and_the_holder_of_the_lease() {
     let store = Store::default();
