--- a/dev/sim/tests/fleet.rs
+++ b/dev/sim/tests/fleet.rs
@@ -104,6 +104,28 @@
     assert!(owners.holder_gap_ms < HOLDER_GAP_MS, "{}", owners.row());
 }
 
+/// Guards against shards without an owner: when 59 % of 12 fronts freeze for 9.3 s, the other fronts
+/// must take over their partitions in time.
+#[test]
+fn can_replace_owners_when_most_of_a_small_fleet_freezes() {
+    let report = run_simulation(&SimSettings {
+        day_ms: 26_000,
+        seed: 700,
+        faults: vec![Fault {
+            kind: FaultKind::Frozen,
+            at_ms: 9_737,
+            duration_ms: 9_322,
+            share_percent: 59,
+        }],
+        ..SimSettings::new(12)
+    });
+    let is_within_bounds = report.double_orders == 0
+        && report.holder_gap_ms < HOLDER_GAP_MS
+        && report.owner_gap_ms < OWNER_GAP_MS
+        && report.configuration.missing == 0;
+    assert!(is_within_bounds, "{report:?}");
+}
+
 #[derive(Clone, Debug)]
 struct Scenario {
     fronts: usize,
