--- a/bin/ctl/src/cmd/error.rs
+++ b/bin/ctl/src/cmd/error.rs
@@ -16,8 +16,8 @@
             from()
             display("{}", reason)
         }
-        /// The operation itself failed, for example because the text is invalid, or because the
-        /// platform's log or a process did not answer.
+        /// The operation itself failed, for example because the customer's configuration
+        /// text is invalid, or because the platform's log or a process did not answer.
         Control(reason: ControlError) {
             from()
             display("{}", reason)
--- a/components/config/tests/readers.rs
+++ b/components/config/tests/readers.rs
@@ -1,8 +1,8 @@
 //! Property test: any readers of any ranges of one log agree.
 //!
 //! Operators race, repeat records and publish on versions that do not exist. Processes that read
-//! only a range of the log append keep records, some of them late; peers exchange their state, and
-//! the log removes old records. No two readers may hold different texts for a version, no reader
+//! only a range of the log append `Record::Keep`, some of them late; peers exchange their state,
+//! and the log removes old records. No two readers may hold different texts for a version, no reader
 //! may go back to an older version, and a reader that is certain holds what the reader of the whole
 //! log held at the same offset.
 
--- a/components/config/tests/service.rs
+++ b/components/config/tests/service.rs
@@ -1,4 +1,4 @@
-//! Which calls may run more than once.
+//! Tests which calls of a service may run more than once.
 
 use config::{CustomerConfig, Service, parse};
 use std::sync::Arc;
--- a/components/front/src/reports.rs
+++ b/components/front/src/reports.rs
@@ -98,9 +98,9 @@
 pub struct Reports {
     duty: Option<DutySettings>,
     sender: Arc<Mutex<Sender>>,
-    /// Seals that are being written, with the time at which the write started.
+    /// Windows whose seal is being written to the store, with the time at which the write started.
     sealing_ms: HashMap<Window, u64>,
-    /// The store's recoveries that were seen.
+    /// Number of the store's recoveries when it was last read; a change means a new recovery.
     recoveries: u64,
     /// When the store's last recovery was seen, in milliseconds of [`now_ms`].
     recovered_ms: u64,
--- a/components/gateway/src/training/bodies.rs
+++ b/components/gateway/src/training/bodies.rs
@@ -102,7 +102,7 @@
     pub cursor: &'a str,
 }
 
-/// Answer to an announcement, a preparation or a rollback.
+/// Answer to an announcement, a preparation or a rollback of a weight version.
 #[derive(Debug, Serialize)]
 pub struct ActiveVersionBody {
     /// The active version.
--- a/components/limits/tests/shares.rs
+++ b/components/limits/tests/shares.rs
@@ -1,4 +1,5 @@
-//! Shares of all customers, computed from digests of bounded size.
+//! Tests each entry's shares of the customers' limits. An entry computes them from its own demand
+//! and the other entries' digests, which are bounded in size.
 
 #![allow(clippy::unwrap_used)]
 
--- a/components/membership/src/rumours.rs
+++ b/components/membership/src/rumours.rs
@@ -23,7 +23,7 @@
 /// Size of a datagram's UDP and IP headers, sender and authentication, in bytes.
 const OVERHEAD_BYTES: usize = 120;
 
-/// The datagram of one round.
+/// Datagram that a process sends in one round of gossip, the same to each of its targets.
 #[value]
 pub struct RumourRound {
     /// Peers that receive the datagram.
--- a/components/protocol/src/frame.rs
+++ b/components/protocol/src/frame.rs
@@ -77,31 +77,31 @@
     /// Resumes a call after its connection was lost; requests the parts of the answer from
     /// `next_part` on.
     Attach {
-        /// Id of the call.
+        /// Id of the call, as in its `Open` frame.
         id: CallId,
         /// First part that the caller does not have; 0 is the head.
         next_part: u32,
     },
     /// The callee has admitted the call and will refuse it or start it.
     Accepted {
-        /// Id of the call.
+        /// Id of the call, as in its `Open` frame.
         id: CallId,
     },
     /// The callee sends the call to its endpoint; from now on the call may have run.
     Started {
-        /// Id of the call.
+        /// Id of the call, as in its `Open` frame.
         id: CallId,
     },
     /// Part 0 of an answer.
     Head {
-        /// Id of the call.
+        /// Id of the call, as in its `Open` frame.
         id: CallId,
         /// HTTP status and headers.
         head: Head,
     },
     /// A later part of an answer, numbered from 1.
     Chunk {
-        /// Id of the call.
+        /// Id of the call, as in its `Open` frame.
         id: CallId,
         /// Number of this part.
         part: u32,
@@ -110,7 +110,7 @@
     },
     /// The answer is complete.
     End {
-        /// Id of the call.
+        /// Id of the call, as in its `Open` frame.
         id: CallId,
         /// Number of parts including the head; equals the number after the last part.
         parts: u32,
@@ -119,7 +119,7 @@
     },
     /// The call ended without a complete answer.
     Fail {
-        /// Id of the call.
+        /// Id of the call, as in its `Open` frame.
         id: CallId,
         /// Run state and cause of the failure.
         failure: Failure,
@@ -127,24 +127,24 @@
     /// The caller has consumed all parts before `next_part`; returns their bytes to the callee's
     /// send window.
     Received {
-        /// Id of the call.
+        /// Id of the call, as in its `Open` frame.
         id: CallId,
         /// First part that the caller does not have.
         next_part: u32,
     },
     /// The caller has the complete answer; the callee may delete the call.
     Forget {
-        /// Id of the call.
+        /// Id of the call, as in its `Open` frame.
         id: CallId,
     },
     /// The caller abandons the call; the callee cancels it at the endpoint.
     Cancel {
-        /// Id of the call.
+        /// Id of the call, as in its `Open` frame.
         id: CallId,
     },
     /// Answers [`Frame::Attach`] for a call that this run of the callee does not know.
     Unattached {
-        /// Id of the call.
+        /// Id of the call, as in its `Open` frame.
         id: CallId,
     },
     /// Checks that the peer is alive; it answers with [`Frame::Pong`].
