--- a/bin/ctl/tests/store.rs
+++ b/bin/ctl/tests/store.rs
@@ -48,7 +48,7 @@
     let record = records::replica(records::ENGINES, address, "ready", 2);
     store.put("keyed.servers", "engine-1", Some(&record));
     let listener = store
-        .open(([127, 0, 0, 1], 0).into())
+        .listen(([127, 0, 0, 1], 0).into())
         .await
         .expect("the store listens on a free port");
     for case in cases {
@@ -63,7 +63,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn errors_when_the_store_does_not_answer_or_its_address_is_invalid() {
-    let listener = Store::default().open(([127, 0, 0, 1], 0).into()).await;
+    let listener = Store::default().listen(([127, 0, 0, 1], 0).into()).await;
     let listener = listener.expect("the store listens on a free port");
     let address = listener.address.to_string();
     drop(listener);
--- a/components/adapters/tests/clients.rs
+++ b/components/adapters/tests/clients.rs
@@ -95,7 +95,7 @@
 #[tokio::test]
 async fn errors_as_unknown_when_the_answer_to_an_append_is_lost() {
     let (handle, log) = log().await;
-    handle.fault(Fault::new(FaultKind::AnswerLost).times(1));
+    handle.inject_fault(Fault::new(FaultKind::AnswerLost).times(1));
     let error = log.append("s", "one").await.unwrap_err();
     let lost = AnswerLoss::ClosedBeforeAnswer { reused: false };
     assert_eq!(error, PlatformError::OutcomeUnknown(lost));
@@ -109,7 +109,7 @@
 async fn errors_as_unknown_when_a_slow_append_takes_effect_later() {
     let (handle, log) = log().await;
     let short_deadline_client = LogClient::new(handle.address, &short_deadline_settings());
-    handle.fault(
+    handle.inject_fault(
         Fault::new(FaultKind::Slow)
             .times(1)
             .delayed(2 * SHORT_DEADLINE_MS),
@@ -164,7 +164,7 @@
             long_deadline_settings()
         };
         let client = LogClient::new(handle.address, &settings);
-        handle.fault(case.fault.times(1));
+        handle.inject_fault(case.fault.times(1));
         let error = client.append("s", "one").await.unwrap_err();
         assert_eq!(error, case.expected, "{}", case.name);
         assert_eq!(records(&log).await.len(), case.appended, "{}", case.name);
@@ -232,7 +232,7 @@
     };
     let changed = endpoint.send(change, LONG_DEADLINE_MS).await.unwrap();
     assert_eq!(changed.head.status, 200);
-    handle.fault(Fault::new(FaultKind::Lag).delayed(LONG_DEADLINE_MS));
+    handle.inject_fault(Fault::new(FaultKind::Lag).delayed(LONG_DEADLINE_MS));
     assert_eq!(list.list().await.unwrap().len(), 1);
     handle.clear_faults();
     assert_eq!(list.list().await.unwrap().len(), 0);
@@ -246,7 +246,7 @@
     let store = WeightStore::new(handle.address, &long_deadline_settings());
     let version = WeightVersion::default();
     assert!(!store.fetch("m", version).await.unwrap().is_empty());
-    handle.fault(Fault::new(FaultKind::StoreRate));
+    handle.inject_fault(Fault::new(FaultKind::StoreRate));
     let refused = PlatformError::Refused {
         status: 429,
         retry_after_ms: Some(1_000),
--- a/components/control/tests/publish.rs
+++ b/components/control/tests/publish.rs
@@ -99,7 +99,7 @@
     for case in cases {
         let fixture = fixture().await;
         let mut history = read_history(&fixture.log).await.unwrap();
-        fixture.standin.fault(case.fault);
+        fixture.standin.inject_fault(case.fault);
         let result = publish_limit(&fixture, &mut history, 10).await;
         fixture.standin.clear_faults();
         let code = result.as_ref().err().map(ControlError::exit_code);
--- a/components/front/tests/front/calls.rs
+++ b/components/front/tests/front/calls.rs
@@ -94,12 +94,14 @@
     let site = Site::start(3, 1).await;
     let door = site
         .store
-        .open(([127, 0, 0, 1], 0).into())
+        .listen(([127, 0, 0, 1], 0).into())
         .await
         .expect("a port");
     drop(door);
     let front = site.unready_front("a").await;
-    front.store_listener.fault(Fault::new(FaultKind::Outage));
+    front
+        .store_listener
+        .inject_fault(Fault::new(FaultKind::Outage));
     front.store_listener.crash(0);
     let headers = [("hornbeamrock-request-id", "q-1")];
     let (status, retry_after, _) = front.request(Method::POST, "/calls/x", &headers, "").await;
@@ -120,7 +122,7 @@
     let front = site.front("a").await;
     site.replica("plain-1")
         .handle
-        .fault(Fault::new(FaultKind::Truncate).on("/calls/"));
+        .inject_fault(Fault::new(FaultKind::Truncate).on("/calls/"));
     for call in 0..6 {
         let (status, body) = front.call(&format!("q-{call}"), "/calls/x").await;
         assert_eq!((status, body.as_str()), (200, "/calls/x 4"));
@@ -136,7 +138,7 @@
     for id in ["plain-1", "plain-2"] {
         site.replica(id)
             .handle
-            .fault(Fault::new(FaultKind::AnswerLost).on("/bids/"));
+            .inject_fault(Fault::new(FaultKind::AnswerLost).on("/bids/"));
     }
     let (status, _) = front.call("bid-1", "/bids/x").await;
     assert_eq!(status, 502);
@@ -167,7 +169,7 @@
     // newest records again, and must never return to an older version.
     let site = Site::start(3, 1).await;
     let front = site.front("a").await;
-    site.store.forget("keyed.op", 0);
+    site.store.trim("keyed.op", 0);
     let next = records::config(9).replace("/calls/", "/moved/");
     site.store.put("keyed.op", "config", Some(&next));
     wait_until("the new route is active", || async {
@@ -204,7 +206,7 @@
     let working = || {
         site.replicas
             .iter()
-            .map(|replica| replica.seen.working())
+            .map(|replica| replica.seen.active_runs())
             .sum::<usize>()
     };
     tokio::select! {
@@ -221,7 +223,9 @@
     // still answer the calls that it receives.
     let site = Site::start(4, 1).await;
     let front = site.front("a").await;
-    front.store_listener.fault(Fault::new(FaultKind::Silent));
+    front
+        .store_listener
+        .inject_fault(Fault::new(FaultKind::Silent));
     wait_until("the front is not ready", || async {
         !front.is_ready().await
     })
@@ -238,7 +242,9 @@
     // be lost there.
     let site = Site::start(4, 1).await;
     let front = site.front("a").await;
-    front.store_listener.fault(Fault::new(FaultKind::Outage));
+    front
+        .store_listener
+        .inject_fault(Fault::new(FaultKind::Outage));
     for _ in 0..25 {
         tokio::time::sleep(std::time::Duration::from_millis(100)).await;
         assert!(front.is_ready().await);
--- a/components/front/tests/front/common.rs
+++ b/components/front/tests/front/common.rs
@@ -12,7 +12,7 @@
 use serde_json::Value;
 use standins::Handle;
 use standins::fleet::records::{self, ENGINES, HOST, MODEL, PLAIN};
-use standins::fleet::replica::{self, ReplicaSettings, Seen};
+use standins::fleet::replica::{self, ReplicaControl, ReplicaSettings};
 use standins::fleet::store::Store;
 use tokio::sync::oneshot;
 use tokio::task::JoinHandle;
@@ -25,7 +25,7 @@
     pub id: String,
     pub service: &'static str,
     pub handle: Handle,
-    pub seen: Seen,
+    pub seen: ReplicaControl,
 }
 
 /// A running front. Dropping the handle aborts the front without a shutdown.
@@ -219,7 +219,8 @@
     /// Writes a replica's record to the store.
     pub fn write_heartbeat(&self, replica: &Replica, state: &str, version: u64) {
         let address = replica.handle.address;
-        let record = records::replica_with(replica.service, address, state, version, self.slots);
+        let record =
+            records::replica_with_slots(replica.service, address, state, version, self.slots);
         self.store.put("keyed.servers", &replica.id, Some(&record));
     }
 
@@ -266,7 +267,7 @@
     async fn start_front(&self, node: &str, cpu_share_thousandths: u32) -> FrontHandle {
         let store_listener = self
             .store
-            .open(([127, 0, 0, 1], 0).into())
+            .listen(([127, 0, 0, 1], 0).into())
             .await
             .expect("a port");
         let settings = FrontSettings {
--- a/components/front/tests/front/customers.rs
+++ b/components/front/tests/front/customers.rs
@@ -19,7 +19,7 @@
     site.store.put(
         "keyed.op",
         "config",
-        Some(&records::config_for(4, CUSTOMERS)),
+        Some(&records::config_with_customers(4, CUSTOMERS)),
     );
     site
 }
@@ -55,7 +55,7 @@
 fn keys_received(site: &Site) -> usize {
     site.replicas
         .iter()
-        .map(|replica| replica.seen.keys())
+        .map(|replica| replica.seen.requests_with_key())
         .sum()
 }
 
@@ -193,7 +193,8 @@
     // be refused. The step's items and reward calls must still run for the customer, and a new key
     // of the customer must be able to read the finished step.
     let site = Site::start(40, 20).await;
-    let config = |version, keys: &[&str]| records::config_for(version, &[("anna", keys)]);
+    let config =
+        |version, keys: &[&str]| records::config_with_customers(version, &[("anna", keys)]);
     site.store
         .put("keyed.op", "config", Some(&config(4, &["key-old"])));
     let front = site.front("a").await;
@@ -301,7 +302,9 @@
     // client with that key, so the front must answer 503: the call did not run and may be retried.
     let site = start_site(3).await;
     let front = site.front("a").await;
-    front.store_listener.fault(Fault::new(FaultKind::Outage));
+    front
+        .store_listener
+        .inject_fault(Fault::new(FaultKind::Outage));
     front.store_listener.crash(0);
     wait_until("the front treats its configuration as stale", async || {
         send(&front, "key-new", Method::POST, "/calls/x", "")
@@ -319,7 +322,8 @@
     // The customer's last key is revoked, then the front that runs the items dies. The front that
     // takes over must name the same customer to the replicas.
     let site = Site::start(60, 40).await;
-    let config = |version, keys: &[&str]| records::config_for(version, &[("anna", keys)]);
+    let config =
+        |version, keys: &[&str]| records::config_with_customers(version, &[("anna", keys)]);
     site.store
         .put("keyed.op", "config", Some(&config(4, &["key"])));
     let runner = site.front("a").await;
@@ -356,7 +360,9 @@
     // outage, only the newest version must be active.
     let site = start_site(3).await;
     let front = site.front("a").await;
-    front.store_listener.fault(Fault::new(FaultKind::Outage));
+    front
+        .store_listener
+        .inject_fault(Fault::new(FaultKind::Outage));
     front.store_listener.crash(0);
     let versions: [&[(&str, &[&str])]; 4] = [
         &[("anna", &["key-spare"]), ("bert", &["key-bert"])],
@@ -365,7 +371,7 @@
         &[("anna", &["key-new"]), ("bert", &["key-bert"])],
     ];
     for (number, customers) in (5..).zip(versions) {
-        let config = records::config_for(number, customers);
+        let config = records::config_with_customers(number, customers);
         site.store.put("keyed.op", "config", Some(&config));
     }
     front.store_listener.clear_faults();
@@ -416,7 +422,9 @@
         status, 404,
         "a front with a current configuration must answer 404"
     );
-    front.store_listener.fault(Fault::new(FaultKind::Outage));
+    front
+        .store_listener
+        .inject_fault(Fault::new(FaultKind::Outage));
     front.store_listener.crash(0);
     wait_until("the front treats its configuration as stale", async || {
         send(&front, "key-anna", Method::POST, "/new/x", "").await.0 == 503
--- a/components/front/tests/front/orders.rs
+++ b/components/front/tests/front/orders.rs
@@ -2,10 +2,10 @@
 
 use crate::common::{Site, wait_until, write_loaded_heartbeats};
 use standins::fleet::records;
-use standins::fleet::replica::Ordered;
+use standins::fleet::replica::ReceivedOrder;
 use standins::{Fault, FaultKind};
 
-fn orders(site: &Site) -> Vec<Ordered> {
+fn orders(site: &Site) -> Vec<ReceivedOrder> {
     let engines = site
         .replicas
         .iter()
@@ -74,7 +74,7 @@
     let holder = if first.holder == "a" { 0 } else { 1 };
     fronts[holder]
         .store_listener
-        .fault(Fault::new(FaultKind::Outage));
+        .inject_fault(Fault::new(FaultKind::Outage));
     write_loaded_heartbeats(&site);
     // The holder's last announcement may still allow it one more order until it expires.
     tokio::time::sleep(std::time::Duration::from_millis(1_200)).await;
@@ -98,7 +98,7 @@
     let site = Site::start(2, 1).await;
     for id in ["engine-1", "engine-2"] {
         let lost = Fault::new(FaultKind::AnswerLost).on("/v1/order").times(1);
-        site.replica(id).handle.fault(lost);
+        site.replica(id).handle.inject_fault(lost);
     }
     let _front = site.front("a").await;
     site.name_version(2);
--- a/components/front/tests/front/steps.rs
+++ b/components/front/tests/front/steps.rs
@@ -5,7 +5,7 @@
 use crate::common::{Site, wait_until};
 use hyper::Method;
 use standins::fleet::records;
-use standins::fleet::trainer::whole_text as text;
+use standins::fleet::trainer::expected_text as text;
 use standins::{Fault, FaultKind};
 
 #[tokio::test]
@@ -96,7 +96,7 @@
     let fronts = [site.front("a").await, site.front("b").await];
     fronts[0]
         .store_listener
-        .fault(Fault::new(FaultKind::Outage).on("/v1/log-append"));
+        .inject_fault(Fault::new(FaultKind::Outage).on("/v1/log-append"));
     let (status, retry_after) = fronts[0].submit("s-1", &records::step(1, 1, 2)).await;
     assert_eq!(status, 503);
     assert!(retry_after.is_some());
@@ -114,7 +114,7 @@
     // loses the responses; the front appends again, and the duplicate record is ignored.
     let site = Site::start(2, 1).await;
     let front = site.front("a").await;
-    front.store_listener.fault(
+    front.store_listener.inject_fault(
         Fault::new(FaultKind::AnswerLost)
             .on("/v1/log-append")
             .times(2),
@@ -174,8 +174,8 @@
         after,
         ..Fault::new(FaultKind::Cut).on(records::STEPS).times(2)
     };
-    site.replica("engine-1").handle.fault(cut(5));
-    site.replica("engine-2").handle.fault(cut(3));
+    site.replica("engine-1").handle.inject_fault(cut(5));
+    site.replica("engine-2").handle.inject_fault(cut(3));
     assert_eq!(front.submit("s-1", &records::step(1, 1, 4)).await.0, 202);
     for result in front.all_results("s-1", 4).await {
         assert_eq!(result["Text"], text(12));
@@ -194,7 +194,7 @@
             after: 5,
             ..Fault::new(FaultKind::Cut).on(records::STEPS).times(2)
         };
-        site.replica(id).handle.fault(cut);
+        site.replica(id).handle.inject_fault(cut);
     }
     assert_eq!(front.submit("s-1", &records::step(1, 1, 2)).await.0, 202);
     for result in front.all_results("s-1", 2).await {
@@ -329,7 +329,9 @@
         !site.runs("item-1-0").is_empty() && !site.runs("item-1-1").is_empty()
     })
     .await;
-    front.store_listener.fault(Fault::new(FaultKind::Outage));
+    front
+        .store_listener
+        .inject_fault(Fault::new(FaultKind::Outage));
     tokio::time::sleep(Duration::from_millis(3_000)).await;
     front.store_listener.clear_faults();
     for result in front.all_results("s-1", 2).await {
@@ -358,7 +360,7 @@
     let pieces = ownership::partition_of("a", 24);
     let read = format!("/v1/log-read?Topic=data&part={pieces}&");
     next.store_listener
-        .fault(Fault::new(FaultKind::Outage).on(read));
+        .inject_fault(Fault::new(FaultKind::Outage).on(read));
     drop(front);
     wait_until("the next front has the shard", || async {
         let owners = site.store.owners_of("fronts");
@@ -386,7 +388,9 @@
     let front = site.front("a").await;
     assert_eq!(front.submit("s-1", &records::step(1, 1, 2)).await.0, 202);
     front.all_results("s-1", 2).await;
-    front.store_listener.fault(Fault::new(FaultKind::Silent));
+    front
+        .store_listener
+        .inject_fault(Fault::new(FaultKind::Silent));
     // Longer than a read of the index that was in progress when the fault began.
     tokio::time::sleep(Duration::from_millis(1_600)).await;
     let began = std::time::Instant::now();
@@ -406,7 +410,9 @@
         !site.runs("item-1-0").is_empty() && !site.runs("item-1-1").is_empty()
     })
     .await;
-    front.store_listener.fault(Fault::new(FaultKind::Outage));
+    front
+        .store_listener
+        .inject_fault(Fault::new(FaultKind::Outage));
     tokio::time::sleep(Duration::from_millis(1_200)).await;
     front.stop();
     tokio::time::sleep(Duration::from_millis(2_000)).await;
@@ -451,7 +457,7 @@
     assert_eq!(fronts[0].results("s-1", 0).await.0, 404);
     fronts[0]
         .store_listener
-        .fault(Fault::new(FaultKind::Outage));
+        .inject_fault(Fault::new(FaultKind::Outage));
     assert_eq!(
         fronts[1].submit("s-1", &records::step(1, 1, 2)).await.0,
         202
@@ -504,7 +510,7 @@
                 after: 5,
                 ..Fault::new(FaultKind::Cut).on(records::STEPS).times(2)
             };
-            engine.handle.fault(cut);
+            engine.handle.inject_fault(cut);
         }
         assert_eq!(front.submit("s-1", &records::step(1, 1, 2)).await.0, 202);
         wait_until("the items run", || async {
--- a/components/front/tests/front/trainer.rs
+++ b/components/front/tests/front/trainer.rs
@@ -59,11 +59,13 @@
                     "the front did not shut down within 20 s"
                 );
             }
-            Disruption::AnswersLost => door.fault(appends(FaultKind::AnswerLost).times(3)),
-            Disruption::AppendsRefused => door.fault(appends(FaultKind::Outage).times(6)),
-            Disruption::AppendsDelayed => door.fault(appends(FaultKind::Late).times(2).delayed(80)),
-            Disruption::HistoryLost => site.store.forget("keyed.op", 0),
-            Disruption::Rebalance => site.store.deal_anew(),
+            Disruption::AnswersLost => door.inject_fault(appends(FaultKind::AnswerLost).times(3)),
+            Disruption::AppendsRefused => door.inject_fault(appends(FaultKind::Outage).times(6)),
+            Disruption::AppendsDelayed => {
+                door.inject_fault(appends(FaultKind::Late).times(2).delayed(80))
+            }
+            Disruption::HistoryLost => site.store.trim("keyed.op", 0),
+            Disruption::Rebalance => site.store.reassign_partitions(),
         }
     }
 }
@@ -83,7 +85,7 @@
     }
     let expected = Expected {
         events: EVENTS,
-        within: Duration::from_secs(20),
+        timeout: Duration::from_secs(20),
     };
     let mut trainer = Trainer::new(site.store.clone(), expected);
     let disruptions = [
@@ -98,7 +100,7 @@
         Disruption::None,
     ];
     for (number, disruption) in (1..).zip(&disruptions) {
-        trainer.use_fronts(fronts.running.iter().map(|front| front.client_address));
+        trainer.set_fronts(fronts.running.iter().map(|front| front.client_address));
         // The trainer already uses these fronts, so some of its calls meet the disruption.
         fronts.apply(&site, disruption).await;
         let heartbeats = async {
--- a/components/front/tests/front/usage.rs
+++ b/components/front/tests/front/usage.rs
@@ -4,7 +4,7 @@
 
 use hyper::Method;
 use platform::settings::DutySettings;
-use standins::fleet::duties::{self, Reported, Told};
+use standins::fleet::duties::{self, ReceivedReports, UsageReport};
 use standins::fleet::records;
 use standins::{Fault, FaultKind, Handle};
 
@@ -16,7 +16,7 @@
 
 const CUSTOMERS: &[(&str, &[&str])] = &[("anna", &["key-anna"]), ("bert", &["key-bert"])];
 
-async fn start_site() -> (Site, Handle, Told) {
+async fn start_site() -> (Site, Handle, ReceivedReports) {
     let (receiver, received) = duties::start(([127, 0, 0, 1], 0).into())
         .await
         .expect("a port");
@@ -27,7 +27,7 @@
         window_ms: WINDOW_MS,
         report_due_ms: DUE_MS,
     });
-    let config = records::config_for(4, CUSTOMERS);
+    let config = records::config_with_customers(4, CUSTOMERS);
     site.store.put("keyed.op", "config", Some(&config));
     (site, receiver, received)
 }
@@ -43,7 +43,7 @@
 
 /// Requests of each customer over all windows, counting each window once. Panics if two reports of
 /// a window differ.
-fn totals(reports: &[Reported]) -> BTreeMap<String, u64> {
+fn totals(reports: &[UsageReport]) -> BTreeMap<String, u64> {
     let mut windows: BTreeMap<u64, &BTreeMap<String, u64>> = BTreeMap::new();
     for report in reports {
         let before = windows.insert(report.window, &report.counts);
@@ -63,7 +63,7 @@
     BTreeMap::from([("anna".to_owned(), anna), ("bert".to_owned(), bert)])
 }
 
-async fn wait_until_reported(received: &Told, wanted: &BTreeMap<String, u64>) {
+async fn wait_until_reported(received: &ReceivedReports, wanted: &BTreeMap<String, u64>) {
     wait_until("all requests are reported", async || {
         totals(&received.reports()) == *wanted
     })
@@ -141,11 +141,11 @@
     // must be sent again with the same counts until the receiver accepts it.
     let (site, receiver, received) = start_site().await;
     let front = site.front("a").await;
-    receiver.fault(Fault::new(FaultKind::AnswerLost).times(2));
+    receiver.inject_fault(Fault::new(FaultKind::AnswerLost).times(2));
     assert_eq!(call(&front, "key-anna", "a-1", "/calls/x", "").await, 200);
     assert_eq!(call(&front, "key-bert", "b-1", "/calls/x", "").await, 200);
     wait_until_reported(&received, &expected(1, 1)).await;
-    receiver.fault(Fault::new(FaultKind::Outage).times(3));
+    receiver.inject_fault(Fault::new(FaultKind::Outage).times(3));
     assert_eq!(call(&front, "key-anna", "a-2", "/calls/x", "").await, 200);
     wait_until_reported(&received, &expected(2, 1)).await;
 }
@@ -172,7 +172,7 @@
     let _other = site.front("b").await;
     let mut away = Fault::new(FaultKind::Outage).on("/v1/log-append");
     away.for_ms = Some(700);
-    cut.store_listener.fault(away);
+    cut.store_listener.inject_fault(away);
     assert_eq!(call(&cut, "key-anna", "a-1", "/calls/x", "").await, 200);
     assert_eq!(call(&cut, "key-bert", "b-1", "/calls/x", "").await, 200);
     wait_until_reported(&received, &expected(1, 1)).await;
@@ -193,6 +193,6 @@
     .await;
     let mut refused = Fault::new(FaultKind::Outage).on("/v1/log-append?Topic=usage");
     refused.for_ms = Some(3_000);
-    front.store_listener.fault(refused);
+    front.store_listener.inject_fault(refused);
     wait_until_reported(&received, &expected(1, 1)).await;
 }
--- a/components/gateway/tests/keyed.rs
+++ b/components/gateway/tests/keyed.rs
@@ -19,7 +19,7 @@
 async fn errors_before_the_deadline_when_the_log_is_unresponsive() {
     let site = Site::start(SiteSettings::default()).await;
     site.log
-        .fault(Fault::new(FaultKind::Silent).on("/streams/claims"));
+        .inject_fault(Fault::new(FaultKind::Silent).on("/streams/claims"));
     let check = TestRequest::post(SANCTION, "{}")
         .with_header(KEY, "file-3")
         .with_header(TAG, "silent")
@@ -98,7 +98,7 @@
     })
     .await;
     site.log
-        .fault(Fault::new(FaultKind::Silent).on("/streams/claims"));
+        .inject_fault(Fault::new(FaultKind::Silent).on("/streams/claims"));
     let address = site.entries[0].address;
     let (ended, mut ends) = mpsc::unbounded_channel();
     for check in 0..CHECKS {
--- a/components/gateway/tests/requests.rs
+++ b/components/gateway/tests/requests.rs
@@ -202,7 +202,7 @@
     for engine in &site.engines {
         let mut cut = Fault::new(FaultKind::Cut).times(1).on(COMPLETIONS);
         cut.after = 3;
-        engine.fault(cut);
+        engine.inject_fault(cut);
     }
     let resumed = site.send(0, &ask).await;
     assert!(resumed.is_complete, "{}", resumed.text());
@@ -228,7 +228,7 @@
     for engine in &site.engines {
         let mut cut = Fault::new(FaultKind::Cut).on(COMPLETIONS);
         cut.after = 2;
-        engine.fault(cut);
+        engine.inject_fault(cut);
     }
     let ask = TestRequest::post(COMPLETIONS, completion("a long opinion", 64, true));
     let answer = site.send(0, &ask).await;
@@ -245,8 +245,8 @@
     let site = Site::start(SiteSettings::default()).await;
     let lost = || Fault::new(FaultKind::AnswerLost).times(1);
     for service in &site.services {
-        service.fault(lost().on("/sanctions"));
-        service.fault(lost().on("/applicants"));
+        service.inject_fault(lost().on("/sanctions"));
+        service.inject_fault(lost().on("/applicants"));
     }
     let check = TestRequest::post(SANCTION, "{}").with_header(TAG, "lost");
     let (status, outcome, cause) = site.send(0, &check).await.problem();
@@ -287,7 +287,7 @@
 async fn errors_when_the_log_cannot_take_a_claim() {
     let site = Site::start(SiteSettings::default()).await;
     site.log
-        .fault(Fault::new(FaultKind::Outage).on("/streams/claims"));
+        .inject_fault(Fault::new(FaultKind::Outage).on("/streams/claims"));
     let check = TestRequest::post(SANCTION, "{}")
         .with_header(KEY, "file-9")
         .with_header(TAG, "outage");
@@ -316,7 +316,7 @@
     })
     .await;
     for engine in &site.engines {
-        engine.fault(
+        engine.inject_fault(
             Fault::new(FaultKind::CrashOn)
                 .with_text("poison")
                 .delayed(60_000),
--- a/components/gateway/tests/training.rs
+++ b/components/gateway/tests/training.rs
@@ -120,7 +120,7 @@
 async fn errors_in_a_waiting_fetch_when_a_newer_cursor_arrives() {
     let site = start_site().await;
     for engine in &site.engines {
-        engine.fault(Fault::new(FaultKind::Silent).on("/v1/completions"));
+        engine.inject_fault(Fault::new(FaultKind::Silent).on("/v1/completions"));
     }
     let start = cursor(&site.send(0, &post(8, "a", None)).await.json());
     let group = |prompt: &str| Group {
@@ -213,7 +213,7 @@
 async fn start_unresponsive_site() -> Site {
     let site = start_site().await;
     for engine in &site.engines {
-        engine.fault(Fault::new(FaultKind::Silent).on("/v1/completions"));
+        engine.inject_fault(Fault::new(FaultKind::Silent).on("/v1/completions"));
     }
     site
 }
--- a/components/inspect/tests/inspect.rs
+++ b/components/inspect/tests/inspect.rs
@@ -58,7 +58,7 @@
 
 async fn inspector(store: &Store) -> (standins::Handle, Inspector) {
     let listener = store
-        .open(([127, 0, 0, 1], 0).into())
+        .listen(([127, 0, 0, 1], 0).into())
         .await
         .expect("the store listens on a free port");
     let inspector = Inspector::new(listener.address);
@@ -173,7 +173,7 @@
         &store,
         &LogRecord::Step(StepRecord::Accepted(Box::new(head("gone")))),
     );
-    store.forget(INDEX_TOPIC, 0);
+    store.trim(INDEX_TOPIC, 0);
     write_index(
         &store,
         &LogRecord::Step(StepRecord::Accepted(Box::new(head("kept")))),
@@ -198,7 +198,7 @@
 #[tokio::test]
 async fn can_show_customers_and_their_usage_without_keys() {
     let store = Store::default();
-    let config = records::config_for(3, &[("anna", &["key-1", "key-2"]), ("bert", &[])]);
+    let config = records::config_with_customers(3, &[("anna", &["key-1", "key-2"]), ("bert", &[])]);
     store.put("keyed.op", "config", Some(&config));
     let step = StepHead {
         customer: Some("anna".to_owned()),
--- a/components/node/tests/node.rs
+++ b/components/node/tests/node.rs
@@ -152,7 +152,7 @@
     let first = publish(None, "first");
     client.append("config", &first).await.expect("an append");
     process.wait_for_version(1).await;
-    log.fault(Fault::new(FaultKind::Outage).times(2));
+    log.inject_fault(Fault::new(FaultKind::Outage).times(2));
     let customer = "office".parse().expect("a name");
     let accepted = process.feed.accepted(&customer).expect("a version");
     let second = publish(Some(&accepted), "second");
--- a/components/sidecar/tests/calls.rs
+++ b/components/sidecar/tests/calls.rs
@@ -236,7 +236,7 @@
     ];
     let (_platform, endpoint, agent, caller) = start_site(EndpointKind::Model).await;
     for case in cases {
-        endpoint.fault(case.fault);
+        endpoint.inject_fault(case.fault);
         let open = caller.completion("poison", case.stream);
         let ended = caller.call(&agent, open).await;
         assert_eq!(ended, CallResult::Failed(case.failure), "{}", case.name);
--- a/components/sidecar/tests/life.rs
+++ b/components/sidecar/tests/life.rs
@@ -25,7 +25,7 @@
     let platform = Platform::start(&[]).await;
     platform.publish(OFFICE_CONFIG).await;
     let endpoint = engine_endpoint(0).await;
-    endpoint.fault(Fault::new(FaultKind::SwapFails).times(1));
+    endpoint.inject_fault(Fault::new(FaultKind::SwapFails).times(1));
     let agent = TestAgent::start(&platform, endpoint.address, EndpointKind::Model).await;
     let caller = Caller::start().await;
     let first = caller.wait_until_hosted(&agent).await;
@@ -64,7 +64,7 @@
     caller.gossip(&agent, announcement(ahead)).await;
     let shows = r#""serving":"0.0","load":"0.2","loaded":true"#;
     while !get(agent.admin, "/status").await.1.contains(shows) {}
-    store.fault(Fault::new(FaultKind::Outage));
+    store.inject_fault(Fault::new(FaultKind::Outage));
     caller.gossip(&agent, version_2_announcement()).await;
     let serves = |status: &protocol::Status| status.hosted[0].weights == Some(VERSION_2);
     caller.wait_for_status(&agent, serves).await;
@@ -115,7 +115,7 @@
     let agent = TestAgent::start_tuned(&platform, endpoint.address, kind, tuning).await;
     let caller = Caller::start().await;
     caller.wait_until_hosted(&agent).await;
-    endpoint.fault(Fault::new(FaultKind::Silent));
+    endpoint.inject_fault(Fault::new(FaultKind::Silent));
     let open = Open {
         deadline_left_ms: 300,
         ..caller.open("guichet", "POST", "/sanctions", "{}")
@@ -147,7 +147,7 @@
     let caller = Caller::start().await;
     let old = TestAgent::start(&platform, endpoint.address, EndpointKind::Plain).await;
     caller.wait_until_hosted(&old).await;
-    platform.log.fault(Fault::new(FaultKind::Outage));
+    platform.log.inject_fault(Fault::new(FaultKind::Outage));
     let listed = Platform::start(&[old.address]).await;
     let outage = Platform {
         log: platform.log,
--- a/dev/bench/src/load/faults.rs
+++ b/dev/bench/src/load/faults.rs
@@ -134,10 +134,10 @@
         (Kind::EntryStop, true) => entry.process().signal("STOP")?,
         (Kind::EntryStop, false) => entry.process().signal("CONT")?,
         (Kind::EngineCrash, true) => engine.crash(planned.for_ms),
-        (Kind::LogOutage, true) => standins.log.fault(lasting(FaultKind::Outage)),
-        (Kind::LogAnswerLost, true) => standins.log.fault(lasting(FaultKind::AnswerLost)),
-        (Kind::StoreOutage, true) => standins.store.fault(lasting(FaultKind::Outage)),
-        (Kind::SwapFails, true) => engine.fault(lasting(FaultKind::SwapFails)),
+        (Kind::LogOutage, true) => standins.log.inject_fault(lasting(FaultKind::Outage)),
+        (Kind::LogAnswerLost, true) => standins.log.inject_fault(lasting(FaultKind::AnswerLost)),
+        (Kind::StoreOutage, true) => standins.store.inject_fault(lasting(FaultKind::Outage)),
+        (Kind::SwapFails, true) => engine.inject_fault(lasting(FaultKind::SwapFails)),
         (_, false) => {}
     }
     Ok(())
--- a/dev/bench/src/load/training.rs
+++ b/dev/bench/src/load/training.rs
@@ -113,7 +113,7 @@
             max_tokens: MAX_TOKENS,
             train_ms: TRAIN_MS,
             staleness_bound: site.staleness_bound,
-            give_up_ms: GIVE_UP_MS,
+            step_timeout_ms: GIVE_UP_MS,
             version: progress.version,
             ..TrainerSettings::default()
         });
--- a/dev/bench/src/visit/training.rs
+++ b/dev/bench/src/visit/training.rs
@@ -33,7 +33,7 @@
         max_tokens: MAX_TOKENS,
         train_ms: TRAIN_MS,
         staleness_bound: site.staleness_bound,
-        give_up_ms: GIVE_UP_MS,
+        step_timeout_ms: GIVE_UP_MS,
         ..TrainerSettings::default()
     })
     .await;
--- a/dev/proof/src/fault.rs
+++ b/dev/proof/src/fault.rs
@@ -238,7 +238,7 @@
             // Either endpoint may get the request. Each applies the fault once, so that a second
             // request there succeeds.
             for endpoint in self.site.services.iter().chain(&self.site.engines) {
-                endpoint.fault(StandinFault {
+                endpoint.inject_fault(StandinFault {
                     after: 4,
                     ..once(kind)
                 });
@@ -286,11 +286,11 @@
                 Fault::KillOtherEntry => site.entries[1].child.kill()?,
                 Fault::PauseAgent => pause_for_a_while(&site.agents[carrying_agent].child).await?,
                 Fault::PauseEntry => pause_for_a_while(&site.entries[0].child).await?,
-                Fault::LogOutage => site.log.fault(StandinFault::new(FaultKind::Outage)),
-                Fault::LogSilent => site.log.fault(StandinFault::new(FaultKind::Silent)),
+                Fault::LogOutage => site.log.inject_fault(StandinFault::new(FaultKind::Outage)),
+                Fault::LogSilent => site.log.inject_fault(StandinFault::new(FaultKind::Silent)),
                 Fault::LoseAppendAnswer => {
                     let lost = StandinFault::new(FaultKind::AnswerLost).times(1);
-                    site.log.fault(lost.on(claim_path.clone()));
+                    site.log.inject_fault(lost.on(claim_path.clone()));
                 }
                 Fault::CutEndpoint => break_connections(site, BreakMode::Cut),
                 Fault::SilenceEndpoint => break_connections(site, BreakMode::Silent),
--- a/dev/proof/tests/configuration.rs
+++ b/dev/proof/tests/configuration.rs
@@ -84,7 +84,7 @@
         id: None,
     };
     site.log
-        .fault(Fault::new(FaultKind::AnswerLost).on(CONFIG_STREAM).times(2));
+        .inject_fault(Fault::new(FaultKind::AnswerLost).on(CONFIG_STREAM).times(2));
     let mut appended_again = 0;
     let count =
         |step| appended_again += u32::from(matches!(step, PublishProgress::AppendRetried(_)));
@@ -108,7 +108,7 @@
         .unwrap();
     let published = site.publish(&path).await.unwrap();
     site.wait_until_active(&published).await.unwrap();
-    site.log.fault(Fault::new(FaultKind::Outage));
+    site.log.inject_fault(Fault::new(FaultKind::Outage));
     site.add_entry().await.unwrap();
     site.wait_until_active(&published).await.unwrap();
     site.wait_until_replicas_known().await.unwrap();
@@ -136,7 +136,7 @@
         .await
         .unwrap();
     site.wait_until_active(&published).await.unwrap();
-    site.log.fault(Fault::new(FaultKind::Outage));
+    site.log.inject_fault(Fault::new(FaultKind::Outage));
     for index in 0..2 {
         site.entries[index].child.kill().unwrap();
         site.agents[index].child.kill().unwrap();
--- a/dev/proof/tests/crashing/mod.rs
+++ b/dev/proof/tests/crashing/mod.rs
@@ -37,7 +37,7 @@
     .await
     .unwrap();
     for engine in &site.engines {
-        engine.fault(Fault::new(FaultKind::CrashOn).with_text("POISON"));
+        engine.inject_fault(Fault::new(FaultKind::CrashOn).with_text("POISON"));
     }
     site
 }
--- a/dev/proof/tests/training.rs
+++ b/dev/proof/tests/training.rs
@@ -93,7 +93,7 @@
     let on_engines = |fault: &Fault| {
         site.engines
             .iter()
-            .for_each(|engine| engine.fault(fault.clone()))
+            .for_each(|engine| engine.inject_fault(fault.clone()))
     };
     match disruption {
         Disruption::SwapFails => on_engines(&Fault::new(FaultKind::SwapFails).times(2)),
@@ -108,13 +108,15 @@
             let cut = Fault::new(FaultKind::Cut).on("/v1/completions").times(4);
             on_engines(&Fault { after: 3, ..cut });
         }
-        Disruption::StoreBusy => site.store.fault(Fault::new(FaultKind::StoreRate).times(6)),
+        Disruption::StoreBusy => site
+            .store
+            .inject_fault(Fault::new(FaultKind::StoreRate).times(6)),
         Disruption::ScorerFails => site
             .scorer
-            .fault(Fault::new(FaultKind::Outage).on("/score").times(8)),
+            .inject_fault(Fault::new(FaultKind::Outage).on("/score").times(8)),
         Disruption::ScorerLate => {
             let slow = Fault::new(FaultKind::Slow).on("/score").times(8);
-            site.scorer.fault(slow.delayed(1_200));
+            site.scorer.inject_fault(slow.delayed(1_200));
         }
         _ => {}
     }
@@ -146,9 +148,9 @@
             site.engines[1].crash(300);
         }
         Disruption::LateOldOrder => send_outdated_order(site).await?,
-        Disruption::LogOutage => site.log.fault(Fault::new(FaultKind::Outage)),
+        Disruption::LogOutage => site.log.inject_fault(Fault::new(FaultKind::Outage)),
         Disruption::KillEntryInLogOutage => {
-            site.log.fault(Fault::new(FaultKind::Outage));
+            site.log.inject_fault(Fault::new(FaultKind::Outage));
             site.entries[0].child.kill()?;
         }
         _ => {}
--- a/dev/standins/src/fleet/duties.rs
+++ b/dev/standins/src/fleet/duties.rs
@@ -13,7 +13,7 @@
 
 /// A report of usage as it came.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Reported {
+pub struct UsageReport {
     /// Who sent it.
     pub holder: String,
     /// Fencing number of the sender.
@@ -26,22 +26,22 @@
 
 /// What the receiver was told, in order.
 #[derive(Clone, Default)]
-pub struct Told(Arc<Mutex<Vec<Reported>>>);
+pub struct ReceivedReports(Arc<Mutex<Vec<UsageReport>>>);
 
-impl Told {
+impl ReceivedReports {
     /// All reports, repetitions included.
-    pub fn reports(&self) -> Vec<Reported> {
+    pub fn reports(&self) -> Vec<UsageReport> {
         self.lock().clone()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<Reported>> {
+    fn lock(&self) -> MutexGuard<'_, Vec<UsageReport>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// Starts the receiver.
-pub async fn start(listen: SocketAddr) -> Result<(Handle, Told), StandinError> {
-    let told = Told::default();
+pub async fn start(listen: SocketAddr) -> Result<(Handle, ReceivedReports), StandinError> {
+    let told = ReceivedReports::default();
     let taking = told.clone();
     let handle = http::serve(listen, Control::new(), true, move |call| {
         let told = taking.clone();
@@ -51,7 +51,7 @@
     Ok((handle, told))
 }
 
-fn answer(told: &Told, call: &Call) -> Reply {
+fn answer(told: &ReceivedReports, call: &Call) -> Reply {
     if call.path != "/usage" {
         return reply::error(404, "no-such-duty");
     }
@@ -61,7 +61,7 @@
     };
     let header = |name: &str| call.header(name).unwrap_or_default().to_owned();
     let counts = body["Counts"].as_object().cloned().unwrap_or_default();
-    told.lock().push(Reported {
+    told.lock().push(UsageReport {
         holder: header("hornbeamrock-lease-holder"),
         fence: header("hornbeamrock-fence-token").parse().unwrap_or(0),
         window: body["Window"].as_u64().unwrap_or(0),
--- a/dev/standins/src/fleet/groups.rs
+++ b/dev/standins/src/fleet/groups.rs
@@ -60,7 +60,7 @@
     }
 
     /// Deals all partitions anew, at once and without a request.
-    pub(super) fn deal_anew(&mut self) {
+    pub(super) fn reassign_partitions(&mut self) {
         self.turn += 1;
         self.generation += 1;
         self.members
--- a/dev/standins/src/fleet/records.rs
+++ b/dev/standins/src/fleet/records.rs
@@ -48,7 +48,7 @@
 }
 
 /// The configuration with customers, each with its keys; the scorers' route is public.
-pub fn config_for(version: u64, customers: &[(&str, &[&str])]) -> String {
+pub fn config_with_customers(version: u64, customers: &[(&str, &[&str])]) -> String {
     let mut config: Value = serde_json::from_str(&config(version)).unwrap_or_default();
     let customer = |(name, keys): &(&str, &[&str])| json!({ "Name": name, "ApiKeys": keys });
     config["Tenants"] = customers.iter().map(customer).collect();
@@ -61,11 +61,11 @@
 
 /// The record of a replica.
 pub fn replica(service: &str, address: SocketAddr, state: &str, version: u64) -> String {
-    replica_with(service, address, state, version, SLOTS)
+    replica_with_slots(service, address, state, version, SLOTS)
 }
 
 /// The record of a replica with so many places.
-pub fn replica_with(
+pub fn replica_with_slots(
     service: &str,
     address: SocketAddr,
     state: &str,
--- a/dev/standins/src/fleet/replica.rs
+++ b/dev/standins/src/fleet/replica.rs
@@ -27,7 +27,7 @@
 
 /// An order as it came.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ordered {
+pub struct ReceivedOrder {
     /// Who gave it.
     pub holder: String,
     /// Fencing number of the holder.
@@ -44,13 +44,13 @@
     runs: BTreeMap<String, Vec<u64>>,
     customers: BTreeMap<String, BTreeSet<String>>,
     keys: usize,
-    orders: Vec<Ordered>,
+    orders: Vec<ReceivedOrder>,
     answers: BTreeMap<String, u16>,
     working: usize,
 }
 
 /// A run in progress.
-struct Working(Seen);
+struct Working(ReplicaControl);
 
 impl Drop for Working {
     fn drop(&mut self) {
@@ -60,9 +60,9 @@
 
 /// What a replica was asked, and how it shall answer.
 #[derive(Clone, Default)]
-pub struct Seen(Arc<Mutex<State>>);
+pub struct ReplicaControl(Arc<Mutex<State>>);
 
-impl Seen {
+impl ReplicaControl {
     /// Runs by request id: the event behind which each began, 0 for a whole run.
     pub fn runs(&self) -> BTreeMap<String, Vec<u64>> {
         self.lock().runs.clone()
@@ -75,17 +75,17 @@
     }
 
     /// Requests that came with a customer's key.
-    pub fn keys(&self) -> usize {
+    pub fn requests_with_key(&self) -> usize {
         self.lock().keys
     }
 
     /// Orders that were accepted.
-    pub fn orders(&self) -> Vec<Ordered> {
+    pub fn orders(&self) -> Vec<ReceivedOrder> {
         self.lock().orders.clone()
     }
 
     /// Runs in progress.
-    pub fn working(&self) -> usize {
+    pub fn active_runs(&self) -> usize {
         self.lock().working
     }
 
@@ -113,8 +113,8 @@
 pub async fn start(
     listen: SocketAddr,
     settings: ReplicaSettings,
-) -> Result<(Handle, Seen), StandinError> {
-    let seen = Seen::default();
+) -> Result<(Handle, ReplicaControl), StandinError> {
+    let seen = ReplicaControl::default();
     seen.set_version(1);
     let answering = seen.clone();
     let handle = http::serve(listen, Control::new(), true, move |call| {
@@ -125,7 +125,7 @@
     Ok((handle, seen))
 }
 
-async fn answer(settings: &ReplicaSettings, seen: &Seen, call: Call) -> Reply {
+async fn answer(settings: &ReplicaSettings, seen: &ReplicaControl, call: Call) -> Reply {
     let expected = call.header("hornbeamrock-expect-instance");
     if expected.is_some_and(|expected| expected != settings.id) {
         return with(
@@ -141,7 +141,7 @@
     }
 }
 
-fn report(seen: &Seen) -> Reply {
+fn report(seen: &ReplicaControl) -> Reply {
     let state = seen.lock();
     reply::json(
         200,
@@ -152,7 +152,7 @@
     )
 }
 
-fn order(seen: &Seen, call: &Call) -> Reply {
+fn order(seen: &ReplicaControl, call: &Call) -> Reply {
     let order: Value = match call.json() {
         Ok(order) => order,
         Err(refusal) => return *refusal,
@@ -163,7 +163,7 @@
         return reply::error(409, "another-count");
     }
     let version = order["Version"].as_u64().unwrap_or(0);
-    state.orders.push(Ordered {
+    state.orders.push(ReceivedOrder {
         holder: order["Holder"].as_str().unwrap_or_default().to_owned(),
         fence: order["Fence"].as_u64().unwrap_or(0),
         version,
@@ -173,7 +173,7 @@
     reply::json(202, &json!({}))
 }
 
-async fn run(settings: &ReplicaSettings, seen: &Seen, call: &Call) -> Reply {
+async fn run(settings: &ReplicaSettings, seen: &ReplicaControl, call: &Call) -> Reply {
     let id = call
         .header("hornbeamrock-request-id")
         .unwrap_or_default()
--- a/dev/standins/src/fleet/store.rs
+++ b/dev/standins/src/fleet/store.rs
@@ -65,7 +65,7 @@
 
 impl Store {
     /// Opens a door at `listen`.
-    pub async fn open(&self, listen: SocketAddr) -> Result<Handle, StandinError> {
+    pub async fn listen(&self, listen: SocketAddr) -> Result<Handle, StandinError> {
         let store = self.clone();
         http::serve(listen, Control::new(), false, move |call| {
             let store = store.clone();
@@ -96,11 +96,11 @@
     }
 
     /// Forgets the history of a partition; newest records of keys stay.
-    pub fn forget(&self, topic: &str, partition: u32) {
+    pub fn trim(&self, topic: &str, partition: u32) {
         let mut state = self.lock();
         if let Some(there) = state.partitions.get_mut(&(topic.to_owned(), partition)) {
             let end = there.end();
-            there.forget(end);
+            there.trim(end);
         }
         drop(state);
         self.news.send_modify(|count| *count += 1);
@@ -114,8 +114,11 @@
     }
 
     /// Deals all partitions of all groups anew.
-    pub fn deal_anew(&self) {
-        self.lock().groups.values_mut().for_each(Group::deal_anew);
+    pub fn reassign_partitions(&self) {
+        self.lock()
+            .groups
+            .values_mut()
+            .for_each(Group::reassign_partitions);
     }
 
     /// Number of records that a partition ever had.
--- a/dev/standins/src/fleet/topics.rs
+++ b/dev/standins/src/fleet/topics.rs
@@ -54,7 +54,7 @@
     }
 
     /// Forgets the oldest records before `before`; newest records of keys stay.
-    pub(super) fn forget(&mut self, before: u64) {
+    pub(super) fn trim(&mut self, before: u64) {
         while self.first < before.min(self.end()) {
             self.records.pop_front();
             self.first += 1;
--- a/dev/standins/src/fleet/trainer.rs
+++ b/dev/standins/src/fleet/trainer.rs
@@ -34,9 +34,9 @@
 quick_error! {
     /// A promise that was not kept.
     #[derive(Debug)]
-    pub enum Broken {
+    pub enum Violation {
         /// The step was not taken or not whole in time.
-        Late(step: String, read: usize) {
+        TimedOut(step: String, read: usize) {
             display("step {}: {} results in time", step, read)
         }
         /// A proper step was refused for good.
@@ -44,15 +44,15 @@
             display("step {} was answered {}", step, status)
         }
         /// A position holds another result than before.
-        Changed(step: String, position: usize) {
+        ResultChanged(step: String, position: usize) {
             display("step {}: position {} has changed", step, position)
         }
         /// An item stands at two positions, or is none of the step.
-        Item(step: String, item: String) {
+        UnexpectedItem(step: String, item: String) {
             display("step {}: item {} stands twice or is none of it", step, item)
         }
         /// A result's text, versions or score are not what they must be.
-        Result(step: String, result: String) {
+        WrongResult(step: String, result: String) {
             display("step {}: {}", step, result)
         }
     }
@@ -63,7 +63,7 @@
     /// Events of a text.
     pub events: u64,
     /// Longest time for a step.
-    pub within: Duration,
+    pub timeout: Duration,
 }
 
 /// A trainer of the one model.
@@ -96,13 +96,13 @@
     }
 
     /// The fronts that it asks from now on, in turn.
-    pub fn use_fronts(&mut self, fronts: impl IntoIterator<Item = SocketAddr>) {
+    pub fn set_fronts(&mut self, fronts: impl IntoIterator<Item = SocketAddr>) {
         self.fronts = fronts.into_iter().collect();
     }
 
     /// Names a version and has a step of it made by that version or the one before; gives the
     /// results, in their positions.
-    pub async fn train(&mut self, number: u64, items: usize) -> Result<Vec<Value>, Broken> {
+    pub async fn train(&mut self, number: u64, items: usize) -> Result<Vec<Value>, Violation> {
         let key = format!("version/{MODEL}");
         let record = records::version(number);
         self.store.put("keyed.op", &key, Some(&record));
@@ -116,7 +116,7 @@
             results: Vec::new(),
             seen: BTreeSet::new(),
         };
-        let until = Instant::now() + self.expected.within;
+        let until = Instant::now() + self.expected.timeout;
         self.submit(&reading, step, until).await?;
         self.read_all(&mut reading, until).await?;
         self.end(&reading, until).await?;
@@ -128,25 +128,28 @@
         reading: &Reading,
         step: String,
         until: Instant,
-    ) -> Result<(), Broken> {
+    ) -> Result<(), Violation> {
         while Instant::now() < until {
             let path = format!("{STEPS}{}", reading.id);
             match self.ask("POST", path, step.clone(), reading).await {
                 Some((202, _)) => return Ok(()),
                 // Not accepted, or nobody knows: the same step again is one step.
                 Some((429 | 500.., _)) | None => sleep(Duration::from_millis(PAUSE_MS)).await,
-                Some((status, _)) => return Err(Broken::Refused(reading.id.clone(), status)),
+                Some((status, _)) => return Err(Violation::Refused(reading.id.clone(), status)),
             }
         }
-        Err(Broken::Late(reading.id.clone(), 0))
+        Err(Violation::TimedOut(reading.id.clone(), 0))
     }
 
-    async fn read_all(&mut self, reading: &mut Reading, until: Instant) -> Result<(), Broken> {
+    async fn read_all(&mut self, reading: &mut Reading, until: Instant) -> Result<(), Violation> {
         let accepted = Instant::now();
         let mut pages = 0;
         while reading.results.len() < reading.items {
             if Instant::now() >= until {
-                return Err(Broken::Late(reading.id.clone(), reading.results.len()));
+                return Err(Violation::TimedOut(
+                    reading.id.clone(),
+                    reading.results.len(),
+                ));
             }
             pages += 1;
             let after = match pages % REREAD_EVERY {
@@ -157,7 +160,7 @@
             match self.ask("GET", path, String::new(), reading).await {
                 Some((200, page)) => self.take(reading, after, &page)?,
                 Some((status @ (404 | 410), _)) if accepted.elapsed() > SETTLE => {
-                    return Err(Broken::Refused(reading.id.clone(), status));
+                    return Err(Violation::Refused(reading.id.clone(), status));
                 }
                 _ => sleep(Duration::from_millis(PAUSE_MS)).await,
             }
@@ -165,7 +168,7 @@
         Ok(())
     }
 
-    async fn end(&mut self, reading: &Reading, until: Instant) -> Result<(), Broken> {
+    async fn end(&mut self, reading: &Reading, until: Instant) -> Result<(), Violation> {
         while Instant::now() < until {
             let path = format!("/v1/lots/{}", reading.id);
             if let Some((200, _)) = self.ask("DELETE", path, String::new(), reading).await {
@@ -173,15 +176,18 @@
             }
             sleep(Duration::from_millis(PAUSE_MS)).await;
         }
-        Err(Broken::Late(reading.id.clone(), reading.results.len()))
+        Err(Violation::TimedOut(
+            reading.id.clone(),
+            reading.results.len(),
+        ))
     }
 
-    fn take(&self, reading: &mut Reading, after: usize, page: &Value) -> Result<(), Broken> {
+    fn take(&self, reading: &mut Reading, after: usize, page: &Value) -> Result<(), Violation> {
         let results = page["Results"].as_array().cloned().unwrap_or_default();
         for (position, result) in (after..).zip(results) {
             match reading.results.get(position) {
                 Some(known) if *known == result => {}
-                Some(_) => return Err(Broken::Changed(reading.id.clone(), position)),
+                Some(_) => return Err(Violation::ResultChanged(reading.id.clone(), position)),
                 None => {
                     self.check(reading, &result)?;
                     reading.results.push(result);
@@ -191,23 +197,26 @@
         Ok(())
     }
 
-    fn check(&self, reading: &mut Reading, result: &Value) -> Result<(), Broken> {
+    fn check(&self, reading: &mut Reading, result: &Value) -> Result<(), Violation> {
         let id = result["Id"].as_str().unwrap_or_default().to_owned();
         let prefix = format!("item-{}-", reading.named);
         if !id.starts_with(&prefix) || !reading.seen.insert(id.clone()) {
-            return Err(Broken::Item(reading.id.clone(), id));
+            return Err(Violation::UnexpectedItem(reading.id.clone(), id));
         }
         let versions = result["Versions"].as_array().cloned().unwrap_or_default();
         let allowed = reading.min_version..=reading.named;
         let is_allowed = |version: &Value| version.as_u64().is_some_and(|v| allowed.contains(&v));
         let kept = result["State"] == "succeeded"
-            && result["Text"] == whole_text(self.expected.events)
+            && result["Text"] == expected_text(self.expected.events)
             && !versions.is_empty()
             && versions.iter().all(is_allowed)
             && result["Score"] == id.replace("item", "stamp-score");
         match kept {
             true => Ok(()),
-            false => Err(Broken::Result(reading.id.clone(), result.to_string())),
+            false => Err(Violation::WrongResult(
+                reading.id.clone(),
+                result.to_string(),
+            )),
         }
     }
 
@@ -250,7 +259,7 @@
 }
 
 /// The text of a model replica that makes so many events.
-pub fn whole_text(events: u64) -> String {
+pub fn expected_text(events: u64) -> String {
     let words: Vec<String> = (1..=events).map(|event| format!("word-{event}")).collect();
     words.join("\n")
 }
--- a/dev/standins/src/handle.rs
+++ b/dev/standins/src/handle.rs
@@ -54,7 +54,7 @@
 
 impl Handle {
     /// Switches a fault on.
-    pub fn fault(&self, fault: Fault) {
+    pub fn inject_fault(&self, fault: Fault) {
         self.control.faults.set(fault);
     }
 
--- a/dev/standins/src/run.rs
+++ b/dev/standins/src/run.rs
@@ -112,7 +112,7 @@
         staleness_bound: number(args, "staleness-bound").into(),
         weights_every: number(args, "weights-every").into(),
         ahead: number(args, "ahead").into(),
-        give_up_ms: number(args, "give-up-ms").into(),
+        step_timeout_ms: number(args, "give-up-ms").into(),
         version: version(args),
         ..TrainerSettings::default()
     };
--- a/dev/standins/src/trainer/entries.rs
+++ b/dev/standins/src/trainer/entries.rs
@@ -17,9 +17,9 @@
 quick_error! {
     /// Why one exchange with an entry failed.
     #[derive(Debug)]
-    pub enum Trouble {
+    pub enum ExchangeError {
         /// It failed on the way.
-        Exchange(err: PlatformError) {
+        Transport(err: PlatformError) {
             display("{}", err)
             from()
         }
@@ -32,7 +32,7 @@
             display("{} samples received and the step is not complete", received)
         }
         /// The entry cannot do it now.
-        Busy(status: u16, cause: String) {
+        Unavailable(status: u16, cause: String) {
             display("status {}, cause {}", status, cause)
         }
     }
@@ -43,7 +43,7 @@
     endpoints: Vec<Endpoint>,
     turn: usize,
     token: String,
-    exchange_ms: u64,
+    request_timeout_ms: u64,
     give_up: Duration,
     /// Exchanges that were tried again.
     pub(super) retries: u64,
@@ -59,8 +59,8 @@
             endpoints: settings.entries.iter().copied().map(endpoint).collect(),
             turn: 0,
             token: settings.token.clone(),
-            exchange_ms: settings.exchange_ms,
-            give_up: Duration::from_millis(settings.give_up_ms),
+            request_timeout_ms: settings.request_timeout_ms,
+            give_up: Duration::from_millis(settings.step_timeout_ms),
             retries: 0,
         })
     }
@@ -83,11 +83,11 @@
         loop {
             match self.attempt(&path, &body, 0).await {
                 Ok(body) => return Ok(body),
-                Err(Trouble::Refused(status, cause)) => {
+                Err(ExchangeError::Refused(status, cause)) => {
                     return Err(TrainerError::Refused(path, status, cause));
                 }
                 Err(trouble) if began.elapsed() > self.give_up => {
-                    return Err(TrainerError::GaveUp(path, trouble));
+                    return Err(TrainerError::TimedOut(path, trouble));
                 }
                 Err(_) => self.next_entry().await,
             }
@@ -100,7 +100,7 @@
         path: &str,
         body: &Bytes,
         wait_ms: u64,
-    ) -> Result<Bytes, Trouble> {
+    ) -> Result<Bytes, ExchangeError> {
         let request = self.request(path, body);
         let (status, body) = self.once(request, wait_ms).await?;
         if (200..300).contains(&status) {
@@ -109,14 +109,14 @@
         let problem: Problem = serde_json::from_slice(&body).unwrap_or_default();
         Err(match status {
             // The step is not there, or its state has moved on, at this entry.
-            404 | 409 | 410 | 429 | 500..=599 => Trouble::Busy(status, problem.cause),
-            _ => Trouble::Refused(status, problem.cause),
+            404 | 409 | 410 | 429 | 500..=599 => ExchangeError::Unavailable(status, problem.cause),
+            _ => ExchangeError::Refused(status, problem.cause),
         })
     }
 
     async fn once(&self, request: Request, wait_ms: u64) -> Result<(u16, Bytes), PlatformError> {
         let entry = &self.endpoints[self.turn % self.endpoints.len()];
-        let deadline_ms = self.exchange_ms + wait_ms;
+        let deadline_ms = self.request_timeout_ms + wait_ms;
         let response = entry.send(request, deadline_ms).await?;
         let status = response.head.status;
         Ok((status, response.body.read_to_end().await?))
--- a/dev/standins/src/trainer/ledger.rs
+++ b/dev/standins/src/trainer/ledger.rs
@@ -73,7 +73,7 @@
     groups: u32,
     samples: u32,
     staleness_bound: u64,
-    texts_tell_versions: bool,
+    texts_contain_versions: bool,
     received: BTreeSet<(u32, u32)>,
 }
 
@@ -85,15 +85,15 @@
             groups,
             samples,
             staleness_bound,
-            texts_tell_versions: true,
+            texts_contain_versions: true,
             received: BTreeSet::new(),
         }
     }
 
     /// The same ledger for engines whose texts do not tell their versions.
-    pub fn without_texts(self) -> Ledger {
+    pub fn ignoring_texts(self) -> Ledger {
         Ledger {
-            texts_tell_versions: false,
+            texts_contain_versions: false,
             ..self
         }
     }
@@ -104,7 +104,7 @@
     }
 
     /// Takes a sample in that came to a trainer on version `trainer`.
-    pub fn take(&mut self, sample: &Sample, trainer: WeightVersion) -> Vec<SampleFault> {
+    pub fn record(&mut self, sample: &Sample, trainer: WeightVersion) -> Vec<SampleFault> {
         let mut faults = Vec::new();
         faults.extend(self.slot(sample));
         faults.extend(self.versions(sample));
@@ -113,7 +113,7 @@
     }
 
     /// Ends the step.
-    pub fn complete(&self) -> Option<SampleFault> {
+    pub fn check_complete(&self) -> Option<SampleFault> {
         let total = self.groups as usize * self.samples as usize;
         (self.received.len() != total).then_some(SampleFault::Missing {
             step: self.step,
@@ -138,7 +138,7 @@
             .into_iter()
             .collect();
         let told: BTreeSet<_> = versions_in(&sample.text).into_iter().collect();
-        let right = !named.is_empty() && (!self.texts_tell_versions || named == told);
+        let right = !named.is_empty() && (!self.texts_contain_versions || named == told);
         (!right).then(|| SampleFault::WrongVersions {
             step: self.step,
             named: sample.versions.clone(),
--- a/dev/standins/src/trainer/mod.rs
+++ b/dev/standins/src/trainer/mod.rs
@@ -12,7 +12,7 @@
 mod session;
 mod settings;
 
-pub use entries::Trouble;
+pub use entries::ExchangeError;
 pub use ledger::{Ledger, SampleFault};
 pub use messages::{Fetched, Sample};
 pub use report::TrainerReport;
--- a/dev/standins/src/trainer/session.rs
+++ b/dev/standins/src/trainer/session.rs
@@ -9,7 +9,7 @@
 use tokio::time::{Instant, sleep};
 use types::WeightVersion;
 
-use super::entries::{Entries, Trouble};
+use super::entries::{Entries, ExchangeError};
 use super::ledger::Ledger;
 use super::messages::{Announcement, Fetch, Fetched, Group, Posted, Step};
 use super::report::TrainerReport;
@@ -24,7 +24,7 @@
             display("the trainer needs an entry")
         }
         /// An exchange did not come about in the time of a step.
-        GaveUp(path: String, last: Trouble) {
+        TimedOut(path: String, last: ExchangeError) {
             display("gave up on {}: {}", path, last)
         }
         /// An entry refused for good.
@@ -138,11 +138,11 @@
             settings.samples,
             settings.staleness_bound,
         );
-        if !settings.texts_tell_versions {
-            ledger = ledger.without_texts();
+        if !settings.texts_contain_versions {
+            ledger = ledger.ignoring_texts();
         }
         while !self.fetch(step, &mut ledger, waiting).await? {}
-        self.report.faults.extend(ledger.complete());
+        self.report.faults.extend(ledger.check_complete());
         self.report.steps += 1;
         self.report.idle_ms += waiting.elapsed().as_millis() as u64;
         Ok(())
@@ -172,15 +172,15 @@
         };
         let fetched: Fetched = parse(&answer)?;
         for sample in &fetched.samples {
-            let faults = ledger.take(sample, self.version);
+            let faults = ledger.record(sample, self.version);
             self.report.faults.extend(faults);
             self.report.count(sample.staleness, sample.versions.len());
         }
         self.cursors.insert(step, fetched.cursor);
         if !fetched.complete && waiting.elapsed() > self.give_up() {
-            return Err(TrainerError::GaveUp(
+            return Err(TrainerError::TimedOut(
                 path,
-                Trouble::Incomplete(fetched.received),
+                ExchangeError::Incomplete(fetched.received),
             ));
         }
         Ok(fetched.complete)
@@ -193,13 +193,13 @@
         step: u64,
         waiting: Instant,
         path: String,
-        trouble: Trouble,
+        trouble: ExchangeError,
     ) -> Result<bool, TrainerError> {
-        if let Trouble::Refused(status, cause) = trouble {
+        if let ExchangeError::Refused(status, cause) = trouble {
             return Err(TrainerError::Refused(path, status, cause));
         }
         if waiting.elapsed() > self.give_up() {
-            return Err(TrainerError::GaveUp(path, trouble));
+            return Err(TrainerError::TimedOut(path, trouble));
         }
         self.entries.next_entry().await;
         self.post(step).await?;
@@ -207,7 +207,7 @@
     }
 
     fn give_up(&self) -> Duration {
-        Duration::from_millis(self.settings.give_up_ms)
+        Duration::from_millis(self.settings.step_timeout_ms)
     }
 }
 
--- a/dev/standins/src/trainer/settings.rs
+++ b/dev/standins/src/trainer/settings.rs
@@ -37,14 +37,14 @@
     /// Long poll of one fetch.
     pub wait_ms: u64,
     /// Deadline of an exchange, the long poll apart.
-    pub exchange_ms: u64,
+    pub request_timeout_ms: u64,
     /// Longest wait for one step.
-    pub give_up_ms: u64,
+    pub step_timeout_ms: u64,
     /// Version that it starts from.
     pub version: WeightVersion,
     /// Whether the engines' texts end in the version that made them, as the stand-in's
     /// do, so that the versions of a sample can be held against its text.
-    pub texts_tell_versions: bool,
+    pub texts_contain_versions: bool,
 }
 
 impl Default for TrainerSettings {
@@ -64,10 +64,10 @@
             ahead: 1,
             fetch_max: 64,
             wait_ms: 500,
-            exchange_ms: 5_000,
-            give_up_ms: 60_000,
+            request_timeout_ms: 5_000,
+            step_timeout_ms: 60_000,
             version: WeightVersion::default(),
-            texts_tell_versions: true,
+            texts_contain_versions: true,
         }
     }
 }
--- a/dev/standins/tests/engine.rs
+++ b/dev/standins/tests/engine.rs
@@ -208,7 +208,7 @@
     ];
     for case in cases {
         let bench = bench(immediate()).await;
-        bench.handle.fault(case.fault.times(1));
+        bench.handle.inject_fault(case.fault.times(1));
         assert!(swap(&bench, "0.1").await.is_err(), "{}", case.name);
         assert_eq!(bench.version().await, v(case.version), "{}", case.name);
         assert_eq!(swap(&bench, "0.1").await, Ok(()), "{}", case.name);
@@ -220,7 +220,7 @@
     let store = standins::store::start(StoreSettings::new(anywhere()))
         .await
         .unwrap();
-    store.fault(Fault::new(FaultKind::StoreRate));
+    store.inject_fault(Fault::new(FaultKind::StoreRate));
     let settings = EngineSettings {
         store: Some(store.address),
         ..immediate()
@@ -252,7 +252,7 @@
     let bench = bench(settings).await;
     swap(&bench, "0.1").await.unwrap();
     let crash = Fault::new(FaultKind::CrashOn).with_text("boom");
-    bench.handle.fault(crash.times(1));
+    bench.handle.inject_fault(crash.times(1));
     let mut other = bench.stream("\"prompt\":\"p\",\"max_tokens\":60000").await;
     assert!(other.more().await.unwrap());
     assert!(bench.ask("\"prompt\":\"a boom\"").await.is_err());
@@ -281,7 +281,7 @@
         let bench = bench(settings).await;
         bench
             .handle
-            .fault(Fault::new(FaultKind::CrashOn).with_text("boom"));
+            .inject_fault(Fault::new(FaultKind::CrashOn).with_text("boom"));
         let copies = (0..8).map(|_| bench.ask("\"prompt\":\"a boom\""));
         let answers = join_all(copies).await;
         assert!(answers.iter().all(Result::is_err));
@@ -321,7 +321,7 @@
         after: 2,
         ..Fault::new(FaultKind::Truncate)
     };
-    bench.handle.fault(truncate.times(1));
+    bench.handle.inject_fault(truncate.times(1));
     let (transcript, finish, whole) = bench.stream("\"prompt\":\"p\"").await.rest().await;
     assert_eq!((transcript.pieces, finish, whole), (2, None, false));
 }
--- a/dev/standins/tests/fleet_store.rs
+++ b/dev/standins/tests/fleet_store.rs
@@ -85,7 +85,7 @@
         case("nobody's", "", 200, "End", 5),
     ];
     let store = Store::default();
-    let handle = store.open(([127, 0, 0, 1], 0).into()).await.unwrap();
+    let handle = store.listen(([127, 0, 0, 1], 0).into()).await.unwrap();
     let door = Endpoint::new(handle.address, EndpointSettings::default());
     for case in cases {
         let (status, answer) = append(&door, case.terms).await;
--- a/dev/standins/tests/service.rs
+++ b/dev/standins/tests/service.rs
@@ -69,7 +69,7 @@
     let (handle, endpoint) = service().await;
     for case in cases {
         let fault = Fault::new(case.fault).with_text("/sanctions");
-        handle.fault(fault.times(1));
+        handle.inject_fault(fault.times(1));
         let answer = call(&endpoint, case.name, "/sanctions").await;
         let run = answer.is_ok_and(|text| text.contains("sanction\":"));
         assert!(!run, "{}", case.name);
--- a/dev/standins/tests/trainer.rs
+++ b/dev/standins/tests/trainer.rs
@@ -100,7 +100,7 @@
     };
     for case in cases {
         let mut ledger = Ledger::new(STEP, 2, 2, BOUND);
-        let faults = ledger.take(&case.sample, trainer);
+        let faults = ledger.record(&case.sample, trainer);
         assert_eq!(faults.first(), case.expected.as_ref(), "{}", case.name);
         assert_eq!(
             faults.len(),
@@ -118,17 +118,17 @@
         epoch: 1,
         version: 7,
     };
-    assert_eq!(ledger.take(&sample(&["1.7"], 0), version), []);
+    assert_eq!(ledger.record(&sample(&["1.7"], 0), version), []);
     let doubled = SampleFault::Doubled {
         step: STEP,
         group: 0,
         index: 0,
     };
-    assert_eq!(ledger.take(&sample(&["1.7"], 0), version), [doubled]);
+    assert_eq!(ledger.record(&sample(&["1.7"], 0), version), [doubled]);
     let missing = SampleFault::Missing {
         step: STEP,
         received: 1,
         total: 2,
     };
-    assert_eq!(ledger.complete(), Some(missing));
+    assert_eq!(ledger.check_complete(), Some(missing));
 }
