--- a/dev/standins/src/cli.rs
+++ b/dev/standins/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Definition of the command line.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use clap::{Arg, ArgAction, Command, value_parser};
 use types::WeightVersion;
 
-/// The whole command line.
+/// Returns the command with all subcommands.
 pub fn command() -> Command {
     Command::new("hornbeamrock-standins")
         .about("Stand-ins of the systems outside hornbeamrock; never shipped")
@@ -28,27 +28,35 @@
         .arg(number(
             "keep-count",
             "100000",
-            "Records that each stream keeps",
+            "Records that each stream retains",
+        ))
+        .arg(number(
+            "append-ms",
+            "0",
+            "Time in ms that each append takes",
         ))
-        .arg(number("append-ms", "0", "Time of one append"))
         .arg(number(
             "appends-per-s",
             "0",
-            "Appends a second; 0 sets no limit",
+            "Appends per second; 0 means no limit",
         ))
 }
 
 fn vms() -> Command {
     Command::new("vms")
-        .about("The VM list; change it by POST /standin/vms {\"set\":[..],\"remove\":[..]}")
+        .about("The VM list; change it with POST /standin/vms {\"set\":[..],\"remove\":[..]}")
         .arg(listen())
-        .arg(number("lag-ms", "0", "How late a change shows"))
+        .arg(number(
+            "lag-ms",
+            "0",
+            "Time in ms until a change becomes visible",
+        ))
         .arg(
             Arg::new("vm")
                 .long("vm")
                 .action(ArgAction::Append)
                 .value_name("ROLE,IP:PORT,DOMAIN,REGION")
-                .help("A VM at the start; may stand several times"),
+                .help("A VM in the list at the start; may be repeated"),
         )
 }
 
@@ -56,22 +64,26 @@
     Command::new("store")
         .about("The weight store")
         .arg(listen())
-        .arg(number("per-s", "0", "Answers a second; 0 sets no limit"))
+        .arg(number("per-s", "0", "Answers per second; 0 means no limit"))
 }
 
 fn scorer() -> Command {
     Command::new("scorer")
         .about("A scorer")
         .arg(listen())
-        .arg(number("score-ms", "0", "Time of one score"))
+        .arg(number("score-ms", "0", "Time in ms that each score takes"))
 }
 
 fn service() -> Command {
     Command::new("service")
         .about("A plain service")
         .arg(listen())
-        .arg(text("name", "service", "Name in its answers"))
-        .arg(number("service-ms", "2", "Time of one call"))
+        .arg(text(
+            "name",
+            "service",
+            "Name of the service in its answers",
+        ))
+        .arg(number("service-ms", "2", "Time in ms that each call takes"))
 }
 
 fn engine() -> Command {
@@ -79,7 +91,7 @@
         Arg::new("store")
             .long("store")
             .value_parser(value_parser!(SocketAddr))
-            .help("Weight store that loads come from"),
+            .help("Weight store from which versions are loaded"),
     )
 }
 
@@ -93,12 +105,12 @@
         .arg(number(
             "service-ms",
             "2",
-            "Time of one call of a plain service",
+            "Time in ms that each call of a plain service takes",
         ))
         .arg(number(
             "store-per-s",
             "0",
-            "Answers a second of the store; 0 sets no limit",
+            "Answers per second of the store; 0 means no limit",
         ));
     engine_args(site)
 }
@@ -112,36 +124,40 @@
                 .required(true)
                 .action(ArgAction::Append)
                 .value_parser(value_parser!(SocketAddr))
-                .help("Address of an entry; may stand several times"),
+                .help("Address of an entry; may be repeated"),
         )
         .arg(text("token", "", "Bearer token of the trainer"))
         .arg(text("service", "", "Model service that is trained"))
         .arg(number("steps", "2", "Steps to run"))
         .arg(number("first-step", "1", "Number of the first step"))
-        .arg(number("groups", "4", "Groups of a step"))
-        .arg(number("samples", "4", "Samples of a group"))
-        .arg(number("max-tokens", "64", "Longest sample"))
+        .arg(number("groups", "4", "Groups per step"))
+        .arg(number("samples", "4", "Samples per group"))
+        .arg(number("max-tokens", "64", "Most tokens of a sample"))
         .arg(number(
             "train-ms",
             "200",
-            "Time that training on a step takes",
+            "Time in ms that training on a step takes",
         ))
         .arg(number(
             "staleness-bound",
             "2",
-            "Versions that a sample may be behind",
+            "Versions that a sample may be behind the trainer's",
         ))
         .arg(number(
             "weights-every",
             "1",
-            "Steps between two versions; 0 for none",
+            "Steps between two new versions; 0 for no new versions",
         ))
         .arg(number(
             "ahead",
             "1",
             "Steps posted ahead of the one that is trained on",
         ))
-        .arg(number("give-up-ms", "60000", "Longest wait for one step"))
+        .arg(number(
+            "give-up-ms",
+            "60000",
+            "Time in ms after which an incomplete step is abandoned",
+        ))
         .arg(version(
             "version",
             "0.0",
@@ -154,38 +170,46 @@
         .arg(text(
             "model",
             "model",
-            "Model, or several with commas between",
+            "Model, or several separated by commas",
         ))
         .arg(version(
             "version",
             "0.0",
-            "Version that the models start on",
+            "Version that the models serve at the start",
         ))
         .arg(
             Arg::new("fencing")
                 .long("fencing")
                 .default_value("checked")
                 .value_parser(PossibleValuesParser::new(["checked", "ignored"]))
-                .help("Whether orders with an old fencing number are refused"),
+                .help("Whether orders with an old fencing token are refused"),
         )
         .arg(number(
             "scale-permille",
             "1000",
-            "Time scale of the engine's work",
+            "Factor on the durations of the engine's work, in thousandths",
         ))
-        .arg(number("batch-max", "32", "Sequences in a batch"))
+        .arg(number("batch-max", "32", "Most sequences in a batch"))
         .arg(number("kv-blocks", "4096", "Blocks of KV cache memory"))
-        .arg(number("tokens-min", "8", "Shortest natural completion"))
+        .arg(number(
+            "tokens-min",
+            "8",
+            "Fewest tokens of a completion that max_tokens does not limit",
+        ))
         .arg(number(
             "tokens-max",
             "48",
-            "Longest natural completion, stragglers apart",
+            "Most tokens of a completion that max_tokens does not limit, except for stragglers",
+        ))
+        .arg(number(
+            "report-lag-ms",
+            "200",
+            "Age in ms of the load that is reported",
         ))
-        .arg(number("report-lag-ms", "200", "Age of the load report"))
         .arg(number(
             "restart-ms",
             "300",
-            "Time from a crash to the next life",
+            "Time in ms from a crash to the restart",
         ))
 }
 
@@ -195,7 +219,7 @@
         .required(true)
         .value_name("IP:PORT")
         .value_parser(value_parser!(SocketAddr))
-        .help("Where it listens")
+        .help("Address to listen on")
 }
 
 fn number(name: &'static str, default: &'static str, help: &'static str) -> Arg {
--- a/dev/standins/src/engine/completion.rs
+++ b/dev/standins/src/engine/completion.rs
@@ -1,18 +1,18 @@
-//! Completions as HTTP carries them.
+//! Requests for completions and their answers over HTTP.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use tokio::sync::mpsc;
 use types::WeightVersion;
 
-use super::batch::{Emitted, Ending};
-use crate::reply::{self, Chunks, Cut, Reply};
+use super::batch::{Emitted, FinishReason};
+use crate::reply::{self, ChunkSender, ConnectionCut, Reply};
 
-const MAX_TOKENS: u32 = 256;
+const DEFAULT_MAX_TOKENS: u32 = 256;
 
-/// A request for a completion.
+/// Body of a request for a completion.
 #[derive(Deserialize)]
-pub(super) struct Question {
+pub(super) struct CompletionRequest {
     pub(super) model: String,
     pub(super) prompt: String,
     pub(super) max_tokens: Option<u32>,
@@ -28,10 +28,10 @@
     pub(super) resume_tokens: Vec<u32>,
 }
 
-impl Question {
-    /// Limit of the whole completion's tokens, resumed ones included.
+impl CompletionRequest {
+    /// Limit on the tokens of the completion, including the `resume_tokens`.
     pub(super) fn max_tokens(&self) -> u32 {
-        self.max_tokens.unwrap_or(MAX_TOKENS)
+        self.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS)
     }
 }
 
@@ -62,7 +62,7 @@
     completion_tokens: usize,
 }
 
-/// The completion under way.
+/// A completion in progress.
 pub(super) struct Completion {
     pub(super) id: String,
     pub(super) prompt_tokens: usize,
@@ -70,21 +70,21 @@
 }
 
 impl Completion {
-    /// Answers as a stream.
+    /// Answers with a stream of server-sent events, one per token.
     pub(super) fn stream(self) -> Reply {
         let (chunks, reply) = reply::stream();
-        tokio::spawn(self.send(chunks));
+        tokio::spawn(self.send_events(chunks));
         reply
     }
 
-    /// Answers in one piece.
-    pub(super) async fn whole(mut self) -> Reply {
+    /// Answers with the complete text.
+    pub(super) async fn collect(mut self) -> Reply {
         let mut text = String::new();
         let mut token_ids = Vec::new();
         let mut versions: Vec<WeightVersion> = Vec::new();
-        let ending = loop {
+        let finish_reason = loop {
             let Some(emitted) = self.emitted.recv().await else {
-                // The engine crashed; its connections are cut at the same moment.
+                // The engine crashed, which also closes this connection.
                 return std::future::pending().await;
             };
             text.push_str(&emitted.text);
@@ -92,15 +92,15 @@
             if emitted.id.is_some() && !versions.contains(&emitted.version) {
                 versions.push(emitted.version);
             }
-            if let Some(ending) = emitted.ending {
-                break ending;
+            if let Some(finish_reason) = emitted.finish_reason {
+                break finish_reason;
             }
         };
         let versions = versions.iter().map(WeightVersion::to_string).collect();
         let answer = Answer {
             id: &self.id,
             object: "text_completion",
-            choices: [choice(&text, &token_ids, Some(ending))],
+            choices: [choice(&text, &token_ids, Some(finish_reason))],
             weight_version: None,
             weight_versions: Some(versions),
             usage: Some(self.usage(token_ids.len())),
@@ -108,23 +108,23 @@
         reply::json(200, &answer)
     }
 
-    async fn send(mut self, chunks: Chunks) {
-        let mut made = 0;
+    async fn send_events(mut self, chunks: ChunkSender) {
+        let mut generated = 0;
         loop {
-            // The receiver is dropped, and with it the sequence, as soon as the
-            // connection is gone.
+            // Returning drops the receiver, upon which the engine removes the sequence. This stops
+            // the generation when the caller disconnects.
             let emitted = tokio::select! {
                 emitted = self.emitted.recv() => emitted,
                 _ = chunks.closed() => return,
             };
             let Some(emitted) = emitted else {
-                let _ = chunks.send(Err(Cut::OnPurpose)).await;
+                let _ = chunks.send(Err(ConnectionCut::Simulated)).await;
                 return;
             };
-            made += usize::from(emitted.id.is_some());
-            let usage = emitted.ending.map(|_| self.usage(made));
+            generated += usize::from(emitted.id.is_some());
+            let usage = emitted.finish_reason.map(|_| self.usage(generated));
             let _ = chunks.send(Ok(self.event(&emitted, usage))).await;
-            if emitted.ending.is_some() {
+            if emitted.finish_reason.is_some() {
                 let _ = chunks
                     .send(Ok(Bytes::from_static(b"data: [DONE]\n\n")))
                     .await;
@@ -137,7 +137,11 @@
         let answer = Answer {
             id: &self.id,
             object: "text_completion",
-            choices: [choice(&emitted.text, emitted.id.as_slice(), emitted.ending)],
+            choices: [choice(
+                &emitted.text,
+                emitted.id.as_slice(),
+                emitted.finish_reason,
+            )],
             weight_version: emitted.id.map(|_| emitted.version.to_string()),
             weight_versions: None,
             usage,
@@ -154,11 +158,15 @@
     }
 }
 
-fn choice<'a>(text: &'a str, token_ids: &'a [u32], ending: Option<Ending>) -> Choice<'a> {
+fn choice<'a>(
+    text: &'a str,
+    token_ids: &'a [u32],
+    finish_reason: Option<FinishReason>,
+) -> Choice<'a> {
     Choice {
         index: 0,
         text,
         token_ids,
-        finish_reason: ending.map(Ending::as_str),
+        finish_reason: finish_reason.map(FinishReason::as_str),
     }
 }
--- a/dev/standins/src/engine/kv.rs
+++ b/dev/standins/src/engine/kv.rs
@@ -1,4 +1,4 @@
-//! KV cache memory: blocks of running sequences and of cached prefixes.
+//! KV cache memory: private blocks of running sequences, and blocks of cached prompt prefixes.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -6,45 +6,50 @@
 use adapters::{CacheEvent, CacheEventKind, CachePage};
 use tokio::time::Instant;
 
-use super::text::mixed;
+use super::text::mix;
 
-const EVENTS_MAX: usize = 10_000;
+const RETAINED_EVENTS_MAX: usize = 10_000;
 const PERMILLE: u64 = 1_000;
 
-struct Cached {
+struct CachedBlock {
+    /// Running sequences that use the block.
     users: u32,
+    /// Value of [`KvCache::uses`] at the last use.
     last_used: u64,
 }
 
-struct Told {
-    at: Instant,
+struct RecordedEvent {
+    recorded_at: Instant,
     event: CacheEvent,
 }
 
-/// The memory of one life of an engine.
-pub(super) struct Kv {
+/// KV cache memory of an engine's life.
+pub(super) struct KvCache {
     blocks_max: usize,
-    gaps_permille: u64,
+    /// Share of events that are dropped, which leaves gaps in their numbers.
+    lost_events_permille: u64,
+    /// Blocks that hold no cached prefix.
     private: usize,
-    cached: HashMap<u64, Cached>,
+    cached: HashMap<u64, CachedBlock>,
+    /// Reservations tried so far, as a clock for evicting the least recently used block.
     uses: u64,
-    events: VecDeque<Told>,
+    events: VecDeque<RecordedEvent>,
     next_seq: u64,
 }
 
-/// Memory that one sequence holds.
-pub(super) struct Held {
+/// Blocks that a running sequence uses.
+pub(super) struct Reservation {
     prefix: Vec<u64>,
     private: usize,
-    /// Blocks of the prompt that were cached already.
-    pub(super) found: usize,
+    /// Blocks of the prompt that were cached before the reservation.
+    pub(super) cached_blocks: usize,
 }
 
-impl Kv {
-    pub(super) fn new(blocks_max: usize, gaps_permille: u64) -> Kv {
-        Kv {
+impl KvCache {
+    pub(super) fn new(blocks_max: usize, lost_events_permille: u64) -> KvCache {
+        KvCache {
             blocks_max,
-            gaps_permille,
+            lost_events_permille,
             private: 0,
             cached: HashMap::new(),
             uses: 0,
@@ -53,64 +58,69 @@
         }
     }
 
-    /// Holds the prefix and `private` more blocks; none of it if memory is short.
-    pub(super) fn hold(&mut self, prefix: &[u64], private: usize) -> Option<Held> {
-        let known = prefix
+    /// Reserves the blocks of the prefix and `private` more, evicting unused blocks if needed.
+    /// Reserves nothing if the memory does not suffice.
+    pub(super) fn reserve(&mut self, prefix: &[u64], private: usize) -> Option<Reservation> {
+        let cached_prefix = prefix
             .iter()
             .take_while(|block| self.cached.contains_key(block));
-        let found = known.count();
+        let cached_blocks = cached_prefix.count();
         self.uses += 1;
-        for block in &prefix[..found] {
-            self.take(*block);
+        for block in &prefix[..cached_blocks] {
+            self.use_block(*block);
         }
-        if !self.make_room(prefix.len() - found + private) {
-            self.release_prefix(&prefix[..found]);
+        if !self.evict_to_fit(prefix.len() - cached_blocks + private) {
+            self.release_prefix(&prefix[..cached_blocks]);
             return None;
         }
-        for block in &prefix[found..] {
-            self.take(*block);
+        for block in &prefix[cached_blocks..] {
+            self.use_block(*block);
         }
         self.private += private;
-        Some(Held {
+        Some(Reservation {
             prefix: prefix.to_vec(),
             private,
-            found,
+            cached_blocks,
         })
     }
 
-    /// Gives back what a sequence held; its prefix stays cached.
-    pub(super) fn release(&mut self, held: &Held) {
-        self.private -= held.private;
-        self.release_prefix(&held.prefix);
+    /// Releases the blocks of a sequence. Its prefix stays cached until it is evicted.
+    pub(super) fn release(&mut self, reservation: &Reservation) {
+        self.private -= reservation.private;
+        self.release_prefix(&reservation.prefix);
     }
 
-    /// Forgets all prefixes that no sequence holds: they belong to an older version.
-    pub(super) fn forget_prefixes(&mut self) {
+    /// Evicts all prefixes that no sequence uses. Called after a switch, because cached blocks
+    /// depend on the version that computed them.
+    pub(super) fn evict_unused_prefixes(&mut self) {
         let idle = self.cached.iter().filter(|(_, cached)| cached.users == 0);
         let blocks: Vec<u64> = idle.map(|(block, _)| *block).collect();
         for block in blocks {
-            self.remove(block);
+            self.evict(block);
         }
     }
 
-    /// Share of the memory that sequences hold, in thousandths.
+    /// Share of the memory that running sequences use, in thousandths.
     pub(super) fn used_permille(&self) -> u32 {
-        let held = self.cached.values().filter(|cached| cached.users > 0);
-        let used = self.private + held.count();
+        let used_blocks = self.cached.values().filter(|cached| cached.users > 0);
+        let used = self.private + used_blocks.count();
         (used * PERMILLE as usize / self.blocks_max.max(1)) as u32
     }
 
-    /// Whether the memory could hold so many blocks at all.
-    pub(super) fn could_hold(&self, blocks: usize) -> bool {
+    /// Whether this many blocks fit into the memory when it is empty.
+    pub(super) fn can_fit(&self, blocks: usize) -> bool {
         blocks <= self.blocks_max
     }
 
-    /// Events from number `from` on that are at least `lag` old.
+    /// Events with numbers from `from` on that are at least `lag` old.
     pub(super) fn events(&self, from: u64, lag: Duration) -> CachePage {
-        let old = self.events.iter().filter(|told| told.at.elapsed() >= lag);
+        let old = self
+            .events
+            .iter()
+            .filter(|recorded| recorded.recorded_at.elapsed() >= lag);
         let events: Vec<CacheEvent> = old
-            .filter(|told| told.event.seq >= from)
-            .map(|told| told.event.clone())
+            .filter(|recorded| recorded.event.seq >= from)
+            .map(|recorded| recorded.event.clone())
             .collect();
         let next = events.last().map_or(from, |event| event.seq + 1);
         CachePage {
@@ -119,17 +129,17 @@
         }
     }
 
-    fn take(&mut self, block: u64) {
+    fn use_block(&mut self, block: u64) {
         let uses = self.uses;
         let stored = !self.cached.contains_key(&block);
-        let cached = self.cached.entry(block).or_insert(Cached {
+        let cached = self.cached.entry(block).or_insert(CachedBlock {
             users: 0,
             last_used: uses,
         });
         cached.users += 1;
         cached.last_used = uses;
         if stored {
-            self.tell(CacheEventKind::Stored, block);
+            self.record_event(CacheEventKind::Stored, block);
         }
     }
 
@@ -141,34 +151,34 @@
         }
     }
 
-    fn make_room(&mut self, blocks: usize) -> bool {
+    fn evict_to_fit(&mut self, blocks: usize) -> bool {
         while self.private + self.cached.len() + blocks > self.blocks_max {
             let idle = self.cached.iter().filter(|(_, cached)| cached.users == 0);
             let oldest = idle.min_by_key(|(block, cached)| (cached.last_used, **block));
             let Some(block) = oldest.map(|(block, _)| *block) else {
                 return false;
             };
-            self.remove(block);
+            self.evict(block);
         }
         true
     }
 
-    fn remove(&mut self, block: u64) {
+    fn evict(&mut self, block: u64) {
         self.cached.remove(&block);
-        self.tell(CacheEventKind::Removed, block);
+        self.record_event(CacheEventKind::Removed, block);
     }
 
-    fn tell(&mut self, kind: CacheEventKind, block: u64) {
+    fn record_event(&mut self, kind: CacheEventKind, block: u64) {
         let seq = self.next_seq;
         self.next_seq += 1;
-        if mixed(seq) % PERMILLE < self.gaps_permille {
+        if mix(seq) % PERMILLE < self.lost_events_permille {
             return;
         }
-        if self.events.len() == EVENTS_MAX {
+        if self.events.len() == RETAINED_EVENTS_MAX {
             self.events.pop_front();
         }
-        self.events.push_back(Told {
-            at: Instant::now(),
+        self.events.push_back(RecordedEvent {
+            recorded_at: Instant::now(),
             event: CacheEvent { seq, kind, block },
         });
     }
--- a/dev/standins/src/engine/mod.rs
+++ b/dev/standins/src/engine/mod.rs
@@ -1,10 +1,11 @@
-//! A model engine: batches continuously, caches prompt prefixes in limited memory,
-//! honours priorities, streams, resumes and cancels, loads and switches versions.
+//! A model engine with continuous batching, a limited prefix cache, request priorities, streaming,
+//! resumption, cancellation, and loading and switching of weight versions.
 //!
-//! The time of a step grows with the batch and with the prompt tokens that it reads.
-//! Each token's text ends in the version that made it (`" 3fa9@1.7"`), so that a test
-//! can hold the stamps against the truth. When it crashes, all connections are cut, its
-//! state is lost, and it comes back in its next life on its first versions.
+//! The duration of a step grows with the number of sequences in the batch and with the prompt
+//! tokens that are not cached. The text of each token ends in the version that generated it
+//! (`" 3fa9@1.7"`), so that tests can check the versions that an answer states. In a crash the
+//! engine closes all connections and loses its state; its next life starts on the configured
+//! versions.
 
 mod batch;
 mod completion;
--- a/dev/standins/src/engine/orders.rs
+++ b/dev/standins/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Models, their versions, and orders to load and switch them.
+//! Models of an engine: loaded and serving versions, and the fencing of orders.
 
 use std::collections::BTreeMap;
 
@@ -9,20 +9,22 @@
 
 struct Model {
     version: WeightVersion,
+    /// In the order of loading.
     loaded: Vec<WeightVersion>,
+    /// Highest fencing token of the orders accepted so far.
     fence: u64,
 }
 
-/// What becomes of an order.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Verdict {
+pub(super) enum OrderOutcome {
     Done,
     UnknownModel,
     OldFence,
     NotLoaded,
 }
 
-/// The models of one life of an engine.
+/// Models of an engine's life.
 pub(super) struct Models {
     fencing: Fencing,
     loaded_max: usize,
@@ -46,60 +48,62 @@
         }
     }
 
-    /// Version of a model that serves now.
+    /// Serving version of a model.
     pub(super) fn version(&self, model: &str) -> Option<WeightVersion> {
         self.models.get(model).map(|model| model.version)
     }
 
-    /// Checks an order before anything is done for it, and takes its fencing number.
-    pub(super) fn accept(&mut self, model: &str, fence: u64) -> Verdict {
+    /// Checks the model and the fencing token of an order before the order runs, and records the
+    /// token if it is the highest so far.
+    pub(super) fn accept(&mut self, model: &str, fence: u64) -> OrderOutcome {
         let checked = self.fencing == Fencing::Checked;
         let Some(model) = self.models.get_mut(model) else {
-            return Verdict::UnknownModel;
+            return OrderOutcome::UnknownModel;
         };
         if checked && fence < model.fence {
-            return Verdict::OldFence;
+            return OrderOutcome::OldFence;
         }
         model.fence = model.fence.max(fence);
-        Verdict::Done
+        OrderOutcome::Done
     }
 
-    /// Puts a version into memory; the oldest one that does not serve makes room.
-    pub(super) fn loaded(&mut self, model: &str, version: WeightVersion) -> Verdict {
+    /// Adds a version to the loaded ones. Above the limit, the version loaded first among those
+    /// that do not serve is unloaded.
+    pub(super) fn add_loaded(&mut self, model: &str, version: WeightVersion) -> OrderOutcome {
         let loaded_max = self.loaded_max;
         let Some(model) = self.models.get_mut(model) else {
-            return Verdict::UnknownModel;
+            return OrderOutcome::UnknownModel;
         };
         if model.loaded.contains(&version) {
-            return Verdict::Done;
+            return OrderOutcome::Done;
         }
         model.loaded.push(version);
         if model.loaded.len() > loaded_max {
             let serving = model.version;
             let oldest = model.loaded.iter().position(|other| *other != serving);
-            oldest.map(|at| model.loaded.remove(at));
+            oldest.map(|index| model.loaded.remove(index));
         }
-        Verdict::Done
+        OrderOutcome::Done
     }
 
-    /// Whether a model has this version in memory.
-    pub(super) fn has(&self, model: &str, version: WeightVersion) -> bool {
+    /// Whether the version of a model is loaded.
+    pub(super) fn is_loaded(&self, model: &str, version: WeightVersion) -> bool {
         let model = self.models.get(model);
         model.is_some_and(|model| model.loaded.contains(&version))
     }
 
-    /// Makes a loaded version the serving one.
-    pub(super) fn switch(&mut self, model: &str, version: WeightVersion) -> Verdict {
-        if !self.has(model, version) {
-            return Verdict::NotLoaded;
+    /// Makes a loaded version the serving version.
+    pub(super) fn switch(&mut self, model: &str, version: WeightVersion) -> OrderOutcome {
+        if !self.is_loaded(model, version) {
+            return OrderOutcome::NotLoaded;
         }
         if let Some(model) = self.models.get_mut(model) {
             model.version = version;
         }
-        Verdict::Done
+        OrderOutcome::Done
     }
 
-    /// What the engine says of itself.
+    /// State that the engine reports.
     pub(super) fn state(&self, life: u64) -> EngineState {
         let models = self.models.iter().map(|(name, model)| EngineModel {
             model: name.clone(),
--- a/dev/standins/src/engine/reports.rs
+++ b/dev/standins/src/engine/reports.rs
@@ -1,4 +1,4 @@
-//! Load reports that lag.
+//! Load reports that show the load of some time ago.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,44 +6,48 @@
 use adapters::LoadReport;
 use tokio::time::Instant;
 
-const KEPT_MAX: usize = 10_000;
+const REPORTS_MAX: usize = 10_000;
 
-struct Noted {
-    at: Instant,
+struct RecordedReport {
+    recorded_at: Instant,
     report: LoadReport,
 }
 
-/// The reports of the last seconds.
+/// Recent load reports.
 #[derive(Default)]
 pub(super) struct Reports {
-    noted: VecDeque<Noted>,
+    recorded: VecDeque<RecordedReport>,
 }
 
 impl Reports {
-    /// Notes the load as it is now, if it changed.
-    pub(super) fn note(&mut self, report: LoadReport) {
-        if self.noted.back().is_some_and(|last| last.report == report) {
+    /// Records the current load if it changed.
+    pub(super) fn record(&mut self, report: LoadReport) {
+        if self
+            .recorded
+            .back()
+            .is_some_and(|last| last.report == report)
+        {
             return;
         }
-        if self.noted.len() == KEPT_MAX {
-            self.noted.pop_front();
+        if self.recorded.len() == REPORTS_MAX {
+            self.recorded.pop_front();
         }
-        self.noted.push_back(Noted {
-            at: Instant::now(),
+        self.recorded.push_back(RecordedReport {
+            recorded_at: Instant::now(),
             report,
         });
     }
 
-    /// The load as it was `lag` ago.
+    /// Load as it was `lag` ago; no load if nothing was recorded by then.
     pub(super) fn at(&self, lag: Duration) -> LoadReport {
         let old = self
-            .noted
+            .recorded
             .iter()
             .rev()
-            .find(|noted| noted.at.elapsed() >= lag);
+            .find(|recorded| recorded.recorded_at.elapsed() >= lag);
         LoadReport {
             age_ms: lag.as_millis() as u64,
-            ..old.map(|noted| noted.report).unwrap_or_default()
+            ..old.map(|recorded| recorded.report).unwrap_or_default()
         }
     }
 }
--- a/dev/standins/src/engine/settings.rs
+++ b/dev/standins/src/engine/settings.rs
@@ -8,36 +8,36 @@
 
 const PERMILLE: u32 = 1_000;
 
-/// Whether an engine looks at the fencing number of an order.
+/// Whether an engine checks the fencing tokens of orders.
 #[key]
 pub enum Fencing {
-    /// Refuses an order with a number below the last one.
+    /// Refuses an order whose token is lower than that of an earlier order for the same model.
     Checked,
-    /// Takes every order.
+    /// Accepts every order.
     Ignored,
 }
 
-/// How long an engine's work takes, before the time scale.
+/// Durations of an engine's work before scaling.
 #[value]
 pub struct Speeds {
-    /// Part of a step that does not depend on the batch.
+    /// Fixed part of a step.
     pub step_us: u64,
-    /// Part of a step for each sequence in the batch.
+    /// Additional part of a step per sequence in the batch.
     pub sequence_us: u64,
-    /// Part of a step for each prompt token read in it.
+    /// Additional part of a step per prompt token that was not cached.
     pub prompt_token_us: u64,
-    /// Loading a version.
+    /// Time to load a version.
     pub load_ms: u64,
-    /// Switching to a loaded version.
+    /// Time to switch to a loaded version.
     pub switch_ms: u64,
-    /// Factor on all of these, in thousandths; 0 makes every step immediate.
+    /// Factor on all durations, in thousandths; with 0 all work takes no time.
     pub scale_permille: u32,
 }
 
 impl Speeds {
-    /// The time on this engine's scale.
-    pub fn scaled(&self, time: Duration) -> Duration {
-        time * self.scale_permille / PERMILLE
+    /// Multiplies a duration by the scale.
+    pub fn scaled(&self, duration: Duration) -> Duration {
+        duration * self.scale_permille / PERMILLE
     }
 }
 
@@ -57,40 +57,40 @@
 /// Settings of an engine.
 #[value]
 pub struct EngineSettings {
-    /// Where it listens.
+    /// Address to listen on; with port 0 the system chooses the port.
     pub listen: SocketAddr,
-    /// Models and the versions that they start on.
+    /// Models, each with the version that it serves at the start of a life.
     pub models: Vec<(String, WeightVersion)>,
-    /// Whether it looks at fencing numbers.
+    /// Whether fencing tokens of orders are checked.
     pub fencing: Fencing,
-    /// Weight store that loads come from; without one they always succeed.
+    /// Weight store from which versions are loaded; without a store every load succeeds.
     pub store: Option<SocketAddr>,
-    /// How long its work takes.
+    /// Durations of steps, loads and switches.
     pub speeds: Speeds,
-    /// Sequences in a batch.
+    /// Most sequences in a batch.
     pub batch_max: usize,
     /// Blocks of KV cache memory.
     pub kv_blocks: usize,
-    /// Versions of a model in memory.
+    /// Most versions of a model that are loaded at a time.
     pub loaded_max: usize,
-    /// Shortest natural completion.
+    /// Fewest tokens of a completion that `max_tokens` does not limit.
     pub tokens_min: u32,
-    /// Longest natural completion, stragglers apart.
+    /// Most tokens of a completion that `max_tokens` does not limit, except for stragglers.
     pub tokens_max: u32,
-    /// Share of completions that are four times as long.
+    /// Share of stragglers, which are four times as long as other completions.
     pub stragglers_permille: u64,
-    /// Age of the load report.
+    /// Age of the load that is reported.
     pub report_lag_ms: u64,
-    /// Age of the newest cache event given.
+    /// Time until a cache event becomes visible.
     pub cache_event_lag_ms: u64,
     /// Share of cache events that are lost.
     pub cache_event_gaps_permille: u64,
-    /// Time from a crash to the next life.
+    /// Time from a crash by [`FaultKind::CrashOn`](crate::FaultKind::CrashOn) to the next life.
     pub restart_ms: u64,
 }
 
 impl EngineSettings {
-    /// An engine at `listen` with one model on version 0.0, in real time.
+    /// An engine with one model on version 0.0, at unscaled speed.
     pub fn new(listen: SocketAddr, model: impl Into<String>) -> EngineSettings {
         EngineSettings {
             listen,
--- a/dev/standins/src/engine/swap.rs
+++ b/dev/standins/src/engine/swap.rs
@@ -1,4 +1,4 @@
-//! Orders to load and switch versions, as HTTP carries them.
+//! Orders over HTTP to load a version or to switch to a loaded one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Deserializer};
 use types::WeightVersion;
 
-use super::orders::Verdict;
-use super::server::{Engine, SWITCH, pause};
+use super::orders::OrderOutcome;
+use super::server::{Engine, SWITCH_PATH, sleep_or_yield};
 use crate::fault::FaultKind;
 use crate::http::Call;
 use crate::reply::{self, Reply};
@@ -18,14 +18,14 @@
 #[derive(Deserialize)]
 struct Order {
     model: String,
-    #[serde(deserialize_with = "version")]
+    #[serde(deserialize_with = "parse_version")]
     version: WeightVersion,
     fence: u64,
 }
 
 impl Engine {
-    /// Runs to its end though its sender may have given up: an order that nobody waits
-    /// for any more still takes effect.
+    /// Performs an order. The order runs to its end and takes effect even if its sender
+    /// disconnects.
     pub(super) async fn order(self: Arc<Self>, call: Call) -> Reply {
         let order: Order = match call.json() {
             Ok(order) => order,
@@ -35,76 +35,81 @@
             let life = self.lock().life;
             let accepted = self.lock().models.accept(&order.model, order.fence);
             match accepted {
-                Verdict::Done if call.path == SWITCH => self.switch(&order, life).await,
-                Verdict::Done => self.load(&order, life).await,
-                refused => verdict(refused),
+                OrderOutcome::Done if call.path == SWITCH_PATH => self.switch(&order, life).await,
+                OrderOutcome::Done => self.load(&order, life).await,
+                refused => to_reply(refused),
             }
         };
-        let ended = tokio::spawn(work).await;
-        ended.unwrap_or_else(|_| reply::error(500, "order-failed"))
+        let result = tokio::spawn(work).await;
+        result.unwrap_or_else(|_| reply::error(500, "order-failed"))
     }
 
     async fn load(&self, order: &Order, life: u64) -> Reply {
-        if self.lock().models.has(&order.model, order.version) {
-            return reply::done();
+        if self.lock().models.is_loaded(&order.model, order.version) {
+            return reply::ok();
         }
         if let Some(refusal) = self.fetch(order).await {
             return refusal;
         }
-        self.take(self.settings.speeds.load_ms).await;
-        let mut inner = self.lock();
-        if inner.life != life {
+        self.sleep_scaled(self.settings.speeds.load_ms).await;
+        let mut state = self.lock();
+        if state.life != life {
             return reply::error(500, "restarted");
         }
-        verdict(inner.models.loaded(&order.model, order.version))
+        to_reply(state.models.add_loaded(&order.model, order.version))
     }
 
     async fn fetch(&self, order: &Order) -> Option<Reply> {
         let store = self.store.as_ref()?;
         match store.fetch(&order.model, order.version).await {
             Ok(_) => None,
-            Err(PlatformError::Refused { status: 429, .. }) => {
-                Some(reply::come_back(503, "store-busy", STORE_RETRY_AFTER_S))
-            }
+            Err(PlatformError::Refused { status: 429, .. }) => Some(reply::error_with_retry_after(
+                503,
+                "store-busy",
+                STORE_RETRY_AFTER_S,
+            )),
             Err(_) => Some(reply::error(503, "store-failed")),
         }
     }
 
     async fn switch(&self, order: &Order, life: u64) -> Reply {
-        let fails = self.control.faults.hit(FaultKind::SwapFails, SWITCH);
-        self.take(self.settings.speeds.switch_ms).await;
-        if fails.is_some() {
+        let fault = self
+            .control
+            .faults
+            .trigger(FaultKind::SwapFails, SWITCH_PATH);
+        self.sleep_scaled(self.settings.speeds.switch_ms).await;
+        if fault.is_some() {
             return reply::error(500, "swap-failed");
         }
         let mut guard = self.lock();
-        let inner = &mut *guard;
-        if inner.life != life {
+        let state = &mut *guard;
+        if state.life != life {
             return reply::error(500, "restarted");
         }
-        let changes = inner.models.version(&order.model) != Some(order.version);
-        let done = inner.models.switch(&order.model, order.version);
-        if done == Verdict::Done && changes {
-            inner.kv.forget_prefixes();
+        let is_new = state.models.version(&order.model) != Some(order.version);
+        let outcome = state.models.switch(&order.model, order.version);
+        if outcome == OrderOutcome::Done && is_new {
+            state.kv.evict_unused_prefixes();
         }
-        verdict(done)
+        to_reply(outcome)
     }
 
-    async fn take(&self, ms: u64) {
-        let time = self.settings.speeds.scaled(Duration::from_millis(ms));
-        pause(time).await;
+    async fn sleep_scaled(&self, ms: u64) {
+        let duration = self.settings.speeds.scaled(Duration::from_millis(ms));
+        sleep_or_yield(duration).await;
     }
 }
 
-fn verdict(verdict: Verdict) -> Reply {
-    match verdict {
-        Verdict::Done => reply::done(),
-        Verdict::UnknownModel => reply::error(404, "no-such-model"),
-        Verdict::OldFence => reply::error(409, "old-fence"),
-        Verdict::NotLoaded => reply::error(412, "not-loaded"),
+fn to_reply(outcome: OrderOutcome) -> Reply {
+    match outcome {
+        OrderOutcome::Done => reply::ok(),
+        OrderOutcome::UnknownModel => reply::error(404, "no-such-model"),
+        OrderOutcome::OldFence => reply::error(409, "old-fence"),
+        OrderOutcome::NotLoaded => reply::error(412, "not-loaded"),
     }
 }
 
-fn version<'de, D: Deserializer<'de>>(from: D) -> Result<WeightVersion, D::Error> {
+fn parse_version<'de, D: Deserializer<'de>>(from: D) -> Result<WeightVersion, D::Error> {
     let text = <std::borrow::Cow<'de, str>>::deserialize(from)?;
     text.parse().map_err(serde::de::Error::custom)
 }
--- a/dev/standins/src/error.rs
+++ b/dev/standins/src/error.rs
@@ -1,4 +1,4 @@
-//! Failures of a stand-in itself.
+//! Errors of starting a stand-in.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,10 +6,10 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why a stand-in does not run.
+    /// Why a stand-in failed to start.
     #[derive(Debug)]
     pub enum StandinError {
-        /// Its address cannot be listened on.
+        /// Binding a listener to the address failed.
         Listen(address: SocketAddr, err: io::Error) {
             display("cannot listen on {}: {}", address, err)
             source(err)
--- a/dev/standins/src/fault.rs
+++ b/dev/standins/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults that a stand-in shows on demand.
+//! Faults that a stand-in simulates on request.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -6,65 +6,66 @@
 use derive::{wire, wire_key};
 use tokio::time::Instant;
 
-/// What goes wrong.
+/// Kind of fault.
 #[wire_key]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Answers 503 and does nothing.
+    /// Answers 503 without processing the request.
     Outage,
-    /// Waits `delay_ms` before it begins.
+    /// Waits `delay_ms` before it processes the request.
     Slow,
-    /// Does what was asked, then closes the connection without an answer.
+    /// Processes the request, then closes the connection without an answer.
     AnswerLost,
-    /// Closes the connection without an answer and does what was asked `delay_ms` later.
+    /// Closes the connection without an answer and processes the request `delay_ms` later.
     Late,
-    /// Does nothing and never answers; the connection stays open.
+    /// Neither processes nor answers the request; the connection stays open.
     Silent,
-    /// Engine: answers a switch with 500 and stays on its version.
+    /// Engine: answers a switch with 500 and keeps the serving version.
     SwapFails,
-    /// Dies when the request contains `text`; starts again after `delay_ms`.
+    /// Crashes when a request contains `text`. A service listens again after `delay_ms`, an engine
+    /// after the `restart_ms` of its settings.
     CrashOn,
-    /// Ends the answer early: a whole one is cut before its stated length, a stream
-    /// ends as if it were over, after `after` chunks.
+    /// Ends the answer early: a buffered body breaks off before its `content-length`, a stream ends
+    /// after `after` chunks as if it were complete.
     Truncate,
-    /// Closes the connection inside the answer, in a stream after `after` chunks.
+    /// Closes the connection within the answer; in a stream, after `after` chunks.
     Cut,
-    /// VM list and load reports: what they say is `delay_ms` old.
+    /// VM list and load reports: answers with the state of `delay_ms` ago.
     Lag,
-    /// Weight store: gives `per_s` answers a second.
+    /// Weight store: answers `per_s` requests per second and refuses the others with 429.
     StoreRate,
 }
 
-/// One fault and how long it lasts.
+/// A fault, the requests that it affects, and how long it stays active.
 #[wire]
 pub struct Fault {
-    /// What goes wrong.
+    /// Decides which of the fields below apply.
     pub kind: FaultKind,
-    /// Requests that it hits, if limited.
+    /// Requests that the fault affects before it ends; `None` for no limit.
     #[serde(default)]
     pub count: Option<u64>,
-    /// How long it lasts, if limited.
+    /// Time ends_at the fault ends; `None` for no limit.
     #[serde(default)]
     pub for_ms: Option<u64>,
-    /// Length of a delay, lag or restart.
+    /// Length of the delay, lag or restart.
     #[serde(default)]
     pub delay_ms: u64,
-    /// Only requests whose path, with the query if there is one, begins so.
+    /// Prefix of the path and query of the affected requests; empty for all requests.
     #[serde(default)]
     pub path: String,
-    /// Text that crashes.
+    /// Text in a request that triggers [`FaultKind::CrashOn`].
     #[serde(default)]
     pub text: String,
-    /// Chunks of a stream before it ends.
+    /// Chunks that a truncated or cut stream sends.
     #[serde(default)]
     pub after: u64,
-    /// Answers a second.
+    /// Answers per second of [`FaultKind::StoreRate`].
     #[serde(default)]
     pub per_s: u64,
 }
 
 impl Fault {
-    /// A fault without limits.
+    /// A fault that affects all requests ends_at it is cleared.
     pub fn new(kind: FaultKind) -> Fault {
         Fault {
             kind,
@@ -78,7 +79,7 @@
         }
     }
 
-    /// The same fault, for this many requests.
+    /// Ends the fault after `count` affected requests.
     pub fn times(self, count: u64) -> Fault {
         Fault {
             count: Some(count),
@@ -86,7 +87,7 @@
         }
     }
 
-    /// The same fault, for requests whose path begins so.
+    /// Limits the fault to requests whose path and query start with `path`.
     pub fn on(self, path: impl Into<String>) -> Fault {
         Fault {
             path: path.into(),
@@ -94,12 +95,12 @@
         }
     }
 
-    /// The same fault with a delay, lag or restart of this length.
+    /// Sets the length of the delay, lag or restart.
     pub fn delayed(self, delay_ms: u64) -> Fault {
         Fault { delay_ms, ..self }
     }
 
-    /// The same fault on requests with this text.
+    /// Sets the text that triggers [`FaultKind::CrashOn`].
     pub fn with_text(self, text: impl Into<String>) -> Fault {
         Fault {
             text: text.into(),
@@ -108,63 +109,64 @@
     }
 }
 
-struct Active {
+struct ActiveFault {
     fault: Fault,
-    until: Option<Instant>,
+    ends_at: Option<Instant>,
 }
 
-impl Active {
-    fn lasts(&self) -> bool {
-        let in_time = self.until.is_none_or(|until| Instant::now() < until);
+impl ActiveFault {
+    fn is_active(&self) -> bool {
+        let in_time = self.ends_at.is_none_or(|ends_at| Instant::now() < ends_at);
         in_time && self.fault.count != Some(0)
     }
 }
 
-/// The faults of one stand-in.
+/// The active faults of a stand-in.
 #[derive(Default)]
 pub(crate) struct Faults {
-    active: Mutex<Vec<Active>>,
+    active: Mutex<Vec<ActiveFault>>,
 }
 
 impl Faults {
-    /// Switches a fault on; a new one of a kind and path takes the old one's place.
+    /// Activates a fault. An active fault of the same kind and path is replaced.
     pub(crate) fn set(&self, fault: Fault) {
-        let until = fault
+        let ends_at = fault
             .for_ms
             .map(|ms| Instant::now() + Duration::from_millis(ms));
         let mut active = self.lock();
         active.retain(|other| other.fault.kind != fault.kind || other.fault.path != fault.path);
-        active.push(Active { fault, until });
+        active.push(ActiveFault { fault, ends_at });
     }
 
-    /// Switches all faults off.
+    /// Deactivates all faults.
     pub(crate) fn clear(&self) {
         self.lock().clear();
     }
 
-    /// The fault of this kind that hits a request to `path`; counts the hit.
-    pub(crate) fn hit(&self, kind: FaultKind, path: &str) -> Option<Fault> {
-        self.hit_where(kind, |fault| path.starts_with(&fault.path))
+    /// Returns the active fault of this kind that affects a request to `path`, and counts the
+    /// request.
+    pub(crate) fn trigger(&self, kind: FaultKind, path: &str) -> Option<Fault> {
+        self.trigger_where(kind, |fault| path.starts_with(&fault.path))
     }
 
-    /// The crash that a request with this text sets off; counts the hit.
-    pub(crate) fn crash_on(&self, text: &str) -> Option<Fault> {
-        self.hit_where(FaultKind::CrashOn, |fault| text.contains(&fault.text))
+    /// Returns the active fault that crashes the stand-in on `text`, and counts the request.
+    pub(crate) fn trigger_crash(&self, text: &str) -> Option<Fault> {
+        self.trigger_where(FaultKind::CrashOn, |fault| text.contains(&fault.text))
     }
 
-    fn hit_where(&self, kind: FaultKind, hits: impl Fn(&Fault) -> bool) -> Option<Fault> {
+    fn trigger_where(&self, kind: FaultKind, matches: impl Fn(&Fault) -> bool) -> Option<Fault> {
         let mut active = self.lock();
-        active.retain(Active::lasts);
+        active.retain(ActiveFault::is_active);
         let found = active
             .iter_mut()
-            .find(|other| other.fault.kind == kind && hits(&other.fault))?;
+            .find(|other| other.fault.kind == kind && matches(&other.fault))?;
         if let Some(count) = &mut found.fault.count {
             *count -= 1;
         }
         Some(found.fault.clone())
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<Active>> {
+    fn lock(&self) -> MutexGuard<'_, Vec<ActiveFault>> {
         self.active.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/dev/standins/src/fleet.rs
+++ b/dev/standins/src/fleet.rs
@@ -1,5 +1,6 @@
-//! Stand-ins of the users' platform: its store, its replicas of both sorts, and what its
-//! operator and trainers write. They speak the platform's names, as the real ones do.
+//! Stand-ins for the platform that fronts run on: the partitioned store, plain and model replicas,
+//! the records of the operator, the receiver of usage reports, and a trainer. Their protocols use
+//! the field and header names of the platform.
 
 pub mod duties;
 mod groups;
--- a/dev/standins/src/fleet/duties.rs
+++ b/dev/standins/src/fleet/duties.rs
@@ -1,4 +1,4 @@
-//! The receiver of the platform's duties: takes reports of usage and remembers them.
+//! Receiver of usage reports, the platform's end of a front's duties. It stores all reports.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,25 +11,25 @@
 use crate::http::{self, Call};
 use crate::reply::{self, Reply};
 
-/// A report of usage as it came.
+/// A usage report as it was received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UsageReport {
-    /// Who sent it.
+    /// Front that sent the report, as the holder of the lease.
     pub holder: String,
-    /// Fencing number of the sender.
+    /// Fencing token of the sender; 0 if the header was missing.
     pub fence: u64,
-    /// The window.
+    /// Number of the usage window.
     pub window: u64,
-    /// Requests by customer.
+    /// Number of requests by customer.
     pub counts: BTreeMap<String, u64>,
 }
 
-/// What the receiver was told, in order.
+/// Reports that a receiver stored, in the order of arrival.
 #[derive(Clone, Default)]
 pub struct ReceivedReports(Arc<Mutex<Vec<UsageReport>>>);
 
 impl ReceivedReports {
-    /// All reports, repetitions included.
+    /// All reports, retries included.
     pub fn reports(&self) -> Vec<UsageReport> {
         self.lock().clone()
     }
@@ -39,19 +39,19 @@
     }
 }
 
-/// Starts the receiver.
+/// Starts a receiver on `listen`.
 pub async fn start(listen: SocketAddr) -> Result<(Handle, ReceivedReports), StandinError> {
-    let told = ReceivedReports::default();
-    let taking = told.clone();
+    let received = ReceivedReports::default();
+    let shared = received.clone();
     let handle = http::serve(listen, Control::new(), true, move |call| {
-        let told = taking.clone();
-        async move { answer(&told, &call) }
+        let received = shared.clone();
+        async move { answer(&received, &call) }
     })
     .await?;
-    Ok((handle, told))
+    Ok((handle, received))
 }
 
-fn answer(told: &ReceivedReports, call: &Call) -> Reply {
+fn answer(received: &ReceivedReports, call: &Call) -> Reply {
     if call.path != "/usage" {
         return reply::error(404, "no-such-duty");
     }
@@ -61,7 +61,7 @@
     };
     let header = |name: &str| call.header(name).unwrap_or_default().to_owned();
     let counts = body["Counts"].as_object().cloned().unwrap_or_default();
-    told.lock().push(UsageReport {
+    received.lock().push(UsageReport {
         holder: header("hornbeamrock-lease-holder"),
         fence: header("hornbeamrock-fence-token").parse().unwrap_or(0),
         window: body["Window"].as_u64().unwrap_or(0),
--- a/dev/standins/src/fleet/groups.rs
+++ b/dev/standins/src/fleet/groups.rs
@@ -1,4 +1,4 @@
-//! Groups of the store: members and the partitions that are dealt to them.
+//! Consumer groups of the store: members and the partitions assigned to them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,51 +6,54 @@
 use tokio::time::Instant;
 
 struct Member {
-    until: Instant,
-    /// Partitions that it was told of.
-    holds: Vec<u32>,
+    expires_at: Instant,
+    /// Partitions in the answer to the member's last join.
+    owned_partitions: Vec<u32>,
 }
 
-/// One group over one topic.
+/// A group whose members share the partitions of a topic.
 #[derive(Default)]
 pub(super) struct Group {
     generation: u64,
     members: BTreeMap<String, Member>,
-    /// Turns the deal, so that all partitions change hands.
-    turn: usize,
+    /// Shifts the assignment of partitions to members.
+    rotation: usize,
 }
 
 impl Group {
-    /// Joins or stays; gives the generation and the partitions of the member.
+    /// Adds a member or renews its membership. Returns the generation of the group and the member's
+    /// partitions.
     pub(super) fn join(&mut self, name: &str, ttl_ms: u64, partitions: u32) -> (u64, Vec<u32>) {
         self.expire();
-        let until = Instant::now() + Duration::from_millis(ttl_ms);
+        let expires_at = Instant::now() + Duration::from_millis(ttl_ms);
         if !self.members.contains_key(name) {
             self.generation += 1;
         }
         let member = Member {
-            until,
-            holds: Vec::new(),
+            expires_at,
+            owned_partitions: Vec::new(),
         };
         let member = self.members.entry(name.to_owned()).or_insert(member);
-        member.until = until;
-        let mut mine = self.dealt(name, partitions);
-        // What another member was told of is its own until it joins again.
-        mine.retain(|partition| !self.is_held_elsewhere(name, *partition));
+        member.expires_at = expires_at;
+        let mut own = self.target_partitions(name, partitions);
+        // A partition stays with its owner until the owner joins again and gives it up.
+        own.retain(|partition| !self.is_owned_elsewhere(name, *partition));
         if let Some(member) = self.members.get_mut(name) {
-            member.holds = mine.clone();
+            member.owned_partitions = own.clone();
         }
-        (self.generation, mine)
+        (self.generation, own)
     }
 
-    /// Partitions that members were told of, with their names.
+    /// Partitions with the names of their owners.
     pub(super) fn owners(&mut self) -> Vec<(u32, String)> {
         self.expire();
-        let held = |(name, member): (&String, &Member)| {
-            let holds = member.holds.iter();
-            holds.map(|held| (*held, name.clone())).collect::<Vec<_>>()
+        let owned = |(name, member): (&String, &Member)| {
+            let partitions = member.owned_partitions.iter();
+            partitions
+                .map(|partition| (*partition, name.clone()))
+                .collect::<Vec<_>>()
         };
-        self.members.iter().flat_map(held).collect()
+        self.members.iter().flat_map(owned).collect()
     }
 
     pub(super) fn leave(&mut self, name: &str) {
@@ -59,34 +62,34 @@
         }
     }
 
-    /// Deals all partitions anew, at once and without a request.
+    /// Reassigns all partitions at once, without waiting for their owners to join again.
     pub(super) fn reassign_partitions(&mut self) {
-        self.turn += 1;
+        self.rotation += 1;
         self.generation += 1;
         self.members
             .values_mut()
-            .for_each(|member| member.holds.clear());
+            .for_each(|member| member.owned_partitions.clear());
     }
 
-    fn dealt(&self, name: &str, partitions: u32) -> Vec<u32> {
+    fn target_partitions(&self, name: &str, partitions: u32) -> Vec<u32> {
         let count = self.members.len();
-        let place = self.members.keys().position(|member| member == name);
-        let Some(place) = place else {
+        let position = self.members.keys().position(|member| member == name);
+        let Some(position) = position else {
             return Vec::new();
         };
-        let mine = |partition: &u32| (*partition as usize + self.turn) % count == place;
-        (0..partitions).filter(mine).collect()
+        let own = |partition: &u32| (*partition as usize + self.rotation) % count == position;
+        (0..partitions).filter(own).collect()
     }
 
-    fn is_held_elsewhere(&self, name: &str, partition: u32) -> bool {
+    fn is_owned_elsewhere(&self, name: &str, partition: u32) -> bool {
         let mut others = self.members.iter().filter(|(other, _)| *other != name);
-        others.any(|(_, member)| member.holds.contains(&partition))
+        others.any(|(_, member)| member.owned_partitions.contains(&partition))
     }
 
     fn expire(&mut self) {
         let before = self.members.len();
         let now = Instant::now();
-        self.members.retain(|_, member| now < member.until);
+        self.members.retain(|_, member| now < member.expires_at);
         if self.members.len() != before {
             self.generation += 1;
         }
--- a/dev/standins/src/fleet/records.rs
+++ b/dev/standins/src/fleet/records.rs
@@ -1,25 +1,26 @@
-//! Records and requests of the platform, for tests.
+//! Records and requests in the platform's formats, for tests.
 
 use std::net::SocketAddr;
 
 use serde_json::{Value, json};
 
-/// Host of all routes.
+/// Host name of all routes.
 pub const HOST: &str = "site.example";
-/// Prefix of the ordinary route.
+/// Path prefix of the route to plain replicas whose calls may be retried.
 pub const CALLS: &str = "/calls/";
-/// Prefix of the scorers' route.
+/// Path prefix of the scorers' route.
 pub const SCORES: &str = "/scores/";
-/// Prefix of the trainer's route.
+/// Path prefix of the trainer's route.
 pub const STEPS: &str = "/steps/";
-/// The one model.
+/// The model of all model replicas.
 pub const MODEL: &str = "model-a";
-/// Service of the plain replicas.
+/// Service name of the plain replicas.
 pub const PLAIN: &str = "plain";
-/// Service of the model replicas.
+/// Service name of the model replicas.
 pub const ENGINES: &str = "engines";
 
-/// A configuration with an ordinary route, a route of scorers and one of a trainer.
+/// Configuration with routes for plain calls, for scores and for the steps of a trainer, without
+/// customers.
 pub fn config(version: u64) -> String {
     let route = |name: &str, prefix: &str, kind: &str, service: &str, timeout_ms: u64| {
         json!({
@@ -47,7 +48,7 @@
     .to_string()
 }
 
-/// The configuration with customers, each with its keys; the scorers' route is public.
+/// Like [`config`], with customers, each with its API keys. The scorers' route is public.
 pub fn config_with_customers(version: u64, customers: &[(&str, &[&str])]) -> String {
     let mut config: Value = serde_json::from_str(&config(version)).unwrap_or_default();
     let customer = |(name, keys): &(&str, &[&str])| json!({ "Name": name, "ApiKeys": keys });
@@ -56,15 +57,15 @@
     config.to_string()
 }
 
-/// Places of a replica.
+/// Slots of a replica.
 pub const SLOTS: u32 = 8;
 
-/// The record of a replica.
+/// Heartbeat record of a replica with [`SLOTS`] slots.
 pub fn replica(service: &str, address: SocketAddr, state: &str, version: u64) -> String {
     replica_with_slots(service, address, state, version, SLOTS)
 }
 
-/// The record of a replica with so many places.
+/// Heartbeat record of a replica with a given number of slots.
 pub fn replica_with_slots(
     service: &str,
     address: SocketAddr,
@@ -83,21 +84,21 @@
     .to_string()
 }
 
-/// A named version.
+/// Operator's record that names the newest version of the model.
 pub fn version(version: u64) -> String {
     json!({ "Model": MODEL, "Version": version }).to_string()
 }
 
-/// A step with groups of two items.
+/// Step whose items form groups of two, each item with a scorer.
 pub fn step(number: u64, min_version: u64, items: usize) -> String {
-    let item = |at: usize| -> Value {
+    let item = |index: usize| -> Value {
         json!({
-            "Id": format!("item-{number}-{at}"), "Path": format!("{STEPS}{at}"),
+            "Id": format!("item-{number}-{index}"), "Path": format!("{STEPS}{index}"),
             "Headers": { "Hornbeamrock-Model": MODEL, "Hornbeamrock-Length-Hint": "200" },
-            "Body": "q80=", "Tokens": 300, "Group": format!("group-{}", at / 2),
+            "Body": "q80=", "Tokens": 300, "Group": format!("group-{}", index / 2),
             "Scorer": {
-                "Id": format!("score-{number}-{at}"), "Host": HOST,
-                "Path": format!("{SCORES}{at}"), "Body": "AQI="
+                "Id": format!("score-{number}-{index}"), "Host": HOST,
+                "Path": format!("{SCORES}{index}"), "Body": "AQI="
             }
         })
     };
--- a/dev/standins/src/fleet/replica.rs
+++ b/dev/standins/src/fleet/replica.rs
@@ -1,4 +1,4 @@
-//! Replicas of both sorts: plain ones, and model replicas that stream events and take orders.
+//! Plain replicas, and model replicas that stream events and accept orders.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,24 +17,24 @@
 /// Settings of a replica.
 #[derive(Clone)]
 pub struct ReplicaSettings {
-    /// Id of this life.
+    /// Replica id; a restarted replica has a new one.
     pub id: String,
-    /// Events of each stream; 0 for a plain replica.
+    /// Events of a complete stream; 0 for a plain replica.
     pub events: u64,
-    /// Pause between events, or the time of a plain call.
+    /// Time between the events of a stream, or time that a plain call takes.
     pub pause_ms: u64,
 }
 
-/// An order as it came.
+/// An order as it was received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedOrder {
-    /// Who gave it.
+    /// Front that sent the order, as the holder of the lease.
     pub holder: String,
-    /// Fencing number of the holder.
+    /// Fencing token of the holder.
     pub fence: u64,
-    /// Version that it names.
+    /// Version to load.
     pub version: u64,
-    /// What happens to texts in progress.
+    /// How the order treats texts in progress.
     pub mode: String,
 }
 
@@ -46,60 +46,61 @@
     keys: usize,
     orders: Vec<ReceivedOrder>,
     answers: BTreeMap<String, u16>,
-    working: usize,
+    active_runs: usize,
 }
 
-/// A run in progress.
-struct Working(ReplicaControl);
+/// Counts a run as active until it is dropped.
+struct RunGuard(ReplicaControl);
 
-impl Drop for Working {
+impl Drop for RunGuard {
     fn drop(&mut self) {
-        self.0.lock().working -= 1;
+        self.0.lock().active_runs -= 1;
     }
 }
 
-/// What a replica was asked, and how it shall answer.
+/// Access of a test to a running replica: what it received, and how it answers.
 #[derive(Clone, Default)]
 pub struct ReplicaControl(Arc<Mutex<State>>);
 
 impl ReplicaControl {
-    /// Runs by request id: the event behind which each began, 0 for a whole run.
+    /// Runs by request id. Each run is given as the event after which it resumed, 0 for a run from
+    /// the start.
     pub fn runs(&self) -> BTreeMap<String, Vec<u64>> {
         self.lock().runs.clone()
     }
 
-    /// Customers that were named with requests of this id; empty text where none was.
+    /// Customers named in requests with this id; the empty string for a request without a customer.
     pub fn customers(&self, request_id: &str) -> BTreeSet<String> {
         let state = self.lock();
         state.customers.get(request_id).cloned().unwrap_or_default()
     }
 
-    /// Requests that came with a customer's key.
+    /// Number of requests that carried a customer's key.
     pub fn requests_with_key(&self) -> usize {
         self.lock().keys
     }
 
-    /// Orders that were accepted.
+    /// Accepted orders, in the order of arrival.
     pub fn orders(&self) -> Vec<ReceivedOrder> {
         self.lock().orders.clone()
     }
 
-    /// Runs in progress.
+    /// Number of runs in progress.
     pub fn active_runs(&self) -> usize {
-        self.lock().working
+        self.lock().active_runs
     }
 
-    fn begin(&self) -> Working {
-        self.lock().working += 1;
-        Working(self.clone())
+    fn begin_run(&self) -> RunGuard {
+        self.lock().active_runs += 1;
+        RunGuard(self.clone())
     }
 
-    /// Sets the version of the weights.
+    /// Sets the version of the weights that reports and answers state.
     pub fn set_version(&self, version: u64) {
         self.lock().version = version;
     }
 
-    /// Requests with this id are answered with this status.
+    /// Answers later requests with this id with an error of this status.
     pub fn answer_with(&self, request_id: &str, status: u16) {
         self.lock().answers.insert(request_id.to_owned(), status);
     }
@@ -109,40 +110,40 @@
     }
 }
 
-/// Starts a replica; it ends what it does for a caller that goes away.
+/// Starts a replica on weight version 1. A request is cancelled when its caller disconnects.
 pub async fn start(
     listen: SocketAddr,
     settings: ReplicaSettings,
 ) -> Result<(Handle, ReplicaControl), StandinError> {
-    let seen = ReplicaControl::default();
-    seen.set_version(1);
-    let answering = seen.clone();
+    let control = ReplicaControl::default();
+    control.set_version(1);
+    let shared = control.clone();
     let handle = http::serve(listen, Control::new(), true, move |call| {
-        let (settings, seen) = (settings.clone(), answering.clone());
-        async move { answer(&settings, &seen, call).await }
+        let (settings, control) = (settings.clone(), shared.clone());
+        async move { answer(&settings, &control, call).await }
     })
     .await?;
-    Ok((handle, seen))
+    Ok((handle, control))
 }
 
-async fn answer(settings: &ReplicaSettings, seen: &ReplicaControl, call: Call) -> Reply {
+async fn answer(settings: &ReplicaSettings, control: &ReplicaControl, call: Call) -> Reply {
     let expected = call.header("hornbeamrock-expect-instance");
     if expected.is_some_and(|expected| expected != settings.id) {
-        return with(
+        return with_headers(
             reply::error(421, "another"),
             &call,
             &[("replica-id", &settings.id)],
         );
     }
     match call.path.as_str() {
-        "/v1/report" => report(seen),
-        "/v1/order" => order(seen, &call),
-        _ => run(settings, seen, &call).await,
+        "/v1/report" => report(control),
+        "/v1/order" => order(control, &call),
+        _ => run(settings, control, &call).await,
     }
 }
 
-fn report(seen: &ReplicaControl) -> Reply {
-    let state = seen.lock();
+fn report(control: &ReplicaControl) -> Reply {
+    let state = control.lock();
     reply::json(
         200,
         &json!({
@@ -152,12 +153,12 @@
     )
 }
 
-fn order(seen: &ReplicaControl, call: &Call) -> Reply {
+fn order(control: &ReplicaControl, call: &Call) -> Reply {
     let order: Value = match call.json() {
         Ok(order) => order,
         Err(refusal) => return *refusal,
     };
-    let mut state = seen.lock();
+    let mut state = control.lock();
     let expected = order["Expect"].as_u64();
     if expected.is_some_and(|expected| expected != state.orders.len() as u64) {
         return reply::error(409, "another-count");
@@ -173,28 +174,28 @@
     reply::json(202, &json!({}))
 }
 
-async fn run(settings: &ReplicaSettings, seen: &ReplicaControl, call: &Call) -> Reply {
+async fn run(settings: &ReplicaSettings, control: &ReplicaControl, call: &Call) -> Reply {
     let id = call
         .header("hornbeamrock-request-id")
         .unwrap_or_default()
         .to_owned();
-    let last = call
+    let last_event = call
         .header("last-event-id")
         .and_then(|text| text.parse().ok())
         .unwrap_or(0);
     let (version, status) = {
-        let mut state = seen.lock();
-        state.runs.entry(id.clone()).or_default().push(last);
+        let mut state = control.lock();
+        state.runs.entry(id.clone()).or_default().push(last_event);
         let customer = call.header("hornbeamrock-tenant").unwrap_or_default();
         let named = state.customers.entry(id.clone()).or_default();
         named.insert(customer.to_owned());
         state.keys += usize::from(call.header("hornbeamrock-key").is_some());
         (state.version, state.answers.get(&id).copied())
     };
-    let working = seen.begin();
+    let run_guard = control.begin_run();
     let stamp = format!("stamp-{id}");
     if let Some(status) = status {
-        return with(
+        return with_headers(
             reply::error(status, "as-told"),
             call,
             &[("server-stamp", &stamp)],
@@ -203,13 +204,13 @@
     if settings.events == 0 {
         tokio::time::sleep(Duration::from_millis(settings.pause_ms)).await;
         let body = Bytes::from(format!("{} {}", call.path, call.body.len()));
-        return with(reply::bytes(200, body), call, &[("server-stamp", &stamp)]);
+        return with_headers(reply::bytes(200, body), call, &[("server-stamp", &stamp)]);
     }
     let (chunks, answer) = reply::stream();
     let (events, pause_ms) = (settings.events, settings.pause_ms);
     tokio::spawn(async move {
-        let _working = working;
-        for event in last + 1..=events {
+        let _run_guard = run_guard;
+        for event in last_event + 1..=events {
             tokio::time::sleep(Duration::from_millis(pause_ms)).await;
             let text = format!("id: {event}\ndata: word-{event}\n\n");
             if chunks.send(Ok(text.into())).await.is_err() {
@@ -218,15 +219,15 @@
         }
     });
     let version = version.to_string();
-    with(
+    with_headers(
         answer,
         call,
         &[("server-stamp", &stamp), ("weight-versions", &version)],
     )
 }
 
-/// Adds the echo of the request's id and the platform's headers with these names.
-fn with(mut answer: Reply, call: &Call, headers: &[(&str, &str)]) -> Reply {
+/// Adds the request id and the given headers, with the prefix `hornbeamrock-` before each name.
+fn with_headers(mut answer: Reply, call: &Call, headers: &[(&str, &str)]) -> Reply {
     let id = call.header("hornbeamrock-request-id").unwrap_or_default();
     for (name, value) in headers.iter().chain(&[("request-id", id)]) {
         let name = format!("hornbeamrock-{name}");
--- a/dev/standins/src/fleet/store.rs
+++ b/dev/standins/src/fleet/store.rs
@@ -1,5 +1,5 @@
-//! The platform's store. Each machine may have a door of its own, with faults of its own, so
-//! that a test can turn one away and serve the others.
+//! The platform's store: partitioned topics and consumer groups. It can have several listeners, each
+//! with faults of its own, so that a test can refuse the requests of one VM and answer the others.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use super::groups::Group;
-use super::topics::{Partition, Refused, Terms, unframed};
+use super::topics::{AppendConditions, AppendRefusal, Partition, parse_frames};
 use crate::error::StandinError;
 use crate::handle::{Control, Handle};
 use crate::http::{self, Call};
@@ -21,8 +21,9 @@
 
 /// Partitions of a topic.
 const PARTITIONS: u32 = 24;
-/// Keys in one page.
+/// Keys per page of newest records.
 const PAGE_KEYS: usize = 500;
+/// Size of a page of records if the reader states none.
 const PAGE_KB: u64 = 1_024;
 
 #[derive(Default)]
@@ -31,18 +32,19 @@
     groups: BTreeMap<String, Group>,
 }
 
-/// The store; its doors share it.
+/// A store. Clones and listeners share its state.
 #[derive(Clone)]
 pub struct Store {
     state: Arc<Mutex<State>>,
-    news: watch::Sender<u64>,
+    /// Counts changes, which wakes the reads that wait for records.
+    changes: watch::Sender<u64>,
 }
 
 impl Default for Store {
     fn default() -> Self {
         Self {
             state: Arc::default(),
-            news: watch::Sender::new(0),
+            changes: watch::Sender::new(0),
         }
     }
 }
@@ -64,7 +66,7 @@
 }
 
 impl Store {
-    /// Opens a door at `listen`.
+    /// Starts a listener on `listen`.
     pub async fn listen(&self, listen: SocketAddr) -> Result<Handle, StandinError> {
         let store = self.clone();
         http::serve(listen, Control::new(), false, move |call| {
@@ -74,7 +76,8 @@
         .await
     }
 
-    /// Writes a keyed record as the operator or a replica would.
+    /// Writes a record of a keyed topic to partition 0, as the operator or a replica does. Without a
+    /// value, the record is a tombstone.
     pub fn put(&self, topic: &str, key: &str, value: Option<&str>) {
         let mut record = vec![key.len() as u8];
         record.extend_from_slice(key.as_bytes());
@@ -82,38 +85,38 @@
         self.add(topic, 0, vec![record.into()]);
     }
 
-    /// Adds records without conditions.
+    /// Appends records without conditions.
     pub fn add(&self, topic: &str, partition: u32, records: Vec<Bytes>) {
         let mut state = self.lock();
-        let there = state
+        let partition_log = state
             .partitions
             .entry((topic.to_owned(), partition))
             .or_default();
-        // Without conditions nothing is refused.
-        let _ = there.append(topic, records, &Terms::default());
+        // An append without conditions is never refused.
+        let _ = partition_log.append(topic, records, &AppendConditions::default());
         drop(state);
-        self.news.send_modify(|count| *count += 1);
+        self.changes.send_modify(|count| *count += 1);
     }
 
-    /// Forgets the history of a partition; newest records of keys stay.
+    /// Trims all records of a partition. The newest record of each key stays readable.
     pub fn trim(&self, topic: &str, partition: u32) {
         let mut state = self.lock();
-        if let Some(there) = state.partitions.get_mut(&(topic.to_owned(), partition)) {
-            let end = there.end();
-            there.trim(end);
+        if let Some(partition_log) = state.partitions.get_mut(&(topic.to_owned(), partition)) {
+            let end = partition_log.end();
+            partition_log.trim(end);
         }
         drop(state);
-        self.news.send_modify(|count| *count += 1);
+        self.changes.send_modify(|count| *count += 1);
     }
 
-    /// Partitions of a group that members were told of, with their names.
+    /// Partitions of a group with the names of their owners.
     pub fn owners_of(&self, group: &str) -> Vec<(u32, String)> {
         let mut state = self.lock();
         let group = state.groups.get_mut(group);
         group.map(Group::owners).unwrap_or_default()
     }
 
-    /// Deals all partitions of all groups anew.
+    /// Reassigns all partitions of all groups to other members.
     pub fn reassign_partitions(&self) {
         self.lock()
             .groups
@@ -121,11 +124,11 @@
             .for_each(Group::reassign_partitions);
     }
 
-    /// Number of records that a partition ever had.
+    /// Offset of the next record of a partition.
     pub fn end(&self, topic: &str, partition: u32) -> u64 {
         let state = self.lock();
-        let there = state.partitions.get(&(topic.to_owned(), partition));
-        there.map_or(0, Partition::end)
+        let partition_log = state.partitions.get(&(topic.to_owned(), partition));
+        partition_log.map_or(0, Partition::end)
     }
 
     async fn answer(&self, call: Call) -> Reply {
@@ -141,60 +144,68 @@
     }
 
     fn append(&self, call: &Call) -> Reply {
-        let (topic, partition) = place(call);
-        let Some(records) = unframed(call.body.clone()) else {
+        let (topic, partition) = topic_and_partition(call);
+        let Some(records) = parse_frames(call.body.clone()) else {
             return reply::error(400, "odd-records");
         };
-        let terms = Terms {
+        let conditions = AppendConditions {
             as_of: call.query_u64("AsOf"),
-            producer: text(call, "Producer"),
+            producer: query_text(call, "Producer"),
             epoch: call.query_u64("epoch").unwrap_or(0),
             sequence: call.query_u64("Seq").unwrap_or(0),
         };
         let mut state = self.lock();
-        let there = state
+        let partition_log = state
             .partitions
             .entry((topic.clone(), partition))
             .or_default();
-        let answer = match there.append(&topic, records, &terms) {
-            Ok(offset) => reply::json(200, &json!({ "Offset": offset, "End": there.end() })),
-            Err(Refused::End(end)) => reply::json(412, &json!({ "End": end })),
-            Err(Refused::Fenced) => reply::json(409, &json!({ "why": "fenced" })),
-            Err(Refused::Sequence(next)) => reply::json(409, &json!({ "why": "seq", "Seq": next })),
+        let answer = match partition_log.append(&topic, records, &conditions) {
+            Ok(offset) => reply::json(
+                200,
+                &json!({ "Offset": offset, "End": partition_log.end() }),
+            ),
+            Err(AppendRefusal::End(end)) => reply::json(412, &json!({ "End": end })),
+            Err(AppendRefusal::Fenced) => reply::json(409, &json!({ "why": "fenced" })),
+            Err(AppendRefusal::Sequence(next)) => {
+                reply::json(409, &json!({ "why": "seq", "Seq": next }))
+            }
         };
         drop(state);
-        self.news.send_modify(|count| *count += 1);
+        self.changes.send_modify(|count| *count += 1);
         answer
     }
 
     async fn read(&self, call: &Call) -> Reply {
-        let key = place(call);
+        let key = topic_and_partition(call);
         let from = call.query_u64("From").unwrap_or(0);
         let max_bytes = call.query_u64("MaxKb").unwrap_or(PAGE_KB) as usize * 1_024;
         let wait = Duration::from_millis(call.query_u64("WaitMs").unwrap_or(0));
-        let until = Instant::now() + wait;
-        let mut news = self.news.subscribe();
+        let deadline = Instant::now() + wait;
+        let mut changes = self.changes.subscribe();
         loop {
             {
                 let mut state = self.lock();
-                let there = state.partitions.entry(key.clone()).or_default();
-                if from < there.first() {
-                    return reply::json(410, &json!({ "First": there.first() }));
+                let partition_log = state.partitions.entry(key.clone()).or_default();
+                if from < partition_log.first() {
+                    return reply::json(410, &json!({ "First": partition_log.first() }));
                 }
-                if from < there.end() || Instant::now() >= until {
-                    return reply::bytes(200, there.page(from, max_bytes));
+                if from < partition_log.end() || Instant::now() >= deadline {
+                    return reply::bytes(200, partition_log.page(from, max_bytes));
                 }
             }
-            // At the end of the wait the page is empty.
-            let _ = timeout_at(until, news.changed()).await;
+            // When the wait times out, the next iteration returns an empty page.
+            let _ = timeout_at(deadline, changes.changed()).await;
         }
     }
 
     fn newest(&self, call: &Call) -> Reply {
-        let after = text(call, "After").unwrap_or_default();
+        let after = query_text(call, "After").unwrap_or_default();
         let mut state = self.lock();
-        let there = state.partitions.entry(place(call)).or_default();
-        let entries = there.newest(&after, PAGE_KEYS + 1);
+        let partition_log = state
+            .partitions
+            .entry(topic_and_partition(call))
+            .or_default();
+        let entries = partition_log.newest(&after, PAGE_KEYS + 1);
         let more = entries.len() > PAGE_KEYS;
         let entries: Vec<_> = entries
             .into_iter()
@@ -205,7 +216,7 @@
             .collect();
         reply::json(
             200,
-            &json!({ "Entries": entries, "More": more, "End": there.end() }),
+            &json!({ "Entries": entries, "More": more, "End": partition_log.end() }),
         )
     }
 
@@ -216,9 +227,9 @@
         };
         let mut state = self.lock();
         let group = state.groups.entry(join.group).or_default();
-        let (generation, mine) = group.join(&join.member, join.ttl_ms, PARTITIONS);
+        let (generation, own) = group.join(&join.member, join.ttl_ms, PARTITIONS);
         let topic = join.topics.first().cloned().unwrap_or_default();
-        let rows: Vec<_> = mine
+        let rows: Vec<_> = own
             .into_iter()
             .map(|part| json!([topic, part, 0]))
             .collect();
@@ -232,7 +243,9 @@
 
     fn owners(&self, call: &Call) -> Reply {
         let mut state = self.lock();
-        let group = state.groups.entry(text(call, "Group").unwrap_or_default());
+        let group = state
+            .groups
+            .entry(query_text(call, "Group").unwrap_or_default());
         let rows: Vec<_> = group
             .or_default()
             .owners()
@@ -258,12 +271,15 @@
     }
 }
 
-fn place(call: &Call) -> (String, u32) {
+fn topic_and_partition(call: &Call) -> (String, u32) {
     let partition = call.query_u64("part").unwrap_or(0);
-    (text(call, "Topic").unwrap_or_default(), partition as u32)
+    (
+        query_text(call, "Topic").unwrap_or_default(),
+        partition as u32,
+    )
 }
 
-fn text(call: &Call, name: &str) -> Option<String> {
+fn query_text(call: &Call, name: &str) -> Option<String> {
     let fields = call
         .query
         .split('&')
--- a/dev/standins/src/fleet/topics.rs
+++ b/dev/standins/src/fleet/topics.rs
@@ -1,25 +1,27 @@
-//! Topics of the store: partitions of records, and the newest record of each key.
+//! Partitions of the store's topics: records by offset, the newest record of each key, and the
+//! deduplication of retried appends.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-/// Prefix of topics whose records have keys.
+/// Name prefix of topics whose records have keys.
 const KEYED: &str = "keyed.";
 
-/// Why an append is refused.
-pub(super) enum Refused {
-    /// The partition does not end where the condition says.
+/// Why an append was refused.
+pub(super) enum AppendRefusal {
+    /// The partition does not end at the offset of the condition, but at this one.
     End(u64),
-    /// A newer epoch of the producer was seen.
+    /// The producer has appended with a newer epoch.
     Fenced,
-    /// The next number of the producer is this one.
+    /// The sequence number is neither recent nor the producer's next, which is this one.
     Sequence(u64),
 }
 
-/// Condition and numbering of an append.
+/// Condition of an append, and the sequence number that identifies it to the store.
 #[derive(Default)]
-pub(super) struct Terms {
+pub(super) struct AppendConditions {
+    /// Offset at which the partition must end.
     pub(super) as_of: Option<u64>,
     pub(super) producer: Option<String>,
     pub(super) epoch: u64,
@@ -30,19 +32,21 @@
 struct Producer {
     epoch: u64,
     next: u64,
-    answers: VecDeque<(u64, u64)>,
+    /// Sequence numbers and offsets of recent appends.
+    recent_appends: VecDeque<(u64, u64)>,
 }
 
 #[derive(Default)]
 pub(super) struct Partition {
     first: u64,
     records: VecDeque<Bytes>,
+    /// Newest record of each key, with its offset.
     newest: BTreeMap<String, (u64, Bytes)>,
     producers: BTreeMap<String, Producer>,
 }
 
-/// First answers that a numbered producer's repetitions get again.
-const ANSWERS_KEPT: usize = 5;
+/// Appends per producer whose retries return the offset of the first attempt.
+const RECENT_APPENDS_MAX: usize = 5;
 
 impl Partition {
     pub(super) fn end(&self) -> u64 {
@@ -53,7 +57,7 @@
         self.first
     }
 
-    /// Forgets the oldest records before `before`; newest records of keys stay.
+    /// Trims the records before offset `before`. The newest record of each key stays readable.
     pub(super) fn trim(&mut self, before: u64) {
         while self.first < before.min(self.end()) {
             self.records.pop_front();
@@ -65,62 +69,67 @@
         &mut self,
         topic: &str,
         records: Vec<Bytes>,
-        terms: &Terms,
-    ) -> Result<u64, Refused> {
+        conditions: &AppendConditions,
+    ) -> Result<u64, AppendRefusal> {
         let end = self.end();
-        if let Some(repeated) = self.check_producer(terms)? {
-            return Ok(repeated);
+        if let Some(offset) = self.check_producer(conditions)? {
+            return Ok(offset);
         }
-        if terms.as_of.is_some_and(|as_of| as_of != end) {
-            return Err(Refused::End(end));
+        if conditions.as_of.is_some_and(|as_of| as_of != end) {
+            return Err(AppendRefusal::End(end));
         }
         for record in records {
             if topic.starts_with(KEYED) {
-                self.keep_newest(record.clone());
+                self.update_newest(record.clone());
             }
             self.records.push_back(record);
         }
-        if let Some(name) = &terms.producer {
+        if let Some(name) = &conditions.producer {
             let producer = self.producers.entry(name.clone()).or_default();
-            producer.next = terms.sequence + 1;
-            producer.answers.push_back((terms.sequence, end));
-            if producer.answers.len() > ANSWERS_KEPT {
-                producer.answers.pop_front();
+            producer.next = conditions.sequence + 1;
+            producer
+                .recent_appends
+                .push_back((conditions.sequence, end));
+            if producer.recent_appends.len() > RECENT_APPENDS_MAX {
+                producer.recent_appends.pop_front();
             }
         }
         Ok(end)
     }
 
-    fn check_producer(&mut self, terms: &Terms) -> Result<Option<u64>, Refused> {
-        let Some(name) = &terms.producer else {
+    fn check_producer(
+        &mut self,
+        conditions: &AppendConditions,
+    ) -> Result<Option<u64>, AppendRefusal> {
+        let Some(name) = &conditions.producer else {
             return Ok(None);
         };
         let producer = self.producers.entry(name.clone()).or_default();
-        if terms.epoch < producer.epoch {
-            return Err(Refused::Fenced);
+        if conditions.epoch < producer.epoch {
+            return Err(AppendRefusal::Fenced);
         }
-        if terms.epoch > producer.epoch {
-            let (epoch, next) = (terms.epoch, terms.sequence);
+        if conditions.epoch > producer.epoch {
+            let (epoch, next) = (conditions.epoch, conditions.sequence);
             *producer = Producer {
                 epoch,
                 next,
-                answers: VecDeque::new(),
+                recent_appends: VecDeque::new(),
             };
         }
-        let known = producer
-            .answers
+        let retried = producer
+            .recent_appends
             .iter()
-            .find(|(sequence, _)| *sequence == terms.sequence);
-        if let Some((_, offset)) = known {
+            .find(|(sequence, _)| *sequence == conditions.sequence);
+        if let Some((_, offset)) = retried {
             return Ok(Some(*offset));
         }
-        match terms.sequence == producer.next {
+        match conditions.sequence == producer.next {
             true => Ok(None),
-            false => Err(Refused::Sequence(producer.next)),
+            false => Err(AppendRefusal::Sequence(producer.next)),
         }
     }
 
-    fn keep_newest(&mut self, mut record: Bytes) {
+    fn update_newest(&mut self, mut record: Bytes) {
         let key_bytes = usize::from(record.get_u8());
         let key = String::from_utf8_lossy(&record.split_to(key_bytes)).into_owned();
         match record.is_empty() {
@@ -129,19 +138,22 @@
         };
     }
 
-    /// Keys behind `after` with the offset and value of their newest record.
-    pub(super) fn newest(&self, after: &str, most: usize) -> Vec<(&String, u64, &Bytes)> {
-        let behind = self
+    /// Keys that sort after `after`, with offset and value of their newest record; all keys if
+    /// `after` is empty.
+    pub(super) fn newest(&self, after: &str, max_keys: usize) -> Vec<(&String, u64, &Bytes)> {
+        let later = self
             .newest
             .iter()
             .filter(|(key, _)| after.is_empty() || key.as_str() > after);
-        behind
-            .take(most)
+        later
+            .take(max_keys)
             .map(|(key, (offset, value))| (key, *offset, value))
             .collect()
     }
 
-    /// Records from `from` on, framed, up to about `max_bytes`; one at least if there is one.
+    /// Page of the records from `from` on, each preceded by its length. The page starts with the end
+    /// and the first offset of the partition. It is limited to about `max_bytes`, but has at least
+    /// one record if there is one.
     pub(super) fn page(&self, from: u64, max_bytes: usize) -> Bytes {
         let mut page = BytesMut::new();
         page.put_u64(self.end());
@@ -161,8 +173,8 @@
     }
 }
 
-/// Takes framed records apart; none if they are odd.
-pub(super) fn unframed(mut body: Bytes) -> Option<Vec<Bytes>> {
+/// Parses records that are each preceded by their length; `None` if a record is incomplete.
+pub(super) fn parse_frames(mut body: Bytes) -> Option<Vec<Bytes>> {
     let mut records = Vec::new();
     while !body.is_empty() {
         if body.len() < 4 {
--- a/dev/standins/src/fleet/trainer.rs
+++ b/dev/standins/src/fleet/trainer.rs
@@ -1,5 +1,5 @@
-//! A trainer: it names versions, submits steps, reads their results at whichever front
-//! answers, and holds each page against what it was promised.
+//! A trainer: names versions, submits steps, reads their results from any front that answers, and
+//! checks each page of results against the guarantees of the platform.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -18,66 +18,66 @@
 use super::records::{self, HOST, MODEL, STEPS};
 use super::store::Store;
 
-/// Longest time for one call, in milliseconds.
-const CALL_MS: u64 = 3_000;
-/// Time after the acceptance from which on every front knows the step.
-const SETTLE: Duration = Duration::from_secs(1);
-/// How long a read may wait for a result, in milliseconds.
-const WAIT_MS: u64 = 200;
-/// Pause before another front is asked, in milliseconds.
-const PAUSE_MS: u64 = 20;
-/// Longest body of an answer.
+/// Timeout of a request.
+const REQUEST_TIMEOUT_MS: u64 = 3_000;
+/// Time after a step was accepted until every front knows the step.
+const PROPAGATION_TIME: Duration = Duration::from_secs(1);
+/// Long poll of a read that finds no new result.
+const LONG_POLL_MS: u64 = 200;
+/// Delay before a request is retried at another front.
+const RETRY_DELAY_MS: u64 = 20;
 const ANSWER_BYTES_MAX: usize = 4 << 20;
-/// How many pages are read before an earlier position is read again.
-const REREAD_EVERY: usize = 3;
+/// Every third read starts at an earlier position, to check that results do not change.
+const REREAD_INTERVAL_PAGES: usize = 3;
 
 quick_error! {
-    /// A promise that was not kept.
+    /// A violated guarantee.
     #[derive(Debug)]
     pub enum Violation {
-        /// The step was not taken or not whole in time.
+        /// The step was not accepted or not complete before the timeout.
         TimedOut(step: String, read: usize) {
-            display("step {}: {} results in time", step, read)
+            display("step {}: timed out with {} results", step, read)
         }
-        /// A proper step was refused for good.
+        /// A valid step was refused, or its results are not found.
         Refused(step: String, status: u16) {
-            display("step {} was answered {}", step, status)
+            display("step {}: refused with status {}", step, status)
         }
-        /// A position holds another result than before.
+        /// A position holds another result than in an earlier read.
         ResultChanged(step: String, position: usize) {
-            display("step {}: position {} has changed", step, position)
+            display("step {}: result at position {} changed", step, position)
         }
-        /// An item stands at two positions, or is none of the step.
+        /// A result is of an item that already has a result or is not part of the step.
         UnexpectedItem(step: String, item: String) {
-            display("step {}: item {} stands twice or is none of it", step, item)
+            display("step {}: result of a duplicate or unknown item {}", step, item)
         }
-        /// A result's text, versions or score are not what they must be.
+        /// State, text, versions or score of a result are wrong.
         WrongResult(step: String, result: String) {
-            display("step {}: {}", step, result)
+            display("step {}: wrong result {}", step, result)
         }
     }
 }
 
-/// What every text of the site's model replicas is.
+/// Expected results of a step.
 pub struct Expected {
-    /// Events of a text.
+    /// Events of each complete text, as set for the model replicas.
     pub events: u64,
-    /// Longest time for a step.
+    /// Time for a step from its submission until its end was acknowledged.
     pub timeout: Duration,
 }
 
-/// A trainer of the one model.
+/// A trainer of the model [`MODEL`].
 pub struct Trainer {
     store: Store,
     expected: Expected,
     fronts: Vec<SocketAddr>,
-    turn: usize,
+    request_count: usize,
 }
 
-/// A step as far as it was read.
+/// A step and the results read so far.
 struct Reading {
     id: String,
     min_version: u64,
+    /// Version that was named for the step.
     named: u64,
     items: usize,
     results: Vec<Value>,
@@ -85,23 +85,23 @@
 }
 
 impl Trainer {
-    /// A trainer that knows no front yet.
+    /// Creates a trainer; [`Trainer::set_fronts`] must be called before the first step.
     pub fn new(store: Store, expected: Expected) -> Self {
         Self {
             store,
             expected,
             fronts: Vec::new(),
-            turn: 0,
+            request_count: 0,
         }
     }
 
-    /// The fronts that it asks from now on, in turn.
+    /// Sets the fronts that later requests are sent to, in rotation.
     pub fn set_fronts(&mut self, fronts: impl IntoIterator<Item = SocketAddr>) {
         self.fronts = fronts.into_iter().collect();
     }
 
-    /// Names a version and has a step of it made by that version or the one before; gives the
-    /// results, in their positions.
+    /// Names version `number` and runs a step with the same number, whose items may be generated by
+    /// this version or the one before. Returns the results in the order of their positions.
     pub async fn train(&mut self, number: u64, items: usize) -> Result<Vec<Value>, Violation> {
         let key = format!("version/{MODEL}");
         let record = records::version(number);
@@ -116,10 +116,10 @@
             results: Vec::new(),
             seen: BTreeSet::new(),
         };
-        let until = Instant::now() + self.expected.timeout;
-        self.submit(&reading, step, until).await?;
-        self.read_all(&mut reading, until).await?;
-        self.end(&reading, until).await?;
+        let deadline = Instant::now() + self.expected.timeout;
+        self.submit(&reading, step, deadline).await?;
+        self.read_all(&mut reading, deadline).await?;
+        self.end_step(&reading, deadline).await?;
         Ok(reading.results)
     }
 
@@ -127,54 +127,58 @@
         &mut self,
         reading: &Reading,
         step: String,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<(), Violation> {
-        while Instant::now() < until {
+        while Instant::now() < deadline {
             let path = format!("{STEPS}{}", reading.id);
-            match self.ask("POST", path, step.clone(), reading).await {
+            match self.send("POST", path, step.clone(), reading).await {
                 Some((202, _)) => return Ok(()),
-                // Not accepted, or nobody knows: the same step again is one step.
-                Some((429 | 500.., _)) | None => sleep(Duration::from_millis(PAUSE_MS)).await,
+                // Not accepted or unknown. Submitting the same step again is idempotent.
+                Some((429 | 500.., _)) | None => sleep(Duration::from_millis(RETRY_DELAY_MS)).await,
                 Some((status, _)) => return Err(Violation::Refused(reading.id.clone(), status)),
             }
         }
         Err(Violation::TimedOut(reading.id.clone(), 0))
     }
 
-    async fn read_all(&mut self, reading: &mut Reading, until: Instant) -> Result<(), Violation> {
+    async fn read_all(
+        &mut self,
+        reading: &mut Reading,
+        deadline: Instant,
+    ) -> Result<(), Violation> {
         let accepted = Instant::now();
         let mut pages = 0;
         while reading.results.len() < reading.items {
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return Err(Violation::TimedOut(
                     reading.id.clone(),
                     reading.results.len(),
                 ));
             }
             pages += 1;
-            let after = match pages % REREAD_EVERY {
+            let after = match pages % REREAD_INTERVAL_PAGES {
                 0 => reading.results.len() / 2,
                 _ => reading.results.len(),
             };
             let path = format!("/v1/lots/{}?After={after}", reading.id);
-            match self.ask("GET", path, String::new(), reading).await {
-                Some((200, page)) => self.take(reading, after, &page)?,
-                Some((status @ (404 | 410), _)) if accepted.elapsed() > SETTLE => {
+            match self.send("GET", path, String::new(), reading).await {
+                Some((200, page)) => self.add_page(reading, after, &page)?,
+                Some((status @ (404 | 410), _)) if accepted.elapsed() > PROPAGATION_TIME => {
                     return Err(Violation::Refused(reading.id.clone(), status));
                 }
-                _ => sleep(Duration::from_millis(PAUSE_MS)).await,
+                _ => sleep(Duration::from_millis(RETRY_DELAY_MS)).await,
             }
         }
         Ok(())
     }
 
-    async fn end(&mut self, reading: &Reading, until: Instant) -> Result<(), Violation> {
-        while Instant::now() < until {
+    async fn end_step(&mut self, reading: &Reading, deadline: Instant) -> Result<(), Violation> {
+        while Instant::now() < deadline {
             let path = format!("/v1/lots/{}", reading.id);
-            if let Some((200, _)) = self.ask("DELETE", path, String::new(), reading).await {
+            if let Some((200, _)) = self.send("DELETE", path, String::new(), reading).await {
                 return Ok(());
             }
-            sleep(Duration::from_millis(PAUSE_MS)).await;
+            sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
         }
         Err(Violation::TimedOut(
             reading.id.clone(),
@@ -182,14 +186,14 @@
         ))
     }
 
-    fn take(&self, reading: &mut Reading, after: usize, page: &Value) -> Result<(), Violation> {
+    fn add_page(&self, reading: &mut Reading, after: usize, page: &Value) -> Result<(), Violation> {
         let results = page["Results"].as_array().cloned().unwrap_or_default();
         for (position, result) in (after..).zip(results) {
             match reading.results.get(position) {
-                Some(known) if *known == result => {}
+                Some(earlier) if *earlier == result => {}
                 Some(_) => return Err(Violation::ResultChanged(reading.id.clone(), position)),
                 None => {
-                    self.check(reading, &result)?;
+                    self.check_result(reading, &result)?;
                     reading.results.push(result);
                 }
             }
@@ -197,7 +201,7 @@
         Ok(())
     }
 
-    fn check(&self, reading: &mut Reading, result: &Value) -> Result<(), Violation> {
+    fn check_result(&self, reading: &mut Reading, result: &Value) -> Result<(), Violation> {
         let id = result["Id"].as_str().unwrap_or_default().to_owned();
         let prefix = format!("item-{}-", reading.named);
         if !id.starts_with(&prefix) || !reading.seen.insert(id.clone()) {
@@ -206,12 +210,12 @@
         let versions = result["Versions"].as_array().cloned().unwrap_or_default();
         let allowed = reading.min_version..=reading.named;
         let is_allowed = |version: &Value| version.as_u64().is_some_and(|v| allowed.contains(&v));
-        let kept = result["State"] == "succeeded"
+        let is_correct = result["State"] == "succeeded"
             && result["Text"] == expected_text(self.expected.events)
             && !versions.is_empty()
             && versions.iter().all(is_allowed)
             && result["Score"] == id.replace("item", "stamp-score");
-        match kept {
+        match is_correct {
             true => Ok(()),
             false => Err(Violation::WrongResult(
                 reading.id.clone(),
@@ -220,33 +224,35 @@
         }
     }
 
-    /// Status and page, if a whole answer came.
-    async fn ask(
+    /// Sends a request to the next front. Returns status and JSON of a complete answer.
+    async fn send(
         &mut self,
         method: &str,
         path: String,
         body: String,
         reading: &Reading,
     ) -> Option<(u16, Value)> {
-        self.turn += 1;
-        let front = *self.fronts.get(self.turn % self.fronts.len().max(1))?;
+        self.request_count += 1;
+        let front = *self
+            .fronts
+            .get(self.request_count % self.fronts.len().max(1))?;
         let request = Request::builder()
             .method(method)
             .uri(path)
             .header("host", HOST)
-            // The id of its submission is the step's name; a read needs none.
+            // The request id of the submission names the step; reads do not depend on the id.
             .header("hornbeamrock-request-id", &reading.id)
-            .header("hornbeamrock-deadline-ms", CALL_MS)
-            .header("hornbeamrock-wait-ms", WAIT_MS)
+            .header("hornbeamrock-deadline-ms", REQUEST_TIMEOUT_MS)
+            .header("hornbeamrock-wait-ms", LONG_POLL_MS)
             .body(Full::new(Bytes::from(body)))
             .ok()?;
-        let within = Duration::from_millis(CALL_MS);
-        timeout(within, exchange(front, request)).await.ok()?
+        let limit = Duration::from_millis(REQUEST_TIMEOUT_MS);
+        timeout(limit, send_once(front, request)).await.ok()?
     }
 }
 
-/// One request on a connection of its own.
-async fn exchange(front: SocketAddr, request: Request<Full<Bytes>>) -> Option<(u16, Value)> {
+/// Sends a request on a new connection.
+async fn send_once(front: SocketAddr, request: Request<Full<Bytes>>) -> Option<(u16, Value)> {
     let stream = TcpStream::connect(front).await.ok()?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     let driver = tokio::spawn(connection);
@@ -258,7 +264,7 @@
     Some((status, serde_json::from_slice(&body).unwrap_or(Value::Null)))
 }
 
-/// The text of a model replica that makes so many events.
+/// Complete text of a model replica that generates `events` events.
 pub fn expected_text(events: u64) -> String {
     let words: Vec<String> = (1..=events).map(|event| format!("word-{event}")).collect();
     words.join("\n")
--- a/dev/standins/src/handle.rs
+++ b/dev/standins/src/handle.rs
@@ -1,4 +1,4 @@
-//! Hold on a running stand-in.
+//! Handle of a running stand-in, and the state that its tasks share.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,14 +8,15 @@
 
 use crate::fault::{Fault, Faults};
 
-/// One end of the stand-in's life: its connections close, and it listens again later.
+/// A simulated crash: all connections close, and the stand-in listens again after `down_ms`.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Crash {
+    /// Number of the crash; 0 until the first one.
     pub(crate) number: u64,
     pub(crate) down_ms: u64,
 }
 
-/// What the tasks of a stand-in share.
+/// Faults and crashes of a stand-in, shared by its tasks.
 pub(crate) struct Control {
     pub(crate) faults: Faults,
     pub(crate) crash: watch::Sender<Crash>,
@@ -30,12 +31,12 @@
         })
     }
 
-    /// Crashes so far.
+    /// Number of crashes since the start.
     pub(crate) fn crashes(&self) -> u64 {
         self.crash.borrow().number
     }
 
-    /// Cuts all connections and listens again after `down_ms`.
+    /// Closes all connections and listens again after `down_ms`.
     pub(crate) fn crash(&self, down_ms: u64) {
         self.crash.send_modify(|crash| {
             crash.number += 1;
@@ -44,27 +45,27 @@
     }
 }
 
-/// A running stand-in; dropped, it closes its listener and all its connections.
+/// A running stand-in. Dropping the handle closes the listener and all connections.
 pub struct Handle {
-    /// Where it listens.
+    /// Address of the listener; the port is never 0.
     pub address: SocketAddr,
     pub(crate) control: Arc<Control>,
     pub(crate) tasks: Vec<JoinHandle<()>>,
 }
 
 impl Handle {
-    /// Switches a fault on.
+    /// Activates a fault. An active fault of the same kind and path is replaced.
     pub fn inject_fault(&self, fault: Fault) {
         self.control.faults.set(fault);
     }
 
-    /// Switches all faults off.
+    /// Deactivates all faults.
     pub fn clear_faults(&self) {
         self.control.faults.clear();
     }
 
-    /// Cuts all connections and listens again after `down_ms`. State that the stand-in
-    /// keeps stays, but for an engine's (see [`crate::engine`]).
+    /// Closes all connections and listens again after `down_ms`. Only an engine loses its state in
+    /// a crash (see [`crate::engine`]).
     pub fn crash(&self, down_ms: u64) {
         self.control.crash(down_ms);
     }
--- a/dev/standins/src/http.rs
+++ b/dev/standins/src/http.rs
@@ -1,5 +1,5 @@
-//! HTTP server under every stand-in: connections, the faults that all of them know, and
-//! the switches under `/standin`.
+//! HTTP server of all stand-ins: accepts connections, simulates the faults that every stand-in
+//! supports, and serves `/standin/fault`.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,33 +24,33 @@
 use crate::reply::{self, Reply};
 
 const BODY_BYTES_MAX: usize = 64 << 20;
-const REBIND_PAUSE: Duration = Duration::from_millis(5);
+const REBIND_RETRY_DELAY: Duration = Duration::from_millis(5);
 const OUTAGE_RETRY_AFTER_S: u64 = 1;
 
 quick_error! {
-    /// The connection closes without an answer.
+    /// Makes hyper close the connection without an answer.
     #[derive(Debug)]
     pub enum NoAnswer {
-        /// On purpose.
-        OnPurpose {
-            display("no answer on purpose")
+        /// A simulated fault or crash, or a request whose body could not be read.
+        Simulated {
+            display("connection closed without an answer")
         }
     }
 }
 
-/// A request as a stand-in sees it.
+/// A request with its whole body.
 pub(crate) struct Call {
     pub(crate) method: Method,
     pub(crate) path: String,
     pub(crate) query: String,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    /// Crashes of the stand-in before the connection of this request came.
+    /// Crashes of the stand-in before the connection of this request was accepted.
     pub(crate) crashes: u64,
 }
 
 impl Call {
-    /// Value of a query field as a number.
+    /// Value of a query parameter, if it is a number.
     pub(crate) fn query_u64(&self, name: &str) -> Option<u64> {
         self.query
             .split('&')
@@ -64,25 +64,26 @@
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// The body as JSON, or the answer that refuses it.
+    /// Parses the body as JSON. The error is the answer that refuses the request.
     pub(crate) fn json<T: DeserializeOwned>(&self) -> Result<T, Box<Reply>> {
         serde_json::from_slice(&self.body).map_err(|_| Box::new(reply::error(400, "bad-json")))
     }
 
-    /// Method and the path's parts, for matching.
+    /// Method and segments of the path.
     pub(crate) fn route(&self) -> (&str, Vec<&str>) {
         let parts = self.path.split('/').filter(|part| !part.is_empty());
         (self.method.as_str(), parts.collect())
     }
 }
 
-/// Listens on `address` and answers by `handler` until the handle is dropped.
+/// Listens on `address` and answers with `handler` until the returned handle is dropped.
 ///
-/// The handler runs to its end even when its caller goes away, unless `attached`.
+/// With `cancel_on_disconnect`, a handler is cancelled when its caller disconnects. Otherwise it
+/// runs to its end.
 pub(crate) async fn serve<H, F>(
     address: SocketAddr,
     control: Arc<Control>,
-    attached: bool,
+    cancel_on_disconnect: bool,
     handler: H,
 ) -> Result<Handle, StandinError>
 where
@@ -94,7 +95,7 @@
     let address = listener.local_addr().map_err(listen)?;
     let server = Server {
         control: control.clone(),
-        attached,
+        cancel_on_disconnect,
         handler,
     };
     let task = tokio::spawn(server.run(listener, address));
@@ -108,7 +109,7 @@
 #[derive(Clone)]
 struct Server<H> {
     control: Arc<Control>,
-    attached: bool,
+    cancel_on_disconnect: bool,
     handler: H,
 }
 
@@ -120,15 +121,15 @@
     async fn run(self, listener: TcpListener, address: SocketAddr) {
         let mut listener = listener;
         let mut crash = self.control.crash.subscribe();
-        // Ends with this task: it holds the only sender.
-        let (_alive, gone) = watch::channel(());
+        // This task holds the only sender, so that all connections close when the task ends.
+        let (_running, stopped) = watch::channel(());
         let mut crashes = self.control.crashes();
         loop {
             tokio::select! {
                 accepted = listener.accept() => {
-                    // One that comes as the stand-in crashes finds nobody.
+                    // A connection accepted during a crash is closed.
                     if let Ok((stream, _)) = accepted && self.control.crashes() == crashes {
-                        let connection = self.clone().connection(stream, crashes, gone.clone());
+                        let connection = self.clone().serve_connection(stream, crashes, stopped.clone());
                         tokio::spawn(connection);
                     }
                 }
@@ -143,20 +144,26 @@
         }
     }
 
-    async fn connection(self, stream: TcpStream, crashes: u64, mut gone: watch::Receiver<()>) {
+    async fn serve_connection(
+        self,
+        stream: TcpStream,
+        crashes: u64,
+        mut stopped: watch::Receiver<()>,
+    ) {
         let mut crash = self.control.crash.subscribe();
         let _ = stream.set_nodelay(true);
-        let service = service_fn(move |request| self.clone().answer_alive(request, crashes));
+        let service =
+            service_fn(move |request| self.clone().answer_unless_crashed(request, crashes));
         let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
         tokio::select! {
             _ = connection => {}
             _ = crash.changed() => {}
-            _ = gone.changed() => {}
+            _ = stopped.changed() => {}
         }
     }
 
-    /// The answer, unless the stand-in crashed since the connection came.
-    async fn answer_alive(
+    /// Returns the answer unless the stand-in crashed after it accepted the connection.
+    async fn answer_unless_crashed(
         self,
         request: Request<Incoming>,
         crashes: u64,
@@ -166,16 +173,16 @@
         if control.crashes() == crashes {
             Ok(reply)
         } else {
-            Err(NoAnswer::OnPurpose)
+            Err(NoAnswer::Simulated)
         }
     }
 
     async fn answer(self, request: Request<Incoming>, crashes: u64) -> Result<Reply, NoAnswer> {
-        let Some(call) = read(request, crashes).await else {
-            return Err(NoAnswer::OnPurpose);
+        let Some(call) = read_call(request, crashes).await else {
+            return Err(NoAnswer::Simulated);
         };
         if call.path == "/standin/fault" {
-            return Ok(self.switch(&call));
+            return Ok(self.change_faults(&call));
         }
         if call.path.starts_with("/standin/") {
             return Ok((self.handler)(call).await);
@@ -185,36 +192,40 @@
             false => format!("{}?{}", call.path, call.query),
         };
         let faults = &self.control.faults;
-        if faults.hit(FaultKind::Silent, &path).is_some() {
+        if faults.trigger(FaultKind::Silent, &path).is_some() {
             return std::future::pending().await;
         }
-        if faults.hit(FaultKind::Outage, &path).is_some() {
-            return Ok(reply::come_back(503, "outage", OUTAGE_RETRY_AFTER_S));
+        if faults.trigger(FaultKind::Outage, &path).is_some() {
+            return Ok(reply::error_with_retry_after(
+                503,
+                "outage",
+                OUTAGE_RETRY_AFTER_S,
+            ));
         }
-        if let Some(late) = faults.hit(FaultKind::Late, &path) {
+        if let Some(late) = faults.trigger(FaultKind::Late, &path) {
             let handler = self.handler.clone();
             tokio::spawn(async move {
                 sleep(Duration::from_millis(late.delay_ms)).await;
                 handler(call).await
             });
-            return Err(NoAnswer::OnPurpose);
+            return Err(NoAnswer::Simulated);
         }
-        let slow = faults.hit(FaultKind::Slow, &path);
-        let lost = faults.hit(FaultKind::AnswerLost, &path).is_some();
-        let truncated = faults.hit(FaultKind::Truncate, &path);
-        let cut = faults.hit(FaultKind::Cut, &path);
-        let reply = self.handled(call, slow).await?;
+        let slow = faults.trigger(FaultKind::Slow, &path);
+        let lost = faults.trigger(FaultKind::AnswerLost, &path).is_some();
+        let truncated = faults.trigger(FaultKind::Truncate, &path);
+        let cut = faults.trigger(FaultKind::Cut, &path);
+        let reply = self.run_handler(call, slow).await?;
         if lost {
-            return Err(NoAnswer::OnPurpose);
+            return Err(NoAnswer::Simulated);
         }
         Ok(match (truncated, cut) {
-            (Some(fault), _) => reply::shortened(reply, &fault, true),
-            (None, Some(fault)) => reply::shortened(reply, &fault, false),
+            (Some(fault), _) => reply::shorten(reply, &fault, true),
+            (None, Some(fault)) => reply::shorten(reply, &fault, false),
             (None, None) => reply,
         })
     }
 
-    async fn handled(&self, call: Call, slow: Option<Fault>) -> Result<Reply, NoAnswer> {
+    async fn run_handler(&self, call: Call, slow: Option<Fault>) -> Result<Reply, NoAnswer> {
         let handler = self.handler.clone();
         let work = async move {
             if let Some(fault) = slow {
@@ -222,21 +233,21 @@
             }
             handler(call).await
         };
-        if self.attached {
+        if self.cancel_on_disconnect {
             return Ok(work.await);
         }
-        tokio::spawn(work).await.map_err(|_| NoAnswer::OnPurpose)
+        tokio::spawn(work).await.map_err(|_| NoAnswer::Simulated)
     }
 
-    fn switch(&self, call: &Call) -> Reply {
+    fn change_faults(&self, call: &Call) -> Reply {
         if call.method == Method::DELETE {
             self.control.faults.clear();
-            return reply::done();
+            return reply::ok();
         }
         match call.json::<Fault>() {
             Ok(fault) => {
                 self.control.faults.set(fault);
-                reply::done()
+                reply::ok()
             }
             Err(refusal) => *refusal,
         }
@@ -248,11 +259,11 @@
         if let Ok(listener) = TcpListener::bind(address).await {
             return listener;
         }
-        sleep(REBIND_PAUSE).await;
+        sleep(REBIND_RETRY_DELAY).await;
     }
 }
 
-async fn read(request: Request<Incoming>, crashes: u64) -> Option<Call> {
+async fn read_call(request: Request<Incoming>, crashes: u64) -> Option<Call> {
     let (head, body) = request.into_parts();
     let body = Limited::new(body, BODY_BYTES_MAX).collect().await.ok()?;
     Some(Call {
--- a/dev/standins/src/lib.rs
+++ b/dev/standins/src/lib.rs
@@ -1,9 +1,9 @@
-//! Small stand-ins of the systems outside hornbeamrock, for tests and demonstrations.
-//! Never shipped.
+//! Stand-ins for the systems outside hornbeamrock (model engines, log, weight store, VM list,
+//! scorers, services, trainers), for tests and demonstrations. They are never released.
 //!
-//! Each has `start(settings)`, which serves on its own tasks until the returned
-//! [`Handle`] is dropped. Faults are switched over HTTP (`POST /standin/fault`) or
-//! through the handle.
+//! Most servers have a function `start(settings)`, which serves on tasks of its own until the
+//! returned [`Handle`] is dropped. Faults are injected over HTTP (`POST /standin/fault`) or with
+//! [`Handle::inject_fault`].
 
 pub mod engine;
 mod error;
--- a/dev/standins/src/log.rs
+++ b/dev/standins/src/log.rs
@@ -1,4 +1,5 @@
-//! The log service: streams of records with offsets, kept by count.
+//! The log service: streams of records with consecutive offsets. Each stream retains a limited
+//! number of records.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -14,26 +15,26 @@
 use crate::error::StandinError;
 use crate::handle::{Control, Handle};
 use crate::http::{self, Call};
-use crate::rate::{RETRY_AFTER_S, Rate};
+use crate::rate::{RETRY_AFTER_S, RateLimiter};
 use crate::reply::{self, Reply};
 
-const READ_MAX: u64 = 10_000;
+const READ_RECORDS_MAX: u64 = 10_000;
 
 /// Settings of the log.
 #[value]
 pub struct LogSettings {
-    /// Where it listens.
+    /// Address to listen on; with port 0 the system chooses the port.
     pub listen: SocketAddr,
-    /// Records that each stream keeps.
+    /// Records that each stream retains.
     pub keep_count: usize,
-    /// Time that one append takes.
+    /// Time that each append takes.
     pub append_ms: u64,
-    /// Appends a second; 0 sets no limit.
+    /// Appends per second; 0 means no limit.
     pub appends_per_s: u64,
 }
 
 impl LogSettings {
-    /// A log at `listen` that keeps much and takes no time.
+    /// A log that retains 100 000 records per stream, without delay or rate limit.
     pub fn new(listen: SocketAddr) -> LogSettings {
         LogSettings {
             listen,
@@ -87,17 +88,18 @@
 
 struct Log {
     settings: LogSettings,
-    rate: Rate,
+    rate: RateLimiter,
     streams: Mutex<BTreeMap<String, Stream>>,
+    /// Counts appends, which wakes the reads that wait for records.
     appends: watch::Sender<u64>,
 }
 
-/// Starts the log.
+/// Starts a log on `settings.listen`.
 pub async fn start(settings: LogSettings) -> Result<Handle, StandinError> {
     let listen = settings.listen;
     let log = Arc::new(Log {
         settings,
-        rate: Rate::new(),
+        rate: RateLimiter::new(),
         streams: Mutex::default(),
         appends: watch::channel(0).0,
     });
@@ -115,7 +117,7 @@
         ("GET", parts) if parts.len() == 3 && parts[2] == "records" => {
             log.read(parts[1], &call).await
         }
-        ("GET", parts) if parts == ["standin", "log"] => log.sizes(),
+        ("GET", parts) if parts == ["standin", "log"] => log.end_offsets(),
         _ => reply::error(404, "no-such-path"),
     }
 }
@@ -126,8 +128,8 @@
             return reply::error(400, "not-utf-8");
         };
         let per_s = self.settings.appends_per_s;
-        if per_s > 0 && !self.rate.take(per_s) {
-            return reply::come_back(429, "rate", RETRY_AFTER_S);
+        if per_s > 0 && !self.rate.try_acquire(per_s) {
+            return reply::error_with_retry_after(429, "rate", RETRY_AFTER_S);
         }
         tokio::time::sleep(Duration::from_millis(self.settings.append_ms)).await;
         let offset = self
@@ -141,16 +143,19 @@
 
     async fn read(&self, stream: &str, call: &Call) -> Reply {
         let from = call.query_u64("from").unwrap_or(0);
-        let max = call.query_u64("max").unwrap_or(READ_MAX).min(READ_MAX);
+        let max = call
+            .query_u64("max")
+            .unwrap_or(READ_RECORDS_MAX)
+            .min(READ_RECORDS_MAX);
         let wait = Duration::from_millis(call.query_u64("wait_ms").unwrap_or(0));
-        let wait_until = Instant::now() + wait;
+        let deadline = Instant::now() + wait;
         let mut appends = self.appends.subscribe();
         loop {
             let page = self.page(stream, from, max);
             if !page.records.is_empty() {
                 return reply::json(200, &page);
             }
-            if timeout_at(wait_until, appends.changed()).await.is_err() {
+            if timeout_at(deadline, appends.changed()).await.is_err() {
                 return reply::json(200, &page);
             }
         }
@@ -162,10 +167,10 @@
         streams.get(stream).unwrap_or(&empty).page(from, max)
     }
 
-    fn sizes(&self) -> Reply {
+    fn end_offsets(&self) -> Reply {
         let streams = self.lock();
-        let sizes = streams.iter().map(|(name, stream)| (name, stream.next()));
-        reply::json(200, &sizes.collect::<BTreeMap<_, _>>())
+        let end_offsets = streams.iter().map(|(name, stream)| (name, stream.next()));
+        reply::json(200, &end_offsets.collect::<BTreeMap<_, _>>())
     }
 
     fn lock(&self) -> MutexGuard<'_, BTreeMap<String, Stream>> {
--- a/dev/standins/src/main.rs
+++ b/dev/standins/src/main.rs
@@ -1,4 +1,5 @@
-//! The stand-ins as a program: `hornbeamrock-standins log --listen 127.0.0.1:7000`.
+//! Runs stand-ins from the command line, such as
+//! `hornbeamrock-standins log --listen 127.0.0.1:7000`.
 
 mod cli;
 mod run;
--- a/dev/standins/src/rate.rs
+++ b/dev/standins/src/rate.rs
@@ -1,4 +1,4 @@
-//! A limit of so many requests in each second.
+//! Limit on the requests per second.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
@@ -7,38 +7,38 @@
 
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// Time to come back that a refusal over the rate states.
+/// `Retry-After` of a request refused by the rate limit.
 pub(crate) const RETRY_AFTER_S: u64 = 1;
 
 struct Window {
-    since: Instant,
-    taken: u64,
+    started_at: Instant,
+    count: u64,
 }
 
-/// Counts requests in windows of a second.
-pub(crate) struct Rate {
+/// Counts requests in consecutive windows of one second.
+pub(crate) struct RateLimiter {
     window: Mutex<Window>,
 }
 
-impl Rate {
-    pub(crate) fn new() -> Rate {
+impl RateLimiter {
+    pub(crate) fn new() -> RateLimiter {
         let window = Window {
-            since: Instant::now(),
-            taken: 0,
+            started_at: Instant::now(),
+            count: 0,
         };
-        Rate {
+        RateLimiter {
             window: Mutex::new(window),
         }
     }
 
-    /// Whether one more request is within `per_s`.
-    pub(crate) fn take(&self, per_s: u64) -> bool {
+    /// Counts a request and returns whether it is within the limit of `per_s`.
+    pub(crate) fn try_acquire(&self, per_s: u64) -> bool {
         let mut window = self.window.lock().unwrap_or_else(PoisonError::into_inner);
-        if window.since.elapsed() >= WINDOW {
-            window.since = Instant::now();
-            window.taken = 0;
+        if window.started_at.elapsed() >= WINDOW {
+            window.started_at = Instant::now();
+            window.count = 0;
         }
-        window.taken += 1;
-        window.taken <= per_s
+        window.count += 1;
+        window.count <= per_s
     }
 }
--- a/dev/standins/src/reply.rs
+++ b/dev/standins/src/reply.rs
@@ -1,4 +1,4 @@
-//! What a stand-in answers.
+//! Answers of a stand-in.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -13,42 +13,41 @@
 
 use crate::fault::Fault;
 
-/// Chunks between a stand-in and the connection.
-const CHUNKS: usize = 64;
+/// Chunks of a stream that may wait for the connection.
+const BUFFERED_CHUNKS_MAX: usize = 64;
 
 quick_error! {
-    /// The connection closes here.
+    /// Makes hyper close the connection within the answer.
     #[derive(Debug)]
-    pub enum Cut {
-        /// On purpose.
-        OnPurpose {
-            display("closed on purpose")
+    pub enum ConnectionCut {
+        /// A simulated fault or crash.
+        Simulated {
+            display("connection closed by a simulated fault")
         }
     }
 }
 
-/// Sender of the chunks of a stream.
-pub(crate) type Chunks = mpsc::Sender<Result<Bytes, Cut>>;
+pub(crate) type ChunkSender = mpsc::Sender<Result<Bytes, ConnectionCut>>;
 
-/// Body of an answer.
+/// Body of an answer; a buffered body is sent with its length.
 pub(crate) enum ReplyBody {
-    Whole(Option<Bytes>),
-    Stream(mpsc::Receiver<Result<Bytes, Cut>>),
+    Buffered(Option<Bytes>),
+    Streaming(mpsc::Receiver<Result<Bytes, ConnectionCut>>),
 }
 
 impl Body for ReplyBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = ConnectionCut;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ConnectionCut>>> {
         match self.get_mut() {
-            ReplyBody::Whole(bytes) => {
+            ReplyBody::Buffered(bytes) => {
                 Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes))))
             }
-            ReplyBody::Stream(chunks) => chunks
+            ReplyBody::Streaming(chunks) => chunks
                 .poll_recv(context)
                 .map(|chunk| chunk.map(|chunk| chunk.map(Frame::data))),
         }
@@ -56,29 +55,26 @@
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            ReplyBody::Whole(Some(bytes)) => SizeHint::with_exact(bytes.len() as u64),
-            ReplyBody::Whole(None) => SizeHint::with_exact(0),
-            ReplyBody::Stream(_) => SizeHint::default(),
+            ReplyBody::Buffered(Some(bytes)) => SizeHint::with_exact(bytes.len() as u64),
+            ReplyBody::Buffered(None) => SizeHint::with_exact(0),
+            ReplyBody::Streaming(_) => SizeHint::default(),
         }
     }
 }
 
-/// An answer.
 pub(crate) type Reply = Response<ReplyBody>;
 
 #[derive(Serialize)]
-struct Trouble<'a> {
+struct ErrorBody<'a> {
     error: &'a str,
 }
 
-/// An answer of these bytes.
 pub(crate) fn bytes(status: u16, body: Bytes) -> Reply {
-    let mut reply = Response::new(ReplyBody::Whole(Some(body)));
+    let mut reply = Response::new(ReplyBody::Buffered(Some(body)));
     *reply.status_mut() = http::StatusCode::from_u16(status).unwrap_or_default();
     reply
 }
 
-/// An answer of JSON.
 pub(crate) fn json(status: u16, document: &impl Serialize) -> Reply {
     let body = serde_json::to_vec(document).unwrap_or_default();
     let mut reply = bytes(status, Bytes::from(body));
@@ -87,68 +83,68 @@
     reply
 }
 
-/// An answer of `{}`.
-pub(crate) fn done() -> Reply {
+/// An answer with status 200 and the body `{}`.
+pub(crate) fn ok() -> Reply {
     json(200, &serde_json::Map::new())
 }
 
-/// An error with a word that says what is wrong.
-pub(crate) fn error(status: u16, word: &str) -> Reply {
-    json(status, &Trouble { error: word })
+/// An error answer; `cause` is the error name that the body carries.
+pub(crate) fn error(status: u16, cause: &str) -> Reply {
+    json(status, &ErrorBody { error: cause })
 }
 
-/// An error with a time to come back.
-pub(crate) fn come_back(status: u16, word: &str, retry_after_s: u64) -> Reply {
-    let mut reply = error(status, word);
+/// An error answer with a `Retry-After` header.
+pub(crate) fn error_with_retry_after(status: u16, cause: &str, retry_after_s: u64) -> Reply {
+    let mut reply = error(status, cause);
     reply
         .headers_mut()
         .insert(RETRY_AFTER, HeaderValue::from(retry_after_s));
     reply
 }
 
-/// A stream of server-sent events and the sender of its chunks.
-pub(crate) fn stream() -> (Chunks, Reply) {
-    let (chunks, received) = mpsc::channel(CHUNKS);
-    let mut reply = Response::new(ReplyBody::Stream(received));
+/// A stream of server-sent events, with the sender of its chunks.
+pub(crate) fn stream() -> (ChunkSender, Reply) {
+    let (chunks, received) = mpsc::channel(BUFFERED_CHUNKS_MAX);
+    let mut reply = Response::new(ReplyBody::Streaming(received));
     let content = HeaderValue::from_static("text/event-stream");
     reply.headers_mut().insert(CONTENT_TYPE, content);
     (chunks, reply)
 }
 
-/// The answer with an early end. `clean` makes a stream end as if it were over; a whole
-/// answer always breaks off before its stated length.
-pub(crate) fn shortened(reply: Reply, fault: &Fault, clean: bool) -> Reply {
+/// Ends an answer early. With `clean`, a stream ends as if it were complete, otherwise its
+/// connection closes. A buffered body always breaks off halfway, before its `content-length`.
+pub(crate) fn shorten(reply: Reply, fault: &Fault, clean: bool) -> Reply {
     let (mut head, body) = reply.into_parts();
-    let (chunks, received) = mpsc::channel(CHUNKS);
+    let (chunks, received) = mpsc::channel(BUFFERED_CHUNKS_MAX);
     match body {
-        ReplyBody::Whole(whole) => {
+        ReplyBody::Buffered(whole) => {
             let whole = whole.unwrap_or_default();
             head.headers
                 .insert(CONTENT_LENGTH, HeaderValue::from(whole.len()));
-            tokio::spawn(break_off(whole.slice(..whole.len() / 2), chunks));
+            tokio::spawn(send_part(whole.slice(..whole.len() / 2), chunks));
         }
-        ReplyBody::Stream(source) => {
+        ReplyBody::Streaming(source) => {
             tokio::spawn(forward(source, fault.after, clean, chunks));
         }
     }
-    Response::from_parts(head, ReplyBody::Stream(received))
+    Response::from_parts(head, ReplyBody::Streaming(received))
 }
 
-async fn break_off(part: Bytes, chunks: Chunks) {
+async fn send_part(part: Bytes, chunks: ChunkSender) {
     if !part.is_empty() {
         let _ = chunks.send(Ok(part)).await;
     }
-    flush_pause().await;
-    let _ = chunks.send(Err(Cut::OnPurpose)).await;
+    wait_for_flush().await;
+    let _ = chunks.send(Err(ConnectionCut::Simulated)).await;
 }
 
 async fn forward(
-    mut source: mpsc::Receiver<Result<Bytes, Cut>>,
-    count: u64,
+    mut source: mpsc::Receiver<Result<Bytes, ConnectionCut>>,
+    chunk_count: u64,
     clean: bool,
-    chunks: Chunks,
+    chunks: ChunkSender,
 ) {
-    for _ in 0..count {
+    for _ in 0..chunk_count {
         match source.recv().await {
             Some(chunk) => {
                 let _ = chunks.send(chunk).await;
@@ -157,14 +153,14 @@
         }
     }
     if !clean {
-        flush_pause().await;
-        let _ = chunks.send(Err(Cut::OnPurpose)).await;
+        wait_for_flush().await;
+        let _ = chunks.send(Err(ConnectionCut::Simulated)).await;
     }
 }
 
-/// Lets hyper write out what it has before the connection breaks; otherwise the answer's
-/// head may never leave.
-async fn flush_pause() {
+/// Gives hyper time to write its buffers before the connection closes. Otherwise the head of the
+/// answer might never be sent.
+async fn wait_for_flush() {
     const FLUSH_MS: u64 = 20;
     tokio::time::sleep(std::time::Duration::from_millis(FLUSH_MS)).await;
 }
--- a/dev/standins/src/run.rs
+++ b/dev/standins/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs what the command line names until the process is asked to end.
+//! Runs the subcommand. A stand-in serves until the process receives SIGTERM or SIGINT.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -19,80 +19,80 @@
 use types::WeightVersion;
 
 quick_error! {
-    /// Why the program ends without doing its work.
+    /// Why a subcommand failed.
     #[derive(Debug)]
     pub enum RunError {
-        /// A stand-in does not start.
+        /// Starting a stand-in failed.
         Standin(err: StandinError) {
             display("{}", err)
             from()
         }
-        /// The trainer gives up.
+        /// The training run ended early.
         Trainer(err: TrainerError) {
             display("{}", err)
             from()
         }
-        /// No runtime or no signals.
-        System(err: std::io::Error) {
+        /// Creating the runtime or a signal handler failed.
+        Io(err: std::io::Error) {
             display("{}", err)
             from()
         }
-        /// A `--vm` that is not one.
+        /// The value of `--vm` does not describe a VM.
         Vm(text: String) {
-            display("--vm '{}': write ROLE,IP:PORT,DOMAIN,REGION with role entry or agent", text)
+            display("--vm '{}': expected ROLE,IP:PORT,DOMAIN,REGION with role entry or agent", text)
         }
-        /// No subcommand.
+        /// The command line names no subcommand.
         NoCommand {
             display("no subcommand")
         }
     }
 }
 
-/// Runs the subcommand.
+/// Runs the subcommand to its end.
 pub fn run(matches: &ArgMatches) -> Result<ExitCode, RunError> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()?;
-    runtime.block_on(subcommand(matches))
+    runtime.block_on(run_subcommand(matches))
 }
 
-async fn subcommand(matches: &ArgMatches) -> Result<ExitCode, RunError> {
+async fn run_subcommand(matches: &ArgMatches) -> Result<ExitCode, RunError> {
     match matches.subcommand() {
         Some(("trainer", args)) => train(args).await,
         Some(("site", args)) => {
-            let site = standins::site::start(site(args)).await?;
+            let site = standins::site::start(site_settings(args)).await?;
             for (name, address) in site.addresses() {
                 println!("{name}={address}");
             }
-            until_stopped().await
+            wait_until_stopped().await
         }
         Some((name, args)) => {
-            let handle = single(name, args).await?;
+            let handle = start_one(name, args).await?;
             println!("{name}={}", handle.address);
-            until_stopped().await
+            wait_until_stopped().await
         }
         None => Err(RunError::NoCommand),
     }
 }
 
-async fn single(name: &str, args: &ArgMatches) -> Result<Handle, RunError> {
+async fn start_one(name: &str, args: &ArgMatches) -> Result<Handle, RunError> {
     let handle = match name {
-        "log" => standins::log::start(log(args)).await?,
-        "vms" => standins::vms::start(vms(args)?).await?,
-        "store" => standins::store::start(store(args)).await?,
-        "scorer" => standins::scorer::start(scorer(args)).await?,
-        "service" => standins::service::start(service(args)).await?,
-        "engine" => standins::engine::start(engine(args)).await?,
+        "log" => standins::log::start(log_settings(args)).await?,
+        "vms" => standins::vms::start(vms_settings(args)?).await?,
+        "store" => standins::store::start(store_settings(args)).await?,
+        "scorer" => standins::scorer::start(scorer_settings(args)).await?,
+        "service" => standins::service::start(service_settings(args)).await?,
+        "engine" => standins::engine::start(engine_settings(args)).await?,
         _ => return Err(RunError::NoCommand),
     };
     Ok(handle)
 }
 
-async fn until_stopped() -> Result<ExitCode, RunError> {
+async fn wait_until_stopped() -> Result<ExitCode, RunError> {
     let mut terminate = signal(SignalKind::terminate())?;
     tokio::select! {
         _ = terminate.recv() => {}
-        ended = tokio::signal::ctrl_c() => ended?,
+        result = tokio::signal::ctrl_c() => result?,
     }
     Ok(ExitCode::SUCCESS)
 }
@@ -122,11 +122,11 @@
     Ok(ExitCode::from(code))
 }
 
-fn site(args: &ArgMatches) -> SiteSettings {
+fn site_settings(args: &ArgMatches) -> SiteSettings {
     SiteSettings {
         listen: address(args),
         engines: number(args, "engines") as usize,
-        engine: engine(args),
+        engine: engine_settings(args),
         services: number(args, "services") as usize,
         service: text(args, "service"),
         service_ms: number(args, "service-ms").into(),
@@ -134,7 +134,7 @@
     }
 }
 
-fn log(args: &ArgMatches) -> LogSettings {
+fn log_settings(args: &ArgMatches) -> LogSettings {
     LogSettings {
         keep_count: number(args, "keep-count") as usize,
         append_ms: number(args, "append-ms").into(),
@@ -143,9 +143,9 @@
     }
 }
 
-fn vms(args: &ArgMatches) -> Result<VmsSettings, RunError> {
+fn vms_settings(args: &ArgMatches) -> Result<VmsSettings, RunError> {
     let vms = args.get_many::<String>("vm").unwrap_or_default();
-    let vms = vms.map(|text| vm(text).ok_or_else(|| RunError::Vm(text.clone())));
+    let vms = vms.map(|text| parse_vm(text).ok_or_else(|| RunError::Vm(text.clone())));
     Ok(VmsSettings {
         vms: vms.collect::<Result<_, _>>()?,
         lag_ms: number(args, "lag-ms").into(),
@@ -153,7 +153,7 @@
     })
 }
 
-fn vm(text: &str) -> Option<Vm> {
+fn parse_vm(text: &str) -> Option<Vm> {
     let mut parts = text.split(',');
     let vm = Vm {
         role: adapters::VmRole::parse(parts.next()?)?,
@@ -165,28 +165,28 @@
     parts.next().is_none().then_some(vm)
 }
 
-fn store(args: &ArgMatches) -> StoreSettings {
+fn store_settings(args: &ArgMatches) -> StoreSettings {
     StoreSettings {
         per_s: number(args, "per-s").into(),
         ..StoreSettings::new(address(args))
     }
 }
 
-fn scorer(args: &ArgMatches) -> ScorerSettings {
+fn scorer_settings(args: &ArgMatches) -> ScorerSettings {
     ScorerSettings {
         score_ms: number(args, "score-ms").into(),
         ..ScorerSettings::new(address(args))
     }
 }
 
-fn service(args: &ArgMatches) -> ServiceSettings {
+fn service_settings(args: &ArgMatches) -> ServiceSettings {
     ServiceSettings {
         service_ms: number(args, "service-ms").into(),
         ..ServiceSettings::new(address(args), text(args, "name"))
     }
 }
 
-fn engine(args: &ArgMatches) -> EngineSettings {
+fn engine_settings(args: &ArgMatches) -> EngineSettings {
     let version = version(args);
     let names = text(args, "model");
     let models = names.split(',').map(|name| (name.to_owned(), version));
@@ -213,7 +213,8 @@
     }
 }
 
-// clap fills each of these in by a default or refuses the command line.
+// clap sets a default for these arguments or rejects the command line, so that the fallback values
+// below are never used.
 
 fn address(args: &ArgMatches) -> SocketAddr {
     let listen = args.get_one::<SocketAddr>("listen").copied();
--- a/dev/standins/src/scorer.rs
+++ b/dev/standins/src/scorer.rs
@@ -1,4 +1,4 @@
-//! A scorer: the same score for the same sample, between 0 and 1.
+//! A scorer: a score between 0 and 1 that depends only on the prompt and the completion.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,19 +11,20 @@
 use crate::http::{self, Call};
 use crate::reply::{self, Reply};
 
-const STEPS: u64 = 10_000;
+/// Distinct scores above 0.
+const SCORE_STEPS: u64 = 10_000;
 
 /// Settings of the scorer.
 #[value]
 pub struct ScorerSettings {
-    /// Where it listens.
+    /// Address to listen on; with port 0 the system chooses the port.
     pub listen: SocketAddr,
-    /// Time that one score takes.
+    /// Time that each score takes.
     pub score_ms: u64,
 }
 
 impl ScorerSettings {
-    /// A scorer at `listen` that takes no time.
+    /// A scorer whose scores take no time.
     pub fn new(listen: SocketAddr) -> ScorerSettings {
         ScorerSettings {
             listen,
@@ -33,7 +34,7 @@
 }
 
 #[derive(Deserialize)]
-struct Question {
+struct ScoreRequest {
     prompt: String,
     completion: String,
 }
@@ -43,7 +44,7 @@
     score: f64,
 }
 
-/// Starts the scorer.
+/// Starts a scorer on `settings.listen`.
 pub async fn start(settings: ScorerSettings) -> Result<Handle, StandinError> {
     let score_ms = settings.score_ms;
     http::serve(settings.listen, Control::new(), false, move |call| {
@@ -54,22 +55,22 @@
 
 async fn answer(call: Call, score_ms: u64) -> Reply {
     if call.path == "/healthz" {
-        return reply::done();
+        return reply::ok();
     }
     if call.path != "/score" {
         return reply::error(404, "no-such-path");
     }
-    let question: Question = match call.json() {
-        Ok(question) => question,
+    let request: ScoreRequest = match call.json() {
+        Ok(request) => request,
         Err(refusal) => return *refusal,
     };
     tokio::time::sleep(Duration::from_millis(score_ms)).await;
-    let score = score(&question.prompt, &question.completion);
+    let score = score(&request.prompt, &request.completion);
     reply::json(200, &Answer { score })
 }
 
-/// The score that this scorer gives.
+/// Score of a completion, as the scorer computes it; for tests to compare with.
 pub fn score(prompt: &str, completion: &str) -> f64 {
     let hash = crate::engine::text_hash(&[prompt, completion]);
-    (hash % (STEPS + 1)) as f64 / STEPS as f64
+    (hash % (SCORE_STEPS + 1)) as f64 / SCORE_STEPS as f64
 }
--- a/dev/standins/src/service.rs
+++ b/dev/standins/src/service.rs
@@ -1,5 +1,6 @@
-//! A plain service: a register, sanctions, bids, valuations, stock. Counts its runs by
-//! the header `x-request-tag`, so that a test can see what ran how often.
+//! A plain service that answers requests for applicants, sanctions, bids, valuations and stock.
+//! It counts how often it ran the requests of each `x-request-tag` header, so that tests can check
+//! for duplicate runs.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,22 +16,22 @@
 use crate::http::{self, Call};
 use crate::reply::{self, Reply};
 
-const TAG: &str = "x-request-tag";
+const TAG_HEADER: &str = "x-request-tag";
 const STOCK_ITEMS_MAX: u64 = 100_000;
 
 /// Settings of a plain service.
 #[value]
 pub struct ServiceSettings {
-    /// Where it listens.
+    /// Address to listen on; with port 0 the system chooses the port.
     pub listen: SocketAddr,
-    /// Name that stands in its answers.
+    /// Name of the service in its answers.
     pub name: String,
-    /// Time that one call takes.
+    /// Time that each call takes.
     pub service_ms: u64,
 }
 
 impl ServiceSettings {
-    /// A service at `listen` that takes no time.
+    /// A service whose calls take no time.
     pub fn new(listen: SocketAddr, name: impl Into<String>) -> ServiceSettings {
         ServiceSettings {
             listen,
@@ -93,7 +94,7 @@
     runs: Mutex<Runs>,
 }
 
-/// Starts a plain service.
+/// Starts a plain service on `settings.listen`.
 pub async fn start(settings: ServiceSettings) -> Result<Handle, StandinError> {
     let listen = settings.listen;
     let control = Control::new();
@@ -110,39 +111,39 @@
 
 async fn answer(service: Arc<Service>, call: Call) -> Reply {
     match call.path.as_str() {
-        "/healthz" => return reply::done(),
+        "/healthz" => return reply::ok(),
         "/standin/runs" => return reply::json(200, &service.lock().by_tag),
         "/standin/total" => return reply::json(200, &service.lock().total),
         _ => {}
     }
-    let run = service.count(&call);
-    if let Some(fault) = service.crash(&call) {
-        service.control.crash(fault);
+    let run = service.count_run(&call);
+    if let Some(down_ms) = service.crash_down_ms(&call) {
+        service.control.crash(down_ms);
         return std::future::pending().await;
     }
     tokio::time::sleep(Duration::from_millis(service.settings.service_ms)).await;
-    service.content(&call, run)
+    service.run_answer(&call, run)
 }
 
 impl Service {
-    fn count(&self, call: &Call) -> u64 {
+    fn count_run(&self, call: &Call) -> u64 {
         let mut runs = self.lock();
         runs.total += 1;
-        if let Some(tag) = call.header(TAG) {
+        if let Some(tag) = call.header(TAG_HEADER) {
             *runs.by_tag.entry(tag.to_owned()).or_default() += 1;
         }
         runs.total
     }
 
-    /// Time until the service is back, if this call crashes it.
-    fn crash(&self, call: &Call) -> Option<u64> {
+    /// Time until the service listens again, if this call crashes it.
+    fn crash_down_ms(&self, call: &Call) -> Option<u64> {
         let body = String::from_utf8_lossy(&call.body);
         let text = format!("{}\n{body}", call.path);
-        let fault = self.control.faults.crash_on(&text)?;
+        let fault = self.control.faults.trigger_crash(&text)?;
         Some(fault.delay_ms)
     }
 
-    fn content(&self, call: &Call, run: u64) -> Reply {
+    fn run_answer(&self, call: &Call, run: u64) -> Reply {
         let (method, parts) = call.route();
         let content = match (method, parts.as_slice()) {
             (_, ["applicants", id]) => Content::Applicant {
@@ -161,7 +162,7 @@
                 rupees: 50_000 + text_hash(&[lot]) % 950_000,
             },
             (_, ["stock", ..]) => Content::Stock {
-                items: stock(call.query_u64("items").unwrap_or(3)),
+                items: stock_items(call.query_u64("items").unwrap_or(3)),
             },
             _ => Content::Other {},
         };
@@ -181,7 +182,7 @@
     }
 }
 
-fn stock(items: u64) -> Vec<StockItem> {
+fn stock_items(items: u64) -> Vec<StockItem> {
     let lots = 1..=items.min(STOCK_ITEMS_MAX);
     lots.map(|lot| StockItem {
         lot,
--- a/dev/standins/src/site.rs
+++ b/dev/standins/src/site.rs
@@ -1,4 +1,5 @@
-//! A whole site of stand-ins in one process, on consecutive ports.
+//! A site of stand-ins in one process, on consecutive ports: log, VM list, weight store, scorer,
+//! engines and plain services.
 
 use std::net::SocketAddr;
 
@@ -16,53 +17,54 @@
 /// Settings of a site.
 #[value]
 pub struct SiteSettings {
-    /// Address of the log; the others follow on the next ports. Port 0 takes free ones.
+    /// Address of the log. The other stand-ins listen on the ports after it, in the order of
+    /// [`Site::addresses`]. With port 0 the system chooses all ports.
     pub listen: SocketAddr,
-    /// Number of engines.
+    /// Engines to start; may be 0.
     pub engines: usize,
-    /// What each engine is like; its address and store are the site's.
+    /// Settings of each engine. The site replaces the address and the weight store.
     pub engine: EngineSettings,
-    /// Number of plain services.
+    /// Plain services to start; may be 0.
     pub services: usize,
-    /// Name of the plain services.
+    /// Name that all plain services state in their answers.
     pub service: String,
-    /// Time that one call of a plain service takes.
+    /// Time that each call of a plain service takes.
     pub service_ms: u64,
-    /// Answers a second of the weight store; 0 sets no limit.
+    /// Answers per second of the weight store; 0 means no limit.
     pub store_per_s: u64,
 }
 
-/// A running site.
+/// The stand-ins of a running site. Dropping the site stops them all.
 pub struct Site {
-    /// The log.
+    /// Log with the default retention.
     pub log: Handle,
-    /// The VM list.
+    /// VM list, empty at the start.
     pub vms: Handle,
-    /// The weight store.
+    /// Weight store of all engines.
     pub store: Handle,
-    /// The scorer.
+    /// Scorer whose scores take no time.
     pub scorer: Handle,
-    /// The engines.
+    /// Engines in the order of their ports.
     pub engines: Vec<Handle>,
-    /// The plain services.
+    /// Plain services in the order of their ports.
     pub services: Vec<Handle>,
 }
 
-/// Starts a site.
+/// Starts all stand-ins of a site.
 pub async fn start(settings: SiteSettings) -> Result<Site, StandinError> {
     let mut next = settings.listen;
-    let log = log::start(LogSettings::new(take(&mut next))).await?;
-    let vms = vms::start(VmsSettings::new(take(&mut next))).await?;
+    let log = log::start(LogSettings::new(next_address(&mut next))).await?;
+    let vms = vms::start(VmsSettings::new(next_address(&mut next))).await?;
     let store_settings = StoreSettings {
         per_s: settings.store_per_s,
-        ..StoreSettings::new(take(&mut next))
+        ..StoreSettings::new(next_address(&mut next))
     };
     let store = store::start(store_settings).await?;
-    let scorer = scorer::start(ScorerSettings::new(take(&mut next))).await?;
+    let scorer = scorer::start(ScorerSettings::new(next_address(&mut next))).await?;
     let mut engines = Vec::new();
     for _ in 0..settings.engines {
         let engine_settings = EngineSettings {
-            listen: take(&mut next),
+            listen: next_address(&mut next),
             store: Some(store.address),
             ..settings.engine.clone()
         };
@@ -72,7 +74,7 @@
     for _ in 0..settings.services {
         let service_settings = ServiceSettings {
             service_ms: settings.service_ms,
-            ..ServiceSettings::new(take(&mut next), settings.service.clone())
+            ..ServiceSettings::new(next_address(&mut next), settings.service.clone())
         };
         services.push(service::start(service_settings).await?);
     }
@@ -87,7 +89,7 @@
 }
 
 impl Site {
-    /// Name and address of each stand-in.
+    /// Name and address of each stand-in, such as `log` or `engine.0`.
     pub fn addresses(&self) -> Vec<(String, SocketAddr)> {
         let single = [
             ("log", &self.log),
@@ -97,20 +99,20 @@
         ];
         let single = single.map(|(name, handle)| (name.to_owned(), handle.address));
         let mut all = single.to_vec();
-        all.extend(numbered("engine", &self.engines));
-        all.extend(numbered("service", &self.services));
+        all.extend(numbered_addresses("engine", &self.engines));
+        all.extend(numbered_addresses("service", &self.services));
         all
     }
 }
 
-fn numbered(name: &str, handles: &[Handle]) -> Vec<(String, SocketAddr)> {
+fn numbered_addresses(name: &str, handles: &[Handle]) -> Vec<(String, SocketAddr)> {
     let handles = handles.iter().enumerate();
     handles
         .map(|(number, handle)| (format!("{name}.{number}"), handle.address))
         .collect()
 }
 
-fn take(next: &mut SocketAddr) -> SocketAddr {
+fn next_address(next: &mut SocketAddr) -> SocketAddr {
     let address = *next;
     if address.port() != 0 {
         next.set_port(address.port().wrapping_add(1));
--- a/dev/standins/src/trainer/ledger.rs
+++ b/dev/standins/src/trainer/ledger.rs
@@ -1,4 +1,4 @@
-//! What the trainer received, held against the promises.
+//! Checks the samples of a step against the guarantees of the training API.
 
 use std::collections::BTreeSet;
 
@@ -8,66 +8,66 @@
 use super::messages::Sample;
 use crate::engine::versions_in;
 
-/// A broken promise.
+/// A violated guarantee. Its variants are printed under their names.
 #[value]
 pub enum SampleFault {
-    /// The same slot came twice.
+    /// A sample was received twice.
     Doubled {
-        /// Step.
+        /// Number of the step.
         step: u64,
-        /// Group within the step.
+        /// Number of the group within the step, from 0.
         group: u32,
-        /// Place within the group.
+        /// Number of the sample within the group, from 0.
         index: u32,
     },
-    /// A slot that nobody asked for.
+    /// A sample is outside the groups and samples of the step.
     Unasked {
-        /// Step.
+        /// Number of the step.
         step: u64,
-        /// Group within the step.
+        /// Number of the group within the step, from 0.
         group: u32,
-        /// Place within the group.
+        /// Number of the sample within the group, from 0.
         index: u32,
     },
-    /// The step was called complete without all its samples.
+    /// The step was reported as complete before all samples were received.
     Missing {
-        /// Step.
+        /// Number of the step.
         step: u64,
-        /// Samples that came.
+        /// Samples received.
         received: usize,
-        /// Samples that were asked for.
+        /// Samples requested.
         total: usize,
     },
-    /// A sample without versions, or with others than its text tells.
+    /// A sample names no versions, or others than those that generated its text.
     WrongVersions {
-        /// Step.
+        /// Number of the step.
         step: u64,
-        /// Versions named.
+        /// Versions that the sample names.
         named: Vec<String>,
-        /// Versions in the text.
+        /// Versions that generated the text.
         told: Vec<String>,
     },
-    /// A sample older than the bound, or from before a roll-back.
+    /// A sample exceeds the staleness bound or is of another epoch, as after a rollback.
     TooOld {
-        /// Step.
+        /// Number of the step.
         step: u64,
-        /// Oldest version in it.
+        /// Oldest version of the sample.
         oldest: String,
-        /// Version of the trainer when it asked.
+        /// Version of the trainer when it fetched the sample.
         trainer: String,
     },
-    /// The staleness named is not that of the oldest version.
+    /// The staleness that the sample states is not that of its oldest version.
     WrongStaleness {
-        /// Step.
+        /// Number of the step.
         step: u64,
-        /// Staleness named.
+        /// Staleness that the sample states.
         named: u64,
-        /// Staleness of the oldest version.
+        /// Versions that the oldest version is behind the trainer's.
         real: u64,
     },
 }
 
-/// Samples of one step.
+/// Received samples of a step.
 pub struct Ledger {
     step: u64,
     groups: u32,
@@ -78,7 +78,7 @@
 }
 
 impl Ledger {
-    /// An empty ledger of a step.
+    /// Creates the ledger of a step with `groups` groups of `samples` samples each.
     pub fn new(step: u64, groups: u32, samples: u32, staleness_bound: u64) -> Ledger {
         Ledger {
             step,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The same ledger for engines whose texts do not tell their versions.
+    /// Does not compare named versions with texts, for engines that write no versions into them.
     pub fn ignoring_texts(self) -> Ledger {
         Ledger {
             texts_contain_versions: false,
@@ -98,21 +98,21 @@
         }
     }
 
-    /// Number of slots that came.
+    /// Number of distinct samples received.
     pub fn received(&self) -> usize {
         self.received.len()
     }
 
-    /// Takes a sample in that came to a trainer on version `trainer`.
+    /// Records a sample that a trainer on version `trainer` fetched, and returns the violations.
     pub fn record(&mut self, sample: &Sample, trainer: WeightVersion) -> Vec<SampleFault> {
         let mut faults = Vec::new();
-        faults.extend(self.slot(sample));
-        faults.extend(self.versions(sample));
-        faults.extend(self.age(sample, trainer));
+        faults.extend(self.check_slot(sample));
+        faults.extend(self.check_versions(sample));
+        faults.extend(self.check_staleness(sample, trainer));
         faults
     }
 
-    /// Ends the step.
+    /// Checks a step that was reported as complete.
     pub fn check_complete(&self) -> Option<SampleFault> {
         let total = self.groups as usize * self.samples as usize;
         (self.received.len() != total).then_some(SampleFault::Missing {
@@ -122,7 +122,7 @@
         })
     }
 
-    fn slot(&mut self, sample: &Sample) -> Option<SampleFault> {
+    fn check_slot(&mut self, sample: &Sample) -> Option<SampleFault> {
         let (step, group, index) = (self.step, sample.group, sample.index);
         if group >= self.groups || index >= self.samples {
             return Some(SampleFault::Unasked { step, group, index });
@@ -131,22 +131,22 @@
         doubled.then_some(SampleFault::Doubled { step, group, index })
     }
 
-    fn versions(&self, sample: &Sample) -> Option<SampleFault> {
+    fn check_versions(&self, sample: &Sample) -> Option<SampleFault> {
         let named: BTreeSet<_> = sample
             .parsed_versions()
             .unwrap_or_default()
             .into_iter()
             .collect();
         let told: BTreeSet<_> = versions_in(&sample.text).into_iter().collect();
-        let right = !named.is_empty() && (!self.texts_contain_versions || named == told);
-        (!right).then(|| SampleFault::WrongVersions {
+        let is_correct = !named.is_empty() && (!self.texts_contain_versions || named == told);
+        (!is_correct).then(|| SampleFault::WrongVersions {
             step: self.step,
             named: sample.versions.clone(),
             told: told.iter().map(WeightVersion::to_string).collect(),
         })
     }
 
-    fn age(&self, sample: &Sample, trainer: WeightVersion) -> Option<SampleFault> {
+    fn check_staleness(&self, sample: &Sample, trainer: WeightVersion) -> Option<SampleFault> {
         let oldest = sample.parsed_versions()?.into_iter().min()?;
         let staleness = trainer.version.saturating_sub(oldest.version);
         if oldest.epoch != trainer.epoch || staleness > self.staleness_bound {
--- a/dev/standins/src/trainer/messages.rs
+++ b/dev/standins/src/trainer/messages.rs
@@ -1,4 +1,4 @@
-//! What a trainer and an entry say to each other.
+//! Messages between a trainer and an entry.
 
 use derive::wire;
 use serde::{Deserialize, Serialize};
@@ -37,47 +37,47 @@
     pub(super) wait_ms: u64,
 }
 
-/// One sample.
+/// A sample of a step, as an entry delivers it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Sample {
-    /// Group within the step.
+    /// Number of the group within the step, from 0.
     pub group: u32,
-    /// Place within the group.
+    /// Number of the sample within the group, from 0.
     pub index: u32,
-    /// The completion.
+    /// Generated text.
     pub text: String,
-    /// Versions that made it.
+    /// Versions that generated the text, such as `1.7`.
     pub versions: Vec<String>,
-    /// Its score, if the service has a scorer.
+    /// Score by the service's scorer; `None` for a service without a scorer.
     pub score: Option<f64>,
-    /// Versions that it is behind the trainer's, as the system judged.
+    /// Versions that the oldest version of the sample is behind the trainer's, as the entry counted.
     pub staleness: u64,
 }
 
 impl Sample {
-    /// The versions; `None` when one of them is not a version.
+    /// Parses the versions; `None` if one of them is malformed.
     pub fn parsed_versions(&self) -> Option<Vec<WeightVersion>> {
         let versions = self.versions.iter();
         versions.map(|version| version.parse().ok()).collect()
     }
 }
 
-/// Answer to a fetch.
+/// Answer to a fetch of samples.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fetched {
-    /// Samples that the trainer did not have yet.
+    /// Samples that the cursor of the request does not count as received.
     pub samples: Vec<Sample>,
-    /// Cursor that counts them as received.
+    /// Cursor that counts these samples as received; sent with the next fetch.
     pub cursor: String,
-    /// Samples received with this reply.
+    /// Samples received so far, including those of this answer.
     pub received: u32,
-    /// Samples of the step.
+    /// Samples of the complete step.
     pub total: u32,
-    /// Whether the step is complete.
+    /// Whether all samples of the step are received with this answer.
     pub complete: bool,
 }
 
-/// Problem document of a refusal.
+/// The field of a problem document that the trainer reads.
 #[wire]
 #[derive(Default)]
 pub(super) struct Problem {
--- a/dev/standins/src/trainer/mod.rs
+++ b/dev/standins/src/trainer/mod.rs
@@ -1,9 +1,8 @@
-//! A trainer: posts steps, announces weights between them, fetches the samples and holds
-//! them against what every trainer is promised.
+//! A trainer: posts steps, announces weight versions between them, fetches the samples, and checks
+//! them against the guarantees of the training API (exactly once, named versions, staleness).
 //!
-//! It posts a step ahead of the one that it trains on, as an asynchronous trainer does.
-//! When an exchange with an entry fails it goes on with the next entry, with the same
-//! cursor, until the step's time is over.
+//! Like an asynchronous trainer, it posts steps ahead of the step that it trains on. When a request
+//! to an entry fails, it retries at the next entry with the same cursor until the step times out.
 
 mod entries;
 mod ledger;
--- a/dev/standins/src/trainer/report.rs
+++ b/dev/standins/src/trainer/report.rs
@@ -1,4 +1,4 @@
-//! What a training run measured.
+//! Measurements of a training run.
 
 use std::fmt;
 
@@ -6,30 +6,30 @@
 
 use super::ledger::SampleFault;
 
-/// Result of a training run.
+/// Result of a training run; printed as `key=value` lines.
 #[value]
 #[derive(Default)]
 pub struct TrainerReport {
-    /// Steps that came whole.
+    /// Completed steps.
     pub steps: u64,
-    /// Samples received.
+    /// Samples received, duplicates included.
     pub samples: u64,
     /// Time spent waiting for samples.
     pub idle_ms: u64,
-    /// Time of the whole run.
+    /// Duration of the run.
     pub run_ms: u64,
-    /// Samples by staleness: the first number counts those of the trainer's version.
+    /// Number of samples by staleness; the first entry counts those of the trainer's version.
     pub by_staleness: Vec<u64>,
-    /// Samples that several versions made.
+    /// Samples that more than one version generated.
     pub mixed: u64,
-    /// Exchanges that failed or were refused and were tried again.
+    /// Requests to entries that were tried again.
     pub retries: u64,
-    /// Broken promises.
+    /// Violated guarantees.
     pub faults: Vec<SampleFault>,
 }
 
 impl TrainerReport {
-    /// Counts a sample.
+    /// Counts a sample of this staleness and number of versions.
     pub fn count(&mut self, staleness: u64, versions: usize) {
         let staleness = staleness as usize;
         if self.by_staleness.len() <= staleness {
--- a/dev/standins/src/trainer/session.rs
+++ b/dev/standins/src/trainer/session.rs
@@ -1,4 +1,4 @@
-//! The training run itself.
+//! Training run: posts the steps, receives their samples and advances the weight version.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -16,30 +16,30 @@
 use super::settings::TrainerSettings;
 
 quick_error! {
-    /// Why a training run ends early.
+    /// Why a training run ended early.
     #[derive(Debug)]
     pub enum TrainerError {
-        /// No entry was named.
+        /// The settings list no entry.
         NoEntry {
-            display("the trainer needs an entry")
+            display("the trainer needs the address of at least one entry")
         }
-        /// An exchange did not come about in the time of a step.
+        /// A request or a step did not complete within the step's timeout.
         TimedOut(path: String, last: ExchangeError) {
-            display("gave up on {}: {}", path, last)
+            display("{} timed out; last failure: {}", path, last)
         }
-        /// An entry refused for good.
+        /// An entry refused a request, and a retry would be refused as well.
         Refused(path: String, status: u16, cause: String) {
             display("{} refused with status {}, cause {}", path, status, cause)
         }
-        /// A message that is not JSON.
+        /// A message could not be encoded, or an answer could not be parsed.
         Json(err: serde_json::Error) {
-            display("not JSON: {}", err)
+            display("invalid JSON in a message of the training API: {}", err)
             from()
         }
     }
 }
 
-/// Runs a training run to its end.
+/// Runs all steps and returns the measurements.
 pub async fn run(settings: TrainerSettings) -> Result<TrainerReport, TrainerError> {
     let mut session = Session::new(settings)?;
     session.run().await?;
@@ -67,7 +67,7 @@
     }
 
     async fn run(&mut self) -> Result<(), TrainerError> {
-        let began = Instant::now();
+        let started = Instant::now();
         let first = self.settings.first_step;
         let mut to_post: VecDeque<u64> = (first..first + self.settings.steps).collect();
         self.announce().await?;
@@ -79,15 +79,15 @@
                 let next = to_post.pop_front().unwrap_or(step);
                 self.post(next).await?;
             }
-            self.receive(step).await?;
+            self.receive_step(step).await?;
             sleep(Duration::from_millis(self.settings.train_ms)).await;
-            self.next_version(step).await?;
+            self.advance_version(step).await?;
         }
-        self.report.run_ms = began.elapsed().as_millis() as u64;
+        self.report.run_ms = started.elapsed().as_millis() as u64;
         Ok(())
     }
 
-    async fn next_version(&mut self, step: u64) -> Result<(), TrainerError> {
+    async fn advance_version(&mut self, step: u64) -> Result<(), TrainerError> {
         let done = step - self.settings.first_step + 1;
         let every = self.settings.weights_every;
         if every == 0 || !done.is_multiple_of(every) {
@@ -102,7 +102,7 @@
             version: self.version.to_string(),
         };
         let path = format!("/v1/training/{}/weights", self.settings.service);
-        self.entries.exchange(path, &announcement).await?;
+        self.entries.send_with_retries(path, &announcement).await?;
         Ok(())
     }
 
@@ -124,13 +124,13 @@
             cursor: cursor.as_deref(),
         };
         let path = format!("/v1/training/{service}/steps");
-        let posted: Posted = parse(&self.entries.exchange(path, &message).await?)?;
+        let posted: Posted = parse(&self.entries.send_with_retries(path, &message).await?)?;
         self.cursors.insert(step, posted.cursor);
         Ok(())
     }
 
-    async fn receive(&mut self, step: u64) -> Result<(), TrainerError> {
-        let waiting = Instant::now();
+    async fn receive_step(&mut self, step: u64) -> Result<(), TrainerError> {
+        let waiting_since = Instant::now();
         let settings = &self.settings;
         let mut ledger = Ledger::new(
             step,
@@ -141,19 +141,19 @@
         if !settings.texts_contain_versions {
             ledger = ledger.ignoring_texts();
         }
-        while !self.fetch(step, &mut ledger, waiting).await? {}
+        while !self.fetch(step, &mut ledger, waiting_since).await? {}
         self.report.faults.extend(ledger.check_complete());
         self.report.steps += 1;
-        self.report.idle_ms += waiting.elapsed().as_millis() as u64;
+        self.report.idle_ms += waiting_since.elapsed().as_millis() as u64;
         Ok(())
     }
 
-    /// Fetches once and says whether the step is complete.
+    /// Fetches samples once and returns whether the step is complete.
     async fn fetch(
         &mut self,
         step: u64,
         ledger: &mut Ledger,
-        waiting: Instant,
+        waiting_since: Instant,
     ) -> Result<bool, TrainerError> {
         let cursor = self.cursors.get(&step).cloned().unwrap_or_default();
         let message = Fetch {
@@ -166,9 +166,9 @@
         let path = format!("/v1/training/{service}/steps/{step}/fetch");
         let wait_ms = self.settings.wait_ms;
         let body = Bytes::from(serde_json::to_vec(&message)?);
-        let answer = match self.entries.attempt(&path, &body, wait_ms).await {
+        let answer = match self.entries.send(&path, &body, wait_ms).await {
             Ok(answer) => answer,
-            Err(trouble) => return self.post_again(step, waiting, path, trouble).await,
+            Err(error) => return self.repost(step, waiting_since, path, error).await,
         };
         let fetched: Fetched = parse(&answer)?;
         for sample in &fetched.samples {
@@ -177,7 +177,7 @@
             self.report.count(sample.staleness, sample.versions.len());
         }
         self.cursors.insert(step, fetched.cursor);
-        if !fetched.complete && waiting.elapsed() > self.give_up() {
+        if !fetched.complete && waiting_since.elapsed() > self.step_timeout() {
             return Err(TrainerError::TimedOut(
                 path,
                 ExchangeError::Incomplete(fetched.received),
@@ -186,27 +186,28 @@
         Ok(fetched.complete)
     }
 
-    /// The home of the step may be gone with all it held. Posting the step again with
-    /// the cursor is idempotent and makes only what is missing.
-    async fn post_again(
+    /// Posts the step again at the next entry, because the entry that coordinated the step may have
+    /// failed and lost its state. The post is idempotent: with the cursor, only the missing samples
+    /// are generated.
+    async fn repost(
         &mut self,
         step: u64,
-        waiting: Instant,
+        waiting_since: Instant,
         path: String,
-        trouble: ExchangeError,
+        error: ExchangeError,
     ) -> Result<bool, TrainerError> {
-        if let ExchangeError::Refused(status, cause) = trouble {
+        if let ExchangeError::Refused(status, cause) = error {
             return Err(TrainerError::Refused(path, status, cause));
         }
-        if waiting.elapsed() > self.give_up() {
-            return Err(TrainerError::TimedOut(path, trouble));
+        if waiting_since.elapsed() > self.step_timeout() {
+            return Err(TrainerError::TimedOut(path, error));
         }
         self.entries.next_entry().await;
         self.post(step).await?;
         Ok(false)
     }
 
-    fn give_up(&self) -> Duration {
+    fn step_timeout(&self) -> Duration {
         Duration::from_millis(self.settings.step_timeout_ms)
     }
 }
--- a/dev/standins/src/trainer/settings.rs
+++ b/dev/standins/src/trainer/settings.rs
@@ -1,49 +1,49 @@
-//! Settings of a trainer.
+//! Settings of a training run.
 
 use std::net::SocketAddr;
 
 use derive::value;
 use types::WeightVersion;
 
-/// Settings of a trainer.
+/// Settings of a training run.
 #[value]
 pub struct TrainerSettings {
-    /// Entries that it talks to; it begins with the first.
+    /// Entries; the first is used until a request to it fails.
     pub entries: Vec<SocketAddr>,
-    /// Its bearer token.
+    /// Bearer token of the trainer.
     pub token: String,
-    /// Model service that it trains.
+    /// Model service to train.
     pub service: String,
-    /// Steps to run.
+    /// Number of steps to run.
     pub steps: u64,
     /// Number of the first step.
     pub first_step: u64,
-    /// Groups of a step.
+    /// Groups per step.
     pub groups: u32,
-    /// Samples of a group.
+    /// Samples per group.
     pub samples: u32,
-    /// Longest sample.
+    /// Most tokens of a sample.
     pub max_tokens: u32,
     /// Time that training on a step takes.
     pub train_ms: u64,
-    /// Versions that a sample may be behind.
+    /// Most versions that a sample may be behind the trainer's.
     pub staleness_bound: u64,
-    /// Steps between two versions; 0 announces none.
+    /// Steps between two new versions; 0 for no new versions.
     pub weights_every: u64,
-    /// Steps posted ahead of the one that is trained on.
+    /// Steps posted ahead of the step that is trained on.
     pub ahead: u64,
-    /// Samples asked for at once.
+    /// Most samples of a fetch.
     pub fetch_max: u32,
-    /// Long poll of one fetch.
+    /// Duration of the long poll of a fetch.
     pub wait_ms: u64,
-    /// Deadline of an exchange, the long poll apart.
+    /// Timeout of a request, without the long poll.
     pub request_timeout_ms: u64,
-    /// Longest wait for one step.
+    /// Time after which an incomplete step, or a request that is retried, fails the run.
     pub step_timeout_ms: u64,
-    /// Version that it starts from.
+    /// Version announced at the start of the run.
     pub version: WeightVersion,
-    /// Whether the engines' texts end in the version that made them, as the stand-in's
-    /// do, so that the versions of a sample can be held against its text.
+    /// Whether the engines write their version into the text of each token, as the stand-in does,
+    /// so that the versions of a sample can be compared with its text.
     pub texts_contain_versions: bool,
 }
 
--- a/dev/standins/src/vms.rs
+++ b/dev/standins/src/vms.rs
@@ -1,4 +1,4 @@
-//! The VM list, which shows each change late.
+//! The VM list, which shows each change after a delay.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,21 +15,21 @@
 use crate::http::{self, Call};
 use crate::reply::{self, Reply};
 
-const LISTING: &str = "/vms";
+const LIST_PATH: &str = "/vms";
 
 /// Settings of the VM list.
 #[value]
 pub struct VmsSettings {
-    /// Where it listens.
+    /// Address to listen on; with port 0 the system chooses the port.
     pub listen: SocketAddr,
     /// VMs at the start.
     pub vms: Vec<Vm>,
-    /// How late a change shows.
+    /// Time until a change becomes visible.
     pub lag_ms: u64,
 }
 
 impl VmsSettings {
-    /// A list at `listen`, empty, without lag.
+    /// An empty list whose changes are visible at once.
     pub fn new(listen: SocketAddr) -> VmsSettings {
         VmsSettings {
             listen,
@@ -39,14 +39,14 @@
     }
 }
 
-/// A change of the list, as `POST /standin/vms` takes it.
+/// A change of the list, the body of `POST /standin/vms`.
 #[wire]
 #[derive(Default)]
 pub struct VmsChange {
-    /// VMs that come in or take the place of the one at their address.
+    /// VMs to add. A VM replaces the listed VM with the same address.
     #[serde(default)]
     pub set: Vec<Vm>,
-    /// Addresses that leave the list.
+    /// Addresses of VMs to remove.
     #[serde(default)]
     pub remove: Vec<SocketAddr>,
 }
@@ -56,28 +56,28 @@
     vms: &'a [Vm],
 }
 
-struct Version {
-    at: Instant,
+struct Snapshot {
+    taken_at: Instant,
     vms: Vec<Vm>,
 }
 
 struct Vms {
     control: Arc<Control>,
     lag_ms: u64,
-    versions: Mutex<Vec<Version>>,
+    snapshots: Mutex<Vec<Snapshot>>,
 }
 
-/// Starts the VM list.
+/// Starts a VM list on `settings.listen`.
 pub async fn start(settings: VmsSettings) -> Result<Handle, StandinError> {
     let control = Control::new();
-    let start = Version {
-        at: Instant::now(),
+    let start = Snapshot {
+        taken_at: Instant::now(),
         vms: settings.vms,
     };
     let vms = Arc::new(Vms {
         control: control.clone(),
         lag_ms: settings.lag_ms,
-        versions: Mutex::new(vec![start]),
+        snapshots: Mutex::new(vec![start]),
     });
     http::serve(settings.listen, control, false, move |call| {
         std::future::ready(vms.answer(&call))
@@ -88,7 +88,7 @@
 impl Vms {
     fn answer(&self, call: &Call) -> Reply {
         match (call.method.as_str(), call.path.as_str()) {
-            ("GET", LISTING) => self.list(),
+            ("GET", LIST_PATH) => self.list(),
             ("POST", "/standin/vms") => match call.json() {
                 Ok(change) => self.change(change),
                 Err(refusal) => *refusal,
@@ -98,17 +98,17 @@
     }
 
     fn list(&self) -> Reply {
-        let fault = self.control.faults.hit(FaultKind::Lag, LISTING);
+        let fault = self.control.faults.trigger(FaultKind::Lag, LIST_PATH);
         let lag_ms = fault.map_or(self.lag_ms, |fault| fault.delay_ms);
         let lag = Duration::from_millis(lag_ms);
-        let versions = self.lock();
-        let known = versions
+        let snapshots = self.lock();
+        let visible = snapshots
             .iter()
             .rev()
-            .find(|version| version.at.elapsed() >= lag);
-        let vms = known
-            .or(versions.first())
-            .map(|version| version.vms.as_slice());
+            .find(|snapshot| snapshot.taken_at.elapsed() >= lag);
+        let vms = visible
+            .or(snapshots.first())
+            .map(|snapshot| snapshot.vms.as_slice());
         reply::json(
             200,
             &Listing {
@@ -118,21 +118,23 @@
     }
 
     fn change(&self, change: VmsChange) -> Reply {
-        let mut versions = self.lock();
-        let last = versions.last().map(|version| version.vms.clone());
+        let mut snapshots = self.lock();
+        let last = snapshots.last().map(|snapshot| snapshot.vms.clone());
         let mut vms = last.unwrap_or_default();
         let set = change.set.iter().map(|vm| vm.address);
-        let gone: Vec<SocketAddr> = set.chain(change.remove).collect();
-        vms.retain(|vm| !gone.contains(&vm.address));
+        let removed: Vec<SocketAddr> = set.chain(change.remove).collect();
+        vms.retain(|vm| !removed.contains(&vm.address));
         vms.extend(change.set);
-        versions.push(Version {
-            at: Instant::now(),
+        snapshots.push(Snapshot {
+            taken_at: Instant::now(),
             vms,
         });
-        reply::done()
+        reply::ok()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<Version>> {
-        self.versions.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Vec<Snapshot>> {
+        self.snapshots
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
