--- a/dev/standins/src/engine/batch.rs
+++ b/dev/standins/src/engine/batch.rs
@@ -152,8 +152,8 @@
         ))
     }
 
-    /// Generates a token for each sequence in the batch. `version_of` returns the serving version of
-    /// a model.
+    /// Generates a token for each sequence in the batch. `version_of` returns the serving version
+    /// of a model.
     pub(super) fn finish_step(
         &mut self,
         kv: &mut KvCache,
--- a/dev/standins/src/engine/reports.rs
+++ b/dev/standins/src/engine/reports.rs
@@ -39,7 +39,7 @@
     }
 
     /// Load as it was `lag` ago; no load if nothing was recorded by then.
-    pub(super) fn at(&self, lag: Duration) -> LoadReport {
+    pub(super) fn report_at(&self, lag: Duration) -> LoadReport {
         let old = self
             .recorded
             .iter()
--- a/dev/standins/src/engine/server.rs
+++ b/dev/standins/src/engine/server.rs
@@ -270,7 +270,7 @@
     fn load_report(&self) -> LoadReport {
         let fault = self.control.faults.trigger(FaultKind::Lag, LOAD_PATH);
         let lag_ms = fault.map_or(self.settings.report_lag_ms, |fault| fault.delay_ms);
-        self.lock().reports.at(Duration::from_millis(lag_ms))
+        self.lock().reports.report_at(Duration::from_millis(lag_ms))
     }
 
     fn cache_events(&self, call: &Call) -> Reply {
--- a/dev/standins/src/engine/swap.rs
+++ b/dev/standins/src/engine/swap.rs
@@ -24,7 +24,7 @@
 }
 
 impl Engine {
-    /// Performs an order. The order runs to its end and takes effect even if its sender
+    /// Handles an order. The order runs to its end and takes effect even if its sender
     /// disconnects.
     pub(super) async fn order(self: Arc<Self>, call: Call) -> Reply {
         let order: Order = match call.json() {
--- a/dev/standins/src/engine/text.rs
+++ b/dev/standins/src/engine/text.rs
@@ -9,7 +9,8 @@
 const STRAGGLER_FACTOR: u32 = 4;
 const PERMILLE: u64 = 1_000;
 
-/// Hash of a sequence of texts (FNV-1a with a final mix). The boundaries between the texts count.
+/// Hash of a sequence of texts (FNV-1a with a final mix). Texts that are split
+/// differently have different hashes.
 pub fn text_hash(texts: &[&str]) -> u64 {
     let mut hash = FNV_OFFSET;
     for text in texts {
--- a/dev/standins/src/fault.rs
+++ b/dev/standins/src/fault.rs
@@ -44,7 +44,7 @@
     /// Requests that the fault affects before it ends; `None` for no limit.
     #[serde(default)]
     pub count: Option<u64>,
-    /// Time ends_at the fault ends; `None` for no limit.
+    /// Time until the fault ends; `None` for no limit.
     #[serde(default)]
     pub for_ms: Option<u64>,
     /// Length of the delay, lag or restart.
@@ -65,7 +65,7 @@
 }
 
 impl Fault {
-    /// A fault that affects all requests ends_at it is cleared.
+    /// A fault that affects all requests until it is cleared.
     pub fn new(kind: FaultKind) -> Fault {
         Fault {
             kind,
--- a/dev/standins/src/fleet/store.rs
+++ b/dev/standins/src/fleet/store.rs
@@ -1,5 +1,6 @@
-//! The platform's store: partitioned topics and consumer groups. It can have several listeners, each
-//! with faults of its own, so that a test can refuse the requests of one VM and answer the others.
+//! The platform's store: partitioned topics and consumer groups. A store can have several
+//! listeners, each with faults of its own, so that a test can refuse the requests of one VM and
+//! answer those of the others.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -76,8 +77,8 @@
         .await
     }
 
-    /// Writes a record of a keyed topic to partition 0, as the operator or a replica does. Without a
-    /// value, the record is a tombstone.
+    /// Writes a record of a keyed topic to partition 0, as the operator or a replica does. Without
+    /// a value, the record is a tombstone.
     pub fn put(&self, topic: &str, key: &str, value: Option<&str>) {
         let mut record = vec![key.len() as u8];
         record.extend_from_slice(key.as_bytes());
--- a/dev/standins/src/fleet/topics.rs
+++ b/dev/standins/src/fleet/topics.rs
@@ -151,9 +151,9 @@
             .collect()
     }
 
-    /// Page of the records from `from` on, each preceded by its length. The page starts with the end
-    /// and the first offset of the partition. It is limited to about `max_bytes`, but has at least
-    /// one record if there is one.
+    /// Page of the records from `from` on, each preceded by its length. The page starts with the
+    /// end and the first offset of the partition. Its size is limited to about `max_bytes`, but it
+    /// has at least one record if there is one.
     pub(super) fn page(&self, from: u64, max_bytes: usize) -> Bytes {
         let mut page = BytesMut::new();
         page.put_u64(self.end());
--- a/dev/standins/src/reply.rs
+++ b/dev/standins/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers of a stand-in.
+//! Constructors for the answers of stand-ins, and their early ends by simulated faults.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -13,7 +13,7 @@
 
 use crate::fault::Fault;
 
-/// Chunks of a stream that may wait for the connection.
+/// Most chunks of a stream that are buffered for a slow connection.
 const BUFFERED_CHUNKS_MAX: usize = 64;
 
 quick_error! {
--- a/dev/standins/src/trainer/messages.rs
+++ b/dev/standins/src/trainer/messages.rs
@@ -50,7 +50,8 @@
     pub versions: Vec<String>,
     /// Score by the service's scorer; `None` for a service without a scorer.
     pub score: Option<f64>,
-    /// Versions that the oldest version of the sample is behind the trainer's, as the entry counted.
+    /// Number of versions that the sample's oldest version is behind the trainer's, as computed by
+    /// the entry.
     pub staleness: u64,
 }
 
--- a/dev/standins/tests/engine.rs
+++ b/dev/standins/tests/engine.rs
@@ -1,6 +1,6 @@
-//! The model engine's promises and faults.
+//! Tests of the model engine's behaviour and of its simulated faults.
 
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+#![allow(clippy::unwrap_used)] // clippy.toml exempts test functions, but not their helpers.
 
 use std::net::SocketAddr;
 
@@ -18,7 +18,7 @@
 const DEADLINE_MS: u64 = 20_000;
 const BYTES_MAX: usize = 1 << 20;
 
-fn anywhere() -> SocketAddr {
+fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -33,31 +33,31 @@
         cache_event_gaps_permille: 0,
         report_lag_ms: 0,
         restart_ms: 0,
-        ..EngineSettings::new(anywhere(), "m")
+        ..EngineSettings::new(loopback(), "m")
     }
 }
 
-struct Bench {
+struct Fixture {
     handle: Handle,
     engine: Engine,
     endpoint: Endpoint,
 }
 
-async fn bench(settings: EngineSettings) -> Bench {
+async fn start(settings: EngineSettings) -> Fixture {
     let handle = standins::engine::start(settings).await.unwrap();
     let settings = ClientSettings {
         deadline_ms: DEADLINE_MS,
         ..ClientSettings::default()
     };
-    Bench {
+    Fixture {
         engine: Engine::new(handle.address, &settings),
         endpoint: Endpoint::new(handle.address, EndpointSettings::default()),
         handle,
     }
 }
 
-impl Bench {
-    async fn ask(&self, fields: &str) -> Result<Response, PlatformError> {
+impl Fixture {
+    async fn post_completion(&self, fields: &str) -> Result<Response, PlatformError> {
         let request = Request {
             body: format!("{{\"model\":\"m\",{fields}}}").into(),
             ..Request::new("POST", "/v1/completions")
@@ -65,9 +65,11 @@
         self.endpoint.send(request, DEADLINE_MS).await
     }
 
-    async fn stream(&self, fields: &str) -> Streamed {
-        let response = self.ask(&format!("\"stream\":true,{fields}")).await;
-        Streamed::new(response.unwrap())
+    async fn stream(&self, fields: &str) -> StreamReader {
+        let response = self
+            .post_completion(&format!("\"stream\":true,{fields}"))
+            .await;
+        StreamReader::new(response.unwrap())
     }
 
     async fn version(&self) -> WeightVersion {
@@ -75,23 +77,23 @@
     }
 }
 
-/// A stream that is being read.
-struct Streamed {
+/// Reader of a streamed completion.
+struct StreamReader {
     response: Response,
     parser: Parser,
     transcript: Transcript,
 }
 
-impl Streamed {
-    fn new(response: Response) -> Streamed {
-        Streamed {
+impl StreamReader {
+    fn new(response: Response) -> StreamReader {
+        StreamReader {
             response,
             parser: Parser::new(BYTES_MAX),
             transcript: Transcript::default(),
         }
     }
 
-    async fn more(&mut self) -> Result<bool, PlatformError> {
+    async fn read_more(&mut self) -> Result<bool, PlatformError> {
         let Some(bytes) = self.response.body.next().await? else {
             return Ok(false);
         };
@@ -100,49 +102,49 @@
         Ok(true)
     }
 
-    async fn rest(mut self) -> (Transcript, Option<FinishReason>, bool) {
-        while self.more().await.unwrap() {}
-        let whole = self.parser.is_complete();
-        (self.transcript, self.parser.finish(), whole)
+    async fn read_to_end(mut self) -> (Transcript, Option<FinishReason>, bool) {
+        while self.read_more().await.unwrap() {}
+        let is_complete = self.parser.is_complete();
+        (self.transcript, self.parser.finish(), is_complete)
     }
 }
 
-fn v(text: &str) -> WeightVersion {
+fn parse_version(text: &str) -> WeightVersion {
     text.parse().unwrap()
 }
 
-async fn swap(bench: &Bench, version: &str) -> Result<(), PlatformError> {
-    let fence = v(version).fencing_number();
-    bench
+async fn swap(fixture: &Fixture, version: &str) -> Result<(), PlatformError> {
+    let fence = parse_version(version).fencing_number();
+    fixture
         .engine
-        .load("m", v(version), fence, DEADLINE_MS)
+        .load("m", parse_version(version), fence, DEADLINE_MS)
         .await?;
-    bench
+    fixture
         .engine
-        .switch("m", v(version), fence, DEADLINE_MS)
+        .switch("m", parse_version(version), fence, DEADLINE_MS)
         .await
 }
 
 #[tokio::test]
-async fn can_resume_to_the_same_completion() {
-    let bench = bench(immediate()).await;
-    let (all, finish, whole) = bench
+async fn resumes_to_the_same_completion() {
+    let fixture = start(immediate()).await;
+    let (all, finish, is_complete) = fixture
         .stream("\"prompt\":\"p\",\"seed\":4")
         .await
-        .rest()
+        .read_to_end()
         .await;
-    assert!(whole);
+    assert!(is_complete);
     assert_eq!(finish, Some(FinishReason::Stop));
     let ids = serde_json::to_string(&all.token_ids[..5]).unwrap();
     let fields = format!("\"prompt\":\"p\",\"seed\":4,\"resume_tokens\":{ids}");
-    let (rest, _, whole) = bench.stream(&fields).await.rest().await;
-    assert!(whole);
+    let (rest, _, is_complete) = fixture.stream(&fields).await.read_to_end().await;
+    assert!(is_complete);
     assert_eq!(rest.token_ids, all.token_ids[5..]);
     assert!(all.text.ends_with(&rest.text));
 }
 
 #[tokio::test]
-async fn stamps_each_token_with_the_version_that_made_it() {
+async fn marks_each_token_with_the_version_that_generated_it() {
     let settings = EngineSettings {
         speeds: Speeds {
             step_us: 1_000,
@@ -152,14 +154,17 @@
         tokens_max: 2_000,
         ..immediate()
     };
-    let bench = bench(settings).await;
-    let mut stream = bench.stream("\"prompt\":\"p\",\"max_tokens\":2000").await;
-    assert!(stream.more().await.unwrap());
-    swap(&bench, "0.1").await.unwrap();
+    let fixture = start(settings).await;
+    let mut stream = fixture.stream("\"prompt\":\"p\",\"max_tokens\":2000").await;
+    assert!(stream.read_more().await.unwrap());
+    swap(&fixture, "0.1").await.unwrap();
     while stream.transcript.versions.len() < 2 {
-        assert!(stream.more().await.unwrap());
+        assert!(stream.read_more().await.unwrap());
     }
-    assert_eq!(stream.transcript.versions, [v("0.0"), v("0.1")]);
+    assert_eq!(
+        stream.transcript.versions,
+        [parse_version("0.0"), parse_version("0.1")]
+    );
     assert_eq!(
         versions_in(&stream.transcript.text),
         stream.transcript.versions
@@ -167,23 +172,27 @@
 }
 
 #[tokio::test]
-async fn refuses_an_old_fencing_number_only_when_it_checks() {
+async fn refuses_an_old_fencing_token_only_if_fencing_is_checked() {
     for (fencing, expected) in [(Fencing::Checked, "0.2"), (Fencing::Ignored, "0.1")] {
         let settings = EngineSettings {
             fencing,
             loaded_max: 3,
             ..immediate()
         };
-        let bench = bench(settings).await;
-        swap(&bench, "0.2").await.unwrap();
-        let late = swap(&bench, "0.1").await;
+        let fixture = start(settings).await;
+        swap(&fixture, "0.2").await.unwrap();
+        let late = swap(&fixture, "0.1").await;
         assert_eq!(late.is_err(), fencing == Fencing::Checked, "{fencing:?}");
-        assert_eq!(bench.version().await, v(expected), "{fencing:?}");
+        assert_eq!(
+            fixture.version().await,
+            parse_version(expected),
+            "{fencing:?}"
+        );
     }
 }
 
 #[tokio::test]
-async fn errors_when_a_swap_goes_wrong() {
+async fn returns_an_error_when_a_swap_fails() {
     struct Case {
         name: &'static str,
         fault: Fault,
@@ -207,17 +216,22 @@
         },
     ];
     for case in cases {
-        let bench = bench(immediate()).await;
-        bench.handle.inject_fault(case.fault.times(1));
-        assert!(swap(&bench, "0.1").await.is_err(), "{}", case.name);
-        assert_eq!(bench.version().await, v(case.version), "{}", case.name);
-        assert_eq!(swap(&bench, "0.1").await, Ok(()), "{}", case.name);
+        let fixture = start(immediate()).await;
+        fixture.handle.inject_fault(case.fault.times(1));
+        assert!(swap(&fixture, "0.1").await.is_err(), "{}", case.name);
+        assert_eq!(
+            fixture.version().await,
+            parse_version(case.version),
+            "{}",
+            case.name
+        );
+        assert_eq!(swap(&fixture, "0.1").await, Ok(()), "{}", case.name);
     }
 }
 
 #[tokio::test]
-async fn errors_when_the_weight_store_is_over_its_rate() {
-    let store = standins::store::start(StoreSettings::new(anywhere()))
+async fn returns_an_error_when_the_weight_store_limits_its_rate() {
+    let store = standins::store::start(StoreSettings::new(loopback()))
         .await
         .unwrap();
     store.inject_fault(Fault::new(FaultKind::StoreRate));
@@ -225,21 +239,20 @@
         store: Some(store.address),
         ..immediate()
     };
-    let bench = bench(settings).await;
+    let fixture = start(settings).await;
     let refused = PlatformError::Refused {
         status: 503,
         retry_after_ms: Some(1_000),
     };
-    assert_eq!(swap(&bench, "0.1").await, Err(refused));
+    assert_eq!(swap(&fixture, "0.1").await, Err(refused));
     store.clear_faults();
-    assert_eq!(swap(&bench, "0.1").await, Ok(()));
+    assert_eq!(swap(&fixture, "0.1").await, Ok(()));
 }
 
-/// Every caller of the engine sees its connection closed, and the engine is back with
-/// its first version. One prompt crashes it as it begins to run; all that the engine
-/// knew is lost, so a reader of its state sees the next life.
+/// A prompt crashes the engine when it enters the batch. Guards against requests or state that
+/// survive the crash: all connections must close, and the next life must serve the first version.
 #[tokio::test]
-async fn errors_for_everybody_when_a_prompt_crashes_the_engine() {
+async fn all_requests_fail_when_a_prompt_crashes_the_engine() {
     let settings = EngineSettings {
         speeds: Speeds {
             step_us: 1_000,
@@ -249,45 +262,51 @@
         tokens_max: 60_000,
         ..immediate()
     };
-    let bench = bench(settings).await;
-    swap(&bench, "0.1").await.unwrap();
+    let fixture = start(settings).await;
+    swap(&fixture, "0.1").await.unwrap();
     let crash = Fault::new(FaultKind::CrashOn).with_text("boom");
-    bench.handle.inject_fault(crash.times(1));
-    let mut other = bench.stream("\"prompt\":\"p\",\"max_tokens\":60000").await;
-    assert!(other.more().await.unwrap());
-    assert!(bench.ask("\"prompt\":\"a boom\"").await.is_err());
-    while other.more().await == Ok(true) {}
-    assert!(other.more().await.is_err());
+    fixture.handle.inject_fault(crash.times(1));
+    let mut other = fixture
+        .stream("\"prompt\":\"p\",\"max_tokens\":60000")
+        .await;
+    assert!(other.read_more().await.unwrap());
+    assert!(
+        fixture
+            .post_completion("\"prompt\":\"a boom\"")
+            .await
+            .is_err()
+    );
+    while other.read_more().await == Ok(true) {}
+    assert!(other.read_more().await.is_err());
     let state = loop {
-        // Nobody listens for a moment.
-        match bench.engine.state().await {
+        // The engine does not listen until it has restarted.
+        match fixture.engine.state().await {
             Ok(state) if state.life == 2 => break state,
             _ => tokio::task::yield_now().await,
         }
     };
-    assert_eq!(state.models[0].version, v("0.0"));
+    assert_eq!(state.models[0].version, parse_version("0.0"));
 }
 
-/// Copies of a prompt that crashes the engine come on many connections at once. All that came
-/// before the crash end with it, on whichever connection: none is run by the next life and
-/// crashes that as well.
+/// Copies of a prompt that crashes the engine arrive on several connections at once. Guards against
+/// a copy that was sent before the crash but runs in the next life, which would crash as well.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn loses_one_life_to_the_copies_that_came_before_a_crash() {
+async fn concurrent_copies_of_a_crashing_prompt_crash_only_one_life() {
     for _ in 0..40 {
         let settings = EngineSettings {
             restart_ms: 20,
             ..immediate()
         };
-        let bench = bench(settings).await;
-        bench
+        let fixture = start(settings).await;
+        fixture
             .handle
             .inject_fault(Fault::new(FaultKind::CrashOn).with_text("boom"));
-        let copies = (0..8).map(|_| bench.ask("\"prompt\":\"a boom\""));
+        let copies = (0..8).map(|_| fixture.post_completion("\"prompt\":\"a boom\""));
         let answers = join_all(copies).await;
         assert!(answers.iter().all(Result::is_err));
         let state = loop {
-            // Nobody listens until the next life.
-            match bench.engine.state().await {
+            // The engine does not listen until it has restarted.
+            match fixture.engine.state().await {
                 Ok(state) if state.life > 1 => break state,
                 _ => tokio::task::yield_now().await,
             }
@@ -297,37 +316,38 @@
 }
 
 #[tokio::test]
-async fn can_cancel_by_request_id() {
+async fn cancels_a_completion_by_request_id() {
     let settings = EngineSettings {
         speeds: Speeds::default(),
         tokens_min: 60_000,
         tokens_max: 60_000,
         ..immediate()
     };
-    let bench = bench(settings).await;
+    let fixture = start(settings).await;
     let fields = "\"prompt\":\"p\",\"max_tokens\":60000,\"request_id\":\"r1\"";
-    let stream = bench.stream(fields).await;
-    bench.engine.cancel("r1").await.unwrap();
-    let (_, finish, whole) = stream.rest().await;
+    let stream = fixture.stream(fields).await;
+    fixture.engine.cancel("r1").await.unwrap();
+    let (_, finish, is_complete) = stream.read_to_end().await;
     assert_eq!(finish, Some(FinishReason::Other));
-    assert!(!whole);
-    assert_eq!(bench.engine.load_report().await.unwrap().running, 0);
+    assert!(!is_complete);
+    assert_eq!(fixture.engine.load_report().await.unwrap().running, 0);
 }
 
 #[tokio::test]
-async fn ends_a_truncated_stream_as_if_it_were_over() {
-    let bench = bench(immediate()).await;
+async fn a_truncated_stream_ends_without_a_finish_reason() {
+    let fixture = start(immediate()).await;
     let truncate = Fault {
         after: 2,
         ..Fault::new(FaultKind::Truncate)
     };
-    bench.handle.inject_fault(truncate.times(1));
-    let (transcript, finish, whole) = bench.stream("\"prompt\":\"p\"").await.rest().await;
-    assert_eq!((transcript.pieces, finish, whole), (2, None, false));
+    fixture.handle.inject_fault(truncate.times(1));
+    let (transcript, finish, is_complete) =
+        fixture.stream("\"prompt\":\"p\"").await.read_to_end().await;
+    assert_eq!((transcript.pieces, finish, is_complete), (2, None, false));
 }
 
 #[tokio::test]
-async fn runs_the_first_priority_first() {
+async fn runs_requests_in_the_order_of_priority() {
     let settings = EngineSettings {
         batch_max: 1,
         speeds: Speeds {
@@ -338,39 +358,43 @@
         tokens_max: 40,
         ..immediate()
     };
-    let bench = bench(settings).await;
-    let mut first = bench.stream("\"prompt\":\"first\"").await;
-    assert!(first.more().await.unwrap());
-    let low = bench.stream("\"prompt\":\"low\",\"priority\":5").await;
-    let high = bench.stream("\"prompt\":\"high\",\"priority\":1").await;
-    let ended = std::sync::Mutex::new(Vec::new());
-    let note = async |name, stream: Streamed| {
-        stream.rest().await;
-        ended.lock().unwrap().push(name);
+    let fixture = start(settings).await;
+    let mut first = fixture.stream("\"prompt\":\"first\"").await;
+    assert!(first.read_more().await.unwrap());
+    let low = fixture.stream("\"prompt\":\"low\",\"priority\":5").await;
+    let high = fixture.stream("\"prompt\":\"high\",\"priority\":1").await;
+    let end_order = std::sync::Mutex::new(Vec::new());
+    let record_end = async |name, stream: StreamReader| {
+        stream.read_to_end().await;
+        end_order.lock().unwrap().push(name);
     };
-    tokio::join!(note("low", low), note("high", high), note("first", first));
-    assert_eq!(*ended.lock().unwrap(), ["first", "high", "low"]);
+    tokio::join!(
+        record_end("low", low),
+        record_end("high", high),
+        record_end("first", first)
+    );
+    assert_eq!(*end_order.lock().unwrap(), ["first", "high", "low"]);
 }
 
 #[tokio::test]
-async fn tells_of_prefix_blocks_stored_and_removed() {
+async fn reports_stored_and_removed_prefix_blocks() {
     let settings = EngineSettings {
         kv_blocks: 8,
         tokens_min: 8,
         tokens_max: 8,
         ..immediate()
     };
-    let bench = bench(settings).await;
+    let fixture = start(settings).await;
     let prompts = ["a".repeat(4 * 64), "b".repeat(4 * 64)];
     for prompt in &prompts {
-        bench
+        fixture
             .stream(&format!("\"prompt\":\"{prompt}\""))
             .await
-            .rest()
+            .read_to_end()
             .await;
     }
-    let events = bench.engine.cache_events(0).await.unwrap().events;
-    let of = |kind| {
+    let events = fixture.engine.cache_events(0).await.unwrap().events;
+    let blocks_of = |kind| {
         let events = events.iter().filter(move |event| event.kind == kind);
         events.map(|event| event.block).collect::<Vec<_>>()
     };
@@ -378,20 +402,20 @@
         .iter()
         .flat_map(|prompt| prefix_blocks(prompt))
         .collect();
-    assert_eq!(of(CacheEventKind::Stored), stored);
-    let removed = of(CacheEventKind::Removed);
+    assert_eq!(blocks_of(CacheEventKind::Stored), stored);
+    let removed = blocks_of(CacheEventKind::Removed);
     assert!(!removed.is_empty());
     let first = prefix_blocks(&prompts[0]);
     assert!(removed.iter().all(|block| first.contains(block)));
 }
 
 #[tokio::test]
-async fn refuses_what_it_cannot_run() {
+async fn refuses_requests_that_it_cannot_run() {
     let settings = EngineSettings {
         kv_blocks: 4,
         ..immediate()
     };
-    let bench = bench(settings).await;
+    let fixture = start(settings).await;
     let long = format!("\"prompt\":\"{}\"", "x".repeat(64 * 8));
     let cases = [
         ("two completions", "\"prompt\":\"p\",\"n\":2", 400),
@@ -399,7 +423,7 @@
         ("more than its memory", long.as_str(), 400),
     ];
     for (name, fields, status) in cases {
-        let response = bench.ask(fields).await.unwrap();
+        let response = fixture.post_completion(fields).await.unwrap();
         assert_eq!(response.head.status, status, "{name}");
     }
 }
--- a/dev/standins/tests/fleet_store.rs
+++ b/dev/standins/tests/fleet_store.rs
@@ -1,5 +1,5 @@
-//! Conditions and numbered producers of the platform's store, as the stand-in keeps them.
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+//! Tests of conditional appends and of appends with sequence numbers at the platform's store.
+#![allow(clippy::unwrap_used)] // clippy.toml exempts test functions, but not their helpers.
 
 use adapters::{Endpoint, EndpointSettings, Request};
 use serde_json::Value;
@@ -7,38 +7,38 @@
 
 const DEADLINE_MS: u64 = 5_000;
 
-/// Appends one record under these terms; gives status and answer.
-async fn append(door: &Endpoint, terms: &str) -> (u16, Value) {
-    let path = format!("/v1/log-append?Topic=t&part=0{terms}");
+/// Appends a record with conditions in the query. Returns status and body of the answer.
+async fn append(endpoint: &Endpoint, conditions: &str) -> (u16, Value) {
+    let path = format!("/v1/log-append?Topic=t&part=0{conditions}");
     let request = Request {
         body: vec![0, 0, 0, 1, b'a'].into(),
         ..Request::new("POST", path)
     };
-    let answer = door.send(request, DEADLINE_MS).await.unwrap();
+    let answer = endpoint.send(request, DEADLINE_MS).await.unwrap();
     let status = answer.head.status;
     let body = answer.body.read_to_end().await.unwrap();
     (status, serde_json::from_slice(&body).unwrap())
 }
 
 #[tokio::test]
-async fn can_keep_the_terms_of_an_append() {
+async fn checks_the_conditions_of_an_append() {
     struct Case {
         name: &'static str,
-        terms: &'static str,
+        conditions: &'static str,
         status: u16,
         field: &'static str,
         value: u64,
     }
-    let case = |name, terms, status, field, value| Case {
+    let case = |name, conditions, status, field, value| Case {
         name,
-        terms,
+        conditions,
         status,
         field,
         value,
     };
-    // Each case goes on from the one before; the partition is empty at first.
+    // Each case continues with the partition of the previous case. The first partition is empty.
     let cases = [
-        case("the end as it is", "&AsOf=0", 200, "Offset", 0),
+        case("the current end", "&AsOf=0", 200, "Offset", 0),
         case("an older end", "&AsOf=0", 412, "End", 1),
         case(
             "a new producer",
@@ -48,21 +48,21 @@
             1,
         ),
         case(
-            "its number again",
+            "the same sequence number",
             "&Producer=p&epoch=1&Seq=0",
             200,
             "Offset",
             1,
         ),
         case(
-            "its next number",
+            "the next sequence number",
             "&Producer=p&epoch=1&Seq=1",
             200,
             "Offset",
             2,
         ),
         case(
-            "a number left out",
+            "a skipped sequence number",
             "&Producer=p&epoch=1&Seq=3",
             409,
             "Seq",
@@ -76,22 +76,22 @@
             3,
         ),
         case(
-            "a number again, at an older end",
+            "the same sequence number, with an older end",
             "&Producer=p&epoch=2&Seq=0&AsOf=3",
             200,
             "Offset",
             3,
         ),
-        case("nobody's", "", 200, "End", 5),
+        case("no producer", "", 200, "End", 5),
     ];
     let store = Store::default();
     let handle = store.listen(([127, 0, 0, 1], 0).into()).await.unwrap();
-    let door = Endpoint::new(handle.address, EndpointSettings::default());
+    let endpoint = Endpoint::new(handle.address, EndpointSettings::default());
     for case in cases {
-        let (status, answer) = append(&door, case.terms).await;
+        let (status, answer) = append(&endpoint, case.conditions).await;
         assert_eq!(status, case.status, "{}: {answer}", case.name);
         assert_eq!(answer[case.field], case.value, "{}", case.name);
     }
-    let (status, answer) = append(&door, "&Producer=p&epoch=1&Seq=2").await;
+    let (status, answer) = append(&endpoint, "&Producer=p&epoch=1&Seq=2").await;
     assert_eq!((status, &answer["why"]), (409, &"fenced".into()));
 }
--- a/dev/standins/tests/service.rs
+++ b/dev/standins/tests/service.rs
@@ -1,6 +1,6 @@
-//! The plain service's counts, which tests of "at most once" rely on.
+//! Tests of the plain service's run counts, which tests of at-most-once execution rely on.
 
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+#![allow(clippy::unwrap_used)] // clippy.toml exempts test functions, but not their helpers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 
 const DEADLINE_MS: u64 = 20_000;
 
-async fn service() -> (Handle, Endpoint) {
+async fn start_service() -> (Handle, Endpoint) {
     let listen = SocketAddr::from(([127, 0, 0, 1], 0));
     let handle = standins::service::start(ServiceSettings::new(listen, "guichet"))
         .await
@@ -31,14 +31,14 @@
     Ok(String::from_utf8(body.to_vec()).unwrap())
 }
 
-async fn runs(endpoint: &Endpoint) -> BTreeMap<String, u64> {
+async fn read_runs(endpoint: &Endpoint) -> BTreeMap<String, u64> {
     let request = Request::new("GET", "/standin/runs");
     let response = endpoint.send(request, DEADLINE_MS).await.unwrap();
     serde_json::from_slice(&response.body.read_to_end().await.unwrap()).unwrap()
 }
 
 #[tokio::test]
-async fn counts_a_run_whatever_became_of_its_answer() {
+async fn counts_exactly_the_requests_that_ran() {
     struct Case {
         name: &'static str,
         fault: FaultKind,
@@ -66,17 +66,17 @@
             count: Some(1),
         },
     ];
-    let (handle, endpoint) = service().await;
+    let (handle, endpoint) = start_service().await;
     for case in cases {
         let fault = Fault::new(case.fault).with_text("/sanctions");
         handle.inject_fault(fault.times(1));
         let answer = call(&endpoint, case.name, "/sanctions").await;
-        let run = answer.is_ok_and(|text| text.contains("sanction\":"));
-        assert!(!run, "{}", case.name);
+        let is_answered = answer.is_ok_and(|text| text.contains("sanction\":"));
+        assert!(!is_answered, "{}", case.name);
         let counted = loop {
-            // Nobody listens for a moment after a crash.
-            if handle_is_up(&endpoint).await {
-                break runs(&endpoint).await;
+            // The service does not listen until it has restarted after a crash.
+            if is_up(&endpoint).await {
+                break read_runs(&endpoint).await;
             }
         };
         assert_eq!(counted.get(case.name).copied(), case.count, "{}", case.name);
@@ -84,7 +84,7 @@
     }
 }
 
-async fn handle_is_up(endpoint: &Endpoint) -> bool {
+async fn is_up(endpoint: &Endpoint) -> bool {
     let request = Request::new("GET", "/healthz");
     match endpoint.send(request, DEADLINE_MS).await {
         Ok(response) => response.body.read_to_end().await.is_ok(),
@@ -93,8 +93,8 @@
 }
 
 #[tokio::test]
-async fn answers_each_kind_of_call() {
-    let (_handle, endpoint) = service().await;
+async fn answers_each_kind_of_request() {
+    let (_handle, endpoint) = start_service().await;
     let cases = [
         ("/applicants/7", "\"applicant\":\"7\""),
         ("/sanctions", "\"sanction\":\"guichet-"),
@@ -107,5 +107,5 @@
         let answer = call(&endpoint, "t", path).await.unwrap();
         assert!(answer.contains(expected), "{path}: {answer}");
     }
-    assert_eq!(runs(&endpoint).await["t"], cases.len() as u64);
+    assert_eq!(read_runs(&endpoint).await["t"], cases.len() as u64);
 }
--- a/dev/standins/tests/session.rs
+++ b/dev/standins/tests/session.rs
@@ -1,6 +1,6 @@
-//! The trainer's run against a small entry that fails on demand.
+//! Tests of training runs against a simulated entry whose fetches fail as scripted.
 
-#![allow(clippy::unwrap_used)] // The exemption of clippy.toml ends at helpers of tests.
+#![allow(clippy::unwrap_used)] // clippy.toml exempts test functions, but not their helpers.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -16,26 +16,26 @@
 use standins::trainer::{SampleFault, TrainerError, TrainerSettings};
 use tokio::net::TcpListener;
 
-/// What the entry does with one fetch.
+/// How the entry answers a fetch.
 #[derive(Clone, Copy)]
-enum Do {
+enum FetchAction {
     /// Answers with the next sample.
-    Give,
-    /// Answers with the sample of the fetch before once more.
-    GiveAgain,
-    /// Answers with this status.
+    Deliver,
+    /// Answers with the sample of the previous fetch.
+    Repeat,
+    /// Answers with an error of this status.
     Refuse(u16),
-    /// Closes the connection.
-    Cut,
+    /// Closes the connection without an answer.
+    Disconnect,
 }
 
 struct Entry {
-    script: Mutex<VecDeque<Do>>,
+    script: Mutex<VecDeque<FetchAction>>,
     posts: Mutex<Vec<String>>,
 }
 
-/// Starts an entry whose fetches follow `script`, then always give.
-async fn entry(script: &[Do]) -> (SocketAddr, Arc<Entry>) {
+/// Starts an entry that answers fetches according to `script`, and delivers samples after its end.
+async fn start_entry(script: &[FetchAction]) -> (SocketAddr, Arc<Entry>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let entry = Arc::new(Entry {
@@ -72,11 +72,11 @@
     }
     let cursor: u32 = body["cursor"].as_str().unwrap().parse().unwrap();
     let next = entry.script.lock().unwrap().pop_front();
-    match next.unwrap_or(Do::Give) {
-        Do::Give => Ok(ok(samples(cursor, cursor + 1))),
-        Do::GiveAgain => Ok(ok(samples(cursor - 1, cursor))),
-        Do::Cut => Err(std::fmt::Error),
-        Do::Refuse(status) => {
+    match next.unwrap_or(FetchAction::Deliver) {
+        FetchAction::Deliver => Ok(ok(fetch_answer(cursor, cursor + 1))),
+        FetchAction::Repeat => Ok(ok(fetch_answer(cursor - 1, cursor))),
+        FetchAction::Disconnect => Err(std::fmt::Error),
+        FetchAction::Refuse(status) => {
             let problem = "{\"cause\":\"some-cause\"}";
             let response = Response::builder().status(status);
             Ok(response.body(Full::from(problem)).unwrap())
@@ -84,8 +84,8 @@
     }
 }
 
-/// Sample `index` of the only group, the step's two slots complete at the second.
-fn samples(index: u32, received: u32) -> String {
+/// Answer to a fetch with sample `index` of the only group. The step is complete with two samples.
+fn fetch_answer(index: u32, received: u32) -> String {
     format!(
         "{{\"samples\":[{{\"group\":0,\"index\":{index},\"text\":\" 00ff@1.0\",\
          \"versions\":[\"1.0\"],\"score\":null,\"staleness\":0}}],\
@@ -112,64 +112,68 @@
 }
 
 #[tokio::test]
-async fn receives_a_step_whatever_fails_on_the_way() {
+async fn completes_a_step_despite_failed_requests() {
     struct Case {
         name: &'static str,
-        script: &'static [Do],
+        script: &'static [FetchAction],
         posts: &'static [&'static str],
         faults: usize,
     }
     let cases = [
         Case {
-            name: "nothing",
+            name: "no failure",
             script: &[],
             posts: &["0"],
             faults: 0,
         },
         Case {
-            name: "a lost answer to the second fetch",
-            script: &[Do::Give, Do::Cut],
+            name: "the answer to the second fetch is lost",
+            script: &[FetchAction::Deliver, FetchAction::Disconnect],
             posts: &["0", "1"],
             faults: 0,
         },
         Case {
-            name: "the home of the step, twice",
-            script: &[Do::Refuse(503), Do::Give, Do::Refuse(404)],
+            name: "the step's coordinator is lost twice",
+            script: &[
+                FetchAction::Refuse(503),
+                FetchAction::Deliver,
+                FetchAction::Refuse(404),
+            ],
             posts: &["0", "0", "1"],
             faults: 0,
         },
         Case {
-            name: "the promise of exactly once",
-            script: &[Do::Give, Do::GiveAgain],
+            name: "a sample is delivered twice",
+            script: &[FetchAction::Deliver, FetchAction::Repeat],
             posts: &["0"],
             faults: 1,
         },
     ];
     for case in cases {
-        let (address, entry) = entry(case.script).await;
+        let (address, entry) = start_entry(case.script).await;
         let report = standins::trainer::run(settings(&[address])).await.unwrap();
         assert_eq!(*entry.posts.lock().unwrap(), case.posts, "{}", case.name);
         assert_eq!(report.faults.len(), case.faults, "{}", case.name);
-        let doubled = |fault: &SampleFault| matches!(fault, SampleFault::Doubled { .. });
-        assert!(report.faults.iter().all(doubled), "{}", case.name);
+        let is_duplicate = |fault: &SampleFault| matches!(fault, SampleFault::Doubled { .. });
+        assert!(report.faults.iter().all(is_duplicate), "{}", case.name);
     }
 }
 
 #[tokio::test]
-async fn goes_on_at_another_entry_when_one_is_gone() {
-    let gone = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let gone_address = gone.local_addr().unwrap();
-    drop(gone);
-    let (address, _entry) = entry(&[]).await;
-    let report = standins::trainer::run(settings(&[gone_address, address])).await;
+async fn moves_to_another_entry_when_one_is_unreachable() {
+    let unreachable = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let unreachable_address = unreachable.local_addr().unwrap();
+    drop(unreachable);
+    let (address, _entry) = start_entry(&[]).await;
+    let report = standins::trainer::run(settings(&[unreachable_address, address])).await;
     let report = report.unwrap();
     assert_eq!((report.steps, report.samples), (1, 2));
     assert!(report.retries > 0);
 }
 
 #[tokio::test]
-async fn errors_at_once_when_its_token_is_refused() {
-    let (address, _entry) = entry(&[Do::Refuse(401)]).await;
+async fn a_refused_token_ends_the_run_at_once() {
+    let (address, _entry) = start_entry(&[FetchAction::Refuse(401)]).await;
     let error = standins::trainer::run(settings(&[address])).await;
     assert!(matches!(error, Err(TrainerError::Refused(_, 401, _))));
 }
--- a/dev/standins/tests/trainer.rs
+++ b/dev/standins/tests/trainer.rs
@@ -1,10 +1,10 @@
-//! What the trainer's ledger holds against a system.
+//! Tests of the violations that the trainer's ledger finds in received samples.
 
 use standins::trainer::{Ledger, Sample, SampleFault};
 use types::WeightVersion;
 
 const STEP: u64 = 3;
-const BOUND: u64 = 2;
+const STALENESS_BOUND: u64 = 2;
 
 fn sample(versions: &[&str], staleness: u64) -> Sample {
     let tokens = versions.iter().map(|version| format!(" 00ff@{version}"));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn finds_each_broken_promise() {
+fn finds_each_kind_of_violation() {
     struct Case {
         name: &'static str,
         sample: Sample,
@@ -30,10 +30,10 @@
         oldest: oldest.to_owned(),
         trainer: "1.7".to_owned(),
     };
-    let wrong = |named: &[&str], told: &[&str]| SampleFault::WrongVersions {
+    let wrong_versions = |named: &[&str], in_text: &[&str]| SampleFault::WrongVersions {
         step: STEP,
         named: named.iter().map(|version| version.to_string()).collect(),
-        told: told.iter().map(|version| version.to_string()).collect(),
+        told: in_text.iter().map(|version| version.to_string()).collect(),
     };
     let cases = [
         Case {
@@ -42,12 +42,12 @@
             expected: None,
         },
         Case {
-            name: "mixed, judged by its oldest version",
+            name: "mixed versions, staleness of the oldest",
             sample: sample(&["1.5", "1.7"], 2),
             expected: None,
         },
         Case {
-            name: "judged by its newest version",
+            name: "staleness of its newest version",
             sample: sample(&["1.5", "1.7"], 0),
             expected: Some(SampleFault::WrongStaleness {
                 step: STEP,
@@ -56,33 +56,33 @@
             }),
         },
         Case {
-            name: "over the bound",
+            name: "staleness above the bound",
             sample: sample(&["1.4"], 3),
             expected: Some(too_old("1.4")),
         },
         Case {
-            name: "from before a roll-back",
+            name: "of the epoch before a rollback",
             sample: sample(&["0.7"], 0),
             expected: Some(too_old("0.7")),
         },
         Case {
-            name: "labelled by guess",
+            name: "names a version that did not generate its text",
             sample: Sample {
                 versions: vec!["1.7".to_owned()],
                 ..sample(&["1.6"], 0)
             },
-            expected: Some(wrong(&["1.7"], &["1.6"])),
+            expected: Some(wrong_versions(&["1.7"], &["1.6"])),
         },
         Case {
-            name: "without versions",
+            name: "names no version",
             sample: Sample {
                 versions: Vec::new(),
                 ..sample(&["1.7"], 0)
             },
-            expected: Some(wrong(&[], &["1.7"])),
+            expected: Some(wrong_versions(&[], &["1.7"])),
         },
         Case {
-            name: "of a group that was not asked for",
+            name: "of a group outside the step",
             sample: Sample {
                 group: 2,
                 ..sample(&["1.7"], 0)
@@ -99,7 +99,7 @@
         version: 7,
     };
     for case in cases {
-        let mut ledger = Ledger::new(STEP, 2, 2, BOUND);
+        let mut ledger = Ledger::new(STEP, 2, 2, STALENESS_BOUND);
         let faults = ledger.record(&case.sample, trainer);
         assert_eq!(faults.first(), case.expected.as_ref(), "{}", case.name);
         assert_eq!(
@@ -112,8 +112,8 @@
 }
 
 #[test]
-fn finds_doubled_and_missing_samples() {
-    let mut ledger = Ledger::new(STEP, 1, 2, BOUND);
+fn finds_duplicate_and_missing_samples() {
+    let mut ledger = Ledger::new(STEP, 1, 2, STALENESS_BOUND);
     let version = WeightVersion {
         epoch: 1,
         version: 7,
