--- a/dev/standins/src/fleet/topics.rs
+++ b/dev/standins/src/fleet/topics.rs
@@ -10,15 +10,16 @@
 
 /// Why an append was refused.
 pub(super) enum AppendRefusal {
-    /// The partition does not end at the offset of the condition, but at this one.
+    /// The partition ends at this offset instead of the offset in the condition.
     End(u64),
     /// The producer has appended with a newer epoch.
     Fenced,
-    /// The sequence number is neither recent nor the producer's next, which is this one.
+    /// The sequence number is neither that of a recent append nor the producer's next number, which
+    /// is this one.
     Sequence(u64),
 }
 
-/// Condition of an append, and the sequence number that identifies it to the store.
+/// Condition of an append, and the producer's sequence number by which the store recognizes a retry.
 #[derive(Default)]
 pub(super) struct AppendConditions {
     /// Offset at which the partition must end.
--- a/dev/standins/src/fleet/trainer.rs
+++ b/dev/standins/src/fleet/trainer.rs
@@ -18,11 +18,10 @@
 use super::records::{self, HOST, MODEL, STEPS};
 use super::store::Store;
 
-/// Timeout of a request.
 const REQUEST_TIMEOUT_MS: u64 = 3_000;
 /// Time after a step was accepted until every front knows the step.
 const PROPAGATION_TIME: Duration = Duration::from_secs(1);
-/// Long poll of a read that finds no new result.
+/// Time that a read waits at the front for a new result.
 const LONG_POLL_MS: u64 = 200;
 /// Delay before a request is retried at another front.
 const RETRY_DELAY_MS: u64 = 20;
@@ -61,7 +60,7 @@
 pub struct Expected {
     /// Events of each complete text, as set for the model replicas.
     pub events: u64,
-    /// Time for a step from its submission until its end was acknowledged.
+    /// Limit on the time from the submission of a step until its deletion is acknowledged.
     pub timeout: Duration,
 }
 
--- a/dev/standins/src/trainer/entries.rs
+++ b/dev/standins/src/trainer/entries.rs
@@ -41,7 +41,7 @@
 /// The entries, with the position of the current one.
 pub(super) struct Entries {
     endpoints: Vec<Endpoint>,
-    /// Position of the current entry, modulo their number.
+    /// Grows with each retry. Its remainder by the number of entries is the current entry.
     current: usize,
     token: String,
     request_timeout_ms: u64,
