--- a/dev/bench/src/load/faults.rs
+++ b/dev/bench/src/load/faults.rs
@@ -146,15 +146,15 @@
         (ScheduledFaultKind::EntryStop, false) => entry.lock().signal("CONT")?,
         (ScheduledFaultKind::EngineCrash, true) => engine.crash(fault.duration_ms),
         (ScheduledFaultKind::LogOutage, true) => {
-            standins.log.fault(standin_fault(FaultKind::Outage))
+            standins.log.inject_fault(standin_fault(FaultKind::Outage))
         }
         (ScheduledFaultKind::LogAnswerLost, true) => {
-            standins.log.fault(standin_fault(FaultKind::AnswerLost))
+            standins.log.inject_fault(standin_fault(FaultKind::AnswerLost))
         }
         (ScheduledFaultKind::StoreOutage, true) => {
-            standins.store.fault(standin_fault(FaultKind::Outage))
+            standins.store.inject_fault(standin_fault(FaultKind::Outage))
         }
-        (ScheduledFaultKind::SwapFails, true) => engine.fault(standin_fault(FaultKind::SwapFails)),
+        (ScheduledFaultKind::SwapFails, true) => engine.inject_fault(standin_fault(FaultKind::SwapFails)),
         (_, false) => {}
     }
     Ok(())
--- a/dev/bench/src/load/training.rs
+++ b/dev/bench/src/load/training.rs
@@ -115,7 +115,7 @@
             max_tokens: SAMPLE_TOKENS_MAX,
             train_ms: TRAIN_MS,
             staleness_bound: site.staleness_bound,
-            give_up_ms: ABANDON_AFTER_MS,
+            step_timeout_ms: ABANDON_AFTER_MS,
             version: progress.version,
             ..TrainerSettings::default()
         });
--- a/dev/bench/src/visit/training.rs
+++ b/dev/bench/src/visit/training.rs
@@ -33,7 +33,7 @@
         max_tokens: SAMPLE_TOKENS_MAX,
         train_ms: TRAIN_MS,
         staleness_bound: site.staleness_bound,
-        give_up_ms: ABANDON_AFTER_MS,
+        step_timeout_ms: ABANDON_AFTER_MS,
         ..TrainerSettings::default()
     })
     .await;
