--- a/dev/standins/tests/engine.rs
+++ b/dev/standins/tests/engine.rs
@@ -126,7 +126,7 @@
 }
 
 #[tokio::test]
-async fn resumes_to_the_same_completion() {
+async fn can_resume_to_the_same_completion() {
     let fixture = start(immediate()).await;
     let (all, finish, is_complete) = fixture
         .stream("\"prompt\":\"p\",\"seed\":4")
@@ -192,7 +192,7 @@
 }
 
 #[tokio::test]
-async fn returns_an_error_when_a_swap_fails() {
+async fn errors_when_a_swap_fails() {
     struct Case {
         name: &'static str,
         fault: Fault,
@@ -230,7 +230,7 @@
 }
 
 #[tokio::test]
-async fn returns_an_error_when_the_weight_store_limits_its_rate() {
+async fn errors_when_the_weight_store_limits_its_rate() {
     let store = standins::store::start(StoreSettings::new(loopback()))
         .await
         .unwrap();
@@ -252,7 +252,7 @@
 /// A prompt crashes the engine when it enters the batch. Guards against requests or state that
 /// survive the crash: all connections must close, and the next life must serve the first version.
 #[tokio::test]
-async fn all_requests_fail_when_a_prompt_crashes_the_engine() {
+async fn errors_for_all_callers_when_a_prompt_crashes_the_engine() {
     let settings = EngineSettings {
         speeds: Speeds {
             step_us: 1_000,
@@ -316,7 +316,7 @@
 }
 
 #[tokio::test]
-async fn cancels_a_completion_by_request_id() {
+async fn can_cancel_by_request_id() {
     let settings = EngineSettings {
         speeds: Speeds::default(),
         tokens_min: 60_000,
--- a/dev/standins/tests/fleet_store.rs
+++ b/dev/standins/tests/fleet_store.rs
@@ -21,7 +21,7 @@
 }
 
 #[tokio::test]
-async fn checks_the_conditions_of_an_append() {
+async fn can_check_the_conditions_of_an_append() {
     struct Case {
         name: &'static str,
         conditions: &'static str,
--- a/dev/standins/tests/session.rs
+++ b/dev/standins/tests/session.rs
@@ -172,7 +172,7 @@
 }
 
 #[tokio::test]
-async fn a_refused_token_ends_the_run_at_once() {
+async fn errors_at_once_when_its_token_is_refused() {
     let (address, _entry) = start_entry(&[FetchAction::Refuse(401)]).await;
     let error = standins::trainer::run(settings(&[address])).await;
     assert!(matches!(error, Err(TrainerError::Refused(_, 401, _))));
