--- a/dev/bench/src/load/faults.rs
+++ b/dev/bench/src/load/faults.rs
@@ -148,13 +148,15 @@
         (ScheduledFaultKind::LogOutage, true) => {
             standins.log.inject_fault(standin_fault(FaultKind::Outage))
         }
-        (ScheduledFaultKind::LogAnswerLost, true) => {
-            standins.log.inject_fault(standin_fault(FaultKind::AnswerLost))
+        (ScheduledFaultKind::LogAnswerLost, true) => standins
+            .log
+            .inject_fault(standin_fault(FaultKind::AnswerLost)),
+        (ScheduledFaultKind::StoreOutage, true) => standins
+            .store
+            .inject_fault(standin_fault(FaultKind::Outage)),
+        (ScheduledFaultKind::SwapFails, true) => {
+            engine.inject_fault(standin_fault(FaultKind::SwapFails))
         }
-        (ScheduledFaultKind::StoreOutage, true) => {
-            standins.store.inject_fault(standin_fault(FaultKind::Outage))
-        }
-        (ScheduledFaultKind::SwapFails, true) => engine.inject_fault(standin_fault(FaultKind::SwapFails)),
         (_, false) => {}
     }
     Ok(())
